--- a/crates/pipitcrank-failover/src/agreement.rs
+++ b/crates/pipitcrank-failover/src/agreement.rs
@@ -100,7 +100,7 @@
     Word(Word),
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 struct Proposal {
     /// The decision it was made from: another in between voids it.
     base: u64,
@@ -883,3 +883,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod stored_forms;
--- a/crates/pipitcrank-failover/src/instance.rs
+++ b/crates/pipitcrank-failover/src/instance.rs
@@ -774,3 +774,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod stored_forms;
--- a/crates/pipitcrank-membership/src/members.rs
+++ b/crates/pipitcrank-membership/src/members.rs
@@ -338,3 +338,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_forms;
--- /dev/null
+++ b/crates/pipitcrank-node/tests/stored_forms.rs
@@ -0,0 +1,52 @@
+//! A node configuration with every key, as an earlier version read it. What the decision module takes of it is checked
+//! beside that module.
+
+use std::time::Duration;
+
+use pipitcrank::decide::zones::Zone;
+use pipitcrank::time::Span;
+use pipitcrank_node::charter::Charter;
+use pipitcrank_node::clock::Clock;
+use pipitcrank_node::counters::Counters;
+
+const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fixtures/node_config.json");
+
+#[test]
+fn a_node_configuration_with_every_key_is_read_as_by_an_earlier_version() {
+    let text = std::fs::read_to_string(FILE).unwrap();
+    let config = Charter::read(&text, |_| None).unwrap();
+    let clock = Clock::start();
+    assert_eq!(config.faults(&clock), []);
+    assert_eq!(config.name().unwrap(), "n1");
+    assert_eq!(config.listen().unwrap(), ([127, 0, 0, 1], 7000).into());
+    assert_eq!(config.discovery().unwrap(), "127.0.0.1:7001");
+    assert_eq!(config.seed().unwrap(), 0x5eed);
+    assert_eq!(config.sockets().unwrap(), 256 - 24);
+    assert_eq!(config.verticals().unwrap(), ["view", "sale", "bill"]);
+    assert_eq!(config.deduplicated().unwrap(), [false, true, false]);
+    assert_eq!(config.utilities().unwrap(), [3.0, 1.0, 1.0]);
+    assert_eq!(config.longest().unwrap(), Span::from_ms(6000));
+    assert_eq!((config.cells().unwrap(), config.shards().unwrap()), (12, 48));
+    assert_eq!(config.tick().unwrap(), Span::from_ms(5));
+    assert!(config.lists_are_asked_for().unwrap());
+    assert_eq!(config.copies().unwrap(), 20);
+    assert_eq!(config.zones().unwrap(), Some((Zone(1), vec!["a".into(), "b".into()])));
+    assert_eq!((config.streams().unwrap(), config.call_size().unwrap()), (6, 6));
+    assert_eq!(config.dial_limit().unwrap(), Duration::from_millis(500));
+    assert_eq!(config.idle_limit().unwrap(), Duration::from_millis(29_500));
+    assert!(config.exchange(Counters::default()).is_ok());
+    let (revision, rows) = config.known(&clock).unwrap();
+    assert_eq!(revision, 41);
+    let rows: Vec<_> = rows
+        .iter()
+        .map(|r| (&*r.uid, r.address.map(|a| a.port()), r.cell, r.zone.as_deref(), r.up, r.started.is_some()))
+        .collect();
+    assert_eq!(
+        rows,
+        [
+            ("s-0", Some(7010), 3, Some("a"), true, false),
+            ("s-1", Some(7011), 4, Some("b"), false, true),
+            ("s-2", None, 0, None, false, false),
+        ]
+    );
+}
--- a/crates/pipitcrank/src/decide.rs
+++ b/crates/pipitcrank/src/decide.rs
@@ -1109,3 +1109,6 @@
 
 /// What a cover gives to each leaf before anything is sent.
 type Plan = BTreeMap<Leaf, Vec<Part>>;
+
+#[cfg(test)]
+mod config_form;
--- a/crates/pipitcrank/src/decide/known.rs
+++ b/crates/pipitcrank/src/decide/known.rs
@@ -198,3 +198,6 @@
         self.moved = true;
     }
 }
+
+#[cfg(test)]
+mod stored_forms;
