--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -4,17 +4,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipitcrank::time::At;
+use pipitcrank_config::Store as Told;
+use pipitcrank_core::time::At;
 use pipitcrank_failover::agreement::Memory;
 use pipitcrank_failover::decision::Decision;
 use pipitcrank_handover::passing::mono_us;
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_node::counters::Counters;
-use pipitcrank_node::discovery::Rev;
-use pipitcrank_node::hall::Hall;
-use pipitcrank_operators::Store as Told;
 use pipitcrank_recovery::beliefs::{Beliefs, Clocks, Recalled};
 use pipitcrank_recovery::store::{Fault, Store};
+use pipitcrank_server::counters::Counters;
+use pipitcrank_server::discovery::Rev;
+use pipitcrank_server::hall::Hall;
 use tokio::sync::Notify;
 
 use crate::peers::{since_1970_us, span};
--- a/crates/pipitcrank-cli/src/keeper.rs
+++ b/crates/pipitcrank-cli/src/keeper.rs
@@ -8,11 +8,11 @@
 use std::time::Instant;
 
 use anyhow::{Context, Result};
-use pipitcrank::time::{At, Span};
+use pipitcrank_config::{Operators, Upgrade};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_handover::book::{Book, Event, Times, Wish, Worker};
 use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing};
 use pipitcrank_handover::words::{ToKeeper, ToWorker, VERSION};
-use pipitcrank_operators::{Operators, Upgrade};
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
--- a/crates/pipitcrank-cli/src/logs.rs
+++ b/crates/pipitcrank-cli/src/logs.rs
@@ -1,6 +1,6 @@
 //! Log lines to standard error from a thread of their own: whoever logs never waits, and what is dropped is counted.
 
-use pipitcrank_operators::Logs;
+use pipitcrank_config::Logs;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::time::SystemTime;
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `pipitcrank`: a scatter-gather co-ordinator, and what is run beside it.
+//! `pipitcrank_core`: a scatter-gather co-ordinator, and what is run beside it.
 
 mod asking;
 mod disk;
@@ -16,15 +16,15 @@
 use anyhow::{Context, Result, anyhow};
 use clap::{Parser, Subcommand};
 use disk::{Disk, Past};
-use pipitcrank::time::Span;
+use pipitcrank_config::{Gateway, Operators};
+use pipitcrank_core::time::Span;
 use pipitcrank_gateway::far::Far;
 use pipitcrank_gateway::near::{Near, Peer};
-use pipitcrank_node::charter::Charter;
-use pipitcrank_node::clock::Clock;
-use pipitcrank_node::exchange::LeafSide;
-use pipitcrank_node::serve::{self, Beside, Ground};
-use pipitcrank_operators::{Gateway, Operators};
-use pipitcrank_rig::trial::{self, Terms};
+use pipitcrank_server::charter::Charter;
+use pipitcrank_server::clock::Clock;
+use pipitcrank_server::exchange::LeafSide;
+use pipitcrank_server::serve::{self, Beside, Ground};
+use pipitcrank_testkit::trial::{self, Terms};
 
 /// A scatter-gather co-ordinator: it reads many shards for one query and gives one answer.
 #[derive(Parser)]
@@ -169,7 +169,7 @@
         What::Lab { name, copies, zones, seed, json, plot } => {
             said(lab(&name, copies, usize::from(zones), seed, json.as_deref(), plot.as_deref()))
         }
-        What::Demo { seed } => said(keeper::program().and_then(|p| pipitcrank_rig::demo::play(&p, seed))),
+        What::Demo { seed } => said(keeper::program().and_then(|p| pipitcrank_testkit::demo::play(&p, seed))),
         What::Trial { name, seed, rounds, only, json } => {
             let terms = Terms { seed, rounds, only: only.as_deref(), json };
             said(keeper::program().and_then(|p| trial::play(&p, &name, terms)))
@@ -182,7 +182,7 @@
 /// What an operator asks of the copies that a file joins.
 fn asked_of(
     path: &std::path::Path,
-    ask: impl FnOnce(Option<pipitcrank_operators::Zones>) -> Result<i32>,
+    ask: impl FnOnce(Option<pipitcrank_config::Zones>) -> Result<i32>,
 ) -> i32 {
     match Operators::read(path) {
         Ok(operators) => said(ask(operators.zones)),
@@ -319,7 +319,7 @@
 ) -> Result<i32> {
     anyhow::ensure!(name == "zones", "no experiment is named '{name}'; there is: zones");
     anyhow::ensure!((zones..=MOST_COPIES).contains(&copies), "{copies} copies, not {zones} to {MOST_COPIES}");
-    let (figures, lines) = pipitcrank_lab::zones::play(copies, zones, seed);
+    let (figures, lines) = pipitcrank_simulation::zones::play(copies, zones, seed);
     let text = serde_json::to_string_pretty(&figures)?;
     println!("{text}");
     if let Some(path) = json {
@@ -328,7 +328,7 @@
     if let Some(path) = plot {
         let service = ("share of what was asked that was answered in time", &lines.service[..]);
         let load = ("load of each zone against what it bears, by the common decision", &lines.load[..]);
-        pipitcrank_lab::plot::draw(path, service, load)?;
+        pipitcrank_simulation::plot::draw(path, service, load)?;
     }
     Ok(0)
 }
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -7,8 +7,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result, bail};
-use pipitcrank::decide::zones::{Seen, Shares, Tally, Zone};
-use pipitcrank::time::{At, Span};
+use pipitcrank_config::Zones;
+use pipitcrank_core::decide::zones::{Seen, Shares, Tally, Zone};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_failover::book::{Book, Pace};
 use pipitcrank_failover::decision::{Order, State, UNKNOWN, WHOLE};
 use pipitcrank_failover::follow::{Follow, Plan};
@@ -18,11 +19,10 @@
 use pipitcrank_membership::evidence::Row;
 use pipitcrank_membership::members::{Gone, News};
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_node::counters::Counters;
-use pipitcrank_node::discovery::Rev;
-use pipitcrank_node::serve::Ground;
-use pipitcrank_operators::Zones;
 use pipitcrank_recovery::turns::{self, Copy};
+use pipitcrank_server::counters::Counters;
+use pipitcrank_server::discovery::Rev;
+use pipitcrank_server::serve::Ground;
 use tokio::net::UdpSocket;
 
 use crate::disk::{Disk, Past};
@@ -195,7 +195,7 @@
     instance: Instance,
     disk: Option<Disk>,
     rev: Rev,
-    hall: std::rc::Rc<pipitcrank_node::hall::Hall>,
+    hall: std::rc::Rc<pipitcrank_server::hall::Hall>,
     names: Vec<String>,
     own: usize,
     /// By zone: the one whose leaves stand for it here. Its own for those of this region, the region's first for others.
--- a/crates/pipitcrank-cli/tests/crossings.rs
+++ b/crates/pipitcrank-cli/tests/crossings.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_rig::client::{Lone, Question, connect, get, read_answer};
-use pipitcrank_rig::discovery::row;
-use pipitcrank_rig::ledger::{Ended, Ledger};
-use pipitcrank_rig::process::Process;
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::client::{Lone, Question, connect, get, read_answer};
+use pipitcrank_testkit::discovery::row;
+use pipitcrank_testkit::ledger::{Ended, Ledger};
+use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::{Pid, Resource, Rlimit, Signal, prlimit};
 use stand_ins::{Leaf, Source, charter, program};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
--- a/crates/pipitcrank-cli/tests/ending.rs
+++ b/crates/pipitcrank-cli/tests/ending.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use pipitcrank_rig::client::{Clients, Lone, Question, connect};
-use pipitcrank_rig::fleet::{Fleet, Load};
-use pipitcrank_rig::leaf::{Manner, Work};
-use pipitcrank_rig::ledger::{Ended, Ledger};
-use pipitcrank_rig::process::{Process, Steps};
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::client::{Clients, Lone, Question, connect};
+use pipitcrank_testkit::fleet::{Fleet, Load};
+use pipitcrank_testkit::leaf::{Manner, Work};
+use pipitcrank_testkit::ledger::{Ended, Ledger};
+use pipitcrank_testkit::process::{Process, Steps};
+use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 
 const LIMIT: Duration = Duration::from_secs(60);
@@ -196,7 +196,7 @@
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(7, WORK).await?;
         let told = fleet.charter(7, 1024, 3000)?;
-        let folder = pipitcrank_rig::process::Folder::new("fifo")?;
+        let folder = pipitcrank_testkit::process::Folder::new("fifo")?;
         let path = folder.path().join("charter.json");
         assert!(std::process::Command::new("mkfifo").arg(&path).status()?.success());
         let mut child = std::process::Command::new(program())
@@ -269,7 +269,7 @@
         let ledger = Ledger::default();
         for n in 0..2 {
             for worker in process.workers() {
-                pipitcrank_rig::process::signal_worker(worker, Signal::KILL);
+                pipitcrank_testkit::process::signal_worker(worker, Signal::KILL);
             }
             // At once: nobody listens but the keeper.
             let stream = connect(process.address).await?;
--- a/crates/pipitcrank-cli/tests/gateway.rs
+++ b/crates/pipitcrank-cli/tests/gateway.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_rig::trial::gateway::{Trouble, through};
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::trial::gateway::{Trouble, through};
+use pipitcrank_testkit::trial::on_one_thread;
 
 fn survives(seed: u64, trouble: Trouble) {
     let program = Path::new(env!("CARGO_BIN_EXE_pipitcrank"));
--- a/crates/pipitcrank-cli/tests/leaving.rs
+++ b/crates/pipitcrank-cli/tests/leaving.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_rig::client::{Lone, Question, connect, get};
-use pipitcrank_rig::discovery::row;
-use pipitcrank_rig::ledger::{Ended, Ledger};
-use pipitcrank_rig::process::Process;
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::client::{Lone, Question, connect, get};
+use pipitcrank_testkit::discovery::row;
+use pipitcrank_testkit::ledger::{Ended, Ledger};
+use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use stand_ins::{Late, Leaf, Source, charter, program};
 use tokio::io::AsyncWriteExt;
--- a/crates/pipitcrank-cli/tests/lists.rs
+++ b/crates/pipitcrank-cli/tests/lists.rs
@@ -5,11 +5,11 @@
 
 use std::time::{Duration, Instant};
 
-use pipitcrank_rig::client::{Lone, Question, get};
-use pipitcrank_rig::discovery::row;
-use pipitcrank_rig::ledger::Ledger;
-use pipitcrank_rig::process::Process;
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::client::{Lone, Question, get};
+use pipitcrank_testkit::discovery::row;
+use pipitcrank_testkit::ledger::Ledger;
+use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
 use stand_ins::{Call, Leaf, Source, charter, program};
--- a/crates/pipitcrank-cli/tests/repeats.rs
+++ b/crates/pipitcrank-cli/tests/repeats.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use pipitcrank_rig::client::{Answer, Question, connect, read_answer};
-use pipitcrank_rig::discovery::row;
-use pipitcrank_rig::process::{Process, Steps};
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::client::{Answer, Question, connect, read_answer};
+use pipitcrank_testkit::discovery::row;
+use pipitcrank_testkit::process::{Process, Steps};
+use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
 use stand_ins::{Late, Leaf, Source, charter, program};
--- a/crates/pipitcrank-cli/tests/returns.rs
+++ b/crates/pipitcrank-cli/tests/returns.rs
@@ -5,8 +5,8 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use pipitcrank_rig::trial::on_one_thread;
-use pipitcrank_rig::trial::returns::{Case, through};
+use pipitcrank_testkit::trial::on_one_thread;
+use pipitcrank_testkit::trial::returns::{Case, through};
 
 /// Twelve processes are enough at a time.
 static ONE: Mutex<()> = Mutex::new(());
--- a/crates/pipitcrank-cli/tests/size.rs
+++ b/crates/pipitcrank-cli/tests/size.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_rig::client::{Clients, Question};
-use pipitcrank_rig::discovery::{Discovery, row};
-use pipitcrank_rig::fleet::charter_of;
-use pipitcrank_rig::leaf::{Leaf, Work};
-use pipitcrank_rig::ledger::{Ended, Ledger};
-use pipitcrank_rig::process::{Process, Steps};
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::client::{Clients, Question};
+use pipitcrank_testkit::discovery::{Discovery, row};
+use pipitcrank_testkit::fleet::charter_of;
+use pipitcrank_testkit::leaf::{Leaf, Work};
+use pipitcrank_testkit::ledger::{Ended, Ledger};
+use pipitcrank_testkit::process::{Process, Steps};
+use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
 
--- a/crates/pipitcrank-cli/tests/soak.rs
+++ b/crates/pipitcrank-cli/tests/soak.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_rig::soak::{Size, play};
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::soak::{Size, play};
+use pipitcrank_testkit::trial::on_one_thread;
 
 const LIMIT: Duration = Duration::from_secs(90);
 
--- a/crates/pipitcrank-cli/tests/stand_ins/mod.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_rig::fleet::charter_of;
+use pipitcrank_testkit::fleet::charter_of;
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
--- a/crates/pipitcrank-cli/tests/system_calls.rs
+++ b/crates/pipitcrank-cli/tests/system_calls.rs
@@ -5,14 +5,14 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::Result;
-use pipitcrank_rig::client::{Clients, Question};
-use pipitcrank_rig::discovery::row;
-use pipitcrank_rig::faults::{Fault, Faults, Shim};
-use pipitcrank_rig::fleet::Fleet;
-use pipitcrank_rig::leaf::Work;
-use pipitcrank_rig::ledger::{Ended, Ledger};
-use pipitcrank_rig::process::Process;
-use pipitcrank_rig::trial::on_one_thread;
+use pipitcrank_testkit::client::{Clients, Question};
+use pipitcrank_testkit::discovery::row;
+use pipitcrank_testkit::faults::{Fault, Faults, Shim};
+use pipitcrank_testkit::fleet::Fleet;
+use pipitcrank_testkit::leaf::Work;
+use pipitcrank_testkit::ledger::{Ended, Ledger};
+use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use stand_ins::{Leaf, Source, charter, program};
 
--- a/crates/pipitcrank-cli/tests/upgrade.rs
+++ b/crates/pipitcrank-cli/tests/upgrade.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_rig::trial::upgrade::{Round, overloaded, rounds_of};
-use pipitcrank_rig::trial::{Outcome, on_one_thread};
+use pipitcrank_testkit::trial::upgrade::{Round, overloaded, rounds_of};
+use pipitcrank_testkit::trial::{Outcome, on_one_thread};
 
 const LIMIT: Duration = Duration::from_secs(120);
 
--- a/crates/pipitcrank-cli/tests/zones.rs
+++ b/crates/pipitcrank-cli/tests/zones.rs
@@ -7,8 +7,8 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use pipitcrank_rig::trial::on_one_thread;
-use pipitcrank_rig::trial::zones::{Trouble, through};
+use pipitcrank_testkit::trial::on_one_thread;
+use pipitcrank_testkit::trial::zones::{Trouble, through};
 
 /// Ten processes are enough at a time.
 static ONE: Mutex<()> = Mutex::new(());
--- a/crates/pipitcrank-operators/tests/stored_forms.rs
+++ b/crates/pipitcrank-config/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_operators::{Gateway, Logs, Operators, Store, Upgrade, Zones};
+use pipitcrank_config::{Gateway, Logs, Operators, Store, Upgrade, Zones};
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fixtures/operators.dhall");
 
--- a/crates/pipitcrank/tests/cases.rs
+++ b/crates/pipitcrank-core/tests/cases.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use helper::{Act, Tape, at, list, ms, root};
-use pipitcrank::decide::Root;
-use pipitcrank::ids::{Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::decide::Root;
+use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Vertical};
 
 /// A query of vertical `v` with one part a shard; part ids follow from `base`.
 fn ask(root: &mut Root, tape: &mut Tape, t: i64, v: u16, base: u32, shards: &[u32]) {
@@ -448,7 +448,7 @@
 
 #[test]
 fn the_generator_is_even_and_follows_its_seed() {
-    use pipitcrank::chance::Chance;
+    use pipitcrank_core::chance::Chance;
     let draw = |seed| {
         let mut chance = Chance::new(seed);
         (0..6000).map(|_| chance.below(6)).collect::<Vec<_>>()
--- a/crates/pipitcrank/tests/cold.rs
+++ b/crates/pipitcrank-core/tests/cold.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use helper::{Act, Tape, at, ms};
-use pipitcrank::chance::Chance;
-use pipitcrank::decide::Root;
-use pipitcrank::ids::{Ending, Leaf, Part, Query, Vertical};
-use pipitcrank::time::At;
+use pipitcrank_core::chance::Chance;
+use pipitcrank_core::decide::Root;
+use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::time::At;
 
 /// Work of a part, and the helper's rules for cold leaves: three times what they can do in 2 s, from a fifth of it on,
 /// warm after 10 s.
--- a/crates/pipitcrank/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -1,10 +1,10 @@
 //! A port that writes down what the module asks for, and a root over a small ring of leaves.
 
-use pipitcrank::chance::Chance;
-use pipitcrank::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
-use pipitcrank::ids::{Effect, Leaf, Part, Query, Refusal};
-use pipitcrank::port::Port;
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::chance::Chance;
+use pipitcrank_core::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
+use pipitcrank_core::ids::{Effect, Leaf, Part, Query, Refusal};
+use pipitcrank_core::port::Port;
+use pipitcrank_core::time::{At, Span};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
--- a/crates/pipitcrank/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 use helper::{Act, Tape, at, ms};
-use pipitcrank::decide::Root;
-use pipitcrank::ids::{Effect, Ending, Leaf, Part, Query, Vertical};
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::decide::Root;
+use pipitcrank_core::ids::{Effect, Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::time::{At, Span};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/pipitcrank/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -4,10 +4,10 @@
 mod helper;
 
 use helper::{Act, Tape, at, ms, root_on};
-use pipitcrank::decide::Root;
-use pipitcrank::decide::zones::{Shares, Zone};
-use pipitcrank::ids::{Ending, Leaf, Part, Query, Vertical};
-use pipitcrank::told::Told;
+use pipitcrank_core::decide::Root;
+use pipitcrank_core::decide::zones::{Shares, Zone};
+use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::told::Told;
 use serde_json::json;
 
 const HERE: Zone = Zone(0);
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pipitcrank::ids::{Ending, Leaf, Vertical};
-use pipitcrank::time::{At, Span};
-use pipitcrank::told::Told;
-use pipitcrank_node::counters::Counters;
-use pipitcrank_node::exchange::{Asked, AskedPart, CallNo, Exchange, Final, LeafSide, Listed};
+use pipitcrank_core::ids::{Ending, Leaf, Vertical};
+use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::told::Told;
+use pipitcrank_server::counters::Counters;
+use pipitcrank_server::exchange::{Asked, AskedPart, CallNo, Exchange, Final, LeafSide, Listed};
 use serde_json::json;
 
 /// What the exchange asked for, in order.
--- a/crates/pipitcrank-failover/src/agreement.rs
+++ b/crates/pipitcrank-failover/src/agreement.rs
@@ -23,7 +23,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, Message,
--- a/crates/pipitcrank-failover/src/book.rs
+++ b/crates/pipitcrank-failover/src/book.rs
@@ -16,7 +16,7 @@
 //! Rules that hold whatever the evidence: no step while no other zone is known to be well; a zone that still serves (slow,
 //! or drained) is left only as far as the others have room; all that was seen before this voter led does not count.
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_membership::evidence::{Finding, Matrix};
 
 use crate::decision::{Cause, Decision, Order, Place, State, UNKNOWN, WHOLE};
--- a/crates/pipitcrank-failover/src/follow.rs
+++ b/crates/pipitcrank-failover/src/follow.rs
@@ -10,7 +10,7 @@
 //! Alone     for longer: from where it stands, at most `ALONE` of a zone's share by own evidence
 //! ```
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_membership::evidence::{BAD, Row, WELL};
 
 use crate::decision::{Decision, WHOLE};
--- a/crates/pipitcrank-failover/src/instance.rs
+++ b/crates/pipitcrank-failover/src/instance.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_membership::envelope::{Kind, Left, Opener, Sealer};
 use pipitcrank_membership::evidence::{Finding, Row, SPEAK, Word as Evidence, Words, speaks};
 use pipitcrank_membership::members::{Gone, Members, News};
--- a/crates/pipitcrank-failover/tests/agreement.rs
+++ b/crates/pipitcrank-failover/tests/agreement.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_failover::agreement::{Agreement, Memory, Out};
 use pipitcrank_failover::decision::Decision;
 use rand::{Rng, SeedableRng};
--- a/crates/pipitcrank-gateway/src/far.rs
+++ b/crates/pipitcrank-gateway/src/far.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use pipitcrank::ids::Vertical;
-use pipitcrank_node::exchange::{Asked, AskedPart, Final, Lent};
-use pipitcrank_node::hall::Hall;
-use pipitcrank_node::serve::Ground;
+use pipitcrank_core::ids::Vertical;
+use pipitcrank_server::exchange::{Asked, AskedPart, Final, Lent};
+use pipitcrank_server::hall::Hall;
+use pipitcrank_server::serve::Ground;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/pipitcrank-gateway/src/forwards.rs
+++ b/crates/pipitcrank-gateway/src/forwards.rs
@@ -13,8 +13,8 @@
 
 use std::collections::BTreeMap;
 
-use pipitcrank::ids::Ending;
-use pipitcrank::time::At;
+use pipitcrank_core::ids::Ending;
+use pipitcrank_core::time::At;
 
 use crate::frames::How;
 use crate::route;
--- a/crates/pipitcrank-gateway/src/forwards/tests.rs
+++ b/crates/pipitcrank-gateway/src/forwards/tests.rs
@@ -1,4 +1,4 @@
-use pipitcrank::time::Span;
+use pipitcrank_core::time::Span;
 use proptest::prelude::*;
 
 use super::*;
--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -3,8 +3,8 @@
 //! `docs/gateway.md` has each message field by field.
 
 use bytes::{Buf, BytesMut};
-use pipitcrank::time::Span;
-use pipitcrank_node::front::is_idempotency_key;
+use pipitcrank_core::time::Span;
+use pipitcrank_server::front::is_idempotency_key;
 use serde::{Deserialize, Serialize};
 
 /// Raised with each change of a message's form.
--- a/crates/pipitcrank-gateway/src/ledger.rs
+++ b/crates/pipitcrank-gateway/src/ledger.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 
 use crate::frames::{Forward, How};
 
--- a/crates/pipitcrank-gateway/src/near.rs
+++ b/crates/pipitcrank-gateway/src/near.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use pipitcrank::ids::{Ending, Leaf};
-use pipitcrank::time::Span;
-use pipitcrank_node::clock::duration;
-use pipitcrank_node::exchange::{CallNo, LeafSide};
-use pipitcrank_node::hall::Hall;
-use pipitcrank_node::leaves::Leaves;
-use pipitcrank_node::serve::Ground;
+use pipitcrank_core::ids::{Ending, Leaf};
+use pipitcrank_core::time::Span;
+use pipitcrank_server::clock::duration;
+use pipitcrank_server::exchange::{CallNo, LeafSide};
+use pipitcrank_server::hall::Hall;
+use pipitcrank_server::leaves::Leaves;
+use pipitcrank_server::serve::Ground;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -519,7 +519,7 @@
                 }
             }
             Said::Pong { sent_us, mine_us } => {
-                let took = now - pipitcrank::time::At::from_us(sent_us);
+                let took = now - pipitcrank_core::time::At::from_us(sent_us);
                 if took < Span::ZERO {
                     return Err("bad_bytes");
                 }
--- a/crates/pipitcrank-gateway/src/route.rs
+++ b/crates/pipitcrank-gateway/src/route.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 
 /// Failed forwards in a row that hold a site out: one may be a leaf's fault.
 const FAILS: u32 = 3;
--- a/crates/pipitcrank-gateway/tests/stored_forms.rs
+++ b/crates/pipitcrank-gateway/tests/stored_forms.rs
@@ -1,7 +1,7 @@
 //! Frames of the link between gateways, against bytes of an earlier version.
 
 use bytes::BytesMut;
-use pipitcrank::time::Span;
+use pipitcrank_core::time::Span;
 use pipitcrank_gateway::frames::{self, Forward, How, Said};
 
 #[path = "../../../fixtures/mod.rs"]
--- a/crates/pipitcrank-handover/src/book.rs
+++ b/crates/pipitcrank-handover/src/book.rs
@@ -18,7 +18,7 @@
 
 use std::collections::VecDeque;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 
 /// A worker, by the order in which they were started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/pipitcrank-handover/src/division.rs
+++ b/crates/pipitcrank-handover/src/division.rs
@@ -10,8 +10,8 @@
 //!
 //! **Sockets and open queries**: the old one keeps what it has and tells the new one as that shrinks.
 
-use pipitcrank::decide::known::Known;
-use pipitcrank::time::Span;
+use pipitcrank_core::decide::known::Known;
+use pipitcrank_core::time::Span;
 
 /// Of what is left in the window, the share that the old one keeps for the queries that it finishes: it has all open
 /// ones, and the new one has what comes.
--- a/crates/pipitcrank-handover/src/division/tests.rs
+++ b/crates/pipitcrank-handover/src/division/tests.rs
@@ -1,5 +1,5 @@
-use pipitcrank::decide::Budget;
-use pipitcrank::time::At;
+use pipitcrank_core::decide::Budget;
+use pipitcrank_core::time::At;
 use proptest::prelude::*;
 
 use super::*;
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
-use pipitcrank::decide::known::Known;
-use pipitcrank::time::Span;
+use pipitcrank_core::decide::known::Known;
+use pipitcrank_core::time::Span;
 use serde::{Deserialize, Serialize};
 
 const MAGIC: [u8; 4] = *b"pckn";
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -15,8 +15,8 @@
     let mut known = Known::default();
     known.taken = vec![Span::from_ms(3); 9];
     // The share of the time left that is filled starts between its bounds.
-    let mut root = pipitcrank::decide::Root::new(
-        pipitcrank::chance::Chance::new(1),
+    let mut root = pipitcrank_core::decide::Root::new(
+        pipitcrank_core::chance::Chance::new(1),
         Default::default(),
         Default::default(),
         Default::default(),
@@ -24,7 +24,7 @@
         false,
         Span::from_ms(5),
     );
-    let mut fresh = root.known(pipitcrank::time::At::default());
+    let mut fresh = root.known(pipitcrank_core::time::At::default());
     fresh.taken = known.taken;
     Snapshot {
         taken_us: 5,
--- a/crates/pipitcrank-handover/src/words.rs
+++ b/crates/pipitcrank-handover/src/words.rs
@@ -1,6 +1,6 @@
 //! What is said: between the keeper and a worker, and between the old worker and the new one.
 
-use pipitcrank::time::Span;
+use pipitcrank_core::time::Span;
 use serde::{Deserialize, Serialize};
 
 /// Raised with each change of what is said here; the first thing said is this.
--- a/crates/pipitcrank-handover/tests/book.rs
+++ b/crates/pipitcrank-handover/tests/book.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_handover::book::{Book, Event, Times, Undone, Wish, Worker};
 use proptest::prelude::*;
 
--- a/crates/pipitcrank-handover/tests/stored_forms.rs
+++ b/crates/pipitcrank-handover/tests/stored_forms.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Debug;
 
-use pipitcrank::time::Span;
+use pipitcrank_core::time::Span;
 use pipitcrank_handover::snapshot::{SeenLeaf, Snapshot};
 use pipitcrank_handover::words::{RelayedAsk, RelayedFinal, ToKeeper, ToNew, ToOld, ToWorker};
 use serde::Serialize;
--- a/crates/pipitcrank-membership/src/evidence.rs
+++ b/crates/pipitcrank-membership/src/evidence.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use serde::{Deserialize, Serialize};
 
 /// Copies of one zone that speak for it: enough that the middle of them stands against two sick ones; what those who
--- a/crates/pipitcrank-membership/src/members.rs
+++ b/crates/pipitcrank-membership/src/members.rs
@@ -17,7 +17,7 @@
     AccumulatingRuntime, BroadcastHandler, Config, Foca, Invalidates, OwnedNotification, PeriodicParams,
     Timer,
 };
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
--- a/crates/pipitcrank-recovery/src/beliefs.rs
+++ b/crates/pipitcrank-recovery/src/beliefs.rs
@@ -7,7 +7,7 @@
 //! younger                               --> all of it, by its age
 //! ```
 
-use pipitcrank::time::Span;
+use pipitcrank_core::time::Span;
 use pipitcrank_failover::decision::Decision;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_membership::peer::Peer;
--- a/crates/pipitcrank-recovery/src/beliefs/tests.rs
+++ b/crates/pipitcrank-recovery/src/beliefs/tests.rs
@@ -10,8 +10,8 @@
 
 fn some(now: Clocks) -> Beliefs {
     let peer = Peer { address: ([127, 0, 0, 1], 9).into(), instance: 5, zone: 0 };
-    let known = pipitcrank::decide::Root::new(
-        pipitcrank::chance::Chance::new(1),
+    let known = pipitcrank_core::decide::Root::new(
+        pipitcrank_core::chance::Chance::new(1),
         Default::default(),
         Default::default(),
         Default::default(),
@@ -19,7 +19,7 @@
         false,
         Span::from_ms(5),
     )
-    .known(pipitcrank::time::At::default());
+    .known(pipitcrank_core::time::At::default());
     let snapshot = Snapshot { known, ..Snapshot::default() };
     Beliefs::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MOST_MEMBERS + 80])
 }
--- a/crates/pipitcrank-node/src/acceptor/tests.rs
+++ b/crates/pipitcrank-server/src/acceptor/tests.rs
@@ -2,7 +2,7 @@
 use std::os::fd::AsFd;
 
 use axum::routing::get;
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::unbounded_channel;
--- a/crates/pipitcrank-node/src/audit.rs
+++ b/crates/pipitcrank-server/src/audit.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use pipitcrank::ids::{Effect, Ending, Leaf, Part, Vertical};
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::ids::{Effect, Ending, Leaf, Part, Vertical};
+use pipitcrank_core::time::{At, Span};
 
 use crate::counters::Counters;
 
--- a/crates/pipitcrank-node/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -1,5 +1,5 @@
-use pipitcrank::ids::{Effect, Ending, Leaf, Part, Vertical};
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::ids::{Effect, Ending, Leaf, Part, Vertical};
+use pipitcrank_core::time::{At, Span};
 
 use super::*;
 
--- a/crates/pipitcrank-node/src/awake.rs
+++ b/crates/pipitcrank-server/src/awake.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 
 /// Looks come each 50 ms. With less than this between two of them what lay unread is within the slack that the time told to
 /// a replica has, 150 ms.
--- a/crates/pipitcrank-node/src/charter.rs
+++ b/crates/pipitcrank-server/src/charter.rs
@@ -1,14 +1,14 @@
 //! What this process is told at start, read and checked here: the variables NODE_* and the file that NODE_CONFIG
 //! names. Each part is handed its own few figures. A fault names its key. What the decision module is told is read
-//! by `pipitcrank::told`.
+//! by `pipitcrank_core::told`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use axum::http::uri::Authority;
-use pipitcrank::decide::zones::Zone;
-use pipitcrank::time::Span;
-use pipitcrank::told::{Faulty, Told};
+use pipitcrank_core::decide::zones::Zone;
+use pipitcrank_core::time::Span;
+use pipitcrank_core::told::{Faulty, Told};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/crates/pipitcrank-node/src/clock.rs
+++ b/crates/pipitcrank-server/src/clock.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 
 /// Counts from its making.
 #[derive(Clone)]
--- a/crates/pipitcrank-node/src/discovery.rs
+++ b/crates/pipitcrank-server/src/discovery.rs
@@ -16,7 +16,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use pipitcrank::chance::Chance;
+use pipitcrank_core::chance::Chance;
 use serde::Deserialize;
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
--- a/crates/pipitcrank-node/src/ends.rs
+++ b/crates/pipitcrank-server/src/ends.rs
@@ -1,7 +1,7 @@
 //! How things end on the network: every way in which a connection can end is one value of one type, and what
 //! that means for a leaf call is said here and nowhere else.
 
-use pipitcrank::ids::Ending;
+use pipitcrank_core::ids::Ending;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
--- a/crates/pipitcrank-node/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank::decide::Root;
-use pipitcrank::decide::zones::{Seen, Shares, Tally, Zone};
-use pipitcrank::ids::{Ending, Leaf, Part, Query, Vertical};
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::decide::Root;
+use pipitcrank_core::decide::zones::{Seen, Shares, Tally, Zone};
+use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_handover::division;
 use pipitcrank_handover::snapshot::{SeenLeaf, Snapshot};
 
--- a/crates/pipitcrank-node/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank::ids::{Ending, Leaf, Part, Query, Refusal, Vertical};
-use pipitcrank::names::Names;
-use pipitcrank::port::Port;
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Refusal, Vertical};
+use pipitcrank_core::names::Names;
+use pipitcrank_core::port::Port;
+use pipitcrank_core::time::{At, Span};
 
 use super::{CallNo, Final, Lent, REQUESTS, Then};
 use crate::audit::Audit;
--- a/crates/pipitcrank-node/src/frames.rs
+++ b/crates/pipitcrank-server/src/frames.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use pipitcrank::ids::Ending;
-use pipitcrank::time::Span;
+use pipitcrank_core::ids::Ending;
+use pipitcrank_core::time::Span;
 
 use crate::ends::ending_of;
 
--- a/crates/pipitcrank-node/src/hall.rs
+++ b/crates/pipitcrank-server/src/hall.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_handover::division;
 use tokio::sync::Notify;
 
--- a/crates/pipitcrank-node/src/leaves.rs
+++ b/crates/pipitcrank-server/src/leaves.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipitcrank::ids::{Ending, Leaf};
+use pipitcrank_core::ids::{Ending, Leaf};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
 use crate::ends::ConnectionEnd;
--- a/crates/pipitcrank-node/src/reasons.rs
+++ b/crates/pipitcrank-server/src/reasons.rs
@@ -1,7 +1,7 @@
 //! Typed reasons for what is not a plain success: why a call was not sent, why a part goes again. Why a connection ended
 //! is in `ends.rs`, why a query was refused in the core (`ids::Refusal`).
 
-use pipitcrank::ids::{Barred, Ending};
+use pipitcrank_core::ids::{Barred, Ending};
 
 /// Why a call was dropped at the last look before its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/pipitcrank-node/src/relay.rs
+++ b/crates/pipitcrank-server/src/relay.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pipitcrank::ids::Vertical;
-use pipitcrank::time::Span;
+use pipitcrank_core::ids::Vertical;
+use pipitcrank_core::time::Span;
 use pipitcrank_handover::passing::Outgoing;
 use pipitcrank_handover::words::{RelayedAsk, RelayedFinal, ToNew};
 use tokio::sync::oneshot;
--- a/crates/pipitcrank-node/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use pipitcrank::told::Faulty;
+use pipitcrank_core::told::Faulty;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
--- a/crates/pipitcrank-node/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Instant;
 
-use pipitcrank::decide::zones::Zone;
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::decide::zones::Zone;
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_handover::snapshot::Snapshot;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
--- a/crates/pipitcrank-node/src/shutdown.rs
+++ b/crates/pipitcrank-server/src/shutdown.rs
@@ -2,7 +2,7 @@
 //! since the platform's grace before it kills does: taking on, then the connections that clients still use, then the
 //! last answers. Shapes: spans counted from the moment at which the end was called.
 
-use pipitcrank::time::Span;
+use pipitcrank_core::time::Span;
 
 /// The platform kills no sooner after asking than the longest deadline, counted as this where it is longer ...
 const LONGEST_COUNTED: Span = Span::from_ms(3000);
--- a/crates/pipitcrank-node/src/wire.rs
+++ b/crates/pipitcrank-server/src/wire.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use pipitcrank::ids::Ending;
+use pipitcrank_core::ids::Ending;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::Instant;
 
--- a/crates/pipitcrank-node/src/wire/tests.rs
+++ b/crates/pipitcrank-server/src/wire/tests.rs
@@ -1,8 +1,8 @@
 use std::cell::RefCell;
 
-use pipitcrank::ids::{Leaf, Part, Vertical};
-use pipitcrank::time::Span;
-use pipitcrank::told::Told;
+use pipitcrank_core::ids::{Leaf, Part, Vertical};
+use pipitcrank_core::time::Span;
+use pipitcrank_core::told::Told;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::unbounded_channel;
 
--- a/crates/pipitcrank-node/src/worker.rs
+++ b/crates/pipitcrank-server/src/worker.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use pipitcrank::time::Span;
+use pipitcrank_core::time::Span;
 use pipitcrank_handover::division;
 use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing, mono_us};
 use pipitcrank_handover::snapshot::Snapshot;
@@ -49,7 +49,7 @@
     pub shards: u32,
     /// How long a query may be held.
     pub longest: Span,
-    pub end_called: watch::Sender<Option<pipitcrank::time::At>>,
+    pub end_called: watch::Sender<Option<pipitcrank_core::time::At>>,
     /// Told to those who take work of others.
     pub leave: Rc<watch::Sender<bool>>,
 }
--- a/crates/pipitcrank-node/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pipitcrank::ids::{Ending, Leaf, Vertical};
-use pipitcrank::time::{At, Span};
-use pipitcrank::told::Told;
+use pipitcrank_core::ids::{Ending, Leaf, Vertical};
+use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::told::Told;
 use pipitcrank_handover::snapshot::Snapshot;
-use pipitcrank_node::audit;
-use pipitcrank_node::counters::Counters;
-use pipitcrank_node::exchange::{Asked, AskedPart, CallNo, Exchange, Final, LeafSide, Lent, Listed};
-use pipitcrank_node::frames::Report;
+use pipitcrank_server::audit;
+use pipitcrank_server::counters::Counters;
+use pipitcrank_server::exchange::{Asked, AskedPart, CallNo, Exchange, Final, LeafSide, Lent, Listed};
+use pipitcrank_server::frames::Report;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/pipitcrank-node/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -1,14 +1,14 @@
 //! Frames, lists and what is told at start: decoded as the protocol says, and refused by name where they are not.
 
 use bytes::BytesMut;
-use pipitcrank::ids::Ending;
-use pipitcrank::time::Span;
-use pipitcrank::told::Faulty;
-use pipitcrank_node::charter::Charter;
-use pipitcrank_node::clock::Clock;
-use pipitcrank_node::discovery::News;
-use pipitcrank_node::ends::ConnectionEnd;
-use pipitcrank_node::frames::{self, CallPart, FromLeaf, Report};
+use pipitcrank_core::ids::Ending;
+use pipitcrank_core::time::Span;
+use pipitcrank_core::told::Faulty;
+use pipitcrank_server::charter::Charter;
+use pipitcrank_server::clock::Clock;
+use pipitcrank_server::discovery::News;
+use pipitcrank_server::ends::ConnectionEnd;
+use pipitcrank_server::frames::{self, CallPart, FromLeaf, Report};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
--- a/crates/pipitcrank-node/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -3,11 +3,11 @@
 
 use std::time::Duration;
 
-use pipitcrank::decide::zones::Zone;
-use pipitcrank::time::Span;
-use pipitcrank_node::charter::Charter;
-use pipitcrank_node::clock::Clock;
-use pipitcrank_node::counters::Counters;
+use pipitcrank_core::decide::zones::Zone;
+use pipitcrank_core::time::Span;
+use pipitcrank_server::charter::Charter;
+use pipitcrank_server::clock::Clock;
+use pipitcrank_server::counters::Counters;
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fixtures/node_config.json");
 
--- a/crates/pipitcrank-simhost/src/door.rs
+++ b/crates/pipitcrank-sim-adapter/src/door.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 
-use pipitcrank::decide::Root;
-use pipitcrank::decide::zones::Zone;
-use pipitcrank::ids::{Ending, Leaf, Part, Query, Refusal, Vertical};
-use pipitcrank::names::Names;
-use pipitcrank::port::Port;
-use pipitcrank::time::{At, Span};
-use pipitcrank::told::{Faulty, Told};
+use pipitcrank_core::decide::Root;
+use pipitcrank_core::decide::zones::Zone;
+use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Refusal, Vertical};
+use pipitcrank_core::names::Names;
+use pipitcrank_core::port::Port;
+use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::told::{Faulty, Told};
 use serde_json::Value;
 
 use crate::line::{Line, Wrong};
--- a/crates/pipitcrank-simhost/src/main.rs
+++ b/crates/pipitcrank-sim-adapter/src/main.rs
@@ -9,7 +9,7 @@
 
 use door::{Host, Row};
 use line::{Line, Wrong};
-use pipitcrank::time::At;
+use pipitcrank_core::time::At;
 
 fn play(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), Wrong> {
     // By instance name; an entry ends with the instance (RETIRE).
@@ -78,7 +78,7 @@
 fn main() {
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
     if let Err(wrong) = play(&mut io::stdin().lock(), &mut output) {
-        eprintln!("pipitcrank-simhost: {wrong}");
+        eprintln!("pipitcrank-sim-adapter: {wrong}");
         std::process::exit(2);
     }
 }
--- a/crates/pipitcrank-simhost/tests/wire.rs
+++ b/crates/pipitcrank-sim-adapter/tests/wire.rs
@@ -18,7 +18,7 @@
     WORK_ITEM i=co_0 job=p2 class=view remaining_s=5 ask_no=9 range_no=1 share_or_count=0.5 state_bits=0\n";
 
 fn play(input: &str) -> (String, String, Option<i32>) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_pipitcrank-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_pipitcrank-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/pipitcrank-lab/src/leaves.rs
+++ b/crates/pipitcrank-simulation/src/leaves.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 
 /// What waits for longer earns nothing.
 const SLO_S: f64 = 1.0;
--- a/crates/pipitcrank-lab/src/net.rs
+++ b/crates/pipitcrank-simulation/src/net.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use rand::Rng;
 use rand_pcg::Pcg64;
 
--- a/crates/pipitcrank-lab/src/zones.rs
+++ b/crates/pipitcrank-simulation/src/zones.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use pipitcrank::time::{At, Span};
+use pipitcrank_core::time::{At, Span};
 use pipitcrank_failover::book::{Book, Pace};
 use pipitcrank_failover::decision::State;
 use pipitcrank_failover::follow::{Follow, Plan, Standing};
--- a/deploy/operators.dhall
+++ b/deploy/operators.dhall
@@ -74,7 +74,7 @@
 let Logs =
       { Type =
           { json : Bool -- one JSON object a line, else plain lines
-          , levels : Text -- by module: "info", or "info,pipitcrank_node::wire=debug"
+          , levels : Text -- by module: "info", or "info,pipitcrank_server::wire=debug"
           }
       , default = { json = False, levels = "info" }
       }
