--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, Result, bail};
 use pipitcrank_config::Zones;
-use pipitcrank_core::decide::zones::{Seen, Shares, Tally, Zone};
+use pipitcrank_core::decide::zones::{Seen, Shares, Tally, ZoneId};
 use pipitcrank_core::time::{At, Span};
 use pipitcrank_failover::book::{Book, Pace};
 use pipitcrank_failover::decision::{Order, State, UNKNOWN, WHOLE};
@@ -53,7 +53,7 @@
 
 /// This copy's zone by its place in the operators' list: from the operators' file, else from the platform. Contradictions
 /// are named by their key.
-pub fn own_zone(zones: &Zones, platform: Option<&(Zone, Vec<String>)>) -> Result<usize> {
+pub fn own_zone(zones: &Zones, platform: Option<&(ZoneId, Vec<String>)>) -> Result<usize> {
     let names: Vec<&str> = zones.zones.iter().map(|(name, _)| name.as_str()).collect();
     let place = |name: &str| names.iter().position(|n| *n == name);
     if let Some((own, told)) = platform {
@@ -108,7 +108,7 @@
         e.name_zones(names.clone());
         e.name_site_zones(site_zones);
         if !zones.dry_run {
-            e.set_shares(Shares { of: vec![(Zone(own as u16), 1.0)], ..Shares::default() });
+            e.set_shares(Shares { of: vec![(ZoneId(own as u16), 1.0)], ..Shares::default() });
         }
     });
     Ok(async move {
@@ -255,7 +255,7 @@
             // Of many copies those look that speak for their zone: probes have their price.
             if self.instance.speaks() && (shut || unseen || doubted) {
                 let most = if shut || doubted { LOOKS } else { GLANCES };
-                self.hall.tell(|e| e.look_into(Zone(zone as u16), most));
+                self.hall.tell(|e| e.look_into(ZoneId(zone as u16), most));
             }
         }
         let counters = &self.hall.counters;
@@ -301,9 +301,9 @@
 
     fn apply(&self, plan: &Plan, turned_away: Vec<f64>) {
         let whole = f64::from(WHOLE);
-        let mut of: Vec<(Zone, f64)> = vec![(Zone(self.own as u16), 0.0)];
+        let mut of: Vec<(ZoneId, f64)> = vec![(ZoneId(self.own as u16), 0.0)];
         for &(zone, share) in &plan.shares {
-            let stands = Zone(self.stands_for[usize::from(zone)] as u16);
+            let stands = ZoneId(self.stands_for[usize::from(zone)] as u16);
             match of.iter_mut().find(|(known, _)| *known == stands) {
                 Some((_, sum)) => *sum += f64::from(share) / whole,
                 None => of.push((stands, f64::from(share) / whole)),
@@ -315,7 +315,7 @@
             |first: usize| (0..self.stands_for.len()).filter(|&z| self.stands_for[z] == first).all(is_shut);
         let zones = 0..self.names.len();
         let shut =
-            zones.filter(|&z| self.stands_for[z] == z && all_shut(z)).map(|z| Zone(z as u16)).collect();
+            zones.filter(|&z| self.stands_for[z] == z && all_shut(z)).map(|z| ZoneId(z as u16)).collect();
         if !self.dry {
             self.hall.tell(|e| e.set_shares(Shares { of, shut, turned_away }));
         }
--- a/crates/pipitcrank-core/src/decide.rs
+++ b/crates/pipitcrank-core/src/decide.rs
@@ -24,7 +24,7 @@
 pub use slow_start::FailBack;
 
 use crate::chance::Chance;
-use crate::ids::{Barred, Effect, Ending, Leaf, Part, Query, Refusal, Vertical};
+use crate::ids::{Barred, Effect, Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
 use crate::port::Port;
 use crate::time::{At, Span};
 
@@ -117,7 +117,7 @@
     call_size: usize,
     call_cost: f64,
     /// Leaves by cell; made anew at each change of the list.
-    by_cell: Vec<Vec<Leaf>>,
+    by_cell: Vec<Vec<ReplicaId>>,
 }
 
 impl Cover {
@@ -133,7 +133,7 @@
         (cell + self.cells - shard % self.cells) % self.cells < self.span
     }
 
-    fn holders(&self, shard: u32) -> impl Iterator<Item = Leaf> + '_ {
+    fn holders(&self, shard: u32) -> impl Iterator<Item = ReplicaId> + '_ {
         (0..self.span.min(self.cells))
             .flat_map(move |j| self.by_cell[((shard + j) % self.cells) as usize].iter().copied())
     }
@@ -165,7 +165,7 @@
     listed: bool,
     started: Option<At>,
     /// Parts out, by number of the leaf call; emptied by their ends.
-    out: BTreeMap<(Part, u32), Out>,
+    out: BTreeMap<(PartId, u32), Out>,
     /// The last turn that sent here, and how many parts: those share calls.
     joining: (u64, usize),
     faults: f64,
@@ -181,7 +181,7 @@
     mute: u32,
     heard: Option<At>,
     /// Where it stands; none where nobody says.
-    zone: Option<zones::Zone>,
+    zone: Option<zones::ZoneId>,
     /// Lag, work out and calls out as last worked out, and for when; void with each call or word.
     seen: Cell<Option<seen::Seen>>,
     /// Work sent while cold; emptied as it leaves the fail-back window.
@@ -230,7 +230,7 @@
 }
 
 struct Sent {
-    leaf: Leaf,
+    leaf: ReplicaId,
     at: At,
     /// When the budget counts it: as it was decided, or as it began.
     counted: At,
@@ -240,8 +240,8 @@
 
 #[derive(Default)]
 struct PartState {
-    query: Query,
-    vertical: Vertical,
+    query: QueryId,
+    vertical: RequestClassId,
     shard: u32,
     weight: f64,
     work: f64,
@@ -265,7 +265,7 @@
 #[derive(Default)]
 struct Open {
     serial: u64,
-    vertical: Vertical,
+    vertical: RequestClassId,
     slo: At,
     /// From then on what is in is worth most: the answer has to travel.
     answer_by: At,
@@ -274,14 +274,14 @@
     /// Hinted work of a mean part, and how large the query is taken to be against its vertical's usual.
     a_part: Option<f64>,
     size: f64,
-    parts: Vec<Part>,
+    parts: Vec<PartId>,
     in_weight: f64,
     in_parts: usize,
     /// 0 in the first step, 1 in the second; whether the first was whole.
     step: u8,
     first_whole: bool,
     /// The zone that it is meant for, where zones count.
-    zone: Option<zones::Zone>,
+    zone: Option<zones::ZoneId>,
     /// Asked by another site: further calls left of those it lends, and made.
     lent: Option<(u32, u32)>,
 }
@@ -297,19 +297,19 @@
     tick: Span,
     trades: Vec<Trade>,
     /// One per leaf listed or with calls out; emptied when it is off the list and its calls have ended.
-    leaves: BTreeMap<Leaf, LeafState>,
+    leaves: BTreeMap<ReplicaId, LeafState>,
     /// Open queries; emptied by their final answers.
-    queries: BTreeMap<Query, Open>,
+    queries: BTreeMap<QueryId, Open>,
     /// Parts; emptied when their query has ended and their calls have.
-    parts: BTreeMap<Part, PartState>,
+    parts: BTreeMap<PartId, PartState>,
     /// What outstanding leaf calls left behind; emptied by their ends.
-    calls: BTreeMap<(Part, u32), AfterCall>,
+    calls: BTreeMap<(PartId, u32), AfterCall>,
     /// What alarms left behind; emptied as they ring, each set for a time that comes.
     alarms: BTreeMap<u64, Then>,
     marks: u64,
     turn: u64,
     /// Queries, the oldest first, some part of which may wait; each leaves at a turn that finds none.
-    waiting: BTreeSet<(u64, Query)>,
+    waiting: BTreeSet<(u64, QueryId)>,
     /// Time that most leaf calls end in, for a unit of work ahead.
     overdue: Mark,
     /// Leaves listed, and work a second merged of late, when last counted.
@@ -377,7 +377,7 @@
         }
     }
 
-    pub fn leaf(&mut self, id: Leaf, cell: u32, up: bool, started: Option<At>) {
+    pub fn leaf(&mut self, id: ReplicaId, cell: u32, up: bool, started: Option<At>) {
         let state = self.leaves.entry(id).or_default();
         if started > state.started {
             // A new process: what was held against the old one is void, and it is cold.
@@ -400,7 +400,7 @@
         self.moved = true;
     }
 
-    fn drop_leaf(&mut self, port: &mut dyn Port, id: Leaf) {
+    fn drop_leaf(&mut self, port: &mut dyn Port, id: ReplicaId) {
         self.leaves.remove(&id);
         port.let_go_leaf(id);
     }
@@ -427,8 +427,8 @@
         &mut self,
         port: &mut dyn Port,
         now: At,
-        id: Query,
-        v: Vertical,
+        id: QueryId,
+        v: RequestClassId,
         left: Span,
         work: Option<f64>,
         count: f64,
@@ -463,8 +463,8 @@
         &mut self,
         port: &mut dyn Port,
         now: At,
-        id: Part,
-        query: Query,
+        id: PartId,
+        query: QueryId,
         shard: u32,
         weight: f64,
         work: Option<f64>,
@@ -486,7 +486,7 @@
     }
 
     /// Whether a leaf can be meant for parts of that query at all.
-    fn reached(&self, leaf: Leaf, lent: bool) -> bool {
+    fn reached(&self, leaf: ReplicaId, lent: bool) -> bool {
         self.leaves[&leaf].far.is_none_or(|hop| hop.is_some() && !lent) && !self.is_shut(leaf)
     }
 
@@ -509,7 +509,7 @@
         (any, any && all && open.in_weight >= need)
     }
 
-    fn merge(&mut self, port: &mut dyn Port, now: At, id: Query, whole: bool, last: bool) {
+    fn merge(&mut self, port: &mut dyn Port, now: At, id: QueryId, whole: bool, last: bool) {
         port.merge(id, whole);
         let (vertical, age) = (self.queries[&id].vertical, now - self.queries[&id].arrived);
         self.trades[vertical.0 as usize].stayed(age);
@@ -530,12 +530,12 @@
 
     /// Final, at once: rejected where asking again is harmless, saying when to come back where allowed;
     /// aborted otherwise (rule 2). Guards against a client asking again at once into the same jam.
-    fn give_up(&mut self, port: &mut dyn Port, now: At, id: Query, why: Refusal) {
+    fn give_up(&mut self, port: &mut dyn Port, now: At, id: QueryId, why: Refusal) {
         let open = &self.queries[&id];
         // Guards against a time to stay held too short for any answer: then only rejections tell who stayed.
         self.trades[open.vertical.0 as usize].stayed(now - open.arrived);
         let effect = self.terms(open).effect;
-        let unrun = |p: &Part| self.parts[p].sent.iter().all(|s| s.never_ran);
+        let unrun = |p: &PartId| self.parts[p].sent.iter().all(|s| s.never_ran);
         let begun = open.parts.iter().any(|p| !self.parts[p].sent.is_empty());
         if effect == Effect::Repeatable || open.parts.iter().all(unrun) {
             port.reject(id, self.waited(open.vertical), why);
@@ -549,12 +549,12 @@
     }
 
     /// A query that another process held when it died: the time to stay away if rejected, none if aborted (rule 2).
-    pub fn stranded(&self, v: Vertical) -> Option<Span> {
+    pub fn stranded(&self, v: RequestClassId) -> Option<Span> {
         (self.trades[v.0 as usize].terms.effect == Effect::Repeatable).then(|| self.waited(v))
     }
 
     /// When to come back: the patience for first calls, within what clients honour; none where not allowed.
-    fn waited(&self, v: Vertical) -> Span {
+    fn waited(&self, v: RequestClassId) -> Span {
         let most = self.tries.longest_stay_away.unwrap_or(Span::ZERO);
         (self.trades[v.0 as usize].terms.slo * Self::WAIT_SHARE).min(most)
     }
@@ -569,13 +569,13 @@
         self.fill = fill.clamp(Self::FILL.0, Self::FILL.1);
     }
 
-    fn end(&mut self, port: &mut dyn Port, id: Query) {
+    fn end(&mut self, port: &mut dyn Port, id: QueryId) {
         let open = self.queries.remove(&id).expect("ended queries are open");
         self.drop_parts(port, open.parts);
         port.let_go_query(id);
     }
 
-    fn drop_parts(&mut self, port: &mut dyn Port, parts: Vec<Part>) {
+    fn drop_parts(&mut self, port: &mut dyn Port, parts: Vec<PartId>) {
         for id in parts {
             self.withdraw(port, id);
             let part = self.parts.get_mut(&id).expect("parts outlive their query");
@@ -584,7 +584,7 @@
         }
     }
 
-    fn withdraw(&mut self, port: &mut dyn Port, id: Part) {
+    fn withdraw(&mut self, port: &mut dyn Port, id: PartId) {
         if self.tries.may_abandon {
             for (nth, _) in self.parts[&id].sent.iter().enumerate().filter(|(_, s)| s.out) {
                 port.abandon(id, nth as u32);
@@ -593,7 +593,7 @@
     }
 
     /// A part is let go of when its query has ended (or moved on) and none of its calls is out.
-    fn free_part(&mut self, port: &mut dyn Port, id: Part) {
+    fn free_part(&mut self, port: &mut dyn Port, id: PartId) {
         let part = &self.parts[&id];
         let held = self.queries.get(&part.query).is_some_and(|q| q.parts.contains(&id));
         if !held && part.out() == 0 {
@@ -603,7 +603,7 @@
     }
 
     /// The client is gone, or the outside ended the query.
-    pub fn gone(&mut self, port: &mut dyn Port, now: At, id: Query) {
+    pub fn gone(&mut self, port: &mut dyn Port, now: At, id: QueryId) {
         if let Some(open) = self.queries.get(&id) {
             let (trade, age) = (&mut self.trades[open.vertical.0 as usize], now - open.arrived);
             if age < trade.terms.slo {
@@ -616,7 +616,7 @@
     // Leaf calls.
 
     /// Rules 1, 2 and 6 for one more leaf call of the part.
-    fn may_go(&mut self, now: At, id: Part) -> bool {
+    fn may_go(&mut self, now: At, id: PartId) -> bool {
         let lent = self.queries.get(&self.parts[&id].query).and_then(|q| q.lent);
         let further =
             |root: &mut Root| lent.map_or_else(|| root.budget.left(now), |(n, _)| f64::from(n)) >= 1.0;
@@ -624,7 +624,7 @@
     }
 
     /// Rule 2 for that call of the part's, also as it goes out: a repeat counts as it comes to the leaf, to none that knows it.
-    fn may_begin(&self, now: At, id: Part, nth: u32) -> bool {
+    fn may_begin(&self, now: At, id: PartId, nth: u32) -> bool {
         let part = &self.parts[&id];
         let risky = part.sent.iter().take(nth as usize).find(|s| !s.never_ran).map(|s| s.at);
         let terms = &self.trades[part.vertical.0 as usize].terms;
@@ -637,7 +637,7 @@
 
     /// The call's first byte is about to be written: rule 2 as it stands now, and rule 6 by what has gone out. To be asked once
     /// for each call, by hosts whose calls may wait before they go out; with others they begin as they are decided.
-    pub fn begin(&mut self, now: At, id: Part, nth: u32) -> Result<(), Barred> {
+    pub fn begin(&mut self, now: At, id: PartId, nth: u32) -> Result<(), Barred> {
         if !self.may_begin(now, id, nth) {
             return Err(Barred::Repeat);
         }
@@ -656,7 +656,7 @@
     }
 
     /// Rules 1 and 2 alone: an exhausted budget refills.
-    fn could_go(&self, now: At, id: Part) -> bool {
+    fn could_go(&self, now: At, id: PartId) -> bool {
         let part = &self.parts[&id];
         let Some(open) = self.queries.get(&part.query) else { return false };
         self.may_begin(now, id, part.sent.len() as u32)
@@ -666,7 +666,7 @@
             && (part.out() == 0 || self.tries.may_duplicate)
     }
 
-    fn leaf_call(&mut self, port: &mut dyn Port, now: At, id: Part, leaf: Leaf) {
+    fn leaf_call(&mut self, port: &mut dyn Port, now: At, id: PartId, leaf: ReplicaId) {
         let part = self.parts.get_mut(&id).expect("sent parts are held");
         let open = self.queries.get_mut(&part.query).expect("parts that may go have open queries");
         let nth = part.sent.len() as u32;
@@ -699,7 +699,7 @@
         self.calls.insert((id, nth), after);
     }
 
-    pub fn ended(&mut self, port: &mut dyn Port, now: At, id: Part, nth: u32, ending: Ending) {
+    pub fn ended(&mut self, port: &mut dyn Port, now: At, id: PartId, nth: u32, ending: Ending) {
         if let Some(after) = self.calls.remove(&(id, nth)) {
             after(self, port, now, ending);
         }
@@ -709,7 +709,15 @@
     const NEWEST_OF_ALL: f64 = 0.03;
 
     /// What the end of a leaf call tells of the leaf, whether or not the query still waits for it.
-    fn learn(&mut self, port: &mut dyn Port, now: At, leaf: Leaf, part: Part, nth: u32, ending: Ending) {
+    fn learn(
+        &mut self,
+        port: &mut dyn Port,
+        now: At,
+        leaf: ReplicaId,
+        part: PartId,
+        nth: u32,
+        ending: Ending,
+    ) {
         let vertical = self.parts[&part].vertical;
         self.count_ended(leaf, ending);
         let carried = self.carried_now(now);
@@ -764,7 +772,7 @@
     }
 
     /// What the end of a leaf call means for its query.
-    fn proceed(&mut self, port: &mut dyn Port, now: At, id: Part, nth: u32, ending: Ending) {
+    fn proceed(&mut self, port: &mut dyn Port, now: At, id: PartId, nth: u32, ending: Ending) {
         let part = self.parts.get_mut(&id).expect("parts outlive their calls");
         let sent = &mut part.sent[nth as usize];
         sent.out = false;
@@ -794,9 +802,9 @@
     }
 
     /// Ends the query at once when the parts that can still come in do not reach an answer.
-    fn check_hope(&mut self, port: &mut dyn Port, now: At, query: Query) {
+    fn check_hope(&mut self, port: &mut dyn Port, now: At, query: QueryId) {
         let open = &self.queries[&query];
-        let may_come = |p: &&Part| self.parts[p].done || self.parts[p].out() > 0 || self.could_go(now, **p);
+        let may_come = |p: &&PartId| self.parts[p].done || self.parts[p].out() > 0 || self.could_go(now, **p);
         let hope: f64 = open.parts.iter().filter(may_come).map(|p| self.parts[p].weight).sum();
         if hope < self.bounds(open).0 {
             self.give_up(port, now, query, Refusal::NoHope);
@@ -810,16 +818,16 @@
     /// A probe out for longer is held to be unanswered: several times the way there and back.
     const PROBE_WAIT: Span = Span::from_ms(30);
 
-    fn holders(&self, parts: &[Part]) -> BTreeSet<Leaf> {
+    fn holders(&self, parts: &[PartId]) -> BTreeSet<ReplicaId> {
         parts.iter().flat_map(|p| self.cover.holders(self.parts[p].shard)).collect()
     }
 
     /// Probes the holders of the parts that have not reported of late; true once all have, or won't. Guards
     /// against others' load, slow and silent leaves, which one co-ordinator of many sees too rarely.
-    fn scouted(&mut self, port: &mut dyn Port, now: At, parts: &[Part]) -> bool {
+    fn scouted(&mut self, port: &mut dyn Port, now: At, parts: &[PartId]) -> bool {
         let (mut sent, mut all) = (false, true);
         // Far sites are measured on their links.
-        let near = |l: &Leaf| self.leaves[l].far.is_none();
+        let near = |l: &ReplicaId| self.leaves[l].far.is_none();
         for leaf in self.holders(parts).into_iter().filter(near).collect::<Vec<_>>() {
             let state = self.leaves.get_mut(&leaf).expect("holders are held");
             if state.probed.is_none_or(|(at, _)| now - at >= Self::FRESH) {
@@ -835,7 +843,7 @@
         all
     }
 
-    pub fn probed(&mut self, now: At, leaf: Leaf, ending: Ending) {
+    pub fn probed(&mut self, now: At, leaf: ReplicaId, ending: Ending) {
         let Some(state) = self.leaves.get_mut(&leaf) else { return };
         state.word(now, ending, false);
         match ending {
@@ -846,7 +854,7 @@
         self.moved = true;
     }
 
-    pub fn load_report(&mut self, now: At, leaf: Leaf, waiting: Option<f64>, in_hand: Option<f64>) {
+    pub fn load_report(&mut self, now: At, leaf: ReplicaId, waiting: Option<f64>, in_hand: Option<f64>) {
         let (Some(state), Some(held)) = (self.leaves.get_mut(&leaf), in_hand.or(waiting)) else { return };
         let usual: f64 = self.trades.iter().map(Trade::usual_work).sum();
         let a_part = usual / self.trades.len().max(1) as f64 * self.rate.0.unwrap_or(1.0);
@@ -866,7 +874,7 @@
         self.turn += 1;
         for (serial, query) in self.waiting.clone() {
             let open = self.queries.get(&query).filter(|q| q.serial == serial).map_or(&[][..], |q| &q.parts);
-            let waits: Vec<Part> = open.iter().copied().filter(|p| self.parts[p].waits).collect();
+            let waits: Vec<PartId> = open.iter().copied().filter(|p| self.parts[p].waits).collect();
             if waits.is_empty() {
                 self.waiting.remove(&(serial, query));
             } else {
@@ -885,8 +893,8 @@
 
     /// The modified greedy set cover of the design page over the parts given, all of one query. A query's
     /// first calls go only when those of parts enough for an answer can: else the work is lost.
-    fn place(&mut self, port: &mut dyn Port, now: At, query: Query, parts: Vec<Part>) {
-        let mut uncovered: Vec<Part> = parts.into_iter().filter(|&p| self.may_go(now, p)).collect();
+    fn place(&mut self, port: &mut dyn Port, now: At, query: QueryId, parts: Vec<PartId>) {
+        let mut uncovered: Vec<PartId> = parts.into_iter().filter(|&p| self.may_go(now, p)).collect();
         let windows = (now - self.lot.0).s() / self.fail_back.window.s().max(1e-6);
         if windows > 1.0 {
             self.lot = (now, -windows.min(FailBack::SAVED));
@@ -919,9 +927,9 @@
             let most = oldest.map_or(left, |age| age * Self::COPY_SHARE).min(left * Self::FILL.1);
             // Guards against parts that only add to an answer and take a jammed leaf from queries that need theirs.
             let spared = floor < need && 1.0 - stuck - self.parts[&first].weight >= floor;
-            let mut covers: Vec<(Leaf, Vec<Part>)> = Vec::new();
+            let mut covers: Vec<(ReplicaId, Vec<PartId>)> = Vec::new();
             let mut who = self.candidates(now, first, &plan);
-            let ready = |l: Leaf| self.expected(now, l, &plan)(0.0) + self.crossing(l, query);
+            let ready = |l: ReplicaId| self.expected(now, l, &plan)(0.0) + self.crossing(l, query);
             let least = who.iter().map(|(l, _)| ready(*l)).min().unwrap_or_default();
             who.retain(|(l, _)| ready(*l) <= least + behind);
             for (leaf, room) in who {
@@ -944,7 +952,7 @@
             }
             let best = covers.iter().map(|(_, b)| b.len()).max();
             covers.retain(|(_, b)| Some(b.len() + 1) >= best);
-            let calls = |l: &Leaf| {
+            let calls = |l: &ReplicaId| {
                 let planned = plan.get(l).map_or(0, |b| b.len().div_ceil(self.cover.call_size));
                 self.leaves[l].seen(now, rate, usual, self.cover.call_cost).2 + planned
             };
@@ -973,9 +981,9 @@
     }
 
     /// When all holders of the parts would have answered if the work could be spread evenly over them.
-    fn level(&self, now: At, parts: &[Part]) -> Span {
+    fn level(&self, now: At, parts: &[PartId]) -> Span {
         let lent = parts.first().is_some_and(|p| self.queries[&self.parts[p].query].lent.is_some());
-        let reached = |l: &Leaf| self.reached(*l, lent) && self.leaves[l].trial_at.is_none();
+        let reached = |l: &ReplicaId| self.reached(*l, lent) && self.leaves[l].trial_at.is_none();
         let usable = self.holders(parts).into_iter().filter(reached);
         let mut ready: Vec<f64> = usable.map(|l| self.expected(now, l, &Plan::new())(0.0).s()).collect();
         ready.sort_by(f64::total_cmp);
@@ -991,7 +999,7 @@
     }
 
     /// When the leaf should have answered so much more work on top of what is planned for it.
-    fn expected(&self, now: At, leaf: Leaf, plan: &Plan) -> impl Fn(f64) -> Span + use<> {
+    fn expected(&self, now: At, leaf: ReplicaId, plan: &Plan) -> impl Fn(f64) -> Span + use<> {
         let (state, cost) = (&self.leaves[&leaf], self.cover.call_cost);
         let rate = self.rate.0.unwrap_or(1.0);
         let (lag, out, _) = state.seen(now, rate, drained(self.lag, now), cost);
@@ -1000,7 +1008,7 @@
     }
 
     /// Parts that the leaf would take along with `first`, within its room for work.
-    fn bundle(&self, leaf: Leaf, room: f64, first: Part, uncovered: &[Part]) -> Vec<Part> {
+    fn bundle(&self, leaf: ReplicaId, room: f64, first: PartId, uncovered: &[PartId]) -> Vec<PartId> {
         let cell = self.leaves[&leaf].cell;
         let mut bundle = vec![first];
         let mut left = room - self.parts[&first].work - self.cover.call_cost;
@@ -1018,12 +1026,12 @@
     /// Holders of the part's shard that are candidates, each with its room for work (the first part always
     /// fits). Narrowed in turn, where somebody is left: not asked already; not silent; not faulty of late.
     /// Never one waited for, or so cold that it has had its allowance.
-    fn candidates(&self, now: At, id: Part, plan: &Plan) -> Vec<(Leaf, f64)> {
+    fn candidates(&self, now: At, id: PartId, plan: &Plan) -> Vec<(ReplicaId, f64)> {
         let part = &self.parts[&id];
-        let mut who: Vec<Leaf> = self.cover.holders(part.shard).collect();
+        let mut who: Vec<ReplicaId> = self.cover.holders(part.shard).collect();
         let lent = self.queries[&part.query].lent.is_some();
         who.retain(|l| self.reached(*l, lent) && !part.sent.iter().any(|s| s.leaf == *l && s.out));
-        let narrow = |who: &mut Vec<Leaf>, keep: &dyn Fn(&Leaf) -> bool| {
+        let narrow = |who: &mut Vec<ReplicaId>, keep: &dyn Fn(&ReplicaId) -> bool| {
             if who.iter().any(keep) {
                 who.retain(keep);
             }
@@ -1034,7 +1042,7 @@
         narrow(&mut who, &|l| !self.leaves[l].probed.is_some_and(silent));
         // Also where over half of the leaves look bad: they may be bad for this co-ordinator alone.
         narrow(&mut who, &|l| self.leaves[l].trial_at.is_none_or(|t| t <= now));
-        let room = |leaf: Leaf| {
+        let room = |leaf: ReplicaId| {
             let state = &self.leaves[&leaf];
             let a_leaf = self.carried_now(now) / self.listed.max(1) as f64;
             let lot = self.lot.1 * part.work;
@@ -1068,13 +1076,13 @@
     /// Looks after one query until it ends: the best answer its parts allow when the SLO time or the client's
     /// is all but here (rule 1 hangs on this alone, whatever comes of the calls); no waiting for first calls
     /// beyond patience; second copies of what is overdue, through the same cover.
-    fn tend(&mut self, port: &mut dyn Port, now: At, id: Query, serial: u64) {
+    fn tend(&mut self, port: &mut dyn Port, now: At, id: QueryId, serial: u64) {
         let Some(open) = self.queries.get(&id).filter(|q| q.serial == serial) else { return };
         let (end, answer_by) = (open.ends - self.tick, open.answer_by);
         let patience = (open.slo - open.arrived) * Self::WAIT_SHARE;
         let few = open.in_parts as f64 >= open.parts.len() as f64 * Self::MOST_IN;
         let latest = (open.slo - open.arrived) * if few { Self::LATEST_SHARE } else { 1.0 };
-        let unsent = |p: &Part| self.parts[p].sent.is_empty();
+        let unsent = |p: &PartId| self.parts[p].sent.is_empty();
         // Past the SLO time a vertical that earns nothing late is only work and a client held.
         let worthless = self.terms(open).late_worth <= 0.0 && now >= open.slo;
         let (any, whole) = self.answer(open);
@@ -1108,7 +1116,7 @@
 }
 
 /// What a cover gives to each leaf before anything is sent.
-type Plan = BTreeMap<Leaf, Vec<Part>>;
+type Plan = BTreeMap<ReplicaId, Vec<PartId>>;
 
 #[cfg(test)]
 mod config_form;
--- a/crates/pipitcrank-core/src/decide/known.rs
+++ b/crates/pipitcrank-core/src/decide/known.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{LeafState, Mark, Root};
-use crate::ids::Leaf;
+use crate::ids::ReplicaId;
 use crate::time::{At, Span};
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -127,7 +127,7 @@
             }
         }
         let mut leaves: BTreeMap<u32, KnownLeaf> = known.leaves.into_iter().collect();
-        for (Leaf(id), state) in self.leaves.iter_mut().map(|(id, s)| (*id, s)) {
+        for (ReplicaId(id), state) in self.leaves.iter_mut().map(|(id, s)| (*id, s)) {
             let Some(k) = leaves.remove(&id) else { continue };
             let same = match (state.started, k.started) {
                 (Some(ours), Some(theirs)) => (ours - at(theirs)).us().abs() < Self::SAME_START.us(),
--- a/crates/pipitcrank-core/src/decide/seen.rs
+++ b/crates/pipitcrank-core/src/decide/seen.rs
@@ -2,7 +2,7 @@
 //! the last bit, so that a cheaper turn is the same turn.
 
 use super::{LeafState, Root};
-use crate::ids::Part;
+use crate::ids::PartId;
 use crate::time::At;
 
 /// For when, at which rate and usual lag; then lag, work out and calls out.
@@ -22,14 +22,14 @@
 }
 
 impl Root {
-    pub(super) fn work(&self, parts: &[Part]) -> f64 {
+    pub(super) fn work(&self, parts: &[PartId]) -> f64 {
         parts.iter().map(|p| self.parts[p].work).sum()
     }
 
     /// Work of the first part, the first two, and so on.
-    pub(super) fn sums(&self, parts: &[Part]) -> Vec<f64> {
+    pub(super) fn sums(&self, parts: &[PartId]) -> Vec<f64> {
         let mut sum = 0.0;
-        let next = |p: &Part| {
+        let next = |p: &PartId| {
             sum += self.parts[p].work;
             sum
         };
--- a/crates/pipitcrank-core/src/decide/zones.rs
+++ b/crates/pipitcrank-core/src/decide/zones.rs
@@ -3,21 +3,21 @@
 //! decided elsewhere: by all copies in common (`pipitcrank-failover`), or told at start.
 
 use super::{LeafState, Root};
-use crate::ids::{Ending, Leaf, Query};
+use crate::ids::{Ending, QueryId, ReplicaId};
 use crate::port::Port;
 use crate::time::{At, Span};
 
 /// A zone, by its place in the list of zones told at start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Zone(pub u16);
+pub struct ZoneId(pub u16);
 
 /// What of each zone's leaves is used from here.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shares {
     /// Zones and the shares of queries meant for them, the nearest first. Empty: zones do not count.
-    pub of: Vec<(Zone, f64)>,
+    pub of: Vec<(ZoneId, f64)>,
     /// Nothing goes there.
-    pub shut: Vec<Zone>,
+    pub shut: Vec<ZoneId>,
     /// Up to this share of queries, by chance, is rejected before anything is sent for it: what all zones left
     /// can't carry, by utility of the vertical (0 to 1 each, in the verticals' order).
     pub turned_away: Vec<f64>,
@@ -54,7 +54,7 @@
     const CROSSING_SHARE: f64 = 0.1;
 
     /// The leaf stands in that zone; none where nobody says.
-    pub fn stands_in(&mut self, leaf: Leaf, zone: Option<Zone>) {
+    pub fn stands_in(&mut self, leaf: ReplicaId, zone: Option<ZoneId>) {
         if let Some(state) = self.leaves.get_mut(&leaf) {
             state.zone = zone;
         }
@@ -66,7 +66,7 @@
     }
 
     /// Draws the zone that a query is meant for. No chance is used where there is but one.
-    pub(super) fn meant_for(&mut self) -> Option<Zone> {
+    pub(super) fn meant_for(&mut self) -> Option<ZoneId> {
         let of = &self.zones.shares.of;
         if of.len() < 2 {
             return of.first().map(|z| z.0);
@@ -92,12 +92,12 @@
         share > 0.0 && (self.chance.below(Self::FINE) as f64) < share * Self::FINE as f64
     }
 
-    pub(super) fn is_shut(&self, leaf: Leaf) -> bool {
+    pub(super) fn is_shut(&self, leaf: ReplicaId) -> bool {
         self.leaves[&leaf].zone.is_some_and(|z| self.zones.shares.shut.contains(&z))
     }
 
     /// What a leaf is held to cost that does not stand in the zone that the query is meant for.
-    pub(super) fn crossing(&self, leaf: Leaf, query: Query) -> Span {
+    pub(super) fn crossing(&self, leaf: ReplicaId, query: QueryId) -> Span {
         let open = &self.queries[&query];
         match (self.leaves[&leaf].zone, open.zone) {
             (Some(at), Some(meant)) if at != meant => (open.slo - open.arrived) * Self::CROSSING_SHARE,
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn count_crossing(&mut self, leaf: Leaf) {
+    pub(super) fn count_crossing(&mut self, leaf: ReplicaId) {
         let home = self.zones.shares.of.first().map(|z| z.0);
         if let (Some(at), Some(home)) = (self.leaves[&leaf].zone, home) {
             let tally = &mut self.zones.tally;
@@ -119,7 +119,7 @@
     }
 
     /// How a leaf call ended, for the leaf's zone. Zones are few (`told::MOST_ZONES`).
-    pub(super) fn count_ended(&mut self, leaf: Leaf, ending: Ending) {
+    pub(super) fn count_ended(&mut self, leaf: ReplicaId, ending: Ending) {
         if let (Some(zone), Ending::Pass) = (self.leaves[&leaf].zone, ending) {
             *count(&mut self.zones.tally.merged, usize::from(zone.0)) += 1;
         }
@@ -130,7 +130,7 @@
     }
 
     /// What was seen of a zone's leaves, from here, by this co-ordinator alone.
-    pub fn seen_of(&self, now: At, zone: Zone) -> Seen {
+    pub fn seen_of(&self, now: At, zone: ZoneId) -> Seen {
         let mut seen = Seen::default();
         let a_part: f64 =
             self.trades.iter().map(super::Trade::usual_work).sum::<f64>() / self.trades.len().max(1) as f64;
@@ -171,7 +171,7 @@
 
     /// Probes some leaves of a zone that nothing is sent to, those first that were asked longest ago, so that its
     /// return rests on evidence. Each that is asked again is asked no sooner than a report is good for.
-    pub fn look_into(&mut self, port: &mut dyn Port, now: At, zone: Zone, most: usize) {
+    pub fn look_into(&mut self, port: &mut dyn Port, now: At, zone: ZoneId, most: usize) {
         let asked = |l: &LeafState| l.probed.map(|p| p.0);
         let due = |l: &LeafState| {
             // Far sites are measured on their links.
@@ -180,7 +180,7 @@
                 && l.zone == Some(zone)
                 && asked(l).is_none_or(|t| now - t >= Self::FRESH)
         };
-        let mut leaves: Vec<(Option<At>, Leaf)> =
+        let mut leaves: Vec<(Option<At>, ReplicaId)> =
             self.leaves.iter().filter(|(_, l)| due(l)).map(|(&id, l)| (asked(l), id)).collect();
         leaves.sort();
         for (_, leaf) in leaves.into_iter().take(if self.tries.may_probe { most } else { 0 }) {
--- a/crates/pipitcrank-core/src/ids.rs
+++ b/crates/pipitcrank-core/src/ids.rs
@@ -2,16 +2,16 @@
 //! once the module has let go of it (`Port::let_go_*`).
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Query(pub u32);
+pub struct QueryId(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Part(pub u32);
+pub struct PartId(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Leaf(pub u32);
+pub struct ReplicaId(pub u32);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Vertical(pub u16);
+pub struct RequestClassId(pub u16);
 
 /// How a leaf call ended, as told from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/pipitcrank-core/src/port.rs
+++ b/crates/pipitcrank-core/src/port.rs
@@ -1,29 +1,29 @@
 //! What the decision module asks of the outside. Whoever implements it carries out each call as it stands and
 //! in the order made; nothing here is decided.
 
-use crate::ids::{Leaf, Part, Query, Refusal};
+use crate::ids::{PartId, QueryId, Refusal, ReplicaId};
 use crate::time::{At, Span};
 
 pub trait Port {
     /// Sends the part to the leaf; the outside gives up waiting at `until`. Calls of one turn to one leaf
     /// travel together, up to the set call size.
-    fn leaf_call(&mut self, part: Part, leaf: Leaf, until: At);
+    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: At);
     /// Stops waiting for the part's leaf call of that number, counted from 0.
-    fn abandon(&mut self, part: Part, nth: u32);
+    fn abandon(&mut self, part: PartId, nth: u32);
     /// Answers the query from the parts that are in.
-    fn merge(&mut self, query: Query, whole: bool);
+    fn merge(&mut self, query: QueryId, whole: bool);
     /// Turns the query away and says that asking again is harmless.
-    fn reject(&mut self, query: Query, stay_away: Span, why: Refusal);
+    fn reject(&mut self, query: QueryId, stay_away: Span, why: Refusal);
     /// Ends the query and promises nothing about its effect.
-    fn abort(&mut self, query: Query, why: Refusal);
+    fn abort(&mut self, query: QueryId, why: Refusal);
     /// Asks for `Root::woken` with this label at that time.
     fn wake_me(&mut self, at: At, label: u64);
-    fn probe(&mut self, leaf: Leaf);
+    fn probe(&mut self, leaf: ReplicaId);
     /// Subscribes to changes of the list of leaves.
     fn watch(&mut self);
     fn note(&mut self, text: &str);
     /// The index is free: the module will not name it again.
-    fn let_go_query(&mut self, query: Query);
-    fn let_go_part(&mut self, part: Part);
-    fn let_go_leaf(&mut self, leaf: Leaf);
+    fn let_go_query(&mut self, query: QueryId);
+    fn let_go_part(&mut self, part: PartId);
+    fn let_go_leaf(&mut self, leaf: ReplicaId);
 }
--- a/crates/pipitcrank-core/src/told.rs
+++ b/crates/pipitcrank-core/src/told.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use crate::chance::Chance;
-use crate::decide::zones::{Shares, Zone};
+use crate::decide::zones::{Shares, ZoneId};
 use crate::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
 use crate::ids::Effect;
 use crate::time::{At, Span};
@@ -124,7 +124,7 @@
 
     /// The zones that there are and which is this co-ordinator's own, by its place among them; none where nothing is
     /// said of zones.
-    pub fn zones(&self) -> Result<Option<(Zone, Vec<String>)>, Faulty> {
+    pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, Faulty> {
         let said = |key: &str| self.all.pointer(key).is_some_and(|v| !v.is_null());
         if !said("/zones") && !said("/zone") {
             return Ok(None);
@@ -146,7 +146,7 @@
         }
         let own = self.text("/zone")?;
         match names.iter().position(|name| name == own) {
-            Some(place) => Ok(Some((Zone(place as u16), names))),
+            Some(place) => Ok(Some((ZoneId(place as u16), names))),
             None => {
                 Err(self.faulty("/zone", &format!("is '{own}', none of its zones: {}", names.join(", "))))
             }
--- a/crates/pipitcrank-core/tests/cases.rs
+++ b/crates/pipitcrank-core/tests/cases.rs
@@ -6,14 +6,14 @@
 
 use helper::{Act, Tape, at, list, ms, root};
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
 
 /// A query of vertical `v` with one part a shard; part ids follow from `base`.
 fn ask(root: &mut Root, tape: &mut Tape, t: i64, v: u16, base: u32, shards: &[u32]) {
     let n = shards.len() as f64;
-    root.query(tape, at(t), Query(base), Vertical(v), ms(3000), None, n);
+    root.query(tape, at(t), QueryId(base), RequestClassId(v), ms(3000), None, n);
     for (i, &shard) in shards.iter().enumerate() {
-        root.part(tape, at(t), Part(base + i as u32), Query(base), shard, 1.0 / n, None);
+        root.part(tape, at(t), PartId(base + i as u32), QueryId(base), shard, 1.0 / n, None);
     }
 }
 
@@ -29,7 +29,7 @@
     (root, tape)
 }
 
-fn end(root: &mut Root, t: i64, part: Part, nth: u32, ending: Ending) -> Tape {
+fn end(root: &mut Root, t: i64, part: PartId, nth: u32, ending: Ending) -> Tape {
     let mut tape = Tape::default();
     root.ended(&mut tape, at(t), part, nth, ending);
     root.turn(&mut tape, at(t));
@@ -37,7 +37,7 @@
 }
 
 /// Asks for shard 2 at each of the times, and counts what goes to the leaf.
-fn sent_to(root: &mut Root, tape: &mut Tape, leaf: Leaf, times: &[i64]) -> usize {
+fn sent_to(root: &mut Root, tape: &mut Tape, leaf: ReplicaId, times: &[i64]) -> usize {
     let mut count = 0;
     for (n, &t) in (1..).zip(times) {
         ask(root, tape, t, 0, n * 10, &[2]);
@@ -64,7 +64,7 @@
         let t = n * 30 - 3000;
         ask(&mut root, &mut tape, t, 0, 0, &[n as u32]);
         turned(&mut root, t);
-        end(&mut root, t + 10, Part(0), 0, Ending::Pass);
+        end(&mut root, t + 10, PartId(0), 0, Ending::Pass);
     }
     (root, tape)
 }
@@ -101,7 +101,7 @@
         ask(&mut root, &mut tape, 0, 0, 0, &[0, 1, 2]);
         let calls = turned(&mut root, 0).calls();
         assert_eq!(calls.len(), 3, "each part goes once");
-        let most = (0..6).map(|l| calls.iter().filter(|c| c.1 == Leaf(l)).count()).max().unwrap();
+        let most = (0..6).map(|l| calls.iter().filter(|c| c.1 == ReplicaId(l)).count()).max().unwrap();
         assert!(most >= 2, "{calls:?}");
         if most == 3 { whole += 1 } else { split += 1 }
     }
@@ -113,7 +113,7 @@
     let (mut root, mut tape) = (helper::root_on(count, 1, 1, 2, true, false), Tape::default());
     root.list_begin(true);
     for n in 0..count {
-        root.leaf(Leaf(n), n, true, None);
+        root.leaf(ReplicaId(n), n, true, None);
     }
     root.list_end(&mut tape);
     (root, tape)
@@ -127,7 +127,7 @@
     let first = turned(&mut root, 0).calls();
     let second = turned(&mut root, 5).calls();
     assert_eq!((first.len(), second.len()), (128, 32));
-    let all: BTreeSet<Part> = first.into_iter().chain(second).map(|c| c.0).collect();
+    let all: BTreeSet<PartId> = first.into_iter().chain(second).map(|c| c.0).collect();
     assert_eq!(all.len(), 160);
 }
 
@@ -142,7 +142,10 @@
         let second = turned(&mut root, 1).calls()[0].1;
         ask(&mut root, &mut tape, 2, 0, 20, &[2]);
         let third = turned(&mut root, 2).calls()[0].1;
-        assert_eq!(BTreeSet::from([first, second, third]), BTreeSet::from([Leaf(2), Leaf(3), Leaf(4)]));
+        assert_eq!(
+            BTreeSet::from([first, second, third]),
+            BTreeSet::from([ReplicaId(2), ReplicaId(3), ReplicaId(4)])
+        );
     }
 }
 
@@ -154,7 +157,7 @@
     ask(&mut root, &mut tape, 0, 0, 0, &shards);
     let calls = turned(&mut root, 0).calls();
     assert_eq!(calls.len(), 12);
-    let most = (0..6).map(|l| calls.iter().filter(|c| c.1 == Leaf(l)).count()).max();
+    let most = (0..6).map(|l| calls.iter().filter(|c| c.1 == ReplicaId(l)).count()).max();
     assert!(most <= Some(4), "{calls:?}");
 }
 
@@ -163,7 +166,7 @@
     let (mut root, mut tape) = fresh(5);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let first = turned(&mut root, 0).calls()[0].1;
-    let again = end(&mut root, 5, Part(0), 0, Ending::Fault).calls();
+    let again = end(&mut root, 5, PartId(0), 0, Ending::Fault).calls();
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, first);
 }
@@ -173,7 +176,7 @@
     let (mut root, mut tape) = fresh(6);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let bad = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, Part(0), 0, Ending::NoRoute);
+    end(&mut root, 1, PartId(0), 0, Ending::NoRoute);
     let times: Vec<i64> = (1..20).map(|n| 10 + n * 20).collect();
     assert_eq!(sent_to(&mut root, &mut tape, bad, &times), 0, "nothing before the wait is over");
     ask(&mut root, &mut tape, 1010, 0, 500, &[2]);
@@ -187,7 +190,7 @@
     let (mut root, mut tape) = fresh(8);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let full = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, Part(0), 0, Ending::NoRoom);
+    end(&mut root, 1, PartId(0), 0, Ending::NoRoom);
     assert_eq!(sent_to(&mut root, &mut tape, full, &[100; 9]), 0);
 }
 
@@ -199,7 +202,7 @@
         ask(&mut root, &mut tape, 10, 0, n * 10, &[2]);
     }
     let calls = turned(&mut root, 10).calls();
-    let to: BTreeSet<Leaf> = calls.iter().map(|c| c.1).collect();
+    let to: BTreeSet<ReplicaId> = calls.iter().map(|c| c.1).collect();
     assert_eq!((calls.len(), to.len()), (3, 3), "{calls:?}");
 }
 
@@ -226,7 +229,7 @@
             turned(&mut root, 0);
             // As much work as is guessed where nothing is known, and the call's cost.
             for part in [100, 101] {
-                end(&mut root, 150, Part(part), 0, Ending::Pass);
+                end(&mut root, 150, PartId(part), 0, Ending::Pass);
             }
         }
         list(&mut root, &mut tape, &(0..6).map(|leaf| (leaf, at(150))).collect::<Vec<_>>());
@@ -244,12 +247,12 @@
 fn what_nobody_takes_is_turned_away_before_any_work() {
     let (mut root, mut tape) = (root(1, 2, true), Tape::default());
     root.list_begin(true);
-    root.leaf(Leaf(0), 0, true, None);
+    root.leaf(ReplicaId(0), 0, true, None);
     root.list_end(&mut tape);
     ask(&mut root, &mut tape, 0, 0, 0, &[0, 3]);
     assert_eq!(turned(&mut root, 0).calls(), [], "one shard has no holder, so nothing goes");
     let late = helper::pass(&mut root, &tape.0, at(200));
-    assert!(late.0.contains(&Act::Reject(Query(0))), "{:?}", late.0);
+    assert!(late.0.contains(&Act::Reject(QueryId(0))), "{:?}", late.0);
 }
 
 #[test]
@@ -257,7 +260,7 @@
     let (mut root, mut tape) = fresh(2);
     ask(&mut root, &mut tape, 0, 0, 0, &[0, 3]);
     assert_eq!(turned(&mut root, 0).calls().len(), 2);
-    let mut seen = end(&mut root, 390, Part(0), 0, Ending::NoRoom).0;
+    let mut seen = end(&mut root, 390, PartId(0), 0, Ending::NoRoom).0;
     seen.extend(helper::pass(&mut root, &tape.0, at(400)).0);
     assert!(!seen.iter().any(|a| matches!(a, Act::Reject(_) | Act::Abort(_))), "{seen:?}");
 }
@@ -271,7 +274,7 @@
     root.list_begin(false);
     root.leaf(first, first.0, false, None);
     root.list_end(&mut tape);
-    let mut after = end(&mut root, 5, Part(0), 0, Ending::Fault);
+    let mut after = end(&mut root, 5, PartId(0), 0, Ending::Fault);
     assert!(after.0.contains(&Act::FreeLeaf(first)));
     assert_eq!(after.calls().len(), 1);
     after.0.extend(tape.0);
@@ -290,7 +293,7 @@
     }
     for n in 0..4 {
         for part in 0..6 {
-            end(&mut root, 2800, Part(n * 10 + part), 0, Ending::Pass);
+            end(&mut root, 2800, PartId(n * 10 + part), 0, Ending::Pass);
         }
     }
     ask(&mut root, &mut tape, 2800, 0, 50, &shards);
@@ -307,19 +310,19 @@
     for n in 0..4 {
         ask(&mut root, &mut tape, n * 1000, 1, 0, &[0, 1, 2, 3, 4]);
         turned(&mut root, n * 1000);
-        root.gone(&mut tape, at(n * 1000 + 500), Query(0));
+        root.gone(&mut tape, at(n * 1000 + 500), QueryId(0));
         for part in 0..5 {
-            end(&mut root, n * 1000 + 510, Part(part), 0, Ending::Undone);
+            end(&mut root, n * 1000 + 510, PartId(part), 0, Ending::Undone);
         }
     }
     let mut asked = Tape::default();
     ask(&mut root, &mut asked, 5000, 1, 0, &[0, 1, 2, 3, 4]);
     turned(&mut root, 5000);
     for part in 0..4 {
-        end(&mut root, 5100, Part(part), 0, Ending::Pass);
+        end(&mut root, 5100, PartId(part), 0, Ending::Pass);
     }
     let seen = helper::pass(&mut root, &asked.0, at(5499));
-    assert!(seen.0.contains(&Act::Merge(Query(0), false)), "{:?}", seen.0);
+    assert!(seen.0.contains(&Act::Merge(QueryId(0), false)), "{:?}", seen.0);
 }
 
 #[test]
@@ -333,14 +336,14 @@
         ask(&mut root, &mut asked, t, 0, 0, &[2]);
         let calls = turned(&mut root, t).calls().len();
         if n == 30 || n == 31 {
-            root.gone(&mut tape, at(t + 30), Query(0));
-            end(&mut root, t + 31, Part(0), 0, Ending::Undone);
+            root.gone(&mut tape, at(t + 30), QueryId(0));
+            end(&mut root, t + 31, PartId(0), 0, Ending::Undone);
         } else if calls == 1 {
             begun += usize::from(n > 31);
-            end(&mut root, t + 300, Part(0), 0, Ending::Pass);
+            end(&mut root, t + 300, PartId(0), 0, Ending::Pass);
         } else {
             let seen = helper::pass(&mut root, &asked.0, at(t + 900)).0;
-            assert!(seen.contains(&Act::Reject(Query(0))), "not begun, so it is rejected early: {seen:?}");
+            assert!(seen.contains(&Act::Reject(QueryId(0))), "not begun, so it is rejected early: {seen:?}");
         }
     }
     assert!(begun >= 26, "{begun} of 28 begun");
@@ -352,7 +355,7 @@
     let (mut root, mut tape) = fresh(6);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let cuts = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, Part(0), 0, Ending::Cut);
+    end(&mut root, 1, PartId(0), 0, Ending::Cut);
     let times: Vec<i64> = (1..20).map(|n| 10 + n * 20).collect();
     assert!(sent_to(&mut root, &mut tape, cuts, &times) > 0, "one cut is no fault");
     let ((mut root, mut tape), mut sent, mut last) = (fresh(6), 0, 0);
@@ -360,7 +363,7 @@
         let t = n * 5;
         ask(&mut root, &mut tape, t, 3, 0, &[2]);
         let to = turned(&mut root, t).calls()[0].1;
-        end(&mut root, t + 1, Part(0), 0, if to == cuts { Ending::Cut } else { Ending::Pass });
+        end(&mut root, t + 1, PartId(0), 0, if to == cuts { Ending::Cut } else { Ending::Pass });
         (sent, last) = if to == cuts { (sent + 1, n) } else { (sent, last) };
     }
     assert!(sent >= 8 && last < 110, "left out in the end: {sent} sent, the last as number {last}");
@@ -373,7 +376,7 @@
     list(&mut root, &mut tape, &[]);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let first = turned(&mut root, 0);
-    assert_eq!(first.0[..3], [2, 3, 4].map(|l| Act::Probe(Leaf(l))), "{:?}", first.0);
+    assert_eq!(first.0[..3], [2, 3, 4].map(|l| Act::Probe(ReplicaId(l))), "{:?}", first.0);
     assert_eq!(first.calls(), [], "it waits for them");
     tape.0.extend(first.0);
     (root, tape)
@@ -384,10 +387,10 @@
     // In i052771 a tenth of the leaves fell silent, and every query of 75 parts had some there.
     for seed in 0..20 {
         let (mut root, tape) = probing(seed);
-        root.probed(at(5), Leaf(2), Ending::Pass);
-        root.probed(at(5), Leaf(4), Ending::Pass);
+        root.probed(at(5), ReplicaId(2), Ending::Pass);
+        root.probed(at(5), ReplicaId(4), Ending::Pass);
         let calls = helper::pass(&mut root, &tape.0, at(30)).calls();
-        assert!(calls.len() == 1 && calls[0].1 != Leaf(3), "{calls:?}");
+        assert!(calls.len() == 1 && calls[0].1 != ReplicaId(3), "{calls:?}");
     }
 }
 
@@ -397,11 +400,11 @@
     for seed in 0..20 {
         let (mut root, _) = probing(seed);
         for (leaf, held) in [(2, 9.0), (3, 0.0), (4, 8.0)] {
-            root.load_report(at(5), Leaf(leaf), Some(held), None);
-            root.probed(at(5), Leaf(leaf), Ending::Pass);
+            root.load_report(at(5), ReplicaId(leaf), Some(held), None);
+            root.probed(at(5), ReplicaId(leaf), Ending::Pass);
         }
         let calls = turned(&mut root, 5).calls();
-        assert_eq!(calls, [(Part(0), Leaf(3))]);
+        assert_eq!(calls, [(PartId(0), ReplicaId(3))]);
     }
 }
 
@@ -413,7 +416,7 @@
         ask(&mut root, &mut tape, 0, 0, 0, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
         assert_eq!(turned(&mut root, 0).calls().len(), 10);
         for part in 0..passed {
-            end(&mut root, 10, Part(part), 0, Ending::Pass);
+            end(&mut root, 10, PartId(part), 0, Ending::Pass);
         }
         let sent = helper::pass(&mut root, &tape.0, at(550)).calls().len();
         assert_eq!(sent, copies, "with {passed} of ten in");
@@ -428,22 +431,22 @@
     ask(&mut root, &mut tape, 0, 0, 0, &shards);
     turned(&mut root, 0);
     for part in 0..39 {
-        end(&mut root, if part == 0 { 10 } else { 2500 }, Part(part), 0, Ending::Pass);
+        end(&mut root, if part == 0 { 10 } else { 2500 }, PartId(part), 0, Ending::Pass);
     }
     ask(&mut root, &mut tape, 2510, 0, 50, &[39]);
     assert_eq!(turned(&mut root, 2510).calls(), [], "not while the others have just lagged");
     ask(&mut root, &mut tape, 6000, 0, 60, &[39]);
-    assert!(turned(&mut root, 6000).calls().contains(&(Part(60), Leaf(39))), "the lag has drained");
+    assert!(turned(&mut root, 6000).calls().contains(&(PartId(60), ReplicaId(39))), "the lag has drained");
 }
 
 #[test]
 fn a_client_with_little_time_left_is_told_soon() {
     // Shares of the SLO time are of the client's time where that is shorter (i9ec2ef).
     let (mut root, mut tape) = (root(1, 2, true), Tape::default());
-    root.query(&mut tape, at(0), Query(0), Vertical(0), ms(300), None, 1.0);
-    root.part(&mut tape, at(0), Part(0), Query(0), 0, 1.0, None);
+    root.query(&mut tape, at(0), QueryId(0), RequestClassId(0), ms(300), None, 1.0);
+    root.part(&mut tape, at(0), PartId(0), QueryId(0), 0, 1.0, None);
     let seen = helper::pass(&mut root, &tape.0, at(60));
-    assert!(seen.0.contains(&Act::Reject(Query(0))), "no leaf is listed: {:?}", seen.0);
+    assert!(seen.0.contains(&Act::Reject(QueryId(0))), "no leaf is listed: {:?}", seen.0);
 }
 
 #[test]
@@ -474,8 +477,8 @@
         }
         ask(&mut root, &mut tape, 100, vertical, 50, &[2, 5, 0]);
         let calls = turned(&mut root, 100).calls();
-        assert_eq!(calls.iter().any(|c| c.0 == Part(50)), goes, "{calls:?}");
-        assert!(calls.iter().any(|c| c.0 == Part(51)), "others go in any case: {calls:?}");
+        assert_eq!(calls.iter().any(|c| c.0 == PartId(50)), goes, "{calls:?}");
+        assert!(calls.iter().any(|c| c.0 == PartId(51)), "others go in any case: {calls:?}");
     }
 }
 
@@ -486,11 +489,11 @@
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     turned(&mut root, 0);
     // A part takes over a fifth of the SLO time; nobody else asks anything.
-    end(&mut root, 330, Part(0), 0, Ending::Pass);
+    end(&mut root, 330, PartId(0), 0, Ending::Pass);
     for n in 1..20 {
         let t = n * 5000;
         ask(&mut root, &mut tape, t, 0, 0, &[2]);
         assert_eq!(turned(&mut root, t).calls().len(), 1, "query {n}");
-        end(&mut root, t + 330, Part(0), 0, Ending::Pass);
+        end(&mut root, t + 330, PartId(0), 0, Ending::Pass);
     }
 }
--- a/crates/pipitcrank-core/tests/cold.rs
+++ b/crates/pipitcrank-core/tests/cold.rs
@@ -9,7 +9,7 @@
 use helper::{Act, Tape, at, ms};
 use pipitcrank_core::chance::Chance;
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::At;
 
 /// Work of a part, and the helper's rules for cold leaves: three times what they can do in 2 s, from a fifth of it on,
@@ -29,7 +29,7 @@
     alarms: VecDeque<(At, u64)>,
     asked: u32,
     /// Number of each part's last call.
-    calls: BTreeMap<Part, u32>,
+    calls: BTreeMap<PartId, u32>,
 }
 
 /// How many co-ordinators there are, how busy each is against the mean, and what share of the leaves' work is asked for.
@@ -43,7 +43,7 @@
 }
 
 /// Parts that each leaf got while cold, by their time after its start.
-fn played(fleet: Fleet, cold: u32, seed: u64) -> BTreeMap<Leaf, Vec<i64>> {
+fn played(fleet: Fleet, cold: u32, seed: u64) -> BTreeMap<ReplicaId, Vec<i64>> {
     let mut chance = Chance::new(seed);
     // Each leaf does a second's work in a second.
     let all = f64::from(helper::CELLS) * fleet.load * STEP_MS as f64 / WORK_MS as f64;
@@ -56,8 +56,8 @@
             Copy { root, rate, alarms: VecDeque::new(), asked: 0, calls: BTreeMap::new() }
         })
         .collect();
-    let mut ends: BTreeMap<i64, Vec<(usize, Part, u32)>> = BTreeMap::new();
-    let mut came: BTreeMap<Leaf, Vec<i64>> = BTreeMap::new();
+    let mut ends: BTreeMap<i64, Vec<(usize, PartId, u32)>> = BTreeMap::new();
+    let mut came: BTreeMap<ReplicaId, Vec<i64>> = BTreeMap::new();
     for now_ms in (0..BEFORE_MS + WARM_MS).step_by(STEP_MS as usize) {
         let now = at(now_ms);
         let starts = now_ms == BEFORE_MS;
@@ -78,10 +78,10 @@
             let rate = copy.rate * if now_ms >= BEFORE_MS { fleet.surge } else { 1.0 };
             let asks = rate.floor() as u32 + u32::from(chance.share() < rate.fract());
             for _ in 0..asks {
-                let (query, part) = (Query(copy.asked), Part(copy.asked));
+                let (query, part) = (QueryId(copy.asked), PartId(copy.asked));
                 copy.asked += 1;
                 let shard = chance.below(helper::CELLS as usize) as u32;
-                copy.root.query(&mut tape, now, query, Vertical(0), ms(4000), None, 1.0);
+                copy.root.query(&mut tape, now, query, RequestClassId(0), ms(4000), None, 1.0);
                 copy.root.part(&mut tape, now, part, query, shard, 1.0, None);
             }
             copy.root.turn(&mut tape, now);
@@ -109,7 +109,7 @@
 }
 
 /// The worst moment of any leaf: parts in a window, and how many there may be with what is chance.
-fn worst(came: &BTreeMap<Leaf, Vec<i64>>) -> (usize, f64) {
+fn worst(came: &BTreeMap<ReplicaId, Vec<i64>>) -> (usize, f64) {
     let mut worst = (0, 1.0);
     for times in came.values() {
         for (n, &t) in times.iter().enumerate() {
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -2,68 +2,68 @@
 
 use pipitcrank_core::chance::Chance;
 use pipitcrank_core::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
-use pipitcrank_core::ids::{Effect, Leaf, Part, Query, Refusal};
+use pipitcrank_core::ids::{Effect, PartId, QueryId, Refusal, ReplicaId};
 use pipitcrank_core::port::Port;
 use pipitcrank_core::time::{At, Span};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
-    Call(Part, Leaf),
-    Abandon(Part, u32),
-    Merge(Query, bool),
-    Reject(Query),
-    Abort(Query),
+    Call(PartId, ReplicaId),
+    Abandon(PartId, u32),
+    Merge(QueryId, bool),
+    Reject(QueryId),
+    Abort(QueryId),
     Wake(At, u64),
     Watch,
-    Probe(Leaf),
-    FreeQuery(Query),
-    FreePart(Part),
-    FreeLeaf(Leaf),
+    Probe(ReplicaId),
+    FreeQuery(QueryId),
+    FreePart(PartId),
+    FreeLeaf(ReplicaId),
 }
 
 #[derive(Default)]
 pub struct Tape(pub Vec<Act>);
 
 impl Port for Tape {
-    fn leaf_call(&mut self, part: Part, leaf: Leaf, _until: At) {
+    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, _until: At) {
         self.0.push(Act::Call(part, leaf));
     }
-    fn abandon(&mut self, part: Part, nth: u32) {
+    fn abandon(&mut self, part: PartId, nth: u32) {
         self.0.push(Act::Abandon(part, nth));
     }
-    fn merge(&mut self, query: Query, whole: bool) {
+    fn merge(&mut self, query: QueryId, whole: bool) {
         self.0.push(Act::Merge(query, whole));
     }
-    fn reject(&mut self, query: Query, _stay_away: Span, _why: Refusal) {
+    fn reject(&mut self, query: QueryId, _stay_away: Span, _why: Refusal) {
         self.0.push(Act::Reject(query));
     }
-    fn abort(&mut self, query: Query, _why: Refusal) {
+    fn abort(&mut self, query: QueryId, _why: Refusal) {
         self.0.push(Act::Abort(query));
     }
     fn wake_me(&mut self, at: At, label: u64) {
         self.0.push(Act::Wake(at, label));
     }
-    fn probe(&mut self, leaf: Leaf) {
+    fn probe(&mut self, leaf: ReplicaId) {
         self.0.push(Act::Probe(leaf));
     }
     fn watch(&mut self) {
         self.0.push(Act::Watch);
     }
     fn note(&mut self, _text: &str) {}
-    fn let_go_query(&mut self, query: Query) {
+    fn let_go_query(&mut self, query: QueryId) {
         self.0.push(Act::FreeQuery(query));
     }
-    fn let_go_part(&mut self, part: Part) {
+    fn let_go_part(&mut self, part: PartId) {
         self.0.push(Act::FreePart(part));
     }
-    fn let_go_leaf(&mut self, leaf: Leaf) {
+    fn let_go_leaf(&mut self, leaf: ReplicaId) {
         self.0.push(Act::FreeLeaf(leaf));
     }
 }
 
 #[allow(dead_code)] // not every test file reads calls alone
 impl Tape {
-    pub fn calls(&self) -> Vec<(Part, Leaf)> {
+    pub fn calls(&self) -> Vec<(PartId, ReplicaId)> {
         let call = |a: &Act| if let Act::Call(p, l) = a { Some((*p, *l)) } else { None };
         self.0.iter().filter_map(call).collect()
     }
@@ -188,7 +188,7 @@
     root.list_begin(true);
     for n in 0..CELLS {
         let started = cold.iter().find(|(l, _)| *l == n).map(|(_, t)| *t);
-        root.leaf(Leaf(n), n, true, started);
+        root.leaf(ReplicaId(n), n, true, started);
     }
     root.list_end(tape);
 }
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -7,7 +7,7 @@
 
 use helper::{Act, Tape, at, ms};
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::ids::{Effect, Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::ids::{Effect, Ending, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{At, Span};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -48,12 +48,12 @@
 }
 
 struct Piece {
-    query: Query,
+    query: QueryId,
     shard: u32,
     weight: f64,
     step: u8,
     /// Time, leaf and ending of each leaf call.
-    calls: Vec<(At, Leaf, Option<Ending>)>,
+    calls: Vec<(At, ReplicaId, Option<Ending>)>,
     passed: bool,
 }
 
@@ -70,15 +70,15 @@
     now: At,
     root: Root,
     duplicates: bool,
-    asked: BTreeMap<Query, Asked>,
-    pieces: BTreeMap<Part, Piece>,
+    asked: BTreeMap<QueryId, Asked>,
+    pieces: BTreeMap<PartId, Piece>,
     alarms: BTreeMap<(At, u64), ()>,
     up: Vec<bool>,
     started: Vec<Option<At>>,
     taken: Vec<At>,
     further: Vec<At>,
     merged_any: bool,
-    cold_sends: Vec<(At, Leaf)>,
+    cold_sends: Vec<(At, ReplicaId)>,
 }
 
 impl World {
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    fn called(&mut self, part: Part, leaf: Leaf) -> Result<(), TestCaseError> {
+    fn called(&mut self, part: PartId, leaf: ReplicaId) -> Result<(), TestCaseError> {
         let now = self.now;
         let piece = self.pieces.get_mut(&part).expect("sends what it let go");
         let asked = self.asked.get(&piece.query);
@@ -154,7 +154,7 @@
         Ok(())
     }
 
-    fn merged(&mut self, query: Query, whole: bool) -> Result<(), TestCaseError> {
+    fn merged(&mut self, query: QueryId, whole: bool) -> Result<(), TestCaseError> {
         let asked = self.asked.get_mut(&query);
         prop_assert!(asked.is_some(), "a second final answer");
         let asked = asked.unwrap();
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    fn second_step(&mut self, query: Query, count: usize) -> Result<(), TestCaseError> {
+    fn second_step(&mut self, query: QueryId, count: usize) -> Result<(), TestCaseError> {
         let mut tape = Tape::default();
         for n in 0..count {
             self.piece(&mut tape, query, n as u32, 1.0 / count as f64, 1);
@@ -182,8 +182,8 @@
         self.did(tape)
     }
 
-    fn piece(&mut self, tape: &mut Tape, query: Query, shard: u32, weight: f64, step: u8) {
-        let id = Part((0..).find(|n| !self.pieces.contains_key(&Part(*n))).unwrap());
+    fn piece(&mut self, tape: &mut Tape, query: QueryId, shard: u32, weight: f64, step: u8) {
+        let id = PartId((0..).find(|n| !self.pieces.contains_key(&PartId(*n))).unwrap());
         self.pieces.insert(id, Piece { query, shard, weight, step, calls: Vec::new(), passed: false });
         self.taken.push(self.now);
         self.root.part(tape, self.now, id, query, shard, weight, shard.is_multiple_of(2).then_some(0.1));
@@ -201,13 +201,22 @@
 
     fn ask(&mut self, vertical: usize, first: u32, count: u32, left: Span) -> Result<(), TestCaseError> {
         let ids = || self.pieces.values().map(|p| p.query);
-        let query =
-            Query((0..).find(|n| !self.asked.contains_key(&Query(*n)) && ids().all(|q| q.0 != *n)).unwrap());
+        let query = QueryId(
+            (0..).find(|n| !self.asked.contains_key(&QueryId(*n)) && ids().all(|q| q.0 != *n)).unwrap(),
+        );
         let ends = self.now + left;
         self.taken.push(self.now);
         self.asked.insert(query, Asked { vertical, arrived: self.now, ends, step: 0, first_whole: true });
         self.event(|w, tape| {
-            w.root.query(tape, w.now, query, Vertical(vertical as u16), left, Some(0.5), f64::from(count));
+            w.root.query(
+                tape,
+                w.now,
+                query,
+                RequestClassId(vertical as u16),
+                left,
+                Some(0.5),
+                f64::from(count),
+            );
             for n in 0..count {
                 w.piece(tape, query, first + n, 1.0 / f64::from(count), 0);
             }
@@ -216,7 +225,7 @@
 
     fn end(&mut self, which: usize, ending: Ending) -> Result<(), TestCaseError> {
         let out = |p: &Piece| p.calls.iter().position(|c| c.2.is_none());
-        let outs: Vec<Part> =
+        let outs: Vec<PartId> =
             self.pieces.iter().filter(|(_, p)| out(p).is_some()).map(|(id, _)| *id).collect();
         if outs.is_empty() {
             return Ok(());
@@ -294,12 +303,12 @@
                     let started = w.started[leaf as usize];
                     w.event(|w, tape| {
                         w.root.list_begin(false);
-                        w.root.leaf(Leaf(leaf), leaf, up, started);
+                        w.root.leaf(ReplicaId(leaf), leaf, up, started);
                         w.root.list_end(tape);
                     })?;
                 }
                 Op::Gone(which) => {
-                    let open: Vec<Query> = w.asked.keys().copied().collect();
+                    let open: Vec<QueryId> = w.asked.keys().copied().collect();
                     if !open.is_empty() {
                         let query = open[which % open.len()];
                         w.asked.remove(&query);
--- a/crates/pipitcrank-core/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -5,41 +5,41 @@
 
 use helper::{Act, Tape, at, ms, root_on};
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::decide::zones::{Shares, Zone};
-use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::decide::zones::{Shares, ZoneId};
+use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::told::Told;
 use serde_json::json;
 
-const HERE: Zone = Zone(0);
-const THERE: Zone = Zone(1);
+const HERE: ZoneId = ZoneId(0);
+const THERE: ZoneId = ZoneId(1);
 
 /// Six cells; leaves 0 to 5 stand here, 6 to 11 there, one a cell each.
 fn two_zones(seed: u64, may_probe: bool) -> (Root, Tape) {
     let (mut root, mut tape) = (root_on(6, 3, seed, 2, true, may_probe), Tape::default());
     root.list_begin(true);
     for n in 0..12 {
-        root.leaf(Leaf(n), n % 6, true, None);
-        root.stands_in(Leaf(n), Some(if n < 6 { HERE } else { THERE }));
+        root.leaf(ReplicaId(n), n % 6, true, None);
+        root.stands_in(ReplicaId(n), Some(if n < 6 { HERE } else { THERE }));
     }
     root.list_end(&mut tape);
     (root, tape)
 }
 
-fn shares(of: &[(Zone, f64)], shut: &[Zone]) -> Shares {
+fn shares(of: &[(ZoneId, f64)], shut: &[ZoneId]) -> Shares {
     Shares { of: of.to_vec(), shut: shut.to_vec(), ..Shares::default() }
 }
 
 /// Asks one query of one shard; where it went.
-fn goes(root: &mut Root, n: u32, t: i64, vertical: u16) -> (Vec<Leaf>, Vec<Act>) {
+fn goes(root: &mut Root, n: u32, t: i64, vertical: u16) -> (Vec<ReplicaId>, Vec<Act>) {
     let mut tape = Tape::default();
-    root.query(&mut tape, at(t), Query(n), Vertical(vertical), ms(3000), None, 1.0);
-    root.part(&mut tape, at(t), Part(n), Query(n), n % 6, 1.0, None);
+    root.query(&mut tape, at(t), QueryId(n), RequestClassId(vertical), ms(3000), None, 1.0);
+    root.part(&mut tape, at(t), PartId(n), QueryId(n), n % 6, 1.0, None);
     root.turn(&mut tape, at(t));
     (tape.calls().into_iter().map(|c| c.1).collect(), tape.0)
 }
 
 fn answered(root: &mut Root, n: u32, t: i64) {
-    root.ended(&mut Tape::default(), at(t), Part(n), 0, Ending::Pass);
+    root.ended(&mut Tape::default(), at(t), PartId(n), 0, Ending::Pass);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let (mut root, mut tape) = two_zones(3, false);
     root.set_shares(shares(&[(HERE, 1.0)], &[THERE]));
     root.list_begin(false);
-    (0..6).for_each(|n| root.leaf(Leaf(n), n, false, None));
+    (0..6).for_each(|n| root.leaf(ReplicaId(n), n, false, None));
     root.list_end(&mut tape);
     let (leaves, _) = goes(&mut root, 1, 0, 0);
     assert_eq!(leaves, []);
@@ -111,7 +111,7 @@
     root.set_shares(Shares { of: vec![(HERE, 1.0)], turned_away, ..Shares::default() });
     let (leaves, acts) = goes(&mut root, 1, 0, 0);
     assert_eq!(leaves, []);
-    assert!(acts.contains(&Act::Reject(Query(1))) && acts.contains(&Act::FreePart(Part(1))), "{acts:?}");
+    assert!(acts.contains(&Act::Reject(QueryId(1))) && acts.contains(&Act::FreePart(PartId(1))), "{acts:?}");
     assert_eq!(goes(&mut root, 2, 0, 1).0.len(), 1);
 }
 
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pipitcrank_core::ids::{Ending, Leaf, Vertical};
+use pipitcrank_core::ids::{Ending, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{At, Span};
 use pipitcrank_core::told::Told;
 use pipitcrank_server::counters::Counters;
@@ -16,21 +16,21 @@
 /// What the exchange asked for, in order.
 #[derive(Default)]
 pub struct Noted {
-    pub calls: Vec<(Leaf, Vec<CallNo>)>,
-    pub given_up: Vec<(Leaf, CallNo)>,
-    pub probes: Vec<Leaf>,
+    pub calls: Vec<(ReplicaId, Vec<CallNo>)>,
+    pub given_up: Vec<(ReplicaId, CallNo)>,
+    pub probes: Vec<ReplicaId>,
 }
 
 impl LeafSide for Noted {
-    fn meet(&mut self, _: Leaf, _: SocketAddr) {}
-    fn let_go(&mut self, _: Leaf) {}
-    fn call(&mut self, leaf: Leaf, parts: Vec<CallNo>) {
+    fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
+    fn let_go(&mut self, _: ReplicaId) {}
+    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>) {
         self.calls.push((leaf, parts));
     }
-    fn give_up(&mut self, leaf: Leaf, call: CallNo) {
+    fn give_up(&mut self, leaf: ReplicaId, call: CallNo) {
         self.given_up.push((leaf, call));
     }
-    fn probe(&mut self, leaf: Leaf) {
+    fn probe(&mut self, leaf: ReplicaId) {
         self.probes.push(leaf);
     }
 }
@@ -87,7 +87,7 @@
         let part = |n| AskedPart { shard: (first + n) % self.shards, weight, work: Some(0.01) };
         let asked = Asked {
             id: format!("q{}", self.asked),
-            vertical: Vertical(vertical),
+            vertical: RequestClassId(vertical),
             ends: self.now + Span::from_ms(wait_ms),
             parts: (0..parts).map(part).collect(),
             idempotency_key: None,
--- a/crates/pipitcrank-gateway/src/far.rs
+++ b/crates/pipitcrank-gateway/src/far.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use pipitcrank_core::ids::Vertical;
+use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_server::exchange::{Asked, AskedPart, Final, Lent};
 use pipitcrank_server::hall::Hall;
 use pipitcrank_server::serve::Ground;
@@ -282,7 +282,7 @@
         match verdict {
             Verdict::Begin(mark) => {
                 self.hall.counters.add("forwarded", "begun");
-                self.begin(mark, lane, Vertical(vertical.unwrap_or(0) as u16), forward, key);
+                self.begin(mark, lane, RequestClassId(vertical.unwrap_or(0) as u16), forward, key);
             }
             Verdict::Again => {
                 self.hall.counters.add("forwarded", "again");
@@ -299,7 +299,7 @@
         self: &Rc<Far>,
         mark: u64,
         lane: &Lane,
-        vertical: Vertical,
+        vertical: RequestClassId,
         forward: Forward,
         idempotency_key: Option<Arc<str>>,
     ) {
--- a/crates/pipitcrank-gateway/src/near.rs
+++ b/crates/pipitcrank-gateway/src/near.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use pipitcrank_core::ids::{Ending, Leaf};
+use pipitcrank_core::ids::{Ending, ReplicaId};
 use pipitcrank_core::time::Span;
 use pipitcrank_server::clock::duration;
 use pipitcrank_server::exchange::{CallNo, LeafSide};
@@ -35,7 +35,7 @@
 const TRY_AGAIN: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1600));
 
 enum Job {
-    Call(Leaf, Vec<CallNo>),
+    Call(ReplicaId, Vec<CallNo>),
     GiveUp(u64),
 }
 
@@ -70,7 +70,7 @@
 pub struct Near {
     leaves: Rc<RefCell<Leaves>>,
     sites: Vec<Rc<Site>>,
-    far: BTreeMap<Leaf, Rc<Site>>,
+    far: BTreeMap<ReplicaId, Rc<Site>>,
     side: Rc<Side>,
 }
 
@@ -122,15 +122,15 @@
 }
 
 impl LeafSide for Near {
-    fn meet(&mut self, leaf: Leaf, address: SocketAddr) {
+    fn meet(&mut self, leaf: ReplicaId, address: SocketAddr) {
         self.leaves.borrow_mut().meet(leaf, address);
     }
 
-    fn let_go(&mut self, leaf: Leaf) {
+    fn let_go(&mut self, leaf: ReplicaId) {
         self.leaves.borrow_mut().let_go(leaf);
     }
 
-    fn call(&mut self, leaf: Leaf, parts: Vec<CallNo>) {
+    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>) {
         let Some(site) = self.far.get(&leaf) else { return self.leaves.borrow_mut().call(leaf, parts) };
         let up = site.lanes.iter().filter(|l| l.up.get());
         match up.min_by_key(|l| l.queued.get() + l.book.borrow().out()) {
@@ -147,7 +147,7 @@
         }
     }
 
-    fn give_up(&mut self, leaf: Leaf, call: CallNo) {
+    fn give_up(&mut self, leaf: ReplicaId, call: CallNo) {
         let Some(site) = self.far.get(&leaf) else { return self.leaves.borrow_mut().give_up(leaf, call) };
         for lane in &site.lanes {
             let gave_up = lane.book.borrow_mut().give_up(call);
@@ -160,7 +160,7 @@
         }
     }
 
-    fn probe(&mut self, leaf: Leaf) {
+    fn probe(&mut self, leaf: ReplicaId) {
         match self.far.get(&leaf) {
             None => self.leaves.borrow_mut().probe(leaf),
             // The module asks for none; heartbeats tell more.
@@ -169,7 +169,7 @@
     }
 }
 
-fn never_began(hall: &Hall, leaf: Leaf, parts: Vec<CallNo>) {
+fn never_began(hall: &Hall, leaf: ReplicaId, parts: Vec<CallNo>) {
     hall.tell(|e| parts.into_iter().for_each(|call| e.never_began(leaf, call)));
 }
 
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -9,7 +9,7 @@
 
 use bytes::BytesMut;
 use pipitcrank_core::decide::Budget;
-use pipitcrank_core::ids::{Ending, Leaf};
+use pipitcrank_core::ids::{Ending, ReplicaId};
 use pipitcrank_core::time::{At, Span};
 use pipitcrank_core::told::Told;
 use pipitcrank_gateway::far::Far;
@@ -40,9 +40,9 @@
 }
 
 impl LeafSide for Runs {
-    fn meet(&mut self, _: Leaf, _: SocketAddr) {}
-    fn let_go(&mut self, _: Leaf) {}
-    fn call(&mut self, _: Leaf, parts: Vec<CallNo>) {
+    fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
+    fn let_go(&mut self, _: ReplicaId) {}
+    fn call(&mut self, _: ReplicaId, parts: Vec<CallNo>) {
         self.ran.borrow_mut().extend(&parts);
         let (hall, answers) = (self.hall.clone(), self.answers);
         tokio::task::spawn_local(async move {
@@ -51,8 +51,8 @@
             }
         });
     }
-    fn give_up(&mut self, _: Leaf, _: CallNo) {}
-    fn probe(&mut self, _: Leaf) {}
+    fn give_up(&mut self, _: ReplicaId, _: CallNo) {}
+    fn probe(&mut self, _: ReplicaId) {}
 }
 
 struct Scene {
--- a/crates/pipitcrank-server/src/audit.rs
+++ b/crates/pipitcrank-server/src/audit.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use pipitcrank_core::ids::{Effect, Ending, Leaf, Part, Vertical};
+use pipitcrank_core::ids::{Effect, Ending, PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{At, Span};
 
 use crate::counters::Counters;
@@ -93,26 +93,26 @@
 pub struct Taken<'a> {
     pub ticket: u64,
     pub id: &'a str,
-    pub vertical: Vertical,
+    pub vertical: RequestClassId,
     /// When the client's own time is over.
     pub client_ends: At,
     /// Another site's: that one counts it in its budget.
     pub lent: bool,
-    pub parts: &'a [Part],
+    pub parts: &'a [PartId],
 }
 
 /// An attempt whose first byte is about to be written.
 pub struct Sent {
-    pub part: Part,
+    pub part: PartId,
     pub attempt: u32,
-    pub leaf: Leaf,
+    pub leaf: ReplicaId,
     /// The time told to the replica.
     pub told: Span,
 }
 
 struct Query {
     id: Rc<str>,
-    vertical: Vertical,
+    vertical: RequestClassId,
     client_ends: At,
     lent: bool,
     answered: bool,
@@ -144,9 +144,9 @@
     terms: Terms,
     counters: Counters,
     queries: BTreeMap<u64, Query>,
-    parts: BTreeMap<Part, PartBook>,
+    parts: BTreeMap<PartId, PartBook>,
     /// Since when leaves count as draining or gone.
-    drained: BTreeMap<Leaf, At>,
+    drained: BTreeMap<ReplicaId, At>,
     /// Times of requests taken and of further attempts; emptied as they leave the budget's span.
     taken: VecDeque<At>,
     further: VecDeque<At>,
@@ -216,7 +216,7 @@
         now: At,
         query: &Query,
         book: &PartBook,
-        leaf: Leaf,
+        leaf: ReplicaId,
         told: Span,
     ) -> Vec<(Rule, &'static str)> {
         let terms = &self.terms;
@@ -256,7 +256,7 @@
     }
 
     /// Nothing of the attempt was written after all.
-    pub fn taken_back(&mut self, part: Part, attempt: u32) {
+    pub fn taken_back(&mut self, part: PartId, attempt: u32) {
         let Some(book) = self.parts.get_mut(&part) else { return };
         book.attempts.retain(|a| a.number != attempt);
         if !book.attempts.is_empty() {
@@ -264,7 +264,7 @@
         }
     }
 
-    pub fn ended(&mut self, part: Part, attempt: u32, ending: Ending) {
+    pub fn ended(&mut self, part: PartId, attempt: u32, ending: Ending) {
         let book = self.parts.get_mut(&part);
         if let Some(attempt) = book.and_then(|b| b.attempts.iter_mut().find(|a| a.number == attempt)) {
             let never = matches!(ending, Ending::NoRoom | Ending::NoRoute | Ending::Stale);
@@ -299,7 +299,7 @@
     }
 
     /// A leaf counts as draining or gone since then, or is up.
-    pub fn listed(&mut self, leaf: Leaf, off_since: Option<At>) {
+    pub fn listed(&mut self, leaf: ReplicaId, off_since: Option<At>) {
         match off_since {
             Some(since) => {
                 self.drained.entry(leaf).or_insert(since);
@@ -318,7 +318,7 @@
         }
     }
 
-    pub fn let_go_part(&mut self, part: Part) {
+    pub fn let_go_part(&mut self, part: PartId) {
         let Some(book) = self.parts.remove(&part) else { return };
         if let Some(query) = self.queries.get_mut(&book.ticket) {
             query.parts -= 1;
@@ -332,7 +332,7 @@
         }
     }
 
-    pub fn let_go_leaf(&mut self, leaf: Leaf) {
+    pub fn let_go_leaf(&mut self, leaf: ReplicaId) {
         self.drained.remove(&leaf);
     }
 
--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -1,12 +1,12 @@
-use pipitcrank_core::ids::{Effect, Ending, Leaf, Part, Vertical};
+use pipitcrank_core::ids::{Effect, Ending, PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{At, Span};
 
 use super::*;
 
-const VIEW: Vertical = Vertical(0);
-const SALE: Vertical = Vertical(1);
-const PAY: Vertical = Vertical(2);
-const LEAF: Leaf = Leaf(7);
+const VIEW: RequestClassId = RequestClassId(0);
+const SALE: RequestClassId = RequestClassId(1);
+const PAY: RequestClassId = RequestClassId(2);
+const LEAF: ReplicaId = ReplicaId(7);
 
 fn at(ms: i64) -> At {
     At::from_us(ms * 1000)
@@ -37,18 +37,18 @@
 
 impl Books {
     /// With one query of that vertical, of two parts, whose client waits until 4 s.
-    fn with(vertical: Vertical) -> Books {
+    fn with(vertical: RequestClassId) -> Books {
         Books::told(terms(), vertical)
     }
 
-    fn told(terms: Terms, vertical: Vertical) -> Books {
+    fn told(terms: Terms, vertical: RequestClassId) -> Books {
         let counters = Counters::default();
         let mut books = Books { audit: Audit::new(terms, counters.clone()), counters };
-        books.takes(1, vertical, &[Part(0), Part(1)]);
+        books.takes(1, vertical, &[PartId(0), PartId(1)]);
         books
     }
 
-    fn takes(&mut self, ticket: u64, vertical: Vertical, parts: &[Part]) {
+    fn takes(&mut self, ticket: u64, vertical: RequestClassId, parts: &[PartId]) {
         let client_ends = at(4000);
         let taken = Taken { ticket, id: "q", vertical, client_ends, lent: false, parts };
         self.audit.taken(at(0), taken);
@@ -56,11 +56,11 @@
 
     fn sends(&mut self, ms: i64, part: u32, attempt: u32) {
         let told = at(4000) - at(ms);
-        self.audit.sent(at(ms), Sent { part: Part(part), attempt, leaf: LEAF, told });
+        self.audit.sent(at(ms), Sent { part: PartId(part), attempt, leaf: LEAF, told });
     }
 
     fn ends(&mut self, part: u32, attempt: u32, ending: Ending) {
-        self.audit.ended(Part(part), attempt, ending);
+        self.audit.ended(PartId(part), attempt, ending);
     }
 
     fn broken(&self) -> Vec<String> {
@@ -78,9 +78,9 @@
     books.ends(0, 1, Ending::Pass);
     books.ends(1, 0, Ending::Pass);
     books.audit.answered(at(60), 1, Some(1.0), true);
-    books.audit.let_go_part(Part(0));
+    books.audit.let_go_part(PartId(0));
     books.audit.let_go_query(1);
-    books.audit.let_go_part(Part(1));
+    books.audit.let_go_part(PartId(1));
     assert_eq!((books.broken(), books.audit.held()), (vec![], (0, 0)));
 }
 
@@ -106,7 +106,7 @@
 fn more_time_told_than_the_client_has_is_counted() {
     let mut books = Books::with(VIEW);
     let told = Span::from_ms(3151);
-    books.audit.sent(at(1000), Sent { part: Part(0), attempt: 0, leaf: LEAF, told });
+    books.audit.sent(at(1000), Sent { part: PartId(0), attempt: 0, leaf: LEAF, told });
     assert_eq!(books.broken(), ["deadline_told"]);
 }
 
@@ -182,7 +182,7 @@
     books.ends(0, 0, Ending::Cut);
     for _ in 0..5 {
         books.sends(30, 0, 1);
-        books.audit.taken_back(Part(0), 1);
+        books.audit.taken_back(PartId(0), 1);
     }
     books.sends(40, 0, 1);
     assert!(books.broken().is_empty());
--- a/crates/pipitcrank-server/src/charter.rs
+++ b/crates/pipitcrank-server/src/charter.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use axum::http::uri::Authority;
-use pipitcrank_core::decide::zones::Zone;
+use pipitcrank_core::decide::zones::ZoneId;
 use pipitcrank_core::time::Span;
 use pipitcrank_core::told::{Faulty, Told};
 use serde::Deserialize;
@@ -247,7 +247,7 @@
     }
 
     /// This co-ordinator's zone, by its place, and the names of all; none where the platform says nothing.
-    pub fn zones(&self) -> Result<Option<(Zone, Vec<String>)>, Faulty> {
+    pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, Faulty> {
         self.settings()?.zones()
     }
 
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::decide::zones::{Seen, Shares, Tally, Zone};
-use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Vertical};
+use pipitcrank_core::decide::zones::{Seen, Shares, Tally, ZoneId};
+use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{At, Span};
 use pipitcrank_handover::division;
 use pipitcrank_handover::snapshot::{SeenLeaf, Snapshot};
@@ -30,7 +30,7 @@
 /// A query as a client asked it.
 pub struct Asked {
     pub id: String,
-    pub vertical: Vertical,
+    pub vertical: RequestClassId,
     pub ends: At,
     pub parts: Vec<AskedPart>,
     /// By which leaves know a repeat of a deduplicated vertical's.
@@ -78,7 +78,7 @@
 pub struct Going {
     pub calls: Vec<(u32, CallNo)>,
     pub id: String,
-    pub vertical: Vertical,
+    pub vertical: RequestClassId,
     pub until: At,
     /// Shard, weight, work in seconds.
     pub parts: Vec<(u32, f64, Option<f64>)>,
@@ -102,7 +102,7 @@
 }
 
 /// One part's leaf call, by its number among the part's calls.
-pub type CallNo = (Part, u32);
+pub type CallNo = (PartId, u32);
 
 /// Under this target each request's way is logged, by its id: taken, sent, not sent, ended, answered.
 pub const REQUESTS: &str = "pipitcrank::requests";
@@ -110,34 +110,34 @@
 /// What the exchange wants done on the leaf side.
 pub trait LeafSide {
     /// The leaf is reached at that address from now on.
-    fn meet(&mut self, leaf: Leaf, address: SocketAddr);
+    fn meet(&mut self, leaf: ReplicaId, address: SocketAddr);
     /// The leaf will not be named again.
-    fn let_go(&mut self, leaf: Leaf);
+    fn let_go(&mut self, leaf: ReplicaId);
     /// One call that carries these parts. They go through `Exchange::release` before the first byte is written.
-    fn call(&mut self, leaf: Leaf, parts: Vec<CallNo>);
+    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>);
     /// Nobody waits for the part any more.
-    fn give_up(&mut self, leaf: Leaf, call: CallNo);
-    fn probe(&mut self, leaf: Leaf);
+    fn give_up(&mut self, leaf: ReplicaId, call: CallNo);
+    fn probe(&mut self, leaf: ReplicaId);
 }
 
 enum Happened {
     Asked(u64, Asked, Then, Option<Lent>),
     Gone(u64),
-    Ended(Leaf, CallNo, Ending, Option<String>, Option<Report>),
-    Probed(Leaf, Ending, Option<Report>),
+    Ended(ReplicaId, CallNo, Ending, Option<String>, Option<Report>),
+    Probed(ReplicaId, Ending, Option<Report>),
     List(At, bool, Vec<Listed>),
-    LookInto(Zone, usize),
+    LookInto(ZoneId, usize),
     EndBy(At),
 }
 
 /// A zone's place among those that there are.
-fn place(zones: &[String], name: &Option<String>) -> Option<Zone> {
+fn place(zones: &[String], name: &Option<String>) -> Option<ZoneId> {
     let place = zones.iter().position(|known| Some(known) == name.as_ref())?;
-    Some(Zone(place as u16))
+    Some(ZoneId(place as u16))
 }
 
 /// Parts that went, by index and id, how many further calls with them, and until when.
-type LentOut = (Vec<(Part, Rc<str>)>, u32, At);
+type LentOut = (Vec<(PartId, Rc<str>)>, u32, At);
 
 pub struct Exchange {
     root: Root,
@@ -220,7 +220,7 @@
         self.inbox.push(Happened::EndBy(by));
     }
 
-    pub fn probed(&mut self, leaf: Leaf, ending: Ending, report: Option<Report>) {
+    pub fn probed(&mut self, leaf: ReplicaId, ending: Ending, report: Option<Report>) {
         self.inbox.push(Happened::Probed(leaf, ending, report));
     }
 
@@ -285,14 +285,14 @@
 
     /// Told to drain a leaf gets nothing more, also within the grace. Guards against a word read late by a process that waits
     /// for the processor: the grace counts from when it could be read.
-    pub fn drains(&self, leaf: Leaf) -> bool {
+    pub fn drains(&self, leaf: ReplicaId) -> bool {
         self.desk.held_leaves.get(&leaf.0).is_some_and(|l| l.off.is_some())
     }
 
     /// The last look just before a call's first byte is written: what of it may still go, and how. Whatever is sent passes here.
     /// Guards against frames held up on the way to the socket while their query ended, their time ran out, or their leaf
     /// drained: those count as never run.
-    pub fn release(&mut self, now: At, leaf: Leaf, parts: &mut Vec<CallNo>) -> Vec<CallPart> {
+    pub fn release(&mut self, now: At, leaf: ReplicaId, parts: &mut Vec<CallNo>) -> Vec<CallPart> {
         let mut going = Vec::new();
         parts.retain(|&call| {
             // Guards against a call given up while it was queued, whose number another part's call has by now: that
@@ -321,7 +321,7 @@
     }
 
     /// The guard of all sending: rules on ended queries, closed clients, drained leaves, time, repeats and the budget.
-    fn may_send(&mut self, now: At, leaf: Leaf, call: CallNo, until: At) -> Result<CallPart, NotSent> {
+    fn may_send(&mut self, now: At, leaf: ReplicaId, call: CallNo, until: At) -> Result<CallPart, NotSent> {
         let part = &self.desk.held_parts[&call.0.0];
         let query = part.query.and_then(|q| self.desk.held_queries.get(&q)).ok_or(NotSent::QueryEnded)?;
         if self.gone.contains(&query.ticket) {
@@ -344,7 +344,7 @@
         })
     }
 
-    fn note_sent(&mut self, now: At, leaf: Leaf, call: CallNo, told: Span) {
+    fn note_sent(&mut self, now: At, leaf: ReplicaId, call: CallNo, told: Span) {
         let part = &self.desk.held_parts[&call.0.0];
         tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, leaf = leaf.0, told_s = told.s(), "sent");
         if let Some(audit) = &mut self.desk.audit {
@@ -360,7 +360,7 @@
 
     /// A call queued for that leaf was never begun, and won't be. Guards against ending another part's call that has its
     /// number by now and may be out: it would go out a second time.
-    pub fn never_began(&mut self, leaf: Leaf, call: CallNo) {
+    pub fn never_began(&mut self, leaf: ReplicaId, call: CallNo) {
         if self.desk.out.get(&call).is_some_and(|out| out.leaf == leaf && !out.released) {
             self.ended(call, Ending::NoRoute, None, None);
         }
@@ -379,12 +379,12 @@
     // Other sites.
 
     /// Another site's leaves, one for each cell; nothing goes there before a hop is known.
-    pub fn add_site(&mut self, site: u16, name: &str, cells: u32) -> Vec<Leaf> {
+    pub fn add_site(&mut self, site: u16, name: &str, cells: u32) -> Vec<ReplicaId> {
         self.root.list_begin(false);
         let mut leaves = Vec::new();
         for cell in 0..cells {
             // No name of discovery's has a blank.
-            let leaf = Leaf(self.desk.leaves.enter(&format!("site {name} {cell}")));
+            let leaf = ReplicaId(self.desk.leaves.enter(&format!("site {name} {cell}")));
             let zone = self.site_zones.get(name).cloned();
             let place = place(&self.zones, &zone);
             let held = HeldLeaf { address: None, cell, zone, started: None, site: Some(site), off: None };
@@ -401,12 +401,12 @@
     /// What the way to the site costs from now on; none closes it.
     pub fn set_hop(&mut self, site: u16, hop: Option<Span>) {
         for (&leaf, _) in self.desk.held_leaves.iter().filter(|(_, l)| l.site == Some(site)) {
-            self.root.far(Leaf(leaf), hop);
+            self.root.far(ReplicaId(leaf), hop);
         }
     }
 
     /// The last look before a forward's first byte, as `release` is for a leaf's: what of it may still go, by query.
-    pub fn forward(&mut self, now: At, leaf: Leaf, parts: &mut Vec<CallNo>) -> Vec<Going> {
+    pub fn forward(&mut self, now: At, leaf: ReplicaId, parts: &mut Vec<CallNo>) -> Vec<Going> {
         self.release(now, leaf, parts);
         self.lent.retain(|_, (.., until)| *until > now);
         let mut by_query: BTreeMap<u32, Vec<CallNo>> = BTreeMap::new();
@@ -420,7 +420,7 @@
             let held = &self.desk.held_queries[&query];
             let until = calls.iter().map(|c| self.desk.out[c].until).min().unwrap_or(now);
             self.next_lent += 1;
-            let ours: Vec<Part> = calls.iter().map(|c| c.0).collect();
+            let ours: Vec<PartId> = calls.iter().map(|c| c.0).collect();
             let further = self.root.lend(now, self.next_lent, &ours, until);
             let named = calls.iter().map(|c| (c.0, self.desk.held_parts[&c.0.0].id.clone()));
             self.lent.insert(self.next_lent, (named.collect(), further, until));
@@ -447,10 +447,10 @@
             && now < until
         {
             // Guards against a part that is over, whose index another has by now.
-            let held = |(part, id): &(Part, Rc<str>)| {
+            let held = |(part, id): &(PartId, Rc<str>)| {
                 self.desk.held_parts.get(&part.0).is_some_and(|h| Rc::ptr_eq(&h.id, id))
             };
-            let parts: Vec<Part> = parts.into_iter().filter(held).map(|(part, _)| part).collect();
+            let parts: Vec<PartId> = parts.into_iter().filter(held).map(|(part, _)| part).collect();
             self.root.came_back(now, who, &parts, lent, made);
         }
     }
@@ -462,7 +462,7 @@
         self.zones = names;
         for (&leaf, held) in &self.desk.held_leaves {
             let place = place(&self.zones, &held.zone);
-            self.root.stands_in(Leaf(leaf), place);
+            self.root.stands_in(ReplicaId(leaf), place);
         }
     }
 
@@ -478,12 +478,12 @@
 
     /// What is seen of each zone's leaves from here, in the zones' order, and what was counted since the start.
     pub fn zones_seen(&self, now: At) -> (Vec<Seen>, Tally) {
-        let seen = (0..self.zones.len()).map(|n| self.root.seen_of(now, Zone(n as u16))).collect();
+        let seen = (0..self.zones.len()).map(|n| self.root.seen_of(now, ZoneId(n as u16))).collect();
         (seen, self.root.tally().clone())
     }
 
     /// Probes some leaves of a zone that nothing is sent to.
-    pub fn look_into(&mut self, zone: Zone, most: usize) {
+    pub fn look_into(&mut self, zone: ZoneId, most: usize) {
         self.inbox.push(Happened::LookInto(zone, most));
     }
 
@@ -525,7 +525,7 @@
                 if let Some(&query) = self.desk.tickets.get(&ticket) {
                     self.desk.counters.add("queries", "client_gone");
                     tracing::debug!(target: REQUESTS, request = self.desk.queries.name(query), "client gone");
-                    self.root.gone(&mut self.desk, now, Query(query));
+                    self.root.gone(&mut self.desk, now, QueryId(query));
                 }
             }
             Happened::Ended(leaf, call, ending, value, report) => {
@@ -559,12 +559,12 @@
         }
         desk.counters.add("queries", "taken");
         let further = lent.as_ref().map(|l| l.further);
-        let query = Query(desk.queries.enter(&id));
+        let query = QueryId(desk.queries.enter(&id));
         let indices: Vec<u32> = ids.iter().map(|p| desk.parts.enter(p)).collect();
         desk.tickets.insert(ticket, query.0);
         tracing::debug!(target: REQUESTS, request = id, parts = parts.len(), left_s = (ends - now).s(), "taken");
         if let Some(audit) = &mut desk.audit {
-            let parts: Vec<Part> = indices.iter().map(|&p| Part(p)).collect();
+            let parts: Vec<PartId> = indices.iter().map(|&p| PartId(p)).collect();
             let lent = lent.is_some();
             audit.taken(now, Taken { ticket, id: &id, vertical, client_ends: ends, lent, parts: &parts });
         }
@@ -592,7 +592,7 @@
             self.root.lent_to(query, further);
         }
         for (index, part) in indices.into_iter().zip(parts) {
-            self.root.part(&mut self.desk, now, Part(index), query, part.shard, part.weight, part.work);
+            self.root.part(&mut self.desk, now, PartId(index), query, part.shard, part.weight, part.work);
         }
     }
 
@@ -612,7 +612,7 @@
         self.root.ended(&mut self.desk, now, call.0, call.1, ending);
     }
 
-    fn report(&mut self, now: At, leaf: Leaf, report: Option<Report>) {
+    fn report(&mut self, now: At, leaf: ReplicaId, report: Option<Report>) {
         if let Some(Report { waiting, in_hand }) = report {
             self.root.load_report(now, leaf, waiting, in_hand);
         }
@@ -717,7 +717,7 @@
     }
 
     /// How a query ends that the other process had when it died.
-    pub fn stranded(&self, vertical: Vertical) -> Final {
+    pub fn stranded(&self, vertical: RequestClassId) -> Final {
         match self.root.stranded(vertical) {
             Some(stay_away) => Final::Rejected { stay_away },
             None => Final::Aborted,
@@ -744,11 +744,11 @@
             self.desk.audit_lists();
             // Other sites are not discovery's to name.
             for (&leaf, held) in self.desk.held_leaves.iter().filter(|(_, l)| l.site.is_some()) {
-                self.root.leaf(Leaf(leaf), held.cell, true, None);
+                self.root.leaf(ReplicaId(leaf), held.cell, true, None);
             }
         }
         for Listed { uid, address, cell, zone, up, started } in rows {
-            let leaf = Leaf(self.desk.leaves.enter(&uid));
+            let leaf = ReplicaId(self.desk.leaves.enter(&uid));
             let fresh = HeldLeaf { address: None, cell, zone: None, started, site: None, off: Some(at) };
             let held = self.desk.held_leaves.entry(leaf.0).or_insert(fresh);
             (held.cell, held.started) = (cell, started);
@@ -775,8 +775,8 @@
     fn carry_out(&mut self, leaf_side: &mut dyn LeafSide) {
         let wishes = std::mem::take(&mut self.desk.wishes);
         // In the order of their first part.
-        let mut bundles: Vec<(Leaf, Vec<CallNo>)> = Vec::new();
-        let mut places: BTreeMap<Leaf, usize> = BTreeMap::new();
+        let mut bundles: Vec<(ReplicaId, Vec<CallNo>)> = Vec::new();
+        let mut places: BTreeMap<ReplicaId, usize> = BTreeMap::new();
         for wish in wishes {
             match wish {
                 Wish::Call(leaf, call) => {
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Refusal, Vertical};
+use pipitcrank_core::ids::{Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
 use pipitcrank_core::names::Names;
 use pipitcrank_core::port::Port;
 use pipitcrank_core::time::{At, Span};
@@ -20,7 +20,7 @@
     pub(super) then: Option<Then>,
     /// In the order asked.
     pub(super) parts: Vec<u32>,
-    pub(super) vertical: Vertical,
+    pub(super) vertical: RequestClassId,
     pub(super) idempotency_key: Option<Arc<str>>,
     pub(super) lent: Option<Lent>,
 }
@@ -51,7 +51,7 @@
 }
 
 pub(super) struct Out {
-    pub(super) leaf: Leaf,
+    pub(super) leaf: ReplicaId,
     pub(super) until: At,
     /// Its frame is being written, or was.
     pub(super) released: bool,
@@ -59,11 +59,11 @@
 
 /// What the module asked for, until the turn is over.
 pub(super) enum Wish {
-    Call(Leaf, CallNo),
-    GiveUp(Leaf, CallNo),
-    Probe(Leaf),
-    Meet(Leaf, SocketAddr),
-    LetGo(Leaf),
+    Call(ReplicaId, CallNo),
+    GiveUp(ReplicaId, CallNo),
+    Probe(ReplicaId),
+    Meet(ReplicaId, SocketAddr),
+    LetGo(ReplicaId),
 }
 
 #[derive(Default)]
@@ -93,7 +93,7 @@
 
 impl Desk {
     /// Ends a call for the outside, and says at which leaf it was out; none if it has ended before.
-    pub(super) fn close(&mut self, call: CallNo, ending: Ending) -> Option<Leaf> {
+    pub(super) fn close(&mut self, call: CallNo, ending: Ending) -> Option<ReplicaId> {
         let Out { leaf, until, .. } = self.out.remove(&call)?;
         if let Some(audit) = &mut self.audit {
             audit.ended(call.0, call.1, ending);
@@ -108,7 +108,7 @@
         self.held_queries.len() + open.count()
     }
 
-    fn finish(&mut self, query: Query, last: Final, word: &'static str) {
+    fn finish(&mut self, query: QueryId, last: Final, word: &'static str) {
         self.counters.add("queries", word);
         tracing::debug!(target: REQUESTS, request = self.queries.name(query.0), ending = word, "answered");
         self.check_answer(query, &last);
@@ -119,13 +119,13 @@
     }
 
     /// Rejected or aborted, and why.
-    fn refuse(&mut self, query: Query, last: Final, word: &'static str, why: Refusal) {
+    fn refuse(&mut self, query: QueryId, last: Final, word: &'static str, why: Refusal) {
         self.counters.add("refusals", why.name());
         tracing::debug!(target: REQUESTS, request = self.queries.name(query.0), why = why.name(), "refused");
         self.finish(query, last, word);
     }
 
-    fn check_answer(&mut self, query: Query, last: &Final) {
+    fn check_answer(&mut self, query: QueryId, last: &Final) {
         let (Some(audit), Some(held)) = (&mut self.audit, self.held_queries.get(&query.0)) else { return };
         let weight_of = |shard: &u32| {
             let mut parts = held.parts.iter().filter_map(|p| self.held_parts.get(p));
@@ -142,12 +142,12 @@
     pub(super) fn audit_lists(&mut self) {
         let Some(audit) = &mut self.audit else { return };
         for (&leaf, held) in self.held_leaves.iter().filter(|(_, l)| l.site.is_none()) {
-            audit.listed(Leaf(leaf), held.off);
+            audit.listed(ReplicaId(leaf), held.off);
         }
     }
 
     /// Why the part goes once more.
-    fn again(&self, part: Part) -> Option<Again> {
+    fn again(&self, part: PartId) -> Option<Again> {
         let held = self.held_parts.get(&part.0).filter(|held| held.calls > 0)?;
         if self.out.range((part, 0)..=(part, u32::MAX)).next().is_some() {
             return Some(Again::Hedge);
@@ -157,7 +157,7 @@
 }
 
 impl Port for Desk {
-    fn leaf_call(&mut self, part: Part, leaf: Leaf, until: At) {
+    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: At) {
         if let Some(again) = self.again(part) {
             self.counters.add("again", again.name());
             let part = self.parts.name(part.0);
@@ -175,13 +175,13 @@
         self.wishes.push(Wish::Call(leaf, call));
     }
 
-    fn abandon(&mut self, part: Part, nth: u32) {
+    fn abandon(&mut self, part: PartId, nth: u32) {
         if let Some(leaf) = self.out.get(&(part, nth)).map(|out| out.leaf) {
             self.wishes.push(Wish::GiveUp(leaf, (part, nth)));
         }
     }
 
-    fn merge(&mut self, query: Query, whole: bool) {
+    fn merge(&mut self, query: QueryId, whole: bool) {
         let parts = self.held_queries.get(&query.0).map(|q| &q.parts[..]).unwrap_or_default();
         let hits = parts.iter().filter_map(|p| {
             let part = self.held_parts.get_mut(p)?;
@@ -191,11 +191,11 @@
         self.finish(query, Final::Merged { whole, hits }, if whole { "merged" } else { "merged_in_part" });
     }
 
-    fn reject(&mut self, query: Query, stay_away: Span, why: Refusal) {
+    fn reject(&mut self, query: QueryId, stay_away: Span, why: Refusal) {
         self.refuse(query, Final::Rejected { stay_away }, "rejected", why);
     }
 
-    fn abort(&mut self, query: Query, why: Refusal) {
+    fn abort(&mut self, query: QueryId, why: Refusal) {
         self.refuse(query, Final::Aborted, "aborted", why);
     }
 
@@ -203,7 +203,7 @@
         self.alarms.insert((at, label));
     }
 
-    fn probe(&mut self, leaf: Leaf) {
+    fn probe(&mut self, leaf: ReplicaId) {
         self.wishes.push(Wish::Probe(leaf));
     }
 
@@ -213,7 +213,7 @@
         tracing::info!("{text}");
     }
 
-    fn let_go_query(&mut self, query: Query) {
+    fn let_go_query(&mut self, query: QueryId) {
         self.queries.leave(query.0);
         if let Some(held) = self.held_queries.remove(&query.0) {
             self.tickets.remove(&held.ticket);
@@ -229,7 +229,7 @@
         }
     }
 
-    fn let_go_part(&mut self, part: Part) {
+    fn let_go_part(&mut self, part: PartId) {
         self.parts.leave(part.0);
         self.held_parts.remove(&part.0);
         if let Some(audit) = &mut self.audit {
@@ -237,7 +237,7 @@
         }
     }
 
-    fn let_go_leaf(&mut self, leaf: Leaf) {
+    fn let_go_leaf(&mut self, leaf: ReplicaId) {
         self.leaves.leave(leaf.0);
         self.held_leaves.remove(&leaf.0);
         if let Some(audit) = &mut self.audit {
--- a/crates/pipitcrank-server/src/front.rs
+++ b/crates/pipitcrank-server/src/front.rs
@@ -14,7 +14,7 @@
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode};
 use axum::response::{IntoResponse, Response};
 use axum::routing::get;
-use pipitcrank_core::ids::Vertical;
+use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::{At, Span};
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc::UnboundedSender;
@@ -179,7 +179,7 @@
         return refused;
     }
     let arrival = parts.extensions.get::<Arrival>().cloned();
-    let asked = match read(&door, Vertical(vertical as u16), &parts.headers, arrival, body).await {
+    let asked = match read(&door, RequestClassId(vertical as u16), &parts.headers, arrival, body).await {
         Ok(asked) => asked,
         Err((status, what)) => {
             let kind = if status == StatusCode::PAYLOAD_TOO_LARGE { "too_large" } else { "malformed" };
@@ -217,7 +217,7 @@
 /// One request, read whole.
 async fn read(
     door: &Door,
-    vertical: Vertical,
+    vertical: RequestClassId,
     headers: &HeaderMap,
     arrival: Option<Arrival>,
     body: Body,
@@ -302,7 +302,13 @@
     (StatusCode::BAD_REQUEST, "the body did not come whole")
 }
 
-fn decode(body: &Bytes, id: &str, vertical: Vertical, ends: At, shards: u32) -> Result<Asked, &'static str> {
+fn decode(
+    body: &Bytes,
+    id: &str,
+    vertical: RequestClassId,
+    ends: At,
+    shards: u32,
+) -> Result<Asked, &'static str> {
     let Question { shards: pieces, q } =
         serde_json::from_slice(body).map_err(|_| "the body is not the JSON expected")?;
     if pieces.is_empty() {
--- a/crates/pipitcrank-server/src/leaves.rs
+++ b/crates/pipitcrank-server/src/leaves.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipitcrank_core::ids::{Ending, Leaf};
+use pipitcrank_core::ids::{Ending, ReplicaId};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
 use crate::ends::ConnectionEnd;
@@ -36,7 +36,7 @@
 
 /// What the leaf side and the connection's own task both know of it.
 pub struct Wire {
-    pub leaf: Leaf,
+    pub leaf: ReplicaId,
     pub jobs: UnboundedSender<Job>,
     /// Within the streams told.
     pub carried: RefCell<Vec<Carried>>,
@@ -71,7 +71,7 @@
         self.carried.borrow().is_empty() && self.probes.get() == 0 && !self.let_go.get()
     }
 
-    pub fn new(leaf: Leaf, jobs: UnboundedSender<Job>) -> Wire {
+    pub fn new(leaf: ReplicaId, jobs: UnboundedSender<Job>) -> Wire {
         Wire {
             leaf,
             jobs,
@@ -128,7 +128,7 @@
     way_limit: Duration,
     idle_limit: Duration,
     /// One per leaf met; ends when the exchange lets go of it.
-    lines: BTreeMap<Leaf, Line>,
+    lines: BTreeMap<ReplicaId, Line>,
     /// How often a connection was given something.
     uses: u64,
 }
@@ -175,7 +175,7 @@
     }
 
     /// A sound connection with room for so many more parts, opened if need be.
-    fn wire(&mut self, leaf: Leaf, parts: usize) -> Result<Rc<Wire>, ConnectionEnd> {
+    fn wire(&mut self, leaf: ReplicaId, parts: usize) -> Result<Rc<Wire>, ConnectionEnd> {
         self.uses += 1;
         let line = self.lines.get(&leaf).ok_or(ConnectionEnd::LetGo)?;
         let room = |w: &&Rc<Wire>| w.sound() && w.carried.borrow().len() + parts <= self.streams;
@@ -209,7 +209,7 @@
     }
 
     /// Whether a connection to the leaf has half a frame of its.
-    pub fn half_read(&self, leaf: Leaf) -> bool {
+    pub fn half_read(&self, leaf: ReplicaId) -> bool {
         self.lines.get(&leaf).is_some_and(|l| l.wires.iter().any(|w| w.half_read.get()))
     }
 
@@ -240,7 +240,7 @@
 }
 
 impl LeafSide for Leaves {
-    fn meet(&mut self, leaf: Leaf, address: SocketAddr) {
+    fn meet(&mut self, leaf: ReplicaId, address: SocketAddr) {
         let line = self.lines.entry(leaf).or_insert(Line { address, wires: Vec::new() });
         if line.address != address {
             line.address = address;
@@ -248,13 +248,13 @@
         }
     }
 
-    fn let_go(&mut self, leaf: Leaf) {
+    fn let_go(&mut self, leaf: ReplicaId) {
         if let Some(line) = self.lines.remove(&leaf) {
             retire(line.wires);
         }
     }
 
-    fn call(&mut self, leaf: Leaf, parts: Vec<CallNo>) {
+    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>) {
         match self.wire(leaf, parts.len()) {
             Ok(wire) => {
                 let carried = parts.iter().map(|&call| Carried { call, id: None, written: false });
@@ -275,7 +275,7 @@
         }
     }
 
-    fn give_up(&mut self, leaf: Leaf, call: CallNo) {
+    fn give_up(&mut self, leaf: ReplicaId, call: CallNo) {
         let Some(line) = self.lines.get(&leaf) else { return };
         for wire in &line.wires {
             let mut carried = wire.carried.borrow_mut();
@@ -288,7 +288,7 @@
         }
     }
 
-    fn probe(&mut self, leaf: Leaf) {
+    fn probe(&mut self, leaf: ReplicaId) {
         if let Ok(wire) = self.wire(leaf, 0) {
             wire.probes.set(wire.probes.get() + 1);
             let _ = wire.jobs.send(Job::Probe);
--- a/crates/pipitcrank-server/src/relay.rs
+++ b/crates/pipitcrank-server/src/relay.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pipitcrank_core::ids::Vertical;
+use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::Span;
 use pipitcrank_handover::passing::Outgoing;
 use pipitcrank_handover::words::{RelayedAsk, RelayedFinal, ToNew};
@@ -19,7 +19,7 @@
 const BEFORE_TIME: Span = Span::from_ms(5);
 
 struct Out {
-    vertical: Vertical,
+    vertical: RequestClassId,
     answer: oneshot::Sender<Final>,
 }
 
@@ -130,7 +130,7 @@
     let part = |(shard, weight, work)| AskedPart { shard, weight, work };
     known.then(|| Asked {
         id,
-        vertical: Vertical(vertical),
+        vertical: RequestClassId(vertical),
         ends: hall.clock.now() + left,
         parts: parts.into_iter().map(part).collect(),
         idempotency_key: idempotency_key.map(Into::into),
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Instant;
 
-use pipitcrank_core::decide::zones::Zone;
+use pipitcrank_core::decide::zones::ZoneId;
 use pipitcrank_core::time::{At, Span};
 use pipitcrank_handover::snapshot::Snapshot;
 use tokio::net::TcpListener;
@@ -66,7 +66,7 @@
     /// When the end was called.
     pub end_called: watch::Receiver<Option<At>>,
     /// What the platform says of zones: the own one's place, and all names.
-    pub zones: Option<(Zone, Vec<String>)>,
+    pub zones: Option<(ZoneId, Vec<String>)>,
     /// Utility of a whole answer, by vertical.
     pub utilities: Vec<f64>,
     /// Version of discovery's list, where one is held.
--- a/crates/pipitcrank-server/src/wire/tests.rs
+++ b/crates/pipitcrank-server/src/wire/tests.rs
@@ -1,6 +1,6 @@
 use std::cell::RefCell;
 
-use pipitcrank_core::ids::{Leaf, Part, Vertical};
+use pipitcrank_core::ids::{PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::Span;
 use pipitcrank_core::told::Told;
 use tokio::net::{TcpListener, TcpStream};
@@ -22,11 +22,11 @@
 struct Nobody;
 
 impl LeafSide for Nobody {
-    fn meet(&mut self, _: Leaf, _: SocketAddr) {}
-    fn let_go(&mut self, _: Leaf) {}
-    fn call(&mut self, _: Leaf, _: Vec<CallNo>) {}
-    fn give_up(&mut self, _: Leaf, _: CallNo) {}
-    fn probe(&mut self, _: Leaf) {}
+    fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
+    fn let_go(&mut self, _: ReplicaId) {}
+    fn call(&mut self, _: ReplicaId, _: Vec<CallNo>) {}
+    fn give_up(&mut self, _: ReplicaId, _: CallNo) {}
+    fn probe(&mut self, _: ReplicaId) {}
 }
 
 fn exchange(counters: &Counters) -> Exchange {
@@ -39,7 +39,7 @@
     let counters = Counters::default();
     let hall = Rc::new(Hall::new(Clock::start(), counters.clone(), Sockets::new(9), exchange(&counters)));
     let (jobs, _queue) = unbounded_channel();
-    let wire = Wire::new(Leaf(0), jobs);
+    let wire = Wire::new(ReplicaId(0), jobs);
     wire.pings.set(1);
     let alive = || took(&hall, &wire, FromLeaf::Alive(Ending::Fault));
     assert_eq!(alive(), Ok(()), "busy with probes, but alive");
@@ -67,11 +67,17 @@
     exchange.list(clock.now(), true, vec![row]);
     let parts = vec![AskedPart { shard: 0, weight: 1.0, work: None }];
     let ends = clock.now() + Span::from_ms(50_000);
-    let asked =
-        Asked { id: "q".into(), vertical: Vertical(0), ends, parts, idempotency_key: None, text: "t".into() };
+    let asked = Asked {
+        id: "q".into(),
+        vertical: RequestClassId(0),
+        ends,
+        parts,
+        idempotency_key: None,
+        text: "t".into(),
+    };
     exchange.asked(1, asked, Box::new(|_| ()));
     exchange.turn(clock.now(), &mut Nobody);
-    let call = (Part(0), 0);
+    let call = (PartId(0), 0);
     assert!(exchange.is_out(call));
     (Rc::new(Hall::new(clock, counters, Sockets::new(9), exchange)), call)
 }
@@ -86,7 +92,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (hall, call) = one_query(listener.local_addr().unwrap());
             let (jobs, mut queue) = unbounded_channel();
-            let wire = Rc::new(Wire { carried: carries(call), ..Wire::new(Leaf(0), jobs.clone()) });
+            let wire = Rc::new(Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs.clone()) });
             let (ours, at) = (hall.clone(), listener.local_addr().unwrap());
             let running = wire.clone();
             let limit = Duration::from_secs(9);
@@ -97,7 +103,7 @@
             let _leaf_end = listener.accept().await.unwrap();
             std::thread::sleep(Duration::from_millis(100));
             // Something is told, as late as that: all that follows waits.
-            hall.tell(|e| e.probed(Leaf(0), Ending::Pass, None));
+            hall.tell(|e| e.probed(ReplicaId(0), Ending::Pass, None));
             let first = hall.clone();
             tokio::task::spawn_local(async move { first.catch_up().await });
             let gone = hall.clone();
@@ -119,8 +125,8 @@
 async fn a_call_that_another_connection_carries_does_not_go_out_here() {
     let (_leaf_end, to, hall, call) = one_call_out().await;
     let (jobs, _) = unbounded_channel();
-    let here = Wire::new(Leaf(0), jobs.clone());
-    let there = Wire { carried: carries(call), ..Wire::new(Leaf(0), jobs) };
+    let here = Wire::new(ReplicaId(0), jobs.clone());
+    let there = Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs) };
     let queued = || Writing::Next(Job::Call(vec![call]));
     assert!(matches!(write(&hall, &here, &to, queued()).unwrap(), Writing::Nothing));
     assert_eq!(hall.counters.get("frames", "calls_sent"), 0, "not here");
@@ -138,7 +144,7 @@
     let (_unread, to, hall, call) = one_call_out().await;
     while to.try_write(&[0; 1 << 16]).is_ok() {}
     let (jobs, _) = unbounded_channel();
-    let wire = Wire { carried: carries(call), ..Wire::new(Leaf(0), jobs) };
+    let wire = Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs) };
 
     let next = write(&hall, &wire, &to, Writing::Next(Job::Call(vec![call]))).unwrap();
     assert!(matches!(next, Writing::Next(Job::Call(_))), "nothing of it has gone");
@@ -153,7 +159,7 @@
     for drains in [false, true] {
         let (leaf_end, to, hall, _call) = one_call_out().await;
         let (jobs, _queue) = unbounded_channel();
-        let wire = Wire::new(Leaf(0), jobs);
+        let wire = Wire::new(ReplicaId(0), jobs);
         wire.probes.set(1);
         let row = Listed { uid: "l".into(), address: None, cell: 0, zone: None, up: !drains, started: None };
         hall.tell(|e| e.list(hall.clock.now(), false, vec![row]));
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pipitcrank_core::ids::{Ending, Leaf, Vertical};
+use pipitcrank_core::ids::{Ending, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{At, Span};
 use pipitcrank_core::told::Told;
 use pipitcrank_handover::snapshot::Snapshot;
@@ -33,26 +33,26 @@
 /// The leaf side, written down.
 #[derive(Default)]
 struct Ledger {
-    calls: Vec<(Leaf, Vec<CallNo>)>,
+    calls: Vec<(ReplicaId, Vec<CallNo>)>,
     given_up: Vec<CallNo>,
-    met: BTreeMap<Leaf, SocketAddr>,
-    probed: Vec<Leaf>,
+    met: BTreeMap<ReplicaId, SocketAddr>,
+    probed: Vec<ReplicaId>,
 }
 
 impl LeafSide for Ledger {
-    fn meet(&mut self, leaf: Leaf, address: SocketAddr) {
+    fn meet(&mut self, leaf: ReplicaId, address: SocketAddr) {
         self.met.insert(leaf, address);
     }
-    fn let_go(&mut self, leaf: Leaf) {
+    fn let_go(&mut self, leaf: ReplicaId) {
         self.met.remove(&leaf);
     }
-    fn call(&mut self, leaf: Leaf, parts: Vec<CallNo>) {
+    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>) {
         self.calls.push((leaf, parts));
     }
-    fn give_up(&mut self, _leaf: Leaf, call: CallNo) {
+    fn give_up(&mut self, _leaf: ReplicaId, call: CallNo) {
         self.given_up.push(call);
     }
-    fn probe(&mut self, leaf: Leaf) {
+    fn probe(&mut self, leaf: ReplicaId) {
         self.probed.push(leaf);
     }
 }
@@ -130,7 +130,7 @@
         let parts = shards.map(|shard| AskedPart { shard, weight, work: Some(0.02) }).collect();
         let asked = Asked {
             id: id.into(),
-            vertical: Vertical(vertical),
+            vertical: RequestClassId(vertical),
             ends: at(ends),
             parts,
             idempotency_key: None,
@@ -147,7 +147,7 @@
     }
 
     /// Lets all calls made so far go, as the connections would just before the first byte.
-    fn release(&mut self, ms: i64) -> Vec<(Leaf, CallNo, String, u32)> {
+    fn release(&mut self, ms: i64) -> Vec<(ReplicaId, CallNo, String, u32)> {
         let mut out = Vec::new();
         for (leaf, mut parts) in std::mem::take(&mut self.ledger.calls) {
             let going = self.exchange.release(at(ms), leaf, &mut parts);
@@ -431,7 +431,7 @@
                     asked.insert(format!("q{ticket}"), (now + left, false));
                 }
                 Op::End(which, how) if !out.is_empty() => {
-                    let (_, call, id, shard): (Leaf, CallNo, String, u32) = out.swap_remove(which % out.len());
+                    let (_, call, id, shard): (ReplicaId, CallNo, String, u32) = out.swap_remove(which % out.len());
                     let value = (HOW[how] == Ending::Pass).then(|| format!("v{n}"));
                     let query = id.split('.').next().unwrap().to_string();
                     given.entry((query, shard)).or_default().extend(value.clone());
@@ -519,7 +519,7 @@
         new.ask(&format!("q{n}"), 0, 0..1, 4000);
     }
     new.turn(510);
-    let drained: Vec<Leaf> =
+    let drained: Vec<ReplicaId> =
         new.ledger.met.iter().filter(|(_, a)| a.port() == 5001).map(|(l, _)| *l).collect();
     assert!(!new.ledger.calls.is_empty());
     assert!(new.ledger.calls.iter().all(|(leaf, _)| !drained.contains(leaf)), "no new work");
@@ -625,7 +625,7 @@
         let parts = vec![AskedPart { shard: 0, weight: 1.0, work: None }];
         let asked = Asked {
             id: "q@n".into(),
-            vertical: Vertical(0),
+            vertical: RequestClassId(0),
             ends: at(3000),
             parts,
             idempotency_key: None,
--- a/crates/pipitcrank-server/tests/leaves.rs
+++ b/crates/pipitcrank-server/tests/leaves.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pipitcrank_core::ids::{Leaf, Vertical};
+use pipitcrank_core::ids::{ReplicaId, RequestClassId};
 use pipitcrank_core::time::Span;
 use pipitcrank_core::told::Told;
 use pipitcrank_server::clock::Clock;
@@ -87,7 +87,7 @@
         let weight = 1.0 / f64::from(parts);
         let parts = (0..parts).map(|shard| AskedPart { shard, weight, work: None }).collect();
         let id = format!("q{}", self.asked);
-        let asked = Asked { id, vertical: Vertical(0), ends, parts, idempotency_key: None, text };
+        let asked = Asked { id, vertical: RequestClassId(0), ends, parts, idempotency_key: None, text };
         let then = Box::new(move |last| {
             let _ = tell.send(last);
         });
@@ -237,7 +237,7 @@
         frame(&mut stream).await;
         answer(&mut stream, "q1.0").await;
         told.await.unwrap();
-        stage.leaves.borrow_mut().probe(Leaf(0));
+        stage.leaves.borrow_mut().probe(ReplicaId(0));
         assert_eq!(frame(&mut stream).await, "L");
         stage.hall.tell(|e| e.list(stage.hall.clock.now(), true, Vec::new()));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
@@ -257,7 +257,7 @@
         // A length that does not fit: the next answers would be its value.
         stream.write_all(b"\0\0\x40\0Aq1.0 ok 1 -\nvalue").await.unwrap();
         // Whether the next call finds the half frame or an ended connection, it opens one of its own.
-        while !stage.leaves.borrow().half_read(Leaf(0))
+        while !stage.leaves.borrow().half_read(ReplicaId(0))
             && stage.hall.counters.get("leaf_connections", "bad_bytes") == 0
         {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -326,12 +326,12 @@
         let mut first = stage.accepted.recv().await.unwrap();
         frame(&mut first).await;
         let other = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        stage.leaves.borrow_mut().meet(Leaf(9), other.local_addr().unwrap());
-        stage.leaves.borrow_mut().probe(Leaf(9));
+        stage.leaves.borrow_mut().meet(ReplicaId(9), other.local_addr().unwrap());
+        stage.leaves.borrow_mut().probe(ReplicaId(9));
         stage.count("probes", "no_route", 1).await;
         answer(&mut first, "q1.0").await;
         assert!(matches!(told.await.unwrap(), Final::Merged { whole: true, .. }));
-        stage.leaves.borrow_mut().probe(Leaf(9));
+        stage.leaves.borrow_mut().probe(ReplicaId(9));
         let (mut stream, _) = other.accept().await.unwrap();
         assert_eq!(frame(&mut stream).await, "L");
         assert_eq!(first.read(&mut [0; 1]).await.unwrap(), 0, "the unused one was closed");
@@ -380,7 +380,7 @@
         let rest = b"Aq1.0 ok 1 -\nvalue";
         stream.write_u32(rest.len() as u32).await.unwrap();
         stream.write_all(&rest[..7]).await.unwrap();
-        while !stage.leaves.borrow().half_read(Leaf(0)) {
+        while !stage.leaves.borrow().half_read(ReplicaId(0)) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         stream.write_all(&rest[7..]).await.unwrap();
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use pipitcrank_core::decide::zones::Zone;
+use pipitcrank_core::decide::zones::ZoneId;
 use pipitcrank_core::time::Span;
 use pipitcrank_server::charter::Charter;
 use pipitcrank_server::clock::Clock;
@@ -30,7 +30,7 @@
     assert_eq!(config.tick().unwrap(), Span::from_ms(5));
     assert!(config.lists_are_asked_for().unwrap());
     assert_eq!(config.copies().unwrap(), 20);
-    assert_eq!(config.zones().unwrap(), Some((Zone(1), vec!["a".into(), "b".into()])));
+    assert_eq!(config.zones().unwrap(), Some((ZoneId(1), vec!["a".into(), "b".into()])));
     assert_eq!((config.streams().unwrap(), config.call_size().unwrap()), (6, 6));
     assert_eq!(config.dial_limit().unwrap(), Duration::from_millis(500));
     assert_eq!(config.idle_limit().unwrap(), Duration::from_millis(29_500));
--- a/crates/pipitcrank-sim-adapter/src/door.rs
+++ b/crates/pipitcrank-sim-adapter/src/door.rs
@@ -4,8 +4,8 @@
 use std::io::{self, Write};
 
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::decide::zones::Zone;
-use pipitcrank_core::ids::{Ending, Leaf, Part, Query, Refusal, Vertical};
+use pipitcrank_core::decide::zones::ZoneId;
+use pipitcrank_core::ids::{Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
 use pipitcrank_core::names::Names;
 use pipitcrank_core::port::Port;
 use pipitcrank_core::time::{At, Span};
@@ -62,30 +62,30 @@
 }
 
 impl Port for Door {
-    fn leaf_call(&mut self, part: Part, leaf: Leaf, until: At) {
+    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: At) {
         let (i, job, replica) = (&self.instance, self.parts.name(part.0), self.leaves.name(leaf.0));
         let line = format!("SEND i={i} job={job} replica={replica} abandon_at_s={:.6}", until.s());
         self.say(&line);
     }
 
-    fn abandon(&mut self, part: Part, nth: u32) {
+    fn abandon(&mut self, part: PartId, nth: u32) {
         let line = format!("ABANDON i={} job={} trial={nth}", self.instance, self.parts.name(part.0));
         self.say(&line);
     }
 
-    fn merge(&mut self, query: Query, whole: bool) {
+    fn merge(&mut self, query: QueryId, whole: bool) {
         let (i, job) = (&self.instance, self.queries.name(query.0));
         let line = format!("RESPOND i={i} job={job} complete={}", u8::from(whole));
         self.say(&line);
     }
 
-    fn reject(&mut self, query: Query, stay_away: Span, _why: Refusal) {
+    fn reject(&mut self, query: QueryId, stay_away: Span, _why: Refusal) {
         let (i, job) = (&self.instance, self.queries.name(query.0));
         let line = format!("DECLINE i={i} job={job} stay_away_s={:.6}", stay_away.s());
         self.say(&line);
     }
 
-    fn abort(&mut self, query: Query, _why: Refusal) {
+    fn abort(&mut self, query: QueryId, _why: Refusal) {
         let line = format!("DROP_REQUEST i={} job={}", self.instance, self.queries.name(query.0));
         self.say(&line);
     }
@@ -95,7 +95,7 @@
         self.say(&line);
     }
 
-    fn probe(&mut self, leaf: Leaf) {
+    fn probe(&mut self, leaf: ReplicaId) {
         let line = format!("CHECK i={} replica={}", self.instance, self.leaves.name(leaf.0));
         self.say(&line);
     }
@@ -110,16 +110,16 @@
         self.say(&line);
     }
 
-    fn let_go_query(&mut self, query: Query) {
+    fn let_go_query(&mut self, query: QueryId) {
         self.queries.leave(query.0);
         self.asks.retain(|_, q| *q != query.0);
     }
 
-    fn let_go_part(&mut self, part: Part) {
+    fn let_go_part(&mut self, part: PartId) {
         self.parts.leave(part.0);
     }
 
-    fn let_go_leaf(&mut self, leaf: Leaf) {
+    fn let_go_leaf(&mut self, leaf: ReplicaId) {
         self.leaves.leave(leaf.0);
     }
 }
@@ -168,11 +168,11 @@
                 let rows = rows.ok_or_else(|| line.wrong("ref", "names no list received"))?;
                 root.list_begin(scope != "Partial");
                 for row in rows {
-                    let leaf = Leaf(door.leaves.enter(&row.replica));
+                    let leaf = ReplicaId(door.leaves.enter(&row.replica));
                     root.leaf(leaf, row.cell, row.up, row.started);
                     let zone = zones.iter().position(|z| Some(z) == row.zone.as_ref());
                     if let Some(zone) = zone {
-                        root.stands_in(leaf, Some(Zone(zone as u16)));
+                        root.stands_in(leaf, Some(ZoneId(zone as u16)));
                     }
                 }
                 root.list_end(door);
@@ -190,8 +190,8 @@
                         if door.parts.find(job).is_some() {
                             return Err(line.wrong("job", "repeats an id that is held"));
                         }
-                        let part = Part(door.parts.enter(job));
-                        root.part(door, now, part, Query(query), shard, amount, hint);
+                        let part = PartId(door.parts.enter(job));
+                        root.part(door, now, part, QueryId(query), shard, amount, hint);
                     }
                     return Ok(());
                 }
@@ -201,22 +201,22 @@
                 if door.queries.find(job).is_some() || door.asks.contains_key(&ask) {
                     return Err(line.wrong("job", "repeats an id that is held"));
                 }
-                let query = Query(door.queries.enter(job));
+                let query = QueryId(door.queries.enter(job));
                 door.asks.insert(ask, query.0);
                 let left = Span::from_s(line.amount("remaining_s")?);
-                root.query(door, now, query, Vertical(vertical as u16), left, hint, amount);
+                root.query(door, now, query, RequestClassId(vertical as u16), left, hint, amount);
             }
             "FINISHED" => {
                 let nth = line.number("trial")?;
                 let ending = ending(line)?;
                 report(root, door, now, line)?;
                 if let Some(part) = door.parts.find(line.field("job")?) {
-                    root.ended(door, now, Part(part), nth, ending);
+                    root.ended(door, now, PartId(part), nth, ending);
                 }
             }
             "DROPPED" => {
                 if let Some(query) = door.queries.find(line.field("job")?) {
-                    root.gone(door, now, Query(query));
+                    root.gone(door, now, QueryId(query));
                 }
             }
             "ELAPSED" => root.woken(door, now, line.number("label")?),
@@ -224,7 +224,7 @@
                 report(root, door, now, line)?;
                 let ending = ending(line)?;
                 if let Some(leaf) = door.leaves.find(line.field("replica")?) {
-                    root.probed(now, Leaf(leaf), ending);
+                    root.probed(now, ReplicaId(leaf), ending);
                 }
             }
             // Streamed verticals and messages between co-ordinators have no part in the decisions.
@@ -256,7 +256,7 @@
             .map(|v| v.ok_or_else(|| line.wrong("feedback", &format!("has no number for '{name}'"))))
             .transpose()
     };
-    root.load_report(now, Leaf(leaf), value("backlog")?, value("outstanding")?);
+    root.load_report(now, ReplicaId(leaf), value("backlog")?, value("outstanding")?);
     Ok(())
 }
 
