--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pipitcrank_config::Store as Told;
-use pipitcrank_core::time::At;
+use pipitcrank_core::time::Timestamp;
 use pipitcrank_failover::agreement::Memory;
 use pipitcrank_failover::decision::Decision;
 use pipitcrank_handover::passing::mono_us;
@@ -37,7 +37,7 @@
     store: Store,
     told: Told,
     bell: std::sync::Arc<Notify>,
-    written: Option<At>,
+    written: Option<Timestamp>,
     wanted: u64,
     /// What was last said of it.
     said: Option<Fault>,
@@ -123,7 +123,7 @@
     /// Has what is known written, where it is time for that; and says how the disk does.
     pub fn look(
         &mut self,
-        now: At,
+        now: Timestamp,
         hall: &Hall,
         rev: &Rev,
         agreed: impl FnOnce() -> (Option<Decision>, Vec<Peer>),
@@ -140,8 +140,8 @@
     }
 
     /// When `look` is due.
-    pub fn due(&self) -> At {
-        self.written.map_or(At::default(), |at| at + span(self.told.every))
+    pub fn due(&self) -> Timestamp {
+        self.written.map_or(Timestamp::default(), |at| at + span(self.told.every))
     }
 
     fn say(&mut self, counters: &Counters) {
--- a/crates/pipitcrank-cli/src/keeper.rs
+++ b/crates/pipitcrank-cli/src/keeper.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Context, Result};
 use pipitcrank_config::{Operators, Upgrade};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::book::{Book, Event, Times, Wish, Worker};
 use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing};
 use pipitcrank_handover::words::{ToKeeper, ToWorker, VERSION};
@@ -35,8 +35,8 @@
     signals: UnboundedSender<Signal>,
 }
 
-fn span(d: std::time::Duration) -> Span {
-    Span::from_s(d.as_secs_f64())
+fn span(d: std::time::Duration) -> TimeSpan {
+    TimeSpan::from_secs_f64(d.as_secs_f64())
 }
 
 fn times(upgrade: Upgrade) -> Times {
@@ -110,14 +110,14 @@
 }
 
 impl Keeper {
-    fn now(&self) -> At {
-        At::from_us(self.start.elapsed().as_micros() as i64)
+    fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.start.elapsed().as_micros() as i64)
     }
 
     async fn due(&self, book: &Book) {
         match book.due() {
             Some(due) => {
-                let left = (due - self.now()).us().max(0) as u64;
+                let left = (due - self.now()).as_micros().max(0) as u64;
                 tokio::time::sleep(std::time::Duration::from_micros(left)).await;
             }
             None => std::future::pending().await,
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -17,7 +17,7 @@
 use clap::{Parser, Subcommand};
 use disk::{Disk, Past};
 use pipitcrank_config::{Gateway, Operators};
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_gateway::far::Far;
 use pipitcrank_gateway::near::{Near, Peer};
 use pipitcrank_server::charter::Charter;
@@ -291,7 +291,7 @@
         let names = sites.iter().map(|(name, _)| name.clone()).collect();
         tokio::task::spawn_local(Far::new(&ground, &site, instance, names).listen(listen));
         let peers = sites.into_iter().map(|(name, address)| Peer { name, address }).collect();
-        let prefer_near = Span::from_s(prefer_near.as_secs_f64());
+        let prefer_near = TimeSpan::from_secs_f64(prefer_near.as_secs_f64());
         let near = Near::start(ground, &site, instance, peers, connections, prefer_near);
         Rc::new(RefCell::new(near)) as Rc<RefCell<dyn LeafSide>>
     }))
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, Result, bail};
 use pipitcrank_config::Zones;
 use pipitcrank_core::decide::zones::{Seen, Shares, Tally, ZoneId};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::book::{Book, Pace};
 use pipitcrank_failover::decision::{Order, State, UNKNOWN, WHOLE};
 use pipitcrank_failover::follow::{Follow, Plan};
@@ -40,15 +40,15 @@
 /// that its loss is known before it is needed.
 const GLANCES: usize = 2;
 /// Rates are over so long: shorter ones jump with single queries.
-const RATE_OVER: Span = Span::from_ms(2000);
+const RATE_OVER: TimeSpan = TimeSpan::from_millis(2000);
 
 /// Tells a process apart from any before it.
 pub fn since_1970_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-pub fn span(d: Duration) -> Span {
-    Span::from_s(d.as_secs_f64())
+pub fn span(d: Duration) -> TimeSpan {
+    TimeSpan::from_secs_f64(d.as_secs_f64())
 }
 
 /// This copy's zone by its place in the operators' list: from the operators' file, else from the platform. Contradictions
@@ -174,7 +174,7 @@
     zones.voters.iter().any(|v| v.0 == zones.known_as)
 }
 
-fn instance(now: At, zones: &Zones, own: usize) -> Instance {
+fn instance(now: Timestamp, zones: &Zones, own: usize) -> Instance {
     let near = Nearness::new(&regions(zones));
     let pace = Pace {
         suspect: span(zones.suspect),
@@ -238,7 +238,7 @@
         }
     }
 
-    fn see(&mut self, now: At) {
+    fn see(&mut self, now: Timestamp) {
         let (seen, tally) = self.hall.ask(|e| e.zones_seen(now));
         self.rates.take(now, &tally);
         // Of another region only its site is met here, which tells nothing of one of its zones.
@@ -263,7 +263,7 @@
         counters.set("zones", "parts_across", tally.across);
     }
 
-    async fn pass_on(&mut self, now: At) {
+    async fn pass_on(&mut self, now: Timestamp) {
         if let Some(disk) = &mut self.disk {
             if let Some(memory) = self.instance.take_memory() {
                 disk.keep(&memory);
@@ -345,24 +345,24 @@
 
 /// Rates from counts that only grow.
 struct Rates {
-    before: (At, Tally),
+    before: (Timestamp, Tally),
     asked: f64,
     merged: Vec<f64>,
     by_vertical: Vec<(f64, f64)>,
 }
 
 impl Rates {
-    fn new(now: At) -> Rates {
+    fn new(now: Timestamp) -> Rates {
         Rates { before: (now, Tally::default()), asked: 0.0, merged: Vec::new(), by_vertical: Vec::new() }
     }
 
-    fn take(&mut self, now: At, tally: &Tally) {
-        let passed = (now - self.before.0).s();
+    fn take(&mut self, now: Timestamp, tally: &Tally) {
+        let passed = (now - self.before.0).as_secs_f64();
         if passed <= 0.0 {
             return;
         }
         // The newest word weighs as its time does in what the rate is over.
-        let weight = (passed / RATE_OVER.s()).min(1.0);
+        let weight = (passed / RATE_OVER.as_secs_f64()).min(1.0);
         let old = std::mem::replace(&mut self.before, (now, tally.clone())).1;
         let blend = |rate: &mut f64, more: u64| *rate += weight * (more as f64 / passed - *rate);
         let of = |list: &[(u64, u64)], n: usize| list.get(n).copied().unwrap_or((0, 0));
@@ -402,18 +402,18 @@
 /// Events to log and counters. What others send that is bad is counted, and said once a while, not each time.
 struct Watch {
     names: Vec<String>,
-    bad_said: Option<At>,
+    bad_said: Option<Timestamp>,
 }
 
 /// Bad datagrams are said in the log at most so often.
-const SAID_AGAIN: Span = Span::from_ms(10_000);
+const SAID_AGAIN: TimeSpan = TimeSpan::from_millis(10_000);
 
 impl Watch {
     fn new(names: &[String]) -> Watch {
         Watch { names: names.to_vec(), bad_said: None }
     }
 
-    fn take(&mut self, now: At, event: Event, counters: &Counters) {
+    fn take(&mut self, now: Timestamp, event: Event, counters: &Counters) {
         match event {
             Event::Decided(decision) => {
                 counters.add("zones", "decisions");
@@ -485,7 +485,7 @@
         }
     }
 
-    fn say_bad(&mut self, now: At, reason: &str) {
+    fn say_bad(&mut self, now: Timestamp, reason: &str) {
         if self.bad_said.is_none_or(|at| now - at >= SAID_AGAIN) {
             self.bad_said = Some(now);
             tracing::warn!(reason, "a datagram is left; more are counted under peers_left");
--- a/crates/pipitcrank-core/src/decide.rs
+++ b/crates/pipitcrank-core/src/decide.rs
@@ -26,12 +26,12 @@
 use crate::chance::Chance;
 use crate::ids::{Barred, Effect, Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
 use crate::port::Port;
-use crate::time::{At, Span};
+use crate::time::{TimeSpan, Timestamp};
 
 /// What a step leaves behind for when its alarm rings.
-type Then = Box<dyn FnOnce(&mut Root, &mut dyn Port, At)>;
+type Then = Box<dyn FnOnce(&mut Root, &mut dyn Port, Timestamp)>;
 /// What a leaf call leaves behind for its end.
-type AfterCall = Box<dyn FnOnce(&mut Root, &mut dyn Port, At, Ending)>;
+type AfterCall = Box<dyn FnOnce(&mut Root, &mut dyn Port, Timestamp, Ending)>;
 
 /// Sums of weights may fall short by this much (a rule's own figure).
 const SHORT: f64 = 1e-4;
@@ -41,12 +41,12 @@
     /// What the vertical is called: what was learned of it is taken over under this name alone.
     pub name: String,
     pub effect: Effect,
-    pub dedup_window: Span,
-    pub slo: Span,
+    pub dedup_window: TimeSpan,
+    pub slo: TimeSpan,
     pub slo_stretch: f64,
     /// Share of the utility that an answer after the SLO time still earns; at 0 a query ends there.
     pub late_worth: f64,
-    pub hard_limit: Span,
+    pub hard_limit: TimeSpan,
     pub whole_from: f64,
     pub floor: f64,
     pub second_step: bool,
@@ -59,13 +59,13 @@
     hint: Option<f64>,
     /// How far clients are held to leave before their stated time, and how long they stay then.
     leaving: f64,
-    stay: Span,
+    stay: TimeSpan,
 }
 
 impl Trade {
     /// Guards against clients that give up before the time they state (i85cd7c), or a front layer that does.
     /// Early leavers move the view by half, late ones by a tenth: the answer must be there before most go.
-    fn left(&mut self, age: Span) {
+    fn left(&mut self, age: TimeSpan) {
         let newest = if age < self.stay { 0.5 } else { 0.1 };
         self.stay = if self.leaving < 0.1 { age } else { self.stay * (1.0 - newest) + age * newest };
         self.leaving += LeafState::NEWEST * (1.0 - self.leaving);
@@ -73,7 +73,7 @@
 
     /// Answered or rejected at that age: near or past the time to stay, clients may stay longer than thought.
     /// Each answer speaks against leaving: one stray leaver and another a minute later were held for all.
-    fn stayed(&mut self, age: Span) {
+    fn stayed(&mut self, age: TimeSpan) {
         let past = age > self.stay * 0.8;
         self.leaving *= if past { 0.9 } else { 0.98 };
         self.stay = self.stay * if past { 1.02 } else { 1.0 };
@@ -81,11 +81,11 @@
 
     /// Work of a part; before any answer a tenth of the SLO time stands for it.
     fn usual_work(&self) -> f64 {
-        self.work.0.unwrap_or(self.terms.slo.s() * 0.1)
+        self.work.0.unwrap_or(self.terms.slo.as_secs_f64() * 0.1)
     }
 
     /// The time in which an answer counts: two clients of five leaving early are more than chance.
-    fn counts(&self) -> Span {
+    fn counts(&self) -> TimeSpan {
         if self.leaving < 0.35 { self.terms.slo } else { self.terms.slo.min(self.stay * 0.9) }
     }
 }
@@ -124,9 +124,9 @@
     /// Most rounds of one query in a turn (the design's k): more than 200 parts need where two go together.
     const ROUNDS: usize = 128;
 
-    pub fn new(cells: u32, span: u32, call_size: usize, call_cost: Span) -> Cover {
+    pub fn new(cells: u32, span: u32, call_size: usize, call_cost: TimeSpan) -> Cover {
         let by_cell = vec![Vec::new(); cells as usize];
-        Cover { cells, span, call_size: call_size.max(1), call_cost: call_cost.s(), by_cell }
+        Cover { cells, span, call_size: call_size.max(1), call_cost: call_cost.as_secs_f64(), by_cell }
     }
 
     fn holds(&self, cell: u32, shard: u32) -> bool {
@@ -145,14 +145,14 @@
     pub may_duplicate: bool,
     pub may_abandon: bool,
     pub may_probe: bool,
-    pub longest_stay_away: Option<Span>,
+    pub longest_stay_away: Option<TimeSpan>,
     /// A call may be so long on its way to a leaf.
-    pub way: Span,
+    pub way: TimeSpan,
 }
 
 /// A part out: its work, all own work ahead of its end as it went, and the call it shares.
 struct Out {
-    at: At,
+    at: Timestamp,
     work: f64,
     ahead: f64,
     call: (u64, usize),
@@ -163,34 +163,34 @@
 struct LeafState {
     cell: u32,
     listed: bool,
-    started: Option<At>,
+    started: Option<Timestamp>,
     /// Parts out, by number of the leaf call; emptied by their ends.
     out: BTreeMap<(PartId, u32), Out>,
     /// The last turn that sent here, and how many parts: those share calls.
     joining: (u64, usize),
     faults: f64,
     /// Time lost behind others' work, beyond what own work ahead explains, and when last heard.
-    lag: (f64, At),
+    lag: (f64, Timestamp),
     /// Last probe sent, and whether it is still out.
-    probed: Option<(At, bool)>,
+    probed: Option<(Timestamp, bool)>,
     /// Left out as faulty, and to be tried again from then on.
-    trial_at: Option<At>,
+    trial_at: Option<Timestamp>,
     /// It stands for a cell of another site: what the hop there and back costs, none while nothing may go there.
-    far: Option<Option<Span>>,
+    far: Option<Option<TimeSpan>>,
     /// Calls and probes in a row that it left without a word, and when it last gave one.
     mute: u32,
-    heard: Option<At>,
+    heard: Option<Timestamp>,
     /// Where it stands; none where nobody says.
     zone: Option<zones::ZoneId>,
     /// Lag, work out and calls out as last worked out, and for when; void with each call or word.
     seen: Cell<Option<seen::Seen>>,
     /// Work sent while cold; emptied as it leaves the fail-back window.
-    sent_cold: VecDeque<(At, f64)>,
+    sent_cold: VecDeque<(Timestamp, f64)>,
 }
 
 /// A lag drains as time passes, as the queue behind it does.
-fn drained((lag, at): (f64, At), now: At) -> f64 {
-    (lag - (now - at).s()).max(0.0)
+fn drained((lag, at): (f64, Timestamp), now: Timestamp) -> f64 {
+    (lag - (now - at).as_secs_f64()).max(0.0)
 }
 
 impl LeafState {
@@ -204,19 +204,22 @@
     /// against storms of calls turned away in a millisecond and sent on to the next full leaf (i695bd0).
     const FULL_LAG_S: f64 = 2.0;
     /// A faulty leaf is tried again after this: short against a day's troubles, long against a part.
-    const TRIAL_WAIT: Span = Span::from_ms(1000);
+    const TRIAL_WAIT: TimeSpan = TimeSpan::from_millis(1000);
     /// What was heard of one leaf counts for so long, then that of all: at a grown size one is met in half a minute.
-    const KNOWN: Span = Span::from_ms(2000);
+    const KNOWN: TimeSpan = TimeSpan::from_millis(2000);
 
     /// The lag expected now: what was heard, drained, so that it is asked again (ie11df8), or what is out and late.
-    fn lag_now(&self, now: At, rate: f64, usual: f64) -> f64 {
+    fn lag_now(&self, now: Timestamp, rate: f64, usual: f64) -> f64 {
         let heard = if now - self.lag.1 < Self::KNOWN { drained(self.lag, now) } else { usual };
-        self.out.values().map(|o| (now - o.at - self.hop()).s() - rate * o.ahead).fold(heard, f64::max)
+        self.out
+            .values()
+            .map(|o| (now - o.at - self.hop()).as_secs_f64() - rate * o.ahead)
+            .fold(heard, f64::max)
     }
 
     /// What of an answer's time is the way, and not the leaf's.
-    fn hop(&self) -> Span {
-        self.far.flatten().unwrap_or(Span::ZERO)
+    fn hop(&self) -> TimeSpan {
+        self.far.flatten().unwrap_or(TimeSpan::ZERO)
     }
 
     /// Own calls out; parts that share a call count once.
@@ -231,9 +234,9 @@
 
 struct Sent {
     leaf: ReplicaId,
-    at: At,
+    at: Timestamp,
     /// When the budget counts it: as it was decided, or as it began.
-    counted: At,
+    counted: Timestamp,
     out: bool,
     never_ran: bool,
 }
@@ -266,11 +269,11 @@
 struct Open {
     serial: u64,
     vertical: RequestClassId,
-    slo: At,
+    slo: Timestamp,
     /// From then on what is in is worth most: the answer has to travel.
-    answer_by: At,
-    ends: At,
-    arrived: At,
+    answer_by: Timestamp,
+    ends: Timestamp,
+    arrived: Timestamp,
     /// Hinted work of a mean part, and how large the query is taken to be against its vertical's usual.
     a_part: Option<f64>,
     size: f64,
@@ -294,7 +297,7 @@
     fail_back: FailBack,
     tries: Tries,
     asks_list: bool,
-    tick: Span,
+    tick: TimeSpan,
     trades: Vec<Trade>,
     /// One per leaf listed or with calls out; emptied when it is off the list and its calls have ended.
     leaves: BTreeMap<ReplicaId, LeafState>,
@@ -314,16 +317,16 @@
     overdue: Mark,
     /// Leaves listed, and work a second merged of late, when last counted.
     listed: usize,
-    carried: (f64, At),
+    carried: (f64, Timestamp),
     /// Lag of late over all leaves, and when last heard.
-    lag: (f64, At),
+    lag: (f64, Timestamp),
     /// Time a leaf takes for a unit of work where nothing else is in its way.
     rate: Mark,
     fill: f64,
     zones: zones::Zones,
     /// Until then some leaf is cold; when a window began, and its lot, or what is saved for it until a lot is needed (below 0).
-    cold_until: At,
-    lot: (At, f64),
+    cold_until: Timestamp,
+    lot: (Timestamp, f64),
     moved: bool,
 }
 
@@ -335,14 +338,14 @@
         fail_back: FailBack,
         tries: Tries,
         asks_list: bool,
-        tick: Span,
+        tick: TimeSpan,
     ) -> Root {
         let (fill, overdue) = (Self::FIRST_FILL, Mark(Some(Self::FIRST_OVERDUE)));
         Root { chance, cover, budget, fail_back, tries, asks_list, tick, overdue, fill, ..Root::default() }
     }
 
     pub fn vertical(&mut self, terms: Terms) {
-        self.trades.push(Trade { terms, work: Mark(None), hint: None, leaving: 0.0, stay: Span::ZERO });
+        self.trades.push(Trade { terms, work: Mark(None), hint: None, leaving: 0.0, stay: TimeSpan::ZERO });
     }
 
     fn mark(&mut self) -> u64 {
@@ -350,13 +353,13 @@
         self.marks
     }
 
-    fn wake(&mut self, port: &mut dyn Port, at: At, then: Then) {
+    fn wake(&mut self, port: &mut dyn Port, at: Timestamp, then: Then) {
         let label = self.mark();
         self.alarms.insert(label, then);
         port.wake_me(at, label);
     }
 
-    pub fn woken(&mut self, port: &mut dyn Port, now: At, label: u64) {
+    pub fn woken(&mut self, port: &mut dyn Port, now: Timestamp, label: u64) {
         if let Some(then) = self.alarms.remove(&label) {
             then(self, port, now);
         }
@@ -377,7 +380,7 @@
         }
     }
 
-    pub fn leaf(&mut self, id: ReplicaId, cell: u32, up: bool, started: Option<At>) {
+    pub fn leaf(&mut self, id: ReplicaId, cell: u32, up: bool, started: Option<Timestamp>) {
         let state = self.leaves.entry(id).or_default();
         if started > state.started {
             // A new process: what was held against the old one is void, and it is cold.
@@ -406,10 +409,10 @@
     }
 
     /// Subscriptions that broke are asked for again after this; the list's own calls take about so long.
-    const WATCH_AGAIN: Span = Span::from_ms(2000);
+    const WATCH_AGAIN: TimeSpan = TimeSpan::from_millis(2000);
 
     /// The list could not be had or the subscription broke; the old list stands.
-    pub fn list_failed(&mut self, port: &mut dyn Port, now: At) {
+    pub fn list_failed(&mut self, port: &mut dyn Port, now: Timestamp) {
         if self.asks_list {
             self.wake(port, now + Self::WATCH_AGAIN, Box::new(|_, port, _| port.watch()));
         }
@@ -426,10 +429,10 @@
     pub fn query(
         &mut self,
         port: &mut dyn Port,
-        now: At,
+        now: Timestamp,
         id: QueryId,
         v: RequestClassId,
-        left: Span,
+        left: TimeSpan,
         work: Option<f64>,
         count: f64,
     ) {
@@ -442,7 +445,7 @@
         }
         let size = a_part.map_or(1.0, |h| ((h.ln() - trade.hint.unwrap_or(h.ln())) * Self::HINT_TRUST).exp());
         let terms = &trade.terms;
-        let stretch = Span::from_s(terms.slo_stretch * work.unwrap_or(0.0));
+        let stretch = TimeSpan::from_secs_f64(terms.slo_stretch * work.unwrap_or(0.0));
         let ends = now + left;
         // Clients that come with little time left count until then: all shares of the SLO time are of that.
         let slo = (now + (trade.counts() + stretch).min(terms.hard_limit)).min(ends);
@@ -462,7 +465,7 @@
     pub fn part(
         &mut self,
         port: &mut dyn Port,
-        now: At,
+        now: Timestamp,
         id: PartId,
         query: QueryId,
         shard: u32,
@@ -509,7 +512,7 @@
         (any, any && all && open.in_weight >= need)
     }
 
-    fn merge(&mut self, port: &mut dyn Port, now: At, id: QueryId, whole: bool, last: bool) {
+    fn merge(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId, whole: bool, last: bool) {
         port.merge(id, whole);
         let (vertical, age) = (self.queries[&id].vertical, now - self.queries[&id].arrived);
         self.trades[vertical.0 as usize].stayed(age);
@@ -530,7 +533,7 @@
 
     /// Final, at once: rejected where asking again is harmless, saying when to come back where allowed;
     /// aborted otherwise (rule 2). Guards against a client asking again at once into the same jam.
-    fn give_up(&mut self, port: &mut dyn Port, now: At, id: QueryId, why: Refusal) {
+    fn give_up(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId, why: Refusal) {
         let open = &self.queries[&id];
         // Guards against a time to stay held too short for any answer: then only rejections tell who stayed.
         self.trades[open.vertical.0 as usize].stayed(now - open.arrived);
@@ -549,13 +552,13 @@
     }
 
     /// A query that another process held when it died: the time to stay away if rejected, none if aborted (rule 2).
-    pub fn stranded(&self, v: RequestClassId) -> Option<Span> {
+    pub fn stranded(&self, v: RequestClassId) -> Option<TimeSpan> {
         (self.trades[v.0 as usize].terms.effect == Effect::Repeatable).then(|| self.waited(v))
     }
 
     /// When to come back: the patience for first calls, within what clients honour; none where not allowed.
-    fn waited(&self, v: RequestClassId) -> Span {
-        let most = self.tries.longest_stay_away.unwrap_or(Span::ZERO);
+    fn waited(&self, v: RequestClassId) -> TimeSpan {
+        let most = self.tries.longest_stay_away.unwrap_or(TimeSpan::ZERO);
         (self.trades[v.0 as usize].terms.slo * Self::WAIT_SHARE).min(most)
     }
 
@@ -603,7 +606,7 @@
     }
 
     /// The client is gone, or the outside ended the query.
-    pub fn gone(&mut self, port: &mut dyn Port, now: At, id: QueryId) {
+    pub fn gone(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId) {
         if let Some(open) = self.queries.get(&id) {
             let (trade, age) = (&mut self.trades[open.vertical.0 as usize], now - open.arrived);
             if age < trade.terms.slo {
@@ -616,7 +619,7 @@
     // Leaf calls.
 
     /// Rules 1, 2 and 6 for one more leaf call of the part.
-    fn may_go(&mut self, now: At, id: PartId) -> bool {
+    fn may_go(&mut self, now: Timestamp, id: PartId) -> bool {
         let lent = self.queries.get(&self.parts[&id].query).and_then(|q| q.lent);
         let further =
             |root: &mut Root| lent.map_or_else(|| root.budget.left(now), |(n, _)| f64::from(n)) >= 1.0;
@@ -624,7 +627,7 @@
     }
 
     /// Rule 2 for that call of the part's, also as it goes out: a repeat counts as it comes to the leaf, to none that knows it.
-    fn may_begin(&self, now: At, id: PartId, nth: u32) -> bool {
+    fn may_begin(&self, now: Timestamp, id: PartId, nth: u32) -> bool {
         let part = &self.parts[&id];
         let risky = part.sent.iter().take(nth as usize).find(|s| !s.never_ran).map(|s| s.at);
         let terms = &self.trades[part.vertical.0 as usize].terms;
@@ -637,7 +640,7 @@
 
     /// The call's first byte is about to be written: rule 2 as it stands now, and rule 6 by what has gone out. To be asked once
     /// for each call, by hosts whose calls may wait before they go out; with others they begin as they are decided.
-    pub fn begin(&mut self, now: At, id: PartId, nth: u32) -> Result<(), Barred> {
+    pub fn begin(&mut self, now: Timestamp, id: PartId, nth: u32) -> Result<(), Barred> {
         if !self.may_begin(now, id, nth) {
             return Err(Barred::Repeat);
         }
@@ -656,7 +659,7 @@
     }
 
     /// Rules 1 and 2 alone: an exhausted budget refills.
-    fn could_go(&self, now: At, id: PartId) -> bool {
+    fn could_go(&self, now: Timestamp, id: PartId) -> bool {
         let part = &self.parts[&id];
         let Some(open) = self.queries.get(&part.query) else { return false };
         self.may_begin(now, id, part.sent.len() as u32)
@@ -666,7 +669,7 @@
             && (part.out() == 0 || self.tries.may_duplicate)
     }
 
-    fn leaf_call(&mut self, port: &mut dyn Port, now: At, id: PartId, leaf: ReplicaId) {
+    fn leaf_call(&mut self, port: &mut dyn Port, now: Timestamp, id: PartId, leaf: ReplicaId) {
         let part = self.parts.get_mut(&id).expect("sent parts are held");
         let open = self.queries.get_mut(&part.query).expect("parts that may go have open queries");
         let nth = part.sent.len() as u32;
@@ -699,7 +702,7 @@
         self.calls.insert((id, nth), after);
     }
 
-    pub fn ended(&mut self, port: &mut dyn Port, now: At, id: PartId, nth: u32, ending: Ending) {
+    pub fn ended(&mut self, port: &mut dyn Port, now: Timestamp, id: PartId, nth: u32, ending: Ending) {
         if let Some(after) = self.calls.remove(&(id, nth)) {
             after(self, port, now, ending);
         }
@@ -712,7 +715,7 @@
     fn learn(
         &mut self,
         port: &mut dyn Port,
-        now: At,
+        now: Timestamp,
         leaf: ReplicaId,
         part: PartId,
         nth: u32,
@@ -724,11 +727,11 @@
         let state = self.leaves.get_mut(&leaf).expect("leaves outlive their calls");
         let Out { at, work, ahead, .. } = state.out.remove(&(part, nth)).expect("calls out are listed");
         state.seen.take();
-        let overdue = Span::from_s(ahead * self.overdue.0.unwrap_or(1.0)) + Self::GRACE;
+        let overdue = TimeSpan::from_secs_f64(ahead * self.overdue.0.unwrap_or(1.0)) + Self::GRACE;
         state.word(now, ending, now - at > overdue);
         match ending {
             Ending::Pass => {
-                let took = (now - at - state.hop()).s().max(1e-6);
+                let took = (now - at - state.hop()).as_secs_f64().max(1e-6);
                 let pace = (took / ahead.max(1e-3)).min(20.0);
                 state.faults *= 1.0 - LeafState::NEWEST;
                 state.trial_at = state.trial_at.filter(|_| state.faults >= LeafState::FAULTY);
@@ -772,7 +775,7 @@
     }
 
     /// What the end of a leaf call means for its query.
-    fn proceed(&mut self, port: &mut dyn Port, now: At, id: PartId, nth: u32, ending: Ending) {
+    fn proceed(&mut self, port: &mut dyn Port, now: Timestamp, id: PartId, nth: u32, ending: Ending) {
         let part = self.parts.get_mut(&id).expect("parts outlive their calls");
         let sent = &mut part.sent[nth as usize];
         sent.out = false;
@@ -802,7 +805,7 @@
     }
 
     /// Ends the query at once when the parts that can still come in do not reach an answer.
-    fn check_hope(&mut self, port: &mut dyn Port, now: At, query: QueryId) {
+    fn check_hope(&mut self, port: &mut dyn Port, now: Timestamp, query: QueryId) {
         let open = &self.queries[&query];
         let may_come = |p: &&PartId| self.parts[p].done || self.parts[p].out() > 0 || self.could_go(now, **p);
         let hope: f64 = open.parts.iter().filter(may_come).map(|p| self.parts[p].weight).sum();
@@ -814,9 +817,9 @@
     // Probes.
 
     /// A report is good for so long: leaves make theirs anew about as often.
-    const FRESH: Span = Span::from_ms(300);
+    const FRESH: TimeSpan = TimeSpan::from_millis(300);
     /// A probe out for longer is held to be unanswered: several times the way there and back.
-    const PROBE_WAIT: Span = Span::from_ms(30);
+    const PROBE_WAIT: TimeSpan = TimeSpan::from_millis(30);
 
     fn holders(&self, parts: &[PartId]) -> BTreeSet<ReplicaId> {
         parts.iter().flat_map(|p| self.cover.holders(self.parts[p].shard)).collect()
@@ -824,7 +827,7 @@
 
     /// Probes the holders of the parts that have not reported of late; true once all have, or won't. Guards
     /// against others' load, slow and silent leaves, which one co-ordinator of many sees too rarely.
-    fn scouted(&mut self, port: &mut dyn Port, now: At, parts: &[PartId]) -> bool {
+    fn scouted(&mut self, port: &mut dyn Port, now: Timestamp, parts: &[PartId]) -> bool {
         let (mut sent, mut all) = (false, true);
         // Far sites are measured on their links.
         let near = |l: &ReplicaId| self.leaves[l].far.is_none();
@@ -843,7 +846,7 @@
         all
     }
 
-    pub fn probed(&mut self, now: At, leaf: ReplicaId, ending: Ending) {
+    pub fn probed(&mut self, now: Timestamp, leaf: ReplicaId, ending: Ending) {
         let Some(state) = self.leaves.get_mut(&leaf) else { return };
         state.word(now, ending, false);
         match ending {
@@ -854,7 +857,13 @@
         self.moved = true;
     }
 
-    pub fn load_report(&mut self, now: At, leaf: ReplicaId, waiting: Option<f64>, in_hand: Option<f64>) {
+    pub fn load_report(
+        &mut self,
+        now: Timestamp,
+        leaf: ReplicaId,
+        waiting: Option<f64>,
+        in_hand: Option<f64>,
+    ) {
         let (Some(state), Some(held)) = (self.leaves.get_mut(&leaf), in_hand.or(waiting)) else { return };
         let usual: f64 = self.trades.iter().map(Trade::usual_work).sum();
         let a_part = usual / self.trades.len().max(1) as f64 * self.rate.0.unwrap_or(1.0);
@@ -867,7 +876,7 @@
     // The cover.
 
     /// Places what waits. Once a moment, after its events, so that what came together shares calls.
-    pub fn turn(&mut self, port: &mut dyn Port, now: At) {
+    pub fn turn(&mut self, port: &mut dyn Port, now: Timestamp) {
         if !std::mem::take(&mut self.moved) {
             return;
         }
@@ -893,9 +902,9 @@
 
     /// The modified greedy set cover of the design page over the parts given, all of one query. A query's
     /// first calls go only when those of parts enough for an answer can: else the work is lost.
-    fn place(&mut self, port: &mut dyn Port, now: At, query: QueryId, parts: Vec<PartId>) {
+    fn place(&mut self, port: &mut dyn Port, now: Timestamp, query: QueryId, parts: Vec<PartId>) {
         let mut uncovered: Vec<PartId> = parts.into_iter().filter(|&p| self.may_go(now, p)).collect();
-        let windows = (now - self.lot.0).s() / self.fail_back.window.s().max(1e-6);
+        let windows = (now - self.lot.0).as_secs_f64() / self.fail_back.window.as_secs_f64().max(1e-6);
         if windows > 1.0 {
             self.lot = (now, -windows.min(FailBack::SAVED));
         }
@@ -907,7 +916,7 @@
         let behind = (open.slo - open.arrived) * Self::BEHIND_SHARE;
         // Probes have their price: none for first calls while leaves that answered came to work in time.
         let soon = (open.slo - open.arrived) * Self::SOON_SHARE;
-        let calm = fresh && self.lag.0 < soon.s() && now - self.lag.1 < LeafState::KNOWN;
+        let calm = fresh && self.lag.0 < soon.as_secs_f64() && now - self.lag.1 < LeafState::KNOWN;
         if self.tries.may_probe && !calm && !self.scouted(port, now, &uncovered) {
             return;
         }
@@ -981,11 +990,12 @@
     }
 
     /// When all holders of the parts would have answered if the work could be spread evenly over them.
-    fn level(&self, now: At, parts: &[PartId]) -> Span {
+    fn level(&self, now: Timestamp, parts: &[PartId]) -> TimeSpan {
         let lent = parts.first().is_some_and(|p| self.queries[&self.parts[p].query].lent.is_some());
         let reached = |l: &ReplicaId| self.reached(*l, lent) && self.leaves[l].trial_at.is_none();
         let usable = self.holders(parts).into_iter().filter(reached);
-        let mut ready: Vec<f64> = usable.map(|l| self.expected(now, l, &Plan::new())(0.0).s()).collect();
+        let mut ready: Vec<f64> =
+            usable.map(|l| self.expected(now, l, &Plan::new())(0.0).as_secs_f64()).collect();
         ready.sort_by(f64::total_cmp);
         let (mut sum, mut level) = (self.work(parts) * self.rate.0.unwrap_or(1.0), f64::INFINITY);
         for (n, at) in ready.into_iter().enumerate() {
@@ -995,16 +1005,16 @@
             sum += at;
             level = sum / (n + 1) as f64;
         }
-        Span::from_s(level.min(1e6))
+        TimeSpan::from_secs_f64(level.min(1e6))
     }
 
     /// When the leaf should have answered so much more work on top of what is planned for it.
-    fn expected(&self, now: At, leaf: ReplicaId, plan: &Plan) -> impl Fn(f64) -> Span + use<> {
+    fn expected(&self, now: Timestamp, leaf: ReplicaId, plan: &Plan) -> impl Fn(f64) -> TimeSpan + use<> {
         let (state, cost) = (&self.leaves[&leaf], self.cover.call_cost);
         let rate = self.rate.0.unwrap_or(1.0);
         let (lag, out, _) = state.seen(now, rate, drained(self.lag, now), cost);
         let (before, hop) = (out + plan.get(&leaf).map_or(0.0, |b| self.work(b) + cost) + cost, state.hop());
-        move |work| Span::from_s(lag + rate * (before + work)) + hop
+        move |work| TimeSpan::from_secs_f64(lag + rate * (before + work)) + hop
     }
 
     /// Parts that the leaf would take along with `first`, within its room for work.
@@ -1026,7 +1036,7 @@
     /// Holders of the part's shard that are candidates, each with its room for work (the first part always
     /// fits). Narrowed in turn, where somebody is left: not asked already; not silent; not faulty of late.
     /// Never one waited for, or so cold that it has had its allowance.
-    fn candidates(&self, now: At, id: PartId, plan: &Plan) -> Vec<(ReplicaId, f64)> {
+    fn candidates(&self, now: Timestamp, id: PartId, plan: &Plan) -> Vec<(ReplicaId, f64)> {
         let part = &self.parts[&id];
         let mut who: Vec<ReplicaId> = self.cover.holders(part.shard).collect();
         let lent = self.queries[&part.query].lent.is_some();
@@ -1038,7 +1048,7 @@
         };
         narrow(&mut who, &|l| part.sent.iter().all(|s| s.leaf != *l));
         // Silent to a probe: gone, standing still, or out of reach.
-        let silent = |(at, out): (At, bool)| out && now - at >= Self::PROBE_WAIT;
+        let silent = |(at, out): (Timestamp, bool)| out && now - at >= Self::PROBE_WAIT;
         narrow(&mut who, &|l| !self.leaves[l].probed.is_some_and(silent));
         // Also where over half of the leaves look bad: they may be bad for this co-ordinator alone.
         narrow(&mut who, &|l| self.leaves[l].trial_at.is_none_or(|t| t <= now));
@@ -1055,12 +1065,12 @@
     /// Fading time of the carried rate: about the span of a burst.
     const FADE_S: f64 = 8.0;
 
-    fn carried_now(&self, now: At) -> f64 {
-        self.carried.0 * (-(now - self.carried.1).s() / Self::FADE_S).exp()
+    fn carried_now(&self, now: Timestamp) -> f64 {
+        self.carried.0 * (-(now - self.carried.1).as_secs_f64() / Self::FADE_S).exp()
     }
 
     /// Between two looks at a query: a few ticks, far below any SLO time.
-    const REVIEW: Span = Span::from_ms(50);
+    const REVIEW: TimeSpan = TimeSpan::from_millis(50);
 
     /// Where the mark for overdue calls starts: a small part's work and a leaf's standstill fit below.
     const FIRST_OVERDUE: f64 = 3.0;
@@ -1069,14 +1079,14 @@
     const MOST_IN: f64 = 0.9;
     const LATEST_SHARE: f64 = 0.35;
     /// Part of a healthy leaf's standstill, on top of that: quiet days paid for copies without it.
-    const GRACE: Span = Span::from_ms(100);
+    const GRACE: TimeSpan = TimeSpan::from_millis(100);
     /// Of an SLO time, the share up to which a query may wait for its first calls before it is turned away.
     const WAIT_SHARE: f64 = 0.1;
 
     /// Looks after one query until it ends: the best answer its parts allow when the SLO time or the client's
     /// is all but here (rule 1 hangs on this alone, whatever comes of the calls); no waiting for first calls
     /// beyond patience; second copies of what is overdue, through the same cover.
-    fn tend(&mut self, port: &mut dyn Port, now: At, id: QueryId, serial: u64) {
+    fn tend(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId, serial: u64) {
         let Some(open) = self.queries.get(&id).filter(|q| q.serial == serial) else { return };
         let (end, answer_by) = (open.ends - self.tick, open.answer_by);
         let patience = (open.slo - open.arrived) * Self::WAIT_SHARE;
@@ -1101,7 +1111,8 @@
             let Some(nth) = state.sent.iter().rposition(|s| s.out) else { continue };
             let out = &self.leaves[&state.sent[nth].leaf].out[&(part, nth as u32)];
             let late = now - out.at
-                > (Span::from_s(out.ahead * self.overdue.0.unwrap_or(1.0)) + Self::GRACE).min(latest)
+                > (TimeSpan::from_secs_f64(out.ahead * self.overdue.0.unwrap_or(1.0)) + Self::GRACE)
+                    .min(latest)
                     + self.leaves[&state.sent[nth].leaf].hop();
             if late && !state.waits && self.may_go(now, part) {
                 self.waiting.insert((serial, id));
--- a/crates/pipitcrank-core/src/decide/config_form.rs
+++ b/crates/pipitcrank-core/src/decide/config_form.rs
@@ -13,18 +13,21 @@
     let cover = &root.cover;
     assert_eq!((cover.cells, cover.span, cover.call_size, cover.call_cost), (12, 2, 8, 0.001));
     let budget = &root.budget;
-    assert_eq!((budget.share, budget.free, budget.span), (0.1, 5.0, Span::from_ms(10_000)));
+    assert_eq!((budget.share, budget.free, budget.span), (0.1, 5.0, TimeSpan::from_millis(10_000)));
     let start = &root.fail_back;
-    assert_eq!((start.cold_from, start.cold, start.factor), (0.3, Span::from_ms(8000), 4.0));
-    assert_eq!((start.window, start.among), (Span::from_ms(1250), 20));
+    assert_eq!((start.cold_from, start.cold, start.factor), (0.3, TimeSpan::from_millis(8000), 4.0));
+    assert_eq!((start.window, start.among), (TimeSpan::from_millis(1250), 20));
     let tries = &root.tries;
     assert_eq!(
         (tries.limit, tries.may_duplicate, tries.may_abandon, tries.may_probe),
         (4, true, true, false)
     );
-    assert_eq!((tries.longest_stay_away, tries.way), (Some(Span::from_ms(2000)), Span::from_ms(500)));
+    assert_eq!(
+        (tries.longest_stay_away, tries.way),
+        (Some(TimeSpan::from_millis(2000)), TimeSpan::from_millis(500))
+    );
     assert!(root.asks_list);
-    assert_eq!(root.tick, Span::from_ms(5));
+    assert_eq!(root.tick, TimeSpan::from_millis(5));
     let classes = [
         ("view", Effect::Repeatable, 0, 1000, 0.25, 0.5, 4000, 0.9, 0.6),
         ("sale", Effect::Deduplicated, 7000, 2000, 0.0, 1.0, 5000, 0.8, 0.5),
@@ -35,9 +38,12 @@
         let terms = &trade.terms;
         let (name, effect, window, slo, stretch, late_worth, hard_limit, whole_from, floor) = class;
         assert_eq!((&*terms.name, terms.effect, terms.second_step), (name, effect, false));
-        assert_eq!((terms.dedup_window, terms.slo), (Span::from_ms(window), Span::from_ms(slo)));
+        assert_eq!(
+            (terms.dedup_window, terms.slo),
+            (TimeSpan::from_millis(window), TimeSpan::from_millis(slo))
+        );
         assert_eq!((terms.slo_stretch, terms.late_worth), (stretch, late_worth));
-        assert_eq!(terms.hard_limit, Span::from_ms(hard_limit));
+        assert_eq!(terms.hard_limit, TimeSpan::from_millis(hard_limit));
         assert_eq!((terms.whole_from, terms.floor), (whole_from, floor));
     }
 }
--- a/crates/pipitcrank-core/src/decide/ending.rs
+++ b/crates/pipitcrank-core/src/decide/ending.rs
@@ -2,12 +2,12 @@
 //! Nothing is decided here: how each query ends by its time is said in `tend`, for this time as for the client's.
 
 use super::Root;
-use crate::time::At;
+use crate::time::Timestamp;
 
 impl Root {
     /// Whatever is held ends by then at the latest. Guards against queries whose clients would wait for longer than the
     /// platform does before it kills: they got nothing, not even what was in.
-    pub fn end_by(&mut self, by: At) {
+    pub fn end_by(&mut self, by: Timestamp) {
         for open in self.queries.values_mut().filter(|open| by < open.ends) {
             open.ends = by;
             open.slo = open.slo.min(by);
--- a/crates/pipitcrank-core/src/decide/known.rs
+++ b/crates/pipitcrank-core/src/decide/known.rs
@@ -7,23 +7,23 @@
 
 use super::{LeafState, Mark, Root};
 use crate::ids::ReplicaId;
-use crate::time::{At, Span};
+use crate::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Known {
     pub verticals: Vec<KnownVertical>,
     pub leaves: Vec<(u32, KnownLeaf)>,
     /// Ages of what counts against the budget of further calls, oldest first.
-    pub taken: Vec<Span>,
-    pub further: Vec<Span>,
+    pub taken: Vec<TimeSpan>,
+    pub further: Vec<TimeSpan>,
     /// Further calls lent with parts to other sites, and for how long yet: what comes back of them is not
     /// told here.
-    pub lent: Vec<(u32, Span)>,
+    pub lent: Vec<(u32, TimeSpan)>,
     overdue: Option<f64>,
     rate: Option<f64>,
     fill: f64,
-    carried: (f64, Span),
-    lag: (f64, Span),
+    carried: (f64, TimeSpan),
+    lag: (f64, TimeSpan),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -34,26 +34,26 @@
     work: Option<f64>,
     hint: Option<f64>,
     leaving: f64,
-    stay: Span,
+    stay: TimeSpan,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KnownLeaf {
-    pub started: Option<Span>,
+    pub started: Option<TimeSpan>,
     faults: f64,
-    lag: (f64, Span),
+    lag: (f64, TimeSpan),
     /// Left out as faulty for so long yet.
-    trial_in: Option<Span>,
-    pub sent_cold: Vec<(Span, f64)>,
+    trial_in: Option<TimeSpan>,
+    pub sent_cold: Vec<(TimeSpan, f64)>,
 }
 
 impl Known {
     /// Whether all of it can be worked with: no number that is none, no moment still to come.
     pub fn sound(&self) -> bool {
-        let past = |s: &Span| *s >= Span::ZERO;
+        let past = |s: &TimeSpan| *s >= TimeSpan::ZERO;
         let good = |x: &f64| x.is_finite() && *x >= 0.0;
         let mark = |m: &Option<f64>| m.as_ref().is_none_or(|x| good(x) && *x > 0.0);
-        let since = |(x, s): &(f64, Span)| good(x) && past(s);
+        let since = |(x, s): &(f64, TimeSpan)| good(x) && past(s);
         self.verticals.iter().all(|v| {
             mark(&v.work)
                 && v.hint.is_none_or(f64::is_finite)
@@ -76,9 +76,9 @@
 
 impl Root {
     /// All that was learned, as of now. What has left its window is not in it.
-    pub fn known(&mut self, now: At) -> Known {
+    pub fn known(&mut self, now: Timestamp) -> Known {
         self.budget.left(now);
-        let ages = |times: &std::collections::VecDeque<At>| times.iter().map(|&t| now - t).collect();
+        let ages = |times: &std::collections::VecDeque<Timestamp>| times.iter().map(|&t| now - t).collect();
         let trades = self.trades.iter();
         let verticals = trades.map(|t| KnownVertical {
             name: t.terms.name.clone(),
@@ -92,7 +92,7 @@
             started: l.started.map(|t| now - t),
             faults: l.faults,
             lag: (l.lag.0, now - l.lag.1),
-            trial_in: l.trial_at.map(|t| t - now).filter(|&s| s > Span::ZERO),
+            trial_in: l.trial_at.map(|t| t - now).filter(|&s| s > TimeSpan::ZERO),
             sent_cold: l.sent_cold.iter().map(|&(t, w)| (now - t, w)).filter(|(s, _)| *s <= window).collect(),
         };
         Known {
@@ -112,8 +112,8 @@
     /// Takes what another process had learned `passed` ago. Leaves are by the indices of this one. A leaf
     /// that has started since is another process: of the old one nothing is taken. Verticals by name, so that
     /// after a move none learns another's work; by their order from a process that wrote no names.
-    pub fn learn_from(&mut self, now: At, passed: Span, known: Known) {
-        let at = |age: Span| now - age - passed;
+    pub fn learn_from(&mut self, now: Timestamp, passed: TimeSpan, known: Known) {
+        let at = |age: TimeSpan| now - age - passed;
         let unnamed = known.verticals.iter().all(|k| k.name.is_empty());
         let in_order = known.verticals.len() == self.trades.len();
         for (n, trade) in self.trades.iter_mut().enumerate() {
@@ -130,7 +130,9 @@
         for (ReplicaId(id), state) in self.leaves.iter_mut().map(|(id, s)| (*id, s)) {
             let Some(k) = leaves.remove(&id) else { continue };
             let same = match (state.started, k.started) {
-                (Some(ours), Some(theirs)) => (ours - at(theirs)).us().abs() < Self::SAME_START.us(),
+                (Some(ours), Some(theirs)) => {
+                    (ours - at(theirs)).as_micros().abs() < Self::SAME_START.as_micros()
+                }
                 (ours, theirs) => ours.is_none() && theirs.is_none(),
             };
             if !same {
@@ -153,30 +155,30 @@
     }
 
     /// The same start as told to two clocks: they are set by the wall clock, which may be moved between.
-    const SAME_START: Span = Span::from_ms(500);
+    const SAME_START: TimeSpan = TimeSpan::from_millis(500);
 
     // Two processes as one co-ordinator: what each may spend is divided by `pipitcrank_handover::division`.
 
     /// What the budget of further calls is: so many free, a share of what is taken, over a span; none is no
     /// budget.
-    pub fn budget_terms(&self) -> (f64, f64, Span) {
+    pub fn budget_terms(&self) -> (f64, f64, TimeSpan) {
         (self.budget.free, self.budget.share, self.budget.span)
     }
 
     /// From now on at most so many further calls, none after `until`, and nothing to cold leaves: another
     /// process has the rest.
-    pub fn finish_with(&mut self, further: u32, until: At) {
+    pub fn finish_with(&mut self, further: u32, until: Timestamp) {
         self.budget.purse = Some((f64::from(further), until));
-        self.fail_back.shut = At::from_us(i64::MAX);
+        self.fail_back.shut = Timestamp::from_micros(i64::MAX);
     }
 
     /// The process that hands over may make so many further calls, until then.
-    pub fn lend_to_old(&mut self, further: u32, until: At) {
+    pub fn lend_to_old(&mut self, further: u32, until: Timestamp) {
         self.budget.lend(Self::OLD, further, until);
     }
 
     /// It is gone and made so many.
-    pub fn settle_with_old(&mut self, now: At, further: u32) {
+    pub fn settle_with_old(&mut self, now: Timestamp, further: u32) {
         self.budget.settle(now, Self::OLD, further);
     }
 
@@ -190,7 +192,7 @@
 
     /// Alone again, and what the other process did is not known: it is held to have used all it might, so
     /// nothing of a kind goes until the longest window in which that counts has passed.
-    pub fn alone_again(&mut self, now: At) {
+    pub fn alone_again(&mut self, now: Timestamp) {
         self.budget.purse = None;
         self.budget.lent.remove(&Self::OLD);
         self.budget.shut = now + self.budget.span;
--- a/crates/pipitcrank-core/src/decide/lending.rs
+++ b/crates/pipitcrank-core/src/decide/lending.rs
@@ -2,11 +2,11 @@
 //! them may make them at any time until they end, so both together have to keep rule 6 whenever that is.
 
 use super::Budget;
-use crate::time::{At, Span};
+use crate::time::{TimeSpan, Timestamp};
 
 impl Budget {
     /// The same with those arrivals alone that count at that time.
-    pub(super) fn lasting(&self, by: At) -> f64 {
+    pub(super) fn lasting(&self, by: Timestamp) -> f64 {
         let taken = self.taken.iter().filter(|&&t| by - t < self.span).count();
         let lent: u32 = self.lent.values().map(|l| l.0).sum();
         self.free + self.share * taken as f64 - self.further.len() as f64 - f64::from(lent)
@@ -16,8 +16,8 @@
     const LENT_SHARE: f64 = 0.25;
 
     /// Lends up to so many until then, which has to come within the window; how many.
-    pub fn lend_some(&mut self, now: At, who: u64, most: u32, until: At) -> u32 {
-        if self.span == Span::ZERO {
+    pub fn lend_some(&mut self, now: Timestamp, who: u64, most: u32, until: Timestamp) -> u32 {
+        if self.span == TimeSpan::ZERO {
             return most;
         }
         // What a process that hands over keeps is its own parts' alone.
@@ -33,12 +33,12 @@
         n
     }
 
-    pub fn lend(&mut self, who: u64, n: u32, until: At) {
+    pub fn lend(&mut self, who: u64, n: u32, until: Timestamp) {
         self.lent.insert(who, (n, until));
     }
 
     /// Whoever it was lent to made so many; nothing where its time is over, as then all count.
-    pub fn settle(&mut self, now: At, who: u64, made: u32) {
+    pub fn settle(&mut self, now: Timestamp, who: u64, made: u32) {
         if let Some((n, _)) = self.lent.remove(&who) {
             (0..made.min(n)).for_each(|_| self.further.push_back(now));
         }
--- a/crates/pipitcrank-core/src/decide/seen.rs
+++ b/crates/pipitcrank-core/src/decide/seen.rs
@@ -3,14 +3,14 @@
 
 use super::{LeafState, Root};
 use crate::ids::PartId;
-use crate::time::At;
+use crate::time::Timestamp;
 
 /// For when, at which rate and usual lag; then lag, work out and calls out.
-pub(super) type Seen = ((At, f64, f64), (f64, f64, usize));
+pub(super) type Seen = ((Timestamp, f64, f64), (f64, f64, usize));
 
 impl LeafState {
     /// Lag, work out and calls out: looked at for each part that waits, and the same for all of a turn.
-    pub(super) fn seen(&self, now: At, rate: f64, usual: f64, call_cost: f64) -> (f64, f64, usize) {
+    pub(super) fn seen(&self, now: Timestamp, rate: f64, usual: f64, call_cost: f64) -> (f64, f64, usize) {
         let key = (now, rate, usual);
         if let Some((_, seen)) = self.seen.get().filter(|(at, _)| *at == key) {
             return seen;
--- a/crates/pipitcrank-core/src/decide/sites.rs
+++ b/crates/pipitcrank-core/src/decide/sites.rs
@@ -3,7 +3,7 @@
 
 use super::Root;
 use crate::ids::{Effect, PartId, QueryId, ReplicaId, RequestClassId};
-use crate::time::{At, Span};
+use crate::time::{TimeSpan, Timestamp};
 
 impl Root {
     /// The query just taken is another site's, which counts it and lends so many further calls for it: it gains
@@ -22,7 +22,7 @@
 
     /// Parts go to another site: how many further calls that may make for them, until then. They count as made,
     /// for the budget and for each part, until `came_back` says how many were.
-    pub fn lend(&mut self, now: At, who: u64, parts: &[PartId], until: At) -> u32 {
+    pub fn lend(&mut self, now: Timestamp, who: u64, parts: &[PartId], until: Timestamp) -> u32 {
         let room =
             |p: &PartId| self.parts.get(p).map_or(0, |p| self.tries.limit - p.tried().min(self.tries.limit));
         let most = parts.iter().map(room).min().unwrap_or(0).min(parts.len() as u32);
@@ -33,7 +33,7 @@
         n
     }
 
-    pub fn came_back(&mut self, now: At, who: u64, parts: &[PartId], lent: u32, made: u32) {
+    pub fn came_back(&mut self, now: Timestamp, who: u64, parts: &[PartId], lent: u32, made: u32) {
         self.budget.settle(now, who, made);
         for id in parts {
             self.parts.get_mut(id).into_iter().for_each(|p| p.elsewhere -= lent - made.min(lent));
@@ -42,7 +42,7 @@
 
     /// The leaf stands for a cell of another site, which costs that hop; none while nothing may go there. Whether and
     /// at what cost is the route book's word; the cover goes on as ever among those left.
-    pub fn far(&mut self, leaf: ReplicaId, hop: Option<Span>) {
+    pub fn far(&mut self, leaf: ReplicaId, hop: Option<TimeSpan>) {
         if let Some(state) = self.leaves.get_mut(&leaf) {
             self.moved |= state.far != Some(hop);
             state.seen.take();
--- a/crates/pipitcrank-core/src/decide/slow_start.rs
+++ b/crates/pipitcrank-core/src/decide/slow_start.rs
@@ -2,17 +2,17 @@
 
 use std::collections::VecDeque;
 
-use crate::time::{At, Span};
+use crate::time::{TimeSpan, Timestamp};
 
 /// Rule 4: what this co-ordinator may send to a leaf that has just started.
 #[derive(Default)]
 pub struct FailBack {
     pub cold_from: f64,
-    pub cold: Span,
+    pub cold: TimeSpan,
     pub factor: f64,
-    pub window: Span,
+    pub window: TimeSpan,
     /// Nothing to cold leaves before then: another process has the allowance, or had it.
-    pub shut: At,
+    pub shut: Timestamp,
     /// How many co-ordinators there are, this one counted.
     pub among: u32,
 }
@@ -24,7 +24,7 @@
     /// Windows without a query whose room is saved: one of hundreds is asked in few, and all would use little of the room.
     pub(super) const SAVED: f64 = 2.0;
 
-    pub(super) fn is_cold(&self, started: Option<At>, now: At) -> bool {
+    pub(super) fn is_cold(&self, started: Option<Timestamp>, now: Timestamp) -> bool {
         started.is_some_and(|t| now - t < self.cold)
     }
 
@@ -34,20 +34,20 @@
     /// drawn for the window: hundreds together send what there is room for. One lot for all: queries need all their leaves.
     pub(super) fn room(
         &self,
-        started: Option<At>,
-        now: At,
+        started: Option<Timestamp>,
+        now: Timestamp,
         carried: f64,
         lot: f64,
-        sent: &VecDeque<(At, f64)>,
+        sent: &VecDeque<(Timestamp, f64)>,
     ) -> f64 {
         let Some(started) = started.filter(|_| self.is_cold(started, now)) else { return f64::INFINITY };
         if now < self.shut {
             return 0.0;
         }
-        let age = ((now - started).s() / self.cold.s().max(1e-6)).clamp(0.0, 1.0);
+        let age = ((now - started).as_secs_f64() / self.cold.as_secs_f64().max(1e-6)).clamp(0.0, 1.0);
         let share = self.cold_from + (1.0 - self.cold_from) * age;
         let before = sent.iter().filter(|(t, _)| now - *t <= self.window).map(|(_, w)| w).sum::<f64>();
-        let all = |carried: f64| Self::USED * self.factor * share * carried * self.window.s();
+        let all = |carried: f64| Self::USED * self.factor * share * carried * self.window.as_secs_f64();
         let first = before == 0.0 && lot < all(carried.max(1.0 / f64::from(self.among.max(1))));
         if first { all(carried).max(f64::MIN_POSITIVE) } else { all(carried) - before - lot }
     }
--- a/crates/pipitcrank-core/src/decide/zones.rs
+++ b/crates/pipitcrank-core/src/decide/zones.rs
@@ -5,7 +5,7 @@
 use super::{LeafState, Root};
 use crate::ids::{Ending, QueryId, ReplicaId};
 use crate::port::Port;
-use crate::time::{At, Span};
+use crate::time::{TimeSpan, Timestamp};
 
 /// A zone, by its place in the list of zones told at start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -97,11 +97,11 @@
     }
 
     /// What a leaf is held to cost that does not stand in the zone that the query is meant for.
-    pub(super) fn crossing(&self, leaf: ReplicaId, query: QueryId) -> Span {
+    pub(super) fn crossing(&self, leaf: ReplicaId, query: QueryId) -> TimeSpan {
         let open = &self.queries[&query];
         match (self.leaves[&leaf].zone, open.zone) {
             (Some(at), Some(meant)) if at != meant => (open.slo - open.arrived) * Self::CROSSING_SHARE,
-            _ => Span::ZERO,
+            _ => TimeSpan::ZERO,
         }
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// What was seen of a zone's leaves, from here, by this co-ordinator alone.
-    pub fn seen_of(&self, now: At, zone: ZoneId) -> Seen {
+    pub fn seen_of(&self, now: Timestamp, zone: ZoneId) -> Seen {
         let mut seen = Seen::default();
         let a_part: f64 =
             self.trades.iter().map(super::Trade::usual_work).sum::<f64>() / self.trades.len().max(1) as f64;
@@ -139,10 +139,11 @@
             seen.fresh += u32::from(state.heard.is_some_and(|h| now - h < Self::JUST));
             let usual = self.overdue.0.unwrap_or(1.0);
             let stuck = |o: &super::Out| {
-                now - o.at > (LeafState::SILENT + Span::from_s(o.ahead * usual)).min(Self::STUCK)
+                now - o.at > (LeafState::SILENT + TimeSpan::from_secs_f64(o.ahead * usual)).min(Self::STUCK)
                     && state.heard.is_none_or(|h| h < o.at)
             };
-            let unheard = |at: At, long: Span| now - at > long && state.heard.is_none_or(|h| h < at);
+            let unheard =
+                |at: Timestamp, long: TimeSpan| now - at > long && state.heard.is_none_or(|h| h < at);
             let probe_lost = state.probed.is_some_and(|(at, _)| unheard(at, LeafState::PROBED));
             let silent =
                 state.mute + u32::from(probe_lost) >= LeafState::MUTE || state.out.values().any(stuck);
@@ -171,7 +172,7 @@
 
     /// Probes some leaves of a zone that nothing is sent to, those first that were asked longest ago, so that its
     /// return rests on evidence. Each that is asked again is asked no sooner than a report is good for.
-    pub fn look_into(&mut self, port: &mut dyn Port, now: At, zone: ZoneId, most: usize) {
+    pub fn look_into(&mut self, port: &mut dyn Port, now: Timestamp, zone: ZoneId, most: usize) {
         let asked = |l: &LeafState| l.probed.map(|p| p.0);
         let due = |l: &LeafState| {
             // Far sites are measured on their links.
@@ -180,7 +181,7 @@
                 && l.zone == Some(zone)
                 && asked(l).is_none_or(|t| now - t >= Self::FRESH)
         };
-        let mut leaves: Vec<(Option<At>, ReplicaId)> =
+        let mut leaves: Vec<(Option<Timestamp>, ReplicaId)> =
             self.leaves.iter().filter(|(_, l)| due(l)).map(|(&id, l)| (asked(l), id)).collect();
         leaves.sort();
         for (_, leaf) in leaves.into_iter().take(if self.tries.may_probe { most } else { 0 }) {
@@ -190,25 +191,25 @@
     }
 
     /// A call out for longer than this, with nothing heard since, speaks of silence whatever its work.
-    const STUCK: Span = Span::from_ms(2000);
+    const STUCK: TimeSpan = TimeSpan::from_millis(2000);
     /// Heard of within this, a leaf answers.
-    const RECENT: Span = Span::from_ms(2000);
+    const RECENT: TimeSpan = TimeSpan::from_millis(2000);
     /// Heard of within this, it needs no glance.
-    const JUST: Span = Span::from_ms(500);
+    const JUST: TimeSpan = TimeSpan::from_millis(500);
 }
 
 impl LeafState {
     /// Silence of a call that counts as such: beyond a usual part's wait, within the aim for moving a zone.
-    const SILENT: Span = Span::from_ms(700);
+    const SILENT: TimeSpan = TimeSpan::from_millis(700);
     /// A probe out for longer has come to nothing: many round trips between regions.
-    const PROBED: Span = Span::from_ms(200);
+    const PROBED: TimeSpan = TimeSpan::from_millis(200);
     /// A call out for longer, with nothing heard since, is reason to look.
-    const LATE: Span = Span::from_ms(200);
+    const LATE: TimeSpan = TimeSpan::from_millis(200);
     /// Unheard calls and probes in a row that make a leaf silent: one may be lost.
     const MUTE: u32 = 2;
 
     /// A probe goes out; one before it may still be unanswered.
-    pub(super) fn asks_again(&mut self, now: At) {
+    pub(super) fn asks_again(&mut self, now: Timestamp) {
         let unheard = self.probed.is_some_and(|(at, _)| self.heard.is_none_or(|h| h < at));
         self.mute += u32::from(unheard);
         self.probed = Some((now, true));
@@ -216,7 +217,7 @@
 
     /// A call or a probe ended. One that was overdue and given up, as another answered instead, or was cut off, left
     /// nothing to be heard either; a probe that came to nothing is counted when the next goes out.
-    pub(super) fn word(&mut self, now: At, ending: Ending, overdue: bool) {
+    pub(super) fn word(&mut self, now: Timestamp, ending: Ending, overdue: bool) {
         match ending {
             Ending::Pass | Ending::Fault | Ending::NoRoom => (self.mute, self.heard) = (0, Some(now)),
             Ending::TooSlow | Ending::Undone | Ending::Cut if overdue => self.mute += 1,
--- a/crates/pipitcrank-core/src/time.rs
+++ b/crates/pipitcrank-core/src/time.rs
@@ -5,87 +5,87 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct At(i64);
+pub struct Timestamp(i64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
-pub struct Span(i64);
+pub struct TimeSpan(i64);
 
-impl At {
-    pub fn from_s(s: f64) -> At {
-        At((s * 1e6).round() as i64)
+impl Timestamp {
+    pub fn from_secs_f64(s: f64) -> Timestamp {
+        Timestamp((s * 1e6).round() as i64)
     }
 
-    pub const fn from_us(us: i64) -> At {
-        At(us)
+    pub const fn from_micros(us: i64) -> Timestamp {
+        Timestamp(us)
     }
 
-    pub fn s(self) -> f64 {
+    pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    pub const fn us(self) -> i64 {
+    pub const fn as_micros(self) -> i64 {
         self.0
     }
 }
 
-impl Span {
-    pub const ZERO: Span = Span(0);
+impl TimeSpan {
+    pub const ZERO: TimeSpan = TimeSpan(0);
 
-    pub const fn from_ms(ms: i64) -> Span {
-        Span(ms.saturating_mul(1000))
+    pub const fn from_millis(ms: i64) -> TimeSpan {
+        TimeSpan(ms.saturating_mul(1000))
     }
 
-    pub const fn us(self) -> i64 {
+    pub const fn as_micros(self) -> i64 {
         self.0
     }
 
-    pub fn from_s(s: f64) -> Span {
-        Span((s * 1e6).round() as i64)
+    pub fn from_secs_f64(s: f64) -> TimeSpan {
+        TimeSpan((s * 1e6).round() as i64)
     }
 
-    pub fn s(self) -> f64 {
+    pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 }
 
-impl Add<Span> for At {
-    type Output = At;
-    fn add(self, by: Span) -> At {
-        At(self.0.saturating_add(by.0))
+impl Add<TimeSpan> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, by: TimeSpan) -> Timestamp {
+        Timestamp(self.0.saturating_add(by.0))
     }
 }
 
-impl Sub<Span> for At {
-    type Output = At;
-    fn sub(self, by: Span) -> At {
-        At(self.0.saturating_sub(by.0))
+impl Sub<TimeSpan> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, by: TimeSpan) -> Timestamp {
+        Timestamp(self.0.saturating_sub(by.0))
     }
 }
 
-impl Sub for At {
-    type Output = Span;
-    fn sub(self, earlier: At) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+impl Sub for Timestamp {
+    type Output = TimeSpan;
+    fn sub(self, earlier: Timestamp) -> TimeSpan {
+        TimeSpan(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
-    fn sub(self, less: Span) -> Span {
-        Span(self.0.saturating_sub(less.0))
+impl Sub for TimeSpan {
+    type Output = TimeSpan;
+    fn sub(self, less: TimeSpan) -> TimeSpan {
+        TimeSpan(self.0.saturating_sub(less.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, more: Span) -> Span {
-        Span(self.0.saturating_add(more.0))
+impl Add for TimeSpan {
+    type Output = TimeSpan;
+    fn add(self, more: TimeSpan) -> TimeSpan {
+        TimeSpan(self.0.saturating_add(more.0))
     }
 }
 
-impl Mul<f64> for Span {
-    type Output = Span;
-    fn mul(self, by: f64) -> Span {
-        Span((self.0 as f64 * by).round() as i64)
+impl Mul<f64> for TimeSpan {
+    type Output = TimeSpan;
+    fn mul(self, by: f64) -> TimeSpan {
+        TimeSpan((self.0 as f64 * by).round() as i64)
     }
 }
--- a/crates/pipitcrank-core/src/told.rs
+++ b/crates/pipitcrank-core/src/told.rs
@@ -9,7 +9,7 @@
 use crate::decide::zones::{Shares, ZoneId};
 use crate::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
 use crate::ids::Effect;
-use crate::time::{At, Span};
+use crate::time::{TimeSpan, Timestamp};
 
 /// A key whose value is missing or not what it has to be, as a JSON pointer.
 #[derive(Debug, PartialEq)]
@@ -80,8 +80,8 @@
     }
 
     /// A time in seconds. Guards against sums that pass what a time can hold.
-    pub fn span(&self, key: &str) -> Result<Span, Faulty> {
-        Ok(Span::from_s(self.within(key, 0.0, LONGEST_S)?))
+    pub fn span(&self, key: &str) -> Result<TimeSpan, Faulty> {
+        Ok(TimeSpan::from_secs_f64(self.within(key, 0.0, LONGEST_S)?))
     }
 
     fn within(&self, key: &str, least: f64, most: f64) -> Result<f64, Faulty> {
@@ -169,14 +169,14 @@
         let budget = Budget::new(
             self.within_or("/rules/repeat_ratio", 0.0, 0.0, MOST)?,
             self.within_or("/rules/extra_free", 0.0, 0.0, MOST)?,
-            (window > 0.0).then(|| Span::from_s(window)),
+            (window > 0.0).then(|| TimeSpan::from_secs_f64(window)),
         );
         let fail_back = FailBack {
             cold_from: self.within("/rules/cold_from", 0.0, 1.0)?,
             cold: self.span("/rules/cold_s")?,
             factor: self.within("/rules/overload_factor", 0.0, MOST)?,
             window: self.span("/rules/fall_s")?,
-            shut: At::from_us(i64::MIN),
+            shut: Timestamp::from_micros(i64::MIN),
             among: if self.all.pointer("/balancers").is_some() { self.count("/balancers")? } else { 1 },
         };
         let tries = Tries {
@@ -189,7 +189,7 @@
                 .then(|| self.span("/allowed/max_retry_after_s"))
                 .transpose()?,
             // The time told for a connection to come up is the longest way that anybody states.
-            way: Span::from_s(self.within_or("/allowed/dial_timeout_s", 0.0, 0.0, LONGEST_S)?),
+            way: TimeSpan::from_secs_f64(self.within_or("/allowed/dial_timeout_s", 0.0, 0.0, LONGEST_S)?),
         };
         let asks_list = self.all.pointer("/registry_mode").and_then(Value::as_str) == Some("ask");
         let tick = self.span("/tick_s")?;
@@ -220,7 +220,12 @@
         Ok(Terms {
             name: self.text(&of("name"))?.to_string(),
             effect: self.effect(n)?,
-            dedup_window: Span::from_s(self.within_or(&of("dedup_window_s"), 0.0, 0.0, LONGEST_S)?),
+            dedup_window: TimeSpan::from_secs_f64(self.within_or(
+                &of("dedup_window_s"),
+                0.0,
+                0.0,
+                LONGEST_S,
+            )?),
             slo: self.span(&of("aim_s"))?,
             slo_stretch: self.within_or(&of("aim_stretch"), 0.0, 0.0, MOST)?,
             // Absent: some worth is left after the SLO time, as before the key was read.
--- a/crates/pipitcrank-core/tests/cold.rs
+++ b/crates/pipitcrank-core/tests/cold.rs
@@ -10,7 +10,7 @@
 use pipitcrank_core::chance::Chance;
 use pipitcrank_core::decide::Root;
 use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
-use pipitcrank_core::time::At;
+use pipitcrank_core::time::Timestamp;
 
 /// Work of a part, and the helper's rules for cold leaves: three times what they can do in 2 s, from a fifth of it on,
 /// warm after 10 s.
@@ -26,7 +26,7 @@
     root: Root,
     /// Queries a step.
     rate: f64,
-    alarms: VecDeque<(At, u64)>,
+    alarms: VecDeque<(Timestamp, u64)>,
     asked: u32,
     /// Number of each part's last call.
     calls: BTreeMap<PartId, u32>,
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -4,7 +4,7 @@
 use pipitcrank_core::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
 use pipitcrank_core::ids::{Effect, PartId, QueryId, Refusal, ReplicaId};
 use pipitcrank_core::port::Port;
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
@@ -13,7 +13,7 @@
     Merge(QueryId, bool),
     Reject(QueryId),
     Abort(QueryId),
-    Wake(At, u64),
+    Wake(Timestamp, u64),
     Watch,
     Probe(ReplicaId),
     FreeQuery(QueryId),
@@ -25,7 +25,7 @@
 pub struct Tape(pub Vec<Act>);
 
 impl Port for Tape {
-    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, _until: At) {
+    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, _until: Timestamp) {
         self.0.push(Act::Call(part, leaf));
     }
     fn abandon(&mut self, part: PartId, nth: u32) {
@@ -34,13 +34,13 @@
     fn merge(&mut self, query: QueryId, whole: bool) {
         self.0.push(Act::Merge(query, whole));
     }
-    fn reject(&mut self, query: QueryId, _stay_away: Span, _why: Refusal) {
+    fn reject(&mut self, query: QueryId, _stay_away: TimeSpan, _why: Refusal) {
         self.0.push(Act::Reject(query));
     }
     fn abort(&mut self, query: QueryId, _why: Refusal) {
         self.0.push(Act::Abort(query));
     }
-    fn wake_me(&mut self, at: At, label: u64) {
+    fn wake_me(&mut self, at: Timestamp, label: u64) {
         self.0.push(Act::Wake(at, label));
     }
     fn probe(&mut self, leaf: ReplicaId) {
@@ -71,14 +71,14 @@
 
 pub const CELLS: u32 = 6;
 pub const HOLD: u32 = 3;
-pub const TICK: Span = Span::from_ms(5);
+pub const TICK: TimeSpan = TimeSpan::from_millis(5);
 pub const TRY_LIMIT: usize = 3;
 pub const FREE: f64 = 2.0;
 pub const SHARE: f64 = 0.1;
-pub const BUDGET_SPAN: Span = Span::from_ms(1000);
-pub const DEDUP: Span = Span::from_ms(700);
+pub const BUDGET_SPAN: TimeSpan = TimeSpan::from_millis(1000);
+pub const DEDUP: TimeSpan = TimeSpan::from_millis(700);
 /// A repeat counts as it comes to its leaf.
-pub const WAY: Span = Span::from_ms(80);
+pub const WAY: TimeSpan = TimeSpan::from_millis(80);
 /// Floor and need by vertical: repeatable whole, repeatable with a floor, deduplicated, side-effecting, and one
 /// with a second step; a sixth, repeatable and whole, earns nothing after its SLO time.
 pub const FLOORS: [(f64, f64); 6] = [(1.0, 1.0), (0.6, 1.0), (1.0, 1.0), (1.0, 1.0), (0.5, 0.8), (1.0, 1.0)];
@@ -92,12 +92,12 @@
 ];
 pub const LATE_WORTH: [f64; 6] = [0.3, 0.3, 0.3, 0.3, 0.3, 0.0];
 
-pub fn ms(n: i64) -> Span {
-    Span::from_ms(n)
+pub fn ms(n: i64) -> TimeSpan {
+    TimeSpan::from_millis(n)
 }
 
-pub fn at(n: i64) -> At {
-    At::from_s(1000.0) + ms(n)
+pub fn at(n: i64) -> Timestamp {
+    Timestamp::from_secs_f64(1000.0) + ms(n)
 }
 
 #[allow(dead_code)] // not every test file has a ring of its own
@@ -156,7 +156,7 @@
         cold: ms(10_000),
         factor: 3.0,
         window: ms(2000),
-        shut: At::from_us(i64::MIN),
+        shut: Timestamp::from_micros(i64::MIN),
         among,
     };
     let budget = Budget::new(SHARE, FREE, Some(BUDGET_SPAN));
@@ -184,7 +184,7 @@
 
 #[allow(dead_code)] // the cases of zones list their own
 /// Lists one leaf a cell, all long up but those named, which started at that time.
-pub fn list(root: &mut Root, tape: &mut Tape, cold: &[(u32, At)]) {
+pub fn list(root: &mut Root, tape: &mut Tape, cold: &[(u32, Timestamp)]) {
     root.list_begin(true);
     for n in 0..CELLS {
         let started = cold.iter().find(|(l, _)| *l == n).map(|(_, t)| *t);
@@ -195,7 +195,7 @@
 
 /// Rings the alarms that the acts set, and those set meanwhile, up to a time; a turn after each. What was done.
 #[allow(dead_code)] // not every test file lets time pass alone
-pub fn pass(root: &mut Root, acts: &[Act], until: At) -> Tape {
+pub fn pass(root: &mut Root, acts: &[Act], until: Timestamp) -> Tape {
     let mut done = Tape::default();
     let mut seen = acts.to_vec();
     while let Some((n, due, label)) = (seen.iter().enumerate())
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -8,7 +8,7 @@
 use helper::{Act, Tape, at, ms};
 use pipitcrank_core::decide::Root;
 use pipitcrank_core::ids::{Effect, Ending, PartId, QueryId, ReplicaId, RequestClassId};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -53,32 +53,32 @@
     weight: f64,
     step: u8,
     /// Time, leaf and ending of each leaf call.
-    calls: Vec<(At, ReplicaId, Option<Ending>)>,
+    calls: Vec<(Timestamp, ReplicaId, Option<Ending>)>,
     passed: bool,
 }
 
 struct Asked {
     vertical: usize,
-    arrived: At,
-    ends: At,
+    arrived: Timestamp,
+    ends: Timestamp,
     step: u8,
     first_whole: bool,
 }
 
 /// The model: what is known from the events alone.
 struct World {
-    now: At,
+    now: Timestamp,
     root: Root,
     duplicates: bool,
     asked: BTreeMap<QueryId, Asked>,
     pieces: BTreeMap<PartId, Piece>,
-    alarms: BTreeMap<(At, u64), ()>,
+    alarms: BTreeMap<(Timestamp, u64), ()>,
     up: Vec<bool>,
-    started: Vec<Option<At>>,
-    taken: Vec<At>,
-    further: Vec<At>,
+    started: Vec<Option<Timestamp>>,
+    taken: Vec<Timestamp>,
+    further: Vec<Timestamp>,
     merged_any: bool,
-    cold_sends: Vec<(At, ReplicaId)>,
+    cold_sends: Vec<(Timestamp, ReplicaId)>,
 }
 
 impl World {
@@ -139,7 +139,7 @@
         }
         if !piece.calls.is_empty() {
             self.further.push(now);
-            let within = |t: &&At| now - **t < helper::BUDGET_SPAN;
+            let within = |t: &&Timestamp| now - **t < helper::BUDGET_SPAN;
             let taken = self.taken.iter().filter(within).count() as f64;
             let further = self.further.iter().filter(within).count() as f64;
             prop_assert!(further <= helper::FREE + helper::SHARE * taken, "over the budget");
@@ -199,7 +199,7 @@
         self.did(tape)
     }
 
-    fn ask(&mut self, vertical: usize, first: u32, count: u32, left: Span) -> Result<(), TestCaseError> {
+    fn ask(&mut self, vertical: usize, first: u32, count: u32, left: TimeSpan) -> Result<(), TestCaseError> {
         let ids = || self.pieces.values().map(|p| p.query);
         let query = QueryId(
             (0..).find(|n| !self.asked.contains_key(&QueryId(*n)) && ids().all(|q| q.0 != *n)).unwrap(),
@@ -241,7 +241,7 @@
         self.event(|w, tape| w.root.ended(tape, w.now, id, nth as u32, ending))
     }
 
-    fn pass(&mut self, span: Span) -> Result<(), TestCaseError> {
+    fn pass(&mut self, span: TimeSpan) -> Result<(), TestCaseError> {
         let until = self.now + span;
         while let Some((&(due, label), ())) = self.alarms.first_key_value().filter(|((t, _), ())| *t <= until)
         {
--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -13,7 +13,7 @@
 use bytes::BytesMut;
 use clap::{Parser, Subcommand};
 use pipitcrank_core::ids::Ending;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::frames;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -175,7 +175,7 @@
     let part = |n: u32| frames::CallPart {
         id: format!("q1.{n}").into(),
         shard: n,
-        wait: Span::from_ms(900),
+        wait: TimeSpan::from_millis(900),
         idempotency_key: None,
         text: "c41e".into(),
     };
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use pipitcrank_core::ids::{Ending, ReplicaId, RequestClassId};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_core::told::Told;
 use pipitcrank_server::counters::Counters;
 use pipitcrank_server::exchange::{Asked, AskedPart, CallNo, Exchange, Final, LeafSide, Listed};
@@ -38,7 +38,7 @@
 pub struct Stage {
     pub exchange: Exchange,
     pub noted: Noted,
-    pub now: At,
+    pub now: Timestamp,
     pub finals: Rc<RefCell<BTreeMap<&'static str, u64>>>,
     cells: u32,
     shards: u32,
@@ -59,16 +59,16 @@
         });
         let root = Told::new(&told).root(11).expect("a charter of our own is good");
         let mut exchange = Exchange::new(root, most_open, 8, Counters::default());
-        exchange.list(At::default(), true, (0..leaves).map(|n| row(n, cells, true)).collect());
+        exchange.list(Timestamp::default(), true, (0..leaves).map(|n| row(n, cells, true)).collect());
         let (noted, finals) = (Noted::default(), Rc::default());
-        let mut stage = Stage { exchange, noted, now: At::default(), finals, cells, shards, asked: 0 };
+        let mut stage = Stage { exchange, noted, now: Timestamp::default(), finals, cells, shards, asked: 0 };
         stage.turn(5);
         stage
     }
 
     /// Time passes, and a turn is taken.
     pub fn turn(&mut self, ms: i64) {
-        self.now = self.now + Span::from_ms(ms);
+        self.now = self.now + TimeSpan::from_millis(ms);
         self.exchange.turn(self.now, &mut self.noted);
     }
 
@@ -88,7 +88,7 @@
         let asked = Asked {
             id: format!("q{}", self.asked),
             vertical: RequestClassId(vertical),
-            ends: self.now + Span::from_ms(wait_ms),
+            ends: self.now + TimeSpan::from_millis(wait_ms),
             parts: (0..parts).map(part).collect(),
             idempotency_key: None,
             text: "c41e".into(),
--- a/crates/pipitcrank-failover/src/agreement.rs
+++ b/crates/pipitcrank-failover/src/agreement.rs
@@ -23,7 +23,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, Message,
@@ -38,19 +38,19 @@
 /// One tick of the library. Heartbeats come each `HEARTBEATS` of them; a voter that hears none for `ELECTION` and two more
 /// a seat asks to lead: 0.4 s for the first, so that a leader that is gone is replaced within the aim for moving a zone,
 /// and seats do not ask in step.
-const TICK: Span = Span::from_ms(50);
+const TICK: TimeSpan = TimeSpan::from_millis(50);
 const HEARTBEATS: usize = 2;
 const ELECTION: usize = 8;
 const SEAT_TICKS: usize = 2;
 /// Voters greet each other so often; a greeting is good for so long.
-const GREET: Span = Span::from_ms(200);
-const HEARD: Span = Span::from_ms(900);
+const GREET: TimeSpan = TimeSpan::from_millis(200);
+const HEARD: TimeSpan = TimeSpan::from_millis(900);
 /// Without a leader for so long, with all seats heard, a new generation is founded: some elections would have been held.
-const FOUND_AFTER: Span = Span::from_ms(2500);
+const FOUND_AFTER: TimeSpan = TimeSpan::from_millis(2500);
 /// A promise to found is kept for so long.
-const PROMISED: Span = Span::from_ms(3000);
+const PROMISED: TimeSpan = TimeSpan::from_millis(3000);
 /// Between two admissions: the first has to be through.
-const ADMIT: Span = Span::from_ms(500);
+const ADMIT: TimeSpan = TimeSpan::from_millis(500);
 /// Entries kept for voters that lag a little; others get the decision whole.
 const KEPT: u64 = 64;
 /// Of entries in one message, so that it fits a datagram.
@@ -194,11 +194,11 @@
     node: RawNode<Store>,
     /// None until a member that was admitted has heard what stands.
     decision: Option<Decision>,
-    admitted_at: At,
+    admitted_at: Timestamp,
 }
 
 struct Heard {
-    at: At,
+    at: Timestamp,
     id: u64,
     generation: u64,
     led: bool,
@@ -208,7 +208,7 @@
 
 struct Founding {
     generation: u64,
-    since: At,
+    since: Timestamp,
     /// Ids that promised, by seat.
     promises: BTreeMap<usize, (u64, Option<Decision>)>,
     begun: Option<(Vec<u64>, Decision)>,
@@ -235,15 +235,15 @@
     without: Vec<usize>,
     group: Option<Group>,
     /// The generation, the seat that founds it, and when that was promised.
-    promised: Option<(u64, usize, At)>,
+    promised: Option<(u64, usize, Timestamp)>,
     founding: Option<Founding>,
     heard: BTreeMap<usize, Heard>,
     highest: u64,
     /// What this copy follows: what a new generation goes on from.
     known: Option<Decision>,
-    ticked: At,
-    greeted: At,
-    led_at: At,
+    ticked: Timestamp,
+    greeted: Timestamp,
+    led_at: Timestamp,
     decided: Vec<Decision>,
     out: Vec<(usize, Out)>,
     /// Messages of the library that could not be read or were not meant for this process's group.
@@ -256,7 +256,7 @@
 
 impl Agreement {
     /// `seat` of so many; `instance` tells this process apart from any before at that seat.
-    pub fn new(now: At, seat: usize, seats: usize, zones: usize, instance: u64) -> Agreement {
+    pub fn new(now: Timestamp, seat: usize, seats: usize, zones: usize, instance: u64) -> Agreement {
         assert!(seat < seats && seats <= MOST_SEATS, "the operators' file is checked for this");
         Agreement {
             seat,
@@ -286,7 +286,7 @@
     }
 
     /// Goes on from what a process before it at that seat wrote down. Of what can't be gone on from nothing is taken.
-    pub fn remember(&mut self, now: At, memory: Memory) {
+    pub fn remember(&mut self, now: Timestamp, memory: Memory) {
         let runs_fit = memory.runs.len() == self.seats;
         if memory.seat != self.seat || !runs_fit || memory.instance == 0 {
             return;
@@ -304,7 +304,7 @@
         }
     }
 
-    fn go_on(&mut self, now: At, memory: GroupMemory) {
+    fn go_on(&mut self, now: Timestamp, memory: GroupMemory) {
         let GroupMemory { generation, at, decision, voters, hard, entries } = memory;
         let log = MemStorage::new();
         let mut snapshot = Snapshot::default();
@@ -393,7 +393,7 @@
     }
 
     /// Whether a majority has noted this run of its id, or it goes by no memory.
-    fn prove(&mut self, now: At) {
+    fn prove(&mut self, now: Timestamp) {
         if !self.unproven {
             return;
         }
@@ -417,11 +417,11 @@
         mixed | (self.seat as u64 + 1)
     }
 
-    pub fn due(&self) -> At {
+    pub fn due(&self) -> Timestamp {
         (self.ticked + TICK).min(self.greeted + GREET)
     }
 
-    pub fn tick(&mut self, now: At) {
+    pub fn tick(&mut self, now: Timestamp) {
         if now - self.ticked >= TICK {
             // One, however late: a copy that stood still must not count its own sleep as others' silence.
             self.ticked = now;
@@ -478,7 +478,7 @@
 
     // Founding.
 
-    fn found(&mut self, now: At) {
+    fn found(&mut self, now: Timestamp) {
         let first = (0..self.seats).find(|s| !self.without.contains(s));
         if first != Some(self.seat) || now - self.led_at < FOUND_AFTER {
             self.founding = None;
@@ -515,7 +515,7 @@
     }
 
     /// Leaves its group for good and promises to join that generation, of that seat's founding.
-    fn leave(&mut self, now: At, generation: u64, founder: usize) {
+    fn leave(&mut self, now: Timestamp, generation: u64, founder: usize) {
         if self.group.take().is_some() || self.promised.is_some() {
             (self.left, self.run, self.unproven) = (self.left + 1, (1, self.run.1), false);
         }
@@ -523,7 +523,7 @@
         self.changed = true;
     }
 
-    fn begin_if_all(&mut self, now: At) {
+    fn begin_if_all(&mut self, now: Timestamp) {
         let Some(founding) = &mut self.founding else { return };
         let away = |seat: &usize| self.without.contains(seat);
         if founding.begun.is_some()
@@ -542,14 +542,14 @@
         self.begin(now, generation, &ids, first);
     }
 
-    fn begin(&mut self, now: At, generation: u64, ids: &[u64], first: Decision) {
+    fn begin(&mut self, now: Timestamp, generation: u64, ids: &[u64], first: Decision) {
         self.promised = None;
         let voters = ConfState { voters: ids.to_vec(), ..ConfState::default() };
         self.join(now, generation, Some((voters, first)));
     }
 
     /// Enters a group: as one that founds it, or blank, to be told what stands.
-    fn join(&mut self, now: At, generation: u64, founds: Option<(ConfState, Decision)>) {
+    fn join(&mut self, now: Timestamp, generation: u64, founds: Option<(ConfState, Decision)>) {
         let log = MemStorage::new();
         let mut decision = None;
         if let Some((voters, first)) = founds {
@@ -567,7 +567,14 @@
         self.enter(now, generation, log, applied, decision);
     }
 
-    fn enter(&mut self, now: At, generation: u64, log: MemStorage, applied: u64, decision: Option<Decision>) {
+    fn enter(
+        &mut self,
+        now: Timestamp,
+        generation: u64,
+        log: MemStorage,
+        applied: u64,
+        decision: Option<Decision>,
+    ) {
         let id = self.id();
         let bytes = decision.as_ref().and_then(|d| postcard::to_allocvec(d).ok()).unwrap_or_default();
         let asks = ELECTION + SEAT_TICKS * self.seat;
@@ -599,7 +606,7 @@
     // Admitting.
 
     /// The leader takes in a seat's new process for its old one.
-    fn admit(&mut self, now: At) {
+    fn admit(&mut self, now: Timestamp) {
         let Some(group) = &mut self.group else { return };
         let node = &group.node;
         let applied_all = node.raft.raft_log.applied == node.raft.raft_log.committed;
@@ -631,7 +638,7 @@
 
     // What comes.
 
-    pub fn heard_word(&mut self, now: At, seat: usize, word: Word) {
+    pub fn heard_word(&mut self, now: Timestamp, seat: usize, word: Word) {
         if seat >= self.seats || seat == self.seat {
             return;
         }
@@ -690,7 +697,7 @@
     }
 
     /// A message of the library.
-    pub fn heard_agree(&mut self, now: At, generation: u64, bytes: &[u8]) {
+    pub fn heard_agree(&mut self, now: Timestamp, generation: u64, bytes: &[u8]) {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             self.left_out += 1;
             return;
@@ -849,7 +856,7 @@
     }
 
     /// Voters heard of late, this one counted.
-    pub fn voters_heard(&self, now: At) -> usize {
+    pub fn voters_heard(&self, now: Timestamp) -> usize {
         1 + self.heard.values().filter(|h| now - h.at <= HEARD).count()
     }
 }
--- a/crates/pipitcrank-failover/src/book.rs
+++ b/crates/pipitcrank-failover/src/book.rs
@@ -16,21 +16,21 @@
 //! Rules that hold whatever the evidence: no step while no other zone is known to be well; a zone that still serves (slow,
 //! or drained) is left only as far as the others have room; all that was seen before this voter led does not count.
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_membership::evidence::{Finding, Matrix};
 
 use crate::decision::{Cause, Decision, Order, Place, State, UNKNOWN, WHOLE};
 use crate::shares::{Nearness, table};
 
 /// Evidence has to stand for so long before anything is said of it: two words of each copy.
-const SEEN: Span = Span::from_ms(300);
+const SEEN: TimeSpan = TimeSpan::from_millis(300);
 /// A step of leaving, in thousandths of the load, and the time between two: a whole zone in 0.8 s, so that leaves
 /// elsewhere take on a quarter of a zone each time.
 const STEP: u16 = 250;
-const STEP_TIME: Span = Span::from_ms(200);
+const STEP_TIME: TimeSpan = TimeSpan::from_millis(200);
 /// Coming home takes half a step each `RETURN_TIME`: leaves there are cold, and the others carry well meanwhile.
 const RETURN_STEP: u16 = 125;
-const RETURN_TIME: Span = Span::from_ms(500);
+const RETURN_TIME: TimeSpan = TimeSpan::from_millis(500);
 /// Cold leaves' share from which a zone comes back at half the pace.
 const COLD: f64 = 0.3;
 /// What a cold leaf carries of a warm one's: the least that rules allow for.
@@ -39,7 +39,7 @@
 const WORTH: u16 = 50;
 /// And what a zone carries by this part of itself.
 const CAPACITY_WORTH: u32 = 4;
-const FIGURES_TIME: Span = Span::from_ms(500);
+const FIGURES_TIME: TimeSpan = TimeSpan::from_millis(500);
 /// Share of full leaves from which a zone is at what it carries, whatever operators say it bears.
 const AT_ITS_MOST: f64 = 0.3;
 /// What a leaf bears is never held lower than this share of what operators say, and comes back by so much a second.
@@ -50,23 +50,23 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
     /// Evidence against a zone stands for so long before it is left.
-    pub suspect: Span,
+    pub suspect: TimeSpan,
     /// A zone that is out is well for so long before it comes back, and at most, doubled at each relapse.
-    pub hold_down: Span,
-    pub hold_down_most: Span,
+    pub hold_down: TimeSpan,
+    pub hold_down_most: TimeSpan,
     /// Serving without a fault for so long: the hold-down is at its shortest again.
-    pub calm: Span,
+    pub calm: TimeSpan,
 }
 
 /// What is known of a zone while this voter leads.
 #[derive(Clone, Copy)]
 struct Watch {
     /// Since when evidence has been as it is, against it or for it; none before any.
-    against: Option<At>,
-    well: Option<At>,
+    against: Option<Timestamp>,
+    well: Option<Timestamp>,
     /// When its last step was decided, and since when it has been serving.
-    stepped: At,
-    serving: At,
+    stepped: Timestamp,
+    serving: Timestamp,
     /// Parts a second that one of its leaves bears, as evidence shows.
     bears: f64,
 }
@@ -78,15 +78,15 @@
     told_bears: f64,
     watches: Vec<Watch>,
     /// Since when each way has been as it is: `[from][to]`, cut or not.
-    ways: Vec<Vec<(bool, At)>>,
-    figures_at: At,
-    looked: At,
-    led_since: At,
+    ways: Vec<Vec<(bool, Timestamp)>>,
+    figures_at: Timestamp,
+    looked: Timestamp,
+    led_since: Timestamp,
 }
 
 impl Book {
     pub fn new(pace: Pace, near: Nearness, zones: usize, told_bears: f64) -> Book {
-        let never = At::from_us(i64::MIN / 4);
+        let never = Timestamp::from_micros(i64::MIN / 4);
         let watch = Watch { against: None, well: None, stepped: never, serving: never, bears: told_bears };
         Book {
             pace,
@@ -101,7 +101,7 @@
     }
 
     /// This voter leads from now on. What it saw before was not held against the decision that stood then.
-    pub fn leads(&mut self, now: At) {
+    pub fn leads(&mut self, now: Timestamp) {
         self.led_since = now;
         self.looked = now;
         for watch in &mut self.watches {
@@ -111,7 +111,7 @@
     }
 
     /// The next decision, if there is a cause for one.
-    pub fn next(&mut self, now: At, matrix: &Matrix, current: &Decision) -> Option<Decision> {
+    pub fn next(&mut self, now: Timestamp, matrix: &Matrix, current: &Decision) -> Option<Decision> {
         self.watch(now, matrix, current);
         if current.frozen {
             return None;
@@ -198,8 +198,8 @@
         Ok(next)
     }
 
-    fn watch(&mut self, now: At, matrix: &Matrix, current: &Decision) {
-        let passed = (now - self.looked).s().clamp(0.0, 1.0);
+    fn watch(&mut self, now: Timestamp, matrix: &Matrix, current: &Decision) {
+        let passed = (now - self.looked).as_secs_f64().clamp(0.0, 1.0);
         self.looked = now;
         for zone in 0..self.watches.len() {
             let finding = matrix.finding(zone);
@@ -262,7 +262,7 @@
     /// One zone's step, if one is due.
     fn step(
         &self,
-        now: At,
+        now: Timestamp,
         matrix: &Matrix,
         current: &Decision,
         next: &mut Decision,
@@ -270,14 +270,14 @@
     ) -> Option<Cause> {
         let watch = self.watches[zone];
         let place = &current.places[zone];
-        let for_long = |since: Option<At>, long: Span| since.is_some_and(|s| now - s >= long);
+        let for_long = |since: Option<Timestamp>, long: TimeSpan| since.is_some_and(|s| now - s >= long);
         let finding = matrix.finding(zone);
         let cause = match finding {
             Finding::Dead => Cause::Dead,
             Finding::CutOff => Cause::CutOff,
             _ => Cause::Slow,
         };
-        let due = |time: Span| now - watch.stepped >= time;
+        let due = |time: TimeSpan| now - watch.stepped >= time;
         let to = &mut next.places[zone];
         match place.state {
             State::Serving if for_long(watch.against, SEEN) && self.others_well(matrix, current, zone) => {
@@ -365,12 +365,12 @@
         })
     }
 
-    fn held(&self, level: u8) -> Span {
+    fn held(&self, level: u8) -> TimeSpan {
         (self.pace.hold_down * f64::from(1u32 << level.min(16))).min(self.pace.hold_down_most)
     }
 
     /// A way that has been cut, or whole, for long enough to be said so; the new mask of its zone.
-    fn cut_ways(&self, now: At, matrix: &Matrix, current: &Decision) -> Option<(usize, u16)> {
+    fn cut_ways(&self, now: Timestamp, matrix: &Matrix, current: &Decision) -> Option<(usize, u16)> {
         (0..self.ways.len()).find_map(|from| {
             let mut mask = current.places[from].cut;
             for (to, &(cut, since)) in self.ways[from].iter().enumerate() {
--- a/crates/pipitcrank-failover/src/book/tests.rs
+++ b/crates/pipitcrank-failover/src/book/tests.rs
@@ -4,36 +4,36 @@
 use super::*;
 
 const PACE: Pace = Pace {
-    suspect: Span::from_ms(500),
-    hold_down: Span::from_ms(2000),
-    hold_down_most: Span::from_ms(16_000),
-    calm: Span::from_ms(30_000),
+    suspect: TimeSpan::from_millis(500),
+    hold_down: TimeSpan::from_millis(2000),
+    hold_down_most: TimeSpan::from_millis(16_000),
+    calm: TimeSpan::from_millis(30_000),
 };
 
 /// Three zones of ten leaves that bear 100 parts a second each; 300 are asked in each.
 struct Scene {
     book: Book,
     decision: Decision,
-    now: At,
+    now: Timestamp,
     /// `[from][to]`: leaves silent, full.
     silent: [[u16; 3]; 3],
     full: [u16; 3],
     asked: u32,
     merged: u32,
     mute: Option<usize>,
-    history: Vec<(At, Decision)>,
+    history: Vec<(Timestamp, Decision)>,
 }
 
 fn scene() -> Scene {
     let near = Nearness::new(&["r", "r", "r"].map(str::to_string));
     let mut book = Book::new(PACE, near, 3, 100.0);
-    book.leads(At::default());
+    book.leads(Timestamp::default());
     let (silent, full) = ([[0; 3]; 3], [0; 3]);
     let decision = Decision::first(3, 1 << 32);
     Scene {
         book,
         decision,
-        now: At::default(),
+        now: Timestamp::default(),
         silent,
         full,
         asked: 300,
@@ -74,7 +74,7 @@
 
     fn pass(&mut self, ms: i64) {
         for _ in 0..ms / 50 {
-            self.now = self.now + Span::from_ms(50);
+            self.now = self.now + TimeSpan::from_millis(50);
             let matrix = self.matrix();
             if let Some(mut next) = self.book.next(self.now, &matrix, &self.decision) {
                 next.number = self.decision.number + 1;
@@ -137,7 +137,7 @@
 #[test]
 fn flapping_is_held_down_longer_each_time_and_calm_forgives() {
     let mut scene = scene();
-    let mut last = At::default();
+    let mut last = Timestamp::default();
     let mut waits = Vec::new();
     for _ in 0..4 {
         scene.kill(1);
@@ -147,7 +147,7 @@
         while scene.decision.places[1].kept == 0 {
             scene.pass(50);
         }
-        waits.push((scene.now - last).s());
+        waits.push((scene.now - last).as_secs_f64());
         // It relapses before it is home.
         scene.pass(300);
     }
@@ -298,8 +298,8 @@
             scene.full[zone] = full;
             scene.pass(ms);
         }
-        let mut before = (At::default(), Decision::first(3, 1 << 32));
-        let mut changed = [At::from_us(i64::MIN / 4); 3];
+        let mut before = (Timestamp::default(), Decision::first(3, 1 << 32));
+        let mut changed = [Timestamp::from_micros(i64::MIN / 4); 3];
         for (at, decision) in &scene.history {
             prop_assert!(decision.sound(3));
             prop_assert!(decision.places.iter().any(|p| p.kept > 0), "all are out: {:?}", decision);
--- a/crates/pipitcrank-failover/src/follow.rs
+++ b/crates/pipitcrank-failover/src/follow.rs
@@ -10,23 +10,23 @@
 //! Alone     for longer: from where it stands, at most `ALONE` of a zone's share by own evidence
 //! ```
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_membership::evidence::{BAD, Row, WELL};
 
 use crate::decision::{Decision, WHOLE};
 use crate::shares::{Nearness, table};
 
 /// Beats come each half second and go round in some gossip: three may be lost.
-const FRESH: Span = Span::from_ms(2500);
+const FRESH: TimeSpan = TimeSpan::from_millis(2500);
 /// A gap of its own ticks beyond this means that it stood still: many ticks, and under any time in which much is decided.
-const ASLEEP: Span = Span::from_ms(1000);
+const ASLEEP: TimeSpan = TimeSpan::from_millis(1000);
 /// Woken, it looks for so long before it goes on with what it has.
-const LOOK: Span = Span::from_ms(2000);
+const LOOK: TimeSpan = TimeSpan::from_millis(2000);
 /// Own evidence has to stand for so long before a copy alone goes by it: longer than the common decision takes.
-const STANDS: Span = Span::from_ms(3000);
+const STANDS: TimeSpan = TimeSpan::from_millis(3000);
 /// A copy that came back waits so long for what stands before it goes on from what it remembers: voters that lost all found
 /// a group anew in less.
-const RECALL: Span = Span::from_ms(4000);
+const RECALL: TimeSpan = TimeSpan::from_millis(4000);
 /// Of a zone's share, in thousandths, a copy alone moves at most so much, away or back.
 pub const ALONE: u16 = 500;
 
@@ -67,20 +67,20 @@
 pub struct Follow {
     zone: usize,
     near: Nearness,
-    hold: Span,
+    hold: TimeSpan,
     dry: bool,
     decision: Option<Decision>,
     /// What a process before it acted on last, and when that was recalled.
-    recalled: Option<(Decision, At)>,
+    recalled: Option<(Decision, Timestamp)>,
     /// Rank of the newest beat heard, and when.
     beat: (u64, u64),
-    fresh: At,
+    fresh: Timestamp,
     behind: bool,
-    ticked: Option<At>,
-    woke: Option<At>,
+    ticked: Option<Timestamp>,
+    woke: Option<Timestamp>,
     /// Since when own evidence has been against a zone, and for it.
-    against: Vec<Option<At>>,
-    well: Vec<Option<At>>,
+    against: Vec<Option<Timestamp>>,
+    well: Vec<Option<Timestamp>>,
     /// Decisions that came when a newer one was held.
     pub older: u64,
 }
@@ -88,7 +88,7 @@
 impl Follow {
     /// `hold`: how long the last decision stands without a word of the voters. `dry`: decisions are followed and said, and
     /// nothing is moved.
-    pub fn new(zone: u16, zones: usize, near: Nearness, hold: Span, dry: bool) -> Follow {
+    pub fn new(zone: u16, zones: usize, near: Nearness, hold: TimeSpan, dry: bool) -> Follow {
         Follow {
             zone: usize::from(zone),
             near,
@@ -97,7 +97,7 @@
             decision: None,
             recalled: None,
             beat: (0, 0),
-            fresh: At::from_us(i64::MIN / 4),
+            fresh: Timestamp::from_micros(i64::MIN / 4),
             behind: false,
             ticked: None,
             woke: None,
@@ -112,7 +112,7 @@
     }
 
     /// What a process before this one acted on last. Nothing is done by it at first: it may have missed others since.
-    pub fn recall(&mut self, now: At, decision: Decision) {
+    pub fn recall(&mut self, now: Timestamp, decision: Decision) {
         if decision.sound(self.against.len()) {
             self.recalled = Some((decision, now));
         }
@@ -123,12 +123,12 @@
     }
 
     /// How long ago the newest beat was heard by whoever heard it first here.
-    pub fn beat_age(&self, now: At) -> Span {
+    pub fn beat_age(&self, now: Timestamp) -> TimeSpan {
         now - self.fresh
     }
 
     /// A decision was heard, from wherever; whether it is taken.
-    pub fn decided(&mut self, now: At, decision: Decision) -> bool {
+    pub fn decided(&mut self, now: Timestamp, decision: Decision) -> bool {
         // Guards against a herd that comes back and takes the word of whoever knows least.
         let before = self.recalled.as_ref().is_some_and(|(r, _)| decision.number < r.number);
         let newer = !before && self.decision.as_ref().is_none_or(|held| decision.number > held.number);
@@ -147,7 +147,7 @@
 
     /// The voters' beat was heard at that time, here or by another who says so: they stand by the decision of that number.
     /// Beats are ranked, an old one says nothing.
-    pub fn beats(&mut self, heard: At, rank: (u64, u64), number: u64) {
+    pub fn beats(&mut self, heard: Timestamp, rank: (u64, u64), number: u64) {
         if rank <= self.beat {
             return;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Passes time, with what this copy sees of each zone itself.
-    pub fn tick(&mut self, now: At, rows: &[Row]) {
+    pub fn tick(&mut self, now: Timestamp, rows: &[Row]) {
         if self.ticked.is_some_and(|t| now - t > ASLEEP) {
             self.woke = Some(now);
             self.against.iter_mut().chain(&mut self.well).for_each(|since| *since = None);
@@ -176,18 +176,18 @@
         }
         for (zone, row) in rows.iter().enumerate().take(self.against.len()) {
             let bad = row.bad();
-            let is = |holds: bool, since: Option<At>| holds.then(|| since.unwrap_or(now));
+            let is = |holds: bool, since: Option<Timestamp>| holds.then(|| since.unwrap_or(now));
             self.against[zone] = is(bad.is_some_and(|b| b >= BAD), self.against[zone]);
             self.well[zone] = is(bad.is_some_and(|b| b <= WELL), self.well[zone]);
         }
     }
 
     /// Whether it should ask others what stands.
-    pub fn looks(&self, now: At) -> bool {
+    pub fn looks(&self, now: Timestamp) -> bool {
         self.behind || !matches!(self.standing(now), Standing::Following)
     }
 
-    pub fn standing(&self, now: At) -> Standing {
+    pub fn standing(&self, now: Timestamp) -> Standing {
         let Some(_) = &self.decision else { return Standing::Blind };
         if self.woke.is_some_and(|woke| now - woke < LOOK) {
             return Standing::Looking;
@@ -200,7 +200,7 @@
     }
 
     /// What is done now. What it sees itself counts only where it stands alone.
-    pub fn plan(&self, now: At) -> Plan {
+    pub fn plan(&self, now: Timestamp) -> Plan {
         let zones = self.against.len();
         let near_alone =
             Plan { number: 0, shares: vec![(self.zone as u16, WHOLE)], shut: Vec::new(), lack: 0 };
@@ -228,8 +228,8 @@
         Plan { number: decision.number, shares, shut, lack }
     }
 
-    fn by_own_evidence(&self, now: At, row: &mut [u16], shut: &mut Vec<u16>) {
-        let stands = |since: Option<At>| since.is_some_and(|s| now - s >= STANDS);
+    fn by_own_evidence(&self, now: Timestamp, row: &mut [u16], shut: &mut Vec<u16>) {
+        let stands = |since: Option<Timestamp>| since.is_some_and(|s| now - s >= STANDS);
         let good: Vec<usize> = (0..row.len()).filter(|&z| stands(self.well[z])).collect();
         // A zone that was out and is seen to be well is let in again, for a share at most.
         if row.iter().all(|&s| s == 0)
--- a/crates/pipitcrank-failover/src/follow/tests.rs
+++ b/crates/pipitcrank-failover/src/follow/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::decision::State;
 
-const HOLD: Span = Span::from_ms(10_000);
+const HOLD: TimeSpan = TimeSpan::from_millis(10_000);
 
-fn at(ms: i64) -> At {
-    At::from_s(100.0) + Span::from_ms(ms)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_secs_f64(100.0) + TimeSpan::from_millis(ms)
 }
 
 fn follow() -> Follow {
@@ -64,7 +64,7 @@
     assert_eq!(follow.standing(at(2800)), Standing::Following);
     assert_eq!(
         (follow.standing(at(3000)), follow.beat_age(at(3000))),
-        (Standing::Holding, Span::from_ms(2600))
+        (Standing::Holding, TimeSpan::from_millis(2600))
     );
 }
 
--- a/crates/pipitcrank-failover/src/instance.rs
+++ b/crates/pipitcrank-failover/src/instance.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_membership::envelope::{Kind, Left, Opener, Sealer};
 use pipitcrank_membership::evidence::{Finding, Row, SPEAK, Word as Evidence, Words, speaks};
 use pipitcrank_membership::members::{Gone, Members, News};
@@ -17,19 +17,19 @@
 use crate::follow::{Follow, Plan, Standing};
 
 /// The leader says so often that the voters are there.
-const BEAT: Span = Span::from_ms(500);
+const BEAT: TimeSpan = TimeSpan::from_millis(500);
 /// Looked at by the leader: evidence comes each quarter of a second.
-const REVIEW: Span = Span::from_ms(50);
+const REVIEW: TimeSpan = TimeSpan::from_millis(50);
 /// A proposal that came to nothing in this time is made anew.
-const AGREED_WITHIN: Span = Span::from_ms(600);
+const AGREED_WITHIN: TimeSpan = TimeSpan::from_millis(600);
 /// A copy that does not know what stands asks so often, this many others.
-const ASK: Span = Span::from_ms(300);
+const ASK: TimeSpan = TimeSpan::from_millis(300);
 const ASKED: usize = 3;
 /// Answers of this kind given a second: one is some hundred bytes.
 const ANSWERS: u32 = 200;
 /// Operators' orders that wait for the agreement, and answers kept for those asked again.
 const MOST_ORDERS: usize = 16;
-const ORDER_TIME: Span = Span::from_ms(3000);
+const ORDER_TIME: TimeSpan = TimeSpan::from_millis(3000);
 
 /// Copies named in one datagram.
 const A_PIECE: usize = 40;
@@ -49,7 +49,7 @@
         rank: (u64, u64),
         beat_number: u64,
         /// How long ago its newest beat was heard.
-        age: Span,
+        age: TimeSpan,
     },
     /// An operator's command; none only shows.
     Ask {
@@ -129,7 +129,7 @@
     ticket: u64,
     from: SocketAddr,
     order: Order,
-    since: At,
+    since: Timestamp,
     /// Cause and zone of what has been asked of the voters for it.
     proposed: Option<(Cause, u16)>,
 }
@@ -152,21 +152,21 @@
     follow: Follow,
     /// The newest of its own evidence.
     rows: Vec<Row>,
-    spoke: At,
+    spoke: Timestamp,
     spoken: u64,
     /// For which state of the members, and since when, it is or is not among those that speak.
-    speaks: (u64, At, bool),
+    speaks: (u64, Timestamp, bool),
     led: bool,
     /// Sent by this process so far.
     beats: u64,
-    beat_at: At,
+    beat_at: Timestamp,
     beat_number: u64,
-    reviewed: At,
-    proposed: Option<(u64, At)>,
-    asked_at: At,
+    reviewed: Timestamp,
+    proposed: Option<(u64, Timestamp)>,
+    asked_at: Timestamp,
     nonces: VecDeque<u64>,
     next_nonce: u64,
-    answered: (At, u32),
+    answered: (Timestamp, u32),
     orders: VecDeque<Ordered>,
     answers: VecDeque<(u64, Answer)>,
     standing: Standing,
@@ -180,7 +180,7 @@
     /// `own` as others reach it; `seats`: the voters' addresses, the same at all copies; `named`: copies asked first.
     #[allow(clippy::too_many_arguments)] // each goes straight to its part
     pub fn new(
-        now: At,
+        now: Timestamp,
         own: Peer,
         key: [u8; 32],
         named: &[SocketAddr],
@@ -190,7 +190,7 @@
         follow: Follow,
     ) -> Instance {
         let seat = seats.iter().position(|s| *s == own.address);
-        let long_ago = now - Span::from_ms(60_000);
+        let long_ago = now - TimeSpan::from_millis(60_000);
         let mut all: Vec<SocketAddr> = named.iter().chain(seats).copied().collect();
         all.sort();
         all.dedup();
@@ -236,7 +236,7 @@
     /// that must not forget.
     pub fn recall(
         &mut self,
-        now: At,
+        now: Timestamp,
         decision: Option<Decision>,
         members: Vec<Peer>,
         memory: Option<Memory>,
@@ -275,7 +275,7 @@
     }
 
     /// The last that `take_memory` gave is kept.
-    pub fn kept(&mut self, now: At) {
+    pub fn kept(&mut self, now: Timestamp) {
         self.owes = false;
         self.settle(now);
     }
@@ -287,7 +287,7 @@
 
     // What comes.
 
-    pub fn datagram(&mut self, now: At, bytes: &[u8]) {
+    pub fn datagram(&mut self, now: Timestamp, bytes: &[u8]) {
         let opened = match self.opener.open(bytes) {
             Ok(opened) => opened,
             Err(left) => return self.events.push(Event::Left(left)),
@@ -312,7 +312,7 @@
         self.settle(now);
     }
 
-    fn word(&mut self, now: At, from: SocketAddr, instance: u64, said: Said) {
+    fn word(&mut self, now: Timestamp, from: SocketAddr, instance: u64, said: Said) {
         match said {
             Said::Voter(word) => {
                 let seat = self.seats.iter().position(|s| *s == from);
@@ -328,7 +328,7 @@
             }
             Said::Look(nonce) => {
                 // Bounded: a herd that returns asks again, and asks others.
-                if now - self.answered.0 >= Span::from_ms(1000) {
+                if now - self.answered.0 >= TimeSpan::from_millis(1000) {
                     self.answered = (now, 0);
                 }
                 if self.answered.1 < ANSWERS {
@@ -348,7 +348,7 @@
                     self.takes(now, decision);
                 }
                 // Guards against a parted set that keeps each other following: a beat is as old as its first hearer had it.
-                if age >= Span::ZERO {
+                if age >= TimeSpan::ZERO {
                     self.heard_beat(now - age, rank, beat_number);
                 }
             }
@@ -370,7 +370,7 @@
         }
     }
 
-    fn takes(&mut self, now: At, decision: Decision) {
+    fn takes(&mut self, now: Timestamp, decision: Decision) {
         if self.follow.decided(now, decision.clone()) {
             if let Some(agreement) = &mut self.agreement {
                 agreement.follows(&decision);
@@ -383,7 +383,7 @@
         }
     }
 
-    fn heard_beat(&mut self, now: At, rank: (u64, u64), number: u64) {
+    fn heard_beat(&mut self, now: Timestamp, rank: (u64, u64), number: u64) {
         if rank > self.follow.beat() {
             self.beat_number = number;
         }
@@ -391,10 +391,10 @@
     }
 
     /// What this copy's exchange sees of each zone; `asked`: parts a second of its clients.
-    pub fn sees(&mut self, now: At, rows: Vec<Row>, asked: u32) {
+    pub fn sees(&mut self, now: Timestamp, rows: Vec<Row>, asked: u32) {
         self.rows = rows;
         // Worked out anew where members came or went, and then not at each of many at once.
-        if self.speaks.0 != self.members.changes && now - self.speaks.1 >= Span::from_ms(1000) {
+        if self.speaks.0 != self.members.changes && now - self.speaks.1 >= TimeSpan::from_millis(1000) {
             let of_zone = self.members.there().filter(|p| p.zone == self.own.zone).cloned();
             self.speaks = (self.members.changes, now, speaks(&self.own, of_zone));
         }
@@ -419,7 +419,7 @@
     }
 
     /// Whether it is time for `sees`.
-    pub fn wants_to_see(&mut self, now: At) -> bool {
+    pub fn wants_to_see(&mut self, now: Timestamp) -> bool {
         let due = now - self.spoke >= SPEAK;
         if due {
             self.spoke = now;
@@ -430,7 +430,7 @@
     // Time.
 
     /// When `tick` is due at the latest.
-    pub fn due(&self) -> At {
+    pub fn due(&self) -> Timestamp {
         let agreement = self.agreement.as_ref().map(Agreement::due);
         let leads = self.led.then(|| self.reviewed + REVIEW);
         [Some(self.members.due()), agreement, leads, Some(self.spoke + SPEAK)]
@@ -440,7 +440,7 @@
             .unwrap_or_default()
     }
 
-    pub fn tick(&mut self, now: At) {
+    pub fn tick(&mut self, now: Timestamp) {
         self.members.tick(now);
         let rows = std::mem::take(&mut self.rows);
         self.follow.tick(now, &rows);
@@ -485,7 +485,7 @@
         }
     }
 
-    fn lead(&mut self, now: At) {
+    fn lead(&mut self, now: Timestamp) {
         let Some(agreement) = &self.agreement else { return };
         let leads = agreement.leads();
         if leads != self.led {
@@ -558,7 +558,7 @@
         Answer::Done(self.follow.decision().map_or(0, |d| d.number))
     }
 
-    fn asked(&mut self, now: At, from: SocketAddr, ticket: u64, order: Option<Order>) {
+    fn asked(&mut self, now: Timestamp, from: SocketAddr, ticket: u64, order: Option<Order>) {
         let known = self.answers.iter().find(|a| a.0 == ticket).map(|a| a.1.clone());
         if let Some(answer) = known {
             return self.say(from, &Said::Told { ticket, answer });
@@ -592,7 +592,7 @@
         self.say(from, &Said::Told { ticket, answer });
     }
 
-    pub fn shown(&mut self, now: At) -> Shown {
+    pub fn shown(&mut self, now: Timestamp) -> Shown {
         let matrix = self.words.join(now);
         let of = |zone: usize| {
             let finding = format!("{:?}", matrix.finding(zone));
@@ -618,7 +618,7 @@
         !self.keeps || !self.owes && !changed
     }
 
-    fn settle(&mut self, now: At) {
+    fn settle(&mut self, now: Timestamp) {
         for news in self.members.take_news() {
             self.events.push(Event::Member(news));
         }
@@ -682,7 +682,7 @@
     }
 
     /// Says goodbye to the others.
-    pub fn leave(&mut self, now: At, how: Gone) {
+    pub fn leave(&mut self, now: Timestamp, how: Gone) {
         self.members.leave(now, how);
         for (to, body) in self.members.take_sent() {
             self.seal(to, Kind::Gossip, &body);
@@ -697,7 +697,7 @@
         std::mem::take(&mut self.events)
     }
 
-    pub fn plan(&self, now: At) -> Plan {
+    pub fn plan(&self, now: Timestamp) -> Plan {
         self.follow.plan(now)
     }
 
@@ -707,7 +707,7 @@
     }
 
     /// Members that another copy, or who set this up, knew of.
-    pub fn learn(&mut self, now: At, peers: impl Iterator<Item = Peer>) {
+    pub fn learn(&mut self, now: Timestamp, peers: impl Iterator<Item = Peer>) {
         self.members.learn(now, peers);
     }
 
--- a/crates/pipitcrank-failover/src/instance/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/instance/stored_forms.rs
@@ -39,7 +39,7 @@
         decision: Some(Decision::first(2, 7 << 32)),
         rank: (8, 9),
         beat_number: 10,
-        age: Span::from_ms(40),
+        age: TimeSpan::from_millis(40),
     };
     let told = |answer| Said::Told { ticket: 33, answer };
     check(
--- a/crates/pipitcrank-failover/tests/agreement.rs
+++ b/crates/pipitcrank-failover/tests/agreement.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::agreement::{Agreement, Memory, Out};
 use pipitcrank_failover::decision::Decision;
 use rand::{Rng, SeedableRng};
@@ -12,14 +12,14 @@
 const ZONES: usize = 3;
 
 struct Net {
-    now: At,
+    now: Timestamp,
     chance: Pcg64,
     voters: Vec<Option<Agreement>>,
     /// Process of each seat, by number.
     process: Vec<u64>,
     /// Stands still: what comes waits until it wakes.
     stopped: BTreeSet<usize>,
-    on_way: BTreeMap<(At, u64), (usize, usize, Out)>,
+    on_way: BTreeMap<(Timestamp, u64), (usize, usize, Out)>,
     next: u64,
     /// Ways that are cut, by direction.
     cut: BTreeSet<(usize, usize)>,
@@ -27,7 +27,7 @@
     delay_ms: i64,
     starts: u64,
     proposals: u32,
-    proposed: At,
+    proposed: Timestamp,
     /// All that was ever decided, by number, and the newest at each process.
     all: BTreeMap<u64, Decision>,
     newest: BTreeMap<u64, u64>,
@@ -41,7 +41,7 @@
 impl Net {
     fn new(seed: u64, seats: usize) -> Net {
         let mut net = Net {
-            now: At::from_s(1000.0),
+            now: Timestamp::from_secs_f64(1000.0),
             chance: Pcg64::seed_from_u64(seed),
             voters: (0..seats).map(|_| None).collect(),
             process: vec![0; seats],
@@ -53,7 +53,7 @@
             delay_ms: 5,
             starts: 1_700_000_000_000_000,
             proposals: 0,
-            proposed: At::from_s(0.0),
+            proposed: Timestamp::from_secs_f64(0.0),
             all: BTreeMap::new(),
             newest: BTreeMap::new(),
             two_under_one: 0,
@@ -82,15 +82,15 @@
     }
 
     fn pass(&mut self, ms: i64) {
-        let until = self.now + Span::from_ms(ms);
+        let until = self.now + TimeSpan::from_millis(ms);
         while self.now < until {
-            self.now = self.now + Span::from_ms(5);
+            self.now = self.now + TimeSpan::from_millis(5);
             while let Some(entry) = self.on_way.first_entry().filter(|e| e.key().0 <= self.now) {
                 let ((_, order), (from, to, out)) = entry.remove_entry();
                 if self.stopped.contains(&to) {
                     // Its socket holds some of it.
                     if self.on_way.len() < 500 {
-                        self.on_way.insert((self.now + Span::from_ms(50), order), (from, to, out));
+                        self.on_way.insert((self.now + TimeSpan::from_millis(50), order), (from, to, out));
                     }
                 } else if let Some(voter) = &mut self.voters[to] {
                     match out {
@@ -99,7 +99,7 @@
                     }
                 }
             }
-            let proposes = self.now - self.proposed >= Span::from_ms(100);
+            let proposes = self.now - self.proposed >= TimeSpan::from_millis(100);
             for seat in (0..self.voters.len()).filter(|s| !self.stopped.contains(s)) {
                 let Some(voter) = &mut self.voters[seat] else { continue };
                 if voter.due() <= self.now {
@@ -142,7 +142,7 @@
                 }
                 let copies = if self.chance.random_bool(self.loss / 3.0) { 2 } else { 1 };
                 for _ in 0..copies {
-                    let delay = Span::from_ms(1 + self.chance.random_range(0..=self.delay_ms));
+                    let delay = TimeSpan::from_millis(1 + self.chance.random_range(0..=self.delay_ms));
                     self.next += 1;
                     self.on_way.insert((self.now + delay, self.next), (seat, to, out.clone()));
                 }
--- a/crates/pipitcrank-gateway/src/far.rs
+++ b/crates/pipitcrank-gateway/src/far.rs
@@ -232,7 +232,7 @@
                                 credit_in.send_modify(|all| *all = all.saturating_add(u64::from(bytes)));
                             }
                             Said::Ping { sent_us } => {
-                                let mine_us = self.hall.clock.now().us();
+                                let mine_us = self.hall.clock.now().as_micros();
                                 say.send(Said::Pong { sent_us, mine_us });
                             }
                             Said::Hello { .. } | Said::Part { .. } | Said::End { .. } | Said::Pong { .. } => {
--- a/crates/pipitcrank-gateway/src/forwards.rs
+++ b/crates/pipitcrank-gateway/src/forwards.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 use pipitcrank_core::ids::Ending;
-use pipitcrank_core::time::At;
+use pipitcrank_core::time::Timestamp;
 
 use crate::frames::How;
 use crate::route;
@@ -25,7 +25,7 @@
     repeatable: bool,
     who: u64,
     mark: u64,
-    until: At,
+    until: Timestamp,
     written: bool,
     doubted: bool,
     any: bool,
@@ -69,7 +69,14 @@
     }
 
     /// A forward whose frame is about to be begun; its number.
-    pub fn begin(&mut self, calls: Vec<(u32, C)>, repeatable: bool, who: u64, mark: u64, until: At) -> u64 {
+    pub fn begin(
+        &mut self,
+        calls: Vec<(u32, C)>,
+        repeatable: bool,
+        who: u64,
+        mark: u64,
+        until: Timestamp,
+    ) -> u64 {
         let number = self.next;
         self.next += 1;
         let out = Out { calls, repeatable, who, mark, until, written: false, doubted: false, any: false };
@@ -141,7 +148,7 @@
     }
 
     /// Those whose time is over: their calls have ended by it already, and what was lent counts as made.
-    pub fn expired(&mut self, now: At) -> Vec<Over<C>> {
+    pub fn expired(&mut self, now: Timestamp) -> Vec<Over<C>> {
         let over = self.out.extract_if(.., |_, o| o.until <= now);
         let over = over.map(|(_, o)| {
             let route =
--- a/crates/pipitcrank-gateway/src/forwards/tests.rs
+++ b/crates/pipitcrank-gateway/src/forwards/tests.rs
@@ -1,10 +1,10 @@
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use proptest::prelude::*;
 
 use super::*;
 
-fn until() -> At {
-    At::from_us(1_000_000)
+fn until() -> Timestamp {
+    Timestamp::from_micros(1_000_000)
 }
 
 fn begin(f: &mut Forwards<u32>, repeatable: bool) -> u64 {
@@ -49,7 +49,7 @@
 #[test]
 fn a_rejection_proves_that_nothing_ran_and_an_abort_does_not() {
     let mut f = Forwards::default();
-    let stay_away = Span::from_ms(70);
+    let stay_away = TimeSpan::from_millis(70);
     for (how, ending) in [
         (How::Rejected { stay_away }, Ending::NoRoom),
         (How::Aborted, Ending::Fault),
@@ -128,7 +128,7 @@
                     vec![]
                 }
                 Step::End(n) => {
-                    let how = [How::Done, How::Rejected { stay_away: Span::ZERO }, How::Aborted, How::Late, How::NotHere, How::Unknown];
+                    let how = [How::Done, How::Rejected { stay_away: TimeSpan::ZERO }, How::Aborted, How::Late, How::NotHere, How::Unknown];
                     f.end(newest, how[n as usize], 1).into_iter().collect()
                 }
                 Step::Cut => f.cut(),
--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -3,7 +3,7 @@
 //! `docs/gateway.md` has each message field by field.
 
 use bytes::{Buf, BytesMut};
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::front::is_idempotency_key;
 use serde::{Deserialize, Serialize};
 
@@ -81,7 +81,7 @@
     pub id: String,
     pub vertical: String,
     /// Time left when it was written, less the way there and back.
-    pub left: Span,
+    pub left: TimeSpan,
     /// Further calls that may be made for it.
     pub further: u32,
     /// Sites crossed, the origin first.
@@ -96,7 +96,7 @@
     /// All its parts were answered.
     Done,
     /// Those not answered never ran, or may run again; stay away for so long.
-    Rejected { stay_away: Span },
+    Rejected { stay_away: TimeSpan },
     /// Those not answered may have run.
     Aborted,
     /// Nothing of it was begun: it could not be back in time.
@@ -159,10 +159,10 @@
                 && !f.parts.is_empty()
                 && shards.len() == f.parts.len()
                 && f.parts.iter().all(|(_, weight, work)| good(*weight) && work.is_none_or(good))
-                && f.left <= Span::from_ms(24 * 3600 * 1000)
+                && f.left <= TimeSpan::from_millis(24 * 3600 * 1000)
                 && f.crossed.iter().all(|s| s.len() <= LONGEST_NAME)
         }
-        Said::End { how: How::Rejected { stay_away }, .. } => *stay_away >= Span::ZERO,
+        Said::End { how: How::Rejected { stay_away }, .. } => *stay_away >= TimeSpan::ZERO,
         Said::Ask { numbers } => numbers.len() <= 10_000,
         _ => true,
     }
--- a/crates/pipitcrank-gateway/src/frames/tests.rs
+++ b/crates/pipitcrank-gateway/src/frames/tests.rs
@@ -7,7 +7,7 @@
         number: 7,
         id: "q1".into(),
         vertical: "view".into(),
-        left: Span::from_ms(800),
+        left: TimeSpan::from_millis(800),
         further: 1,
         crossed: vec!["north".into()],
         parts: vec![(3, 0.5, None), (4, 0.5, Some(0.01))],
@@ -25,7 +25,7 @@
             Said::Forward(forward()),
             Said::ForwardWithKey(forward(), "19dd61b8".into()),
             Said::Part { number: 7, shard: 3, value },
-            Said::End { number: 7, how: How::Rejected { stay_away: Span::from_ms(50) }, made: 2 },
+            Said::End { number: 7, how: How::Rejected { stay_away: TimeSpan::from_millis(50) }, made: 2 },
             Said::Ask { numbers: vec![1, 2, 3] },
             Said::Pong { sent_us: -5, mine_us: i64::MAX },
         ];
@@ -59,7 +59,7 @@
     assert_eq!(bad(|f| f.parts[1].0 = 3), Err(Bad::Unsound), "a shard twice");
     assert_eq!(bad(|f| f.parts[0].1 = f64::NAN), Err(Bad::Unsound));
     assert_eq!(bad(|f| f.parts[0].2 = Some(-1.0)), Err(Bad::Unsound));
-    assert_eq!(bad(|f| f.left = Span::from_ms(i64::MAX / 2000)), Err(Bad::Unsound));
+    assert_eq!(bad(|f| f.left = TimeSpan::from_millis(i64::MAX / 2000)), Err(Bad::Unsound));
     assert_eq!(take(&mut BytesMut::from(&[0u8; 4][..])), Err(Bad::Length(0)));
     assert!(matches!(take(&mut BytesMut::from(&[255u8; 4][..])), Err(Bad::Length(_))));
 }
--- a/crates/pipitcrank-gateway/src/ledger.rs
+++ b/crates/pipitcrank-gateway/src/ledger.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use crate::frames::{Forward, How};
 
@@ -19,7 +19,7 @@
 /// time, and a site that is asked answers from its own leaves.
 const MOST_CROSSED: usize = 1;
 /// Less time than this is no time: a tick there and a leaf's quickest answer.
-const LEAST_LEFT: Span = Span::from_ms(5);
+const LEAST_LEFT: TimeSpan = TimeSpan::from_millis(5);
 /// Forwards held over all lanes. Beyond that none is taken: forgetting one that may be asked for is worse.
 pub const MOST: usize = 20_000;
 /// Bytes of answers held for lanes that may ask again, at most; beyond it the oldest are told as aborted.
@@ -40,7 +40,7 @@
     /// Answers so far, until the lane has had them all.
     answers: Vec<(u32, String)>,
     end: Option<(How, u32)>,
-    forget_at: At,
+    forget_at: Timestamp,
 }
 
 /// What is told again of a forward.
@@ -57,7 +57,7 @@
     barred: BTreeSet<u64>,
     /// Below this all are forgotten and none is begun.
     floor: u64,
-    heard: At,
+    heard: Timestamp,
 }
 
 #[derive(Default)]
@@ -66,19 +66,19 @@
     /// Where each mark belongs.
     marks: BTreeMap<u64, (Lane, u64)>,
     /// By when they are forgotten, oldest first.
-    order: VecDeque<(At, Lane, u64)>,
+    order: VecDeque<(Timestamp, Lane, u64)>,
     next: u64,
     bytes: usize,
     own: String,
     /// How long a repeat can come: the longest deadline.
-    longest: Span,
+    longest: TimeSpan,
 }
 
 /// Lanes held, at most: four of each of a thousand copies. The one not heard of for longest goes, of those with nothing held.
 const MOST_LANES: usize = 4096;
 
 impl Ledger {
-    pub fn new(own: &str, longest: Span) -> Ledger {
+    pub fn new(own: &str, longest: TimeSpan) -> Ledger {
         Ledger { own: own.to_string(), longest, ..Ledger::default() }
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// A forward came on a lane. `known`: its vertical and shards are.
-    pub fn came(&mut self, now: At, lane: &Lane, forward: &Forward, known: bool) -> Verdict {
+    pub fn came(&mut self, now: Timestamp, lane: &Lane, forward: &Forward, known: bool) -> Verdict {
         self.forget(now);
         self.make_room(lane);
         let of = self.lanes.entry(lane.clone()).or_default();
@@ -107,7 +107,7 @@
             return Verdict::Refuse(How::Late);
         }
         if self.marks.len() >= MOST {
-            return Verdict::Refuse(How::Rejected { stay_away: Span::from_ms(100) });
+            return Verdict::Refuse(How::Rejected { stay_away: TimeSpan::from_millis(100) });
         }
         self.next += 1;
         let forget_at = now + forward.left.max(self.longest);
@@ -145,7 +145,7 @@
     }
 
     /// Asked by number after a break: what is known, or that it never came, after which it is never begun.
-    pub fn asked(&mut self, now: At, lane: &Lane, number: u64) -> Option<Told> {
+    pub fn asked(&mut self, now: Timestamp, lane: &Lane, number: u64) -> Option<Told> {
         self.forget(now);
         self.make_room(lane);
         let of = self.lanes.entry(lane.clone()).or_default();
@@ -173,7 +173,7 @@
         self.lanes.get_mut(lane)?.entries.get_mut(number)
     }
 
-    fn forget(&mut self, now: At) {
+    fn forget(&mut self, now: Timestamp) {
         while let Some((at, lane, number)) = self.order.pop_front() {
             // Not in strict order, as deadlines differ: one kept a little longer holds up those behind it.
             if at > now {
--- a/crates/pipitcrank-gateway/src/ledger/tests.rs
+++ b/crates/pipitcrank-gateway/src/ledger/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const LONGEST: Span = Span::from_ms(5000);
+const LONGEST: TimeSpan = TimeSpan::from_millis(5000);
 
 fn lane(instance: u64) -> Lane {
     Lane { site: "north".into(), instance, lane: 0 }
@@ -13,7 +13,7 @@
         number,
         id: "q".into(),
         vertical: "sale".into(),
-        left: Span::from_ms(800),
+        left: TimeSpan::from_millis(800),
         further: 0,
         crossed: vec!["north".into()],
         parts: vec![(1, 1.0, None)],
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_repeat_is_known_and_answered_from_what_is_held() {
-    let (mut ledger, now) = (Ledger::new("south", LONGEST), At::from_us(0));
+    let (mut ledger, now) = (Ledger::new("south", LONGEST), Timestamp::from_micros(0));
     let Verdict::Begin(mark) = ledger.came(now, &lane(1), &forward(1), true) else { panic!("it is new") };
     assert_eq!(ledger.came(now, &lane(1), &forward(1), true), Verdict::Again);
     assert_eq!(ledger.asked(now, &lane(1), 1), Some(Told { answers: vec![], end: None }));
@@ -38,14 +38,14 @@
 
 #[test]
 fn what_was_said_not_to_have_come_is_never_begun() {
-    let (mut ledger, now) = (Ledger::new("south", LONGEST), At::from_us(0));
+    let (mut ledger, now) = (Ledger::new("south", LONGEST), Timestamp::from_micros(0));
     assert_eq!(ledger.asked(now, &lane(1), 4), None);
     assert_eq!(ledger.came(now, &lane(1), &forward(4), true), Verdict::Refuse(How::Unknown));
 }
 
 #[test]
 fn circles_strange_parts_and_too_little_time_are_refused() {
-    let (mut ledger, now) = (Ledger::new("south", LONGEST), At::from_us(0));
+    let (mut ledger, now) = (Ledger::new("south", LONGEST), Timestamp::from_micros(0));
     let mut come = |change: &dyn Fn(&mut Forward), known| {
         let mut f = forward(1);
         change(&mut f);
@@ -57,13 +57,13 @@
     assert_eq!(come(&|f| f.crossed = vec!["west".into()], true), not_here, "it names another origin");
     assert_eq!(come(&|f| f.crossed.clear(), true), not_here);
     assert_eq!(come(&|_| (), false), not_here);
-    assert_eq!(come(&|f| f.left = Span::from_ms(2), true), Verdict::Refuse(How::Late));
+    assert_eq!(come(&|f| f.left = TimeSpan::from_millis(2), true), Verdict::Refuse(How::Late));
     assert!(matches!(come(&|_| (), true), Verdict::Begin(_)), "none of that was begun");
 }
 
 #[test]
 fn answers_held_are_bounded_and_those_dropped_are_said_to_be_aborted() {
-    let (mut ledger, now) = (Ledger::new("south", LONGEST), At::from_us(0));
+    let (mut ledger, now) = (Ledger::new("south", LONGEST), Timestamp::from_micros(0));
     let value = "x".repeat(64 * 1024);
     for n in 1..=300 {
         let Verdict::Begin(mark) = ledger.came(now, &lane(1), &forward(n), true) else { panic!("it is new") };
@@ -82,7 +82,7 @@
     /// nothing is held for longer than it can be asked for.
     #[test]
     fn nothing_is_begun_twice(steps in proptest::collection::vec((0u8..5, 1u64..12, 0u64..2, 0i64..3000), 0..300)) {
-        let (mut ledger, mut now) = (Ledger::new("south", LONGEST), At::from_us(0));
+        let (mut ledger, mut now) = (Ledger::new("south", LONGEST), Timestamp::from_micros(0));
         let (mut begun, mut denied) = (BTreeSet::new(), BTreeSet::new());
         for (kind, number, instance, ms) in steps {
             match kind {
@@ -96,7 +96,7 @@
                 },
                 2 => if ledger.asked(now, &lane(instance), number).is_none() { denied.insert((instance, number)); },
                 3 => { ledger.given_up(&lane(instance), number); }
-                _ => now = now + Span::from_ms(ms),
+                _ => now = now + TimeSpan::from_millis(ms),
             }
         }
         now = now + LONGEST + LONGEST;
--- a/crates/pipitcrank-gateway/src/near.rs
+++ b/crates/pipitcrank-gateway/src/near.rs
@@ -9,7 +9,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use pipitcrank_core::ids::{Ending, ReplicaId};
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::clock::duration;
 use pipitcrank_server::exchange::{CallNo, LeafSide};
 use pipitcrank_server::hall::Hall;
@@ -55,7 +55,7 @@
     address: SocketAddr,
     route: RefCell<Route>,
     lanes: Vec<Rc<Lane>>,
-    told: Cell<Option<Span>>,
+    told: Cell<Option<TimeSpan>>,
 }
 
 /// What this side is and knows, and each task of it shares.
@@ -87,7 +87,7 @@
         instance: u64,
         peers: Vec<Peer>,
         lanes: u16,
-        prefer_near: Span,
+        prefer_near: TimeSpan,
     ) -> Near {
         let Ground { hall, leaves, verticals, cells, .. } = ground;
         let side = Rc::new(Side { hall, own: own.to_string(), instance, verticals });
@@ -192,14 +192,14 @@
 fn tell_hop(side: &Side, site: &Site) {
     let hop = site.route.borrow_mut().hop(side.hall.clock.now());
     let same = match (hop, site.told.get()) {
-        (Some(now), Some(told)) => ((now - told).s()).abs() <= told.s() * 0.1 + 0.001,
+        (Some(now), Some(told)) => ((now - told).as_secs_f64()).abs() <= told.as_secs_f64() * 0.1 + 0.001,
         (now, told) => now.is_none() && told.is_none(),
     };
     if !same {
         if hop.is_some() != site.told.get().is_some() {
             tracing::info!(
                 site = site.name,
-                hop_ms = hop.map(|h| h.s() * 1000.0),
+                hop_ms = hop.map(|h| h.as_secs_f64() * 1000.0),
                 "the way is {}",
                 if hop.is_some() { "open" } else { "closed" }
             );
@@ -421,7 +421,7 @@
     /// One at a time: behind what is not taken from us there is no use for a second.
     fn ping(&mut self) {
         if self.next.is_empty() && self.writing.is_empty() {
-            self.say(&Said::Ping { sent_us: self.side.hall.clock.now().us() });
+            self.say(&Said::Ping { sent_us: self.side.hall.clock.now().as_micros() });
         }
     }
 
@@ -440,7 +440,7 @@
             Job::Call(leaf, mut parts) => {
                 self.lane.queued.set(self.lane.queued.get() - 1);
                 let now = self.side.hall.clock.now();
-                let way = self.site.route.borrow().trip().unwrap_or(Span::ZERO);
+                let way = self.site.route.borrow().trip().unwrap_or(TimeSpan::ZERO);
                 for going in self.side.hall.tell(|e| e.forward(now, leaf, &mut parts)) {
                     let mark = self.site.route.borrow_mut().sent(now);
                     let number = self.lane.book.borrow_mut().begin(
@@ -519,15 +519,15 @@
                 }
             }
             Said::Pong { sent_us, mine_us } => {
-                let took = now - pipitcrank_core::time::At::from_us(sent_us);
-                if took < Span::ZERO {
+                let took = now - pipitcrank_core::time::Timestamp::from_micros(sent_us);
+                if took < TimeSpan::ZERO {
                     return Err("bad_bytes");
                 }
                 self.site.route.borrow_mut().tripped(now, took);
-                let apart = mine_us.saturating_sub(sent_us / 2 + now.us() / 2);
-                tracing::trace!(site = self.site.name, trip_us = took.us(), apart_us = apart);
+                let apart = mine_us.saturating_sub(sent_us / 2 + now.as_micros() / 2);
+                tracing::trace!(site = self.site.name, trip_us = took.as_micros(), apart_us = apart);
             }
-            Said::Ping { sent_us } => self.say(&Said::Pong { sent_us, mine_us: now.us() }),
+            Said::Ping { sent_us } => self.say(&Said::Pong { sent_us, mine_us: now.as_micros() }),
             Said::Hello { .. }
             | Said::Forward(_)
             | Said::ForwardWithKey(..)
--- a/crates/pipitcrank-gateway/src/route.rs
+++ b/crates/pipitcrank-gateway/src/route.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 /// Failed forwards in a row that hold a site out: one may be a leaf's fault.
 const FAILS: u32 = 3;
@@ -21,29 +21,29 @@
 const GOOD: u32 = 3;
 /// How long it is held out at first, and at most: the first is some round trips of any link that is of use, the last is
 /// short against an outage, so that an end of it is seen soon.
-const HELD_OUT: Span = Span::from_ms(500);
-const HELD_OUT_MOST: Span = Span::from_ms(8000);
+const HELD_OUT: TimeSpan = TimeSpan::from_millis(500);
+const HELD_OUT_MOST: TimeSpan = TimeSpan::from_millis(8000);
 /// Weight of the newest round trip in the mean and of the newest distance in the spread (RFC 6298, section 2: 1/8, 1/4).
 const NEWEST: f64 = 0.125;
 const NEWEST_SPREAD: f64 = 0.25;
 /// Spreads on top of the mean, as there.
 const SPREADS: f64 = 4.0;
 /// Heartbeats are sent so often; so many round trips, and so many heartbeats, without a word close the site.
-pub const HEARTBEAT: Span = Span::from_ms(50);
+pub const HEARTBEAT: TimeSpan = TimeSpan::from_millis(50);
 const SILENT_BEATS: f64 = 3.0;
 /// Longest time that a site can have us stay away.
-const AWAY_MOST: Span = Span::from_ms(2000);
+const AWAY_MOST: TimeSpan = TimeSpan::from_millis(2000);
 /// A site that pings well but has answered no forward for so many of its usual times (and at least so long) is closed until it does: it accepts
 /// and is silent. Usual times scatter threefold.
 const STUCK_TIMES: f64 = 6.0;
-const STUCK_LEAST: Span = Span::from_ms(300);
+const STUCK_LEAST: TimeSpan = TimeSpan::from_millis(300);
 
 /// How a forward ended, as the route sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ended {
     Answered,
     /// Told to stay away for so long.
-    Rejected(Span),
+    Rejected(TimeSpan),
     /// It could not have been back in time, or was given up by us: says nothing of the site.
     Neither,
     /// Failed, lost with its link, or not answered by its time.
@@ -53,31 +53,31 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Trust {
     Good { fails: u32 },
-    HeldOut { until: At, times: u32 },
+    HeldOut { until: Timestamp, times: u32 },
     Trial { good: u32, times: u32 },
 }
 
 pub struct Route {
     /// What near leaves are preferred by.
-    prefer_near: Span,
+    prefer_near: TimeSpan,
     /// Links up.
     links: u32,
     /// Round trip and its spread, in seconds.
     trip: Option<(f64, f64)>,
-    heard: At,
-    away_until: At,
+    heard: Timestamp,
+    away_until: Timestamp,
     trust: Trust,
     /// Forwards out, by when they were sent; each leaves with its end.
-    out: BTreeMap<u64, At>,
+    out: BTreeMap<u64, Timestamp>,
     /// When a forward was last answered, in whole or part, and how long they usually take in seconds.
-    answered: At,
+    answered: Timestamp,
     usual: Option<f64>,
     next: u64,
 }
 
 impl Route {
-    pub fn new(prefer_near: Span) -> Route {
-        let never = At::from_us(i64::MIN / 4);
+    pub fn new(prefer_near: TimeSpan) -> Route {
+        let never = Timestamp::from_micros(i64::MIN / 4);
         Route {
             prefer_near,
             links: 0,
@@ -92,7 +92,7 @@
         }
     }
 
-    pub fn linked(&mut self, now: At) {
+    pub fn linked(&mut self, now: Timestamp) {
         self.links += 1;
         self.heard = now;
     }
@@ -105,14 +105,14 @@
         }
     }
 
-    pub fn heard(&mut self, now: At) {
+    pub fn heard(&mut self, now: Timestamp) {
         self.heard = now;
     }
 
     /// A heartbeat came back after so long.
-    pub fn tripped(&mut self, now: At, took: Span) {
+    pub fn tripped(&mut self, now: Timestamp, took: TimeSpan) {
         self.heard = now;
-        let took = took.s().max(0.0);
+        let took = took.as_secs_f64().max(0.0);
         self.trip = Some(match self.trip {
             None => (took, took / 2.0),
             Some((mean, spread)) => {
@@ -125,16 +125,16 @@
     }
 
     /// Round trip with its spreads: what the way there and back takes, all but always.
-    pub fn trip(&self) -> Option<Span> {
-        self.trip.map(|(mean, spread)| Span::from_s(mean + SPREADS * spread))
+    pub fn trip(&self) -> Option<TimeSpan> {
+        self.trip.map(|(mean, spread)| TimeSpan::from_secs_f64(mean + SPREADS * spread))
     }
 
-    pub fn mean_trip(&self) -> Option<Span> {
-        self.trip.map(|(mean, _)| Span::from_s(mean))
+    pub fn mean_trip(&self) -> Option<TimeSpan> {
+        self.trip.map(|(mean, _)| TimeSpan::from_secs_f64(mean))
     }
 
     /// A forward goes out; its mark here.
-    pub fn sent(&mut self, now: At) -> u64 {
+    pub fn sent(&mut self, now: Timestamp) -> u64 {
         self.next += 1;
         if self.out.is_empty() {
             self.answered = now;
@@ -144,16 +144,16 @@
     }
 
     /// Part of a forward was answered.
-    pub fn part(&mut self, now: At) {
+    pub fn part(&mut self, now: Timestamp) {
         self.answered = now;
     }
 
-    pub fn ended(&mut self, now: At, mark: u64, how: Ended) {
+    pub fn ended(&mut self, now: Timestamp, mark: u64, how: Ended) {
         let Some(sent) = self.out.remove(&mark) else { return };
         match how {
             Ended::Answered => {
                 self.answered = now;
-                let took = (now - sent).s();
+                let took = (now - sent).as_secs_f64();
                 self.usual = Some(self.usual.map_or(took, |u| u + NEWEST * (took - u)));
                 self.trust = match self.trust {
                     Trust::Trial { good, times } if good + 1 < GOOD => Trust::Trial { good: good + 1, times },
@@ -181,7 +181,7 @@
     }
 
     /// The cost of the hop while parts may go there.
-    pub fn hop(&mut self, now: At) -> Option<Span> {
+    pub fn hop(&mut self, now: Timestamp) -> Option<TimeSpan> {
         if let Trust::HeldOut { until, times } = self.trust
             && now >= until
         {
@@ -199,10 +199,10 @@
     }
 
     /// It has forwards of ours and answers none.
-    fn stuck(&self, now: At) -> bool {
+    fn stuck(&self, now: Timestamp) -> bool {
         let Some(&oldest) = self.out.values().min() else { return false };
-        let usual = Span::from_s(self.usual.unwrap_or(0.0)) * STUCK_TIMES;
-        let trip = self.mean_trip().unwrap_or(Span::ZERO);
+        let usual = TimeSpan::from_secs_f64(self.usual.unwrap_or(0.0)) * STUCK_TIMES;
+        let trip = self.mean_trip().unwrap_or(TimeSpan::ZERO);
         now - oldest.max(self.answered) > usual.max(STUCK_LEAST + trip)
     }
 
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -10,7 +10,7 @@
 use bytes::BytesMut;
 use pipitcrank_core::decide::Budget;
 use pipitcrank_core::ids::{Ending, ReplicaId};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_core::told::Told;
 use pipitcrank_gateway::far::Far;
 use pipitcrank_gateway::frames::{Forward, How, Said, VERSION, encode, take};
@@ -83,7 +83,7 @@
             verticals: vec!["view".into(), "sale".into()],
             shards: 4,
             cells: 1,
-            longest: Span::from_ms(6000),
+            longest: TimeSpan::from_millis(6000),
             tickets: Arc::new(AtomicU64::new(0)),
             leaving: left.clone(),
             end_called: watch::channel(None).1,
@@ -96,7 +96,7 @@
         let side: Rc<RefCell<dyn LeafSide>> =
             Rc::new(RefCell::new(Runs { hall: hall.clone(), ran: Rc::clone(&ran), answers }));
         let turns = hall.clone();
-        tokio::task::spawn_local(async move { turns.take_turns(Span::from_ms(1), &*side).await });
+        tokio::task::spawn_local(async move { turns.take_turns(TimeSpan::from_millis(1), &*side).await });
         tokio::time::timeout(Duration::from_secs(30), scene(Scene { address, hall, ran, leave }))
             .await
             .unwrap();
@@ -169,7 +169,7 @@
         number,
         id: "q".into(),
         vertical: vertical.into(),
-        left: Span::from_ms(4000),
+        left: TimeSpan::from_millis(4000),
         further: 0,
         crossed: vec!["north".into()],
         parts: vec![(0, 0.5, None), (2, 0.25, None)],
@@ -254,8 +254,8 @@
         let mut peer = Peer::greeted(&scene, 1).await;
         let mut n = 0;
         for (change, how) in [
-            ((|f| f.left = Span::from_ms(1)) as fn(&mut Forward), How::Late),
-            (|f| f.left = Span::from_ms(-50), How::Late),
+            ((|f| f.left = TimeSpan::from_millis(1)) as fn(&mut Forward), How::Late),
+            (|f| f.left = TimeSpan::from_millis(-50), How::Late),
             (|f| f.vertical = "nothing".into(), How::NotHere),
             (|f| f.parts[0].0 = 99, How::NotHere),
             (|f| f.crossed = vec!["south".into()], How::NotHere),
@@ -385,19 +385,19 @@
     fn near_and_far_together_keep_the_budget(
         steps in proptest::collection::vec(step(), 0..250), free in 0u32..6, share in 0.0f64..0.6, span_ms in 500i64..8000)
     {
-        let (free, span) = (f64::from(free), Span::from_ms(span_ms));
+        let (free, span) = (f64::from(free), TimeSpan::from_millis(span_ms));
         let mut near = Budget::new(share, free, Some(span));
-        let (mut now, mut taken, mut made) = (At::default(), Vec::new(), Vec::new());
-        let mut out: Vec<(u64, u32, u32, At, bool)> = Vec::new();
+        let (mut now, mut taken, mut made) = (Timestamp::default(), Vec::new(), Vec::new());
+        let mut out: Vec<(u64, u32, u32, Timestamp, bool)> = Vec::new();
         let mut who = 0;
-        let kept = |now: At, taken: &[At], made: &[At]| {
+        let kept = |now: Timestamp, taken: &[Timestamp], made: &[Timestamp]| {
             let taken = taken.iter().filter(|&&t| now - t < span).count() as f64;
             let made = made.iter().filter(|&&t| now - t <= span).count() as f64;
             made <= free + share * taken + 1e-9
         };
         for step in steps {
             match step {
-                Step::Wait(ms) => now = now + Span::from_ms(ms),
+                Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
                 Step::Taken => { near.take(now); taken.push(now); }
                 Step::NearFurther => if near.left(now) >= 1.0 {
                     near.spend(now);
@@ -406,7 +406,7 @@
                 }
                 Step::Lend(most, ms) => {
                     who += 1;
-                    let until = now + Span::from_ms(ms);
+                    let until = now + TimeSpan::from_millis(ms);
                     let n = near.lend_some(now, who, most, until);
                     out.push((who, n, n, until, true));
                 }
--- a/crates/pipitcrank-gateway/tests/stored_forms.rs
+++ b/crates/pipitcrank-gateway/tests/stored_forms.rs
@@ -1,7 +1,7 @@
 //! Frames of the link between gateways, against bytes of an earlier version.
 
 use bytes::BytesMut;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_gateway::frames::{self, Forward, How, Said};
 
 #[path = "../../../fixtures/mod.rs"]
@@ -12,7 +12,7 @@
         number: 7,
         id: "9b1f".into(),
         vertical: "view".into(),
-        left: Span::from_ms(800),
+        left: TimeSpan::from_millis(800),
         further: 2,
         crossed: vec!["north".into()],
         parts: vec![(3, 0.75, None), (4, 0.25, Some(0.01))],
@@ -31,7 +31,7 @@
         ("give_up", Said::GiveUp { number: 7 }),
         ("part", Said::Part { number: 7, shard: 3, value: "5be2".into() }),
         ("end_done", end(How::Done)),
-        ("end_rejected", end(How::Rejected { stay_away: Span::from_ms(50) })),
+        ("end_rejected", end(How::Rejected { stay_away: TimeSpan::from_millis(50) })),
         ("end_aborted", end(How::Aborted)),
         ("end_late", end(How::Late)),
         ("end_not_here", end(How::NotHere)),
--- a/crates/pipitcrank-handover/src/book.rs
+++ b/crates/pipitcrank-handover/src/book.rs
@@ -18,7 +18,7 @@
 
 use std::collections::VecDeque;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 /// A worker, by the order in which they were started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -83,29 +83,29 @@
     /// Nobody else is about. Without anybody who serves one is started at `start_at`.
     Idle {
         serving: Option<Worker>,
-        start_at: Option<At>,
+        start_at: Option<Timestamp>,
     },
     Starting {
         old: Option<Worker>,
         new: Worker,
-        since: At,
+        since: Timestamp,
     },
     Learning {
         old: Worker,
         new: Worker,
-        since: At,
+        since: Timestamp,
     },
     Trial {
         old: Worker,
         new: Worker,
-        since: At,
-        heard: At,
+        since: Timestamp,
+        heard: Timestamp,
         drained: bool,
     },
     Passing {
         old: Worker,
         new: Worker,
-        since: At,
+        since: Timestamp,
         ended: bool,
     },
     Ending {
@@ -117,13 +117,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// For a new process to have read and checked all, and again to have taken what is known.
-    pub start: Span,
+    pub start: TimeSpan,
     /// A new one is on trial for so long at least.
-    pub settle: Span,
+    pub settle: TimeSpan,
     /// One on trial is silent for so long at most.
-    pub silent: Span,
+    pub silent: TimeSpan,
     /// For the old one's own queries in a trial, and again for its last answers while it passes.
-    pub finish: Span,
+    pub finish: TimeSpan,
 }
 
 pub struct Book {
@@ -133,7 +133,7 @@
     alive: Vec<Worker>,
     next: u32,
     /// When workers that served died of themselves; emptied as they leave the span.
-    crashes: VecDeque<At>,
+    crashes: VecDeque<Timestamp>,
     last_undone: Option<Undone>,
     pub asked: u64,
     pub done: u64,
@@ -143,13 +143,13 @@
 /// A worker that serves and dies is started anew so often within the span, then the keeper ends too, as the process
 /// alone would have: a program that can't live is no better for being started for ever.
 const MOST_CRASHES: usize = 3;
-const CRASH_SPAN: Span = Span::from_ms(60_000);
+const CRASH_SPAN: TimeSpan = TimeSpan::from_millis(60_000);
 /// The pause before a second start, doubled with each crash more; the first is made up for at once.
-const START_AGAIN: Span = Span::from_ms(100);
+const START_AGAIN: TimeSpan = TimeSpan::from_millis(100);
 
 impl Book {
     /// The first worker is to be started.
-    pub fn open(now: At, times: Times) -> (Book, Vec<Wish>) {
+    pub fn open(now: Timestamp, times: Times) -> (Book, Vec<Wish>) {
         let state = State::Idle { serving: None, start_at: None };
         let (alive, crashes) = (Vec::new(), VecDeque::new());
         let mut book =
@@ -165,7 +165,7 @@
     }
 
     /// When `Tick` is due if nothing happens before.
-    pub fn due(&self) -> Option<At> {
+    pub fn due(&self) -> Option<Timestamp> {
         match self.state {
             State::Idle { start_at, .. } => start_at,
             State::Starting { since, .. } | State::Learning { since, .. } => Some(since + self.times.start),
@@ -204,7 +204,7 @@
         &self.alive
     }
 
-    pub fn on(&mut self, now: At, event: Event) -> Vec<Wish> {
+    pub fn on(&mut self, now: Timestamp, event: Event) -> Vec<Wish> {
         let mut wishes = Vec::new();
         if let Event::Gone(who, _) | Event::NotStarted(who) = event {
             // Guards against a second end of the same process: only the first is one.
@@ -250,7 +250,7 @@
         wishes
     }
 
-    fn start(&mut self, now: At, old: Option<Worker>, wishes: &mut Vec<Wish>) {
+    fn start(&mut self, now: Timestamp, old: Option<Worker>, wishes: &mut Vec<Wish>) {
         let new = Worker(self.next);
         self.next += 1;
         self.alive.push(new);
@@ -258,7 +258,7 @@
         wishes.push(Wish::Start(new));
     }
 
-    fn asked(&mut self, now: At, wishes: &mut Vec<Wish>) {
+    fn asked(&mut self, now: Timestamp, wishes: &mut Vec<Wish>) {
         self.asked += 1;
         match self.state {
             State::Idle { serving: Some(old), .. } if self.alive == [old] => {
@@ -271,7 +271,7 @@
         wishes.extend(self.serving().map(Wish::Tell));
     }
 
-    fn checked(&mut self, now: At, who: Worker, wishes: &mut Vec<Wish>) {
+    fn checked(&mut self, now: Timestamp, who: Worker, wishes: &mut Vec<Wish>) {
         match self.state {
             State::Starting { old: None, new, .. } if new == who => {
                 self.state = State::Idle { serving: Some(new), start_at: None };
@@ -285,7 +285,7 @@
         }
     }
 
-    fn tick(&mut self, now: At, wishes: &mut Vec<Wish>) {
+    fn tick(&mut self, now: Timestamp, wishes: &mut Vec<Wish>) {
         if self.due().is_none_or(|due| now < due) {
             return;
         }
@@ -337,7 +337,7 @@
         }
     }
 
-    fn gone(&mut self, now: At, who: Worker, code: Option<i32>, why: Undone, wishes: &mut Vec<Wish>) {
+    fn gone(&mut self, now: Timestamp, who: Worker, code: Option<i32>, why: Undone, wishes: &mut Vec<Wish>) {
         match self.state {
             State::Starting { old: Some(old), new, .. }
             | State::Learning { old, new, .. }
@@ -381,7 +381,7 @@
     }
 
     /// Nobody serves any more. `fresh`: it had not begun to.
-    fn died(&mut self, now: At, code: Option<i32>, fresh: bool, wishes: &mut Vec<Wish>) {
+    fn died(&mut self, now: Timestamp, code: Option<i32>, fresh: bool, wishes: &mut Vec<Wish>) {
         self.crashes.retain(|&t| now - t < CRASH_SPAN);
         // The very first start says by its code what is wrong, and one that ends well was asked to by its signal.
         let told = fresh && self.crashes.is_empty() || code == Some(0);
@@ -396,9 +396,9 @@
         }
         let earlier = self.crashes.len() as u32;
         self.crashes.push_back(now);
-        let pause = if earlier == 0 { Span::ZERO } else { START_AGAIN * f64::from(1 << (earlier - 1)) };
+        let pause = if earlier == 0 { TimeSpan::ZERO } else { START_AGAIN * f64::from(1 << (earlier - 1)) };
         self.state = State::Idle { serving: None, start_at: Some(now + pause) };
-        if pause == Span::ZERO {
+        if pause == TimeSpan::ZERO {
             self.tick(now, wishes);
         }
     }
--- a/crates/pipitcrank-handover/src/division.rs
+++ b/crates/pipitcrank-handover/src/division.rs
@@ -11,34 +11,34 @@
 //! **Sockets and open queries**: the old one keeps what it has and tells the new one as that shrinks.
 
 use pipitcrank_core::decide::known::Known;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 
 /// Of what is left in the window, the share that the old one keeps for the queries that it finishes: it has all open
 /// ones, and the new one has what comes.
 const OLD_SHARE: f64 = 0.5;
 /// Two processes read the clock one after the other; a window's edge is not trusted to be finer than this.
-const CLOCKS_APART: Span = Span::from_ms(20);
+const CLOCKS_APART: TimeSpan = TimeSpan::from_millis(20);
 
 /// What the old process may still do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Purse {
     pub further: u32,
-    pub within: Span,
+    pub within: TimeSpan,
 }
 
 /// Divides the budget: what the old process keeps, while `known` becomes what the new one goes on with. `longest` is how
 /// long the old one may need for what it holds.
-pub fn divide(free: f64, share: f64, span: Span, longest: Span, known: &mut Known) -> Purse {
+pub fn divide(free: f64, share: f64, span: TimeSpan, longest: TimeSpan, known: &mut Known) -> Purse {
     // Without a budget neither process counts.
-    if span <= Span::ZERO {
+    if span <= TimeSpan::ZERO {
         return Purse { further: 0, within: longest };
     }
     // What is out at other sites may still be spent until its own time is over: arrivals have to last until then too.
-    let out = known.lent.iter().map(|(_, left)| *left).max().unwrap_or(Span::ZERO);
+    let out = known.lent.iter().map(|(_, left)| *left).max().unwrap_or(TimeSpan::ZERO);
     let within = longest.max(out).min(span);
     known.taken.retain(|&age| age + within + CLOCKS_APART < span);
     known.taken.iter_mut().for_each(|age| *age = *age + CLOCKS_APART);
-    known.further.iter_mut().for_each(|age| *age = (*age - CLOCKS_APART).max(Span::ZERO));
+    known.further.iter_mut().for_each(|age| *age = (*age - CLOCKS_APART).max(TimeSpan::ZERO));
     let elsewhere: u32 = known.lent.iter().map(|(n, _)| n).sum();
     let left = free + share * known.taken.len() as f64 - known.further.len() as f64 - f64::from(elsewhere);
     let further = (left * OLD_SHARE).floor().max(0.0) as u32;
--- a/crates/pipitcrank-handover/src/division/tests.rs
+++ b/crates/pipitcrank-handover/src/division/tests.rs
@@ -1,5 +1,5 @@
 use pipitcrank_core::decide::Budget;
-use pipitcrank_core::time::At;
+use pipitcrank_core::time::Timestamp;
 use proptest::prelude::*;
 
 use super::*;
@@ -24,7 +24,14 @@
 }
 
 /// The rule read off the page, for one co-ordinator: all arrivals and all further calls, whoever made them.
-fn kept(free: f64, share: f64, span: Span, now: At, taken: &[At], made: &[At]) -> bool {
+fn kept(
+    free: f64,
+    share: f64,
+    span: TimeSpan,
+    now: Timestamp,
+    taken: &[Timestamp],
+    made: &[Timestamp],
+) -> bool {
     let taken = taken.iter().filter(|&&t| now - t < span).count() as f64;
     let made = made.iter().filter(|&&t| now - t <= span).count() as f64;
     made <= free + share * taken + 1e-9
@@ -42,12 +49,12 @@
         free in 0u32..5, share in 0.0f64..0.6, span_ms in 500i64..8000, longest_ms in 100i64..12_000,
         skew_us in -5000i64..5000, old_gone_at in 0usize..200,
     ) {
-        let (free, span) = (f64::from(free), Span::from_ms(span_ms));
+        let (free, span) = (f64::from(free), TimeSpan::from_millis(span_ms));
         let mut one = Budget::new(share, free, Some(span));
-        let (mut now, mut taken, mut made) = (At::default(), Vec::new(), Vec::new());
+        let (mut now, mut taken, mut made) = (Timestamp::default(), Vec::new(), Vec::new());
         for step in before {
             match step {
-                Step::Wait(ms) => now = now + Span::from_ms(ms),
+                Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
                 Step::Taken => { one.take(now); taken.push(now); }
                 Step::OldSends | Step::NewSends if one.left(now) >= 1.0 => { one.spend(now); made.push(now); }
                 _ => {}
@@ -57,10 +64,10 @@
         let mut known = Known::default();
         known.taken = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
         known.further = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
-        let purse = divide(free, share, span, Span::from_ms(longest_ms), &mut known);
+        let purse = divide(free, share, span, TimeSpan::from_millis(longest_ms), &mut known);
         let (mut purse_left, until) = (purse.further, now + purse.within);
         // The new one's clock is a little off.
-        let skew = Span::from_s(skew_us as f64 / 1e6);
+        let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
         let mut new = Budget::new(share, free, Some(span));
         for (&age, further) in known.taken.iter().map(|a| (a, false)).chain(known.further.iter().map(|a| (a, true))) {
             let at = now - age + skew;
@@ -74,7 +81,7 @@
                 new.settle(now + skew, 1, purse.further - purse_left);
             }
             match step {
-                Step::Wait(ms) => now = now + Span::from_ms(ms),
+                Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
                 Step::Taken => { new.take(now + skew); taken.push(now); }
                 Step::OldSends if !settled && purse_left > 0 && now < until => {
                     purse_left -= 1;
@@ -101,16 +108,16 @@
 #[test]
 fn without_a_budget_or_room_nothing_is_lent() {
     let mut known = Known::default();
-    assert_eq!(divide(0.0, 0.0, Span::ZERO, Span::from_ms(5), &mut known).further, 0);
-    known.further = vec![Span::ZERO; 3];
+    assert_eq!(divide(0.0, 0.0, TimeSpan::ZERO, TimeSpan::from_millis(5), &mut known).further, 0);
+    known.further = vec![TimeSpan::ZERO; 3];
     known.further.clear();
-    known.lent = vec![(3, Span::from_ms(5))];
+    known.lent = vec![(3, TimeSpan::from_millis(5))];
     assert_eq!(
-        divide(3.0, 0.1, Span::from_ms(900), Span::from_ms(5), &mut known).further,
+        divide(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut known).further,
         0,
         "it is out already"
     );
     known.lent.clear();
-    known.further = vec![Span::ZERO; 3];
-    assert_eq!(divide(3.0, 0.1, Span::from_ms(900), Span::from_ms(5), &mut known).further, 0);
+    known.further = vec![TimeSpan::ZERO; 3];
+    assert_eq!(divide(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut known).further, 0);
 }
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use pipitcrank_core::decide::known::Known;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
 const MAGIC: [u8; 4] = *b"pckn";
@@ -25,7 +25,7 @@
     pub leaves: Vec<SeenLeaf>,
     pub known: Known,
     /// Further calls that stay with the giver, and for how long.
-    pub lent: (u32, Span),
+    pub lent: (u32, TimeSpan),
 }
 
 /// One leaf of the list; its place is the index by which `known` names it.
@@ -37,9 +37,9 @@
     pub cell: u32,
     /// Name of its zone, where discovery says.
     pub zone: Option<String>,
-    pub started: Option<Span>,
+    pub started: Option<TimeSpan>,
     /// How long ago it was told to drain or be gone.
-    pub off: Option<Span>,
+    pub off: Option<TimeSpan>,
 }
 
 #[derive(Debug, PartialEq, thiserror::Error)]
@@ -92,7 +92,7 @@
         let (snapshot, rest): (Snapshot, _) = postcard::take_from_bytes(body).map_err(|_| Refused::Body)?;
         let few =
             snapshot.leaves.len().max(snapshot.known.taken.len()).max(snapshot.known.further.len()) <= MOST;
-        let past = |s: &Option<Span>| s.is_none_or(|s| s >= Span::ZERO);
+        let past = |s: &Option<TimeSpan>| s.is_none_or(|s| s >= TimeSpan::ZERO);
         let leaves = snapshot.leaves.iter().all(|l| past(&l.off) && !l.uid.is_empty());
         if rest.is_empty() && few && leaves && snapshot.known.sound() {
             Ok(snapshot)
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -9,11 +9,11 @@
         address: Some(([127, 0, 0, 1], n as u16).into()),
         cell: n,
         zone: (n > 2).then(|| "a".to_string()),
-        started: (n > 1).then(|| Span::from_ms(70)),
-        off: (n == 3).then(|| Span::from_ms(5)),
+        started: (n > 1).then(|| TimeSpan::from_millis(70)),
+        off: (n == 3).then(|| TimeSpan::from_millis(5)),
     };
     let mut known = Known::default();
-    known.taken = vec![Span::from_ms(3); 9];
+    known.taken = vec![TimeSpan::from_millis(3); 9];
     // The share of the time left that is filled starts between its bounds.
     let mut root = pipitcrank_core::decide::Root::new(
         pipitcrank_core::chance::Chance::new(1),
@@ -22,16 +22,16 @@
         Default::default(),
         Default::default(),
         false,
-        Span::from_ms(5),
+        TimeSpan::from_millis(5),
     );
-    let mut fresh = root.known(pipitcrank_core::time::At::default());
+    let mut fresh = root.known(pipitcrank_core::time::Timestamp::default());
     fresh.taken = known.taken;
     Snapshot {
         taken_us: 5,
         rev: Some(7),
         leaves: (0..4).map(leaf).collect(),
         known: fresh,
-        lent: (2, Span::from_ms(9)),
+        lent: (2, TimeSpan::from_millis(9)),
     }
 }
 
@@ -46,7 +46,7 @@
     foreign[0] = b'x';
     assert_eq!(Snapshot::decode(&foreign), Err(Refused::Foreign));
     let mut unsound = some();
-    unsound.known.taken[0] = Span::from_ms(-1);
+    unsound.known.taken[0] = TimeSpan::from_millis(-1);
     assert_eq!(Snapshot::decode(&unsound.encode().unwrap()), Err(Refused::Unsound));
 }
 
--- a/crates/pipitcrank-handover/src/words.rs
+++ b/crates/pipitcrank-handover/src/words.rs
@@ -1,6 +1,6 @@
 //! What is said: between the keeper and a worker, and between the old worker and the new one.
 
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
 /// Raised with each change of what is said here; the first thing said is this.
@@ -70,7 +70,7 @@
     /// within that.
     Connection {
         read: Vec<u8>,
-        whole_within: Option<Span>,
+        whole_within: Option<TimeSpan>,
     },
     /// The old one ends: further calls it made of those lent, and its counters.
     Bye {
@@ -94,7 +94,7 @@
     pub id: String,
     pub vertical: u16,
     /// Time left.
-    pub left: Span,
+    pub left: TimeSpan,
     pub parts: Vec<(u32, f64, Option<f64>)>,
     pub text: String,
 }
@@ -102,7 +102,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RelayedFinal {
     Merged { whole: bool, hits: Vec<(u32, String)> },
-    Rejected { stay_away: Span },
+    Rejected { stay_away: TimeSpan },
     Aborted,
     Repeated,
 }
--- a/crates/pipitcrank-handover/tests/book.rs
+++ b/crates/pipitcrank-handover/tests/book.rs
@@ -2,26 +2,26 @@
 
 use std::collections::BTreeSet;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::book::{Book, Event, Times, Undone, Wish, Worker};
 use proptest::prelude::*;
 
 const TIMES: Times = Times {
-    start: Span::from_ms(1000),
-    settle: Span::from_ms(500),
-    silent: Span::from_ms(300),
-    finish: Span::from_ms(2000),
+    start: TimeSpan::from_millis(1000),
+    settle: TimeSpan::from_millis(500),
+    silent: TimeSpan::from_millis(300),
+    finish: TimeSpan::from_millis(2000),
 };
 
 struct World {
-    now: At,
+    now: Timestamp,
     book: Book,
     alive: BTreeSet<Worker>,
     /// Told to serve and not to pass since.
     accepting: BTreeSet<Worker>,
     /// Told to end or killed: their processes end sooner or later.
     ending: BTreeSet<Worker>,
-    learned: Option<(Worker, At)>,
+    learned: Option<(Worker, Timestamp)>,
     exit: Option<i32>,
     end_called: bool,
     told: Vec<Wish>,
@@ -29,7 +29,7 @@
 
 impl World {
     fn new() -> World {
-        let now = At::from_us(0);
+        let now = Timestamp::from_micros(0);
         let (book, wishes) = Book::open(now, TIMES);
         let mut world = World {
             now,
@@ -171,7 +171,7 @@
         for step in steps {
             match step {
                 Step::Wait(ms) => {
-                    world.now = world.now + Span::from_ms(ms);
+                    world.now = world.now + TimeSpan::from_millis(ms);
                     world.on(Event::Tick);
                 }
                 Step::Happens(15, _) if !calls_end => {}
@@ -197,7 +197,7 @@
 }
 
 fn wait(world: &mut World, ms: i64) {
-    world.now = world.now + Span::from_ms(ms);
+    world.now = world.now + TimeSpan::from_millis(ms);
     world.on(Event::Tick);
 }
 
@@ -319,7 +319,7 @@
     let mut world = served();
     for n in 0..3 {
         world.on(Event::Gone(Worker(n), None));
-        world.now = world.now + Span::from_ms(400);
+        world.now = world.now + TimeSpan::from_millis(400);
         world.on(Event::Tick);
         assert!(world.told.contains(&Wish::Start(Worker(n + 1))));
         world.on(Event::Checked(Worker(n + 1)));
--- a/crates/pipitcrank-handover/tests/stored_forms.rs
+++ b/crates/pipitcrank-handover/tests/stored_forms.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Debug;
 
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_handover::snapshot::{SeenLeaf, Snapshot};
 use pipitcrank_handover::words::{RelayedAsk, RelayedFinal, ToKeeper, ToNew, ToOld, ToWorker};
 use serde::Serialize;
@@ -28,8 +28,8 @@
                 address: Some(([127, 0, 0, 1], 7010).into()),
                 cell: 5,
                 zone: Some("a".into()),
-                started: Some(Span::from_ms(70)),
-                off: Some(Span::from_ms(6)),
+                started: Some(TimeSpan::from_millis(70)),
+                off: Some(TimeSpan::from_millis(6)),
             },
             SeenLeaf {
                 index: 9,
@@ -42,7 +42,7 @@
             },
         ],
         known: postcard::from_bytes(known).unwrap(),
-        lent: (2, Span::from_ms(9)),
+        lent: (2, TimeSpan::from_millis(9)),
     }
 }
 
@@ -57,7 +57,7 @@
         ticket: 21,
         id: "9b1f".into(),
         vertical: 2,
-        left: Span::from_ms(850),
+        left: TimeSpan::from_millis(850),
         parts: vec![(3, 0.75, None), (4, 0.25, Some(0.01))],
         text: "c41e77d0".into(),
     }
@@ -98,7 +98,7 @@
             ("room", ToNew::Room { leaves: 11, clients: 12, open: 13 }),
             (
                 "connection",
-                ToNew::Connection { read: b"POST".to_vec(), whole_within: Some(Span::from_ms(2500)) },
+                ToNew::Connection { read: b"POST".to_vec(), whole_within: Some(TimeSpan::from_millis(2500)) },
             ),
             ("idle_connection", ToNew::Connection { read: Vec::new(), whole_within: None }),
             ("bye", ToNew::Bye { further: 3, counters: vec![("queries".into(), "taken".into(), 9)] }),
@@ -111,7 +111,7 @@
         &[
             ("hello", ToOld::Hello { version: 1 }),
             ("merged", answer(RelayedFinal::Merged { whole: true, hits: vec![(3, "5be2".into())] })),
-            ("rejected", answer(RelayedFinal::Rejected { stay_away: Span::from_ms(50) })),
+            ("rejected", answer(RelayedFinal::Rejected { stay_away: TimeSpan::from_millis(50) })),
             ("aborted", answer(RelayedFinal::Aborted)),
             ("repeated", answer(RelayedFinal::Repeated)),
         ],
--- a/crates/pipitcrank-membership/src/evidence.rs
+++ b/crates/pipitcrank-membership/src/evidence.rs
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Copies of one zone that speak for it: enough that the middle of them stands against two sick ones; what those who
 /// decide hear grows with zones, not with copies.
 pub const SPEAKERS: usize = 5;
 /// A word is good for so long: some of those who speak so often may be lost.
-pub const SPEAK: Span = Span::from_ms(250);
-const GOOD_FOR: Span = Span::from_ms(1000);
+pub const SPEAK: TimeSpan = TimeSpan::from_millis(250);
+const GOOD_FOR: TimeSpan = TimeSpan::from_millis(1000);
 /// Share of the leaves seen that are bad from which a zone is seen as bad, and from which it is seen as well again.
 pub const BAD: f64 = 0.8;
 pub const WELL: f64 = 0.2;
@@ -76,7 +76,7 @@
 }
 
 struct Held {
-    at: At,
+    at: Timestamp,
     instance: u64,
     word: Word,
 }
@@ -136,7 +136,7 @@
     }
 
     /// Takes a copy's word; whether it could be used.
-    pub fn take(&mut self, now: At, from: SocketAddr, instance: u64, word: Word) -> bool {
+    pub fn take(&mut self, now: Timestamp, from: SocketAddr, instance: u64, word: Word) -> bool {
         if !word.sound(self.zones) {
             return false;
         }
@@ -152,7 +152,7 @@
         true
     }
 
-    pub fn join(&mut self, now: At) -> Matrix {
+    pub fn join(&mut self, now: Timestamp) -> Matrix {
         self.held.retain(|_, h| now - h.at <= GOOD_FOR);
         let mut matrix = Matrix {
             cells: vec![vec![Cell::default(); self.zones]; self.zones],
--- a/crates/pipitcrank-membership/src/evidence/tests.rs
+++ b/crates/pipitcrank-membership/src/evidence/tests.rs
@@ -17,10 +17,10 @@
         for copy in 0..3 {
             let rows = silent[usize::from(zone)].iter().map(|&s| row(10 - s, s)).collect();
             let word = Word { zone, number: 1, rows, asked: 10, copies: 3 };
-            assert!(words.take(At::default(), at(zone * 10 + copy), 1, word));
+            assert!(words.take(Timestamp::default(), at(zone * 10 + copy), 1, word));
         }
     }
-    words.join(At::default())
+    words.join(Timestamp::default())
 }
 
 #[test]
@@ -47,9 +47,9 @@
     for copy in 0..3 {
         let silent = if copy == 2 { 10 } else { 0 };
         let rows = vec![row(10 - silent, silent); 2];
-        words.take(At::default(), at(copy), 1, Word { zone: 0, number: 1, rows, asked: 1, copies: 3 });
+        words.take(Timestamp::default(), at(copy), 1, Word { zone: 0, number: 1, rows, asked: 1, copies: 3 });
     }
-    let matrix = words.join(At::default());
+    let matrix = words.join(Timestamp::default());
     assert_eq!(matrix.sick, [at(2)]);
     assert_eq!(matrix.finding(1), Finding::Well);
     assert_eq!(matrix.speakers(0), 2);
@@ -63,12 +63,12 @@
     // The other way round: its leaves are well, and none of its copies speaks.
     let mut words = Words::new(2);
     words.take(
-        At::default(),
+        Timestamp::default(),
         at(1),
         1,
         Word { zone: 0, number: 1, rows: vec![row(9, 0); 2], asked: 1, copies: 1 },
     );
-    let matrix = words.join(At::default());
+    let matrix = words.join(Timestamp::default());
     assert_eq!((matrix.finding(1), matrix.speakers(1)), (Finding::Well, 0));
 }
 
@@ -77,28 +77,28 @@
     let mut words = Words::new(2);
     let slow = Row { listed: 10, full: 9, answering: 1, ..Row::default() };
     words.take(
-        At::default(),
+        Timestamp::default(),
         at(1),
         1,
         Word { zone: 0, number: 1, rows: vec![row(9, 0), slow], asked: 1, copies: 1 },
     );
-    assert_eq!(words.join(At::default()).finding(1), Finding::Slow);
+    assert_eq!(words.join(Timestamp::default()).finding(1), Finding::Slow);
 }
 
 #[test]
 fn old_and_impossible_words_do_not_count() {
     let mut words = Words::new(2);
     let word = |number, good| Word { zone: 0, number, rows: vec![row(good, 0); 2], asked: 5, copies: 1 };
-    assert!(words.take(At::default(), at(1), 1, word(2, 9)));
-    assert!(words.take(At::default(), at(1), 1, word(1, 3)), "overtaken, left");
-    assert_eq!(words.join(At::default()).well(1), 9.0);
-    assert!(words.take(At::default(), at(1), 2, word(1, 4)), "another process");
-    assert_eq!(words.join(At::default()).well(1), 4.0);
-    assert!(!words.take(At::default(), at(2), 1, Word { zone: 7, ..word(1, 1) }));
-    assert!(!words.take(At::default(), at(2), 1, Word { rows: vec![], ..word(1, 1) }));
+    assert!(words.take(Timestamp::default(), at(1), 1, word(2, 9)));
+    assert!(words.take(Timestamp::default(), at(1), 1, word(1, 3)), "overtaken, left");
+    assert_eq!(words.join(Timestamp::default()).well(1), 9.0);
+    assert!(words.take(Timestamp::default(), at(1), 2, word(1, 4)), "another process");
+    assert_eq!(words.join(Timestamp::default()).well(1), 4.0);
+    assert!(!words.take(Timestamp::default(), at(2), 1, Word { zone: 7, ..word(1, 1) }));
+    assert!(!words.take(Timestamp::default(), at(2), 1, Word { rows: vec![], ..word(1, 1) }));
     let over = Row { listed: 1, answering: 5, ..Row::default() };
-    assert!(!words.take(At::default(), at(2), 1, Word { rows: vec![over; 2], ..word(1, 1) }));
-    let later = At::default() + GOOD_FOR + Span::from_ms(1);
+    assert!(!words.take(Timestamp::default(), at(2), 1, Word { rows: vec![over; 2], ..word(1, 1) }));
+    let later = Timestamp::default() + GOOD_FOR + TimeSpan::from_millis(1);
     assert_eq!(words.join(later).finding(1), Finding::Unknown);
 }
 
@@ -117,10 +117,10 @@
                     (_, 1) => row(0, 10),
                     _ => row(10, 0),
                 }).collect();
-                words.take(At::default(), at(zone * 10 + copy), 1, Word { zone, number: 1, rows, asked: 1, copies: 5 });
+                words.take(Timestamp::default(), at(zone * 10 + copy), 1, Word { zone, number: 1, rows, asked: 1, copies: 5 });
             }
         }
-        let matrix = words.join(At::default());
+        let matrix = words.join(Timestamp::default());
         for zone in 0..3 {
             prop_assert_eq!(matrix.finding(zone), honest.finding(zone));
         }
--- a/crates/pipitcrank-membership/src/members.rs
+++ b/crates/pipitcrank-membership/src/members.rs
@@ -17,7 +17,7 @@
     AccumulatingRuntime, BroadcastHandler, Config, Foca, Invalidates, OwnedNotification, PeriodicParams,
     Timer,
 };
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -40,7 +40,7 @@
 const ASK_DEAD: Duration = Duration::from_millis(1000);
 /// Peers of the operators' file that are no members are asked so often, so many of them, by turns: one that answers
 /// tells of all others. Guards against a thousand copies that start at once and ask a thousand each.
-const ASK_NAMED: Span = Span::from_ms(1000);
+const ASK_NAMED: TimeSpan = TimeSpan::from_millis(1000);
 const NAMED_AT_ONCE: usize = 8;
 /// Longest word that goes round as a rumour: fits beside what foca itself says.
 pub const LONGEST_RUMOUR: usize = 900;
@@ -169,12 +169,12 @@
     rumours: Shared,
     runtime: AccumulatingRuntime<Peer>,
     /// What foca asked to be told later; each leaves when its time comes.
-    timers: BTreeMap<(At, u64), Timer<Peer>>,
+    timers: BTreeMap<(Timestamp, u64), Timer<Peer>>,
     next_timer: u64,
     /// Peers of the operators' file, and when they are asked next.
     named: Vec<SocketAddr>,
     next_named: usize,
-    ask_named: At,
+    ask_named: Timestamp,
     news: Vec<News>,
     send: Vec<(SocketAddr, Vec<u8>)>,
     /// How often members came or went.
@@ -198,7 +198,7 @@
             next_timer: 0,
             next_named: seed as usize % named.len().max(1),
             named,
-            ask_named: At::from_us(i64::MIN),
+            ask_named: Timestamp::from_micros(i64::MIN),
             news: Vec::new(),
             send: Vec::new(),
             changes: 0,
@@ -221,7 +221,7 @@
     }
 
     /// A body of gossip that came.
-    pub fn heard(&mut self, now: At, body: &[u8]) {
+    pub fn heard(&mut self, now: Timestamp, body: &[u8]) {
         if self.foca.handle_data(body, &mut self.runtime).is_err() {
             self.unread += 1;
         }
@@ -229,11 +229,11 @@
     }
 
     /// When `tick` is due.
-    pub fn due(&self) -> At {
+    pub fn due(&self) -> Timestamp {
         self.timers.first_key_value().map_or(self.ask_named, |((at, _), _)| (*at).min(self.ask_named))
     }
 
-    pub fn tick(&mut self, now: At) {
+    pub fn tick(&mut self, now: Timestamp) {
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             let timer = entry.remove();
             if self.foca.handle_timer(timer, &mut self.runtime).is_err() {
@@ -268,7 +268,7 @@
     }
 
     /// Members that another copy knew of: they are asked after as any, and are no news.
-    pub fn learn(&mut self, now: At, peers: impl Iterator<Item = Peer>) {
+    pub fn learn(&mut self, now: Timestamp, peers: impl Iterator<Item = Peer>) {
         let own = self.own().address;
         let others = peers.filter(|p| p.address != own).map(foca::Member::alive);
         if self.foca.apply_many(others, false, &mut self.runtime).is_err() {
@@ -278,13 +278,13 @@
     }
 
     /// Gossips at once, to as many as at any other time: whoever hears news first passes it on first.
-    pub fn hurry(&mut self, now: At) {
+    pub fn hurry(&mut self, now: Timestamp) {
         let _ = self.foca.gossip(&mut self.runtime);
         self.drain(now);
     }
 
     /// Says goodbye: nothing is sent after this but what `take_sent` still has.
-    pub fn leave(&mut self, now: At, how: Gone) {
+    pub fn leave(&mut self, now: Timestamp, how: Gone) {
         if let Ok(data) = postcard::to_allocvec(&Rumour::Goodbye(self.own().clone(), how)) {
             let _ = self.foca.add_broadcast(&data);
         }
@@ -307,13 +307,13 @@
         std::mem::take(&mut self.send)
     }
 
-    fn drain(&mut self, now: At) {
+    fn drain(&mut self, now: Timestamp) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             self.send.push((to.address, bytes.to_vec()));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.next_timer += 1;
-            self.timers.insert((now + Span::from_s(after.as_secs_f64()), self.next_timer), timer);
+            self.timers.insert((now + TimeSpan::from_secs_f64(after.as_secs_f64()), self.next_timer), timer);
         }
         while let Some(notification) = self.runtime.to_notify() {
             self.changes += 1;
--- a/crates/pipitcrank-membership/src/members/tests.rs
+++ b/crates/pipitcrank-membership/src/members/tests.rs
@@ -9,7 +9,7 @@
     let mut members = Members::new(own.clone(), &named, 99);
     let mut asked = BTreeSet::new();
     for second in 0..128i64 {
-        members.tick(At::from_us(second * 1_000_000));
+        members.tick(Timestamp::from_micros(second * 1_000_000));
         let sent = members.take_sent();
         assert!(sent.len() <= NAMED_AT_ONCE, "{} datagrams in a second", sent.len());
         asked.extend(sent.into_iter().map(|(to, _)| to));
--- a/crates/pipitcrank-recovery/src/beliefs.rs
+++ b/crates/pipitcrank-recovery/src/beliefs.rs
@@ -7,7 +7,7 @@
 //! younger                               --> all of it, by its age
 //! ```
 
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_failover::decision::Decision;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_membership::peer::Peer;
@@ -38,15 +38,15 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recalled {
     /// How long ago, and what was known of leaves.
-    pub known: Option<(Span, Snapshot)>,
+    pub known: Option<(TimeSpan, Snapshot)>,
     pub decision: Option<Decision>,
     pub members: Vec<Peer>,
 }
 
 /// How old something written then is now; none where no clock can be believed.
-pub fn age(written: Clocks, now: Clocks) -> Option<Span> {
+pub fn age(written: Clocks, now: Clocks) -> Option<TimeSpan> {
     let (day, boot) = (now.day_us - written.day_us, now.since_boot_us - written.since_boot_us);
-    let span = |us: i64| Span::from_ms(us / 1000);
+    let span = |us: i64| TimeSpan::from_millis(us / 1000);
     match (day >= 0, boot >= 0) {
         // The machine was started anew: only the day's clock goes on.
         (true, false) => Some(span(day)),
@@ -80,7 +80,7 @@
     }
 
     /// What of it may be gone by now. `oldest`: what is older is no knowledge of leaves.
-    pub fn recall(self, now: Clocks, oldest: Span) -> Recalled {
+    pub fn recall(self, now: Clocks, oldest: TimeSpan) -> Recalled {
         let age = age(self.written, now);
         let young = age.filter(|age| *age <= oldest);
         let known = young.and_then(|age| Some((age, Snapshot::decode(&self.snapshot).ok()?)));
--- a/crates/pipitcrank-recovery/src/beliefs/tests.rs
+++ b/crates/pipitcrank-recovery/src/beliefs/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const OLDEST: Span = Span::from_ms(60_000);
+const OLDEST: TimeSpan = TimeSpan::from_millis(60_000);
 
 fn clocks(day_s: i64, boot_s: i64) -> Clocks {
     Clocks { day_us: day_s * 1_000_000, since_boot_us: boot_s * 1_000_000 }
@@ -17,9 +17,9 @@
         Default::default(),
         Default::default(),
         false,
-        Span::from_ms(5),
+        TimeSpan::from_millis(5),
     )
-    .known(pipitcrank_core::time::At::default());
+    .known(pipitcrank_core::time::Timestamp::default());
     let snapshot = Snapshot { known, ..Snapshot::default() };
     Beliefs::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MOST_MEMBERS + 80])
 }
@@ -57,7 +57,7 @@
         let age = age(written, now);
         // With the machine started anew and its clock set back by less than has passed nothing tells.
         if let Some(age) = age.filter(|_| !booted || set >= 0) {
-            prop_assert!(age.s() >= passed as f64 - 2.0, "{age:?} for {passed}");
+            prop_assert!(age.as_secs_f64() >= passed as f64 - 2.0, "{age:?} for {passed}");
         }
     }
 
--- a/crates/pipitcrank-server/src/acceptor/tests.rs
+++ b/crates/pipitcrank-server/src/acceptor/tests.rs
@@ -2,7 +2,7 @@
 use std::os::fd::AsFd;
 
 use axum::routing::get;
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::unbounded_channel;
@@ -21,7 +21,7 @@
     String::from_utf8(answer).unwrap()
 }
 
-fn play(stay: Span, scene: impl AsyncFnOnce(TcpStream, watch::Sender<Option<At>>, &Cell<bool>)) {
+fn play(stay: TimeSpan, scene: impl AsyncFnOnce(TcpStream, watch::Sender<Option<Timestamp>>, &Cell<bool>)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -34,7 +34,7 @@
         let (order, ordered) = unbounded_channel();
         assert!(order.send(Order::Accept(listener)).is_ok());
         let (gate_ended, counters) = (ended.clone(), Counters::default());
-        let idle = Span::from_ms(250);
+        let idle = TimeSpan::from_millis(250);
         let schedule = ShutdownSchedule { stay, idle, last_answer: stay + idle, queue_until: stay + idle };
         tokio::task::spawn_local(async move {
             keep(ordered, router, Sockets::new(9), counters, schedule, called, || true).await;
@@ -47,8 +47,8 @@
 
 #[test]
 fn for_a_while_after_the_end_is_called_clients_keep_their_connections() {
-    play(Span::from_s(3600.0), async |mut stream, call, ended| {
-        call.send_replace(Some(At::default()));
+    play(TimeSpan::from_secs_f64(3600.0), async |mut stream, call, ended| {
+        call.send_replace(Some(Timestamp::default()));
         for _ in 0..3 {
             assert!(!asked(&mut stream).await.contains("connection: close"), "nobody else may be there");
             tokio::time::sleep(2 * LOOK).await;
@@ -59,10 +59,10 @@
 
 #[test]
 fn an_answer_half_written_at_the_last_moment_is_not_cut_while_its_client_reads() {
-    play(Span::ZERO, async |mut stream, call, ended| {
+    play(TimeSpan::ZERO, async |mut stream, call, ended| {
         stream.write_all(b"GET /long HTTP/1.1\r\nHost: x\r\n\r\n").await.unwrap();
         tokio::time::sleep(2 * LOOK).await;
-        call.send_replace(Some(At::default()));
+        call.send_replace(Some(Timestamp::default()));
         // Well past the last answer.
         tokio::time::sleep(10 * LOOK).await;
         assert!(!ended.get());
@@ -74,8 +74,8 @@
 
 #[test]
 fn then_connections_end_and_so_does_the_gate() {
-    play(Span::ZERO, async |mut stream, call, ended| {
-        call.send_replace(Some(At::default()));
+    play(TimeSpan::ZERO, async |mut stream, call, ended| {
+        call.send_replace(Some(Timestamp::default()));
         assert_eq!(stream.read(&mut [0; 9]).await.unwrap(), 0, "closed in order");
         drop(stream);
         while !ended.get() {
@@ -170,8 +170,9 @@
         let (call, called) = watch::channel(None);
         let (order, ordered) = unbounded_channel();
         assert!(order.send(Order::Accept(listener)).is_ok());
-        let end = Span::from_s(9.0);
-        let schedule = ShutdownSchedule { stay: Span::ZERO, idle: end, last_answer: end, queue_until: end };
+        let end = TimeSpan::from_secs_f64(9.0);
+        let schedule =
+            ShutdownSchedule { stay: TimeSpan::ZERO, idle: end, last_answer: end, queue_until: end };
         let (router, sockets) = (Router::new().route("/", get(slow)), Sockets::new(2));
         let serving = keep(ordered, router, sockets.clone(), Counters::default(), schedule, called, || true);
         let serving = tokio::task::spawn_local(serving);
@@ -188,7 +189,7 @@
         for _ in 0..3 * NO_PLACE_AT_ONCE {
             waiting.push(ask().await);
         }
-        call.send_replace(Some(At::default()));
+        call.send_replace(Some(Timestamp::default()));
         for (n, stream) in waiting.iter_mut().enumerate() {
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await.unwrap_or_else(|e| panic!("{n}: {e}"));
--- a/crates/pipitcrank-server/src/audit.rs
+++ b/crates/pipitcrank-server/src/audit.rs
@@ -6,18 +6,18 @@
 use std::rc::Rc;
 
 use pipitcrank_core::ids::{Effect, Ending, PartId, ReplicaId, RequestClassId};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use crate::counters::Counters;
 
 /// A final answer counts for so long after the client's time; later it is as good as none.
-const ANSWER_SLACK: Span = Span::from_ms(500);
+const ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
 /// An attempt may begin for so long after its client has closed.
-const CLOSE_SLACK: Span = Span::from_ms(100);
+const CLOSE_SLACK: TimeSpan = TimeSpan::from_millis(100);
 /// The time told to a replica may be so much more than the client has left.
-const DEADLINE_SLACK: Span = Span::from_ms(150);
+const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(150);
 /// Time limits on sockets are longer by this (protocol page).
-const SOCKET_SLACK: Span = Span::from_ms(50);
+const SOCKET_SLACK: TimeSpan = TimeSpan::from_millis(50);
 /// Sums of weights may fall short by this much.
 const WEIGHT_SLACK: f64 = 1e-4;
 
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct VerticalTerms {
     pub effect: Effect,
-    pub dedup_window: Span,
+    pub dedup_window: TimeSpan,
     /// Weight needed for any answer, and for a whole one.
     pub floor: f64,
     pub whole_from: f64,
@@ -82,11 +82,11 @@
     pub verticals: Vec<VerticalTerms>,
     pub may_duplicate: bool,
     pub try_limit: u32,
-    pub drain_grace: Span,
+    pub drain_grace: TimeSpan,
     pub budget_free: f64,
     pub budget_ratio: f64,
     /// None where there is no budget.
-    pub budget_span: Option<Span>,
+    pub budget_span: Option<TimeSpan>,
 }
 
 /// A query as it was taken.
@@ -95,7 +95,7 @@
     pub id: &'a str,
     pub vertical: RequestClassId,
     /// When the client's own time is over.
-    pub client_ends: At,
+    pub client_ends: Timestamp,
     /// Another site's: that one counts it in its budget.
     pub lent: bool,
     pub parts: &'a [PartId],
@@ -107,16 +107,16 @@
     pub attempt: u32,
     pub leaf: ReplicaId,
     /// The time told to the replica.
-    pub told: Span,
+    pub told: TimeSpan,
 }
 
 struct Query {
     id: Rc<str>,
     vertical: RequestClassId,
-    client_ends: At,
+    client_ends: Timestamp,
     lent: bool,
     answered: bool,
-    closed: Option<At>,
+    closed: Option<Timestamp>,
     /// Parts of it that are held.
     parts: usize,
 }
@@ -129,7 +129,7 @@
 
 struct Attempt {
     number: u32,
-    at: At,
+    at: Timestamp,
     state: State,
 }
 
@@ -146,10 +146,10 @@
     queries: BTreeMap<u64, Query>,
     parts: BTreeMap<PartId, PartBook>,
     /// Since when leaves count as draining or gone.
-    drained: BTreeMap<ReplicaId, At>,
+    drained: BTreeMap<ReplicaId, Timestamp>,
     /// Times of requests taken and of further attempts; emptied as they leave the budget's span.
-    taken: VecDeque<At>,
-    further: VecDeque<At>,
+    taken: VecDeque<Timestamp>,
+    further: VecDeque<Timestamp>,
 }
 
 impl Audit {
@@ -165,7 +165,7 @@
         }
     }
 
-    pub fn taken(&mut self, now: At, taken: Taken) {
+    pub fn taken(&mut self, now: Timestamp, taken: Taken) {
         let Taken { ticket, id, vertical, client_ends, lent, parts } = taken;
         let query = Query {
             id: id.into(),
@@ -189,7 +189,7 @@
     }
 
     /// The last look has passed it: its first byte is written next.
-    pub fn sent(&mut self, now: At, sent: Sent) {
+    pub fn sent(&mut self, now: Timestamp, sent: Sent) {
         let Sent { part, attempt, leaf, told } = sent;
         let Some(book) = self.parts.get(&part) else {
             return violated(&self.counters, Rule::SentAfterAnswer, "unknown", "the part is not held");
@@ -213,11 +213,11 @@
     /// The rules that this attempt breaks, but for the budget's.
     fn broken_by(
         &self,
-        now: At,
+        now: Timestamp,
         query: &Query,
         book: &PartBook,
         leaf: ReplicaId,
-        told: Span,
+        told: TimeSpan,
     ) -> Vec<(Rule, &'static str)> {
         let terms = &self.terms;
         let vertical = &terms.verticals[query.vertical.0 as usize];
@@ -242,7 +242,7 @@
     }
 
     /// A further attempt was made.
-    fn spent(&mut self, now: At, id: &str) {
+    fn spent(&mut self, now: Timestamp, id: &str) {
         let Some(span) = self.terms.budget_span else { return };
         self.further.push_back(now);
         while self.further.front().is_some_and(|&t| now - t > span) {
@@ -274,7 +274,7 @@
 
     /// The final answer goes out. `weight`: of the parts whose values are in it, none where it carries no values; `whole`: it
     /// is marked so.
-    pub fn answered(&mut self, now: At, ticket: u64, weight: Option<f64>, whole: bool) {
+    pub fn answered(&mut self, now: Timestamp, ticket: u64, weight: Option<f64>, whole: bool) {
         let Some(query) = self.queries.get_mut(&ticket) else { return };
         if std::mem::replace(&mut query.answered, true) {
             violated(&self.counters, Rule::SecondAnswer, &query.id, "it has had its final answer");
@@ -290,7 +290,7 @@
     }
 
     /// The client closed, or its own connection ended.
-    pub fn closed(&mut self, now: At, ticket: u64) {
+    pub fn closed(&mut self, now: Timestamp, ticket: u64) {
         let Some(query) = self.queries.get_mut(&ticket) else { return };
         query.closed = query.closed.or(Some(now));
         if !query.answered && now - query.client_ends > ANSWER_SLACK {
@@ -299,7 +299,7 @@
     }
 
     /// A leaf counts as draining or gone since then, or is up.
-    pub fn listed(&mut self, leaf: ReplicaId, off_since: Option<At>) {
+    pub fn listed(&mut self, leaf: ReplicaId, off_since: Option<Timestamp>) {
         match off_since {
             Some(since) => {
                 self.drained.entry(leaf).or_insert(since);
--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -1,5 +1,5 @@
 use pipitcrank_core::ids::{Effect, Ending, PartId, ReplicaId, RequestClassId};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use super::*;
 
@@ -8,13 +8,17 @@
 const PAY: RequestClassId = RequestClassId(2);
 const LEAF: ReplicaId = ReplicaId(7);
 
-fn at(ms: i64) -> At {
-    At::from_us(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 fn terms() -> Terms {
-    let vertical =
-        |effect, floor| VerticalTerms { effect, dedup_window: Span::from_ms(1000), floor, whole_from: 1.0 };
+    let vertical = |effect, floor| VerticalTerms {
+        effect,
+        dedup_window: TimeSpan::from_millis(1000),
+        floor,
+        whole_from: 1.0,
+    };
     Terms {
         verticals: vec![
             vertical(Effect::Repeatable, 0.5),
@@ -23,10 +27,10 @@
         ],
         may_duplicate: false,
         try_limit: 3,
-        drain_grace: Span::from_ms(200),
+        drain_grace: TimeSpan::from_millis(200),
         budget_free: 1.0,
         budget_ratio: 0.1,
-        budget_span: Some(Span::from_ms(2000)),
+        budget_span: Some(TimeSpan::from_millis(2000)),
     }
 }
 
@@ -105,7 +109,7 @@
 #[test]
 fn more_time_told_than_the_client_has_is_counted() {
     let mut books = Books::with(VIEW);
-    let told = Span::from_ms(3151);
+    let told = TimeSpan::from_millis(3151);
     books.audit.sent(at(1000), Sent { part: PartId(0), attempt: 0, leaf: LEAF, told });
     assert_eq!(books.broken(), ["deadline_told"]);
 }
--- a/crates/pipitcrank-server/src/charter.rs
+++ b/crates/pipitcrank-server/src/charter.rs
@@ -7,7 +7,7 @@
 
 use axum::http::uri::Authority;
 use pipitcrank_core::decide::zones::ZoneId;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_core::told::{Faulty, Told};
 use serde::Deserialize;
 use serde_json::Value;
@@ -146,16 +146,16 @@
     }
 
     /// What passes in a time without any promise: the longest that a client is waited for.
-    pub fn longest(&self) -> Result<Span, Faulty> {
+    pub fn longest(&self) -> Result<TimeSpan, Faulty> {
         let settings = self.settings()?;
         let mut limits = (0..settings.verticals()?.len()).map(|n| {
             let key = format!("/classes/{n}/hard_limit_s");
             match settings.span(&key)? {
-                limit if limit > Span::ZERO => Ok(limit),
+                limit if limit > TimeSpan::ZERO => Ok(limit),
                 _ => Err(settings.faulty(&key, "leaves no time to answer in; accepted: seconds above 0")),
             }
         });
-        limits.try_fold(Span::ZERO, |most, next| Ok(most.max(next?)))
+        limits.try_fold(TimeSpan::ZERO, |most, next| Ok(most.max(next?)))
     }
 
     /// Cells that a site's leaves stand in.
@@ -167,7 +167,7 @@
         self.settings()?.count("/domain/shards")
     }
 
-    pub fn tick(&self) -> Result<Span, Faulty> {
+    pub fn tick(&self) -> Result<TimeSpan, Faulty> {
         self.settings()?.span("/tick_s")
     }
 
@@ -206,12 +206,12 @@
             let window = settings.number_or(&format!("/classes/{n}/dedup_window_s"), 0.0)?;
             Ok(audit::VerticalTerms {
                 effect: settings.effect(n)?,
-                dedup_window: Span::from_s(window),
+                dedup_window: TimeSpan::from_secs_f64(window),
                 floor: settings.number(&format!("/domain/floor_by_class/{n}"))?,
                 whole_from: settings.number(&format!("/domain/complete_from/{n}"))?,
             })
         };
-        let span = Span::from_s(settings.number_or("/rules/budget_span_s", 0.0)?);
+        let span = TimeSpan::from_secs_f64(settings.number_or("/rules/budget_span_s", 0.0)?);
         Ok(audit::Terms {
             verticals: (0..settings.verticals()?.len()).map(vertical).collect::<Result<_, _>>()?,
             may_duplicate: settings.flag("/allowed/may_duplicate")?,
@@ -219,7 +219,7 @@
             drain_grace: settings.span("/rules/drain_grace_s")?,
             budget_free: settings.number_or("/rules/extra_free", 0.0)?,
             budget_ratio: settings.number_or("/rules/repeat_ratio", 0.0)?,
-            budget_span: (span > Span::ZERO).then_some(span),
+            budget_span: (span > TimeSpan::ZERO).then_some(span),
         })
     }
 
