--- a/crates/pipitcrank-server/src/clock.rs
+++ b/crates/pipitcrank-server/src/clock.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 /// Counts from its making.
 #[derive(Clone)]
@@ -19,7 +19,7 @@
     /// Unix time less this clock's, in microseconds: the newest last, an older one where the wall clock was stepped.
     offsets: Vec<i64>,
     /// Starts as they were placed first, by Unix time in milliseconds.
-    placed: BTreeMap<i64, At>,
+    placed: BTreeMap<i64, Timestamp>,
 }
 
 /// The wall clock moves on against the monotonic one by less than this between two looks, unless it was stepped.
@@ -50,12 +50,14 @@
     /// Which clock a start was told by is not known where that was stepped: the latest moment that it can mean and that is
     /// not still to come. Guards against a slow start that is skipped after a step back, and one that lasts for as long as
     /// the step after one forward. A start keeps its place, whatever steps follow.
-    fn place(&mut self, now: At, unix_ms: i64) -> At {
+    fn place(&mut self, now: Timestamp, unix_ms: i64) -> Timestamp {
         if let Some(&at) = self.placed.get(&unix_ms) {
             return at;
         }
-        let may_mean =
-            self.offsets.iter().map(|offset| At::from_us(unix_us(unix_ms).saturating_sub(*offset)));
+        let may_mean = self
+            .offsets
+            .iter()
+            .map(|offset| Timestamp::from_micros(unix_us(unix_ms).saturating_sub(*offset)));
         let at = may_mean.filter(|at| *at <= now).max().unwrap_or(now);
         self.placed.insert(unix_ms, at);
         if self.placed.len() > MOST_PLACED {
@@ -75,24 +77,24 @@
         Clock { start, wall: Arc::new(Mutex::new(Wall::new(wall_us()))) }
     }
 
-    pub fn now(&self) -> At {
-        At::from_us(self.start.elapsed().as_micros() as i64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.start.elapsed().as_micros() as i64)
     }
 
     /// To be called often, so that a step of the wall clock is known before a start is told by it.
     pub fn look_at_wall(&self) {
-        let offset = wall_us() - self.now().us();
+        let offset = wall_us() - self.now().as_micros();
         self.wall.lock().unwrap_or_else(PoisonError::into_inner).saw(offset);
     }
 
     /// The moment of a Unix time in milliseconds as the wall clock stood first; it may lie before this clock's start.
-    pub fn at_unix_ms(&self, ms: i64) -> At {
+    pub fn at_unix_ms(&self, ms: i64) -> Timestamp {
         let first = self.wall.lock().unwrap_or_else(PoisonError::into_inner).first();
-        At::from_us(unix_us(ms).saturating_sub(first))
+        Timestamp::from_micros(unix_us(ms).saturating_sub(first))
     }
 
     /// When a replica started that says so in Unix time, in milliseconds; never later than now.
-    pub fn started_at(&self, unix_ms: i64) -> At {
+    pub fn started_at(&self, unix_ms: i64) -> Timestamp {
         // Each list names most starts again: those have their place, and no clock is read for them.
         if let Some(&at) = self.wall.lock().unwrap_or_else(PoisonError::into_inner).placed.get(&unix_ms) {
             return at;
@@ -102,8 +104,8 @@
     }
 
     /// That point in time for the runtime's timers.
-    pub fn instant(&self, at: At) -> tokio::time::Instant {
-        (self.start + Duration::from_micros(at.us().max(0) as u64)).into()
+    pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
+        (self.start + Duration::from_micros(at.as_micros().max(0) as u64)).into()
     }
 }
 
@@ -111,8 +113,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64
 }
 
-pub fn duration(span: Span) -> Duration {
-    Duration::from_micros(span.us().max(0) as u64)
+pub fn duration(span: TimeSpan) -> Duration {
+    Duration::from_micros(span.as_micros().max(0) as u64)
 }
 
 #[cfg(test)]
--- a/crates/pipitcrank-server/src/clock/tests.rs
+++ b/crates/pipitcrank-server/src/clock/tests.rs
@@ -5,13 +5,13 @@
 const HOUR_US: i64 = 3_600_000_000;
 const UNIX_US: i64 = 1_700_000_000_000_000;
 
-fn at(s: f64) -> At {
-    At::from_s(s)
+fn at(s: f64) -> Timestamp {
+    Timestamp::from_secs_f64(s)
 }
 
 /// Unix milliseconds that a clock stepped by so much shows then.
-fn shown(step_us: i64, then: At) -> i64 {
-    (UNIX_US + step_us + then.us()) / 1000
+fn shown(step_us: i64, then: Timestamp) -> i64 {
+    (UNIX_US + step_us + then.as_micros()) / 1000
 }
 
 #[test]
@@ -60,6 +60,6 @@
         let (now, started) = (at(9000.0), at(9000.0 - age));
         let placed = wall.place(now, shown(step, started));
         prop_assert!(placed <= now);
-        prop_assert!(placed >= started - Span::from_ms(1 + STEP_US / 1000), "{placed:?} {started:?}");
+        prop_assert!(placed >= started - TimeSpan::from_millis(1 + STEP_US / 1000), "{placed:?} {started:?}");
     }
 }
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -13,7 +13,7 @@
 use pipitcrank_core::decide::Root;
 use pipitcrank_core::decide::zones::{Seen, Shares, Tally, ZoneId};
 use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::division;
 use pipitcrank_handover::snapshot::{SeenLeaf, Snapshot};
 
@@ -31,7 +31,7 @@
 pub struct Asked {
     pub id: String,
     pub vertical: RequestClassId,
-    pub ends: At,
+    pub ends: Timestamp,
     pub parts: Vec<AskedPart>,
     /// By which leaves know a repeat of a deduplicated vertical's.
     pub idempotency_key: Option<Arc<str>>,
@@ -53,7 +53,7 @@
         hits: Vec<(u32, String)>,
     },
     Rejected {
-        stay_away: Span,
+        stay_away: TimeSpan,
     },
     Aborted,
     /// It repeats the id of one that is held.
@@ -79,7 +79,7 @@
     pub calls: Vec<(u32, CallNo)>,
     pub id: String,
     pub vertical: RequestClassId,
-    pub until: At,
+    pub until: Timestamp,
     /// Shard, weight, work in seconds.
     pub parts: Vec<(u32, f64, Option<f64>)>,
     pub idempotency_key: Option<Arc<str>>,
@@ -98,7 +98,7 @@
     /// The zone it stands in, by name; none where discovery does not say: then what was said before stands.
     pub zone: Option<String>,
     pub up: bool,
-    pub started: Option<At>,
+    pub started: Option<Timestamp>,
 }
 
 /// One part's leaf call, by its number among the part's calls.
@@ -125,9 +125,9 @@
     Gone(u64),
     Ended(ReplicaId, CallNo, Ending, Option<String>, Option<Report>),
     Probed(ReplicaId, Ending, Option<Report>),
-    List(At, bool, Vec<Listed>),
+    List(Timestamp, bool, Vec<Listed>),
     LookInto(ZoneId, usize),
-    EndBy(At),
+    EndBy(Timestamp),
 }
 
 /// A zone's place among those that there are.
@@ -137,7 +137,7 @@
 }
 
 /// Parts that went, by index and id, how many further calls with them, and until when.
-type LentOut = (Vec<(PartId, Rc<str>)>, u32, At);
+type LentOut = (Vec<(PartId, Rc<str>)>, u32, Timestamp);
 
 pub struct Exchange {
     root: Root,
@@ -186,7 +186,7 @@
     // What happens outside.
 
     /// What time it is, for all that is told next.
-    pub fn now_is(&mut self, now: At) {
+    pub fn now_is(&mut self, now: Timestamp) {
         self.desk.now = now;
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// All that is held is to be answered by then: this process ends.
-    pub fn end_by(&mut self, by: At) {
+    pub fn end_by(&mut self, by: Timestamp) {
         self.inbox.push(Happened::EndBy(by));
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// News of the list of leaves; a whole list names all there are.
-    pub fn list(&mut self, now: At, whole: bool, rows: Vec<Listed>) {
+    pub fn list(&mut self, now: Timestamp, whole: bool, rows: Vec<Listed>) {
         self.desk.counters.add("discovery", if whole { "whole_list" } else { "changes" });
         self.inbox.push(Happened::List(now, whole, rows));
     }
@@ -278,7 +278,7 @@
     }
 
     /// When the next turn is due if nothing happens before.
-    pub fn next_turn(&self) -> Option<At> {
+    pub fn next_turn(&self) -> Option<Timestamp> {
         let until = self.desk.untils.first().map(|u| u.0);
         self.desk.alarms.first().map(|a| a.0).into_iter().chain(until).min()
     }
@@ -292,7 +292,7 @@
     /// The last look just before a call's first byte is written: what of it may still go, and how. Whatever is sent passes here.
     /// Guards against frames held up on the way to the socket while their query ended, their time ran out, or their leaf
     /// drained: those count as never run.
-    pub fn release(&mut self, now: At, leaf: ReplicaId, parts: &mut Vec<CallNo>) -> Vec<CallPart> {
+    pub fn release(&mut self, now: Timestamp, leaf: ReplicaId, parts: &mut Vec<CallNo>) -> Vec<CallPart> {
         let mut going = Vec::new();
         parts.retain(|&call| {
             // Guards against a call given up while it was queued, whose number another part's call has by now: that
@@ -321,7 +321,13 @@
     }
 
     /// The guard of all sending: rules on ended queries, closed clients, drained leaves, time, repeats and the budget.
-    fn may_send(&mut self, now: At, leaf: ReplicaId, call: CallNo, until: At) -> Result<CallPart, NotSent> {
+    fn may_send(
+        &mut self,
+        now: Timestamp,
+        leaf: ReplicaId,
+        call: CallNo,
+        until: Timestamp,
+    ) -> Result<CallPart, NotSent> {
         let part = &self.desk.held_parts[&call.0.0];
         let query = part.query.and_then(|q| self.desk.held_queries.get(&q)).ok_or(NotSent::QueryEnded)?;
         if self.gone.contains(&query.ticket) {
@@ -344,9 +350,9 @@
         })
     }
 
-    fn note_sent(&mut self, now: At, leaf: ReplicaId, call: CallNo, told: Span) {
+    fn note_sent(&mut self, now: Timestamp, leaf: ReplicaId, call: CallNo, told: TimeSpan) {
         let part = &self.desk.held_parts[&call.0.0];
-        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, leaf = leaf.0, told_s = told.s(), "sent");
+        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, leaf = leaf.0, told_s = told.as_secs_f64(), "sent");
         if let Some(audit) = &mut self.desk.audit {
             audit.sent(now, Sent { part: call.0, attempt: call.1, leaf, told });
         }
@@ -399,14 +405,14 @@
     }
 
     /// What the way to the site costs from now on; none closes it.
-    pub fn set_hop(&mut self, site: u16, hop: Option<Span>) {
+    pub fn set_hop(&mut self, site: u16, hop: Option<TimeSpan>) {
         for (&leaf, _) in self.desk.held_leaves.iter().filter(|(_, l)| l.site == Some(site)) {
             self.root.far(ReplicaId(leaf), hop);
         }
     }
 
     /// The last look before a forward's first byte, as `release` is for a leaf's: what of it may still go, by query.
-    pub fn forward(&mut self, now: At, leaf: ReplicaId, parts: &mut Vec<CallNo>) -> Vec<Going> {
+    pub fn forward(&mut self, now: Timestamp, leaf: ReplicaId, parts: &mut Vec<CallNo>) -> Vec<Going> {
         self.release(now, leaf, parts);
         self.lent.retain(|_, (.., until)| *until > now);
         let mut by_query: BTreeMap<u32, Vec<CallNo>> = BTreeMap::new();
@@ -442,7 +448,7 @@
     }
 
     /// Of the further calls lent with parts so many were made.
-    pub fn came_back(&mut self, now: At, who: u64, made: u32) {
+    pub fn came_back(&mut self, now: Timestamp, who: u64, made: u32) {
         if let Some((parts, lent, until)) = self.lent.remove(&who)
             && now < until
         {
@@ -477,7 +483,7 @@
     }
 
     /// What is seen of each zone's leaves from here, in the zones' order, and what was counted since the start.
-    pub fn zones_seen(&self, now: At) -> (Vec<Seen>, Tally) {
+    pub fn zones_seen(&self, now: Timestamp) -> (Vec<Seen>, Tally) {
         let seen = (0..self.zones.len()).map(|n| self.root.seen_of(now, ZoneId(n as u16))).collect();
         (seen, self.root.tally().clone())
     }
@@ -489,7 +495,7 @@
 
     // Turns.
 
-    pub fn turn(&mut self, now: At, leaf_side: &mut dyn LeafSide) {
+    pub fn turn(&mut self, now: Timestamp, leaf_side: &mut dyn LeafSide) {
         self.now_is(now);
         let mut inbox = std::mem::take(&mut self.inbox).into_iter().peekable();
         while let Some(mut happened) = inbox.next() {
@@ -517,7 +523,7 @@
         self.carry_out(leaf_side);
     }
 
-    fn hand_in(&mut self, now: At, happened: Happened) {
+    fn hand_in(&mut self, now: Timestamp, happened: Happened) {
         match happened {
             Happened::Asked(ticket, asked, then, lent) => self.take(now, ticket, asked, then, lent),
             Happened::Gone(ticket) => {
@@ -543,7 +549,7 @@
         }
     }
 
-    fn take(&mut self, now: At, ticket: u64, asked: Asked, then: Then, lent: Option<Lent>) {
+    fn take(&mut self, now: Timestamp, ticket: u64, asked: Asked, then: Then, lent: Option<Lent>) {
         let Asked { id, vertical, ends, parts, idempotency_key, text } = asked;
         let ids: Vec<Rc<str>> = parts.iter().map(|p| format!("{id}.{}", p.shard).into()).collect();
         let desk = &mut self.desk;
@@ -555,14 +561,14 @@
         // while there is room: a part that is in is not open any more, and the last query taken may pass the number.
         if desk.open() + self.open_elsewhere >= self.most_open {
             desk.counters.add("queries", "turned_away_over_most_open");
-            return then(Final::Rejected { stay_away: Span::ZERO });
+            return then(Final::Rejected { stay_away: TimeSpan::ZERO });
         }
         desk.counters.add("queries", "taken");
         let further = lent.as_ref().map(|l| l.further);
         let query = QueryId(desk.queries.enter(&id));
         let indices: Vec<u32> = ids.iter().map(|p| desk.parts.enter(p)).collect();
         desk.tickets.insert(ticket, query.0);
-        tracing::debug!(target: REQUESTS, request = id, parts = parts.len(), left_s = (ends - now).s(), "taken");
+        tracing::debug!(target: REQUESTS, request = id, parts = parts.len(), left_s = (ends - now).as_secs_f64(), "taken");
         if let Some(audit) = &mut desk.audit {
             let parts: Vec<PartId> = indices.iter().map(|&p| PartId(p)).collect();
             let lent = lent.is_some();
@@ -596,7 +602,7 @@
         }
     }
 
-    fn end_call(&mut self, now: At, call: CallNo, ending: Ending, value: Option<String>) {
+    fn end_call(&mut self, now: Timestamp, call: CallNo, ending: Ending, value: Option<String>) {
         self.desk.counters.add("leaf_calls", ending_name(ending));
         let Some(part) = self.desk.held_parts.get_mut(&call.0.0) else { return };
         tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, ending = ending_name(ending), "ended");
@@ -612,7 +618,7 @@
         self.root.ended(&mut self.desk, now, call.0, call.1, ending);
     }
 
-    fn report(&mut self, now: At, leaf: ReplicaId, report: Option<Report>) {
+    fn report(&mut self, now: Timestamp, leaf: ReplicaId, report: Option<Report>) {
         if let Some(Report { waiting, in_hand }) = report {
             self.root.load_report(now, leaf, waiting, in_hand);
         }
@@ -622,7 +628,13 @@
 
     /// What another process needs to go on from here, taken at `now`; from then on this one only finishes what it
     /// holds, for `longest` at most.
-    pub fn hand_over(&mut self, now: At, taken_us: i64, rev: Option<u64>, longest: Span) -> Snapshot {
+    pub fn hand_over(
+        &mut self,
+        now: Timestamp,
+        taken_us: i64,
+        rev: Option<u64>,
+        longest: TimeSpan,
+    ) -> Snapshot {
         self.take_lists();
         let mut known = self.root.known(now);
         let (free, share, span) = self.root.budget_terms();
@@ -632,13 +644,13 @@
     }
 
     /// What a process that comes after this one may recall, if this one ends without a word. Nothing is given away.
-    pub fn remembered(&mut self, now: At, taken_us: i64, rev: Option<u64>) -> Snapshot {
+    pub fn remembered(&mut self, now: Timestamp, taken_us: i64, rev: Option<u64>) -> Snapshot {
         self.take_lists();
         let known = self.root.known(now);
-        Snapshot { taken_us, rev, leaves: self.seen_leaves(now), known, lent: (0, Span::ZERO) }
+        Snapshot { taken_us, rev, leaves: self.seen_leaves(now), known, lent: (0, TimeSpan::ZERO) }
     }
 
-    fn seen_leaves(&self, now: At) -> Vec<SeenLeaf> {
+    fn seen_leaves(&self, now: Timestamp) -> Vec<SeenLeaf> {
         let near = self.desk.held_leaves.iter().filter(|(_, l)| l.site.is_none());
         near.map(|(&index, held)| SeenLeaf {
             index,
@@ -653,7 +665,7 @@
     }
 
     /// Goes on from what another process knew `passed` ago.
-    pub fn go_on_from(&mut self, now: At, passed: Span, snapshot: Snapshot) {
+    pub fn go_on_from(&mut self, now: Timestamp, passed: TimeSpan, snapshot: Snapshot) {
         let (further, within) = snapshot.lent;
         self.take_over(now, passed, true, snapshot);
         self.root.lend_to_old(further, now - passed + within);
@@ -661,14 +673,14 @@
 
     /// Goes on from what a process before this one knew `passed` ago, which is there no more. Its list counts where
     /// that is later than the one told at start. What it did last is not known: it is held to have used all it might.
-    pub fn recall(&mut self, now: At, passed: Span, its_list: bool, snapshot: Snapshot) {
+    pub fn recall(&mut self, now: Timestamp, passed: TimeSpan, its_list: bool, snapshot: Snapshot) {
         self.take_lists();
         self.take_over(now, passed, its_list, snapshot);
         self.root.alone_again(now);
     }
 
-    fn take_over(&mut self, now: At, passed: Span, its_list: bool, snapshot: Snapshot) {
-        let at = |age: Span| now - age - passed;
+    fn take_over(&mut self, now: Timestamp, passed: TimeSpan, its_list: bool, snapshot: Snapshot) {
+        let at = |age: TimeSpan| now - age - passed;
         let mut indices = BTreeMap::new();
         let mut rows = Vec::new();
         let mut offs = Vec::new();
@@ -696,7 +708,7 @@
     }
 
     /// The other process has ended, and made so many further calls of those lent.
-    pub fn settle(&mut self, now: At, further: u32) {
+    pub fn settle(&mut self, now: Timestamp, further: u32) {
         self.root.settle_with_old(now, further);
         self.open_elsewhere = 0;
     }
@@ -707,7 +719,7 @@
     }
 
     /// The other process is gone, and what it did is not known.
-    pub fn alone_again(&mut self, now: At) {
+    pub fn alone_again(&mut self, now: Timestamp) {
         self.root.alone_again(now);
         self.open_elsewhere = 0;
     }
@@ -736,7 +748,7 @@
         }
     }
 
-    fn take_list(&mut self, at: At, whole: bool, rows: Vec<Listed>) {
+    fn take_list(&mut self, at: Timestamp, whole: bool, rows: Vec<Listed>) {
         self.root.list_begin(whole);
         if whole {
             let near = self.desk.held_leaves.values_mut().filter(|l| l.site.is_none());
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -8,7 +8,7 @@
 use pipitcrank_core::ids::{Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
 use pipitcrank_core::names::Names;
 use pipitcrank_core::port::Port;
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use super::{CallNo, Final, Lent, REQUESTS, Then};
 use crate::audit::Audit;
@@ -43,16 +43,16 @@
     pub(super) address: Option<SocketAddr>,
     pub(super) cell: u32,
     pub(super) zone: Option<String>,
-    pub(super) started: Option<At>,
+    pub(super) started: Option<Timestamp>,
     /// It stands for a cell of that site, as numbered at start.
     pub(super) site: Option<u16>,
     /// When this co-ordinator was told that it drains or is gone, until it is listed as up again.
-    pub(super) off: Option<At>,
+    pub(super) off: Option<Timestamp>,
 }
 
 pub(super) struct Out {
     pub(super) leaf: ReplicaId,
-    pub(super) until: At,
+    pub(super) until: Timestamp,
     /// Its frame is being written, or was.
     pub(super) released: bool,
 }
@@ -79,16 +79,16 @@
     pub(super) tickets: BTreeMap<u64, u32>,
     /// Leaf calls out, and when waiting for them ends; emptied by their ends.
     pub(super) out: BTreeMap<CallNo, Out>,
-    pub(super) untils: BTreeSet<(At, CallNo)>,
+    pub(super) untils: BTreeSet<(Timestamp, CallNo)>,
     /// Alarms; emptied as they ring.
-    pub(super) alarms: BTreeSet<(At, u64)>,
+    pub(super) alarms: BTreeSet<(Timestamp, u64)>,
     /// Emptied at each turn's end.
     pub(super) wishes: Vec<Wish>,
     pub(super) counters: Counters,
     /// The run-time check, where it is on.
     pub(super) audit: Option<Audit>,
     /// As last told.
-    pub(super) now: At,
+    pub(super) now: Timestamp,
 }
 
 impl Desk {
@@ -157,7 +157,7 @@
 }
 
 impl Port for Desk {
-    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: At) {
+    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
         if let Some(again) = self.again(part) {
             self.counters.add("again", again.name());
             let part = self.parts.name(part.0);
@@ -191,7 +191,7 @@
         self.finish(query, Final::Merged { whole, hits }, if whole { "merged" } else { "merged_in_part" });
     }
 
-    fn reject(&mut self, query: QueryId, stay_away: Span, why: Refusal) {
+    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, why: Refusal) {
         self.refuse(query, Final::Rejected { stay_away }, "rejected", why);
     }
 
@@ -199,7 +199,7 @@
         self.refuse(query, Final::Aborted, "aborted", why);
     }
 
-    fn wake_me(&mut self, at: At, label: u64) {
+    fn wake_me(&mut self, at: Timestamp, label: u64) {
         self.alarms.insert((at, label));
     }
 
--- a/crates/pipitcrank-server/src/frames.rs
+++ b/crates/pipitcrank-server/src/frames.rs
@@ -7,7 +7,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use pipitcrank_core::ids::Ending;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 
 use crate::ends::ending_of;
 
@@ -19,7 +19,7 @@
 pub struct CallPart {
     pub id: Rc<str>,
     pub shard: u32,
-    pub wait: Span,
+    pub wait: TimeSpan,
     /// As the client gave it: leaves know a repeat by it.
     pub idempotency_key: Option<Arc<str>>,
     pub text: Arc<str>,
@@ -63,7 +63,7 @@
     let mut rest = Vec::new();
     for part in parts {
         let key = part.idempotency_key.as_ref().map_or(String::new(), |key| format!(",k={key}"));
-        let wait_ms = part.wait.us() / 1000;
+        let wait_ms = part.wait.as_micros() / 1000;
         let head = format!("{} {} d={wait_ms}{key} {}\n", part.id, part.shard, part.text.len());
         rest.extend_from_slice(head.as_bytes());
         rest.extend_from_slice(part.text.as_bytes());
--- a/crates/pipitcrank-server/src/front.rs
+++ b/crates/pipitcrank-server/src/front.rs
@@ -15,7 +15,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::get;
 use pipitcrank_core::ids::RequestClassId;
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, oneshot, watch};
@@ -32,7 +32,7 @@
 const LONGEST_ID: usize = 256;
 
 /// When this process was asked to end, once it was.
-pub type EndCalled = watch::Receiver<Option<At>>;
+pub type EndCalled = watch::Receiver<Option<Timestamp>>;
 
 /// Says when a request's body has been read whole.
 #[derive(Default)]
@@ -70,7 +70,7 @@
 /// Longest time a client may claim to wait: beyond a day it is no time that anybody waits.
 const LONGEST_WAIT: i64 = 24 * 3600 * 1000;
 /// Who is accepted within this has not waited: a third of the slack that the time told to a replica has.
-const SOON_ACCEPTED: Span = Span::from_ms(50);
+const SOON_ACCEPTED: TimeSpan = TimeSpan::from_millis(50);
 /// Weights are shares of the whole answer, so they sum to 1; each is rounded for the wire, so not quite.
 const WEIGHTS_OFF: f64 = 0.01;
 
@@ -93,7 +93,7 @@
     pub knocks: UnboundedSender<Knock>,
     pub end_called: EndCalled,
     /// A query that comes after the end was called is answered within this of that at the latest.
-    pub last_answer: Span,
+    pub last_answer: TimeSpan,
     pub tickets: Arc<AtomicU64>,
     pub awake: Arc<Awake>,
 }
@@ -189,9 +189,9 @@
     // Guards against a wave of queries whose clients have long gone, after this process stood still: all leaves were
     // asked for them at once, and nobody was served for ten seconds.
     let now = door.clock.now();
-    if asked.ends <= now && door.awake.unread_for(now) > Span::ZERO {
+    if asked.ends <= now && door.awake.unread_for(now) > TimeSpan::ZERO {
         door.counters.add("queries", "unread_too_long");
-        return encode(Final::Rejected { stay_away: Span::ZERO });
+        return encode(Final::Rejected { stay_away: TimeSpan::ZERO });
     }
     let ticket = door.tickets.fetch_add(1, Ordering::Relaxed);
     let (answer, answered) = oneshot::channel();
@@ -224,9 +224,10 @@
 ) -> Result<Asked, Wrong> {
     let received = door.clock.now();
     door.awake.look(received);
-    let in_queue = arrival.as_ref().map_or(Span::ZERO, |a| Span::from_s(a.unread.as_secs_f64()));
+    let in_queue =
+        arrival.as_ref().map_or(TimeSpan::ZERO, |a| TimeSpan::from_secs_f64(a.unread.as_secs_f64()));
     let unread =
-        door.awake.unread_for(received).max(if in_queue > SOON_ACCEPTED { in_queue } else { Span::ZERO });
+        door.awake.unread_for(received).max(if in_queue > SOON_ACCEPTED { in_queue } else { TimeSpan::ZERO });
     let wrong = |what: &'static str| (StatusCode::BAD_REQUEST, what);
     // Guards against a request hidden in the body of another: neither is taken.
     if arrival.as_ref().is_some_and(|a| a.mixed) {
@@ -254,7 +255,7 @@
     }
     let left = header("Req-Deadline-Ms").filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let left = left.and_then(|v| v.parse().ok()).filter(|&ms: &i64| ms <= LONGEST_WAIT);
-    let left = Span::from_ms(left.ok_or(wrong("Req-Deadline-Ms is not a number of milliseconds"))?);
+    let left = TimeSpan::from_millis(left.ok_or(wrong("Req-Deadline-Ms is not a number of milliseconds"))?);
     // Guards against places held by clients whose body never comes, whatever time they claim to wait.
     let own = Instant::now() + duration(left);
     let whole_by = arrival.as_ref().map_or(own, |a| a.whole_by.min(own));
@@ -275,7 +276,7 @@
 }
 
 /// Guards against an answer that would come when this process has been killed.
-fn ends(own: At, end_called: Option<At>, last_answer: Span) -> At {
+fn ends(own: Timestamp, end_called: Option<Timestamp>, last_answer: TimeSpan) -> Timestamp {
     end_called.map_or(own, |at| own.min(at + last_answer))
 }
 
@@ -306,7 +307,7 @@
     body: &Bytes,
     id: &str,
     vertical: RequestClassId,
-    ends: At,
+    ends: Timestamp,
     shards: u32,
 ) -> Result<Asked, &'static str> {
     let Question { shards: pieces, q } =
@@ -355,8 +356,8 @@
         }
         Final::Rejected { stay_away } => {
             let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
-            if stay_away > Span::ZERO
-                && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", stay_away.s()))
+            if stay_away > TimeSpan::ZERO
+                && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", stay_away.as_secs_f64()))
             {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
--- a/crates/pipitcrank-server/src/hall.rs
+++ b/crates/pipitcrank-server/src/hall.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::division;
 use tokio::sync::Notify;
 
@@ -18,13 +18,13 @@
     exchange: RefCell<Exchange>,
     bell: Notify,
     /// When something was last told, and whether that was long after what came before.
-    told: Cell<At>,
+    told: Cell<Timestamp>,
     late: Cell<bool>,
 }
 
 /// Where nothing was told for longer than this the process may have stood still, and more may lie in its sockets: half of
 /// the 0.1 s after a client's leaving in which a call may still begin.
-const LATE: Span = Span::from_ms(50);
+const LATE: TimeSpan = TimeSpan::from_millis(50);
 /// Turns of the runtime until what lay in the sockets has been told: the connection reads, the front says, the exchange is
 /// told.
 const HOPS: u32 = 3;
@@ -200,11 +200,14 @@
 
     /// Takes turns for ever. What happens within one `tick` shares a turn, as the module is used to: the first
     /// event after a pause is handled at once.
-    pub async fn take_turns(&self, tick: Span, leaf_side: &RefCell<dyn LeafSide>) {
-        let mut earliest = At::default();
+    pub async fn take_turns(&self, tick: TimeSpan, leaf_side: &RefCell<dyn LeafSide>) {
+        let mut earliest = Timestamp::default();
         loop {
-            let due =
-                if self.ask(Exchange::idle) { self.ask(Exchange::next_turn) } else { Some(At::default()) };
+            let due = if self.ask(Exchange::idle) {
+                self.ask(Exchange::next_turn)
+            } else {
+                Some(Timestamp::default())
+            };
             match due {
                 Some(due) => tokio::select! {
                     () = self.bell.notified() => {}
--- a/crates/pipitcrank-server/src/relay.rs
+++ b/crates/pipitcrank-server/src/relay.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use pipitcrank_core::ids::RequestClassId;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_handover::passing::Outgoing;
 use pipitcrank_handover::words::{RelayedAsk, RelayedFinal, ToNew};
 use tokio::sync::oneshot;
@@ -16,7 +16,7 @@
 
 /// How long before the client's time an answer has to be back: what the link and this thread may take. Guards against
 /// a query lost because the other process hangs.
-const BEFORE_TIME: Span = Span::from_ms(5);
+const BEFORE_TIME: TimeSpan = TimeSpan::from_millis(5);
 
 struct Out {
     vertical: RequestClassId,
@@ -110,7 +110,7 @@
     }
 }
 
-fn to_words(ticket: u64, left: Span, asked: Asked) -> RelayedAsk {
+fn to_words(ticket: u64, left: TimeSpan, asked: Asked) -> RelayedAsk {
     let parts = asked.parts.iter().map(|p| (p.shard, p.weight, p.work)).collect();
     let (id, vertical, text) = (asked.id, asked.vertical.0, asked.text.to_string());
     RelayedAsk { ticket, id, vertical, left, parts, text }
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use pipitcrank_core::decide::zones::ZoneId;
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::snapshot::Snapshot;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -59,12 +59,12 @@
     pub shards: u32,
     pub cells: u32,
     /// How long a query may be held.
-    pub longest: Span,
+    pub longest: TimeSpan,
     pub tickets: Arc<AtomicU64>,
     /// Whether no new work of others is to be taken: another process takes over, or the end was called.
     pub leaving: watch::Receiver<bool>,
     /// When the end was called.
-    pub end_called: watch::Receiver<Option<At>>,
+    pub end_called: watch::Receiver<Option<Timestamp>>,
     /// What the platform says of zones: the own one's place, and all names.
     pub zones: Option<(ZoneId, Vec<String>)>,
     /// Utility of a whole answer, by vertical.
@@ -74,7 +74,7 @@
 }
 
 /// What a process before this one knew, and how long ago.
-pub type Recalled = Option<(Span, Snapshot)>;
+pub type Recalled = Option<(TimeSpan, Snapshot)>;
 
 /// Makes a leaf side that also reaches what near leaves are not, such as other sites.
 pub type Beside = Box<dyn FnOnce(Ground) -> Rc<RefCell<dyn LeafSide>>>;
@@ -148,7 +148,7 @@
                 tracing::info!(
                     leaves,
                     its_list = later.is_some(),
-                    age_s = passed.s(),
+                    age_s = passed.as_secs_f64(),
                     "goes on from what is stored"
                 );
                 hall.tell(|e| e.recall(clock.now(), passed, later.is_some(), snapshot));
@@ -233,7 +233,11 @@
 }
 
 /// What is held when the end is called has its answer before the kill, as what comes later has.
-async fn answer_by_the_end(hall: Rc<Hall>, mut end_called: watch::Receiver<Option<At>>, last_answer: Span) {
+async fn answer_by_the_end(
+    hall: Rc<Hall>,
+    mut end_called: watch::Receiver<Option<Timestamp>>,
+    last_answer: TimeSpan,
+) {
     if let Ok(called) = end_called.wait_for(Option::is_some).await.map(|at| *at) {
         called.into_iter().for_each(|at| hall.tell(|e| e.end_by(at + last_answer)));
     }
--- a/crates/pipitcrank-server/src/wire/tests.rs
+++ b/crates/pipitcrank-server/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use std::cell::RefCell;
 
 use pipitcrank_core::ids::{PartId, ReplicaId, RequestClassId};
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_core::told::Told;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::unbounded_channel;
@@ -66,7 +66,7 @@
         Listed { uid: "l".into(), address: Some(address), cell: 0, zone: None, up: true, started: None };
     exchange.list(clock.now(), true, vec![row]);
     let parts = vec![AskedPart { shard: 0, weight: 1.0, work: None }];
-    let ends = clock.now() + Span::from_ms(50_000);
+    let ends = clock.now() + TimeSpan::from_millis(50_000);
     let asked = Asked {
         id: "q".into(),
         vertical: RequestClassId(0),
@@ -163,7 +163,7 @@
         wire.probes.set(1);
         let row = Listed { uid: "l".into(), address: None, cell: 0, zone: None, up: !drains, started: None };
         hall.tell(|e| e.list(hall.clock.now(), false, vec![row]));
-        let take_turn = async { hall.take_turns(Span::from_ms(1), &RefCell::new(Nobody)).await };
+        let take_turn = async { hall.take_turns(TimeSpan::from_millis(1), &RefCell::new(Nobody)).await };
         assert!(tokio::time::timeout(Duration::from_millis(50), take_turn).await.is_err());
         assert!(matches!(write(&hall, &wire, &to, Writing::Next(Job::Probe)).unwrap(), Writing::Nothing));
         let mut came = [0; 9];
--- a/crates/pipitcrank-server/src/worker.rs
+++ b/crates/pipitcrank-server/src/worker.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_handover::division;
 use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing, mono_us};
 use pipitcrank_handover::snapshot::Snapshot;
@@ -48,8 +48,8 @@
     pub verticals: usize,
     pub shards: u32,
     /// How long a query may be held.
-    pub longest: Span,
-    pub end_called: watch::Sender<Option<pipitcrank_core::time::At>>,
+    pub longest: TimeSpan,
+    pub end_called: watch::Sender<Option<pipitcrank_core::time::Timestamp>>,
     /// Told to those who take work of others.
     pub leave: Rc<watch::Sender<bool>>,
 }
@@ -191,7 +191,7 @@
                 },
                 Some(Adopted { stream, read, whole_within }) = passed_on.recv() => {
                     if let (Peer::New(new), Ok(stream)) = (&peer, stream.into_std()) {
-                        let whole_within = whole_within.map(|d| Span::from_s(d.as_secs_f64()));
+                        let whole_within = whole_within.map(|d| TimeSpan::from_secs_f64(d.as_secs_f64()));
                         new.to.send(&ToNew::Connection { read: read.to_vec(), whole_within }, Some(stream.into()));
                     }
                 }
@@ -319,11 +319,11 @@
         let now = self.hall.clock.now();
         match Snapshot::decode(bytes) {
             Ok(snapshot) => {
-                let passed = Span::from_s(((mono_us() - snapshot.taken_us).max(0) as f64) / 1e6);
+                let passed = TimeSpan::from_secs_f64(((mono_us() - snapshot.taken_us).max(0) as f64) / 1e6);
                 tracing::info!(
                     leaves = snapshot.leaves.len(),
                     "going on from what was known {} s ago",
-                    passed.s()
+                    passed.as_secs_f64()
                 );
                 self.first_list.take();
                 self.rev.set(snapshot.rev);
@@ -347,7 +347,7 @@
         let (theirs, to) = (ask.ticket, old.to.clone());
         let answer = move |last: RelayedFinal| to.send(&ToOld::Answer { ticket: theirs, last }, None);
         let Some(asked) = relay::asked(&self.hall, self.verticals, self.shards, ask, key) else {
-            return answer(RelayedFinal::Rejected { stay_away: Span::ZERO });
+            return answer(RelayedFinal::Rejected { stay_away: TimeSpan::ZERO });
         };
         let ours = self.tickets.fetch_add(1, Ordering::Relaxed);
         old.tickets.borrow_mut().insert(theirs, ours);
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use pipitcrank_core::ids::{Ending, ReplicaId, RequestClassId};
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_core::told::Told;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_server::audit;
@@ -26,8 +26,8 @@
   "rules":{"cold_from":0.3,"cold_s":9.0,"fall_s":1.5,"overload_factor":4.0},"tick_s":0.005}"#;
 const MOST_OPEN: usize = 9;
 
-fn at(ms: i64) -> At {
-    At::from_us(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 /// The leaf side, written down.
@@ -67,7 +67,7 @@
     let number = |key: &str| told.pointer(key).and_then(serde_json::Value::as_f64);
     let vertical = |n: usize| audit::VerticalTerms {
         effect: Told::new(told).effect(n).unwrap(),
-        dedup_window: Span::from_s(number(&format!("/classes/{n}/dedup_window_s")).unwrap_or(0.0)),
+        dedup_window: TimeSpan::from_secs_f64(number(&format!("/classes/{n}/dedup_window_s")).unwrap_or(0.0)),
         floor: number(&format!("/domain/floor_by_class/{n}")).unwrap(),
         whole_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
     };
@@ -75,10 +75,10 @@
         verticals: (0..told["classes"].as_array().unwrap().len()).map(vertical).collect(),
         may_duplicate: told["allowed"]["may_duplicate"].as_bool().unwrap(),
         try_limit: number("/allowed/try_limit").unwrap() as u32,
-        drain_grace: Span::ZERO,
+        drain_grace: TimeSpan::ZERO,
         budget_free: number("/rules/extra_free").unwrap_or(0.0),
         budget_ratio: number("/rules/repeat_ratio").unwrap_or(0.0),
-        budget_span: number("/rules/budget_span_s").map(Span::from_s),
+        budget_span: number("/rules/budget_span_s").map(TimeSpan::from_secs_f64),
     }
 }
 
@@ -231,7 +231,7 @@
     stage.ask("over", 0, 0..1, 4000);
     stage.turn(10);
     assert_eq!((stage.final_of("five"), stage.final_of("long")), (None, None));
-    let over = Final::Rejected { stay_away: Span::ZERO };
+    let over = Final::Rejected { stay_away: TimeSpan::ZERO };
     assert_eq!(stage.final_of("over"), Some(format!("{over:?}")));
     assert_eq!(stage.counters.get("queries", "turned_away_over_most_open"), 1);
     // Nine are open again but for the parts that are in: those are not, though their query is.
@@ -287,7 +287,7 @@
     stage.turn(300);
     assert_eq!(stage.counters.get("leaf_calls", "stale"), 1);
     // A tenth of its SLO time: given up on, it is told at once when to come back (the move, 2026-12-01).
-    let rejected = Final::Rejected { stay_away: Span::from_ms(100) };
+    let rejected = Final::Rejected { stay_away: TimeSpan::from_millis(100) };
     // It never ran, so even a side-effecting query may be rejected.
     assert_eq!(stage.final_of("q"), Some(format!("{rejected:?}")));
 }
@@ -500,12 +500,12 @@
 }
 
 /// What is known goes from one exchange to another, as it passes between processes.
-fn handed_over(stage: &mut Stage, ms: i64, longest: Span) -> Stage {
+fn handed_over(stage: &mut Stage, ms: i64, longest: TimeSpan) -> Stage {
     let snapshot = stage.exchange.hand_over(at(ms), 0, Some(9), longest);
     let bytes = snapshot.encode().unwrap();
     let mut new = Stage::set();
     // The new one's clock began half a second ago.
-    new.exchange.go_on_from(at(500), Span::from_ms(100), Snapshot::decode(&bytes).unwrap());
+    new.exchange.go_on_from(at(500), TimeSpan::from_millis(100), Snapshot::decode(&bytes).unwrap());
     new
 }
 
@@ -514,7 +514,7 @@
     let mut stage = Stage::set();
     stage.exchange.list(at(900), false, vec![listed(1, false)]);
     // Not looked at yet when it hands over.
-    let mut new = handed_over(&mut stage, 1000, Span::from_ms(4000));
+    let mut new = handed_over(&mut stage, 1000, TimeSpan::from_millis(4000));
     for n in 0..9 {
         new.ask(&format!("q{n}"), 0, 0..1, 4000);
     }
@@ -540,7 +540,7 @@
         }
         stage.turn(n * 10 + 5);
     }
-    let mut new = handed_over(&mut stage, 401, Span::from_ms(4000));
+    let mut new = handed_over(&mut stage, 401, TimeSpan::from_millis(4000));
     let shunned = new.ledger.met.iter().find(|(_, a)| a.port() == 5000).map(|(l, _)| *l).unwrap();
     for n in 0..8 {
         new.ask(&format!("q{n}"), 0, 0..1, 4000);
@@ -564,7 +564,7 @@
     let cold = |n| Listed { started: Some(at(990)), ..listed(n, true) };
     stage.exchange.list(at(1000), true, (0..3).map(cold).collect());
     stage.turn(1000);
-    stage.exchange.hand_over(at(1001), 0, None, Span::from_ms(4000));
+    stage.exchange.hand_over(at(1001), 0, None, TimeSpan::from_millis(4000));
     stage.ask("q", 0, 0..1, 4000);
     (1002..1050).step_by(5).for_each(|ms| stage.turn(ms));
     assert!(stage.ledger.calls.is_empty(), "the allowance is the new one's");
@@ -590,7 +590,7 @@
     };
     let near_gone: Vec<Listed> = (0..3).map(|n| listed(n, false)).collect();
     assert!(asked_of(&mut stage, "a", 10).iter().all(|l| !far.contains(l)), "closed");
-    stage.exchange.set_hop(0, Some(Span::from_ms(100)));
+    stage.exchange.set_hop(0, Some(TimeSpan::from_millis(100)));
     for n in 0..5 {
         assert!(
             asked_of(&mut stage, &format!("b{n}"), 20 + 2 * n).iter().all(|l| !far.contains(l)),
@@ -621,7 +621,7 @@
     for further in [0, 1, 2] {
         let mut stage = Stage::set();
         let far = stage.exchange.add_site(0, "west", 3);
-        stage.exchange.set_hop(0, Some(Span::from_ms(1)));
+        stage.exchange.set_hop(0, Some(TimeSpan::from_millis(1)));
         let parts = vec![AskedPart { shard: 0, weight: 1.0, work: None }];
         let asked = Asked {
             id: "q@n".into(),
--- a/crates/pipitcrank-server/tests/leaves.rs
+++ b/crates/pipitcrank-server/tests/leaves.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use pipitcrank_core::ids::{ReplicaId, RequestClassId};
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_core::told::Told;
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::counters::Counters;
@@ -25,7 +25,7 @@
   "shards":12,"span":1},"rules":{"cold_from":0.3,"cold_s":9.0,"fall_s":1.5,"overload_factor":4.0},"tick_s":0.001}"#;
 const LONG: Duration = Duration::from_secs(60);
 const SHORT: Duration = Duration::from_millis(50);
-const TICK: Span = Span::from_ms(1);
+const TICK: TimeSpan = TimeSpan::from_millis(1);
 
 /// One leaf that holds everything; its connections are handed out as they come.
 struct Stage {
@@ -83,7 +83,7 @@
     fn ask(&mut self, parts: u32, text: Arc<str>) -> oneshot::Receiver<Final> {
         self.asked += 1;
         let (tell, told) = oneshot::channel();
-        let ends = self.hall.clock.now() + Span::from_ms(59_000);
+        let ends = self.hall.clock.now() + TimeSpan::from_millis(59_000);
         let weight = 1.0 / f64::from(parts);
         let parts = (0..parts).map(|shard| AskedPart { shard, weight, work: None }).collect();
         let id = format!("q{}", self.asked);
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use pipitcrank_core::ids::Ending;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_core::told::Faulty;
 use pipitcrank_server::charter::Charter;
 use pipitcrank_server::clock::Clock;
@@ -26,7 +26,7 @@
     let part = |shard| CallPart {
         id: format!("9b1f.{shard}").into(),
         shard,
-        wait: Span::from_s(0.2407),
+        wait: TimeSpan::from_secs_f64(0.2407),
         idempotency_key: None,
         text: "c41e77d0".into(),
     };
@@ -170,7 +170,7 @@
     let clock = Clock::start();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as i64;
     let an_hour_ago = clock.at_unix_ms(unix - 3_600_000);
-    let apart = (clock.now() - an_hour_ago).s();
+    let apart = (clock.now() - an_hour_ago).as_secs_f64();
     assert!((3590.0..3700.0).contains(&apart), "{apart}");
     assert!(clock.at_unix_ms(i64::MAX) > clock.now() && clock.at_unix_ms(i64::MIN) < clock.now());
 }
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pipitcrank_core::decide::zones::ZoneId;
-use pipitcrank_core::time::Span;
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::charter::Charter;
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::counters::Counters;
@@ -25,9 +25,9 @@
     assert_eq!(config.verticals().unwrap(), ["view", "sale", "bill"]);
     assert_eq!(config.deduplicated().unwrap(), [false, true, false]);
     assert_eq!(config.utilities().unwrap(), [3.0, 1.0, 1.0]);
-    assert_eq!(config.longest().unwrap(), Span::from_ms(6000));
+    assert_eq!(config.longest().unwrap(), TimeSpan::from_millis(6000));
     assert_eq!((config.cells().unwrap(), config.shards().unwrap()), (12, 48));
-    assert_eq!(config.tick().unwrap(), Span::from_ms(5));
+    assert_eq!(config.tick().unwrap(), TimeSpan::from_millis(5));
     assert!(config.lists_are_asked_for().unwrap());
     assert_eq!(config.copies().unwrap(), 20);
     assert_eq!(config.zones().unwrap(), Some((ZoneId(1), vec!["a".into(), "b".into()])));
--- a/crates/pipitcrank-sim-adapter/src/door.rs
+++ b/crates/pipitcrank-sim-adapter/src/door.rs
@@ -8,7 +8,7 @@
 use pipitcrank_core::ids::{Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
 use pipitcrank_core::names::Names;
 use pipitcrank_core::port::Port;
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_core::told::{Faulty, Told};
 use serde_json::Value;
 
@@ -20,7 +20,7 @@
     zone: Option<String>,
     cell: u32,
     up: bool,
-    started: Option<At>,
+    started: Option<Timestamp>,
 }
 
 impl Row {
@@ -38,7 +38,7 @@
             zone: line.field("zone").ok().map(str::to_string),
             cell: if state == "D" { line.number_or("cell", 0)? } else { line.number("cell")? },
             up: state == "U",
-            started: (started != 0.0).then(|| At::from_s(started)),
+            started: (started != 0.0).then(|| Timestamp::from_secs_f64(started)),
         })
     }
 }
@@ -62,9 +62,9 @@
 }
 
 impl Port for Door {
-    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: At) {
+    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
         let (i, job, replica) = (&self.instance, self.parts.name(part.0), self.leaves.name(leaf.0));
-        let line = format!("SEND i={i} job={job} replica={replica} abandon_at_s={:.6}", until.s());
+        let line = format!("SEND i={i} job={job} replica={replica} abandon_at_s={:.6}", until.as_secs_f64());
         self.say(&line);
     }
 
@@ -79,9 +79,9 @@
         self.say(&line);
     }
 
-    fn reject(&mut self, query: QueryId, stay_away: Span, _why: Refusal) {
+    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, _why: Refusal) {
         let (i, job) = (&self.instance, self.queries.name(query.0));
-        let line = format!("DECLINE i={i} job={job} stay_away_s={:.6}", stay_away.s());
+        let line = format!("DECLINE i={i} job={job} stay_away_s={:.6}", stay_away.as_secs_f64());
         self.say(&line);
     }
 
@@ -90,8 +90,9 @@
         self.say(&line);
     }
 
-    fn wake_me(&mut self, at: At, label: u64) {
-        let line = format!("NOTIFY_ME i={} alarm_time_s={:.6} label={label}", self.instance, at.s());
+    fn wake_me(&mut self, at: Timestamp, label: u64) {
+        let line =
+            format!("NOTIFY_ME i={} alarm_time_s={:.6} label={label}", self.instance, at.as_secs_f64());
         self.say(&line);
     }
 
@@ -151,7 +152,12 @@
         Ok(Host { door, root, verticals, zones })
     }
 
-    pub fn event(&mut self, now: At, line: &Line, lists: &BTreeMap<u32, Vec<Row>>) -> Result<(), Wrong> {
+    pub fn event(
+        &mut self,
+        now: Timestamp,
+        line: &Line,
+        lists: &BTreeMap<u32, Vec<Row>>,
+    ) -> Result<(), Wrong> {
         let Host { door, root, verticals, zones } = self;
         match line.word() {
             "NEW_INSTANCE" => root.start(door),
@@ -203,7 +209,7 @@
                 }
                 let query = QueryId(door.queries.enter(job));
                 door.asks.insert(ask, query.0);
-                let left = Span::from_s(line.amount("remaining_s")?);
+                let left = TimeSpan::from_secs_f64(line.amount("remaining_s")?);
                 root.query(door, now, query, RequestClassId(vertical as u16), left, hint, amount);
             }
             "FINISHED" => {
@@ -234,7 +240,7 @@
         Ok(())
     }
 
-    pub fn turn(&mut self, now: At) {
+    pub fn turn(&mut self, now: Timestamp) {
         self.root.turn(&mut self.door, now);
     }
 
@@ -246,7 +252,7 @@
 }
 
 /// A load report that came with a line, if one did.
-fn report(root: &mut Root, door: &Door, now: At, line: &Line) -> Result<(), Wrong> {
+fn report(root: &mut Root, door: &Door, now: Timestamp, line: &Line) -> Result<(), Wrong> {
     let Some(pairs) = line.optional("feedback") else { return Ok(()) };
     let Some(leaf) = door.leaves.find(line.field("replica")?) else { return Ok(()) };
     let value = |name: &str| {
--- a/crates/pipitcrank-sim-adapter/src/main.rs
+++ b/crates/pipitcrank-sim-adapter/src/main.rs
@@ -9,7 +9,7 @@
 
 use door::{Host, Row};
 use line::{Line, Wrong};
-use pipitcrank_core::time::At;
+use pipitcrank_core::time::Timestamp;
 
 fn play(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), Wrong> {
     // By instance name; an entry ends with the instance (RETIRE).
@@ -18,7 +18,7 @@
     let mut lists: BTreeMap<u32, Vec<Row>> = BTreeMap::new();
     let mut touched: Vec<String> = Vec::new();
     let (mut text, mut no) = (String::new(), 0u64);
-    let mut now: Option<At> = None;
+    let mut now: Option<Timestamp> = None;
     loop {
         text.clear();
         if input.read_line(&mut text).map_err(|e| Wrong::new(no + 1, &format!("cannot be read: {e}")))? == 0 {
@@ -31,7 +31,7 @@
         let line = Line::new(no, text.trim_end_matches(['\n', '\r']));
         match (line.word(), now) {
             ("", None) => {}
-            ("MARK", None) => now = Some(At::from_s(line.amount("t_s")?)),
+            ("MARK", None) => now = Some(Timestamp::from_secs_f64(line.amount("t_s")?)),
             ("COMMIT", Some(at)) => {
                 for name in touched.drain(..) {
                     if let Some(host) = hosts.get_mut(&name) {
--- a/crates/pipitcrank-simulation/src/leaves.rs
+++ b/crates/pipitcrank-simulation/src/leaves.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 /// What waits for longer earns nothing.
 const SLO_S: f64 = 1.0;
@@ -12,7 +12,7 @@
 /// Warming: share of a warm leaf at the start, and for how long it grows; what a cold leaf may get over a window, as
 /// rule 4 has it.
 const COLD_FROM: f64 = 0.3;
-const COLD: Span = Span::from_ms(8000);
+const COLD: TimeSpan = TimeSpan::from_millis(8000);
 const COLD_FACTOR: f64 = 4.0;
 const COLD_WINDOW_S: f64 = 1.5;
 
@@ -23,7 +23,7 @@
     /// All give nothing; or they are so many times slower.
     pub lost: bool,
     pub slower: f64,
-    started: Option<At>,
+    started: Option<Timestamp>,
     queue: f64,
     /// What came in the steps of the last window.
     came: VecDeque<f64>,
@@ -51,11 +51,13 @@
         f64::from(self.count) * self.bears
     }
 
-    fn warmth(&self, now: At) -> f64 {
-        self.started.map_or(1.0, |t| COLD_FROM + (1.0 - COLD_FROM) * ((now - t).s() / COLD.s()).min(1.0))
+    fn warmth(&self, now: Timestamp) -> f64 {
+        self.started.map_or(1.0, |t| {
+            COLD_FROM + (1.0 - COLD_FROM) * ((now - t).as_secs_f64() / COLD.as_secs_f64()).min(1.0)
+        })
     }
 
-    pub fn is_cold(&self, now: At) -> bool {
+    pub fn is_cold(&self, now: Timestamp) -> bool {
         self.started.is_some_and(|t| now - t < COLD)
     }
 
@@ -64,21 +66,21 @@
     }
 
     /// They start anew, cold.
-    pub fn start(&mut self, now: At) {
+    pub fn start(&mut self, now: Timestamp) {
         (self.lost, self.started, self.queue) = (false, Some(now), 0.0);
     }
 
     /// Seconds that what comes now has to wait.
-    pub fn wait_s(&self, now: At) -> f64 {
+    pub fn wait_s(&self, now: Timestamp) -> f64 {
         self.queue / (self.whole() * self.warmth(now) / self.slower).max(1e-9)
     }
 
     /// So many parts come within a step.
-    pub fn step(&mut self, now: At, parts: f64, step: Span) -> Step {
+    pub fn step(&mut self, now: Timestamp, parts: f64, step: TimeSpan) -> Step {
         if self.lost {
             return Step { unanswered: parts, ..Step::default() };
         }
-        let steps = (COLD_WINDOW_S / step.s()).round() as usize;
+        let steps = (COLD_WINDOW_S / step.as_secs_f64()).round() as usize;
         self.came.push_back(parts);
         if self.came.len() > steps {
             self.came.pop_front();
@@ -88,8 +90,8 @@
             let may = COLD_FACTOR * warm * self.whole() * COLD_WINDOW_S;
             self.pushed_over += (self.came.iter().sum::<f64>() - may).max(0.0).min(parts);
         }
-        let does = self.whole() * warm / self.slower * step.s();
-        let room = (does / step.s() * ROOM_S - self.queue).max(0.0);
+        let does = self.whole() * warm / self.slower * step.as_secs_f64();
+        let room = (does / step.as_secs_f64() * ROOM_S - self.queue).max(0.0);
         let taken = parts.min(room + does);
         let wait = self.wait_s(now);
         self.queue = (self.queue + taken - does).max(0.0);
--- a/crates/pipitcrank-simulation/src/leaves/tests.rs
+++ b/crates/pipitcrank-simulation/src/leaves/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-const STEP: Span = Span::from_ms(100);
+const STEP: TimeSpan = TimeSpan::from_millis(100);
 
 fn run(leaves: &mut Leaves, from: i64, steps: i64, parts: f64) -> Step {
     let mut sum = Step::default();
     for n in 0..steps {
-        let step = leaves.step(At::from_us((from + n) * 100_000), parts, STEP);
+        let step = leaves.step(Timestamp::from_micros((from + n) * 100_000), parts, STEP);
         sum.in_time += step.in_time;
         sum.late += step.late;
         sum.turned_away += step.turned_away;
@@ -28,7 +28,7 @@
 #[test]
 fn cold_leaves_carry_less_and_say_when_they_are_pushed_over() {
     let mut leaves = Leaves::new(10, 100.0);
-    leaves.start(At::default());
+    leaves.start(Timestamp::default());
     run(&mut leaves, 0, 20, 100.0);
     assert_eq!(leaves.pushed_over, 0.0);
     run(&mut leaves, 20, 20, 500.0);
--- a/crates/pipitcrank-simulation/src/zones.rs
+++ b/crates/pipitcrank-simulation/src/zones.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use pipitcrank_core::time::{At, Span};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::book::{Book, Pace};
 use pipitcrank_failover::decision::State;
 use pipitcrank_failover::follow::{Follow, Plan, Standing};
@@ -27,7 +27,7 @@
 use crate::net::{Net, Next};
 use crate::plot::Line;
 
-const STEP: Span = Span::from_ms(100);
+const STEP: TimeSpan = TimeSpan::from_millis(100);
 /// Leaves a zone, and parts a second that one bears.
 const LEAVES: u16 = 40;
 const BEARS: f64 = 200.0;
@@ -95,10 +95,10 @@
     /// When it sees a silence, after it began, and how long it keeps away where it goes alone.
     sees: f64,
     again: f64,
-    left: Option<At>,
+    left: Option<Timestamp>,
     plan: Plan,
     known: (u64, Standing),
-    due: At,
+    due: Timestamp,
 }
 
 struct World {
@@ -106,11 +106,11 @@
     copies: Vec<Copy>,
     addresses: BTreeMap<SocketAddr, usize>,
     leaves: Vec<Leaves>,
-    lost: Option<(usize, At)>,
+    lost: Option<(usize, Timestamp)>,
     way: Way,
     /// Of each number: when first acted on, and by how many copies, and when by nearly all.
-    acted: BTreeMap<u64, (At, usize, Option<At>)>,
-    states: BTreeMap<u64, (At, Vec<(State, u16)>)>,
+    acted: BTreeMap<u64, (Timestamp, usize, Option<Timestamp>)>,
+    states: BTreeMap<u64, (Timestamp, Vec<(State, u16)>)>,
     two_under_one: u64,
     older: u64,
 }
@@ -123,8 +123,8 @@
     fn new(copies: usize, zones: usize, seed: u64, way: Way) -> World {
         let mut chance = Pcg64::seed_from_u64(seed);
         let near = Nearness::new(&vec!["r".to_string(); zones]);
-        let net = Net::new(Pcg64::seed_from_u64(seed ^ 1), 0.01, Span::from_ms(4));
-        let start = At::default();
+        let net = Net::new(Pcg64::seed_from_u64(seed ^ 1), 0.01, TimeSpan::from_millis(4));
+        let start = Timestamp::default();
         let peers: Vec<Peer> = (0..copies)
             .map(|n| Peer {
                 address: address(n),
@@ -134,10 +134,10 @@
             .collect();
         let seats: Vec<SocketAddr> = (0..VOTERS.min(copies | 1)).map(address).collect();
         let pace = Pace {
-            suspect: Span::from_ms(600),
-            hold_down: Span::from_ms(2000),
-            hold_down_most: Span::from_ms(60_000),
-            calm: Span::from_ms(60_000),
+            suspect: TimeSpan::from_millis(600),
+            hold_down: TimeSpan::from_millis(2000),
+            hold_down_most: TimeSpan::from_millis(60_000),
+            calm: TimeSpan::from_millis(60_000),
         };
         let mut world = World {
             net,
@@ -154,7 +154,8 @@
         for (n, peer) in peers.iter().enumerate() {
             let instance = (way == Way::Common).then(|| {
                 let book = Book::new(pace, near.clone(), zones, BEARS * 0.95);
-                let follow = Follow::new(peer.zone, zones, near.clone(), Span::from_ms(10_000), false);
+                let follow =
+                    Follow::new(peer.zone, zones, near.clone(), TimeSpan::from_millis(10_000), false);
                 let mut instance =
                     Instance::new(start, peer.clone(), key("the lab's"), &[], &seats, zones, book, follow);
                 instance.learn(start, peers.iter().cloned());
@@ -164,10 +165,10 @@
             let sees = chance.random_range(SEES.0..SEES.1);
             let again = chance.random_range(TRIES_AGAIN.0..TRIES_AGAIN.1);
             let zone = usize::from(peer.zone);
-            let (left, known, due) = (None, (0, Standing::Blind), At::from_s(1e9));
+            let (left, known, due) = (None, (0, Standing::Blind), Timestamp::from_secs_f64(1e9));
             world.copies.push(Copy { instance, zone, sees, again, left, plan, known, due });
             // Not all at one moment.
-            let first = start + Span::from_s(chance.random_range(0.0..0.25));
+            let first = start + TimeSpan::from_secs_f64(chance.random_range(0.0..0.25));
             world.net.at(first, Next::Due(n));
         }
         world.net.at(start, Next::Step);
@@ -175,7 +176,7 @@
     }
 
     /// What the copy sees of each zone at that moment.
-    fn rows(&self, now: At, copy: usize) -> Vec<Row> {
+    fn rows(&self, now: Timestamp, copy: usize) -> Vec<Row> {
         let row = |(zone, leaves): (usize, &Leaves)| {
             let count = leaves.count;
             let full = if leaves.wait_s(now) > 1.0 { count } else { 0 };
@@ -189,7 +190,7 @@
     }
 
     /// Calls a copy and passes on what it wants.
-    fn call(&mut self, now: At, copy: usize, datagram: Option<&[u8]>) {
+    fn call(&mut self, now: Timestamp, copy: usize, datagram: Option<&[u8]>) {
         let wants = self.copies[copy].instance.as_mut().is_some_and(|i| i.wants_to_see(now));
         let rows = if wants { self.rows(now, copy) } else { Vec::new() };
         let (asked, count) = (self.asked() / self.copies.len() as f64, self.copies.len());
@@ -226,7 +227,7 @@
             let to = self.addresses.get(&to).map(|&n| (n, (n % self.leaves.len()) as u16));
             self.net.send(now, zone, to, bytes);
         }
-        let due = instance.due().max(now + Span::from_ms(1));
+        let due = instance.due().max(now + TimeSpan::from_millis(1));
         if due < held.due || held.due <= now {
             held.due = due;
             self.net.at(due, Next::Due(copy));
@@ -239,13 +240,13 @@
     }
 
     /// Whether the copy sees that zone silent.
-    fn sees_silent(&self, now: At, copy: usize, zone: usize) -> bool {
-        self.lost.is_some_and(|(z, at)| z == zone && (now - at).s() >= self.copies[copy].sees)
+    fn sees_silent(&self, now: Timestamp, copy: usize, zone: usize) -> bool {
+        self.lost.is_some_and(|(z, at)| z == zone && (now - at).as_secs_f64() >= self.copies[copy].sees)
     }
 
     /// What the cover of each copy does by itself, whatever the shares: what is meant for a zone that it sees silent goes
     /// to the others, evenly.
-    fn by_own_sight(&self, now: At, copy: usize, shares: &[(u16, u16)]) -> Vec<(u16, f64)> {
+    fn by_own_sight(&self, now: Timestamp, copy: usize, shares: &[(u16, u16)]) -> Vec<(u16, f64)> {
         let zones = self.leaves.len();
         let mut of: Vec<f64> = vec![0.0; zones];
         shares.iter().for_each(|&(z, s)| of[usize::from(z)] += f64::from(s));
@@ -257,23 +258,23 @@
     }
 
     /// Whether a copy that goes alone sends home now: it leaves as it sees silence, and tries again after a while.
-    fn sends_home(&mut self, now: At, copy: usize) -> bool {
+    fn sends_home(&mut self, now: Timestamp, copy: usize) -> bool {
         let silent = self.sees_silent(now, copy, self.copies[copy].zone);
         let held = &mut self.copies[copy];
-        let trying = held.left.map(|at| (now - at).s() - held.again);
+        let trying = held.left.map(|at| (now - at).as_secs_f64() - held.again);
         match trying {
             None if silent => held.left = Some(now),
             // It sees that nothing answers, or that it does.
             Some(tried) if tried >= held.sees => held.left = silent.then_some(now),
             _ => {}
         }
-        held.left.is_none_or(|at| (now - at).s() >= held.again)
+        held.left.is_none_or(|at| (now - at).as_secs_f64() >= held.again)
     }
 
     /// One step of the world; asked, answered in time, load by zone (parts a second).
-    fn step(&mut self, now: At) -> (f64, f64, Vec<f64>) {
+    fn step(&mut self, now: Timestamp) -> (f64, f64, Vec<f64>) {
         let zones = self.leaves.len();
-        let a_copy = self.asked() / self.copies.len() as f64 * STEP.s();
+        let a_copy = self.asked() / self.copies.len() as f64 * STEP.as_secs_f64();
         let mut parts = vec![0.0; zones];
         for copy in 0..self.copies.len() {
             let home = self.copies[copy].zone as u16;
@@ -307,7 +308,7 @@
         // What is asked again goes where there is room; in time, as it is little.
         in_time += again;
         let asked = a_copy * self.copies.len() as f64;
-        (asked, in_time.min(asked), parts.iter().map(|p| p / STEP.s()).collect())
+        (asked, in_time.min(asked), parts.iter().map(|p| p / STEP.as_secs_f64()).collect())
     }
 }
 
@@ -332,7 +333,7 @@
     let (mut lost, mut all, mut peak) = ((0.0, 0.0), (0.0, 0.0), 0.0_f64);
     let (mut calm, mut home) = ((0, 0), None);
     while let Some((now, next)) = world.net.take_next() {
-        let at = now.s();
+        let at = now.as_secs_f64();
         if at > END {
             break;
         }
@@ -340,7 +341,7 @@
             Next::Datagram(copy, bytes) => world.call(now, copy, Some(&bytes)),
             Next::Due(copy) => {
                 // A later call may have been asked for since.
-                if now >= world.copies[copy].due || world.copies[copy].due.s() > 1e8 {
+                if now >= world.copies[copy].due || world.copies[copy].due.as_secs_f64() > 1e8 {
                     world.copies[copy].due = now;
                     world.call(now, copy, None);
                 }
@@ -391,12 +392,17 @@
     let zone = (seed as usize) % zones;
     let world = &common.world;
     let first = |what: &dyn Fn(&(State, u16)) -> bool| {
-        let found = world.states.values().filter(|(at, states)| at.s() >= LOST && what(&states[zone]));
-        found.map(|(at, _)| at.s() - LOST).min_by(f64::total_cmp)
+        let found =
+            world.states.values().filter(|(at, states)| at.as_secs_f64() >= LOST && what(&states[zone]));
+        found.map(|(at, _)| at.as_secs_f64() - LOST).min_by(f64::total_cmp)
     };
-    let out = world.states.iter().find(|(_, (at, states))| at.s() >= LOST && states[zone].0 == State::Out);
-    let moved = out.and_then(|(number, _)| world.acted.get(number)?.2).map(|at| at.s() - LOST);
-    let mut spread: Vec<f64> = world.acted.values().filter_map(|a| Some((a.2? - a.0).s())).collect();
+    let out = world
+        .states
+        .iter()
+        .find(|(_, (at, states))| at.as_secs_f64() >= LOST && states[zone].0 == State::Out);
+    let moved = out.and_then(|(number, _)| world.acted.get(number)?.2).map(|at| at.as_secs_f64() - LOST);
+    let mut spread: Vec<f64> =
+        world.acted.values().filter_map(|a| Some((a.2? - a.0).as_secs_f64())).collect();
     spread.sort_by(f64::total_cmp);
     let each = copies as f64;
     let ways = [("common", &common), ("alone", &alone), ("none", &none)];
