--- a/crates/pipitcrank-core/src/decide.rs
+++ b/crates/pipitcrank-core/src/decide.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 mod budget;
-mod ending;
+mod deadlines;
 pub mod known;
 mod lending;
 mod seen;
@@ -24,14 +24,16 @@
 pub use slow_start::FailBack;
 
 use crate::chance::Chance;
-use crate::ids::{Barred, Effect, Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
+use crate::ids::{
+    AttemptDenied, AttemptOutcome, Idempotency, PartId, QueryId, RejectReason, ReplicaId, RequestClassId,
+};
 use crate::port::Port;
 use crate::time::{TimeSpan, Timestamp};
 
 /// What a step leaves behind for when its alarm rings.
 type Then = Box<dyn FnOnce(&mut Root, &mut dyn Port, Timestamp)>;
 /// What a leaf call leaves behind for its end.
-type AfterCall = Box<dyn FnOnce(&mut Root, &mut dyn Port, Timestamp, Ending)>;
+type AfterCall = Box<dyn FnOnce(&mut Root, &mut dyn Port, Timestamp, AttemptOutcome)>;
 
 /// Sums of weights may fall short by this much (a rule's own figure).
 const SHORT: f64 = 1e-4;
@@ -40,7 +42,7 @@
 pub struct Terms {
     /// What the vertical is called: what was learned of it is taken over under this name alone.
     pub name: String,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub dedup_window: TimeSpan,
     pub slo: TimeSpan,
     pub slo_stretch: f64,
@@ -457,7 +459,7 @@
             Open { serial, vertical: v, slo, answer_by, ends, arrived: now, a_part, size, ..Open::default() };
         self.queries.insert(id, Open { first_whole: true, zone, ..open });
         if self.turned_away(v.0 as usize) {
-            return self.give_up(port, now, id, Refusal::TurnedAway);
+            return self.give_up(port, now, id, RejectReason::ZoneOverCapacity);
         }
         self.tend(port, now, id, serial);
     }
@@ -524,7 +526,7 @@
             let parts = std::mem::take(&mut open.parts);
             self.drop_parts(port, parts);
             if last {
-                self.give_up(port, now, id, Refusal::TimeOver);
+                self.give_up(port, now, id, RejectReason::DeadlineExceeded);
             }
             return;
         }
@@ -533,14 +535,14 @@
 
     /// Final, at once: rejected where asking again is harmless, saying when to come back where allowed;
     /// aborted otherwise (rule 2). Guards against a client asking again at once into the same jam.
-    fn give_up(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId, why: Refusal) {
+    fn give_up(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId, why: RejectReason) {
         let open = &self.queries[&id];
         // Guards against a time to stay held too short for any answer: then only rejections tell who stayed.
         self.trades[open.vertical.0 as usize].stayed(now - open.arrived);
-        let effect = self.terms(open).effect;
+        let idempotency = self.terms(open).idempotency;
         let unrun = |p: &PartId| self.parts[p].sent.iter().all(|s| s.never_ran);
         let begun = open.parts.iter().any(|p| !self.parts[p].sent.is_empty());
-        if effect == Effect::Repeatable || open.parts.iter().all(unrun) {
+        if idempotency == Idempotency::Idempotent || open.parts.iter().all(unrun) {
             port.reject(id, self.waited(open.vertical), why);
         } else {
             port.abort(id, why);
@@ -553,7 +555,7 @@
 
     /// A query that another process held when it died: the time to stay away if rejected, none if aborted (rule 2).
     pub fn stranded(&self, v: RequestClassId) -> Option<TimeSpan> {
-        (self.trades[v.0 as usize].terms.effect == Effect::Repeatable).then(|| self.waited(v))
+        (self.trades[v.0 as usize].terms.idempotency == Idempotency::Idempotent).then(|| self.waited(v))
     }
 
     /// When to come back: the patience for first calls, within what clients honour; none where not allowed.
@@ -631,18 +633,18 @@
         let part = &self.parts[&id];
         let risky = part.sent.iter().take(nth as usize).find(|s| !s.never_ran).map(|s| s.at);
         let terms = &self.trades[part.vertical.0 as usize].terms;
-        match (terms.effect, risky) {
-            (_, None) | (Effect::Repeatable, _) => true,
-            (Effect::Deduplicated, Some(first)) => now - first + self.tries.way < terms.dedup_window,
-            (Effect::SideEffecting, Some(_)) => false,
+        match (terms.idempotency, risky) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::IdempotentByKey, Some(first)) => now - first + self.tries.way < terms.dedup_window,
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
     /// The call's first byte is about to be written: rule 2 as it stands now, and rule 6 by what has gone out. To be asked once
     /// for each call, by hosts whose calls may wait before they go out; with others they begin as they are decided.
-    pub fn begin(&mut self, now: Timestamp, id: PartId, nth: u32) -> Result<(), Barred> {
+    pub fn begin(&mut self, now: Timestamp, id: PartId, nth: u32) -> Result<(), AttemptDenied> {
         if !self.may_begin(now, id, nth) {
-            return Err(Barred::Repeat);
+            return Err(AttemptDenied::RepeatForbidden);
         }
         let part = &self.parts[&id];
         let lent = self.queries.get(&part.query).is_some_and(|q| q.lent.is_some());
@@ -650,7 +652,7 @@
             return Ok(());
         }
         if !self.budget.begins(part.sent[nth as usize].counted, now) {
-            return Err(Barred::Budget);
+            return Err(AttemptDenied::RetryBudgetSpent);
         }
         let part = self.parts.get_mut(&id).expect("calls that begin have their parts");
         // It may be taken back and begin once more.
@@ -695,16 +697,23 @@
         }
         self.count_crossing(leaf);
         port.leaf_call(id, leaf, ends);
-        let after: AfterCall = Box::new(move |root, port, now, ending| {
-            root.learn(port, now, leaf, id, nth, ending);
-            root.proceed(port, now, id, nth, ending);
+        let after: AfterCall = Box::new(move |root, port, now, outcome| {
+            root.learn(port, now, leaf, id, nth, outcome);
+            root.proceed(port, now, id, nth, outcome);
         });
         self.calls.insert((id, nth), after);
     }
 
-    pub fn ended(&mut self, port: &mut dyn Port, now: Timestamp, id: PartId, nth: u32, ending: Ending) {
+    pub fn ended(
+        &mut self,
+        port: &mut dyn Port,
+        now: Timestamp,
+        id: PartId,
+        nth: u32,
+        outcome: AttemptOutcome,
+    ) {
         if let Some(after) = self.calls.remove(&(id, nth)) {
-            after(self, port, now, ending);
+            after(self, port, now, outcome);
         }
     }
 
@@ -719,18 +728,18 @@
         leaf: ReplicaId,
         part: PartId,
         nth: u32,
-        ending: Ending,
+        outcome: AttemptOutcome,
     ) {
         let vertical = self.parts[&part].vertical;
-        self.count_ended(leaf, ending);
+        self.count_ended(leaf, outcome);
         let carried = self.carried_now(now);
         let state = self.leaves.get_mut(&leaf).expect("leaves outlive their calls");
         let Out { at, work, ahead, .. } = state.out.remove(&(part, nth)).expect("calls out are listed");
         state.seen.take();
         let overdue = TimeSpan::from_secs_f64(ahead * self.overdue.0.unwrap_or(1.0)) + Self::GRACE;
-        state.word(now, ending, now - at > overdue);
-        match ending {
-            Ending::Pass => {
+        state.word(now, outcome, now - at > overdue);
+        match outcome {
+            AttemptOutcome::Success => {
                 let took = (now - at - state.hop()).as_secs_f64().max(1e-6);
                 let pace = (took / ahead.max(1e-3)).min(20.0);
                 state.faults *= 1.0 - LeafState::NEWEST;
@@ -754,19 +763,20 @@
                 }
             }
             // A cut says little: some leaves close connections often, and one that is gone gives no route.
-            Ending::Fault | Ending::Cut => {
-                let newest = if ending == Ending::Cut { LeafState::CUT } else { LeafState::NEWEST };
+            AttemptOutcome::Fault | AttemptOutcome::Disconnected => {
+                let newest =
+                    if outcome == AttemptOutcome::Disconnected { LeafState::CUT } else { LeafState::NEWEST };
                 state.faults += newest * (1.0 - state.faults);
                 if state.faults >= LeafState::FAULTY {
                     state.trial_at = Some(now + LeafState::TRIAL_WAIT);
                 }
             }
-            Ending::NoRoute => {
+            AttemptOutcome::Unreachable => {
                 state.faults = state.faults.max(2.0 * LeafState::FAULTY);
                 state.trial_at = Some(now + LeafState::TRIAL_WAIT);
             }
-            Ending::NoRoom => state.lag = (LeafState::FULL_LAG_S, now),
-            Ending::TooSlow | Ending::Undone | Ending::Stale => {}
+            AttemptOutcome::NoCapacity => state.lag = (LeafState::FULL_LAG_S, now),
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NeverSent => {}
         }
         if !state.listed && state.out.is_empty() {
             self.drop_leaf(port, leaf);
@@ -775,15 +785,25 @@
     }
 
     /// What the end of a leaf call means for its query.
-    fn proceed(&mut self, port: &mut dyn Port, now: Timestamp, id: PartId, nth: u32, ending: Ending) {
+    fn proceed(
+        &mut self,
+        port: &mut dyn Port,
+        now: Timestamp,
+        id: PartId,
+        nth: u32,
+        outcome: AttemptOutcome,
+    ) {
         let part = self.parts.get_mut(&id).expect("parts outlive their calls");
         let sent = &mut part.sent[nth as usize];
         sent.out = false;
-        sent.never_ran = matches!(ending, Ending::NoRoom | Ending::NoRoute | Ending::Stale);
+        sent.never_ran = matches!(
+            outcome,
+            AttemptOutcome::NoCapacity | AttemptOutcome::Unreachable | AttemptOutcome::NeverSent
+        );
         if part.done {
             return self.free_part(port, id);
         }
-        if ending != Ending::Pass {
+        if outcome != AttemptOutcome::Success {
             let query = part.query;
             if part.out() == 0 {
                 part.waits = true;
@@ -810,7 +830,7 @@
         let may_come = |p: &&PartId| self.parts[p].done || self.parts[p].out() > 0 || self.could_go(now, **p);
         let hope: f64 = open.parts.iter().filter(may_come).map(|p| self.parts[p].weight).sum();
         if hope < self.bounds(open).0 {
-            self.give_up(port, now, query, Refusal::NoHope);
+            self.give_up(port, now, query, RejectReason::AnswerUnreachable);
         }
     }
 
@@ -846,12 +866,12 @@
         all
     }
 
-    pub fn probed(&mut self, now: Timestamp, leaf: ReplicaId, ending: Ending) {
+    pub fn probed(&mut self, now: Timestamp, leaf: ReplicaId, outcome: AttemptOutcome) {
         let Some(state) = self.leaves.get_mut(&leaf) else { return };
-        state.word(now, ending, false);
-        match ending {
-            Ending::TooSlow => {}
-            Ending::NoRoute => state.trial_at = Some(now + LeafState::TRIAL_WAIT),
+        state.word(now, outcome, false);
+        match outcome {
+            AttemptOutcome::TimedOut => {}
+            AttemptOutcome::Unreachable => state.trial_at = Some(now + LeafState::TRIAL_WAIT),
             _ => state.probed = state.probed.map(|(at, _)| (at, false)),
         }
         self.moved = true;
@@ -1099,11 +1119,11 @@
         if any && now >= answer_by {
             self.merge(port, now, id, whole, now >= end);
         } else if now >= end {
-            self.give_up(port, now, id, Refusal::TimeOver);
+            self.give_up(port, now, id, RejectReason::DeadlineExceeded);
         } else if worthless {
-            self.give_up(port, now, id, Refusal::LateIsWorthless);
+            self.give_up(port, now, id, RejectReason::ObjectiveMissed);
         } else if now - open.arrived > patience && open.parts.iter().all(unsent) {
-            self.give_up(port, now, id, Refusal::NoLeafInTime);
+            self.give_up(port, now, id, RejectReason::NoReplicaInTime);
         }
         let Some(open) = self.queries.get(&id) else { return };
         for part in if now < open.slo { open.parts.clone() } else { Vec::new() } {
--- a/crates/pipitcrank-core/src/decide/config_form.rs
+++ b/crates/pipitcrank-core/src/decide/config_form.rs
@@ -29,15 +29,15 @@
     assert!(root.asks_list);
     assert_eq!(root.tick, TimeSpan::from_millis(5));
     let classes = [
-        ("view", Effect::Repeatable, 0, 1000, 0.25, 0.5, 4000, 0.9, 0.6),
-        ("sale", Effect::Deduplicated, 7000, 2000, 0.0, 1.0, 5000, 0.8, 0.5),
-        ("bill", Effect::SideEffecting, 0, 1500, 0.0, 1.0, 6000, 0.7, 0.4),
+        ("view", Idempotency::Idempotent, 0, 1000, 0.25, 0.5, 4000, 0.9, 0.6),
+        ("sale", Idempotency::IdempotentByKey, 7000, 2000, 0.0, 1.0, 5000, 0.8, 0.5),
+        ("bill", Idempotency::NonIdempotent, 0, 1500, 0.0, 1.0, 6000, 0.7, 0.4),
     ];
     assert_eq!(root.trades.len(), classes.len());
     for (trade, class) in root.trades.iter().zip(classes) {
         let terms = &trade.terms;
-        let (name, effect, window, slo, stretch, late_worth, hard_limit, whole_from, floor) = class;
-        assert_eq!((&*terms.name, terms.effect, terms.second_step), (name, effect, false));
+        let (name, idempotency, window, slo, stretch, late_worth, hard_limit, whole_from, floor) = class;
+        assert_eq!((&*terms.name, terms.idempotency, terms.second_step), (name, idempotency, false));
         assert_eq!(
             (terms.dedup_window, terms.slo),
             (TimeSpan::from_millis(window), TimeSpan::from_millis(slo))
--- a/crates/pipitcrank-core/src/decide/sites.rs
+++ b/crates/pipitcrank-core/src/decide/sites.rs
@@ -2,7 +2,7 @@
 //! further calls lent with parts. Which of it a cover may use is decided beside the other candidates.
 
 use super::Root;
-use crate::ids::{Effect, PartId, QueryId, ReplicaId, RequestClassId};
+use crate::ids::{Idempotency, PartId, QueryId, ReplicaId, RequestClassId};
 use crate::time::{TimeSpan, Timestamp};
 
 impl Root {
@@ -17,7 +17,7 @@
 
     /// Whether a part of that vertical that may have run may go again at all.
     pub fn may_repeat(&self, v: RequestClassId) -> bool {
-        self.trades[v.0 as usize].terms.effect != Effect::SideEffecting
+        self.trades[v.0 as usize].terms.idempotency != Idempotency::NonIdempotent
     }
 
     /// Parts go to another site: how many further calls that may make for them, until then. They count as made,
--- a/crates/pipitcrank-core/src/decide/zones.rs
+++ b/crates/pipitcrank-core/src/decide/zones.rs
@@ -3,7 +3,7 @@
 //! decided elsewhere: by all copies in common (`pipitcrank-failover`), or told at start.
 
 use super::{LeafState, Root};
-use crate::ids::{Ending, QueryId, ReplicaId};
+use crate::ids::{AttemptOutcome, QueryId, ReplicaId};
 use crate::port::Port;
 use crate::time::{TimeSpan, Timestamp};
 
@@ -119,8 +119,8 @@
     }
 
     /// How a leaf call ended, for the leaf's zone. Zones are few (`told::MOST_ZONES`).
-    pub(super) fn count_ended(&mut self, leaf: ReplicaId, ending: Ending) {
-        if let (Some(zone), Ending::Pass) = (self.leaves[&leaf].zone, ending) {
+    pub(super) fn count_ended(&mut self, leaf: ReplicaId, outcome: AttemptOutcome) {
+        if let (Some(zone), AttemptOutcome::Success) = (self.leaves[&leaf].zone, outcome) {
             *count(&mut self.zones.tally.merged, usize::from(zone.0)) += 1;
         }
     }
@@ -217,10 +217,16 @@
 
     /// A call or a probe ended. One that was overdue and given up, as another answered instead, or was cut off, left
     /// nothing to be heard either; a probe that came to nothing is counted when the next goes out.
-    pub(super) fn word(&mut self, now: Timestamp, ending: Ending, overdue: bool) {
-        match ending {
-            Ending::Pass | Ending::Fault | Ending::NoRoom => (self.mute, self.heard) = (0, Some(now)),
-            Ending::TooSlow | Ending::Undone | Ending::Cut if overdue => self.mute += 1,
+    pub(super) fn word(&mut self, now: Timestamp, outcome: AttemptOutcome, overdue: bool) {
+        match outcome {
+            AttemptOutcome::Success | AttemptOutcome::Fault | AttemptOutcome::NoCapacity => {
+                (self.mute, self.heard) = (0, Some(now))
+            }
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Disconnected
+                if overdue =>
+            {
+                self.mute += 1
+            }
             _ => {}
         }
     }
--- a/crates/pipitcrank-core/src/ids.rs
+++ b/crates/pipitcrank-core/src/ids.rs
@@ -15,58 +15,58 @@
 
 /// How a leaf call ended, as told from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Pass,
+pub enum AttemptOutcome {
+    Success,
     Fault,
-    NoRoom,
-    TooSlow,
-    NoRoute,
-    Cut,
-    Undone,
-    Stale,
+    NoCapacity,
+    TimedOut,
+    Unreachable,
+    Disconnected,
+    Cancelled,
+    NeverSent,
 }
 
 /// Why a call that was decided may not begin after all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Barred {
+pub enum AttemptDenied {
     /// An earlier attempt may have run, and this one may not follow it now (rule 2).
-    Repeat,
+    RepeatForbidden,
     /// Further attempts that went out meanwhile have used the budget up (rule 6).
-    Budget,
+    RetryBudgetSpent,
 }
 
 /// Why a query ended without an answer from its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// Its share is turned away: the zones left can't carry it.
-    TurnedAway,
+    ZoneOverCapacity,
     /// No leaf could take its first calls within its patience.
-    NoLeafInTime,
+    NoReplicaInTime,
     /// Its client's time is all but over.
-    TimeOver,
+    DeadlineExceeded,
     /// Its SLO time is over, and a late answer earns nothing.
-    LateIsWorthless,
+    ObjectiveMissed,
     /// The parts that can still come in do not reach an answer.
-    NoHope,
+    AnswerUnreachable,
 }
 
-impl Refusal {
+impl RejectReason {
     /// Its word in counters and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::TurnedAway => "turned_away",
-            Refusal::NoLeafInTime => "no_leaf_in_time",
-            Refusal::TimeOver => "time_over",
-            Refusal::LateIsWorthless => "late_is_worthless",
-            Refusal::NoHope => "no_hope",
+            RejectReason::ZoneOverCapacity => "turned_away",
+            RejectReason::NoReplicaInTime => "no_leaf_in_time",
+            RejectReason::DeadlineExceeded => "time_over",
+            RejectReason::ObjectiveMissed => "late_is_worthless",
+            RejectReason::AnswerUnreachable => "no_hope",
         }
     }
 }
 
 /// What a second run of a part would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Repeatable,
-    Deduplicated,
-    SideEffecting,
+pub enum Idempotency {
+    Idempotent,
+    IdempotentByKey,
+    NonIdempotent,
 }
--- a/crates/pipitcrank-core/src/port.rs
+++ b/crates/pipitcrank-core/src/port.rs
@@ -1,7 +1,7 @@
 //! What the decision module asks of the outside. Whoever implements it carries out each call as it stands and
 //! in the order made; nothing here is decided.
 
-use crate::ids::{PartId, QueryId, Refusal, ReplicaId};
+use crate::ids::{PartId, QueryId, RejectReason, ReplicaId};
 use crate::time::{TimeSpan, Timestamp};
 
 pub trait Port {
@@ -13,9 +13,9 @@
     /// Answers the query from the parts that are in.
     fn merge(&mut self, query: QueryId, whole: bool);
     /// Turns the query away and says that asking again is harmless.
-    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, why: Refusal);
+    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, why: RejectReason);
     /// Ends the query and promises nothing about its effect.
-    fn abort(&mut self, query: QueryId, why: Refusal);
+    fn abort(&mut self, query: QueryId, why: RejectReason);
     /// Asks for `Root::woken` with this label at that time.
     fn wake_me(&mut self, at: Timestamp, label: u64);
     fn probe(&mut self, leaf: ReplicaId);
--- a/crates/pipitcrank-core/src/told.rs
+++ b/crates/pipitcrank-core/src/told.rs
@@ -8,7 +8,7 @@
 use crate::chance::Chance;
 use crate::decide::zones::{Shares, ZoneId};
 use crate::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
-use crate::ids::Effect;
+use crate::ids::Idempotency;
 use crate::time::{TimeSpan, Timestamp};
 
 /// A key whose value is missing or not what it has to be, as a JSON pointer.
@@ -204,12 +204,12 @@
     }
 
     /// What a second run of a part of that vertical would do.
-    pub fn effect(&self, n: usize) -> Result<Effect, Faulty> {
+    pub fn idempotency(&self, n: usize) -> Result<Idempotency, Faulty> {
         let key = format!("/classes/{n}/idempotency");
         match self.text(&key)? {
-            "safe" => Ok(Effect::Repeatable),
-            "keyed" => Ok(Effect::Deduplicated),
-            "unsafe" => Ok(Effect::SideEffecting),
+            "safe" => Ok(Idempotency::Idempotent),
+            "keyed" => Ok(Idempotency::IdempotentByKey),
+            "unsafe" => Ok(Idempotency::NonIdempotent),
             _ => Err(self.faulty(&key, "has none of safe, keyed, unsafe")),
         }
     }
@@ -219,7 +219,7 @@
         let domain = |key: &str| format!("/domain/{key}/{n}");
         Ok(Terms {
             name: self.text(&of("name"))?.to_string(),
-            effect: self.effect(n)?,
+            idempotency: self.idempotency(n)?,
             dedup_window: TimeSpan::from_secs_f64(self.within_or(
                 &of("dedup_window_s"),
                 0.0,
--- a/crates/pipitcrank-core/tests/cases.rs
+++ b/crates/pipitcrank-core/tests/cases.rs
@@ -6,7 +6,7 @@
 
 use helper::{Act, Tape, at, list, ms, root};
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 
 /// A query of vertical `v` with one part a shard; part ids follow from `base`.
 fn ask(root: &mut Root, tape: &mut Tape, t: i64, v: u16, base: u32, shards: &[u32]) {
@@ -29,9 +29,9 @@
     (root, tape)
 }
 
-fn end(root: &mut Root, t: i64, part: PartId, nth: u32, ending: Ending) -> Tape {
+fn end(root: &mut Root, t: i64, part: PartId, nth: u32, outcome: AttemptOutcome) -> Tape {
     let mut tape = Tape::default();
-    root.ended(&mut tape, at(t), part, nth, ending);
+    root.ended(&mut tape, at(t), part, nth, outcome);
     root.turn(&mut tape, at(t));
     tape
 }
@@ -64,7 +64,7 @@
         let t = n * 30 - 3000;
         ask(&mut root, &mut tape, t, 0, 0, &[n as u32]);
         turned(&mut root, t);
-        end(&mut root, t + 10, PartId(0), 0, Ending::Pass);
+        end(&mut root, t + 10, PartId(0), 0, AttemptOutcome::Success);
     }
     (root, tape)
 }
@@ -166,7 +166,7 @@
     let (mut root, mut tape) = fresh(5);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let first = turned(&mut root, 0).calls()[0].1;
-    let again = end(&mut root, 5, PartId(0), 0, Ending::Fault).calls();
+    let again = end(&mut root, 5, PartId(0), 0, AttemptOutcome::Fault).calls();
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, first);
 }
@@ -176,7 +176,7 @@
     let (mut root, mut tape) = fresh(6);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let bad = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, PartId(0), 0, Ending::NoRoute);
+    end(&mut root, 1, PartId(0), 0, AttemptOutcome::Unreachable);
     let times: Vec<i64> = (1..20).map(|n| 10 + n * 20).collect();
     assert_eq!(sent_to(&mut root, &mut tape, bad, &times), 0, "nothing before the wait is over");
     ask(&mut root, &mut tape, 1010, 0, 500, &[2]);
@@ -190,7 +190,7 @@
     let (mut root, mut tape) = fresh(8);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let full = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, PartId(0), 0, Ending::NoRoom);
+    end(&mut root, 1, PartId(0), 0, AttemptOutcome::NoCapacity);
     assert_eq!(sent_to(&mut root, &mut tape, full, &[100; 9]), 0);
 }
 
@@ -229,7 +229,7 @@
             turned(&mut root, 0);
             // As much work as is guessed where nothing is known, and the call's cost.
             for part in [100, 101] {
-                end(&mut root, 150, PartId(part), 0, Ending::Pass);
+                end(&mut root, 150, PartId(part), 0, AttemptOutcome::Success);
             }
         }
         list(&mut root, &mut tape, &(0..6).map(|leaf| (leaf, at(150))).collect::<Vec<_>>());
@@ -260,7 +260,7 @@
     let (mut root, mut tape) = fresh(2);
     ask(&mut root, &mut tape, 0, 0, 0, &[0, 3]);
     assert_eq!(turned(&mut root, 0).calls().len(), 2);
-    let mut seen = end(&mut root, 390, PartId(0), 0, Ending::NoRoom).0;
+    let mut seen = end(&mut root, 390, PartId(0), 0, AttemptOutcome::NoCapacity).0;
     seen.extend(helper::pass(&mut root, &tape.0, at(400)).0);
     assert!(!seen.iter().any(|a| matches!(a, Act::Reject(_) | Act::Abort(_))), "{seen:?}");
 }
@@ -274,7 +274,7 @@
     root.list_begin(false);
     root.leaf(first, first.0, false, None);
     root.list_end(&mut tape);
-    let mut after = end(&mut root, 5, PartId(0), 0, Ending::Fault);
+    let mut after = end(&mut root, 5, PartId(0), 0, AttemptOutcome::Fault);
     assert!(after.0.contains(&Act::FreeLeaf(first)));
     assert_eq!(after.calls().len(), 1);
     after.0.extend(tape.0);
@@ -293,7 +293,7 @@
     }
     for n in 0..4 {
         for part in 0..6 {
-            end(&mut root, 2800, PartId(n * 10 + part), 0, Ending::Pass);
+            end(&mut root, 2800, PartId(n * 10 + part), 0, AttemptOutcome::Success);
         }
     }
     ask(&mut root, &mut tape, 2800, 0, 50, &shards);
@@ -312,14 +312,14 @@
         turned(&mut root, n * 1000);
         root.gone(&mut tape, at(n * 1000 + 500), QueryId(0));
         for part in 0..5 {
-            end(&mut root, n * 1000 + 510, PartId(part), 0, Ending::Undone);
+            end(&mut root, n * 1000 + 510, PartId(part), 0, AttemptOutcome::Cancelled);
         }
     }
     let mut asked = Tape::default();
     ask(&mut root, &mut asked, 5000, 1, 0, &[0, 1, 2, 3, 4]);
     turned(&mut root, 5000);
     for part in 0..4 {
-        end(&mut root, 5100, PartId(part), 0, Ending::Pass);
+        end(&mut root, 5100, PartId(part), 0, AttemptOutcome::Success);
     }
     let seen = helper::pass(&mut root, &asked.0, at(5499));
     assert!(seen.0.contains(&Act::Merge(QueryId(0), false)), "{:?}", seen.0);
@@ -337,10 +337,10 @@
         let calls = turned(&mut root, t).calls().len();
         if n == 30 || n == 31 {
             root.gone(&mut tape, at(t + 30), QueryId(0));
-            end(&mut root, t + 31, PartId(0), 0, Ending::Undone);
+            end(&mut root, t + 31, PartId(0), 0, AttemptOutcome::Cancelled);
         } else if calls == 1 {
             begun += usize::from(n > 31);
-            end(&mut root, t + 300, PartId(0), 0, Ending::Pass);
+            end(&mut root, t + 300, PartId(0), 0, AttemptOutcome::Success);
         } else {
             let seen = helper::pass(&mut root, &asked.0, at(t + 900)).0;
             assert!(seen.contains(&Act::Reject(QueryId(0))), "not begun, so it is rejected early: {seen:?}");
@@ -355,7 +355,7 @@
     let (mut root, mut tape) = fresh(6);
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     let cuts = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, PartId(0), 0, Ending::Cut);
+    end(&mut root, 1, PartId(0), 0, AttemptOutcome::Disconnected);
     let times: Vec<i64> = (1..20).map(|n| 10 + n * 20).collect();
     assert!(sent_to(&mut root, &mut tape, cuts, &times) > 0, "one cut is no fault");
     let ((mut root, mut tape), mut sent, mut last) = (fresh(6), 0, 0);
@@ -363,7 +363,13 @@
         let t = n * 5;
         ask(&mut root, &mut tape, t, 3, 0, &[2]);
         let to = turned(&mut root, t).calls()[0].1;
-        end(&mut root, t + 1, PartId(0), 0, if to == cuts { Ending::Cut } else { Ending::Pass });
+        end(
+            &mut root,
+            t + 1,
+            PartId(0),
+            0,
+            if to == cuts { AttemptOutcome::Disconnected } else { AttemptOutcome::Success },
+        );
         (sent, last) = if to == cuts { (sent + 1, n) } else { (sent, last) };
     }
     assert!(sent >= 8 && last < 110, "left out in the end: {sent} sent, the last as number {last}");
@@ -387,8 +393,8 @@
     // In i052771 a tenth of the leaves fell silent, and every query of 75 parts had some there.
     for seed in 0..20 {
         let (mut root, tape) = probing(seed);
-        root.probed(at(5), ReplicaId(2), Ending::Pass);
-        root.probed(at(5), ReplicaId(4), Ending::Pass);
+        root.probed(at(5), ReplicaId(2), AttemptOutcome::Success);
+        root.probed(at(5), ReplicaId(4), AttemptOutcome::Success);
         let calls = helper::pass(&mut root, &tape.0, at(30)).calls();
         assert!(calls.len() == 1 && calls[0].1 != ReplicaId(3), "{calls:?}");
     }
@@ -401,7 +407,7 @@
         let (mut root, _) = probing(seed);
         for (leaf, held) in [(2, 9.0), (3, 0.0), (4, 8.0)] {
             root.load_report(at(5), ReplicaId(leaf), Some(held), None);
-            root.probed(at(5), ReplicaId(leaf), Ending::Pass);
+            root.probed(at(5), ReplicaId(leaf), AttemptOutcome::Success);
         }
         let calls = turned(&mut root, 5).calls();
         assert_eq!(calls, [(PartId(0), ReplicaId(3))]);
@@ -416,7 +422,7 @@
         ask(&mut root, &mut tape, 0, 0, 0, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
         assert_eq!(turned(&mut root, 0).calls().len(), 10);
         for part in 0..passed {
-            end(&mut root, 10, PartId(part), 0, Ending::Pass);
+            end(&mut root, 10, PartId(part), 0, AttemptOutcome::Success);
         }
         let sent = helper::pass(&mut root, &tape.0, at(550)).calls().len();
         assert_eq!(sent, copies, "with {passed} of ten in");
@@ -431,7 +437,7 @@
     ask(&mut root, &mut tape, 0, 0, 0, &shards);
     turned(&mut root, 0);
     for part in 0..39 {
-        end(&mut root, if part == 0 { 10 } else { 2500 }, PartId(part), 0, Ending::Pass);
+        end(&mut root, if part == 0 { 10 } else { 2500 }, PartId(part), 0, AttemptOutcome::Success);
     }
     ask(&mut root, &mut tape, 2510, 0, 50, &[39]);
     assert_eq!(turned(&mut root, 2510).calls(), [], "not while the others have just lagged");
@@ -489,11 +495,11 @@
     ask(&mut root, &mut tape, 0, 0, 0, &[2]);
     turned(&mut root, 0);
     // A part takes over a fifth of the SLO time; nobody else asks anything.
-    end(&mut root, 330, PartId(0), 0, Ending::Pass);
+    end(&mut root, 330, PartId(0), 0, AttemptOutcome::Success);
     for n in 1..20 {
         let t = n * 5000;
         ask(&mut root, &mut tape, t, 0, 0, &[2]);
         assert_eq!(turned(&mut root, t).calls().len(), 1, "query {n}");
-        end(&mut root, t + 330, PartId(0), 0, Ending::Pass);
+        end(&mut root, t + 330, PartId(0), 0, AttemptOutcome::Success);
     }
 }
--- a/crates/pipitcrank-core/tests/cold.rs
+++ b/crates/pipitcrank-core/tests/cold.rs
@@ -9,7 +9,7 @@
 use helper::{Act, Tape, at, ms};
 use pipitcrank_core::chance::Chance;
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::Timestamp;
 
 /// Work of a part, and the helper's rules for cold leaves: three times what they can do in 2 s, from a fifth of it on,
@@ -69,7 +69,7 @@
                 helper::list(&mut copy.root, &mut tape, &started);
             }
             for &(_, part, nth) in due.iter().filter(|d| d.0 == n) {
-                copy.root.ended(&mut tape, now, part, nth, Ending::Pass);
+                copy.root.ended(&mut tape, now, part, nth, AttemptOutcome::Success);
             }
             while copy.alarms.front().is_some_and(|a| a.0 <= now) {
                 let (_, label) = copy.alarms.pop_front().unwrap();
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -2,7 +2,7 @@
 
 use pipitcrank_core::chance::Chance;
 use pipitcrank_core::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
-use pipitcrank_core::ids::{Effect, PartId, QueryId, Refusal, ReplicaId};
+use pipitcrank_core::ids::{Idempotency, PartId, QueryId, RejectReason, ReplicaId};
 use pipitcrank_core::port::Port;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
@@ -34,10 +34,10 @@
     fn merge(&mut self, query: QueryId, whole: bool) {
         self.0.push(Act::Merge(query, whole));
     }
-    fn reject(&mut self, query: QueryId, _stay_away: TimeSpan, _why: Refusal) {
+    fn reject(&mut self, query: QueryId, _stay_away: TimeSpan, _why: RejectReason) {
         self.0.push(Act::Reject(query));
     }
-    fn abort(&mut self, query: QueryId, _why: Refusal) {
+    fn abort(&mut self, query: QueryId, _why: RejectReason) {
         self.0.push(Act::Abort(query));
     }
     fn wake_me(&mut self, at: Timestamp, label: u64) {
@@ -82,13 +82,13 @@
 /// Floor and need by vertical: repeatable whole, repeatable with a floor, deduplicated, side-effecting, and one
 /// with a second step; a sixth, repeatable and whole, earns nothing after its SLO time.
 pub const FLOORS: [(f64, f64); 6] = [(1.0, 1.0), (0.6, 1.0), (1.0, 1.0), (1.0, 1.0), (0.5, 0.8), (1.0, 1.0)];
-pub const EFFECTS: [Effect; 6] = [
-    Effect::Repeatable,
-    Effect::Repeatable,
-    Effect::Deduplicated,
-    Effect::SideEffecting,
-    Effect::Repeatable,
-    Effect::Repeatable,
+pub const EFFECTS: [Idempotency; 6] = [
+    Idempotency::Idempotent,
+    Idempotency::Idempotent,
+    Idempotency::IdempotentByKey,
+    Idempotency::NonIdempotent,
+    Idempotency::Idempotent,
+    Idempotency::Idempotent,
 ];
 pub const LATE_WORTH: [f64; 6] = [0.3, 0.3, 0.3, 0.3, 0.3, 0.0];
 
@@ -169,7 +169,7 @@
     for (n, (floor, whole_from)) in FLOORS.into_iter().enumerate() {
         root.vertical(Terms {
             name: format!("{prefix}{n}"),
-            effect: EFFECTS[n],
+            idempotency: EFFECTS[n],
             dedup_window: DEDUP,
             slo: ms(1500),
             slo_stretch: 0.0,
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -7,7 +7,7 @@
 
 use helper::{Act, Tape, at, ms};
 use pipitcrank_core::decide::Root;
-use pipitcrank_core::ids::{Effect, Ending, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, Idempotency, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -15,31 +15,31 @@
 #[derive(Clone, Debug)]
 enum Op {
     Ask { vertical: usize, first: u32, count: u32, left: i64 },
-    End { which: usize, ending: usize },
+    End { which: usize, outcome: usize },
     Pass(i64),
     List { leaf: u32, up: bool, cold: bool },
     Gone(usize),
     ListFails,
 }
 
-const ENDINGS: [Ending; 10] = [
-    Ending::Pass,
-    Ending::Pass,
-    Ending::Pass,
-    Ending::Fault,
-    Ending::NoRoom,
-    Ending::TooSlow,
-    Ending::NoRoute,
-    Ending::Cut,
-    Ending::Undone,
-    Ending::Stale,
+const OUTCOMES: [AttemptOutcome; 10] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::Success,
+    AttemptOutcome::Success,
+    AttemptOutcome::Fault,
+    AttemptOutcome::NoCapacity,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Unreachable,
+    AttemptOutcome::Disconnected,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NeverSent,
 ];
 
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
         3 => (0..6usize, 0..12u32, 1..8u32, 30..4000i64)
             .prop_map(|(vertical, first, count, left)| Op::Ask { vertical, first, count, left }),
-        8 => (any::<usize>(), 0..10usize).prop_map(|(which, ending)| Op::End { which, ending }),
+        8 => (any::<usize>(), 0..10usize).prop_map(|(which, outcome)| Op::End { which, outcome }),
         5 => (1..400i64).prop_map(Op::Pass),
         1 => (0..helper::CELLS, any::<bool>(), any::<bool>()).prop_map(|(leaf, up, cold)| Op::List { leaf, up, cold }),
         1 => any::<usize>().prop_map(Op::Gone),
@@ -53,7 +53,7 @@
     weight: f64,
     step: u8,
     /// Time, leaf and ending of each leaf call.
-    calls: Vec<(Timestamp, ReplicaId, Option<Ending>)>,
+    calls: Vec<(Timestamp, ReplicaId, Option<AttemptOutcome>)>,
     passed: bool,
 }
 
@@ -98,7 +98,7 @@
                     prop_assert!(asked.is_some(), "a second final answer");
                     let ran = |p: &Piece| p.calls.iter().any(|c| !c.2.is_some_and(unrun));
                     let mut ours = self.pieces.values().filter(|p| p.query == query);
-                    let repeatable = helper::EFFECTS[asked.unwrap().vertical] == Effect::Repeatable;
+                    let repeatable = helper::EFFECTS[asked.unwrap().vertical] == Idempotency::Idempotent;
                     prop_assert!(repeatable || !ours.any(ran), "rejected though something may have run");
                 }
                 Act::Abort(query) => {
@@ -131,8 +131,8 @@
         prop_assert!(self.duplicates || piece.calls.iter().all(|c| c.2.is_some()), "two calls out");
         let risky = piece.calls.iter().find(|c| !c.2.is_some_and(unrun)).map(|c| c.0);
         match (helper::EFFECTS[asked.vertical], risky) {
-            (Effect::SideEffecting, Some(_)) => prop_assert!(false, "an effect may happen twice"),
-            (Effect::Deduplicated, Some(first)) => {
+            (Idempotency::NonIdempotent, Some(_)) => prop_assert!(false, "an effect may happen twice"),
+            (Idempotency::IdempotentByKey, Some(first)) => {
                 prop_assert!(now - first + helper::WAY <= helper::DEDUP, "too late")
             }
             _ => {}
@@ -223,7 +223,7 @@
         })
     }
 
-    fn end(&mut self, which: usize, ending: Ending) -> Result<(), TestCaseError> {
+    fn end(&mut self, which: usize, outcome: AttemptOutcome) -> Result<(), TestCaseError> {
         let out = |p: &Piece| p.calls.iter().position(|c| c.2.is_none());
         let outs: Vec<PartId> =
             self.pieces.iter().filter(|(_, p)| out(p).is_some()).map(|(id, _)| *id).collect();
@@ -233,12 +233,12 @@
         let id = outs[which % outs.len()];
         let piece = self.pieces.get_mut(&id).unwrap();
         let nth = out(piece).unwrap();
-        piece.calls[nth].2 = Some(ending);
+        piece.calls[nth].2 = Some(outcome);
         // Only while its query waits does an answer count.
         let waited = self.asked.get(&piece.query).is_some_and(|a| a.step == piece.step);
-        piece.passed |= ending == Ending::Pass && waited;
-        self.merged_any |= ending == Ending::Pass;
-        self.event(|w, tape| w.root.ended(tape, w.now, id, nth as u32, ending))
+        piece.passed |= outcome == AttemptOutcome::Success && waited;
+        self.merged_any |= outcome == AttemptOutcome::Success;
+        self.event(|w, tape| w.root.ended(tape, w.now, id, nth as u32, outcome))
     }
 
     fn pass(&mut self, span: TimeSpan) -> Result<(), TestCaseError> {
@@ -260,8 +260,8 @@
     }
 }
 
-fn unrun(ending: Ending) -> bool {
-    matches!(ending, Ending::NoRoom | Ending::NoRoute | Ending::Stale)
+fn unrun(outcome: AttemptOutcome) -> bool {
+    matches!(outcome, AttemptOutcome::NoCapacity | AttemptOutcome::Unreachable | AttemptOutcome::NeverSent)
 }
 
 proptest! {
@@ -292,7 +292,7 @@
         for op in ops {
             match op {
                 Op::Ask { vertical, first, count, left } => w.ask(vertical, first, count, ms(left))?,
-                Op::End { which, ending } => w.end(which, ENDINGS[ending])?,
+                Op::End { which, outcome } => w.end(which, OUTCOMES[outcome])?,
                 Op::Pass(span) => w.pass(ms(span))?,
                 Op::ListFails => w.event(|w, tape| w.root.list_failed(tape, w.now))?,
                 Op::List { leaf, up, cold } => {
@@ -319,7 +319,7 @@
         }
         w.pass(ms(5000))?;
         while w.pieces.values().any(|p| p.calls.iter().any(|c| c.2.is_none())) {
-            w.end(0, Ending::Undone)?;
+            w.end(0, AttemptOutcome::Cancelled)?;
         }
         prop_assert!(w.pieces.is_empty(), "parts are held for ever");
     }
--- a/crates/pipitcrank-core/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -6,7 +6,7 @@
 use helper::{Act, Tape, at, ms, root_on};
 use pipitcrank_core::decide::Root;
 use pipitcrank_core::decide::zones::{Shares, ZoneId};
-use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::told::Told;
 use serde_json::json;
 
@@ -39,7 +39,7 @@
 }
 
 fn answered(root: &mut Root, n: u32, t: i64) {
-    root.ended(&mut Tape::default(), at(t), PartId(n), 0, Ending::Pass);
+    root.ended(&mut Tape::default(), at(t), PartId(n), 0, AttemptOutcome::Success);
 }
 
 #[test]
@@ -121,25 +121,25 @@
     root.set_shares(shares(&[(HERE, 1.0)], &[THERE]));
     let nothing = root.seen_of(at(0), THERE);
     assert_eq!((nothing.listed, nothing.answering, nothing.silent), (6, 0, 0), "nobody was asked");
-    let look = |root: &mut Root, t: i64, answer: &dyn Fn(u32) -> Option<Ending>| {
+    let look = |root: &mut Root, t: i64, answer: &dyn Fn(u32) -> Option<AttemptOutcome>| {
         let mut tape = Tape::default();
         root.look_into(&mut tape, at(t), THERE, 6);
         for act in tape.0 {
             let Act::Probe(leaf) = act else { continue };
-            if let Some(ending) = answer(leaf.0) {
-                root.probed(at(t + 5), leaf, ending);
+            if let Some(outcome) = answer(leaf.0) {
+                root.probed(at(t + 5), leaf, outcome);
             }
         }
     };
     let some = |n: u32| match n {
         6 | 7 => None,
-        8 => Some(Ending::NoRoute),
-        _ => Some(Ending::Pass),
+        8 => Some(AttemptOutcome::Unreachable),
+        _ => Some(AttemptOutcome::Success),
     };
     (0..3).for_each(|n| look(&mut root, n * 400, &some));
     let seen = root.seen_of(at(850), THERE);
     assert_eq!((seen.answering, seen.silent, seen.failing), (3, 2, 1));
-    (3..5).for_each(|n| look(&mut root, n * 400, &|_| Some(Ending::Pass)));
+    (3..5).for_each(|n| look(&mut root, n * 400, &|_| Some(AttemptOutcome::Success)));
     let seen = root.seen_of(at(1700), THERE);
     assert_eq!((seen.answering + seen.failing, seen.silent), (6, 0), "one word is enough");
 }
--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -12,7 +12,7 @@
 use anyhow::{Context, Result};
 use bytes::BytesMut;
 use clap::{Parser, Subcommand};
-use pipitcrank_core::ids::Ending;
+use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::frames;
 use rand::{Rng, SeedableRng};
@@ -213,14 +213,14 @@
             3..=7 if !out.is_empty() => {
                 for _ in 0..chance.random_range(1..12usize).min(out.len()) {
                     let call = out.swap_remove(chance.random_range(0..out.len()));
-                    let ending = match chance.random_range(0..40) {
-                        0 => Ending::Fault,
-                        1 => Ending::NoRoom,
-                        2 => Ending::NoRoute,
-                        3 => Ending::Cut,
-                        _ => Ending::Pass,
+                    let outcome = match chance.random_range(0..40) {
+                        0 => AttemptOutcome::Fault,
+                        1 => AttemptOutcome::NoCapacity,
+                        2 => AttemptOutcome::Unreachable,
+                        3 => AttemptOutcome::Disconnected,
+                        _ => AttemptOutcome::Success,
                     };
-                    stage.ended(call, ending);
+                    stage.ended(call, outcome);
                 }
             }
             8 if !tickets.is_empty() && chance.random_bool(0.2) => {
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pipitcrank_core::ids::{Ending, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_core::told::Told;
 use pipitcrank_server::counters::Counters;
@@ -118,9 +118,9 @@
         out
     }
 
-    pub fn ended(&mut self, call: CallNo, ending: Ending) {
-        let value = (ending == Ending::Pass).then(|| "value".to_string());
-        self.exchange.ended(call, ending, value, None);
+    pub fn ended(&mut self, call: CallNo, outcome: AttemptOutcome) {
+        let value = (outcome == AttemptOutcome::Success).then(|| "value".to_string());
+        self.exchange.ended(call, outcome, value, None);
     }
 
     /// One query from its arrival to its answer, with leaves that answer within two turns.
@@ -129,7 +129,7 @@
         for _ in 0..400 {
             self.turn(5);
             for call in self.release() {
-                self.ended(call, Ending::Pass);
+                self.ended(call, AttemptOutcome::Success);
             }
             if self.exchange.quiet() {
                 return;
--- a/crates/pipitcrank-gateway/src/forwards.rs
+++ b/crates/pipitcrank-gateway/src/forwards.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use pipitcrank_core::ids::Ending;
+use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::Timestamp;
 
 use crate::frames::How;
@@ -35,7 +35,7 @@
 #[derive(Debug, PartialEq)]
 pub struct Over<C> {
     /// Parts not answered, and how their calls end.
-    pub calls: Vec<(C, Ending)>,
+    pub calls: Vec<(C, AttemptOutcome)>,
     /// To whom further calls were lent, and how many were made; none where that is not known.
     pub who: u64,
     pub made: Option<u32>,
@@ -101,20 +101,20 @@
 
     pub fn end(&mut self, number: u64, how: How, made: u32) -> Option<Over<C>> {
         let out = self.out.remove(&number)?;
-        let (ending, route) = match how {
-            How::Done if out.calls.is_empty() => (Ending::Pass, route::Ended::Answered),
+        let (outcome, route) = match how {
+            How::Done if out.calls.is_empty() => (AttemptOutcome::Success, route::Ended::Answered),
             // Guards against a peer that says all is answered and left parts out: they may have run.
-            How::Done => (Ending::Fault, route::Ended::Failed),
-            How::Rejected { stay_away } => (Ending::NoRoom, route::Ended::Rejected(stay_away)),
-            How::Aborted if out.calls.is_empty() => (Ending::Fault, route::Ended::Neither),
-            How::Aborted => (Ending::Fault, route::Ended::Failed),
-            How::Late => (Ending::Stale, route::Ended::Neither),
-            How::NotHere => (Ending::NoRoute, route::Ended::Failed),
-            How::Unknown => (Ending::NoRoute, route::Ended::Neither),
+            How::Done => (AttemptOutcome::Fault, route::Ended::Failed),
+            How::Rejected { stay_away } => (AttemptOutcome::NoCapacity, route::Ended::Rejected(stay_away)),
+            How::Aborted if out.calls.is_empty() => (AttemptOutcome::Fault, route::Ended::Neither),
+            How::Aborted => (AttemptOutcome::Fault, route::Ended::Failed),
+            How::Late => (AttemptOutcome::NeverSent, route::Ended::Neither),
+            How::NotHere => (AttemptOutcome::Unreachable, route::Ended::Failed),
+            How::Unknown => (AttemptOutcome::Unreachable, route::Ended::Neither),
         };
         // What never came or was not begun made no calls, whatever is said.
         let none = matches!(how, How::Late | How::NotHere | How::Unknown);
-        Some(out.over(ending, Some(if none { 0 } else { made }), route))
+        Some(out.over(outcome, Some(if none { 0 } else { made }), route))
     }
 
     /// Nobody waits for the part any more.
@@ -130,9 +130,9 @@
         let over: Vec<Out<C>> = self.out.extract_if(.., |_, o| ends(o)).map(|(_, o)| o).collect();
         self.out.values_mut().for_each(|o| o.doubted = true);
         let over = over.into_iter().map(|o| match (o.written, o.calls.is_empty()) {
-            (false, _) => o.over(Ending::NoRoute, Some(0), route::Ended::Failed),
-            (true, true) => o.over(Ending::Cut, None, route::Ended::Neither),
-            (true, false) => o.over(Ending::Cut, None, route::Ended::Failed),
+            (false, _) => o.over(AttemptOutcome::Unreachable, Some(0), route::Ended::Failed),
+            (true, true) => o.over(AttemptOutcome::Disconnected, None, route::Ended::Neither),
+            (true, false) => o.over(AttemptOutcome::Disconnected, None, route::Ended::Failed),
         });
         over.collect()
     }
@@ -144,7 +144,7 @@
             return Ok(self.out.iter().filter(|(_, o)| o.doubted).map(|(n, _)| *n).collect());
         }
         let over = self.out.extract_if(.., |_, o| o.doubted);
-        Err(over.map(|(_, o)| o.over(Ending::Cut, None, route::Ended::Failed)).collect())
+        Err(over.map(|(_, o)| o.over(AttemptOutcome::Disconnected, None, route::Ended::Failed)).collect())
     }
 
     /// Those whose time is over: their calls have ended by it already, and what was lent counts as made.
@@ -153,15 +153,15 @@
         let over = over.map(|(_, o)| {
             let route =
                 if o.calls.is_empty() || o.any { route::Ended::Neither } else { route::Ended::Failed };
-            o.over(Ending::TooSlow, None, route)
+            o.over(AttemptOutcome::TimedOut, None, route)
         });
         over.collect()
     }
 }
 
 impl<C: Copy> Out<C> {
-    fn over(self, ending: Ending, made: Option<u32>, route: route::Ended) -> Over<C> {
-        let calls = self.calls.into_iter().map(|(_, c)| (c, ending)).collect();
+    fn over(self, outcome: AttemptOutcome, made: Option<u32>, route: route::Ended) -> Over<C> {
+        let calls = self.calls.into_iter().map(|(_, c)| (c, outcome)).collect();
         Over { calls, who: self.who, made, mark: self.mark, route }
     }
 }
--- a/crates/pipitcrank-gateway/src/forwards/tests.rs
+++ b/crates/pipitcrank-gateway/src/forwards/tests.rs
@@ -17,7 +17,7 @@
         let mut f = Forwards::default();
         begin(&mut f, repeatable);
         let over = f.cut();
-        assert_eq!(over[0].calls, [(10, Ending::NoRoute), (20, Ending::NoRoute)]);
+        assert_eq!(over[0].calls, [(10, AttemptOutcome::Unreachable), (20, AttemptOutcome::Unreachable)]);
         assert_eq!(over[0].made, Some(0));
     }
     let mut f = Forwards::default();
@@ -25,7 +25,7 @@
     f.written(number);
     assert_eq!(f.part(number, 1), Some(10));
     let over = f.cut();
-    assert_eq!((&over[0].calls[..], over[0].made), (&[(20, Ending::Cut)][..], None));
+    assert_eq!((&over[0].calls[..], over[0].made), (&[(20, AttemptOutcome::Disconnected)][..], None));
 }
 
 #[test]
@@ -38,28 +38,32 @@
     assert_eq!(f.cut(), [], "the link flaps");
     assert_eq!(f.relinked(true), Ok(vec![number]));
     let over = f.end(number, How::Unknown, 9).unwrap();
-    assert_eq!((over.calls[0].1, over.made), (Ending::NoRoute, Some(0)), "it never came, so it never ran");
+    assert_eq!(
+        (over.calls[0].1, over.made),
+        (AttemptOutcome::Unreachable, Some(0)),
+        "it never came, so it never ran"
+    );
     let number = begin(&mut f, false);
     f.written(number);
     f.cut();
     let over = f.relinked(false).unwrap_err();
-    assert_eq!(over[0].calls[0].1, Ending::Cut, "another process can't tell");
+    assert_eq!(over[0].calls[0].1, AttemptOutcome::Disconnected, "another process can't tell");
 }
 
 #[test]
 fn a_rejection_proves_that_nothing_ran_and_an_abort_does_not() {
     let mut f = Forwards::default();
     let stay_away = TimeSpan::from_millis(70);
-    for (how, ending) in [
-        (How::Rejected { stay_away }, Ending::NoRoom),
-        (How::Aborted, Ending::Fault),
-        (How::Late, Ending::Stale),
-        (How::NotHere, Ending::NoRoute),
-        (How::Done, Ending::Fault),
+    for (how, outcome) in [
+        (How::Rejected { stay_away }, AttemptOutcome::NoCapacity),
+        (How::Aborted, AttemptOutcome::Fault),
+        (How::Late, AttemptOutcome::NeverSent),
+        (How::NotHere, AttemptOutcome::Unreachable),
+        (How::Done, AttemptOutcome::Fault),
     ] {
         let number = begin(&mut f, false);
         f.written(number);
-        assert_eq!(f.end(number, how, 1).unwrap().calls, [(10, ending), (20, ending)]);
+        assert_eq!(f.end(number, how, 1).unwrap().calls, [(10, outcome), (20, outcome)]);
         assert_eq!(f.end(number, how, 1), None, "one last word");
     }
 }
@@ -136,11 +140,11 @@
                 Step::GiveUp(call) => { if f.give_up(call).is_some() { open.retain(|c| *c != call); } vec![] }
                 Step::Expire => f.expired(until()),
             };
-            for (call, ending) in over.into_iter().flat_map(|o| o.calls) {
+            for (call, outcome) in over.into_iter().flat_map(|o| o.calls) {
                 prop_assert!(open.contains(&call), "it ends twice");
                 open.retain(|c| *c != call);
-                let never = matches!(ending, Ending::NoRoute | Ending::NoRoom | Ending::Stale);
-                prop_assert!(!never || said || !written.contains(&call), "{call} was written whole: {ending:?}");
+                let never = matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NoCapacity | AttemptOutcome::NeverSent);
+                prop_assert!(!never || said || !written.contains(&call), "{call} was written whole: {outcome:?}");
             }
         }
         f.expired(until()).into_iter().flat_map(|o| o.calls).for_each(|(call, _)| open.retain(|c| *c != call));
--- a/crates/pipitcrank-gateway/src/near.rs
+++ b/crates/pipitcrank-gateway/src/near.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use pipitcrank_core::ids::{Ending, ReplicaId};
+use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::clock::duration;
 use pipitcrank_server::exchange::{CallNo, LeafSide};
@@ -227,7 +227,7 @@
         if let Some(made) = over.made {
             e.came_back(now, over.who, made);
         }
-        over.calls.into_iter().for_each(|(call, ending)| e.ended(call, ending, None, None));
+        over.calls.into_iter().for_each(|(call, outcome)| e.ended(call, outcome, None, None));
     });
     tell_hop(side, site);
 }
@@ -500,7 +500,7 @@
                     Some(call) => {
                         self.site.route.borrow_mut().part(now);
                         self.side.hall.counters.add("forwards", "parts");
-                        self.side.hall.tell(|e| e.ended(call, Ending::Pass, Some(value), None));
+                        self.side.hall.tell(|e| e.ended(call, AttemptOutcome::Success, Some(value), None));
                     }
                     None => self.side.hall.counters.add("forwards", "late_parts"),
                 }
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -9,7 +9,7 @@
 
 use bytes::BytesMut;
 use pipitcrank_core::decide::Budget;
-use pipitcrank_core::ids::{Ending, ReplicaId};
+use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_core::told::Told;
 use pipitcrank_gateway::far::Far;
@@ -47,7 +47,7 @@
         let (hall, answers) = (self.hall.clone(), self.answers);
         tokio::task::spawn_local(async move {
             for call in parts.into_iter().filter(|_| answers) {
-                hall.tell(|e| e.ended(call, Ending::Pass, Some("v".into()), None));
+                hall.tell(|e| e.ended(call, AttemptOutcome::Success, Some("v".into()), None));
             }
         });
     }
--- a/crates/pipitcrank-server/src/audit.rs
+++ b/crates/pipitcrank-server/src/audit.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use pipitcrank_core::ids::{Effect, Ending, PartId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, Idempotency, PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use crate::counters::Counters;
@@ -69,7 +69,7 @@
 /// What the settings say of one vertical.
 #[derive(Clone, Copy, Debug)]
 pub struct VerticalTerms {
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub dedup_window: TimeSpan,
     /// Weight needed for any answer, and for a whole one.
     pub floor: f64,
@@ -225,8 +225,8 @@
         let out = book.attempts.iter().any(|a| matches!(a.state, State::Out));
         let drained = self.drained.get(&leaf).is_some_and(|&since| now - since > terms.drain_grace);
         let closed = query.closed.is_some_and(|at| now - at > CLOSE_SLACK);
-        let unsafe_again = vertical.effect == Effect::SideEffecting && risky.is_some();
-        let late_again = vertical.effect == Effect::Deduplicated
+        let unsafe_again = vertical.idempotency == Idempotency::NonIdempotent && risky.is_some();
+        let late_again = vertical.idempotency == Idempotency::IdempotentByKey
             && risky.is_some_and(|first| now - first.at > vertical.dedup_window);
         let all = [
             (query.answered, Rule::SentAfterAnswer, "its query was answered"),
@@ -264,10 +264,13 @@
         }
     }
 
-    pub fn ended(&mut self, part: PartId, attempt: u32, ending: Ending) {
+    pub fn ended(&mut self, part: PartId, attempt: u32, outcome: AttemptOutcome) {
         let book = self.parts.get_mut(&part);
         if let Some(attempt) = book.and_then(|b| b.attempts.iter_mut().find(|a| a.number == attempt)) {
-            let never = matches!(ending, Ending::NoRoom | Ending::NoRoute | Ending::Stale);
+            let never = matches!(
+                outcome,
+                AttemptOutcome::NoCapacity | AttemptOutcome::Unreachable | AttemptOutcome::NeverSent
+            );
             attempt.state = if never { State::NeverRan } else { State::MayHaveRun };
         }
     }
--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -1,4 +1,4 @@
-use pipitcrank_core::ids::{Effect, Ending, PartId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, Idempotency, PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use super::*;
@@ -13,17 +13,17 @@
 }
 
 fn terms() -> Terms {
-    let vertical = |effect, floor| VerticalTerms {
-        effect,
+    let vertical = |idempotency, floor| VerticalTerms {
+        idempotency,
         dedup_window: TimeSpan::from_millis(1000),
         floor,
         whole_from: 1.0,
     };
     Terms {
         verticals: vec![
-            vertical(Effect::Repeatable, 0.5),
-            vertical(Effect::SideEffecting, 1.0),
-            vertical(Effect::Deduplicated, 1.0),
+            vertical(Idempotency::Idempotent, 0.5),
+            vertical(Idempotency::NonIdempotent, 1.0),
+            vertical(Idempotency::IdempotentByKey, 1.0),
         ],
         may_duplicate: false,
         try_limit: 3,
@@ -63,8 +63,8 @@
         self.audit.sent(at(ms), Sent { part: PartId(part), attempt, leaf: LEAF, told });
     }
 
-    fn ends(&mut self, part: u32, attempt: u32, ending: Ending) {
-        self.audit.ended(PartId(part), attempt, ending);
+    fn ends(&mut self, part: u32, attempt: u32, outcome: AttemptOutcome) {
+        self.audit.ended(PartId(part), attempt, outcome);
     }
 
     fn broken(&self) -> Vec<String> {
@@ -77,10 +77,10 @@
     let mut books = Books::with(VIEW);
     books.sends(10, 0, 0);
     books.sends(10, 1, 0);
-    books.ends(0, 0, Ending::Cut);
+    books.ends(0, 0, AttemptOutcome::Disconnected);
     books.sends(30, 0, 1);
-    books.ends(0, 1, Ending::Pass);
-    books.ends(1, 0, Ending::Pass);
+    books.ends(0, 1, AttemptOutcome::Success);
+    books.ends(1, 0, AttemptOutcome::Success);
     books.audit.answered(at(60), 1, Some(1.0), true);
     books.audit.let_go_part(PartId(0));
     books.audit.let_go_query(1);
@@ -118,10 +118,10 @@
 fn a_side_effecting_part_goes_again_only_if_it_never_ran() {
     let mut books = Books::with(SALE);
     books.sends(10, 0, 0);
-    books.ends(0, 0, Ending::NoRoute);
+    books.ends(0, 0, AttemptOutcome::Unreachable);
     books.sends(20, 0, 1);
     assert!(books.broken().is_empty());
-    books.ends(0, 1, Ending::TooSlow);
+    books.ends(0, 1, AttemptOutcome::TimedOut);
     books.sends(30, 0, 2);
     assert!(books.broken().contains(&"repeated_unsafe".to_string()));
 }
@@ -130,10 +130,10 @@
 fn a_deduplicated_part_goes_again_only_within_its_window() {
     let mut books = Books::with(PAY);
     books.sends(10, 0, 0);
-    books.ends(0, 0, Ending::Cut);
+    books.ends(0, 0, AttemptOutcome::Disconnected);
     books.sends(1010, 0, 1);
     assert!(books.broken().is_empty());
-    books.ends(0, 1, Ending::NoRoute);
+    books.ends(0, 1, AttemptOutcome::Unreachable);
     books.sends(1011, 0, 2);
     assert!(books.broken().contains(&"repeated_late".to_string()));
 }
@@ -145,11 +145,11 @@
     books.sends(20, 0, 1);
     assert_eq!(books.broken(), ["second_copy"]);
     for attempt in 0..2 {
-        books.ends(0, attempt, Ending::Fault);
+        books.ends(0, attempt, AttemptOutcome::Fault);
     }
     books.sends(30, 0, 2);
     assert_eq!(books.broken(), ["second_copy"], "three tries are allowed");
-    books.ends(0, 2, Ending::Fault);
+    books.ends(0, 2, AttemptOutcome::Fault);
     books.sends(40, 0, 3);
     assert_eq!(books.broken(), ["second_copy", "too_many_tries"]);
 }
@@ -171,7 +171,7 @@
     let mut books = Books::with(VIEW);
     for (part, ms) in [(0, 10), (1, 20)] {
         books.sends(ms, part, 0);
-        books.ends(part, 0, Ending::Cut);
+        books.ends(part, 0, AttemptOutcome::Disconnected);
     }
     books.sends(30, 0, 1);
     assert!(books.broken().is_empty());
@@ -183,7 +183,7 @@
 fn an_attempt_taken_back_spends_nothing() {
     let mut books = Books::with(VIEW);
     books.sends(10, 0, 0);
-    books.ends(0, 0, Ending::Cut);
+    books.ends(0, 0, AttemptOutcome::Disconnected);
     for _ in 0..5 {
         books.sends(30, 0, 1);
         books.audit.taken_back(PartId(0), 1);
--- a/crates/pipitcrank-server/src/charter.rs
+++ b/crates/pipitcrank-server/src/charter.rs
@@ -205,7 +205,7 @@
         let vertical = |n: usize| {
             let window = settings.number_or(&format!("/classes/{n}/dedup_window_s"), 0.0)?;
             Ok(audit::VerticalTerms {
-                effect: settings.effect(n)?,
+                idempotency: settings.idempotency(n)?,
                 dedup_window: TimeSpan::from_secs_f64(window),
                 floor: settings.number(&format!("/domain/floor_by_class/{n}"))?,
                 whole_from: settings.number(&format!("/domain/complete_from/{n}"))?,
--- a/crates/pipitcrank-server/src/ends.rs
+++ b/crates/pipitcrank-server/src/ends.rs
@@ -1,7 +1,7 @@
 //! How things end on the network: every way in which a connection can end is one value of one type, and what
 //! that means for a leaf call is said here and nowhere else.
 
-use pipitcrank_core::ids::Ending;
+use pipitcrank_core::ids::AttemptOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
@@ -55,37 +55,37 @@
     }
 
     /// What it means for a leaf call on it. Until its frame is written whole a call can't have run.
-    pub fn ending(self, written: bool) -> Ending {
-        if written { Ending::Cut } else { Ending::NoRoute }
+    pub fn outcome(self, written: bool) -> AttemptOutcome {
+        if written { AttemptOutcome::Disconnected } else { AttemptOutcome::Unreachable }
     }
 
     /// What it means for a probe on it. Guards against a leaf held to be out of reach because it closed a connection
     /// that was up: only one that never came up tells that.
-    pub fn of_probe(self) -> Ending {
+    pub fn of_probe(self) -> AttemptOutcome {
         let up = !matches!(self, ConnectionEnd::Refused | ConnectionEnd::NeverUp | ConnectionEnd::NoSocket);
-        self.ending(up)
+        self.outcome(up)
     }
 }
 
 /// The leaf's own words for how a part ended.
-pub fn ending_of(word: &str) -> Option<Ending> {
+pub fn outcome_from_wire(word: &str) -> Option<AttemptOutcome> {
     match word {
-        "ok" => Some(Ending::Pass),
-        "err" => Some(Ending::Fault),
-        "busy" => Some(Ending::NoRoom),
+        "ok" => Some(AttemptOutcome::Success),
+        "err" => Some(AttemptOutcome::Fault),
+        "busy" => Some(AttemptOutcome::NoCapacity),
         _ => None,
     }
 }
 
-pub fn ending_name(ending: Ending) -> &'static str {
-    match ending {
-        Ending::Pass => "pass",
-        Ending::Fault => "fault",
-        Ending::NoRoom => "no_room",
-        Ending::TooSlow => "too_slow",
-        Ending::NoRoute => "no_route",
-        Ending::Cut => "cut",
-        Ending::Undone => "undone",
-        Ending::Stale => "stale",
+pub fn outcome_name(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Success => "pass",
+        AttemptOutcome::Fault => "fault",
+        AttemptOutcome::NoCapacity => "no_room",
+        AttemptOutcome::TimedOut => "too_slow",
+        AttemptOutcome::Unreachable => "no_route",
+        AttemptOutcome::Disconnected => "cut",
+        AttemptOutcome::Cancelled => "undone",
+        AttemptOutcome::NeverSent => "stale",
     }
 }
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -12,14 +12,14 @@
 
 use pipitcrank_core::decide::Root;
 use pipitcrank_core::decide::zones::{Seen, Shares, Tally, ZoneId};
-use pipitcrank_core::ids::{Ending, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::division;
 use pipitcrank_handover::snapshot::{SeenLeaf, Snapshot};
 
 use crate::audit::{self, Audit, Sent, Taken};
 use crate::counters::Counters;
-use crate::ends::ending_name;
+use crate::ends::outcome_name;
 use crate::frames::{CallPart, Report};
 use crate::reasons::NotSent;
 
@@ -123,8 +123,8 @@
 enum Happened {
     Asked(u64, Asked, Then, Option<Lent>),
     Gone(u64),
-    Ended(ReplicaId, CallNo, Ending, Option<String>, Option<Report>),
-    Probed(ReplicaId, Ending, Option<Report>),
+    Ended(ReplicaId, CallNo, AttemptOutcome, Option<String>, Option<Report>),
+    Probed(ReplicaId, AttemptOutcome, Option<Report>),
     List(Timestamp, bool, Vec<Listed>),
     LookInto(ZoneId, usize),
     EndBy(Timestamp),
@@ -209,9 +209,15 @@
     }
 
     /// A leaf call ended; only its first end counts.
-    pub fn ended(&mut self, call: CallNo, ending: Ending, value: Option<String>, report: Option<Report>) {
-        if let Some(leaf) = self.desk.close(call, ending) {
-            self.inbox.push(Happened::Ended(leaf, call, ending, value, report));
+    pub fn ended(
+        &mut self,
+        call: CallNo,
+        outcome: AttemptOutcome,
+        value: Option<String>,
+        report: Option<Report>,
+    ) {
+        if let Some(leaf) = self.desk.close(call, outcome) {
+            self.inbox.push(Happened::Ended(leaf, call, outcome, value, report));
         }
     }
 
@@ -220,8 +226,8 @@
         self.inbox.push(Happened::EndBy(by));
     }
 
-    pub fn probed(&mut self, leaf: ReplicaId, ending: Ending, report: Option<Report>) {
-        self.inbox.push(Happened::Probed(leaf, ending, report));
+    pub fn probed(&mut self, leaf: ReplicaId, outcome: AttemptOutcome, report: Option<Report>) {
+        self.inbox.push(Happened::Probed(leaf, outcome, report));
     }
 
     /// News of the list of leaves; a whole list names all there are.
@@ -312,7 +318,7 @@
                 }
                 Err(why) => {
                     self.note_not_sent(call, why);
-                    self.ended(call, Ending::Stale, None, None);
+                    self.ended(call, AttemptOutcome::NeverSent, None, None);
                     false
                 }
             }
@@ -368,7 +374,7 @@
     /// number by now and may be out: it would go out a second time.
     pub fn never_began(&mut self, leaf: ReplicaId, call: CallNo) {
         if self.desk.out.get(&call).is_some_and(|out| out.leaf == leaf && !out.released) {
-            self.ended(call, Ending::NoRoute, None, None);
+            self.ended(call, AttemptOutcome::Unreachable, None, None);
         }
     }
 
@@ -514,9 +520,9 @@
             self.root.woken(&mut self.desk, now, label);
         }
         while let Some((_, call)) = self.desk.untils.first().copied().filter(|u| u.0 <= now) {
-            if let Some(leaf) = self.desk.close(call, Ending::TooSlow) {
+            if let Some(leaf) = self.desk.close(call, AttemptOutcome::TimedOut) {
                 self.desk.wishes.push(Wish::GiveUp(leaf, call));
-                self.end_call(now, call, Ending::TooSlow, None);
+                self.end_call(now, call, AttemptOutcome::TimedOut, None);
             }
         }
         self.root.turn(&mut self.desk, now);
@@ -534,14 +540,14 @@
                     self.root.gone(&mut self.desk, now, QueryId(query));
                 }
             }
-            Happened::Ended(leaf, call, ending, value, report) => {
+            Happened::Ended(leaf, call, outcome, value, report) => {
                 self.report(now, leaf, report);
-                self.end_call(now, call, ending, value);
+                self.end_call(now, call, outcome, value);
             }
-            Happened::Probed(leaf, ending, report) => {
-                self.desk.counters.add("probes", ending_name(ending));
+            Happened::Probed(leaf, outcome, report) => {
+                self.desk.counters.add("probes", outcome_name(outcome));
                 self.report(now, leaf, report);
-                self.root.probed(now, leaf, ending);
+                self.root.probed(now, leaf, outcome);
             }
             Happened::List(at, whole, rows) => self.take_list(at, whole, rows),
             Happened::LookInto(zone, most) => self.root.look_into(&mut self.desk, now, zone, most),
@@ -589,7 +595,7 @@
                 text: text.clone(),
                 value: None,
                 calls: 0,
-                last_ending: None,
+                last_outcome: None,
             };
             desk.held_parts.insert(index, held);
         }
@@ -602,12 +608,12 @@
         }
     }
 
-    fn end_call(&mut self, now: Timestamp, call: CallNo, ending: Ending, value: Option<String>) {
-        self.desk.counters.add("leaf_calls", ending_name(ending));
+    fn end_call(&mut self, now: Timestamp, call: CallNo, outcome: AttemptOutcome, value: Option<String>) {
+        self.desk.counters.add("leaf_calls", outcome_name(outcome));
         let Some(part) = self.desk.held_parts.get_mut(&call.0.0) else { return };
-        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, ending = ending_name(ending), "ended");
-        part.last_ending = Some(ending);
-        if ending == Ending::Pass && part.value.is_none() {
+        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, outcome = outcome_name(outcome), "ended");
+        part.last_outcome = Some(outcome);
+        if outcome == AttemptOutcome::Success && part.value.is_none() {
             let held = part.query.and_then(|q| self.desk.held_queries.get_mut(&q));
             let lent = held.and_then(|q| q.lent.as_mut());
             if let (Some(lent), Some(value)) = (lent, &value) {
@@ -615,7 +621,7 @@
             }
             part.value = value;
         }
-        self.root.ended(&mut self.desk, now, call.0, call.1, ending);
+        self.root.ended(&mut self.desk, now, call.0, call.1, outcome);
     }
 
     fn report(&mut self, now: Timestamp, leaf: ReplicaId, report: Option<Report>) {
@@ -800,7 +806,7 @@
                 }
                 Wish::GiveUp(leaf, call) => {
                     leaf_side.give_up(leaf, call);
-                    self.ended(call, Ending::Undone, None, None);
+                    self.ended(call, AttemptOutcome::Cancelled, None, None);
                 }
                 Wish::Probe(leaf) => leaf_side.probe(leaf),
                 Wish::Meet(leaf, address) => leaf_side.meet(leaf, address),
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::ids::{Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, RejectReason, ReplicaId, RequestClassId};
 use pipitcrank_core::names::Names;
 use pipitcrank_core::port::Port;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -36,7 +36,7 @@
     pub(super) value: Option<String>,
     pub(super) calls: u32,
     /// How the attempt that ended last did.
-    pub(super) last_ending: Option<Ending>,
+    pub(super) last_outcome: Option<AttemptOutcome>,
 }
 
 pub(super) struct HeldLeaf {
@@ -93,10 +93,10 @@
 
 impl Desk {
     /// Ends a call for the outside, and says at which leaf it was out; none if it has ended before.
-    pub(super) fn close(&mut self, call: CallNo, ending: Ending) -> Option<ReplicaId> {
+    pub(super) fn close(&mut self, call: CallNo, outcome: AttemptOutcome) -> Option<ReplicaId> {
         let Out { leaf, until, .. } = self.out.remove(&call)?;
         if let Some(audit) = &mut self.audit {
-            audit.ended(call.0, call.1, ending);
+            audit.ended(call.0, call.1, outcome);
         }
         self.untils.remove(&(until, call));
         Some(leaf)
@@ -110,7 +110,7 @@
 
     fn finish(&mut self, query: QueryId, last: Final, word: &'static str) {
         self.counters.add("queries", word);
-        tracing::debug!(target: REQUESTS, request = self.queries.name(query.0), ending = word, "answered");
+        tracing::debug!(target: REQUESTS, request = self.queries.name(query.0), outcome = word, "answered");
         self.check_answer(query, &last);
         let held = self.held_queries.get_mut(&query.0);
         if let Some(then) = held.and_then(|held| held.then.take()) {
@@ -119,7 +119,7 @@
     }
 
     /// Rejected or aborted, and why.
-    fn refuse(&mut self, query: QueryId, last: Final, word: &'static str, why: Refusal) {
+    fn refuse(&mut self, query: QueryId, last: Final, word: &'static str, why: RejectReason) {
         self.counters.add("refusals", why.name());
         tracing::debug!(target: REQUESTS, request = self.queries.name(query.0), why = why.name(), "refused");
         self.finish(query, last, word);
@@ -152,7 +152,7 @@
         if self.out.range((part, 0)..=(part, u32::MAX)).next().is_some() {
             return Some(Again::Hedge);
         }
-        held.last_ending.map(Again::After)
+        held.last_outcome.map(Again::After)
     }
 }
 
@@ -191,11 +191,11 @@
         self.finish(query, Final::Merged { whole, hits }, if whole { "merged" } else { "merged_in_part" });
     }
 
-    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, why: Refusal) {
+    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, why: RejectReason) {
         self.refuse(query, Final::Rejected { stay_away }, "rejected", why);
     }
 
-    fn abort(&mut self, query: QueryId, why: Refusal) {
+    fn abort(&mut self, query: QueryId, why: RejectReason) {
         self.refuse(query, Final::Aborted, "aborted", why);
     }
 
--- a/crates/pipitcrank-server/src/frames.rs
+++ b/crates/pipitcrank-server/src/frames.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use pipitcrank_core::ids::Ending;
+use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
 
-use crate::ends::ending_of;
+use crate::ends::outcome_from_wire;
 
 /// Longest frame taken from a leaf: as much as any message body of the protocol may hold.
 const MOST: usize = 64 * 1024;
@@ -35,9 +35,9 @@
 /// What a leaf sends.
 #[derive(Debug, PartialEq)]
 pub enum FromLeaf {
-    Answer { id: String, ending: Ending, report: Option<Report>, value: String },
-    Alive(Ending),
-    Load(Ending, Option<Report>),
+    Answer { id: String, outcome: AttemptOutcome, report: Option<Report>, value: String },
+    Alive(AttemptOutcome),
+    Load(AttemptOutcome, Option<Report>),
     Complaint(String),
 }
 
@@ -99,12 +99,14 @@
     let rest = std::str::from_utf8(&rest).map_err(|_| BadFrame("it is not UTF-8"))?;
     match letter {
         b'A' => answer(rest).map(Some),
-        b'P' => match ending_of(rest) {
-            Some(ending @ (Ending::Pass | Ending::Fault)) => Ok(Some(FromLeaf::Alive(ending))),
+        b'P' => match outcome_from_wire(rest) {
+            Some(outcome @ (AttemptOutcome::Success | AttemptOutcome::Fault)) => {
+                Ok(Some(FromLeaf::Alive(outcome)))
+            }
             _ => Err(BadFrame("a probe's answer is neither ok nor err")),
         },
-        b'L' if rest == "err" => Ok(Some(FromLeaf::Load(Ending::Fault, None))),
-        b'L' => Ok(Some(FromLeaf::Load(Ending::Pass, report(rest)))),
+        b'L' if rest == "err" => Ok(Some(FromLeaf::Load(AttemptOutcome::Fault, None))),
+        b'L' => Ok(Some(FromLeaf::Load(AttemptOutcome::Success, report(rest)))),
         b'E' => Ok(Some(FromLeaf::Complaint(rest.to_string()))),
         _ => Err(BadFrame("its letter is not known")),
     }
@@ -116,16 +118,16 @@
     let [id, word, score, load] = words[..] else {
         return Err(BadFrame("an answer's line has not four words"));
     };
-    let ending = ending_of(word).ok_or(BadFrame("an answer ends in no known way"))?;
+    let outcome = outcome_from_wire(word).ok_or(BadFrame("an answer ends in no known way"))?;
     if id.is_empty() || !score.parse().is_ok_and(f64::is_finite) {
         return Err(BadFrame("an answer lacks its id or score"));
     }
     // Guards against a length that does not fit: a value with the next frame's head in it, or nothing at all, is not
     // what a part was asked for.
-    if ending == Ending::Pass && (value.is_empty() || value.contains('\0')) {
+    if outcome == AttemptOutcome::Success && (value.is_empty() || value.contains('\0')) {
         return Err(BadFrame("an answer has no value, or another frame in it"));
     }
-    Ok(FromLeaf::Answer { id: id.to_string(), ending, report: report(load), value: value.to_string() })
+    Ok(FromLeaf::Answer { id: id.to_string(), outcome, report: report(load), value: value.to_string() })
 }
 
 /// `name=value` pairs set apart by commas, or `-`. Names not known are left. The protocol's example has the first
--- a/crates/pipitcrank-server/src/leaves.rs
+++ b/crates/pipitcrank-server/src/leaves.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipitcrank_core::ids::{Ending, ReplicaId};
+use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
 use crate::ends::ConnectionEnd;
@@ -230,7 +230,7 @@
             }
         }
         for Carried { call, written, .. } in carried {
-            self.hall.tell(|e| e.ended(call, end.ending(written), None, None));
+            self.hall.tell(|e| e.ended(call, end.outcome(written), None, None));
         }
         // Of a leaf let go nothing is told: its index may stand for another by now.
         if wire.probes.get() > 0 && !wire.let_go.get() {
@@ -268,7 +268,7 @@
                 // Not at once: the exchange is in its turn.
                 tokio::task::spawn_local(async move {
                     for call in parts {
-                        hall.tell(|e| e.ended(call, end.ending(false), None, None));
+                        hall.tell(|e| e.ended(call, end.outcome(false), None, None));
                     }
                 });
             }
@@ -294,7 +294,9 @@
             let _ = wire.jobs.send(Job::Probe);
         } else {
             let hall = self.hall.clone();
-            tokio::task::spawn_local(async move { hall.tell(|e| e.probed(leaf, Ending::NoRoute, None)) });
+            tokio::task::spawn_local(async move {
+                hall.tell(|e| e.probed(leaf, AttemptOutcome::Unreachable, None))
+            });
         }
     }
 }
--- a/crates/pipitcrank-server/src/reasons.rs
+++ b/crates/pipitcrank-server/src/reasons.rs
@@ -1,7 +1,7 @@
 //! Typed reasons for what is not a plain success: why a call was not sent, why a part goes again. Why a connection ended
-//! is in `ends.rs`, why a query was refused in the core (`ids::Refusal`).
+//! is in `ends.rs`, why a query was refused in the core (`ids::RejectReason`).
 
-use pipitcrank_core::ids::{Barred, Ending};
+use pipitcrank_core::ids::{AttemptDenied, AttemptOutcome};
 
 /// Why a call was dropped at the last look before its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,11 +20,11 @@
     BudgetSpent,
 }
 
-impl From<Barred> for NotSent {
-    fn from(barred: Barred) -> NotSent {
+impl From<AttemptDenied> for NotSent {
+    fn from(barred: AttemptDenied) -> NotSent {
         match barred {
-            Barred::Repeat => NotSent::RepeatForbidden,
-            Barred::Budget => NotSent::BudgetSpent,
+            AttemptDenied::RepeatForbidden => NotSent::RepeatForbidden,
+            AttemptDenied::RetryBudgetSpent => NotSent::BudgetSpent,
         }
     }
 }
@@ -48,21 +48,21 @@
     /// An earlier attempt is out and overdue.
     Hedge,
     /// The last attempt ended so.
-    After(Ending),
+    After(AttemptOutcome),
 }
 
 impl Again {
     pub fn name(self) -> &'static str {
         match self {
             Again::Hedge => "hedge",
-            Again::After(Ending::Fault) => "after_fault",
-            Again::After(Ending::NoRoom) => "after_no_room",
-            Again::After(Ending::TooSlow) => "after_too_slow",
-            Again::After(Ending::NoRoute) => "after_no_route",
-            Again::After(Ending::Cut) => "after_cut",
-            Again::After(Ending::Undone) => "after_undone",
-            Again::After(Ending::Stale) => "after_stale",
-            Again::After(Ending::Pass) => "after_pass",
+            Again::After(AttemptOutcome::Fault) => "after_fault",
+            Again::After(AttemptOutcome::NoCapacity) => "after_no_room",
+            Again::After(AttemptOutcome::TimedOut) => "after_too_slow",
+            Again::After(AttemptOutcome::Unreachable) => "after_no_route",
+            Again::After(AttemptOutcome::Disconnected) => "after_cut",
+            Again::After(AttemptOutcome::Cancelled) => "after_undone",
+            Again::After(AttemptOutcome::NeverSent) => "after_stale",
+            Again::After(AttemptOutcome::Success) => "after_pass",
         }
     }
 }
--- a/crates/pipitcrank-server/src/wire.rs
+++ b/crates/pipitcrank-server/src/wire.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use pipitcrank_core::ids::Ending;
+use pipitcrank_core::ids::AttemptOutcome;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::Instant;
 
@@ -180,7 +180,7 @@
         Writing::Next(Job::Probe) if wire.let_go.get() || hall.ask(|e| e.drains(wire.leaf)) => {
             wire.probes.set(wire.probes.get().saturating_sub(1));
             if !wire.let_go.get() {
-                hall.tell(|e| e.probed(wire.leaf, Ending::Stale, None));
+                hall.tell(|e| e.probed(wire.leaf, AttemptOutcome::NeverSent, None));
             }
             return Ok(Writing::Nothing);
         }
@@ -237,7 +237,7 @@
 /// Deals with one frame of the leaf's.
 fn took(hall: &Rc<Hall>, wire: &Wire, frame: FromLeaf) -> Result<(), ConnectionEnd> {
     match frame {
-        FromLeaf::Answer { id, ending, report, value } => {
+        FromLeaf::Answer { id, outcome, report, value } => {
             let mut carried = wire.carried.borrow_mut();
             let Some(nth) = carried.iter().position(|c| c.id.as_deref() == Some(&*id)) else {
                 if wire.given_up.borrow().has(&id) {
@@ -252,17 +252,17 @@
             // Its second copy is harmless.
             wire.given_up.borrow_mut().add(&id);
             hall.counters.add("frames", "answers");
-            let value = (ending == Ending::Pass).then_some(value);
-            hall.tell(|e| e.ended(call, ending, value, report));
+            let value = (outcome == AttemptOutcome::Success).then_some(value);
+            hall.tell(|e| e.ended(call, outcome, value, report));
         }
-        FromLeaf::Load(ending, report) => {
+        FromLeaf::Load(outcome, report) => {
             let Some(before) = wire.probes.get().checked_sub(1) else {
                 tracing::warn!("leaf {} answered a probe that was not sent", wire.leaf.0);
                 return Err(ConnectionEnd::BadBytes);
             };
             wire.probes.set(before);
             if !wire.let_go.get() {
-                hall.tell(|e| e.probed(wire.leaf, ending, report));
+                hall.tell(|e| e.probed(wire.leaf, outcome, report));
             }
         }
         FromLeaf::Alive(_) => {
--- a/crates/pipitcrank-server/src/wire/tests.rs
+++ b/crates/pipitcrank-server/src/wire/tests.rs
@@ -41,7 +41,7 @@
     let (jobs, _queue) = unbounded_channel();
     let wire = Wire::new(ReplicaId(0), jobs);
     wire.pings.set(1);
-    let alive = || took(&hall, &wire, FromLeaf::Alive(Ending::Fault));
+    let alive = || took(&hall, &wire, FromLeaf::Alive(AttemptOutcome::Fault));
     assert_eq!(alive(), Ok(()), "busy with probes, but alive");
     assert_eq!(alive(), Err(ConnectionEnd::BadBytes), "nobody asked");
 }
@@ -103,7 +103,7 @@
             let _leaf_end = listener.accept().await.unwrap();
             std::thread::sleep(Duration::from_millis(100));
             // Something is told, as late as that: all that follows waits.
-            hall.tell(|e| e.probed(ReplicaId(0), Ending::Pass, None));
+            hall.tell(|e| e.probed(ReplicaId(0), AttemptOutcome::Success, None));
             let first = hall.clone();
             tokio::task::spawn_local(async move { first.catch_up().await });
             let gone = hall.clone();
@@ -149,7 +149,7 @@
     let next = write(&hall, &wire, &to, Writing::Next(Job::Call(vec![call]))).unwrap();
     assert!(matches!(next, Writing::Next(Job::Call(_))), "nothing of it has gone");
     assert!(wire.carried.borrow()[0].id.is_none());
-    hall.tell(|e| e.ended(call, Ending::Undone, None, None));
+    hall.tell(|e| e.ended(call, AttemptOutcome::Cancelled, None, None));
     assert!(matches!(write(&hall, &wire, &to, next).unwrap(), Writing::Nothing), "dropped: it is over");
 }
 
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pipitcrank_core::ids::{Ending, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_core::told::Told;
 use pipitcrank_handover::snapshot::Snapshot;
@@ -66,7 +66,7 @@
 fn audit_terms(told: &serde_json::Value) -> audit::Terms {
     let number = |key: &str| told.pointer(key).and_then(serde_json::Value::as_f64);
     let vertical = |n: usize| audit::VerticalTerms {
-        effect: Told::new(told).effect(n).unwrap(),
+        idempotency: Told::new(told).idempotency(n).unwrap(),
         dedup_window: TimeSpan::from_secs_f64(number(&format!("/classes/{n}/dedup_window_s")).unwrap_or(0.0)),
         floor: number(&format!("/domain/floor_by_class/{n}")).unwrap(),
         whole_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
@@ -161,7 +161,7 @@
     }
 
     fn pass(&mut self, call: CallNo, value: &str) {
-        self.exchange.ended(call, Ending::Pass, Some(value.into()), None);
+        self.exchange.ended(call, AttemptOutcome::Success, Some(value.into()), None);
     }
 
     /// Turns at their times until `ms`.
@@ -353,7 +353,7 @@
         let chosen =
             |n: usize| Report { waiting: Some(if busy && n == 1 { 40.0 } else { 0.0 }), in_hand: None };
         for (n, leaf) in holders.iter().enumerate() {
-            stage.exchange.probed(*leaf, Ending::Pass, Some(chosen(n)));
+            stage.exchange.probed(*leaf, AttemptOutcome::Success, Some(chosen(n)));
         }
         stage.turn(5015);
         assert_eq!(stage.ledger.calls.len(), 1);
@@ -371,7 +371,7 @@
     stage.turn(10);
     let (_, call, _, _) = stage.release(10)[0].clone();
     stage.pass(call, "first");
-    stage.exchange.ended(call, Ending::Cut, None, None);
+    stage.exchange.ended(call, AttemptOutcome::Disconnected, None, None);
     stage.pass(call, "second");
     stage.turn(20);
     assert!(stage.final_of("q").unwrap().contains("first"));
@@ -419,8 +419,8 @@
     /// only as leaves gave them; nothing is released for a query that is over.
     #[test]
     fn every_query_ends_once_and_in_time(ops in proptest::collection::vec(op(), 1..60)) {
-        const HOW: [Ending; 6] =
-            [Ending::Pass, Ending::Pass, Ending::Fault, Ending::NoRoom, Ending::NoRoute, Ending::Cut];
+        const HOW: [AttemptOutcome; 6] =
+            [AttemptOutcome::Success, AttemptOutcome::Success, AttemptOutcome::Fault, AttemptOutcome::NoCapacity, AttemptOutcome::Unreachable, AttemptOutcome::Disconnected];
         let (mut stage, mut now, mut out) = (Stage::set(), 0i64, Vec::new());
         let mut asked: BTreeMap<String, (i64, bool)> = BTreeMap::new();
         let mut given: BTreeMap<(String, u32), Vec<String>> = BTreeMap::new();
@@ -432,7 +432,7 @@
                 }
                 Op::End(which, how) if !out.is_empty() => {
                     let (_, call, id, shard): (ReplicaId, CallNo, String, u32) = out.swap_remove(which % out.len());
-                    let value = (HOW[how] == Ending::Pass).then(|| format!("v{n}"));
+                    let value = (HOW[how] == AttemptOutcome::Success).then(|| format!("v{n}"));
                     let query = id.split('.').next().unwrap().to_string();
                     given.entry((query, shard)).or_default().extend(value.clone());
                     stage.exchange.ended(call, HOW[how], value, None);
@@ -494,7 +494,7 @@
     stage.exchange.never_began(leaf, queued[0]);
     stage.turn(33);
     assert!(stage.ledger.calls.is_empty(), "a sale that is out is not sent again");
-    stage.exchange.ended(calls[0], Ending::Pass, Some("v".into()), None);
+    stage.exchange.ended(calls[0], AttemptOutcome::Success, Some("v".into()), None);
     stage.turn(34);
     assert_eq!(stage.answers.borrow().len(), 1);
 }
@@ -533,9 +533,14 @@
         stage.ask(&format!("q{n}"), 0, 0..1, 3000 + n * 10);
         stage.turn(n * 10);
         for (leaf, calls) in std::mem::take(&mut stage.ledger.calls) {
-            let ending = if leaf == shunned { Ending::Fault } else { Ending::Pass };
+            let outcome = if leaf == shunned { AttemptOutcome::Fault } else { AttemptOutcome::Success };
             calls.into_iter().for_each(|c| {
-                stage.exchange.ended(c, ending, (ending == Ending::Pass).then(|| "v".into()), None)
+                stage.exchange.ended(
+                    c,
+                    outcome,
+                    (outcome == AttemptOutcome::Success).then(|| "v".into()),
+                    None,
+                )
             });
         }
         stage.turn(n * 10 + 5);
@@ -642,9 +647,9 @@
             for (leaf, parts) in std::mem::take(&mut stage.ledger.calls) {
                 assert!(!far.contains(&leaf), "hops are bounded");
                 calls += parts.len() as u32;
-                let ending = if calls <= further { Ending::Fault } else { Ending::Pass };
-                let value = (ending == Ending::Pass).then(|| "v".to_string());
-                parts.into_iter().for_each(|c| stage.exchange.ended(c, ending, value.clone(), None));
+                let outcome = if calls <= further { AttemptOutcome::Fault } else { AttemptOutcome::Success };
+                let value = (outcome == AttemptOutcome::Success).then(|| "v".to_string());
+                parts.into_iter().for_each(|c| stage.exchange.ended(c, outcome, value.clone(), None));
             }
         }
         assert_eq!((calls, made.get()), (1 + further, further));
@@ -664,7 +669,7 @@
     stage.ask("first", 0, 0..2, 4000);
     stage.turn(10);
     for (_, call, ..) in stage.release(10) {
-        stage.exchange.ended(call, Ending::Cut, None, None);
+        stage.exchange.ended(call, AttemptOutcome::Disconnected, None, None);
     }
     stage.turn(20);
     let waiting = std::mem::take(&mut stage.ledger.calls);
@@ -673,7 +678,7 @@
     stage.ask("second", 0, 4..6, 4000);
     stage.turn(130);
     for (_, call, ..) in stage.release(130) {
-        stage.exchange.ended(call, Ending::Cut, None, None);
+        stage.exchange.ended(call, AttemptOutcome::Disconnected, None, None);
     }
     stage.turn(140);
     assert_eq!(stage.counters.get("again", "after_cut"), 4, "those of the next window were decided");
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -1,7 +1,7 @@
 //! Frames, lists and what is told at start: decoded as the protocol says, and refused by name where they are not.
 
 use bytes::BytesMut;
-use pipitcrank_core::ids::Ending;
+use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_core::told::Faulty;
 use pipitcrank_server::charter::Charter;
@@ -51,20 +51,24 @@
     buffer.extend_from_slice(&answer[answer.len() - 1..]);
     buffer.extend_from_slice(&load);
     let report = Some(Report { waiting: None, in_hand: Some(7.0) });
-    let wanted =
-        FromLeaf::Answer { id: "9b1f.3".into(), ending: Ending::Pass, report, value: "5be2a07c\n19".into() };
+    let wanted = FromLeaf::Answer {
+        id: "9b1f.3".into(),
+        outcome: AttemptOutcome::Success,
+        report,
+        value: "5be2a07c\n19".into(),
+    };
     assert_eq!(frames::take(&mut buffer), Ok(Some(wanted)));
     let report = Some(Report { waiting: Some(2.5), in_hand: None });
-    assert_eq!(frames::take(&mut buffer), Ok(Some(FromLeaf::Load(Ending::Pass, report))));
+    assert_eq!(frames::take(&mut buffer), Ok(Some(FromLeaf::Load(AttemptOutcome::Success, report))));
     let report = Some(Report { waiting: Some(4.364), in_hand: Some(5.0) });
-    let wanted = FromLeaf::Load(Ending::Pass, report);
+    let wanted = FromLeaf::Load(AttemptOutcome::Success, report);
     assert_eq!(take(&framed(b"Lbacklog=4.364,eps=0,outstanding=5")), Ok(Some(wanted)));
-    assert_eq!(take(&framed(b"L-")), Ok(Some(FromLeaf::Load(Ending::Pass, None))));
-    assert_eq!(take(&framed(b"Lerr")), Ok(Some(FromLeaf::Load(Ending::Fault, None))));
-    assert_eq!(take(&framed(b"Pok")), Ok(Some(FromLeaf::Alive(Ending::Pass))));
+    assert_eq!(take(&framed(b"L-")), Ok(Some(FromLeaf::Load(AttemptOutcome::Success, None))));
+    assert_eq!(take(&framed(b"Lerr")), Ok(Some(FromLeaf::Load(AttemptOutcome::Fault, None))));
+    assert_eq!(take(&framed(b"Pok")), Ok(Some(FromLeaf::Alive(AttemptOutcome::Success))));
     assert_eq!(take(&framed(b"Eno such shard")), Ok(Some(FromLeaf::Complaint("no such shard".into()))));
-    for (word, ending) in [("err", Ending::Fault), ("busy", Ending::NoRoom)] {
-        let wanted = FromLeaf::Answer { id: "q.1".into(), ending, report: None, value: String::new() };
+    for (word, outcome) in [("err", AttemptOutcome::Fault), ("busy", AttemptOutcome::NoCapacity)] {
+        let wanted = FromLeaf::Answer { id: "q.1".into(), outcome, report: None, value: String::new() };
         assert_eq!(take(&framed(format!("Aq.1 {word} 0 -\n").as_bytes())), Ok(Some(wanted)));
     }
 }
@@ -92,10 +96,14 @@
 #[test]
 fn a_load_report_that_cannot_be_read_is_left_and_its_answer_counts() {
     for report in ["nan", "%%%", "queue=many", "queue=-1", "queue=inf", "a,b"] {
-        let wanted =
-            FromLeaf::Answer { id: "q.1".into(), ending: Ending::Pass, report: None, value: "d".into() };
+        let wanted = FromLeaf::Answer {
+            id: "q.1".into(),
+            outcome: AttemptOutcome::Success,
+            report: None,
+            value: "d".into(),
+        };
         assert_eq!(take(&framed(format!("Aq.1 ok 7 {report}\nd").as_bytes())), Ok(Some(wanted)), "{report}");
-        let wanted = FromLeaf::Load(Ending::Pass, None);
+        let wanted = FromLeaf::Load(AttemptOutcome::Success, None);
         assert_eq!(take(&framed(format!("L{report}").as_bytes())), Ok(Some(wanted)), "{report}");
     }
 }
@@ -105,14 +113,19 @@
     for end in
         [ConnectionEnd::Closed, ConnectionEnd::Reset, ConnectionEnd::BadBytes, ConnectionEnd::Complaint]
     {
-        assert_eq!((end.ending(false), end.ending(true)), (Ending::NoRoute, Ending::Cut), "{}", end.name());
+        assert_eq!(
+            (end.outcome(false), end.outcome(true)),
+            (AttemptOutcome::Unreachable, AttemptOutcome::Disconnected),
+            "{}",
+            end.name()
+        );
     }
-    assert_eq!(ConnectionEnd::NeverUp.ending(false), Ending::NoRoute);
+    assert_eq!(ConnectionEnd::NeverUp.outcome(false), AttemptOutcome::Unreachable);
     // A probe lost with a connection that was up is no sign that there is no way to the leaf.
-    assert_eq!(ConnectionEnd::Refused.of_probe(), Ending::NoRoute);
+    assert_eq!(ConnectionEnd::Refused.of_probe(), AttemptOutcome::Unreachable);
     assert_eq!(
         (ConnectionEnd::Closed.of_probe(), ConnectionEnd::Idle.of_probe()),
-        (Ending::Cut, Ending::Cut)
+        (AttemptOutcome::Disconnected, AttemptOutcome::Disconnected)
     );
 }
 
--- a/crates/pipitcrank-sim-adapter/src/door.rs
+++ b/crates/pipitcrank-sim-adapter/src/door.rs
@@ -5,7 +5,7 @@
 
 use pipitcrank_core::decide::Root;
 use pipitcrank_core::decide::zones::ZoneId;
-use pipitcrank_core::ids::{Ending, PartId, QueryId, Refusal, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, RejectReason, ReplicaId, RequestClassId};
 use pipitcrank_core::names::Names;
 use pipitcrank_core::port::Port;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -79,13 +79,13 @@
         self.say(&line);
     }
 
-    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, _why: Refusal) {
+    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, _why: RejectReason) {
         let (i, job) = (&self.instance, self.queries.name(query.0));
         let line = format!("DECLINE i={i} job={job} stay_away_s={:.6}", stay_away.as_secs_f64());
         self.say(&line);
     }
 
-    fn abort(&mut self, query: QueryId, _why: Refusal) {
+    fn abort(&mut self, query: QueryId, _why: RejectReason) {
         let line = format!("DROP_REQUEST i={} job={}", self.instance, self.queries.name(query.0));
         self.say(&line);
     }
@@ -214,10 +214,10 @@
             }
             "FINISHED" => {
                 let nth = line.number("trial")?;
-                let ending = ending(line)?;
+                let outcome = outcome(line)?;
                 report(root, door, now, line)?;
                 if let Some(part) = door.parts.find(line.field("job")?) {
-                    root.ended(door, now, PartId(part), nth, ending);
+                    root.ended(door, now, PartId(part), nth, outcome);
                 }
             }
             "DROPPED" => {
@@ -228,9 +228,9 @@
             "ELAPSED" => root.woken(door, now, line.number("label")?),
             "HEALTH" => {
                 report(root, door, now, line)?;
-                let ending = ending(line)?;
+                let outcome = outcome(line)?;
                 if let Some(leaf) = door.leaves.find(line.field("replica")?) {
-                    root.probed(now, ReplicaId(leaf), ending);
+                    root.probed(now, ReplicaId(leaf), outcome);
                 }
             }
             // Streamed verticals and messages between co-ordinators have no part in the decisions.
@@ -266,16 +266,16 @@
     Ok(())
 }
 
-fn ending(line: &Line) -> Result<Ending, Wrong> {
+fn outcome(line: &Line) -> Result<AttemptOutcome, Wrong> {
     Ok(match line.field("result")? {
-        "pass" => Ending::Pass,
-        "fault" => Ending::Fault,
-        "no_room" => Ending::NoRoom,
-        "too_slow" => Ending::TooSlow,
-        "no_route" => Ending::NoRoute,
-        "cut" => Ending::Cut,
-        "undone" => Ending::Undone,
-        "stale_send" => Ending::Stale,
+        "pass" => AttemptOutcome::Success,
+        "fault" => AttemptOutcome::Fault,
+        "no_room" => AttemptOutcome::NoCapacity,
+        "too_slow" => AttemptOutcome::TimedOut,
+        "no_route" => AttemptOutcome::Unreachable,
+        "cut" => AttemptOutcome::Disconnected,
+        "undone" => AttemptOutcome::Cancelled,
+        "stale_send" => AttemptOutcome::NeverSent,
         other => return Err(line.wrong("result", &format!("is '{other}', which is not known"))),
     })
 }
