--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, Result, bail};
 use pipitcrank_config::Zones;
-use pipitcrank_core::decide::zones::{Seen, Shares, Tally, ZoneId};
+use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::book::{Book, Pace};
 use pipitcrank_failover::decision::{Order, State, UNKNOWN, WHOLE};
@@ -108,7 +108,7 @@
         e.name_zones(names.clone());
         e.name_site_zones(site_zones);
         if !zones.dry_run {
-            e.set_shares(Shares { of: vec![(ZoneId(own as u16), 1.0)], ..Shares::default() });
+            e.set_shares(ZoneRouting { of: vec![(ZoneId(own as u16), 1.0)], ..ZoneRouting::default() });
         }
     });
     Ok(async move {
@@ -242,7 +242,7 @@
         let (seen, tally) = self.hall.ask(|e| e.zones_seen(now));
         self.rates.take(now, &tally);
         // Of another region only its site is met here, which tells nothing of one of its zones.
-        let of = |(zone, seen): (usize, &Seen)| match self.region[zone] {
+        let of = |(zone, seen): (usize, &ZoneObservation)| match self.region[zone] {
             true => row(seen, self.rates.merged(zone)),
             false => Row::default(),
         };
@@ -317,7 +317,7 @@
         let shut =
             zones.filter(|&z| self.stands_for[z] == z && all_shut(z)).map(|z| ZoneId(z as u16)).collect();
         if !self.dry {
-            self.hall.tell(|e| e.set_shares(Shares { of, shut, turned_away }));
+            self.hall.tell(|e| e.set_shares(ZoneRouting { of, shut, turned_away }));
         }
         let shares: Vec<String> = plan
             .shares
@@ -330,7 +330,7 @@
     }
 }
 
-fn row(seen: &Seen, merged: u32) -> Row {
+fn row(seen: &ZoneObservation, merged: u32) -> Row {
     let small = |n: u32| n.min(u32::from(u16::MAX)) as u16;
     Row {
         listed: small(seen.listed),
@@ -345,7 +345,7 @@
 
 /// Rates from counts that only grow.
 struct Rates {
-    before: (Timestamp, Tally),
+    before: (Timestamp, ZoneTraffic),
     asked: f64,
     merged: Vec<f64>,
     by_vertical: Vec<(f64, f64)>,
@@ -353,10 +353,15 @@
 
 impl Rates {
     fn new(now: Timestamp) -> Rates {
-        Rates { before: (now, Tally::default()), asked: 0.0, merged: Vec::new(), by_vertical: Vec::new() }
+        Rates {
+            before: (now, ZoneTraffic::default()),
+            asked: 0.0,
+            merged: Vec::new(),
+            by_vertical: Vec::new(),
+        }
     }
 
-    fn take(&mut self, now: Timestamp, tally: &Tally) {
+    fn take(&mut self, now: Timestamp, tally: &ZoneTraffic) {
         let passed = (now - self.before.0).as_secs_f64();
         if passed <= 0.0 {
             return;
--- a/crates/pipitcrank-config/src/lib.rs
+++ b/crates/pipitcrank-config/src/lib.rs
@@ -12,10 +12,10 @@
 
 /// One key's fault, or why nothing could be read.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("{key} {what}")]
-pub struct Faulty {
+#[error("{key} {reason}")]
+pub struct ConfigError {
     pub key: String,
-    pub what: String,
+    pub reason: String,
 }
 
 /// All that operators say, checked.
@@ -197,8 +197,8 @@
 impl Operators {
     /// From a file; what it imports is looked for beside it. Nothing is fetched from elsewhere: the reader is built
     /// without the network.
-    pub fn read(path: &Path) -> Result<Operators, Faulty> {
-        let wrong = |what: String| Faulty { key: path.display().to_string(), what };
+    pub fn read(path: &Path) -> Result<Operators, ConfigError> {
+        let wrong = |reason: String| ConfigError { key: path.display().to_string(), reason };
         let size = std::fs::metadata(path).map_err(|e| wrong(format!("can't be read: {e}")))?.len();
         if size > LONGEST {
             return Err(wrong(format!("has {size} bytes, over {LONGEST}")));
@@ -208,7 +208,7 @@
     }
 
     /// The same from a text without imports.
-    pub fn parse(text: &str) -> Result<Operators, Faulty> {
+    pub fn parse(text: &str) -> Result<Operators, ConfigError> {
         let file: File = serde_dhall::from_str(text)
             .parse()
             .map_err(|e| faulty(Path::new("the operators' file"), &e.to_string()))?;
@@ -217,21 +217,24 @@
 }
 
 /// The reader's words name the field: it is put first, as the key.
-fn faulty(path: &Path, words: &str) -> Faulty {
+fn faulty(path: &Path, words: &str) -> ConfigError {
     let named = words.split_once("field `").and_then(|(_, rest)| rest.split_once('`')).map(|(name, _)| name);
     let key = named.map_or(path.display().to_string(), |name| format!("/{name}"));
-    Faulty { key, what: words.trim().replace('\n', " ") }
+    ConfigError { key, reason: words.trim().replace('\n', " ") }
 }
 
-fn time(key: &str, seconds: f64, least: f64, most: f64) -> Result<Duration, Faulty> {
+fn time(key: &str, seconds: f64, least: f64, most: f64) -> Result<Duration, ConfigError> {
     if (least..=most).contains(&seconds) {
         return Ok(Duration::from_secs_f64(seconds));
     }
-    Err(Faulty { key: key.to_string(), what: format!("is {seconds}, not from {least} to {most} seconds") })
+    Err(ConfigError {
+        key: key.to_string(),
+        reason: format!("is {seconds}, not from {least} to {most} seconds"),
+    })
 }
 
 impl File {
-    fn checked(self) -> Result<Operators, Faulty> {
+    fn checked(self) -> Result<Operators, ConfigError> {
         let upgrade = self.upgrade.map(UpgradeForm::checked).transpose()?;
         let gateway = self.gateway.map(GatewayForm::checked).transpose()?;
         let zones = self.zones.map(ZonesForm::checked).transpose()?;
@@ -244,15 +247,16 @@
 /// Longest name of a site, as the link has it.
 const LONGEST_NAME: usize = 64;
 
-fn name(key: &str, name: &str) -> Result<(), Faulty> {
+fn name(key: &str, name: &str) -> Result<(), ConfigError> {
     let good = !name.is_empty() && name.len() <= LONGEST_NAME && name.bytes().all(|b| b.is_ascii_graphic());
-    let what = || format!("is '{name}', not 1 to {LONGEST_NAME} visible ASCII characters");
-    if good { Ok(()) } else { Err(Faulty { key: key.to_string(), what: what() }) }
+    let reason = || format!("is '{name}', not 1 to {LONGEST_NAME} visible ASCII characters");
+    if good { Ok(()) } else { Err(ConfigError { key: key.to_string(), reason: reason() }) }
 }
 
 /// Links are not encrypted yet, so they stay on the machine.
-fn address(key: &str, address: &str) -> Result<SocketAddr, Faulty> {
-    let wrong = |what: &str| Faulty { key: key.to_string(), what: format!("is '{address}', {what}") };
+fn address(key: &str, address: &str) -> Result<SocketAddr, ConfigError> {
+    let wrong =
+        |reason: &str| ConfigError { key: key.to_string(), reason: format!("is '{address}', {reason}") };
     let found: SocketAddr = address.parse().map_err(|_| wrong("no address and port"))?;
     if found.ip().is_loopback() {
         Ok(found)
@@ -262,27 +266,27 @@
 }
 
 impl GatewayForm {
-    fn checked(self) -> Result<Gateway, Faulty> {
+    fn checked(self) -> Result<Gateway, ConfigError> {
         name("/gateway/site", &self.site)?;
         let mut sites: Vec<(String, SocketAddr)> = Vec::new();
         for (n, site) in self.sites.iter().enumerate() {
             let key = format!("/gateway/sites/{n}/name");
             name(&key, &site.name)?;
             if site.name == self.site || sites.iter().any(|(known, _)| *known == site.name) {
-                return Err(Faulty { key, what: format!("'{}' stands there twice", site.name) });
+                return Err(ConfigError { key, reason: format!("'{}' stands there twice", site.name) });
             }
             sites.push((site.name.clone(), address(&format!("/gateway/sites/{n}/address"), &site.address)?));
         }
         // Each has a candidate a cell and a task a connection.
         if sites.len() > 16 {
-            return Err(Faulty {
+            return Err(ConfigError {
                 key: "/gateway/sites".into(),
-                what: format!("are {}, over 16", sites.len()),
+                reason: format!("are {}, over 16", sites.len()),
             });
         }
         if !(1..=8).contains(&self.connections) {
-            let what = format!("is {}, not from 1 to 8", self.connections);
-            return Err(Faulty { key: "/gateway/connections".into(), what });
+            let reason = format!("is {}, not from 1 to 8", self.connections);
+            return Err(ConfigError { key: "/gateway/connections".into(), reason });
         }
         Ok(Gateway {
             site: self.site,
@@ -303,8 +307,8 @@
 const LEAST_SECRET: usize = 16;
 
 impl ZonesForm {
-    fn checked(self) -> Result<Zones, Faulty> {
-        let fault = |key: String, what: String| Err(Faulty { key, what });
+    fn checked(self) -> Result<Zones, ConfigError> {
+        let fault = |key: String, reason: String| Err(ConfigError { key, reason });
         let mut zones: Vec<(String, String)> = Vec::new();
         for (n, zone) in self.zones.into_iter().enumerate() {
             let key = format!("/zones/zones/{n}");
@@ -322,8 +326,8 @@
         let place = |key: &str, zone: &str| match zones.iter().position(|(name, _)| name == zone) {
             Some(place) => Ok(place),
             None => {
-                let what = format!("is '{zone}', none of /zones/zones: {}", names());
-                Err(Faulty { key: key.into(), what })
+                let reason = format!("is '{zone}', none of /zones/zones: {}", names());
+                Err(ConfigError { key: key.into(), reason })
             }
         };
         if !self.zone.is_empty() {
@@ -342,21 +346,21 @@
             voters.push((at, place(&format!("{key}/zone"), &voter.zone)?));
         }
         if voters.len().is_multiple_of(2) || voters.len() > MOST_VOTERS {
-            let what = format!(
+            let reason = format!(
                 "are {}; accepted: 1, 3, 5 or {MOST_VOTERS}, so that one half is larger",
                 voters.len()
             );
-            return fault("/zones/voters".into(), what);
+            return fault("/zones/voters".into(), reason);
         }
         // Guards against a zone whose loss takes the majority along, where zones are enough to do without.
         for (zone, (name, _)) in zones.iter().enumerate().filter(|_| zones.len() > 2 && voters.len() > 1) {
             let here = voters.iter().filter(|v| v.1 == zone).count();
             if here * 2 > voters.len() {
-                let what = format!(
+                let reason = format!(
                     "has {here} of {} in zone '{name}': its loss would end all deciding",
                     voters.len()
                 );
-                return fault("/zones/voters".into(), what);
+                return fault("/zones/voters".into(), reason);
             }
         }
         if self.peers.len() > MOST_PEERS {
@@ -364,12 +368,12 @@
         }
         let peers = self.peers.iter().enumerate().map(|(n, at)| address(&format!("/zones/peers/{n}"), at));
         if self.secret.len() < LEAST_SECRET {
-            let what = format!("has {} characters, under {LEAST_SECRET}", self.secret.len());
-            return fault("/zones/secret".into(), what);
+            let reason = format!("has {} characters, under {LEAST_SECRET}", self.secret.len());
+            return fault("/zones/secret".into(), reason);
         }
         if !(0.0..=1e6).contains(&self.leaf_bears) {
-            let what = format!("is {}, not from 0 to 1000000 parts a second", self.leaf_bears);
-            return fault("/zones/leaf_bears".into(), what);
+            let reason = format!("is {}, not from 0 to 1000000 parts a second", self.leaf_bears);
+            return fault("/zones/leaf_bears".into(), reason);
         }
         let hold_down = time("/zones/hold_down_s", self.hold_down_s, 0.5, 3600.0)?;
         Ok(Zones {
@@ -402,10 +406,12 @@
 impl StoreForm {
     /// Each write is a sync of the disk: ten a second are more than any start gains by. What a day old copy knew of
     /// leaves is of no use to anybody.
-    fn checked(self) -> Result<Store, Faulty> {
+    fn checked(self) -> Result<Store, ConfigError> {
         let path = std::path::PathBuf::from(&self.path);
-        let wrong =
-            |what: &str| Faulty { key: "/store/path".into(), what: format!("is '{}', {what}", self.path) };
+        let wrong = |reason: &str| ConfigError {
+            key: "/store/path".into(),
+            reason: format!("is '{}', {reason}", self.path),
+        };
         if path.file_name().is_none() || self.path.len() > LONGEST_PATH || self.path.contains('\0') {
             return Err(wrong("the path of no file"));
         }
@@ -423,7 +429,7 @@
 impl UpgradeForm {
     /// Signs of life come every 0.05 s: ten of them may be late before a process is held to hang. A trial of over
     /// ten minutes is no trial; two processes need twice the memory as long.
-    fn checked(self) -> Result<Upgrade, Faulty> {
+    fn checked(self) -> Result<Upgrade, ConfigError> {
         Ok(Upgrade {
             start: time("/upgrade/start_s", self.start_s, 0.1, 600.0)?,
             settle: time("/upgrade/settle_s", self.settle_s, 0.0, 600.0)?,
--- a/crates/pipitcrank-core/src/told.rs
+++ b/crates/pipitcrank-core/src/config.rs
@@ -5,24 +5,24 @@
 
 use serde_json::Value;
 
-use crate::chance::Chance;
-use crate::decide::zones::{Shares, ZoneId};
-use crate::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
+use crate::coordinator::zones::{ZoneId, ZoneRouting};
+use crate::coordinator::{Coordinator, RequestClassConfig, RetryBudget, RetryPolicy, SetCover, SlowStart};
 use crate::ids::Idempotency;
+use crate::rng::Rng;
 use crate::time::{TimeSpan, Timestamp};
 
 /// A key whose value is missing or not what it has to be, as a JSON pointer.
 #[derive(Debug, PartialEq)]
-pub struct Faulty {
+pub struct ConfigError {
     pub key: String,
-    pub what: String,
+    pub reason: String,
 }
 
-impl std::error::Error for Faulty {}
+impl std::error::Error for ConfigError {}
 
-impl fmt::Display for Faulty {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} {}", self.key, self.what)
+        write!(f, "{} {}", self.key, self.reason)
     }
 }
 
@@ -35,64 +35,69 @@
 pub const MOST_ZONES: usize = 16;
 
 /// Looks values up by their keys. All keys named in faults begin with where it stands itself.
-pub struct Told<'a> {
+pub struct SettingsReader<'a> {
     all: &'a Value,
     place: &'static str,
 }
 
-impl<'a> Told<'a> {
-    pub fn new(all: &'a Value) -> Told<'a> {
-        Told { all, place: "" }
+impl<'a> SettingsReader<'a> {
+    pub fn new(all: &'a Value) -> SettingsReader<'a> {
+        SettingsReader { all, place: "" }
     }
 
     /// What stands under that key.
-    pub fn under(&self, place: &'static str) -> Result<Told<'a>, Faulty> {
-        Ok(Told { all: self.get(place, Some, "is missing")?, place })
+    pub fn under(&self, place: &'static str) -> Result<SettingsReader<'a>, ConfigError> {
+        Ok(SettingsReader { all: self.get(place, Some, "is missing")?, place })
     }
 
-    pub fn faulty(&self, key: &str, what: &str) -> Faulty {
-        Faulty { key: format!("{}{key}", self.place), what: what.to_string() }
+    pub fn error(&self, key: &str, reason: &str) -> ConfigError {
+        ConfigError { key: format!("{}{key}", self.place), reason: reason.to_string() }
     }
 
-    fn get<T>(&self, key: &str, read: impl Fn(&'a Value) -> Option<T>, what: &str) -> Result<T, Faulty> {
-        self.all.pointer(key).and_then(read).ok_or_else(|| self.faulty(key, what))
+    fn get<T>(
+        &self,
+        key: &str,
+        read: impl Fn(&'a Value) -> Option<T>,
+        reason: &str,
+    ) -> Result<T, ConfigError> {
+        self.all.pointer(key).and_then(read).ok_or_else(|| self.error(key, reason))
     }
 
-    pub fn number(&self, key: &str) -> Result<f64, Faulty> {
+    pub fn number(&self, key: &str) -> Result<f64, ConfigError> {
         self.get(key, Value::as_f64, "has no number")
     }
 
-    pub fn count(&self, key: &str) -> Result<u32, Faulty> {
+    pub fn count(&self, key: &str) -> Result<u32, ConfigError> {
         self.get(key, |v| u32::try_from(v.as_u64()?).ok(), "has no count")
     }
 
-    pub fn flag(&self, key: &str) -> Result<bool, Faulty> {
+    pub fn flag(&self, key: &str) -> Result<bool, ConfigError> {
         self.get(key, Value::as_bool, "has no true or false")
     }
 
-    pub fn text(&self, key: &str) -> Result<&'a str, Faulty> {
+    pub fn text(&self, key: &str) -> Result<&'a str, ConfigError> {
         self.get(key, Value::as_str, "has no text")
     }
 
     /// Absent or null stands for that; anything else has to be a text.
-    pub fn text_or(&self, key: &str, absent: &'a str) -> Result<&'a str, Faulty> {
+    pub fn text_or(&self, key: &str, absent: &'a str) -> Result<&'a str, ConfigError> {
         if self.all.pointer(key).is_none_or(Value::is_null) { Ok(absent) } else { self.text(key) }
     }
 
     /// A time in seconds. Guards against sums that pass what a time can hold.
-    pub fn span(&self, key: &str) -> Result<TimeSpan, Faulty> {
+    pub fn span(&self, key: &str) -> Result<TimeSpan, ConfigError> {
         Ok(TimeSpan::from_secs_f64(self.within(key, 0.0, LONGEST_S)?))
     }
 
-    fn within(&self, key: &str, least: f64, most: f64) -> Result<f64, Faulty> {
+    fn within(&self, key: &str, least: f64, most: f64) -> Result<f64, ConfigError> {
         match self.number(key)? {
             n if (least..=most).contains(&n) => Ok(n),
-            n => Err(self.faulty(key, &format!("is {n}; accepted: {least} to {most}"))),
+            n => Err(self.error(key, &format!("is {n}; accepted: {least} to {most}"))),
         }
     }
 
     /// The same where it may be absent, which stands for that.
-    fn within_or(&self, key: &str, absent: f64, least: f64, most: f64) -> Result<f64, Faulty> {
+    fn within_or(&self, key: &str, absent: f64, least: f64, most: f64) -> Result<f64, ConfigError> {
         if self.all.pointer(key).is_none_or(Value::is_null) {
             Ok(absent)
         } else {
@@ -100,31 +105,31 @@
         }
     }
 
-    pub fn count_from_1(&self, key: &str) -> Result<u32, Faulty> {
+    pub fn count_from_1(&self, key: &str) -> Result<u32, ConfigError> {
         match self.count(key)? {
-            0 => Err(self.faulty(key, "is 0; accepted: 1 and more")),
+            0 => Err(self.error(key, "is 0; accepted: 1 and more")),
             count => Ok(count),
         }
     }
 
     /// Absent or null stands for the default; anything else has to be a number.
-    pub fn number_or(&self, key: &str, absent: f64) -> Result<f64, Faulty> {
+    pub fn number_or(&self, key: &str, absent: f64) -> Result<f64, ConfigError> {
         if self.all.pointer(key).is_none_or(Value::is_null) { Ok(absent) } else { self.number(key) }
     }
 
-    pub fn list(&self, key: &str) -> Result<&'a Vec<Value>, Faulty> {
+    pub fn list(&self, key: &str) -> Result<&'a Vec<Value>, ConfigError> {
         self.get(key, Value::as_array, "has no list")
     }
 
     /// The names of the verticals, in their order.
-    pub fn verticals(&self) -> Result<Vec<String>, Faulty> {
+    pub fn verticals(&self) -> Result<Vec<String>, ConfigError> {
         let count = self.list("/classes")?.len();
         (0..count).map(|n| Ok(self.text(&format!("/classes/{n}/name"))?.to_string())).collect()
     }
 
     /// The zones that there are and which is this co-ordinator's own, by its place among them; none where nothing is
     /// said of zones.
-    pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, Faulty> {
+    pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, ConfigError> {
         let said = |key: &str| self.all.pointer(key).is_some_and(|v| !v.is_null());
         if !said("/zones") && !said("/zone") {
             return Ok(None);
@@ -132,46 +137,44 @@
         let mut names: Vec<String> = Vec::new();
         for (n, name) in self.list("/zones")?.iter().enumerate() {
             let key = format!("/zones/{n}");
-            let name = name.as_str().ok_or_else(|| self.faulty(&key, "has no text"))?;
+            let name = name.as_str().ok_or_else(|| self.error(&key, "has no text"))?;
             if name.is_empty() || names.iter().any(|known| known == name) {
-                return Err(self.faulty(&key, &format!("is '{name}', empty or named twice")));
+                return Err(self.error(&key, &format!("is '{name}', empty or named twice")));
             }
             names.push(name.to_string());
         }
         if names.len() > MOST_ZONES {
-            return Err(self.faulty("/zones", &format!("are {}, over {MOST_ZONES}", names.len())));
+            return Err(self.error("/zones", &format!("are {}, over {MOST_ZONES}", names.len())));
         }
         if !said("/zone") {
-            return Err(self.faulty("/zone", &format!("is missing; accepted: {}", names.join(", "))));
+            return Err(self.error("/zone", &format!("is missing; accepted: {}", names.join(", "))));
         }
         let own = self.text("/zone")?;
         match names.iter().position(|name| name == own) {
             Some(place) => Ok(Some((ZoneId(place as u16), names))),
-            None => {
-                Err(self.faulty("/zone", &format!("is '{own}', none of its zones: {}", names.join(", "))))
-            }
+            None => Err(self.error("/zone", &format!("is '{own}', none of its zones: {}", names.join(", ")))),
         }
     }
 
     /// The decision module, made as told.
-    pub fn root(&self, seed: u64) -> Result<Root, Faulty> {
+    pub fn coordinator(&self, seed: u64) -> Result<Coordinator, ConfigError> {
         let cells = self.count("/domain/sets")?;
         if cells == 0 {
-            return Err(self.faulty("/domain/sets", "names no cells"));
+            return Err(self.error("/domain/sets", "names no cells"));
         }
-        let cover = Cover::new(
+        let cover = SetCover::new(
             cells,
             self.count_from_1("/domain/span")?,
             self.count_from_1("/domain/parts_a_call")? as usize,
             self.span("/domain/call_cost_s")?,
         );
         let window = self.within_or("/rules/budget_span_s", 0.0, 0.0, LONGEST_S)?;
-        let budget = Budget::new(
+        let budget = RetryBudget::new(
             self.within_or("/rules/repeat_ratio", 0.0, 0.0, MOST)?,
             self.within_or("/rules/extra_free", 0.0, 0.0, MOST)?,
             (window > 0.0).then(|| TimeSpan::from_secs_f64(window)),
         );
-        let fail_back = FailBack {
+        let slow_start = SlowStart {
             cold_from: self.within("/rules/cold_from", 0.0, 1.0)?,
             cold: self.span("/rules/cold_s")?,
             factor: self.within("/rules/overload_factor", 0.0, MOST)?,
@@ -179,7 +182,7 @@
             shut: Timestamp::from_micros(i64::MIN),
             among: if self.all.pointer("/balancers").is_some() { self.count("/balancers")? } else { 1 },
         };
-        let tries = Tries {
+        let tries = RetryPolicy {
             limit: self.count("/allowed/try_limit")?,
             may_duplicate: self.flag("/allowed/may_duplicate")?,
             may_abandon: self.flag("/allowed/cancel")?,
@@ -193,31 +196,32 @@
         };
         let asks_list = self.all.pointer("/registry_mode").and_then(Value::as_str) == Some("ask");
         let tick = self.span("/tick_s")?;
-        let mut root = Root::new(Chance::new(seed), cover, budget, fail_back, tries, asks_list, tick);
+        let mut coordinator =
+            Coordinator::new(Rng::new(seed), cover, budget, slow_start, tries, asks_list, tick);
         for n in 0..self.verticals()?.len() {
-            root.vertical(self.terms(n)?);
+            coordinator.vertical(self.terms(n)?);
         }
         if let Some((own, _)) = self.zones()? {
-            root.set_shares(Shares { of: vec![(own, 1.0)], ..Shares::default() });
+            coordinator.set_shares(ZoneRouting { of: vec![(own, 1.0)], ..ZoneRouting::default() });
         }
-        Ok(root)
+        Ok(coordinator)
     }
 
     /// What a second run of a part of that vertical would do.
-    pub fn idempotency(&self, n: usize) -> Result<Idempotency, Faulty> {
+    pub fn idempotency(&self, n: usize) -> Result<Idempotency, ConfigError> {
         let key = format!("/classes/{n}/idempotency");
         match self.text(&key)? {
             "safe" => Ok(Idempotency::Idempotent),
             "keyed" => Ok(Idempotency::IdempotentByKey),
             "unsafe" => Ok(Idempotency::NonIdempotent),
-            _ => Err(self.faulty(&key, "has none of safe, keyed, unsafe")),
+            _ => Err(self.error(&key, "has none of safe, keyed, unsafe")),
         }
     }
 
-    fn terms(&self, n: usize) -> Result<Terms, Faulty> {
+    fn terms(&self, n: usize) -> Result<RequestClassConfig, ConfigError> {
         let of = |key: &str| format!("/classes/{n}/{key}");
         let domain = |key: &str| format!("/domain/{key}/{n}");
-        Ok(Terms {
+        Ok(RequestClassConfig {
             name: self.text(&of("name"))?.to_string(),
             idempotency: self.idempotency(n)?,
             dedup_window: TimeSpan::from_secs_f64(self.within_or(
--- a/crates/pipitcrank-core/src/decide.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -1,10 +1,10 @@
 //! The decision module: which leaf answers which part of a query, when, how often, and how the query ends.
 //!
-//! A caller makes one `Root` per co-ordinator from what it is told at start, names the verticals in order
+//! A caller makes one `Coordinator` per co-ordinator from what it is told at start, names the verticals in order
 //! with `vertical`, and hands in each event as it comes: `list_begin`/`leaf`/`list_end` for the list of
 //! leaves, `query` and `part` for what is asked, `ended` for each leaf call, `probed`, `load_report`, `gone`,
 //! `woken`. After the events of one moment it calls `turn` once. All it wants done goes out through
-//! `port::Port`; ids are small indices (`ids.rs`) that the caller may use again once they are let go of.
+//! `output::CoordinatorOutput`; ids are small indices (`ids.rs`) that the caller may use again once they are let go of.
 
 #![allow(clippy::too_many_arguments)] // a decoded field goes straight into a call
 
@@ -13,33 +13,33 @@
 
 mod budget;
 mod deadlines;
-pub mod known;
+pub mod learned_state;
 mod lending;
 mod seen;
 mod sites;
 mod slow_start;
 pub mod zones;
 
-pub use budget::Budget;
-pub use slow_start::FailBack;
+pub use budget::RetryBudget;
+pub use slow_start::SlowStart;
 
-use crate::chance::Chance;
 use crate::ids::{
     AttemptDenied, AttemptOutcome, Idempotency, PartId, QueryId, RejectReason, ReplicaId, RequestClassId,
 };
-use crate::port::Port;
+use crate::output::CoordinatorOutput;
+use crate::rng::Rng;
 use crate::time::{TimeSpan, Timestamp};
 
 /// What a step leaves behind for when its alarm rings.
-type Then = Box<dyn FnOnce(&mut Root, &mut dyn Port, Timestamp)>;
+type Then = Box<dyn FnOnce(&mut Coordinator, &mut dyn CoordinatorOutput, Timestamp)>;
 /// What a leaf call leaves behind for its end.
-type AfterCall = Box<dyn FnOnce(&mut Root, &mut dyn Port, Timestamp, AttemptOutcome)>;
+type AfterCall = Box<dyn FnOnce(&mut Coordinator, &mut dyn CoordinatorOutput, Timestamp, AttemptOutcome)>;
 
 /// Sums of weights may fall short by this much (a rule's own figure).
 const SHORT: f64 = 1e-4;
 
 /// One vertical as told at start.
-pub struct Terms {
+pub struct RequestClassConfig {
     /// What the vertical is called: what was learned of it is taken over under this name alone.
     pub name: String,
     pub idempotency: Idempotency,
@@ -54,9 +54,9 @@
     pub second_step: bool,
 }
 
-struct Trade {
-    terms: Terms,
-    work: Mark,
+struct RequestClassState {
+    terms: RequestClassConfig,
+    work: QuantileEstimator,
     /// Usual hint of a part, as a logarithm.
     hint: Option<f64>,
     /// How far clients are held to leave before their stated time, and how long they stay then.
@@ -64,7 +64,7 @@
     stay: TimeSpan,
 }
 
-impl Trade {
+impl RequestClassState {
     /// Guards against clients that give up before the time they state (i85cd7c), or a front layer that does.
     /// Early leavers move the view by half, late ones by a tenth: the answer must be there before most go.
     fn left(&mut self, age: TimeSpan) {
@@ -94,9 +94,9 @@
 
 /// A quantile of what was seen, followed in small steps.
 #[derive(Default)]
-struct Mark(Option<f64>);
+struct QuantileEstimator(Option<f64>);
 
-impl Mark {
+impl QuantileEstimator {
     /// What a part takes with nothing in its way: waiting hardly enters, and a warm key does not set it.
     const LOW: f64 = 0.1;
     /// What one answer in seventy outlasts is overdue: with a thirtieth, quiet days paid for copies.
@@ -113,7 +113,7 @@
 
 /// Which leaves hold a shard, from cells in a ring, and how the cover is cut into calls.
 #[derive(Default)]
-pub struct Cover {
+pub struct SetCover {
     cells: u32,
     span: u32,
     call_size: usize,
@@ -122,13 +122,13 @@
     by_cell: Vec<Vec<ReplicaId>>,
 }
 
-impl Cover {
+impl SetCover {
     /// Most rounds of one query in a turn (the design's k): more than 200 parts need where two go together.
     const ROUNDS: usize = 128;
 
-    pub fn new(cells: u32, span: u32, call_size: usize, call_cost: TimeSpan) -> Cover {
+    pub fn new(cells: u32, span: u32, call_size: usize, call_cost: TimeSpan) -> SetCover {
         let by_cell = vec![Vec::new(); cells as usize];
-        Cover { cells, span, call_size: call_size.max(1), call_cost: call_cost.as_secs_f64(), by_cell }
+        SetCover { cells, span, call_size: call_size.max(1), call_cost: call_cost.as_secs_f64(), by_cell }
     }
 
     fn holds(&self, cell: u32, shard: u32) -> bool {
@@ -142,7 +142,7 @@
 }
 
 #[derive(Default)]
-pub struct Tries {
+pub struct RetryPolicy {
     pub limit: u32,
     pub may_duplicate: bool,
     pub may_abandon: bool,
@@ -153,7 +153,7 @@
 }
 
 /// A part out: its work, all own work ahead of its end as it went, and the call it shares.
-struct Out {
+struct OutstandingAttempt {
     at: Timestamp,
     work: f64,
     ahead: f64,
@@ -167,7 +167,7 @@
     listed: bool,
     started: Option<Timestamp>,
     /// Parts out, by number of the leaf call; emptied by their ends.
-    out: BTreeMap<(PartId, u32), Out>,
+    out: BTreeMap<(PartId, u32), OutstandingAttempt>,
     /// The last turn that sent here, and how many parts: those share calls.
     joining: (u64, usize),
     faults: f64,
@@ -234,7 +234,7 @@
     }
 }
 
-struct Sent {
+struct AttemptRecord {
     leaf: ReplicaId,
     at: Timestamp,
     /// When the budget counts it: as it was decided, or as it began.
@@ -250,7 +250,7 @@
     shard: u32,
     weight: f64,
     work: f64,
-    sent: Vec<Sent>,
+    sent: Vec<AttemptRecord>,
     waits: bool,
     done: bool,
     /// Leaf calls that another site made for it, or may make.
@@ -268,7 +268,7 @@
 }
 
 #[derive(Default)]
-struct Open {
+struct OpenQuery {
     serial: u64,
     vertical: RequestClassId,
     slo: Timestamp,
@@ -292,19 +292,19 @@
 }
 
 #[derive(Default)]
-pub struct Root {
-    chance: Chance,
-    cover: Cover,
-    budget: Budget,
-    fail_back: FailBack,
-    tries: Tries,
+pub struct Coordinator {
+    rng: Rng,
+    cover: SetCover,
+    budget: RetryBudget,
+    slow_start: SlowStart,
+    retry_policy: RetryPolicy,
     asks_list: bool,
     tick: TimeSpan,
-    trades: Vec<Trade>,
+    classes: Vec<RequestClassState>,
     /// One per leaf listed or with calls out; emptied when it is off the list and its calls have ended.
     leaves: BTreeMap<ReplicaId, LeafState>,
     /// Open queries; emptied by their final answers.
-    queries: BTreeMap<QueryId, Open>,
+    queries: BTreeMap<QueryId, OpenQuery>,
     /// Parts; emptied when their query has ended and their calls have.
     parts: BTreeMap<PartId, PartState>,
     /// What outstanding leaf calls left behind; emptied by their ends.
@@ -316,14 +316,14 @@
     /// Queries, the oldest first, some part of which may wait; each leaves at a turn that finds none.
     waiting: BTreeSet<(u64, QueryId)>,
     /// Time that most leaf calls end in, for a unit of work ahead.
-    overdue: Mark,
+    overdue: QuantileEstimator,
     /// Leaves listed, and work a second merged of late, when last counted.
     listed: usize,
     carried: (f64, Timestamp),
     /// Lag of late over all leaves, and when last heard.
     lag: (f64, Timestamp),
     /// Time a leaf takes for a unit of work where nothing else is in its way.
-    rate: Mark,
+    rate: QuantileEstimator,
     fill: f64,
     zones: zones::Zones,
     /// Until then some leaf is cold; when a window began, and its lot, or what is saved for it until a lot is needed (below 0).
@@ -332,22 +332,39 @@
     moved: bool,
 }
 
-impl Root {
+impl Coordinator {
     pub fn new(
-        chance: Chance,
-        cover: Cover,
-        budget: Budget,
-        fail_back: FailBack,
-        tries: Tries,
+        rng: Rng,
+        cover: SetCover,
+        budget: RetryBudget,
+        slow_start: SlowStart,
+        retry_policy: RetryPolicy,
         asks_list: bool,
         tick: TimeSpan,
-    ) -> Root {
-        let (fill, overdue) = (Self::FIRST_FILL, Mark(Some(Self::FIRST_OVERDUE)));
-        Root { chance, cover, budget, fail_back, tries, asks_list, tick, overdue, fill, ..Root::default() }
+    ) -> Coordinator {
+        let (fill, overdue) = (Self::FIRST_FILL, QuantileEstimator(Some(Self::FIRST_OVERDUE)));
+        Coordinator {
+            rng,
+            cover,
+            budget,
+            slow_start,
+            retry_policy,
+            asks_list,
+            tick,
+            overdue,
+            fill,
+            ..Coordinator::default()
+        }
     }
 
-    pub fn vertical(&mut self, terms: Terms) {
-        self.trades.push(Trade { terms, work: Mark(None), hint: None, leaving: 0.0, stay: TimeSpan::ZERO });
+    pub fn vertical(&mut self, terms: RequestClassConfig) {
+        self.classes.push(RequestClassState {
+            terms,
+            work: QuantileEstimator(None),
+            hint: None,
+            leaving: 0.0,
+            stay: TimeSpan::ZERO,
+        });
     }
 
     fn mark(&mut self) -> u64 {
@@ -355,23 +372,23 @@
         self.marks
     }
 
-    fn wake(&mut self, port: &mut dyn Port, at: Timestamp, then: Then) {
+    fn wake(&mut self, output: &mut dyn CoordinatorOutput, at: Timestamp, then: Then) {
         let label = self.mark();
         self.alarms.insert(label, then);
-        port.wake_me(at, label);
+        output.wake_me(at, label);
     }
 
-    pub fn woken(&mut self, port: &mut dyn Port, now: Timestamp, label: u64) {
+    pub fn woken(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, label: u64) {
         if let Some(then) = self.alarms.remove(&label) {
-            then(self, port, now);
+            then(self, output, now);
         }
     }
 
     // The list of leaves.
 
-    pub fn start(&mut self, port: &mut dyn Port) {
+    pub fn start(&mut self, output: &mut dyn CoordinatorOutput) {
         if self.asks_list {
-            port.watch();
+            output.watch();
         }
     }
 
@@ -389,10 +406,10 @@
             (state.faults, state.trial_at, state.mute, state.heard) = (0.0, None, 0, None);
         }
         (state.cell, state.listed, state.started) = (cell, up, started);
-        self.cold_until = started.map_or(self.cold_until, |t| self.cold_until.max(t + self.fail_back.cold));
+        self.cold_until = started.map_or(self.cold_until, |t| self.cold_until.max(t + self.slow_start.cold));
     }
 
-    pub fn list_end(&mut self, port: &mut dyn Port) {
+    pub fn list_end(&mut self, output: &mut dyn CoordinatorOutput) {
         self.cover.by_cell.iter_mut().for_each(Vec::clear);
         for (&id, state) in self.leaves.iter().filter(|(_, l)| l.listed) {
             self.cover.by_cell[(state.cell % self.cover.cells) as usize].push(id);
@@ -400,23 +417,23 @@
         self.listed = self.leaves.values().filter(|l| l.listed && l.far.is_none()).count();
         let gone = self.leaves.iter().filter(|(_, l)| !l.listed && l.out.is_empty()).map(|(&id, _)| id);
         for id in gone.collect::<Vec<_>>() {
-            self.drop_leaf(port, id);
+            self.drop_leaf(output, id);
         }
         self.moved = true;
     }
 
-    fn drop_leaf(&mut self, port: &mut dyn Port, id: ReplicaId) {
+    fn drop_leaf(&mut self, output: &mut dyn CoordinatorOutput, id: ReplicaId) {
         self.leaves.remove(&id);
-        port.let_go_leaf(id);
+        output.let_go_leaf(id);
     }
 
     /// Subscriptions that broke are asked for again after this; the list's own calls take about so long.
     const WATCH_AGAIN: TimeSpan = TimeSpan::from_millis(2000);
 
     /// The list could not be had or the subscription broke; the old list stands.
-    pub fn list_failed(&mut self, port: &mut dyn Port, now: Timestamp) {
+    pub fn list_failed(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         if self.asks_list {
-            self.wake(port, now + Self::WATCH_AGAIN, Box::new(|_, port, _| port.watch()));
+            self.wake(output, now + Self::WATCH_AGAIN, Box::new(|_, output, _| output.watch()));
         }
     }
 
@@ -430,7 +447,7 @@
     /// A query of `count` parts, with a hint of all their work if there is one.
     pub fn query(
         &mut self,
-        port: &mut dyn Port,
+        output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         id: QueryId,
         v: RequestClassId,
@@ -439,34 +456,43 @@
         count: f64,
     ) {
         self.budget.take(now);
-        let trade = &mut self.trades[v.0 as usize];
+        let class = &mut self.classes[v.0 as usize];
         let a_part = work.map(|w| w / count.max(1.0)).filter(|&w| w > 0.0);
         if let Some(hint) = a_part {
-            let usual = trade.hint.get_or_insert(hint.ln());
+            let usual = class.hint.get_or_insert(hint.ln());
             *usual += Self::HINT_STEP * (hint.ln() - *usual);
         }
-        let size = a_part.map_or(1.0, |h| ((h.ln() - trade.hint.unwrap_or(h.ln())) * Self::HINT_TRUST).exp());
-        let terms = &trade.terms;
+        let size = a_part.map_or(1.0, |h| ((h.ln() - class.hint.unwrap_or(h.ln())) * Self::HINT_TRUST).exp());
+        let terms = &class.terms;
         let stretch = TimeSpan::from_secs_f64(terms.slo_stretch * work.unwrap_or(0.0));
         let ends = now + left;
         // Clients that come with little time left count until then: all shares of the SLO time are of that.
-        let slo = (now + (trade.counts() + stretch).min(terms.hard_limit)).min(ends);
+        let slo = (now + (class.counts() + stretch).min(terms.hard_limit)).min(ends);
         let answer_by = (slo - self.tick * 3.0).min(ends - self.tick);
         let serial = self.mark();
         self.count_asked(v.0 as usize, count);
         let zone = self.meant_for();
-        let open =
-            Open { serial, vertical: v, slo, answer_by, ends, arrived: now, a_part, size, ..Open::default() };
-        self.queries.insert(id, Open { first_whole: true, zone, ..open });
+        let open = OpenQuery {
+            serial,
+            vertical: v,
+            slo,
+            answer_by,
+            ends,
+            arrived: now,
+            a_part,
+            size,
+            ..OpenQuery::default()
+        };
+        self.queries.insert(id, OpenQuery { first_whole: true, zone, ..open });
         if self.turned_away(v.0 as usize) {
-            return self.give_up(port, now, id, RejectReason::ZoneOverCapacity);
+            return self.give_up(output, now, id, RejectReason::ZoneOverCapacity);
         }
-        self.tend(port, now, id, serial);
+        self.tend(output, now, id, serial);
     }
 
     pub fn part(
         &mut self,
-        port: &mut dyn Port,
+        output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         id: PartId,
         query: QueryId,
@@ -474,13 +500,13 @@
         weight: f64,
         work: Option<f64>,
     ) {
-        let Some(open) = self.queries.get_mut(&query) else { return port.let_go_part(id) };
+        let Some(open) = self.queries.get_mut(&query) else { return output.let_go_part(id) };
         if open.lent.is_none() {
             self.budget.take(now);
         }
         open.parts.push(id);
         // Hints compare parts well, but queries badly: work is the vertical's usual, by the share of the query's hint.
-        let usual = self.trades[open.vertical.0 as usize].usual_work();
+        let usual = self.classes[open.vertical.0 as usize].usual_work();
         let share = work.zip(open.a_part).map_or(1.0, |(part, mean)| (part / mean).clamp(0.2, 5.0));
         let work = usual * share * open.size;
         let vertical = open.vertical;
@@ -495,73 +521,86 @@
         self.leaves[&leaf].far.is_none_or(|hop| hop.is_some() && !lent) && !self.is_shut(leaf)
     }
 
-    fn terms(&self, open: &Open) -> &Terms {
-        &self.trades[open.vertical.0 as usize].terms
+    fn terms(&self, open: &OpenQuery) -> &RequestClassConfig {
+        &self.classes[open.vertical.0 as usize].terms
     }
 
     /// Weight needed for any answer and for a whole one, in the step the query is in.
-    fn bounds(&self, open: &Open) -> (f64, f64) {
+    fn bounds(&self, open: &OpenQuery) -> (f64, f64) {
         let terms = self.terms(open);
         let need = if open.step == 0 { terms.whole_from } else { 1.0 };
         (if terms.floor < terms.whole_from { terms.floor } else { need } - SHORT, need - SHORT)
     }
 
     /// Rule 5: whether the parts that are in allow an answer, and a whole one.
-    fn answer(&self, open: &Open) -> (bool, bool) {
+    fn answer(&self, open: &OpenQuery) -> (bool, bool) {
         let (floor, need) = self.bounds(open);
         let all = open.step == 0 || open.first_whole && open.in_parts == open.parts.len();
         let any = open.in_parts > 0 && open.in_weight >= floor;
         (any, any && all && open.in_weight >= need)
     }
 
-    fn merge(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId, whole: bool, last: bool) {
-        port.merge(id, whole);
+    fn merge(
+        &mut self,
+        output: &mut dyn CoordinatorOutput,
+        now: Timestamp,
+        id: QueryId,
+        whole: bool,
+        last: bool,
+    ) {
+        output.merge(id, whole);
         let (vertical, age) = (self.queries[&id].vertical, now - self.queries[&id].arrived);
-        self.trades[vertical.0 as usize].stayed(age);
+        self.classes[vertical.0 as usize].stayed(age);
         self.judge(now <= self.queries[&id].slo);
         let second = self.terms(&self.queries[&id]).second_step;
         let open = self.queries.get_mut(&id).expect("merged queries are open");
         if second && open.step == 0 {
             (open.step, open.first_whole, open.in_weight, open.in_parts) = (1, whole, 0.0, 0);
             let parts = std::mem::take(&mut open.parts);
-            self.drop_parts(port, parts);
+            self.drop_parts(output, parts);
             if last {
-                self.give_up(port, now, id, RejectReason::DeadlineExceeded);
+                self.give_up(output, now, id, RejectReason::DeadlineExceeded);
             }
             return;
         }
-        self.end(port, id);
+        self.end(output, id);
     }
 
     /// Final, at once: rejected where asking again is harmless, saying when to come back where allowed;
     /// aborted otherwise (rule 2). Guards against a client asking again at once into the same jam.
-    fn give_up(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId, why: RejectReason) {
+    fn give_up(
+        &mut self,
+        output: &mut dyn CoordinatorOutput,
+        now: Timestamp,
+        id: QueryId,
+        why: RejectReason,
+    ) {
         let open = &self.queries[&id];
         // Guards against a time to stay held too short for any answer: then only rejections tell who stayed.
-        self.trades[open.vertical.0 as usize].stayed(now - open.arrived);
+        self.classes[open.vertical.0 as usize].stayed(now - open.arrived);
         let idempotency = self.terms(open).idempotency;
         let unrun = |p: &PartId| self.parts[p].sent.iter().all(|s| s.never_ran);
         let begun = open.parts.iter().any(|p| !self.parts[p].sent.is_empty());
         if idempotency == Idempotency::Idempotent || open.parts.iter().all(unrun) {
-            port.reject(id, self.waited(open.vertical), why);
+            output.reject(id, self.waited(open.vertical), why);
         } else {
-            port.abort(id, why);
+            output.abort(id, why);
         }
         if begun {
             self.judge(false);
         }
-        self.end(port, id);
+        self.end(output, id);
     }
 
     /// A query that another process held when it died: the time to stay away if rejected, none if aborted (rule 2).
     pub fn stranded(&self, v: RequestClassId) -> Option<TimeSpan> {
-        (self.trades[v.0 as usize].terms.idempotency == Idempotency::Idempotent).then(|| self.waited(v))
+        (self.classes[v.0 as usize].terms.idempotency == Idempotency::Idempotent).then(|| self.waited(v))
     }
 
     /// When to come back: the patience for first calls, within what clients honour; none where not allowed.
     fn waited(&self, v: RequestClassId) -> TimeSpan {
-        let most = self.tries.longest_stay_away.unwrap_or(TimeSpan::ZERO);
-        (self.trades[v.0 as usize].terms.slo * Self::WAIT_SHARE).min(most)
+        let most = self.retry_policy.longest_stay_away.unwrap_or(TimeSpan::ZERO);
+        (self.classes[v.0 as usize].terms.slo * Self::WAIT_SHARE).min(most)
     }
 
     /// What waits at a leaf may fill this share of the time left: room for spread, and leaves kept busy. It settles
@@ -574,47 +613,47 @@
         self.fill = fill.clamp(Self::FILL.0, Self::FILL.1);
     }
 
-    fn end(&mut self, port: &mut dyn Port, id: QueryId) {
+    fn end(&mut self, output: &mut dyn CoordinatorOutput, id: QueryId) {
         let open = self.queries.remove(&id).expect("ended queries are open");
-        self.drop_parts(port, open.parts);
-        port.let_go_query(id);
+        self.drop_parts(output, open.parts);
+        output.let_go_query(id);
     }
 
-    fn drop_parts(&mut self, port: &mut dyn Port, parts: Vec<PartId>) {
+    fn drop_parts(&mut self, output: &mut dyn CoordinatorOutput, parts: Vec<PartId>) {
         for id in parts {
-            self.withdraw(port, id);
+            self.withdraw(output, id);
             let part = self.parts.get_mut(&id).expect("parts outlive their query");
             (part.waits, part.done) = (false, true);
-            self.free_part(port, id);
+            self.free_part(output, id);
         }
     }
 
-    fn withdraw(&mut self, port: &mut dyn Port, id: PartId) {
-        if self.tries.may_abandon {
+    fn withdraw(&mut self, output: &mut dyn CoordinatorOutput, id: PartId) {
+        if self.retry_policy.may_abandon {
             for (nth, _) in self.parts[&id].sent.iter().enumerate().filter(|(_, s)| s.out) {
-                port.abandon(id, nth as u32);
+                output.abandon(id, nth as u32);
             }
         }
     }
 
     /// A part is let go of when its query has ended (or moved on) and none of its calls is out.
-    fn free_part(&mut self, port: &mut dyn Port, id: PartId) {
+    fn free_part(&mut self, output: &mut dyn CoordinatorOutput, id: PartId) {
         let part = &self.parts[&id];
         let held = self.queries.get(&part.query).is_some_and(|q| q.parts.contains(&id));
         if !held && part.out() == 0 {
             self.parts.remove(&id);
-            port.let_go_part(id);
+            output.let_go_part(id);
         }
     }
 
     /// The client is gone, or the outside ended the query.
-    pub fn gone(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId) {
+    pub fn gone(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: QueryId) {
         if let Some(open) = self.queries.get(&id) {
-            let (trade, age) = (&mut self.trades[open.vertical.0 as usize], now - open.arrived);
-            if age < trade.terms.slo {
-                trade.left(age);
+            let (class, age) = (&mut self.classes[open.vertical.0 as usize], now - open.arrived);
+            if age < class.terms.slo {
+                class.left(age);
             }
-            self.end(port, id);
+            self.end(output, id);
         }
     }
 
@@ -623,8 +662,9 @@
     /// Rules 1, 2 and 6 for one more leaf call of the part.
     fn may_go(&mut self, now: Timestamp, id: PartId) -> bool {
         let lent = self.queries.get(&self.parts[&id].query).and_then(|q| q.lent);
-        let further =
-            |root: &mut Root| lent.map_or_else(|| root.budget.left(now), |(n, _)| f64::from(n)) >= 1.0;
+        let further = |coordinator: &mut Coordinator| {
+            lent.map_or_else(|| coordinator.budget.left(now), |(n, _)| f64::from(n)) >= 1.0
+        };
         self.could_go(now, id) && (self.parts[&id].sent.is_empty() || further(self))
     }
 
@@ -632,10 +672,12 @@
     fn may_begin(&self, now: Timestamp, id: PartId, nth: u32) -> bool {
         let part = &self.parts[&id];
         let risky = part.sent.iter().take(nth as usize).find(|s| !s.never_ran).map(|s| s.at);
-        let terms = &self.trades[part.vertical.0 as usize].terms;
+        let terms = &self.classes[part.vertical.0 as usize].terms;
         match (terms.idempotency, risky) {
             (_, None) | (Idempotency::Idempotent, _) => true,
-            (Idempotency::IdempotentByKey, Some(first)) => now - first + self.tries.way < terms.dedup_window,
+            (Idempotency::IdempotentByKey, Some(first)) => {
+                now - first + self.retry_policy.way < terms.dedup_window
+            }
             (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
@@ -667,11 +709,11 @@
         self.may_begin(now, id, part.sent.len() as u32)
             && !part.done
             && now < open.ends - self.tick
-            && part.tried() < self.tries.limit
-            && (part.out() == 0 || self.tries.may_duplicate)
+            && part.tried() < self.retry_policy.limit
+            && (part.out() == 0 || self.retry_policy.may_duplicate)
     }
 
-    fn leaf_call(&mut self, port: &mut dyn Port, now: Timestamp, id: PartId, leaf: ReplicaId) {
+    fn leaf_call(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: PartId, leaf: ReplicaId) {
         let part = self.parts.get_mut(&id).expect("sent parts are held");
         let open = self.queries.get_mut(&part.query).expect("parts that may go have open queries");
         let nth = part.sent.len() as u32;
@@ -680,40 +722,40 @@
             None if nth > 0 => self.budget.spend(now),
             None => {}
         }
-        part.sent.push(Sent { leaf, at: now, counted: now, out: true, never_ran: false });
+        part.sent.push(AttemptRecord { leaf, at: now, counted: now, out: true, never_ran: false });
         part.waits = false;
         let (work, ends) = (part.work, open.ends);
         let state = self.leaves.get_mut(&leaf).expect("candidates are held");
         let before = if state.joining.0 == self.turn { state.joining.1 } else { 0 };
         state.joining = (self.turn, before + 1);
         let call = (self.turn, before / self.cover.call_size);
-        state.out.insert((id, nth), Out { at: now, work, ahead: 0.0, call });
+        state.out.insert((id, nth), OutstandingAttempt { at: now, work, ahead: 0.0, call });
         let ahead = state.work_out(self.cover.call_cost);
         state.out.get_mut(&(id, nth)).expect("just sent").ahead = ahead;
         state.seen.take();
-        if self.fail_back.is_cold(state.started, now) {
-            state.sent_cold.retain(|(t, _)| now - *t <= self.fail_back.window);
+        if self.slow_start.is_cold(state.started, now) {
+            state.sent_cold.retain(|(t, _)| now - *t <= self.slow_start.window);
             state.sent_cold.push_back((now, work + self.cover.call_cost));
         }
         self.count_crossing(leaf);
-        port.leaf_call(id, leaf, ends);
-        let after: AfterCall = Box::new(move |root, port, now, outcome| {
-            root.learn(port, now, leaf, id, nth, outcome);
-            root.proceed(port, now, id, nth, outcome);
+        output.leaf_call(id, leaf, ends);
+        let after: AfterCall = Box::new(move |coordinator, output, now, outcome| {
+            coordinator.learn(output, now, leaf, id, nth, outcome);
+            coordinator.proceed(output, now, id, nth, outcome);
         });
         self.calls.insert((id, nth), after);
     }
 
     pub fn ended(
         &mut self,
-        port: &mut dyn Port,
+        output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         id: PartId,
         nth: u32,
         outcome: AttemptOutcome,
     ) {
         if let Some(after) = self.calls.remove(&(id, nth)) {
-            after(self, port, now, outcome);
+            after(self, output, now, outcome);
         }
     }
 
@@ -723,7 +765,7 @@
     /// What the end of a leaf call tells of the leaf, whether or not the query still waits for it.
     fn learn(
         &mut self,
-        port: &mut dyn Port,
+        output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         leaf: ReplicaId,
         part: PartId,
@@ -734,7 +776,8 @@
         self.count_ended(leaf, outcome);
         let carried = self.carried_now(now);
         let state = self.leaves.get_mut(&leaf).expect("leaves outlive their calls");
-        let Out { at, work, ahead, .. } = state.out.remove(&(part, nth)).expect("calls out are listed");
+        let OutstandingAttempt { at, work, ahead, .. } =
+            state.out.remove(&(part, nth)).expect("calls out are listed");
         state.seen.take();
         let overdue = TimeSpan::from_secs_f64(ahead * self.overdue.0.unwrap_or(1.0)) + Self::GRACE;
         state.word(now, outcome, now - at > overdue);
@@ -752,13 +795,13 @@
                 state.lag = (known + LeafState::NEWEST * (lag - known), now);
                 if !far {
                     self.lag = (self.lag.0 + Self::NEWEST_OF_ALL * (lag - self.lag.0), now);
-                    self.overdue.see(pace, Mark::HIGH);
-                    self.rate.see(pace, Mark::LOW);
+                    self.overdue.see(pace, QuantileEstimator::HIGH);
+                    self.rate.see(pace, QuantileEstimator::LOW);
                     self.carried = (carried + work / Self::FADE_S, now);
                     // Only what had nothing of ours before it tells a part's own work.
                     if ahead < (work + self.cover.call_cost) * 1.01 {
                         let own = (took - self.cover.call_cost).max(took * 0.1);
-                        self.trades[vertical.0 as usize].work.see(own, Mark::LOW);
+                        self.classes[vertical.0 as usize].work.see(own, QuantileEstimator::LOW);
                     }
                 }
             }
@@ -779,7 +822,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NeverSent => {}
         }
         if !state.listed && state.out.is_empty() {
-            self.drop_leaf(port, leaf);
+            self.drop_leaf(output, leaf);
         }
         self.moved = true;
     }
@@ -787,7 +830,7 @@
     /// What the end of a leaf call means for its query.
     fn proceed(
         &mut self,
-        port: &mut dyn Port,
+        output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         id: PartId,
         nth: u32,
@@ -801,7 +844,7 @@
             AttemptOutcome::NoCapacity | AttemptOutcome::Unreachable | AttemptOutcome::NeverSent
         );
         if part.done {
-            return self.free_part(port, id);
+            return self.free_part(output, id);
         }
         if outcome != AttemptOutcome::Success {
             let query = part.query;
@@ -809,28 +852,28 @@
                 part.waits = true;
                 self.waiting.extend(self.queries.get(&query).map(|q| (q.serial, query)));
             }
-            return self.check_hope(port, now, query);
+            return self.check_hope(output, now, query);
         }
         (part.done, part.waits) = (true, false);
         let (query, weight) = (part.query, part.weight);
-        self.withdraw(port, id);
+        self.withdraw(output, id);
         let open = self.queries.get_mut(&query).expect("unfinished parts have open queries");
         open.in_weight += weight;
         open.in_parts += 1;
         let open = &self.queries[&query];
         let (any, whole) = self.answer(open);
         if whole || any && (now >= open.answer_by || open.parts.iter().all(|p| self.parts[p].done)) {
-            self.merge(port, now, query, whole, false);
+            self.merge(output, now, query, whole, false);
         }
     }
 
     /// Ends the query at once when the parts that can still come in do not reach an answer.
-    fn check_hope(&mut self, port: &mut dyn Port, now: Timestamp, query: QueryId) {
+    fn check_hope(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, query: QueryId) {
         let open = &self.queries[&query];
         let may_come = |p: &&PartId| self.parts[p].done || self.parts[p].out() > 0 || self.could_go(now, **p);
         let hope: f64 = open.parts.iter().filter(may_come).map(|p| self.parts[p].weight).sum();
         if hope < self.bounds(open).0 {
-            self.give_up(port, now, query, RejectReason::AnswerUnreachable);
+            self.give_up(output, now, query, RejectReason::AnswerUnreachable);
         }
     }
 
@@ -847,7 +890,7 @@
 
     /// Probes the holders of the parts that have not reported of late; true once all have, or won't. Guards
     /// against others' load, slow and silent leaves, which one co-ordinator of many sees too rarely.
-    fn scouted(&mut self, port: &mut dyn Port, now: Timestamp, parts: &[PartId]) -> bool {
+    fn scouted(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, parts: &[PartId]) -> bool {
         let (mut sent, mut all) = (false, true);
         // Far sites are measured on their links.
         let near = |l: &ReplicaId| self.leaves[l].far.is_none();
@@ -855,13 +898,13 @@
             let state = self.leaves.get_mut(&leaf).expect("holders are held");
             if state.probed.is_none_or(|(at, _)| now - at >= Self::FRESH) {
                 state.asks_again(now);
-                port.probe(leaf);
+                output.probe(leaf);
                 sent = true;
             }
             all &= state.probed.is_some_and(|(at, out)| !out || now - at >= Self::PROBE_WAIT);
         }
         if sent {
-            self.wake(port, now + Self::PROBE_WAIT, Box::new(|root, _, _| root.moved = true));
+            self.wake(output, now + Self::PROBE_WAIT, Box::new(|coordinator, _, _| coordinator.moved = true));
         }
         all
     }
@@ -885,18 +928,18 @@
         in_hand: Option<f64>,
     ) {
         let (Some(state), Some(held)) = (self.leaves.get_mut(&leaf), in_hand.or(waiting)) else { return };
-        let usual: f64 = self.trades.iter().map(Trade::usual_work).sum();
-        let a_part = usual / self.trades.len().max(1) as f64 * self.rate.0.unwrap_or(1.0);
+        let usual: f64 = self.classes.iter().map(RequestClassState::usual_work).sum();
+        let a_part = usual / self.classes.len().max(1) as f64 * self.rate.0.unwrap_or(1.0);
         let others = (held - state.out.len() as f64).max(0.0);
         // Reports that come with answers are older than the answer itself: only a probe's sets the lag.
         state.seen.take();
-        state.lag = if self.tries.may_probe { (others * a_part, now) } else { state.lag };
+        state.lag = if self.retry_policy.may_probe { (others * a_part, now) } else { state.lag };
     }
 
     // The cover.
 
     /// Places what waits. Once a moment, after its events, so that what came together shares calls.
-    pub fn turn(&mut self, port: &mut dyn Port, now: Timestamp) {
+    pub fn turn(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         if !std::mem::take(&mut self.moved) {
             return;
         }
@@ -907,7 +950,7 @@
             if waits.is_empty() {
                 self.waiting.remove(&(serial, query));
             } else {
-                self.place(port, now, query, waits);
+                self.place(output, now, query, waits);
             }
         }
     }
@@ -922,14 +965,20 @@
 
     /// The modified greedy set cover of the design page over the parts given, all of one query. A query's
     /// first calls go only when those of parts enough for an answer can: else the work is lost.
-    fn place(&mut self, port: &mut dyn Port, now: Timestamp, query: QueryId, parts: Vec<PartId>) {
+    fn place(
+        &mut self,
+        output: &mut dyn CoordinatorOutput,
+        now: Timestamp,
+        query: QueryId,
+        parts: Vec<PartId>,
+    ) {
         let mut uncovered: Vec<PartId> = parts.into_iter().filter(|&p| self.may_go(now, p)).collect();
-        let windows = (now - self.lot.0).as_secs_f64() / self.fail_back.window.as_secs_f64().max(1e-6);
+        let windows = (now - self.lot.0).as_secs_f64() / self.slow_start.window.as_secs_f64().max(1e-6);
         if windows > 1.0 {
-            self.lot = (now, -windows.min(FailBack::SAVED));
+            self.lot = (now, -windows.min(SlowStart::SAVED));
         }
         if now < self.cold_until && self.lot.1 < 0.0 {
-            self.lot.1 = self.chance.share() / -self.lot.1;
+            self.lot.1 = self.rng.fraction() / -self.lot.1;
         }
         let open = &self.queries[&query];
         let fresh = open.parts.iter().all(|p| self.parts[p].sent.is_empty());
@@ -937,7 +986,7 @@
         // Probes have their price: none for first calls while leaves that answered came to work in time.
         let soon = (open.slo - open.arrived) * Self::SOON_SHARE;
         let calm = fresh && self.lag.0 < soon.as_secs_f64() && now - self.lag.1 < LeafState::KNOWN;
-        if self.tries.may_probe && !calm && !self.scouted(port, now, &uncovered) {
+        if self.retry_policy.may_probe && !calm && !self.scouted(output, now, &uncovered) {
             return;
         }
         let open = &self.queries[&query];
@@ -947,11 +996,11 @@
         let (rate, usual) = (self.rate.0.unwrap_or(1.0), drained(self.lag, now));
         let mut plan = Plan::new();
         let mut stuck = 0.0;
-        for _ in 0..Cover::ROUNDS {
+        for _ in 0..SetCover::ROUNDS {
             if uncovered.is_empty() {
                 break;
             }
-            let first = uncovered[self.chance.below(uncovered.len())];
+            let first = uncovered[self.rng.below(uncovered.len())];
             let oldest = self.parts[&first].sent.iter().filter(|s| s.out).map(|s| now - s.at).max();
             let most = oldest.map_or(left, |age| age * Self::COPY_SHARE).min(left * Self::FILL.1);
             // Guards against parts that only add to an answer and take a jammed leaf from queries that need theirs.
@@ -992,7 +1041,7 @@
                 continue;
             };
             covers.retain(|(l, _)| calls(l) == fewest);
-            let (leaf, bundle) = covers.swap_remove(self.chance.below(covers.len()));
+            let (leaf, bundle) = covers.swap_remove(self.rng.below(covers.len()));
             uncovered.retain(|p| !bundle.contains(p));
             plan.entry(leaf).or_default().extend(bundle);
         }
@@ -1003,7 +1052,7 @@
         for (leaf, bundle) in plan {
             for id in bundle {
                 if self.may_go(now, id) {
-                    self.leaf_call(port, now, id, leaf);
+                    self.leaf_call(output, now, id, leaf);
                 }
             }
         }
@@ -1076,7 +1125,7 @@
             let state = &self.leaves[&leaf];
             let a_leaf = self.carried_now(now) / self.listed.max(1) as f64;
             let lot = self.lot.1 * part.work;
-            let room = self.fail_back.room(state.started, now, a_leaf, lot, &state.sent_cold);
+            let room = self.slow_start.room(state.started, now, a_leaf, lot, &state.sent_cold);
             if room < f64::INFINITY && plan.contains_key(&leaf) { 0.0 } else { room }
         };
         who.into_iter().map(|l| (l, room(l))).filter(|(_, room)| *room > 0.0).collect()
@@ -1106,7 +1155,7 @@
     /// Looks after one query until it ends: the best answer its parts allow when the SLO time or the client's
     /// is all but here (rule 1 hangs on this alone, whatever comes of the calls); no waiting for first calls
     /// beyond patience; second copies of what is overdue, through the same cover.
-    fn tend(&mut self, port: &mut dyn Port, now: Timestamp, id: QueryId, serial: u64) {
+    fn tend(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: QueryId, serial: u64) {
         let Some(open) = self.queries.get(&id).filter(|q| q.serial == serial) else { return };
         let (end, answer_by) = (open.ends - self.tick, open.answer_by);
         let patience = (open.slo - open.arrived) * Self::WAIT_SHARE;
@@ -1117,13 +1166,13 @@
         let worthless = self.terms(open).late_worth <= 0.0 && now >= open.slo;
         let (any, whole) = self.answer(open);
         if any && now >= answer_by {
-            self.merge(port, now, id, whole, now >= end);
+            self.merge(output, now, id, whole, now >= end);
         } else if now >= end {
-            self.give_up(port, now, id, RejectReason::DeadlineExceeded);
+            self.give_up(output, now, id, RejectReason::DeadlineExceeded);
         } else if worthless {
-            self.give_up(port, now, id, RejectReason::ObjectiveMissed);
+            self.give_up(output, now, id, RejectReason::ObjectiveMissed);
         } else if now - open.arrived > patience && open.parts.iter().all(unsent) {
-            self.give_up(port, now, id, RejectReason::NoReplicaInTime);
+            self.give_up(output, now, id, RejectReason::NoReplicaInTime);
         }
         let Some(open) = self.queries.get(&id) else { return };
         for part in if now < open.slo { open.parts.clone() } else { Vec::new() } {
@@ -1141,8 +1190,8 @@
         }
         self.moved = true;
         let next = [now + Self::REVIEW, answer_by, end].into_iter().filter(|&t| t > now).min();
-        let then: Then = Box::new(move |root, port, now| root.tend(port, now, id, serial));
-        self.wake(port, next.expect("the next look is ahead"), then);
+        let then: Then = Box::new(move |coordinator, output, now| coordinator.tend(output, now, id, serial));
+        self.wake(output, next.expect("the next look is ahead"), then);
     }
 }
 
--- a/crates/pipitcrank-core/src/decide/budget.rs
+++ b/crates/pipitcrank-core/src/coordinator/budget.rs
@@ -7,7 +7,7 @@
 
 /// Rule 6: leaf calls beyond a part's first, against what was taken, both over one sliding window.
 #[derive(Default)]
-pub struct Budget {
+pub struct RetryBudget {
     pub(super) share: f64,
     pub(super) free: f64,
     pub(super) span: TimeSpan,
@@ -21,10 +21,10 @@
     pub(super) shut: Timestamp,
 }
 
-impl Budget {
-    pub fn new(share: f64, free: f64, span: Option<TimeSpan>) -> Budget {
+impl RetryBudget {
+    pub fn new(share: f64, free: f64, span: Option<TimeSpan>) -> RetryBudget {
         let span = span.unwrap_or(TimeSpan::ZERO);
-        Budget { share, free, span, shut: Timestamp::from_micros(i64::MIN), ..Budget::default() }
+        RetryBudget { share, free, span, shut: Timestamp::from_micros(i64::MIN), ..RetryBudget::default() }
     }
 
     /// Further calls that may be made now. What is lent may be made at any time until it ends, so only
--- a/crates/pipitcrank-core/src/decide/config_form.rs
+++ b/crates/pipitcrank-core/src/coordinator/config_form.rs
@@ -1,7 +1,7 @@
 //! What the decision module takes of a node configuration with every key, as an earlier version did.
 
 use super::*;
-use crate::told::Told;
+use crate::config::SettingsReader;
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fixtures/node_config.json");
 
@@ -9,34 +9,34 @@
 fn settings_with_every_key_are_read_as_by_an_earlier_version() {
     let text = std::fs::read_to_string(FILE).unwrap();
     let all: serde_json::Value = serde_json::from_str(&text).unwrap();
-    let root = Told::new(&all).under("/settings").unwrap().root(5).unwrap();
-    let cover = &root.cover;
+    let coordinator = SettingsReader::new(&all).under("/settings").unwrap().coordinator(5).unwrap();
+    let cover = &coordinator.cover;
     assert_eq!((cover.cells, cover.span, cover.call_size, cover.call_cost), (12, 2, 8, 0.001));
-    let budget = &root.budget;
+    let budget = &coordinator.budget;
     assert_eq!((budget.share, budget.free, budget.span), (0.1, 5.0, TimeSpan::from_millis(10_000)));
-    let start = &root.fail_back;
+    let start = &coordinator.slow_start;
     assert_eq!((start.cold_from, start.cold, start.factor), (0.3, TimeSpan::from_millis(8000), 4.0));
     assert_eq!((start.window, start.among), (TimeSpan::from_millis(1250), 20));
-    let tries = &root.tries;
+    let retry_policy = &coordinator.retry_policy;
     assert_eq!(
-        (tries.limit, tries.may_duplicate, tries.may_abandon, tries.may_probe),
+        (retry_policy.limit, retry_policy.may_duplicate, retry_policy.may_abandon, retry_policy.may_probe),
         (4, true, true, false)
     );
     assert_eq!(
-        (tries.longest_stay_away, tries.way),
+        (retry_policy.longest_stay_away, retry_policy.way),
         (Some(TimeSpan::from_millis(2000)), TimeSpan::from_millis(500))
     );
-    assert!(root.asks_list);
-    assert_eq!(root.tick, TimeSpan::from_millis(5));
+    assert!(coordinator.asks_list);
+    assert_eq!(coordinator.tick, TimeSpan::from_millis(5));
     let classes = [
         ("view", Idempotency::Idempotent, 0, 1000, 0.25, 0.5, 4000, 0.9, 0.6),
         ("sale", Idempotency::IdempotentByKey, 7000, 2000, 0.0, 1.0, 5000, 0.8, 0.5),
         ("bill", Idempotency::NonIdempotent, 0, 1500, 0.0, 1.0, 6000, 0.7, 0.4),
     ];
-    assert_eq!(root.trades.len(), classes.len());
-    for (trade, class) in root.trades.iter().zip(classes) {
-        let terms = &trade.terms;
-        let (name, idempotency, window, slo, stretch, late_worth, hard_limit, whole_from, floor) = class;
+    assert_eq!(coordinator.classes.len(), classes.len());
+    for (class, expected) in coordinator.classes.iter().zip(classes) {
+        let terms = &class.terms;
+        let (name, idempotency, window, slo, stretch, late_worth, hard_limit, whole_from, floor) = expected;
         assert_eq!((&*terms.name, terms.idempotency, terms.second_step), (name, idempotency, false));
         assert_eq!(
             (terms.dedup_window, terms.slo),
--- a/crates/pipitcrank-core/src/decide/deadlines.rs
+++ b/crates/pipitcrank-core/src/coordinator/deadlines.rs
@@ -1,10 +1,10 @@
 //! The time by which all that is held has to be answered, where this process is to end before its clients' own times.
 //! Nothing is decided here: how each query ends by its time is said in `tend`, for this time as for the client's.
 
-use super::Root;
+use super::Coordinator;
 use crate::time::Timestamp;
 
-impl Root {
+impl Coordinator {
     /// Whatever is held ends by then at the latest. Guards against queries whose clients would wait for longer than the
     /// platform does before it kills: they got nothing, not even what was in.
     pub fn end_by(&mut self, by: Timestamp) {
--- a/crates/pipitcrank-core/src/decide/known.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state.rs
@@ -1,18 +1,18 @@
-//! What a `Root` has learned, in a form that another process can take over: every moment stands as an age, so
+//! What a `Coordinator` has learned, in a form that another process can take over: every moment stands as an age, so
 //! that the taker places it on its own clock. Open queries and calls out are not in it: they stay put.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use super::{LeafState, Mark, Root};
+use super::{Coordinator, LeafState, QuantileEstimator};
 use crate::ids::ReplicaId;
 use crate::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Known {
-    pub verticals: Vec<KnownVertical>,
-    pub leaves: Vec<(u32, KnownLeaf)>,
+pub struct LearnedState {
+    pub verticals: Vec<LearnedClassState>,
+    pub leaves: Vec<(u32, LearnedReplicaState)>,
     /// Ages of what counts against the budget of further calls, oldest first.
     pub taken: Vec<TimeSpan>,
     pub further: Vec<TimeSpan>,
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct KnownVertical {
+pub struct LearnedClassState {
     /// Empty from a process that did not write it: then the verticals are taken in their order.
     #[serde(default)]
     name: String,
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct KnownLeaf {
+pub struct LearnedReplicaState {
     pub started: Option<TimeSpan>,
     faults: f64,
     lag: (f64, TimeSpan),
@@ -47,7 +47,7 @@
     pub sent_cold: Vec<(TimeSpan, f64)>,
 }
 
-impl Known {
+impl LearnedState {
     /// Whether all of it can be worked with: no number that is none, no moment still to come.
     pub fn sound(&self) -> bool {
         let past = |s: &TimeSpan| *s >= TimeSpan::ZERO;
@@ -68,34 +68,34 @@
         }) && self.lent.iter().all(|(_, s)| past(s))
             && self.taken.iter().chain(&self.further).all(past)
             && [&self.overdue, &self.rate].into_iter().all(mark)
-            && (Root::FILL.0..=Root::FILL.1).contains(&self.fill)
+            && (Coordinator::FILL.0..=Coordinator::FILL.1).contains(&self.fill)
             && since(&self.carried)
             && since(&self.lag)
     }
 }
 
-impl Root {
+impl Coordinator {
     /// All that was learned, as of now. What has left its window is not in it.
-    pub fn known(&mut self, now: Timestamp) -> Known {
+    pub fn known(&mut self, now: Timestamp) -> LearnedState {
         self.budget.left(now);
         let ages = |times: &std::collections::VecDeque<Timestamp>| times.iter().map(|&t| now - t).collect();
-        let trades = self.trades.iter();
-        let verticals = trades.map(|t| KnownVertical {
+        let classes = self.classes.iter();
+        let verticals = classes.map(|t| LearnedClassState {
             name: t.terms.name.clone(),
             work: t.work.0,
             hint: t.hint,
             leaving: t.leaving,
             stay: t.stay,
         });
-        let window = self.fail_back.window;
-        let leaf = |l: &LeafState| KnownLeaf {
+        let window = self.slow_start.window;
+        let leaf = |l: &LeafState| LearnedReplicaState {
             started: l.started.map(|t| now - t),
             faults: l.faults,
             lag: (l.lag.0, now - l.lag.1),
             trial_in: l.trial_at.map(|t| t - now).filter(|&s| s > TimeSpan::ZERO),
             sent_cold: l.sent_cold.iter().map(|&(t, w)| (now - t, w)).filter(|(s, _)| *s <= window).collect(),
         };
-        Known {
+        LearnedState {
             verticals: verticals.collect(),
             leaves: self.leaves.iter().map(|(id, l)| (id.0, leaf(l))).collect(),
             taken: ages(&self.budget.taken),
@@ -112,21 +112,21 @@
     /// Takes what another process had learned `passed` ago. Leaves are by the indices of this one. A leaf
     /// that has started since is another process: of the old one nothing is taken. Verticals by name, so that
     /// after a move none learns another's work; by their order from a process that wrote no names.
-    pub fn learn_from(&mut self, now: Timestamp, passed: TimeSpan, known: Known) {
+    pub fn learn_from(&mut self, now: Timestamp, passed: TimeSpan, known: LearnedState) {
         let at = |age: TimeSpan| now - age - passed;
         let unnamed = known.verticals.iter().all(|k| k.name.is_empty());
-        let in_order = known.verticals.len() == self.trades.len();
-        for (n, trade) in self.trades.iter_mut().enumerate() {
+        let in_order = known.verticals.len() == self.classes.len();
+        for (n, class) in self.classes.iter_mut().enumerate() {
             let k = match unnamed {
                 true => known.verticals.get(n).filter(|_| in_order),
-                false => known.verticals.iter().find(|k| k.name == trade.terms.name),
+                false => known.verticals.iter().find(|k| k.name == class.terms.name),
             };
             if let Some(k) = k {
-                trade.work = Mark(k.work);
-                (trade.hint, trade.leaving, trade.stay) = (k.hint, k.leaving, k.stay);
+                class.work = QuantileEstimator(k.work);
+                (class.hint, class.leaving, class.stay) = (k.hint, k.leaving, k.stay);
             }
         }
-        let mut leaves: BTreeMap<u32, KnownLeaf> = known.leaves.into_iter().collect();
+        let mut leaves: BTreeMap<u32, LearnedReplicaState> = known.leaves.into_iter().collect();
         for (ReplicaId(id), state) in self.leaves.iter_mut().map(|(id, s)| (*id, s)) {
             let Some(k) = leaves.remove(&id) else { continue };
             let same = match (state.started, k.started) {
@@ -148,7 +148,8 @@
         for (n, (lent, left)) in known.lent.into_iter().enumerate() {
             self.budget.lend(Self::OLD - 1 - n as u64, lent, now - passed + left);
         }
-        (self.overdue, self.rate) = (Mark(known.overdue.or(self.overdue.0)), Mark(known.rate));
+        (self.overdue, self.rate) =
+            (QuantileEstimator(known.overdue.or(self.overdue.0)), QuantileEstimator(known.rate));
         self.fill = known.fill;
         (self.carried, self.lag) = ((known.carried.0, at(known.carried.1)), (known.lag.0, at(known.lag.1)));
         self.moved = true;
@@ -169,7 +170,7 @@
     /// process has the rest.
     pub fn finish_with(&mut self, further: u32, until: Timestamp) {
         self.budget.purse = Some((f64::from(further), until));
-        self.fail_back.shut = Timestamp::from_micros(i64::MAX);
+        self.slow_start.shut = Timestamp::from_micros(i64::MAX);
     }
 
     /// The process that hands over may make so many further calls, until then.
@@ -196,7 +197,7 @@
         self.budget.purse = None;
         self.budget.lent.remove(&Self::OLD);
         self.budget.shut = now + self.budget.span;
-        self.fail_back.shut = now + self.fail_back.window;
+        self.slow_start.shut = now + self.slow_start.window;
         self.moved = true;
     }
 }
--- a/crates/pipitcrank-core/src/decide/known/stored_forms.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state/stored_forms.rs
@@ -5,22 +5,22 @@
 #[path = "../../../../../fixtures/mod.rs"]
 mod fixtures;
 
-fn known() -> Known {
-    Known {
+fn known() -> LearnedState {
+    LearnedState {
         verticals: vec![
-            KnownVertical {
+            LearnedClassState {
                 name: "view".into(),
                 work: Some(0.25),
                 hint: Some(-1.5),
                 leaving: 0.125,
                 stay: TimeSpan::from_millis(700),
             },
-            KnownVertical::default(),
+            LearnedClassState::default(),
         ],
         leaves: vec![
             (
                 3,
-                KnownLeaf {
+                LearnedReplicaState {
                     started: Some(TimeSpan::from_millis(70)),
                     faults: 0.5,
                     lag: (0.75, TimeSpan::from_millis(11)),
@@ -28,7 +28,7 @@
                     sent_cold: vec![(TimeSpan::from_millis(12), 0.0625)],
                 },
             ),
-            (9, KnownLeaf::default()),
+            (9, LearnedReplicaState::default()),
         ],
         taken: vec![TimeSpan::from_millis(31), TimeSpan::from_millis(30)],
         further: vec![TimeSpan::from_millis(29)],
--- a/crates/pipitcrank-core/src/decide/lending.rs
+++ b/crates/pipitcrank-core/src/coordinator/lending.rs
@@ -1,10 +1,10 @@
 //! Further calls lent to others: to the old process of an upgrade, to another site for the parts it was sent. Whoever has
 //! them may make them at any time until they end, so both together have to keep rule 6 whenever that is.
 
-use super::Budget;
+use super::RetryBudget;
 use crate::time::{TimeSpan, Timestamp};
 
-impl Budget {
+impl RetryBudget {
     /// The same with those arrivals alone that count at that time.
     pub(super) fn lasting(&self, by: Timestamp) -> f64 {
         let taken = self.taken.iter().filter(|&&t| by - t < self.span).count();
--- a/crates/pipitcrank-core/src/decide/seen.rs
+++ b/crates/pipitcrank-core/src/coordinator/seen.rs
@@ -1,7 +1,7 @@
 //! Sums that the cover looks at again and again, worked out once. Nothing is decided here: each is what the plain sum is, to
 //! the last bit, so that a cheaper turn is the same turn.
 
-use super::{LeafState, Root};
+use super::{Coordinator, LeafState};
 use crate::ids::PartId;
 use crate::time::Timestamp;
 
@@ -21,7 +21,7 @@
     }
 }
 
-impl Root {
+impl Coordinator {
     pub(super) fn work(&self, parts: &[PartId]) -> f64 {
         parts.iter().map(|p| self.parts[p].work).sum()
     }
--- a/crates/pipitcrank-core/src/decide/sites.rs
+++ b/crates/pipitcrank-core/src/coordinator/sites.rs
@@ -1,11 +1,11 @@
 //! What the module keeps of other sites: leaves that stand for a cell elsewhere, queries that are another site's, and
 //! further calls lent with parts. Which of it a cover may use is decided beside the other candidates.
 
-use super::Root;
+use super::Coordinator;
 use crate::ids::{Idempotency, PartId, QueryId, ReplicaId, RequestClassId};
 use crate::time::{TimeSpan, Timestamp};
 
-impl Root {
+impl Coordinator {
     /// The query just taken is another site's, which counts it and lends so many further calls for it: it gains
     /// nothing here, spends nothing here, and goes to no third site.
     pub fn lent_to(&mut self, id: QueryId, further: u32) {
@@ -17,14 +17,15 @@
 
     /// Whether a part of that vertical that may have run may go again at all.
     pub fn may_repeat(&self, v: RequestClassId) -> bool {
-        self.trades[v.0 as usize].terms.idempotency != Idempotency::NonIdempotent
+        self.classes[v.0 as usize].terms.idempotency != Idempotency::NonIdempotent
     }
 
     /// Parts go to another site: how many further calls that may make for them, until then. They count as made,
     /// for the budget and for each part, until `came_back` says how many were.
     pub fn lend(&mut self, now: Timestamp, who: u64, parts: &[PartId], until: Timestamp) -> u32 {
-        let room =
-            |p: &PartId| self.parts.get(p).map_or(0, |p| self.tries.limit - p.tried().min(self.tries.limit));
+        let room = |p: &PartId| {
+            self.parts.get(p).map_or(0, |p| self.retry_policy.limit - p.tried().min(self.retry_policy.limit))
+        };
         let most = parts.iter().map(room).min().unwrap_or(0).min(parts.len() as u32);
         let n = self.budget.lend_some(now, who, most, until);
         for id in parts {
--- a/crates/pipitcrank-core/src/decide/slow_start.rs
+++ b/crates/pipitcrank-core/src/coordinator/slow_start.rs
@@ -6,7 +6,7 @@
 
 /// Rule 4: what this co-ordinator may send to a leaf that has just started.
 #[derive(Default)]
-pub struct FailBack {
+pub struct SlowStart {
     pub cold_from: f64,
     pub cold: TimeSpan,
     pub factor: f64,
@@ -17,7 +17,7 @@
     pub among: u32,
 }
 
-impl FailBack {
+impl SlowStart {
     /// Of the allowance that the rule leaves, how much is used: the rest is for uneven co-ordinators and
     /// small leaves. At 0.6 a release starved the fresh leaves and jammed the others (if0ee79).
     const USED: f64 = 0.8;
--- a/crates/pipitcrank-core/src/decide/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -2,9 +2,9 @@
 //! A narrowing (shut zones) and a cost among candidates; the cover chooses among what is left. Which shares there are is
 //! decided elsewhere: by all copies in common (`pipitcrank-failover`), or told at start.
 
-use super::{LeafState, Root};
+use super::{Coordinator, LeafState};
 use crate::ids::{AttemptOutcome, QueryId, ReplicaId};
-use crate::port::Port;
+use crate::output::CoordinatorOutput;
 use crate::time::{TimeSpan, Timestamp};
 
 /// A zone, by its place in the list of zones told at start.
@@ -13,7 +13,7 @@
 
 /// What of each zone's leaves is used from here.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shares {
+pub struct ZoneRouting {
     /// Zones and the shares of queries meant for them, the nearest first. Empty: zones do not count.
     pub of: Vec<(ZoneId, f64)>,
     /// Nothing goes there.
@@ -25,13 +25,13 @@
 
 #[derive(Default)]
 pub(super) struct Zones {
-    shares: Shares,
-    tally: Tally,
+    shares: ZoneRouting,
+    tally: ZoneTraffic,
 }
 
 /// Counts since the start, for whoever makes rates of them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct ZoneTraffic {
     /// Queries and parts asked, by vertical; what was turned away among them.
     pub asked: Vec<(u64, u64)>,
     /// Parts merged, by zone of the leaf.
@@ -48,7 +48,7 @@
     &mut list[place]
 }
 
-impl Root {
+impl Coordinator {
     /// A leaf elsewhere is held to come to work later by this share of the SLO time: more than the lag that makes no
     /// difference (`BEHIND_SHARE`), so near goes first; little enough that a jam at home sends work across.
     const CROSSING_SHARE: f64 = 0.1;
@@ -60,7 +60,7 @@
         }
     }
 
-    pub fn set_shares(&mut self, shares: Shares) {
+    pub fn set_shares(&mut self, shares: ZoneRouting) {
         self.moved |= self.zones.shares != shares;
         self.zones.shares = shares;
     }
@@ -71,7 +71,7 @@
         if of.len() < 2 {
             return of.first().map(|z| z.0);
         }
-        let mut drawn = self.chance.below(Self::FINE) as f64 / Self::FINE as f64;
+        let mut drawn = self.rng.below(Self::FINE) as f64 / Self::FINE as f64;
         let of = &self.zones.shares.of;
         for &(zone, share) in of {
             if drawn < share {
@@ -89,7 +89,7 @@
     /// Whether a query of that vertical is to be turned away before anything is sent for it.
     pub(super) fn turned_away(&mut self, vertical: usize) -> bool {
         let share = self.zones.shares.turned_away.get(vertical).copied().unwrap_or(0.0);
-        share > 0.0 && (self.chance.below(Self::FINE) as f64) < share * Self::FINE as f64
+        share > 0.0 && (self.rng.below(Self::FINE) as f64) < share * Self::FINE as f64
     }
 
     pub(super) fn is_shut(&self, leaf: ReplicaId) -> bool {
@@ -125,20 +125,20 @@
         }
     }
 
-    pub fn tally(&self) -> &Tally {
+    pub fn tally(&self) -> &ZoneTraffic {
         &self.zones.tally
     }
 
     /// What was seen of a zone's leaves, from here, by this co-ordinator alone.
-    pub fn seen_of(&self, now: Timestamp, zone: ZoneId) -> Seen {
-        let mut seen = Seen::default();
-        let a_part: f64 =
-            self.trades.iter().map(super::Trade::usual_work).sum::<f64>() / self.trades.len().max(1) as f64;
+    pub fn seen_of(&self, now: Timestamp, zone: ZoneId) -> ZoneObservation {
+        let mut seen = ZoneObservation::default();
+        let a_part: f64 = self.classes.iter().map(super::RequestClassState::usual_work).sum::<f64>()
+            / self.classes.len().max(1) as f64;
         for (_, state) in self.leaves.iter().filter(|(_, l)| l.zone == Some(zone) && l.listed) {
             seen.listed += 1;
             seen.fresh += u32::from(state.heard.is_some_and(|h| now - h < Self::JUST));
             let usual = self.overdue.0.unwrap_or(1.0);
-            let stuck = |o: &super::Out| {
+            let stuck = |o: &super::OutstandingAttempt| {
                 now - o.at > (LeafState::SILENT + TimeSpan::from_secs_f64(o.ahead * usual)).min(Self::STUCK)
                     && state.heard.is_none_or(|h| h < o.at)
             };
@@ -163,7 +163,7 @@
             } else if heard {
                 seen.answering += 1;
             }
-            seen.cold += u32::from(self.fail_back.is_cold(state.started, now));
+            seen.cold += u32::from(self.slow_start.is_cold(state.started, now));
             seen.out += state.out.len() as u32;
         }
         seen.a_part_ms = (a_part * 1000.0) as u32;
@@ -172,7 +172,13 @@
 
     /// Probes some leaves of a zone that nothing is sent to, those first that were asked longest ago, so that its
     /// return rests on evidence. Each that is asked again is asked no sooner than a report is good for.
-    pub fn look_into(&mut self, port: &mut dyn Port, now: Timestamp, zone: ZoneId, most: usize) {
+    pub fn look_into(
+        &mut self,
+        output: &mut dyn CoordinatorOutput,
+        now: Timestamp,
+        zone: ZoneId,
+        most: usize,
+    ) {
         let asked = |l: &LeafState| l.probed.map(|p| p.0);
         let due = |l: &LeafState| {
             // Far sites are measured on their links.
@@ -184,9 +190,9 @@
         let mut leaves: Vec<(Option<Timestamp>, ReplicaId)> =
             self.leaves.iter().filter(|(_, l)| due(l)).map(|(&id, l)| (asked(l), id)).collect();
         leaves.sort();
-        for (_, leaf) in leaves.into_iter().take(if self.tries.may_probe { most } else { 0 }) {
+        for (_, leaf) in leaves.into_iter().take(if self.retry_policy.may_probe { most } else { 0 }) {
             self.leaves.get_mut(&leaf).expect("just listed").asks_again(now);
-            port.probe(leaf);
+            output.probe(leaf);
         }
     }
 
@@ -235,7 +241,7 @@
 /// Leaves of one zone by what this co-ordinator last saw of each. Leaves that it has not asked of late are in `listed`
 /// alone. Counts; `a_part_ms` in milliseconds of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct ZoneObservation {
     pub listed: u32,
     pub answering: u32,
     pub silent: u32,
--- a/crates/pipitcrank-core/src/names.rs
+++ b/crates/pipitcrank-core/src/interner.rs
@@ -4,18 +4,18 @@
 
 /// Names and their indices. An entry ends when the module lets go of it; its index is then used again.
 #[derive(Default)]
-pub struct Names {
+pub struct Interner {
     index: BTreeMap<String, u32>,
     names: Vec<String>,
     free: Vec<u32>,
 }
 
-impl Names {
+impl Interner {
     pub fn find(&self, name: &str) -> Option<u32> {
         self.index.get(name).copied()
     }
 
-    pub fn enter(&mut self, name: &str) -> u32 {
+    pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(known) = self.find(name) {
             return known;
         }
@@ -28,7 +28,7 @@
         id
     }
 
-    pub fn leave(&mut self, id: u32) {
+    pub fn release(&mut self, id: u32) {
         if self.index.remove(&self.names[id as usize]).is_some() {
             self.free.push(id);
         }
--- a/crates/pipitcrank-core/src/lib.rs
+++ b/crates/pipitcrank-core/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a co-ordinator that reads many shards for one query.
 
-pub mod chance;
-pub mod decide;
+pub mod config;
+pub mod coordinator;
 pub mod ids;
-pub mod names;
-pub mod port;
+pub mod interner;
+pub mod output;
+pub mod rng;
 pub mod time;
-pub mod told;
--- a/crates/pipitcrank-core/src/port.rs
+++ b/crates/pipitcrank-core/src/output.rs
@@ -4,7 +4,7 @@
 use crate::ids::{PartId, QueryId, RejectReason, ReplicaId};
 use crate::time::{TimeSpan, Timestamp};
 
-pub trait Port {
+pub trait CoordinatorOutput {
     /// Sends the part to the leaf; the outside gives up waiting at `until`. Calls of one turn to one leaf
     /// travel together, up to the set call size.
     fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp);
@@ -16,7 +16,7 @@
     fn reject(&mut self, query: QueryId, stay_away: TimeSpan, why: RejectReason);
     /// Ends the query and promises nothing about its effect.
     fn abort(&mut self, query: QueryId, why: RejectReason);
-    /// Asks for `Root::woken` with this label at that time.
+    /// Asks for `Coordinator::woken` with this label at that time.
     fn wake_me(&mut self, at: Timestamp, label: u64);
     fn probe(&mut self, leaf: ReplicaId);
     /// Subscribes to changes of the list of leaves.
--- a/crates/pipitcrank-core/src/chance.rs
+++ b/crates/pipitcrank-core/src/rng.rs
@@ -1,18 +1,18 @@
 //! Chance: a lag-1 multiply-with-carry generator (32-bit words, 64-bit state).
 
-pub struct Chance(u64);
+pub struct Rng(u64);
 
-impl Default for Chance {
-    fn default() -> Chance {
-        Chance::new(0)
+impl Default for Rng {
+    fn default() -> Rng {
+        Rng::new(0)
     }
 }
 
-impl Chance {
+impl Rng {
     /// Mixes the seed with the golden ratio's fraction; one set low bit and one clear high bit keep clear of
     /// both states in which the generator stands still.
-    pub fn new(seed: u64) -> Chance {
-        Chance((seed ^ (seed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 1 | 1)
+    pub fn new(seed: u64) -> Rng {
+        Rng((seed ^ (seed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 1 | 1)
     }
 
     /// One step with the multiplier 4294957665, a safe-prime choice of Marsaglia's.
@@ -22,7 +22,7 @@
     }
 
     /// A share from 0 to below 1.
-    pub fn share(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         f64::from(self.word()) / 4_294_967_296.0
     }
 
--- a/crates/pipitcrank-core/tests/cases.rs
+++ b/crates/pipitcrank-core/tests/cases.rs
@@ -4,44 +4,44 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use helper::{Act, Tape, at, list, ms, root};
-use pipitcrank_core::decide::Root;
+use helper::{Act, Tape, at, coordinator, list, ms};
+use pipitcrank_core::coordinator::Coordinator;
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 
 /// A query of vertical `v` with one part a shard; part ids follow from `base`.
-fn ask(root: &mut Root, tape: &mut Tape, t: i64, v: u16, base: u32, shards: &[u32]) {
+fn ask(coordinator: &mut Coordinator, tape: &mut Tape, t: i64, v: u16, base: u32, shards: &[u32]) {
     let n = shards.len() as f64;
-    root.query(tape, at(t), QueryId(base), RequestClassId(v), ms(3000), None, n);
+    coordinator.query(tape, at(t), QueryId(base), RequestClassId(v), ms(3000), None, n);
     for (i, &shard) in shards.iter().enumerate() {
-        root.part(tape, at(t), PartId(base + i as u32), QueryId(base), shard, 1.0 / n, None);
+        coordinator.part(tape, at(t), PartId(base + i as u32), QueryId(base), shard, 1.0 / n, None);
     }
 }
 
-fn turned(root: &mut Root, t: i64) -> Tape {
+fn turned(coordinator: &mut Coordinator, t: i64) -> Tape {
     let mut tape = Tape::default();
-    root.turn(&mut tape, at(t));
+    coordinator.turn(&mut tape, at(t));
     tape
 }
 
-fn fresh(seed: u64) -> (Root, Tape) {
-    let (mut root, mut tape) = (root(seed, 2, true), Tape::default());
-    list(&mut root, &mut tape, &[]);
-    (root, tape)
+fn fresh(seed: u64) -> (Coordinator, Tape) {
+    let (mut coordinator, mut tape) = (coordinator(seed, 2, true), Tape::default());
+    list(&mut coordinator, &mut tape, &[]);
+    (coordinator, tape)
 }
 
-fn end(root: &mut Root, t: i64, part: PartId, nth: u32, outcome: AttemptOutcome) -> Tape {
+fn end(coordinator: &mut Coordinator, t: i64, part: PartId, nth: u32, outcome: AttemptOutcome) -> Tape {
     let mut tape = Tape::default();
-    root.ended(&mut tape, at(t), part, nth, outcome);
-    root.turn(&mut tape, at(t));
+    coordinator.ended(&mut tape, at(t), part, nth, outcome);
+    coordinator.turn(&mut tape, at(t));
     tape
 }
 
 /// Asks for shard 2 at each of the times, and counts what goes to the leaf.
-fn sent_to(root: &mut Root, tape: &mut Tape, leaf: ReplicaId, times: &[i64]) -> usize {
+fn sent_to(coordinator: &mut Coordinator, tape: &mut Tape, leaf: ReplicaId, times: &[i64]) -> usize {
     let mut count = 0;
     for (n, &t) in (1..).zip(times) {
-        ask(root, tape, t, 0, n * 10, &[2]);
-        count += turned(root, t).calls().iter().filter(|c| c.1 == leaf).count();
+        ask(coordinator, tape, t, 0, n * 10, &[2]);
+        count += turned(coordinator, t).calls().iter().filter(|c| c.1 == leaf).count();
     }
     count
 }
@@ -49,24 +49,24 @@
 #[test]
 fn the_candidates_are_the_holders_of_the_random_shard() {
     for seed in 0..50 {
-        let (mut root, mut tape) = fresh(seed);
-        ask(&mut root, &mut tape, 0, 0, 0, &[4]);
-        let calls = turned(&mut root, 0).calls();
+        let (mut coordinator, mut tape) = fresh(seed);
+        ask(&mut coordinator, &mut tape, 0, 0, 0, &[4]);
+        let calls = turned(&mut coordinator, 0).calls();
         assert_eq!(calls.len(), 1);
         assert!([4, 5, 0].contains(&calls[0].1.0), "{calls:?}");
     }
 }
 
 /// A root that has learned that parts are quick, so that no bundle is cut.
-fn taught(seed: u64) -> (Root, Tape) {
-    let (mut root, mut tape) = fresh(seed);
+fn taught(seed: u64) -> (Coordinator, Tape) {
+    let (mut coordinator, mut tape) = fresh(seed);
     for n in 0..80 {
         let t = n * 30 - 3000;
-        ask(&mut root, &mut tape, t, 0, 0, &[n as u32]);
-        turned(&mut root, t);
-        end(&mut root, t + 10, PartId(0), 0, AttemptOutcome::Success);
+        ask(&mut coordinator, &mut tape, t, 0, 0, &[n as u32]);
+        turned(&mut coordinator, t);
+        end(&mut coordinator, t + 10, PartId(0), 0, AttemptOutcome::Success);
     }
-    (root, tape)
+    (coordinator, tape)
 }
 
 #[test]
@@ -74,7 +74,7 @@
     // Work learned of one deployment's vertical was taken by another's in the same place (the move, 2026-12-01).
     let (mut old, _) = taught(3);
     let known = old.known(at(0));
-    let mut other = helper::root_named(3, "w");
+    let mut other = helper::coordinator_named(3, "w");
     let mut tape = Tape::default();
     list(&mut other, &mut tape, &[]);
     let before = other.known(at(0));
@@ -82,7 +82,7 @@
     let after = other.known(at(10));
     assert_eq!(after.verticals, before.verticals, "no vertical of the old names is here");
     assert_eq!(after.leaves.len(), known.leaves.len(), "the same leaves carry over");
-    let mut same = helper::root_named(3, "v");
+    let mut same = helper::coordinator_named(3, "v");
     list(&mut same, &mut tape, &[]);
     same.learn_from(at(10), ms(10), known.clone());
     assert_eq!(same.known(at(10)).verticals[0], old.known(at(10)).verticals[0], "taken under its own name");
@@ -97,9 +97,9 @@
     // go to one leaf, and leaf 0 or 4 comes in only for what is left after that.
     let (mut whole, mut split) = (0, 0);
     for seed in 0..200 {
-        let (mut root, mut tape) = taught(seed);
-        ask(&mut root, &mut tape, 0, 0, 0, &[0, 1, 2]);
-        let calls = turned(&mut root, 0).calls();
+        let (mut coordinator, mut tape) = taught(seed);
+        ask(&mut coordinator, &mut tape, 0, 0, 0, &[0, 1, 2]);
+        let calls = turned(&mut coordinator, 0).calls();
         assert_eq!(calls.len(), 3, "each part goes once");
         let most = (0..6).map(|l| calls.iter().filter(|c| c.1 == ReplicaId(l)).count()).max().unwrap();
         assert!(most >= 2, "{calls:?}");
@@ -109,23 +109,23 @@
 }
 
 /// A root over so many leaves, each the only holder of its shards.
-fn lone_holders(count: u32) -> (Root, Tape) {
-    let (mut root, mut tape) = (helper::root_on(count, 1, 1, 2, true, false), Tape::default());
-    root.list_begin(true);
+fn lone_holders(count: u32) -> (Coordinator, Tape) {
+    let (mut coordinator, mut tape) = (helper::coordinator_on(count, 1, 1, 2, true, false), Tape::default());
+    coordinator.list_begin(true);
     for n in 0..count {
-        root.leaf(ReplicaId(n), n, true, None);
+        coordinator.leaf(ReplicaId(n), n, true, None);
     }
-    root.list_end(&mut tape);
-    (root, tape)
+    coordinator.list_end(&mut tape);
+    (coordinator, tape)
 }
 
 #[test]
 fn at_most_k_rounds_a_turn_and_the_rest_is_placed_anew() {
-    let (mut root, mut tape) = lone_holders(160);
+    let (mut coordinator, mut tape) = lone_holders(160);
     let shards: Vec<u32> = (0..160).collect();
-    ask(&mut root, &mut tape, 0, 0, 0, &shards);
-    let first = turned(&mut root, 0).calls();
-    let second = turned(&mut root, 5).calls();
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &shards);
+    let first = turned(&mut coordinator, 0).calls();
+    let second = turned(&mut coordinator, 5).calls();
     assert_eq!((first.len(), second.len()), (128, 32));
     let all: BTreeSet<PartId> = first.into_iter().chain(second).map(|c| c.0).collect();
     assert_eq!(all.len(), 160);
@@ -134,14 +134,14 @@
 #[test]
 fn among_near_ties_the_fewest_own_calls_out_decides() {
     for seed in 0..50 {
-        let (mut root, mut tape) = fresh(seed);
+        let (mut coordinator, mut tape) = fresh(seed);
         // Two parts in one call and one in another: whoever has no call out is next.
-        ask(&mut root, &mut tape, 0, 0, 0, &[2]);
-        let first = turned(&mut root, 0).calls()[0].1;
-        ask(&mut root, &mut tape, 1, 0, 10, &[2]);
-        let second = turned(&mut root, 1).calls()[0].1;
-        ask(&mut root, &mut tape, 2, 0, 20, &[2]);
-        let third = turned(&mut root, 2).calls()[0].1;
+        ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
+        let first = turned(&mut coordinator, 0).calls()[0].1;
+        ask(&mut coordinator, &mut tape, 1, 0, 10, &[2]);
+        let second = turned(&mut coordinator, 1).calls()[0].1;
+        ask(&mut coordinator, &mut tape, 2, 0, 20, &[2]);
+        let third = turned(&mut coordinator, 2).calls()[0].1;
         assert_eq!(
             BTreeSet::from([first, second, third]),
             BTreeSet::from([ReplicaId(2), ReplicaId(3), ReplicaId(4)])
@@ -152,10 +152,10 @@
 #[test]
 fn many_parts_are_spread_over_their_holders() {
     // Uncut, two leaves of six would have taken six parts each and held the query up.
-    let (mut root, mut tape) = fresh(3);
+    let (mut coordinator, mut tape) = fresh(3);
     let shards: Vec<u32> = (0..12).collect();
-    ask(&mut root, &mut tape, 0, 0, 0, &shards);
-    let calls = turned(&mut root, 0).calls();
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &shards);
+    let calls = turned(&mut coordinator, 0).calls();
     assert_eq!(calls.len(), 12);
     let most = (0..6).map(|l| calls.iter().filter(|c| c.1 == ReplicaId(l)).count()).max();
     assert!(most <= Some(4), "{calls:?}");
@@ -163,45 +163,45 @@
 
 #[test]
 fn a_failed_part_goes_to_a_holder_not_yet_asked() {
-    let (mut root, mut tape) = fresh(5);
-    ask(&mut root, &mut tape, 0, 0, 0, &[2]);
-    let first = turned(&mut root, 0).calls()[0].1;
-    let again = end(&mut root, 5, PartId(0), 0, AttemptOutcome::Fault).calls();
+    let (mut coordinator, mut tape) = fresh(5);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
+    let first = turned(&mut coordinator, 0).calls()[0].1;
+    let again = end(&mut coordinator, 5, PartId(0), 0, AttemptOutcome::Fault).calls();
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, first);
 }
 
 #[test]
 fn a_faulty_leaf_is_left_out_for_a_second() {
-    let (mut root, mut tape) = fresh(6);
-    ask(&mut root, &mut tape, 0, 0, 0, &[2]);
-    let bad = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, PartId(0), 0, AttemptOutcome::Unreachable);
+    let (mut coordinator, mut tape) = fresh(6);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
+    let bad = turned(&mut coordinator, 0).calls()[0].1;
+    end(&mut coordinator, 1, PartId(0), 0, AttemptOutcome::Unreachable);
     let times: Vec<i64> = (1..20).map(|n| 10 + n * 20).collect();
-    assert_eq!(sent_to(&mut root, &mut tape, bad, &times), 0, "nothing before the wait is over");
-    ask(&mut root, &mut tape, 1010, 0, 500, &[2]);
-    let calls = turned(&mut root, 1010).calls();
+    assert_eq!(sent_to(&mut coordinator, &mut tape, bad, &times), 0, "nothing before the wait is over");
+    ask(&mut coordinator, &mut tape, 1010, 0, 500, &[2]);
+    let calls = turned(&mut coordinator, 1010).calls();
     assert!(calls.iter().any(|c| c.1 == bad), "it has the fewest calls out: {calls:?}");
 }
 
 #[test]
 fn a_full_leaf_is_left_to_drain() {
     // In i695bd0 parts turned away in a millisecond went straight on to the next full leaf, a thousand times.
-    let (mut root, mut tape) = fresh(8);
-    ask(&mut root, &mut tape, 0, 0, 0, &[2]);
-    let full = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, PartId(0), 0, AttemptOutcome::NoCapacity);
-    assert_eq!(sent_to(&mut root, &mut tape, full, &[100; 9]), 0);
+    let (mut coordinator, mut tape) = fresh(8);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
+    let full = turned(&mut coordinator, 0).calls()[0].1;
+    end(&mut coordinator, 1, PartId(0), 0, AttemptOutcome::NoCapacity);
+    assert_eq!(sent_to(&mut coordinator, &mut tape, full, &[100; 9]), 0);
 }
 
 #[test]
 fn a_cold_leaf_gets_one_part_a_window_until_more_is_known() {
-    let (mut root, mut tape) = (root(9, 2, true), Tape::default());
-    list(&mut root, &mut tape, &[(2, at(0)), (3, at(0)), (4, at(0))]);
+    let (mut coordinator, mut tape) = (coordinator(9, 2, true), Tape::default());
+    list(&mut coordinator, &mut tape, &[(2, at(0)), (3, at(0)), (4, at(0))]);
     for n in 0..6 {
-        ask(&mut root, &mut tape, 10, 0, n * 10, &[2]);
+        ask(&mut coordinator, &mut tape, 10, 0, n * 10, &[2]);
     }
-    let calls = turned(&mut root, 10).calls();
+    let calls = turned(&mut coordinator, 10).calls();
     let to: BTreeSet<ReplicaId> = calls.iter().map(|c| c.1).collect();
     assert_eq!((calls.len(), to.len()), (3, 3), "{calls:?}");
 }
@@ -222,19 +222,19 @@
 fn few_send(served_before: bool) {
     let (mut whole, mut most) = (0, BTreeMap::new());
     for seed in 0..300 {
-        let (mut root, mut tape) = (helper::root_among(seed, 300), Tape::default());
+        let (mut coordinator, mut tape) = (helper::coordinator_among(seed, 300), Tape::default());
         if served_before {
-            list(&mut root, &mut tape, &[]);
-            ask(&mut root, &mut tape, 0, 0, 100, &[0, 3]);
-            turned(&mut root, 0);
+            list(&mut coordinator, &mut tape, &[]);
+            ask(&mut coordinator, &mut tape, 0, 0, 100, &[0, 3]);
+            turned(&mut coordinator, 0);
             // As much work as is guessed where nothing is known, and the call's cost.
             for part in [100, 101] {
-                end(&mut root, 150, PartId(part), 0, AttemptOutcome::Success);
+                end(&mut coordinator, 150, PartId(part), 0, AttemptOutcome::Success);
             }
         }
-        list(&mut root, &mut tape, &(0..6).map(|leaf| (leaf, at(150))).collect::<Vec<_>>());
-        ask(&mut root, &mut tape, 160, 0, 0, &[0, 3]);
-        let calls = turned(&mut root, 160).calls();
+        list(&mut coordinator, &mut tape, &(0..6).map(|leaf| (leaf, at(150))).collect::<Vec<_>>());
+        ask(&mut coordinator, &mut tape, 160, 0, 0, &[0, 3]);
+        let calls = turned(&mut coordinator, 160).calls();
         whole += usize::from(calls.len() == 2);
         assert!(calls.is_empty() || calls.len() == 2, "no work for nothing");
         calls.into_iter().for_each(|(_, leaf)| *most.entry(leaf).or_insert(0) += 1);
@@ -245,83 +245,83 @@
 
 #[test]
 fn what_nobody_takes_is_turned_away_before_any_work() {
-    let (mut root, mut tape) = (root(1, 2, true), Tape::default());
-    root.list_begin(true);
-    root.leaf(ReplicaId(0), 0, true, None);
-    root.list_end(&mut tape);
-    ask(&mut root, &mut tape, 0, 0, 0, &[0, 3]);
-    assert_eq!(turned(&mut root, 0).calls(), [], "one shard has no holder, so nothing goes");
-    let late = helper::pass(&mut root, &tape.0, at(200));
+    let (mut coordinator, mut tape) = (coordinator(1, 2, true), Tape::default());
+    coordinator.list_begin(true);
+    coordinator.leaf(ReplicaId(0), 0, true, None);
+    coordinator.list_end(&mut tape);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[0, 3]);
+    assert_eq!(turned(&mut coordinator, 0).calls(), [], "one shard has no holder, so nothing goes");
+    let late = helper::pass(&mut coordinator, &tape.0, at(200));
     assert!(late.0.contains(&Act::Reject(QueryId(0))), "{:?}", late.0);
 }
 
 #[test]
 fn a_begun_query_is_not_given_up_because_one_part_waits() {
-    let (mut root, mut tape) = fresh(2);
-    ask(&mut root, &mut tape, 0, 0, 0, &[0, 3]);
-    assert_eq!(turned(&mut root, 0).calls().len(), 2);
-    let mut seen = end(&mut root, 390, PartId(0), 0, AttemptOutcome::NoCapacity).0;
-    seen.extend(helper::pass(&mut root, &tape.0, at(400)).0);
+    let (mut coordinator, mut tape) = fresh(2);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[0, 3]);
+    assert_eq!(turned(&mut coordinator, 0).calls().len(), 2);
+    let mut seen = end(&mut coordinator, 390, PartId(0), 0, AttemptOutcome::NoCapacity).0;
+    seen.extend(helper::pass(&mut coordinator, &tape.0, at(400)).0);
     assert!(!seen.iter().any(|a| matches!(a, Act::Reject(_) | Act::Abort(_))), "{seen:?}");
 }
 
 #[test]
 fn an_overdue_part_gets_a_copy_although_its_leaf_is_forgotten() {
     // A part may remember a leaf that has left the list and is held no more; looking it up ended the adapter.
-    let (mut root, mut tape) = fresh(4);
-    ask(&mut root, &mut tape, 0, 0, 0, &[2]);
-    let first = turned(&mut root, 0).calls()[0].1;
-    root.list_begin(false);
-    root.leaf(first, first.0, false, None);
-    root.list_end(&mut tape);
-    let mut after = end(&mut root, 5, PartId(0), 0, AttemptOutcome::Fault);
+    let (mut coordinator, mut tape) = fresh(4);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
+    let first = turned(&mut coordinator, 0).calls()[0].1;
+    coordinator.list_begin(false);
+    coordinator.leaf(first, first.0, false, None);
+    coordinator.list_end(&mut tape);
+    let mut after = end(&mut coordinator, 5, PartId(0), 0, AttemptOutcome::Fault);
     assert!(after.0.contains(&Act::FreeLeaf(first)));
     assert_eq!(after.calls().len(), 1);
     after.0.extend(tape.0);
-    let copies = helper::pass(&mut root, &after.0, at(1400)).calls().len();
+    let copies = helper::pass(&mut coordinator, &after.0, at(1400)).calls().len();
     assert_eq!(copies, 1, "the last holder is asked once the second call is overdue");
 }
 
 #[test]
 fn a_lag_of_the_past_does_not_keep_leaves_idle() {
     // In ie11df8 leaves stood idle because of answers that had come late seconds before.
-    let (mut root, mut tape) = taught(12);
+    let (mut coordinator, mut tape) = taught(12);
     let shards: Vec<u32> = (0..6).collect();
     for n in 0..4 {
-        ask(&mut root, &mut tape, n * 10, 0, n as u32 * 10, &shards);
-        turned(&mut root, n * 10);
+        ask(&mut coordinator, &mut tape, n * 10, 0, n as u32 * 10, &shards);
+        turned(&mut coordinator, n * 10);
     }
     for n in 0..4 {
         for part in 0..6 {
-            end(&mut root, 2800, PartId(n * 10 + part), 0, AttemptOutcome::Success);
+            end(&mut coordinator, 2800, PartId(n * 10 + part), 0, AttemptOutcome::Success);
         }
     }
-    ask(&mut root, &mut tape, 2800, 0, 50, &shards);
-    assert_eq!(turned(&mut root, 2800).calls(), [], "just after, every leaf is held to lag");
-    ask(&mut root, &mut tape, 5600, 0, 60, &shards);
-    let calls = turned(&mut root, 5600).calls();
+    ask(&mut coordinator, &mut tape, 2800, 0, 50, &shards);
+    assert_eq!(turned(&mut coordinator, 2800).calls(), [], "just after, every leaf is held to lag");
+    ask(&mut coordinator, &mut tape, 5600, 0, 60, &shards);
+    let calls = turned(&mut coordinator, 5600).calls();
     assert!(calls.iter().filter(|c| c.0.0 >= 60).count() == 6, "{calls:?}");
 }
 
 #[test]
 fn where_clients_leave_early_a_partial_answer_comes_before_they_do() {
     // In i85cd7c clients left after a third of the SLO time; the vertical with a floor has an answer by then.
-    let (mut root, mut tape) = fresh(7);
+    let (mut coordinator, mut tape) = fresh(7);
     for n in 0..4 {
-        ask(&mut root, &mut tape, n * 1000, 1, 0, &[0, 1, 2, 3, 4]);
-        turned(&mut root, n * 1000);
-        root.gone(&mut tape, at(n * 1000 + 500), QueryId(0));
+        ask(&mut coordinator, &mut tape, n * 1000, 1, 0, &[0, 1, 2, 3, 4]);
+        turned(&mut coordinator, n * 1000);
+        coordinator.gone(&mut tape, at(n * 1000 + 500), QueryId(0));
         for part in 0..5 {
-            end(&mut root, n * 1000 + 510, PartId(part), 0, AttemptOutcome::Cancelled);
+            end(&mut coordinator, n * 1000 + 510, PartId(part), 0, AttemptOutcome::Cancelled);
         }
     }
     let mut asked = Tape::default();
-    ask(&mut root, &mut asked, 5000, 1, 0, &[0, 1, 2, 3, 4]);
-    turned(&mut root, 5000);
+    ask(&mut coordinator, &mut asked, 5000, 1, 0, &[0, 1, 2, 3, 4]);
+    turned(&mut coordinator, 5000);
     for part in 0..4 {
-        end(&mut root, 5100, PartId(part), 0, AttemptOutcome::Success);
+        end(&mut coordinator, 5100, PartId(part), 0, AttemptOutcome::Success);
     }
-    let seen = helper::pass(&mut root, &asked.0, at(5499));
+    let seen = helper::pass(&mut coordinator, &asked.0, at(5499));
     assert!(seen.0.contains(&Act::Merge(QueryId(0), false)), "{:?}", seen.0);
 }
 
@@ -329,20 +329,20 @@
 fn two_stray_leavers_do_not_end_a_vertical() {
     // On a long day of sockets two clients in a row left early by chance; all others of that vertical were then
     // rejected for 100 s: their time was held too short for any answer, and only answers told who had stayed.
-    let (mut root, mut tape) = fresh(7);
+    let (mut coordinator, mut tape) = fresh(7);
     let mut begun = 0;
     for n in 0..60 {
         let (t, mut asked) = (n * 1000, Tape::default());
-        ask(&mut root, &mut asked, t, 0, 0, &[2]);
-        let calls = turned(&mut root, t).calls().len();
+        ask(&mut coordinator, &mut asked, t, 0, 0, &[2]);
+        let calls = turned(&mut coordinator, t).calls().len();
         if n == 30 || n == 31 {
-            root.gone(&mut tape, at(t + 30), QueryId(0));
-            end(&mut root, t + 31, PartId(0), 0, AttemptOutcome::Cancelled);
+            coordinator.gone(&mut tape, at(t + 30), QueryId(0));
+            end(&mut coordinator, t + 31, PartId(0), 0, AttemptOutcome::Cancelled);
         } else if calls == 1 {
             begun += usize::from(n > 31);
-            end(&mut root, t + 300, PartId(0), 0, AttemptOutcome::Success);
+            end(&mut coordinator, t + 300, PartId(0), 0, AttemptOutcome::Success);
         } else {
-            let seen = helper::pass(&mut root, &asked.0, at(t + 900)).0;
+            let seen = helper::pass(&mut coordinator, &asked.0, at(t + 900)).0;
             assert!(seen.contains(&Act::Reject(QueryId(0))), "not begun, so it is rejected early: {seen:?}");
         }
     }
@@ -352,19 +352,19 @@
 #[test]
 fn a_part_cut_off_leaves_its_leaf_in_but_a_leaf_that_always_cuts_goes_out() {
     // Leaves that closed connections after an answer were left out by turns, and the other holders got it all.
-    let (mut root, mut tape) = fresh(6);
-    ask(&mut root, &mut tape, 0, 0, 0, &[2]);
-    let cuts = turned(&mut root, 0).calls()[0].1;
-    end(&mut root, 1, PartId(0), 0, AttemptOutcome::Disconnected);
+    let (mut coordinator, mut tape) = fresh(6);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
+    let cuts = turned(&mut coordinator, 0).calls()[0].1;
+    end(&mut coordinator, 1, PartId(0), 0, AttemptOutcome::Disconnected);
     let times: Vec<i64> = (1..20).map(|n| 10 + n * 20).collect();
-    assert!(sent_to(&mut root, &mut tape, cuts, &times) > 0, "one cut is no fault");
-    let ((mut root, mut tape), mut sent, mut last) = (fresh(6), 0, 0);
+    assert!(sent_to(&mut coordinator, &mut tape, cuts, &times) > 0, "one cut is no fault");
+    let ((mut coordinator, mut tape), mut sent, mut last) = (fresh(6), 0, 0);
     for n in 0..120 {
         let t = n * 5;
-        ask(&mut root, &mut tape, t, 3, 0, &[2]);
-        let to = turned(&mut root, t).calls()[0].1;
+        ask(&mut coordinator, &mut tape, t, 3, 0, &[2]);
+        let to = turned(&mut coordinator, t).calls()[0].1;
         end(
-            &mut root,
+            &mut coordinator,
             t + 1,
             PartId(0),
             0,
@@ -376,26 +376,26 @@
 }
 
 /// A root that may probe; a query for shard 2 has sent its probes, one to each holder.
-fn probing(seed: u64) -> (Root, Tape) {
-    let (mut root, mut tape) =
-        (helper::root_on(helper::CELLS, helper::HOLD, seed, 2, true, true), Tape::default());
-    list(&mut root, &mut tape, &[]);
-    ask(&mut root, &mut tape, 0, 0, 0, &[2]);
-    let first = turned(&mut root, 0);
+fn probing(seed: u64) -> (Coordinator, Tape) {
+    let (mut coordinator, mut tape) =
+        (helper::coordinator_on(helper::CELLS, helper::HOLD, seed, 2, true, true), Tape::default());
+    list(&mut coordinator, &mut tape, &[]);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
+    let first = turned(&mut coordinator, 0);
     assert_eq!(first.0[..3], [2, 3, 4].map(|l| Act::Probe(ReplicaId(l))), "{:?}", first.0);
     assert_eq!(first.calls(), [], "it waits for them");
     tape.0.extend(first.0);
-    (root, tape)
+    (coordinator, tape)
 }
 
 #[test]
 fn a_leaf_silent_to_a_probe_is_no_candidate() {
     // In i052771 a tenth of the leaves fell silent, and every query of 75 parts had some there.
     for seed in 0..20 {
-        let (mut root, tape) = probing(seed);
-        root.probed(at(5), ReplicaId(2), AttemptOutcome::Success);
-        root.probed(at(5), ReplicaId(4), AttemptOutcome::Success);
-        let calls = helper::pass(&mut root, &tape.0, at(30)).calls();
+        let (mut coordinator, tape) = probing(seed);
+        coordinator.probed(at(5), ReplicaId(2), AttemptOutcome::Success);
+        coordinator.probed(at(5), ReplicaId(4), AttemptOutcome::Success);
+        let calls = helper::pass(&mut coordinator, &tape.0, at(30)).calls();
         assert!(calls.len() == 1 && calls[0].1 != ReplicaId(3), "{calls:?}");
     }
 }
@@ -404,12 +404,12 @@
 fn a_leaf_that_reports_to_hold_much_is_no_candidate() {
     // In i263f35 no co-ordinator saw the queues that 87 others had made.
     for seed in 0..20 {
-        let (mut root, _) = probing(seed);
+        let (mut coordinator, _) = probing(seed);
         for (leaf, held) in [(2, 9.0), (3, 0.0), (4, 8.0)] {
-            root.load_report(at(5), ReplicaId(leaf), Some(held), None);
-            root.probed(at(5), ReplicaId(leaf), AttemptOutcome::Success);
+            coordinator.load_report(at(5), ReplicaId(leaf), Some(held), None);
+            coordinator.probed(at(5), ReplicaId(leaf), AttemptOutcome::Success);
         }
-        let calls = turned(&mut root, 5).calls();
+        let calls = turned(&mut coordinator, 5).calls();
         assert_eq!(calls, [(PartId(0), ReplicaId(3))]);
     }
 }
@@ -418,13 +418,13 @@
 fn the_last_of_many_parts_is_overdue_before_the_rest_would_be() {
     // In id3caa8 queries with all but one or two parts in waited for these until their clients left.
     for (passed, copies) in [(9, 1), (5, 0)] {
-        let (mut root, mut tape) = fresh(3);
-        ask(&mut root, &mut tape, 0, 0, 0, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
-        assert_eq!(turned(&mut root, 0).calls().len(), 10);
+        let (mut coordinator, mut tape) = fresh(3);
+        ask(&mut coordinator, &mut tape, 0, 0, 0, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
+        assert_eq!(turned(&mut coordinator, 0).calls().len(), 10);
         for part in 0..passed {
-            end(&mut root, 10, PartId(part), 0, AttemptOutcome::Success);
+            end(&mut coordinator, 10, PartId(part), 0, AttemptOutcome::Success);
         }
-        let sent = helper::pass(&mut root, &tape.0, at(550)).calls().len();
+        let sent = helper::pass(&mut coordinator, &tape.0, at(550)).calls().len();
         assert_eq!(sent, copies, "with {passed} of ten in");
     }
 }
@@ -432,35 +432,38 @@
 #[test]
 fn a_leaf_not_heard_of_is_held_to_lag_as_all_did() {
     // At the grown size a co-ordinator meets a leaf once in half a minute; in i4a20e0 all of them were late.
-    let (mut root, mut tape) = lone_holders(40);
+    let (mut coordinator, mut tape) = lone_holders(40);
     let shards: Vec<u32> = (0..39).collect();
-    ask(&mut root, &mut tape, 0, 0, 0, &shards);
-    turned(&mut root, 0);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &shards);
+    turned(&mut coordinator, 0);
     for part in 0..39 {
-        end(&mut root, if part == 0 { 10 } else { 2500 }, PartId(part), 0, AttemptOutcome::Success);
+        end(&mut coordinator, if part == 0 { 10 } else { 2500 }, PartId(part), 0, AttemptOutcome::Success);
     }
-    ask(&mut root, &mut tape, 2510, 0, 50, &[39]);
-    assert_eq!(turned(&mut root, 2510).calls(), [], "not while the others have just lagged");
-    ask(&mut root, &mut tape, 6000, 0, 60, &[39]);
-    assert!(turned(&mut root, 6000).calls().contains(&(PartId(60), ReplicaId(39))), "the lag has drained");
+    ask(&mut coordinator, &mut tape, 2510, 0, 50, &[39]);
+    assert_eq!(turned(&mut coordinator, 2510).calls(), [], "not while the others have just lagged");
+    ask(&mut coordinator, &mut tape, 6000, 0, 60, &[39]);
+    assert!(
+        turned(&mut coordinator, 6000).calls().contains(&(PartId(60), ReplicaId(39))),
+        "the lag has drained"
+    );
 }
 
 #[test]
 fn a_client_with_little_time_left_is_told_soon() {
     // Shares of the SLO time are of the client's time where that is shorter (i9ec2ef).
-    let (mut root, mut tape) = (root(1, 2, true), Tape::default());
-    root.query(&mut tape, at(0), QueryId(0), RequestClassId(0), ms(300), None, 1.0);
-    root.part(&mut tape, at(0), PartId(0), QueryId(0), 0, 1.0, None);
-    let seen = helper::pass(&mut root, &tape.0, at(60));
+    let (mut coordinator, mut tape) = (coordinator(1, 2, true), Tape::default());
+    coordinator.query(&mut tape, at(0), QueryId(0), RequestClassId(0), ms(300), None, 1.0);
+    coordinator.part(&mut tape, at(0), PartId(0), QueryId(0), 0, 1.0, None);
+    let seen = helper::pass(&mut coordinator, &tape.0, at(60));
     assert!(seen.0.contains(&Act::Reject(QueryId(0))), "no leaf is listed: {:?}", seen.0);
 }
 
 #[test]
 fn the_generator_is_even_and_follows_its_seed() {
-    use pipitcrank_core::chance::Chance;
+    use pipitcrank_core::rng::Rng;
     let draw = |seed| {
-        let mut chance = Chance::new(seed);
-        (0..6000).map(|_| chance.below(6)).collect::<Vec<_>>()
+        let mut rng = Rng::new(seed);
+        (0..6000).map(|_| rng.below(6)).collect::<Vec<_>>()
     };
     assert_eq!(draw(7), draw(7));
     assert_ne!(draw(7), draw(8));
@@ -475,14 +478,14 @@
     // On the fleet's herd and join days queries that may be partial, of 200 parts, filled the one good holder of each
     // shard whose other holder was stuck; queries that need every part were rejected unsent, three of four.
     for (vertical, goes) in [(1, false), (0, true)] {
-        let (mut root, mut tape) = fresh(3);
+        let (mut coordinator, mut tape) = fresh(3);
         // All holders of shard 2 have something out, which takes a sixth of the SLO time.
         for n in 0..3 {
-            ask(&mut root, &mut tape, n, 2, n as u32, &[2]);
-            turned(&mut root, n);
+            ask(&mut coordinator, &mut tape, n, 2, n as u32, &[2]);
+            turned(&mut coordinator, n);
         }
-        ask(&mut root, &mut tape, 100, vertical, 50, &[2, 5, 0]);
-        let calls = turned(&mut root, 100).calls();
+        ask(&mut coordinator, &mut tape, 100, vertical, 50, &[2, 5, 0]);
+        let calls = turned(&mut coordinator, 100).calls();
         assert_eq!(calls.iter().any(|c| c.0 == PartId(50)), goes, "{calls:?}");
         assert!(calls.iter().any(|c| c.0 == PartId(51)), "others go in any case: {calls:?}");
     }
@@ -491,15 +494,15 @@
 #[test]
 fn what_waits_is_bounded_first_and_a_long_part_of_ones_own_is_not() {
     // A share of the time left for all, own work included, kept a vertical of long parts from ever beginning.
-    let (mut root, mut tape) = fresh(3);
-    ask(&mut root, &mut tape, 0, 0, 0, &[2]);
-    turned(&mut root, 0);
+    let (mut coordinator, mut tape) = fresh(3);
+    ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
+    turned(&mut coordinator, 0);
     // A part takes over a fifth of the SLO time; nobody else asks anything.
-    end(&mut root, 330, PartId(0), 0, AttemptOutcome::Success);
+    end(&mut coordinator, 330, PartId(0), 0, AttemptOutcome::Success);
     for n in 1..20 {
         let t = n * 5000;
-        ask(&mut root, &mut tape, t, 0, 0, &[2]);
-        assert_eq!(turned(&mut root, t).calls().len(), 1, "query {n}");
-        end(&mut root, t + 330, PartId(0), 0, AttemptOutcome::Success);
+        ask(&mut coordinator, &mut tape, t, 0, 0, &[2]);
+        assert_eq!(turned(&mut coordinator, t).calls().len(), 1, "query {n}");
+        end(&mut coordinator, t + 330, PartId(0), 0, AttemptOutcome::Success);
     }
 }
--- a/crates/pipitcrank-core/tests/cold.rs
+++ b/crates/pipitcrank-core/tests/cold.rs
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use helper::{Act, Tape, at, ms};
-use pipitcrank_core::chance::Chance;
-use pipitcrank_core::decide::Root;
+use pipitcrank_core::coordinator::Coordinator;
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::rng::Rng;
 use pipitcrank_core::time::Timestamp;
 
 /// Work of a part, and the helper's rules for cold leaves: three times what they can do in 2 s, from a fifth of it on,
@@ -23,7 +23,7 @@
 const BEFORE_MS: i64 = 6000;
 
 struct Copy {
-    root: Root,
+    coordinator: Coordinator,
     /// Queries a step.
     rate: f64,
     alarms: VecDeque<(Timestamp, u64)>,
@@ -44,16 +44,16 @@
 
 /// Parts that each leaf got while cold, by their time after its start.
 fn played(fleet: Fleet, cold: u32, seed: u64) -> BTreeMap<ReplicaId, Vec<i64>> {
-    let mut chance = Chance::new(seed);
+    let mut rng = Rng::new(seed);
     // Each leaf does a second's work in a second.
     let all = f64::from(helper::CELLS) * fleet.load * STEP_MS as f64 / WORK_MS as f64;
     let mean = all / (fleet.copies as f64 - 1.0 + fleet.first_is);
     let mut copies: Vec<Copy> = (0..fleet.copies)
         .map(|n| {
-            let mut root = helper::root_among(seed * 1000 + n as u64, fleet.copies as u32);
-            helper::list(&mut root, &mut Tape::default(), &[]);
+            let mut coordinator = helper::coordinator_among(seed * 1000 + n as u64, fleet.copies as u32);
+            helper::list(&mut coordinator, &mut Tape::default(), &[]);
             let rate = if n == 0 { mean * fleet.first_is } else { mean };
-            Copy { root, rate, alarms: VecDeque::new(), asked: 0, calls: BTreeMap::new() }
+            Copy { coordinator, rate, alarms: VecDeque::new(), asked: 0, calls: BTreeMap::new() }
         })
         .collect();
     let mut ends: BTreeMap<i64, Vec<(usize, PartId, u32)>> = BTreeMap::new();
@@ -66,25 +66,25 @@
             let mut tape = Tape::default();
             if starts {
                 let started: Vec<_> = (0..cold).map(|leaf| (leaf, now)).collect();
-                helper::list(&mut copy.root, &mut tape, &started);
+                helper::list(&mut copy.coordinator, &mut tape, &started);
             }
             for &(_, part, nth) in due.iter().filter(|d| d.0 == n) {
-                copy.root.ended(&mut tape, now, part, nth, AttemptOutcome::Success);
+                copy.coordinator.ended(&mut tape, now, part, nth, AttemptOutcome::Success);
             }
             while copy.alarms.front().is_some_and(|a| a.0 <= now) {
                 let (_, label) = copy.alarms.pop_front().unwrap();
-                copy.root.woken(&mut tape, now, label);
+                copy.coordinator.woken(&mut tape, now, label);
             }
             let rate = copy.rate * if now_ms >= BEFORE_MS { fleet.surge } else { 1.0 };
-            let asks = rate.floor() as u32 + u32::from(chance.share() < rate.fract());
+            let asks = rate.floor() as u32 + u32::from(rng.fraction() < rate.fract());
             for _ in 0..asks {
                 let (query, part) = (QueryId(copy.asked), PartId(copy.asked));
                 copy.asked += 1;
-                let shard = chance.below(helper::CELLS as usize) as u32;
-                copy.root.query(&mut tape, now, query, RequestClassId(0), ms(4000), None, 1.0);
-                copy.root.part(&mut tape, now, part, query, shard, 1.0, None);
+                let shard = rng.below(helper::CELLS as usize) as u32;
+                copy.coordinator.query(&mut tape, now, query, RequestClassId(0), ms(4000), None, 1.0);
+                copy.coordinator.part(&mut tape, now, part, query, shard, 1.0, None);
             }
-            copy.root.turn(&mut tape, now);
+            copy.coordinator.turn(&mut tape, now);
             for act in tape.0 {
                 match act {
                     Act::Call(part, leaf) => {
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -1,9 +1,11 @@
 //! A port that writes down what the module asks for, and a root over a small ring of leaves.
 
-use pipitcrank_core::chance::Chance;
-use pipitcrank_core::decide::{Budget, Cover, FailBack, Root, Terms, Tries};
+use pipitcrank_core::coordinator::{
+    Coordinator, RequestClassConfig, RetryBudget, RetryPolicy, SetCover, SlowStart,
+};
 use pipitcrank_core::ids::{Idempotency, PartId, QueryId, RejectReason, ReplicaId};
-use pipitcrank_core::port::Port;
+use pipitcrank_core::output::CoordinatorOutput;
+use pipitcrank_core::rng::Rng;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -24,7 +26,7 @@
 #[derive(Default)]
 pub struct Tape(pub Vec<Act>);
 
-impl Port for Tape {
+impl CoordinatorOutput for Tape {
     fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, _until: Timestamp) {
         self.0.push(Act::Call(part, leaf));
     }
@@ -101,37 +103,37 @@
 }
 
 #[allow(dead_code)] // not every test file has a ring of its own
-pub fn root(seed: u64, call_size: usize, may_duplicate: bool) -> Root {
-    root_on(CELLS, HOLD, seed, call_size, may_duplicate, false)
+pub fn coordinator(seed: u64, call_size: usize, may_duplicate: bool) -> Coordinator {
+    coordinator_on(CELLS, HOLD, seed, call_size, may_duplicate, false)
 }
 
-pub fn root_on(
+pub fn coordinator_on(
     cells: u32,
     hold: u32,
     seed: u64,
     call_size: usize,
     may_duplicate: bool,
     may_probe: bool,
-) -> Root {
-    let mut root = bare(cells, hold, seed, call_size, may_duplicate, may_probe, 1);
-    verticals(&mut root, "v");
-    root
+) -> Coordinator {
+    let mut coordinator = bare(cells, hold, seed, call_size, may_duplicate, may_probe, 1);
+    verticals(&mut coordinator, "v");
+    coordinator
 }
 
 /// One of so many co-ordinators.
 #[allow(dead_code)] // the cases use it, the rules do not
-pub fn root_among(seed: u64, among: u32) -> Root {
-    let mut root = bare(CELLS, HOLD, seed, 2, true, false, among);
-    verticals(&mut root, "v");
-    root
+pub fn coordinator_among(seed: u64, among: u32) -> Coordinator {
+    let mut coordinator = bare(CELLS, HOLD, seed, 2, true, false, among);
+    verticals(&mut coordinator, "v");
+    coordinator
 }
 
 /// A root as the tests' at another deployment: the same leaves and rules, verticals of other names.
 #[allow(dead_code)] // the cases use it, the rules do not
-pub fn root_named(seed: u64, prefix: &str) -> Root {
-    let mut root = bare(CELLS, HOLD, seed, 2, true, false, 1);
-    verticals(&mut root, prefix);
-    root
+pub fn coordinator_named(seed: u64, prefix: &str) -> Coordinator {
+    let mut coordinator = bare(CELLS, HOLD, seed, 2, true, false, 1);
+    verticals(&mut coordinator, prefix);
+    coordinator
 }
 
 fn bare(
@@ -142,8 +144,8 @@
     may_duplicate: bool,
     may_probe: bool,
     among: u32,
-) -> Root {
-    let tries = Tries {
+) -> Coordinator {
+    let tries = RetryPolicy {
         limit: TRY_LIMIT as u32,
         may_duplicate,
         may_abandon: true,
@@ -151,7 +153,7 @@
         longest_stay_away: Some(ms(500)),
         way: WAY,
     };
-    let fail_back = FailBack {
+    let slow_start = SlowStart {
         cold_from: 0.2,
         cold: ms(10_000),
         factor: 3.0,
@@ -159,15 +161,15 @@
         shut: Timestamp::from_micros(i64::MIN),
         among,
     };
-    let budget = Budget::new(SHARE, FREE, Some(BUDGET_SPAN));
-    let cover = Cover::new(cells, hold, call_size, ms(50));
-    Root::new(Chance::new(seed), cover, budget, fail_back, tries, true, TICK)
+    let budget = RetryBudget::new(SHARE, FREE, Some(BUDGET_SPAN));
+    let cover = SetCover::new(cells, hold, call_size, ms(50));
+    Coordinator::new(Rng::new(seed), cover, budget, slow_start, tries, true, TICK)
 }
 
 /// The verticals of the tests, named from `prefix` and their number.
-pub fn verticals(root: &mut Root, prefix: &str) {
+pub fn verticals(coordinator: &mut Coordinator, prefix: &str) {
     for (n, (floor, whole_from)) in FLOORS.into_iter().enumerate() {
-        root.vertical(Terms {
+        coordinator.vertical(RequestClassConfig {
             name: format!("{prefix}{n}"),
             idempotency: EFFECTS[n],
             dedup_window: DEDUP,
@@ -184,18 +186,18 @@
 
 #[allow(dead_code)] // the cases of zones list their own
 /// Lists one leaf a cell, all long up but those named, which started at that time.
-pub fn list(root: &mut Root, tape: &mut Tape, cold: &[(u32, Timestamp)]) {
-    root.list_begin(true);
+pub fn list(coordinator: &mut Coordinator, tape: &mut Tape, cold: &[(u32, Timestamp)]) {
+    coordinator.list_begin(true);
     for n in 0..CELLS {
         let started = cold.iter().find(|(l, _)| *l == n).map(|(_, t)| *t);
-        root.leaf(ReplicaId(n), n, true, started);
+        coordinator.leaf(ReplicaId(n), n, true, started);
     }
-    root.list_end(tape);
+    coordinator.list_end(tape);
 }
 
 /// Rings the alarms that the acts set, and those set meanwhile, up to a time; a turn after each. What was done.
 #[allow(dead_code)] // not every test file lets time pass alone
-pub fn pass(root: &mut Root, acts: &[Act], until: Timestamp) -> Tape {
+pub fn pass(coordinator: &mut Coordinator, acts: &[Act], until: Timestamp) -> Tape {
     let mut done = Tape::default();
     let mut seen = acts.to_vec();
     while let Some((n, due, label)) = (seen.iter().enumerate())
@@ -205,8 +207,8 @@
     {
         seen.remove(n);
         let mut tape = Tape::default();
-        root.woken(&mut tape, due, label);
-        root.turn(&mut tape, due);
+        coordinator.woken(&mut tape, due, label);
+        coordinator.turn(&mut tape, due);
         seen.extend(tape.0.iter().cloned());
         done.0.extend(tape.0);
     }
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use helper::{Act, Tape, at, ms};
-use pipitcrank_core::decide::Root;
+use pipitcrank_core::coordinator::Coordinator;
 use pipitcrank_core::ids::{AttemptOutcome, Idempotency, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use proptest::prelude::*;
@@ -68,7 +68,7 @@
 /// The model: what is known from the events alone.
 struct World {
     now: Timestamp,
-    root: Root,
+    coordinator: Coordinator,
     duplicates: bool,
     asked: BTreeMap<QueryId, Asked>,
     pieces: BTreeMap<PartId, Piece>,
@@ -186,7 +186,15 @@
         let id = PartId((0..).find(|n| !self.pieces.contains_key(&PartId(*n))).unwrap());
         self.pieces.insert(id, Piece { query, shard, weight, step, calls: Vec::new(), passed: false });
         self.taken.push(self.now);
-        self.root.part(tape, self.now, id, query, shard, weight, shard.is_multiple_of(2).then_some(0.1));
+        self.coordinator.part(
+            tape,
+            self.now,
+            id,
+            query,
+            shard,
+            weight,
+            shard.is_multiple_of(2).then_some(0.1),
+        );
     }
 
     /// One event, then the turn that ends its moment.
@@ -195,7 +203,7 @@
         event(self, &mut tape);
         self.did(tape)?;
         let mut tape = Tape::default();
-        self.root.turn(&mut tape, self.now);
+        self.coordinator.turn(&mut tape, self.now);
         self.did(tape)
     }
 
@@ -208,7 +216,7 @@
         self.taken.push(self.now);
         self.asked.insert(query, Asked { vertical, arrived: self.now, ends, step: 0, first_whole: true });
         self.event(|w, tape| {
-            w.root.query(
+            w.coordinator.query(
                 tape,
                 w.now,
                 query,
@@ -238,7 +246,7 @@
         let waited = self.asked.get(&piece.query).is_some_and(|a| a.step == piece.step);
         piece.passed |= outcome == AttemptOutcome::Success && waited;
         self.merged_any |= outcome == AttemptOutcome::Success;
-        self.event(|w, tape| w.root.ended(tape, w.now, id, nth as u32, outcome))
+        self.event(|w, tape| w.coordinator.ended(tape, w.now, id, nth as u32, outcome))
     }
 
     fn pass(&mut self, span: TimeSpan) -> Result<(), TestCaseError> {
@@ -247,7 +255,7 @@
         {
             self.alarms.remove(&(due, label));
             self.now = self.now.max(due);
-            self.event(|w, tape| w.root.woken(tape, w.now, label))?;
+            self.event(|w, tape| w.coordinator.woken(tape, w.now, label))?;
         }
         self.now = until;
         let lost = self.asked.values().any(|a| self.now >= a.ends);
@@ -273,7 +281,7 @@
     fn the_rules_hold(seed in any::<u64>(), duplicates in any::<bool>(), ops in prop::collection::vec(op(), 1..90)) {
         let mut w = World {
             now: at(0),
-            root: helper::root(seed, 2, duplicates),
+            coordinator: helper::coordinator(seed, 2, duplicates),
             duplicates,
             asked: BTreeMap::new(),
             pieces: BTreeMap::new(),
@@ -286,15 +294,15 @@
             cold_sends: Vec::new(),
         };
         w.event(|w, tape| {
-            w.root.start(tape);
-            helper::list(&mut w.root, tape, &[]);
+            w.coordinator.start(tape);
+            helper::list(&mut w.coordinator, tape, &[]);
         })?;
         for op in ops {
             match op {
                 Op::Ask { vertical, first, count, left } => w.ask(vertical, first, count, ms(left))?,
                 Op::End { which, outcome } => w.end(which, OUTCOMES[outcome])?,
                 Op::Pass(span) => w.pass(ms(span))?,
-                Op::ListFails => w.event(|w, tape| w.root.list_failed(tape, w.now))?,
+                Op::ListFails => w.event(|w, tape| w.coordinator.list_failed(tape, w.now))?,
                 Op::List { leaf, up, cold } => {
                     w.up[leaf as usize] = up;
                     if cold {
@@ -302,9 +310,9 @@
                     }
                     let started = w.started[leaf as usize];
                     w.event(|w, tape| {
-                        w.root.list_begin(false);
-                        w.root.leaf(ReplicaId(leaf), leaf, up, started);
-                        w.root.list_end(tape);
+                        w.coordinator.list_begin(false);
+                        w.coordinator.leaf(ReplicaId(leaf), leaf, up, started);
+                        w.coordinator.list_end(tape);
                     })?;
                 }
                 Op::Gone(which) => {
@@ -312,7 +320,7 @@
                     if !open.is_empty() {
                         let query = open[which % open.len()];
                         w.asked.remove(&query);
-                        w.event(|w, tape| w.root.gone(tape, w.now, query))?;
+                        w.event(|w, tape| w.coordinator.gone(tape, w.now, query))?;
                     }
                 }
             }
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use pipitcrank_core::config::SettingsReader;
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_core::told::Told;
 use pipitcrank_server::counters::Counters;
 use pipitcrank_server::exchange::{Asked, AskedPart, CallNo, Exchange, Final, LeafSide, Listed};
 use serde_json::json;
@@ -57,8 +57,8 @@
                 "extra_free": 5, "budget_span_s": 10.0},
             "tick_s": 0.005
         });
-        let root = Told::new(&told).root(11).expect("a charter of our own is good");
-        let mut exchange = Exchange::new(root, most_open, 8, Counters::default());
+        let coordinator = SettingsReader::new(&told).coordinator(11).expect("a charter of our own is good");
+        let mut exchange = Exchange::new(coordinator, most_open, 8, Counters::default());
         exchange.list(Timestamp::default(), true, (0..leaves).map(|n| row(n, cells, true)).collect());
         let (noted, finals) = (Noted::default(), Rc::default());
         let mut stage = Stage { exchange, noted, now: Timestamp::default(), finals, cells, shards, asked: 0 };
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use pipitcrank_core::decide::Budget;
+use pipitcrank_core::config::SettingsReader;
+use pipitcrank_core::coordinator::RetryBudget;
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_core::told::Told;
 use pipitcrank_gateway::far::Far;
 use pipitcrank_gateway::frames::{Forward, How, Said, VERSION, encode, take};
 use pipitcrank_server::clock::Clock;
@@ -69,7 +69,7 @@
         let address = free.local_addr().unwrap();
         drop(free);
         let (clock, counters) = (Clock::start(), Counters::default());
-        let root = Told::new(&serde_json::from_str(TOLD).unwrap()).root(1).unwrap();
+        let root = SettingsReader::new(&serde_json::from_str(TOLD).unwrap()).coordinator(1).unwrap();
         let mut exchange = Exchange::new(root, 1000, 4, counters.clone());
         let row =
             Listed { uid: "l".into(), address: Some(address), cell: 0, zone: None, up: true, started: None };
@@ -386,7 +386,7 @@
         steps in proptest::collection::vec(step(), 0..250), free in 0u32..6, share in 0.0f64..0.6, span_ms in 500i64..8000)
     {
         let (free, span) = (f64::from(free), TimeSpan::from_millis(span_ms));
-        let mut near = Budget::new(share, free, Some(span));
+        let mut near = RetryBudget::new(share, free, Some(span));
         let (mut now, mut taken, mut made) = (Timestamp::default(), Vec::new(), Vec::new());
         let mut out: Vec<(u64, u32, u32, Timestamp, bool)> = Vec::new();
         let mut who = 0;
--- a/crates/pipitcrank-handover/src/division.rs
+++ b/crates/pipitcrank-handover/src/division.rs
@@ -10,7 +10,7 @@
 //!
 //! **Sockets and open queries**: the old one keeps what it has and tells the new one as that shrinks.
 
-use pipitcrank_core::decide::known::Known;
+use pipitcrank_core::coordinator::learned_state::LearnedState;
 use pipitcrank_core::time::TimeSpan;
 
 /// Of what is left in the window, the share that the old one keeps for the queries that it finishes: it has all open
@@ -28,7 +28,7 @@
 
 /// Divides the budget: what the old process keeps, while `known` becomes what the new one goes on with. `longest` is how
 /// long the old one may need for what it holds.
-pub fn divide(free: f64, share: f64, span: TimeSpan, longest: TimeSpan, known: &mut Known) -> Purse {
+pub fn divide(free: f64, share: f64, span: TimeSpan, longest: TimeSpan, known: &mut LearnedState) -> Purse {
     // Without a budget neither process counts.
     if span <= TimeSpan::ZERO {
         return Purse { further: 0, within: longest };
--- a/crates/pipitcrank-handover/src/division/tests.rs
+++ b/crates/pipitcrank-handover/src/division/tests.rs
@@ -1,4 +1,4 @@
-use pipitcrank_core::decide::Budget;
+use pipitcrank_core::coordinator::RetryBudget;
 use pipitcrank_core::time::Timestamp;
 use proptest::prelude::*;
 
@@ -50,7 +50,7 @@
         skew_us in -5000i64..5000, old_gone_at in 0usize..200,
     ) {
         let (free, span) = (f64::from(free), TimeSpan::from_millis(span_ms));
-        let mut one = Budget::new(share, free, Some(span));
+        let mut one = RetryBudget::new(share, free, Some(span));
         let (mut now, mut taken, mut made) = (Timestamp::default(), Vec::new(), Vec::new());
         for step in before {
             match step {
@@ -61,14 +61,14 @@
             }
         }
         one.left(now);
-        let mut known = Known::default();
+        let mut known = LearnedState::default();
         known.taken = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
         known.further = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
         let purse = divide(free, share, span, TimeSpan::from_millis(longest_ms), &mut known);
         let (mut purse_left, until) = (purse.further, now + purse.within);
         // The new one's clock is a little off.
         let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
-        let mut new = Budget::new(share, free, Some(span));
+        let mut new = RetryBudget::new(share, free, Some(span));
         for (&age, further) in known.taken.iter().map(|a| (a, false)).chain(known.further.iter().map(|a| (a, true))) {
             let at = now - age + skew;
             if further { new.spend(at) } else { new.take(at) }
@@ -107,7 +107,7 @@
 
 #[test]
 fn without_a_budget_or_room_nothing_is_lent() {
-    let mut known = Known::default();
+    let mut known = LearnedState::default();
     assert_eq!(divide(0.0, 0.0, TimeSpan::ZERO, TimeSpan::from_millis(5), &mut known).further, 0);
     known.further = vec![TimeSpan::ZERO; 3];
     known.further.clear();
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use pipitcrank_core::decide::known::Known;
+use pipitcrank_core::coordinator::learned_state::LearnedState;
 use pipitcrank_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
@@ -23,7 +23,7 @@
     /// Version of discovery's list, where one is held.
     pub rev: Option<u64>,
     pub leaves: Vec<SeenLeaf>,
-    pub known: Known,
+    pub known: LearnedState,
     /// Further calls that stay with the giver, and for how long.
     pub lent: (u32, TimeSpan),
 }
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -12,11 +12,11 @@
         started: (n > 1).then(|| TimeSpan::from_millis(70)),
         off: (n == 3).then(|| TimeSpan::from_millis(5)),
     };
-    let mut known = Known::default();
+    let mut known = LearnedState::default();
     known.taken = vec![TimeSpan::from_millis(3); 9];
     // The share of the time left that is filled starts between its bounds.
-    let mut root = pipitcrank_core::decide::Root::new(
-        pipitcrank_core::chance::Chance::new(1),
+    let mut coordinator = pipitcrank_core::coordinator::Coordinator::new(
+        pipitcrank_core::rng::Rng::new(1),
         Default::default(),
         Default::default(),
         Default::default(),
@@ -24,7 +24,7 @@
         false,
         TimeSpan::from_millis(5),
     );
-    let mut fresh = root.known(pipitcrank_core::time::Timestamp::default());
+    let mut fresh = coordinator.known(pipitcrank_core::time::Timestamp::default());
     fresh.taken = known.taken;
     Snapshot {
         taken_us: 5,
--- a/crates/pipitcrank-recovery/src/beliefs/tests.rs
+++ b/crates/pipitcrank-recovery/src/beliefs/tests.rs
@@ -10,8 +10,8 @@
 
 fn some(now: Clocks) -> Beliefs {
     let peer = Peer { address: ([127, 0, 0, 1], 9).into(), instance: 5, zone: 0 };
-    let known = pipitcrank_core::decide::Root::new(
-        pipitcrank_core::chance::Chance::new(1),
+    let known = pipitcrank_core::coordinator::Coordinator::new(
+        pipitcrank_core::rng::Rng::new(1),
         Default::default(),
         Default::default(),
         Default::default(),
--- a/crates/pipitcrank-server/src/charter.rs
+++ b/crates/pipitcrank-server/src/charter.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use axum::http::uri::Authority;
-use pipitcrank_core::decide::zones::ZoneId;
+use pipitcrank_core::config::{ConfigError, SettingsReader};
+use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_core::told::{Faulty, Told};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -28,45 +28,46 @@
 
 impl<V: Fn(&str) -> Option<String>> Charter<V> {
     /// From the file's text and the variables, which go before it.
-    pub fn read(text: &str, variable: V) -> Result<Charter<V>, Faulty> {
-        let not_json = |e| Faulty { key: "NODE_CONFIG".to_string(), what: format!("is not JSON: {e}") };
+    pub fn read(text: &str, variable: V) -> Result<Charter<V>, ConfigError> {
+        let not_json =
+            |e| ConfigError { key: "NODE_CONFIG".to_string(), reason: format!("is not JSON: {e}") };
         Ok(Charter { all: serde_json::from_str(text).map_err(not_json)?, variable })
     }
 
-    fn told(&self) -> Told<'_> {
-        Told::new(&self.all)
+    fn told(&self) -> SettingsReader<'_> {
+        SettingsReader::new(&self.all)
     }
 
-    fn settings(&self) -> Result<Told<'_>, Faulty> {
+    fn settings(&self) -> Result<SettingsReader<'_>, ConfigError> {
         self.told().under("/settings")
     }
 
-    fn word(&self, key: &str, variable: &str) -> Result<String, Faulty> {
+    fn word(&self, key: &str, variable: &str) -> Result<String, ConfigError> {
         match (self.variable)(variable) {
             Some(value) => Ok(value),
             None => Ok(self.told().text(key)?.to_string()),
         }
     }
 
-    pub fn name(&self) -> Result<String, Faulty> {
+    pub fn name(&self) -> Result<String, ConfigError> {
         self.word("/name", "NODE_NAME")
     }
 
-    pub fn listen(&self) -> Result<SocketAddr, Faulty> {
+    pub fn listen(&self) -> Result<SocketAddr, ConfigError> {
         let listen = self.word("/listen", "NODE_LISTEN")?;
-        let wrong = |_| self.told().faulty("/listen", &format!("is '{listen}', no address and port"));
+        let wrong = |_| self.told().error("/listen", &format!("is '{listen}', no address and port"));
         listen.parse().map_err(wrong)
     }
 
-    pub fn discovery(&self) -> Result<String, Faulty> {
+    pub fn discovery(&self) -> Result<String, ConfigError> {
         let address = self.word("/discovery", "NODE_DISCOVERY")?;
         let sound = address.parse::<Authority>().is_ok_and(|a| a.port_u16().is_some());
-        let wrong = || self.told().faulty("/discovery", &format!("is '{address}', no address and port"));
+        let wrong = || self.told().error("/discovery", &format!("is '{address}', no address and port"));
         if sound { Ok(address) } else { Err(wrong()) }
     }
 
     /// What of it could not be started with: the first fault of each part, each key once.
-    pub fn faults(&self, clock: &Clock) -> Vec<Faulty> {
+    pub fn faults(&self, clock: &Clock) -> Vec<ConfigError> {
         let parts = [
             self.name().err(),
             self.listen().err(),
@@ -82,7 +83,7 @@
             self.longest().err(),
             self.lists_are_asked_for().err(),
         ];
-        let mut faults: Vec<Faulty> = Vec::new();
+        let mut faults: Vec<ConfigError> = Vec::new();
         for fault in parts.into_iter().flatten() {
             if faults.iter().all(|f| f.key != fault.key) {
                 faults.push(fault);
@@ -92,13 +93,13 @@
     }
 
     /// Whether all of it could be started with.
-    pub fn check(&self, clock: &Clock) -> Result<(), Faulty> {
+    pub fn check(&self, clock: &Clock) -> Result<(), ConfigError> {
         self.faults(clock).into_iter().next().map_or(Ok(()), Err)
     }
 
     /// The list of leaves as last held, and its version.
-    pub fn known(&self, clock: &Clock) -> Result<(u64, Vec<Listed>), Faulty> {
-        let wrong = |what: String| self.told().faulty("/known", &format!("is no list: {what}"));
+    pub fn known(&self, clock: &Clock) -> Result<(u64, Vec<Listed>), ConfigError> {
+        let wrong = |reason: String| self.told().error("/known", &format!("is no list: {reason}"));
         let known = self.all.get("known").ok_or_else(|| wrong("it is missing".to_string()))?;
         let known = News::deserialize(known).map_err(|e| wrong(e.to_string()))?;
         let (rev, (_, rows)) = (known.rev, known.rows(clock).map_err(wrong)?);
@@ -108,37 +109,35 @@
             if let (Some(names), Some(zone)) = (&names, &row.zone)
                 && !names.contains(zone)
             {
-                let what = format!("is '{zone}', none of /settings/zones: {}", names.join(", "));
-                return Err(self.told().faulty(&format!("/known/targets/{n}/az"), &what));
+                let reason = format!("is '{zone}', none of /settings/zones: {}", names.join(", "));
+                return Err(self.told().error(&format!("/known/targets/{n}/az"), &reason));
             }
         }
         Ok((rev, rows))
     }
 
     /// Sockets for leaves and clients together, at most.
-    pub fn sockets(&self) -> Result<usize, Faulty> {
+    pub fn sockets(&self) -> Result<usize, ConfigError> {
         match self.told().count("/limits/sockets")? {
             most if most >= 2 * OWN_SOCKETS => Ok((most - OWN_SOCKETS) as usize),
-            few => {
-                Err(self.told().faulty("/limits/sockets", &format!("is {few}, under {}", 2 * OWN_SOCKETS)))
-            }
+            few => Err(self.told().error("/limits/sockets", &format!("is {few}, under {}", 2 * OWN_SOCKETS))),
         }
     }
 
     /// The names of the verticals, in the module's order.
-    pub fn verticals(&self) -> Result<Vec<String>, Faulty> {
+    pub fn verticals(&self) -> Result<Vec<String>, ConfigError> {
         self.settings()?.verticals()
     }
 
     /// Whether leaves know a repeat by the client's key, by vertical.
-    pub fn deduplicated(&self) -> Result<Vec<bool>, Faulty> {
+    pub fn deduplicated(&self) -> Result<Vec<bool>, ConfigError> {
         let settings = self.settings()?;
         let keyed = |n| Ok(settings.text(&format!("/classes/{n}/idempotency"))? == "keyed");
         (0..settings.verticals()?.len()).map(keyed).collect()
     }
 
     /// Utility of a vertical's whole answer, in the module's order; 1 where nothing is said.
-    pub fn utilities(&self) -> Result<Vec<f64>, Faulty> {
+    pub fn utilities(&self) -> Result<Vec<f64>, ConfigError> {
         let settings = self.settings()?;
         (0..settings.verticals()?.len())
             .map(|n| settings.number_or(&format!("/classes/{n}/worth"), 1.0))
@@ -146,37 +145,37 @@
     }
 
     /// What passes in a time without any promise: the longest that a client is waited for.
-    pub fn longest(&self) -> Result<TimeSpan, Faulty> {
+    pub fn longest(&self) -> Result<TimeSpan, ConfigError> {
         let settings = self.settings()?;
         let mut limits = (0..settings.verticals()?.len()).map(|n| {
             let key = format!("/classes/{n}/hard_limit_s");
             match settings.span(&key)? {
                 limit if limit > TimeSpan::ZERO => Ok(limit),
-                _ => Err(settings.faulty(&key, "leaves no time to answer in; accepted: seconds above 0")),
+                _ => Err(settings.error(&key, "leaves no time to answer in; accepted: seconds above 0")),
             }
         });
         limits.try_fold(TimeSpan::ZERO, |most, next| Ok(most.max(next?)))
     }
 
     /// Cells that a site's leaves stand in.
-    pub fn cells(&self) -> Result<u32, Faulty> {
+    pub fn cells(&self) -> Result<u32, ConfigError> {
         self.settings()?.count("/domain/sets")
     }
 
-    pub fn shards(&self) -> Result<u32, Faulty> {
+    pub fn shards(&self) -> Result<u32, ConfigError> {
         self.settings()?.count("/domain/shards")
     }
 
-    pub fn tick(&self) -> Result<TimeSpan, Faulty> {
+    pub fn tick(&self) -> Result<TimeSpan, ConfigError> {
         self.settings()?.span("/tick_s")
     }
 
-    pub fn exchange(&self, counters: Counters) -> Result<Exchange, Faulty> {
+    pub fn exchange(&self, counters: Counters) -> Result<Exchange, ConfigError> {
         let settings = self.settings()?;
         for n in 0..settings.verticals()?.len() {
             let key = format!("/domain/follow_up/{n}");
             if settings.number(&key)? > 0.0 {
-                return Err(settings.faulty(&key, "asks for a second step, which sockets don't have"));
+                return Err(settings.error(&key, "asks for a second step, which sockets don't have"));
             }
         }
         let zones = self.zones()?.map_or(Vec::new(), |(_, names)| names);
@@ -189,7 +188,7 @@
             *told = call_size.into();
         }
         let mut exchange = Exchange::new(
-            Told::new(&all).under("/settings")?.root(seed)?,
+            SettingsReader::new(&all).under("/settings")?.coordinator(seed)?,
             settings.count("/allowed/max_open")? as usize,
             call_size as usize,
             counters,
@@ -200,7 +199,7 @@
     }
 
     /// What the run-time check of the rules goes by.
-    fn audit_terms(&self) -> Result<audit::Terms, Faulty> {
+    fn audit_terms(&self) -> Result<audit::Terms, ConfigError> {
         let settings = self.settings()?;
         let vertical = |n: usize| {
             let window = settings.number_or(&format!("/classes/{n}/dedup_window_s"), 0.0)?;
@@ -224,53 +223,53 @@
     }
 
     /// What its chance is made from.
-    pub fn seed(&self) -> Result<u64, Faulty> {
+    pub fn seed(&self) -> Result<u64, ConfigError> {
         let seed = self.told().text("/seed")?;
-        let wrong = |_| self.told().faulty("/seed", &format!("is '{seed}', not up to 16 hex digits"));
+        let wrong = |_| self.told().error("/seed", &format!("is '{seed}', not up to 16 hex digits"));
         u64::from_str_radix(seed, 16).map_err(wrong)
     }
 
     /// Lists are told to who asks alone, and each call is paid for.
-    pub fn lists_are_asked_for(&self) -> Result<bool, Faulty> {
+    pub fn lists_are_asked_for(&self) -> Result<bool, ConfigError> {
         let settings = self.settings()?;
         match settings.text_or("/registry_mode", "push")? {
             "push" => Ok(false),
             "ask" => Ok(true),
-            other => Err(settings.faulty("/registry_mode", &format!("is '{other}'; accepted: push, ask"))),
+            other => Err(settings.error("/registry_mode", &format!("is '{other}'; accepted: push, ask"))),
         }
     }
 
     /// How many co-ordinators there are, this one counted; 1 where nobody says.
-    pub fn copies(&self) -> Result<u32, Faulty> {
+    pub fn copies(&self) -> Result<u32, ConfigError> {
         let settings = self.settings()?;
         Ok(settings.number_or("/balancers", 1.0)?.clamp(1.0, f64::from(u32::MAX)) as u32)
     }
 
     /// This co-ordinator's zone, by its place, and the names of all; none where the platform says nothing.
-    pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, Faulty> {
+    pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, ConfigError> {
         self.settings()?.zones()
     }
 
     /// Parts that a connection to a leaf carries at once.
-    pub fn streams(&self) -> Result<usize, Faulty> {
+    pub fn streams(&self) -> Result<usize, ConfigError> {
         Ok(self.settings()?.count_from_1("/allowed/streams_per_conn")? as usize)
     }
 
     /// Parts that one call carries. Guards against a call that no connection takes: settings may allow larger ones.
-    pub fn call_size(&self) -> Result<u32, Faulty> {
+    pub fn call_size(&self) -> Result<u32, ConfigError> {
         let a_call = self.settings()?.count_from_1("/domain/parts_a_call")?;
         Ok(a_call.min(self.streams()? as u32))
     }
 
     /// Time for a connection to a leaf to come up.
-    pub fn dial_limit(&self) -> Result<Duration, Faulty> {
+    pub fn dial_limit(&self) -> Result<Duration, ConfigError> {
         Ok(duration(self.settings()?.span("/allowed/dial_timeout_s")?))
     }
 
     /// How long a connection to a leaf may stand idle: closed before the leaf would, earlier by as long as a way
     /// there may take at most, or by half of it. Guards against connections closed as they come up, for ever, where they may
     /// take as long to come up as they may stand idle.
-    pub fn idle_limit(&self) -> Result<Duration, Faulty> {
+    pub fn idle_limit(&self) -> Result<Duration, ConfigError> {
         let idle = duration(self.settings()?.span("/allowed/conn_idle_s")?);
         Ok(idle - self.dial_limit()?.min(idle / 2))
     }
--- a/crates/pipitcrank-server/src/discovery.rs
+++ b/crates/pipitcrank-server/src/discovery.rs
@@ -16,7 +16,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use pipitcrank_core::chance::Chance;
+use pipitcrank_core::rng::Rng;
 use serde::Deserialize;
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
@@ -110,7 +110,7 @@
 
 /// Calls are paid for, and refused when there are too many: how this copy spreads its own.
 pub struct Paid {
-    chance: RefCell<Chance>,
+    rng: RefCell<Rng>,
     /// The copies in all, as so many times the number that may call often; 1 at least.
     crowd: f64,
 }
@@ -118,7 +118,7 @@
 impl Paid {
     pub fn new(seed: u64, copies: u32) -> Paid {
         let crowd = (f64::from(copies) / f64::from(PAID_COPIES)).max(1.0);
-        Paid { chance: RefCell::new(Chance::new(seed)), crowd }
+        Paid { rng: RefCell::new(Rng::new(seed)), crowd }
     }
 
     /// The pause after so many calls in a row that failed.
@@ -126,19 +126,19 @@
         // The first ones by its root: what refuses thirty at once may bear three hundred.
         let pause = PAID_PAUSE.mul_f64(self.crowd.sqrt()) * 2u32.pow(failed.min(PAID_DOUBLED));
         let longest = pause.min(PAID_PAUSE_MOST.mul_f64(self.crowd));
-        longest.mul_f64(0.5 + 0.5 * self.chance.borrow_mut().share())
+        longest.mul_f64(0.5 + 0.5 * self.rng.borrow_mut().fraction())
     }
 
     /// Before the first call: a fleet that starts at once does not ask at once.
     fn at_first(&self) -> Duration {
         let after_eight = PAID_PAUSE.mul_f64(self.crowd.sqrt()).saturating_sub(PAID_PAUSE);
-        (after_eight * 2).mul_f64(self.chance.borrow_mut().share())
+        (after_eight * 2).mul_f64(self.rng.borrow_mut().fraction())
     }
 
     /// Until the next look beside a sound watch, after so many in a row that failed.
     fn until_look(&self, failed: u32) -> Duration {
         let doubled = f64::from(2u32.pow(failed.min(PAID_DOUBLED)));
-        PAID_LOOK.mul_f64(self.crowd * doubled * (0.75 + 0.5 * self.chance.borrow_mut().share()))
+        PAID_LOOK.mul_f64(self.crowd * doubled * (0.75 + 0.5 * self.rng.borrow_mut().fraction()))
     }
 }
 
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::decide::Root;
-use pipitcrank_core::decide::zones::{Seen, Shares, Tally, ZoneId};
+use pipitcrank_core::coordinator::Coordinator;
+use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::division;
@@ -140,7 +140,7 @@
 type LentOut = (Vec<(PartId, Rc<str>)>, u32, Timestamp);
 
 pub struct Exchange {
-    root: Root,
+    coordinator: Coordinator,
     desk: Desk,
     /// Emptied at each turn.
     inbox: Vec<Happened>,
@@ -160,11 +160,11 @@
 }
 
 impl Exchange {
-    pub fn new(root: Root, most_open: usize, call_size: usize, counters: Counters) -> Exchange {
+    pub fn new(coordinator: Coordinator, most_open: usize, call_size: usize, counters: Counters) -> Exchange {
         let desk = Desk { counters, ..Desk::default() };
         let call_size = call_size.max(1);
         Exchange {
-            root,
+            coordinator,
             desk,
             inbox: Vec::new(),
             gone: BTreeSet::new(),
@@ -346,7 +346,7 @@
             return Err(NotSent::TimeOver);
         }
         // Last: it counts the call as gone out.
-        self.root.begin(now, call.0, call.1)?;
+        self.coordinator.begin(now, call.0, call.1)?;
         Ok(CallPart {
             id: part.id.clone(),
             shard: part.shard,
@@ -392,28 +392,28 @@
 
     /// Another site's leaves, one for each cell; nothing goes there before a hop is known.
     pub fn add_site(&mut self, site: u16, name: &str, cells: u32) -> Vec<ReplicaId> {
-        self.root.list_begin(false);
+        self.coordinator.list_begin(false);
         let mut leaves = Vec::new();
         for cell in 0..cells {
             // No name of discovery's has a blank.
-            let leaf = ReplicaId(self.desk.leaves.enter(&format!("site {name} {cell}")));
+            let leaf = ReplicaId(self.desk.leaves.intern(&format!("site {name} {cell}")));
             let zone = self.site_zones.get(name).cloned();
             let place = place(&self.zones, &zone);
             let held = HeldLeaf { address: None, cell, zone, started: None, site: Some(site), off: None };
             self.desk.held_leaves.insert(leaf.0, held);
-            self.root.leaf(leaf, cell, true, None);
-            self.root.far(leaf, None);
-            self.root.stands_in(leaf, place);
+            self.coordinator.leaf(leaf, cell, true, None);
+            self.coordinator.far(leaf, None);
+            self.coordinator.stands_in(leaf, place);
             leaves.push(leaf);
         }
-        self.root.list_end(&mut self.desk);
+        self.coordinator.list_end(&mut self.desk);
         leaves
     }
 
     /// What the way to the site costs from now on; none closes it.
     pub fn set_hop(&mut self, site: u16, hop: Option<TimeSpan>) {
         for (&leaf, _) in self.desk.held_leaves.iter().filter(|(_, l)| l.site == Some(site)) {
-            self.root.far(ReplicaId(leaf), hop);
+            self.coordinator.far(ReplicaId(leaf), hop);
         }
     }
 
@@ -433,7 +433,7 @@
             let until = calls.iter().map(|c| self.desk.out[c].until).min().unwrap_or(now);
             self.next_lent += 1;
             let ours: Vec<PartId> = calls.iter().map(|c| c.0).collect();
-            let further = self.root.lend(now, self.next_lent, &ours, until);
+            let further = self.coordinator.lend(now, self.next_lent, &ours, until);
             let named = calls.iter().map(|c| (c.0, self.desk.held_parts[&c.0.0].id.clone()));
             self.lent.insert(self.next_lent, (named.collect(), further, until));
             let part = |c: &CallNo| &self.desk.held_parts[&c.0.0];
@@ -444,7 +444,7 @@
                 parts: calls.iter().map(|c| (part(c).shard, part(c).weight, part(c).work)).collect(),
                 idempotency_key: held.idempotency_key.clone(),
                 text: calls.first().map_or_else(|| "".into(), |c| part(c).text.clone()),
-                repeatable: self.root.may_repeat(held.vertical),
+                repeatable: self.coordinator.may_repeat(held.vertical),
                 who: self.next_lent,
                 further,
                 calls: calls.iter().map(|c| (part(c).shard, *c)).collect(),
@@ -463,7 +463,7 @@
                 self.desk.held_parts.get(&part.0).is_some_and(|h| Rc::ptr_eq(&h.id, id))
             };
             let parts: Vec<PartId> = parts.into_iter().filter(held).map(|(part, _)| part).collect();
-            self.root.came_back(now, who, &parts, lent, made);
+            self.coordinator.came_back(now, who, &parts, lent, made);
         }
     }
 
@@ -474,7 +474,7 @@
         self.zones = names;
         for (&leaf, held) in &self.desk.held_leaves {
             let place = place(&self.zones, &held.zone);
-            self.root.stands_in(ReplicaId(leaf), place);
+            self.coordinator.stands_in(ReplicaId(leaf), place);
         }
     }
 
@@ -484,14 +484,14 @@
     }
 
     /// From now on queries are meant for zones by these shares.
-    pub fn set_shares(&mut self, shares: Shares) {
-        self.root.set_shares(shares);
+    pub fn set_shares(&mut self, shares: ZoneRouting) {
+        self.coordinator.set_shares(shares);
     }
 
     /// What is seen of each zone's leaves from here, in the zones' order, and what was counted since the start.
-    pub fn zones_seen(&self, now: Timestamp) -> (Vec<Seen>, Tally) {
-        let seen = (0..self.zones.len()).map(|n| self.root.seen_of(now, ZoneId(n as u16))).collect();
-        (seen, self.root.tally().clone())
+    pub fn zones_seen(&self, now: Timestamp) -> (Vec<ZoneObservation>, ZoneTraffic) {
+        let seen = (0..self.zones.len()).map(|n| self.coordinator.seen_of(now, ZoneId(n as u16))).collect();
+        (seen, self.coordinator.tally().clone())
     }
 
     /// Probes some leaves of a zone that nothing is sent to.
@@ -517,7 +517,7 @@
         }
         while let Some((_, label)) = self.desk.alarms.first().copied().filter(|a| a.0 <= now) {
             self.desk.alarms.pop_first();
-            self.root.woken(&mut self.desk, now, label);
+            self.coordinator.woken(&mut self.desk, now, label);
         }
         while let Some((_, call)) = self.desk.untils.first().copied().filter(|u| u.0 <= now) {
             if let Some(leaf) = self.desk.close(call, AttemptOutcome::TimedOut) {
@@ -525,7 +525,7 @@
                 self.end_call(now, call, AttemptOutcome::TimedOut, None);
             }
         }
-        self.root.turn(&mut self.desk, now);
+        self.coordinator.turn(&mut self.desk, now);
         self.carry_out(leaf_side);
     }
 
@@ -537,7 +537,7 @@
                 if let Some(&query) = self.desk.tickets.get(&ticket) {
                     self.desk.counters.add("queries", "client_gone");
                     tracing::debug!(target: REQUESTS, request = self.desk.queries.name(query), "client gone");
-                    self.root.gone(&mut self.desk, now, QueryId(query));
+                    self.coordinator.gone(&mut self.desk, now, QueryId(query));
                 }
             }
             Happened::Ended(leaf, call, outcome, value, report) => {
@@ -547,11 +547,11 @@
             Happened::Probed(leaf, outcome, report) => {
                 self.desk.counters.add("probes", outcome_name(outcome));
                 self.report(now, leaf, report);
-                self.root.probed(now, leaf, outcome);
+                self.coordinator.probed(now, leaf, outcome);
             }
             Happened::List(at, whole, rows) => self.take_list(at, whole, rows),
-            Happened::LookInto(zone, most) => self.root.look_into(&mut self.desk, now, zone, most),
-            Happened::EndBy(by) => self.root.end_by(by),
+            Happened::LookInto(zone, most) => self.coordinator.look_into(&mut self.desk, now, zone, most),
+            Happened::EndBy(by) => self.coordinator.end_by(by),
         }
     }
 
@@ -571,8 +571,8 @@
         }
         desk.counters.add("queries", "taken");
         let further = lent.as_ref().map(|l| l.further);
-        let query = QueryId(desk.queries.enter(&id));
-        let indices: Vec<u32> = ids.iter().map(|p| desk.parts.enter(p)).collect();
+        let query = QueryId(desk.queries.intern(&id));
+        let indices: Vec<u32> = ids.iter().map(|p| desk.parts.intern(p)).collect();
         desk.tickets.insert(ticket, query.0);
         tracing::debug!(target: REQUESTS, request = id, parts = parts.len(), left_s = (ends - now).as_secs_f64(), "taken");
         if let Some(audit) = &mut desk.audit {
@@ -599,12 +599,20 @@
             };
             desk.held_parts.insert(index, held);
         }
-        self.root.query(&mut self.desk, now, query, vertical, ends - now, work, parts.len() as f64);
+        self.coordinator.query(&mut self.desk, now, query, vertical, ends - now, work, parts.len() as f64);
         if let Some(further) = further {
-            self.root.lent_to(query, further);
+            self.coordinator.lent_to(query, further);
         }
         for (index, part) in indices.into_iter().zip(parts) {
-            self.root.part(&mut self.desk, now, PartId(index), query, part.shard, part.weight, part.work);
+            self.coordinator.part(
+                &mut self.desk,
+                now,
+                PartId(index),
+                query,
+                part.shard,
+                part.weight,
+                part.work,
+            );
         }
     }
 
@@ -621,12 +629,12 @@
             }
             part.value = value;
         }
-        self.root.ended(&mut self.desk, now, call.0, call.1, outcome);
+        self.coordinator.ended(&mut self.desk, now, call.0, call.1, outcome);
     }
 
     fn report(&mut self, now: Timestamp, leaf: ReplicaId, report: Option<Report>) {
         if let Some(Report { waiting, in_hand }) = report {
-            self.root.load_report(now, leaf, waiting, in_hand);
+            self.coordinator.load_report(now, leaf, waiting, in_hand);
         }
     }
 
@@ -642,17 +650,17 @@
         longest: TimeSpan,
     ) -> Snapshot {
         self.take_lists();
-        let mut known = self.root.known(now);
-        let (free, share, span) = self.root.budget_terms();
+        let mut known = self.coordinator.known(now);
+        let (free, share, span) = self.coordinator.budget_terms();
         let purse = division::divide(free, share, span, longest, &mut known);
-        self.root.finish_with(purse.further, now + purse.within);
+        self.coordinator.finish_with(purse.further, now + purse.within);
         Snapshot { taken_us, rev, leaves: self.seen_leaves(now), known, lent: (purse.further, purse.within) }
     }
 
     /// What a process that comes after this one may recall, if this one ends without a word. Nothing is given away.
     pub fn remembered(&mut self, now: Timestamp, taken_us: i64, rev: Option<u64>) -> Snapshot {
         self.take_lists();
-        let known = self.root.known(now);
+        let known = self.coordinator.known(now);
         Snapshot { taken_us, rev, leaves: self.seen_leaves(now), known, lent: (0, TimeSpan::ZERO) }
     }
 
@@ -674,7 +682,7 @@
     pub fn go_on_from(&mut self, now: Timestamp, passed: TimeSpan, snapshot: Snapshot) {
         let (further, within) = snapshot.lent;
         self.take_over(now, passed, true, snapshot);
-        self.root.lend_to_old(further, now - passed + within);
+        self.coordinator.lend_to_old(further, now - passed + within);
     }
 
     /// Goes on from what a process before this one knew `passed` ago, which is there no more. Its list counts where
@@ -682,7 +690,7 @@
     pub fn recall(&mut self, now: Timestamp, passed: TimeSpan, its_list: bool, snapshot: Snapshot) {
         self.take_lists();
         self.take_over(now, passed, its_list, snapshot);
-        self.root.alone_again(now);
+        self.coordinator.alone_again(now);
     }
 
     fn take_over(&mut self, now: Timestamp, passed: TimeSpan, its_list: bool, snapshot: Snapshot) {
@@ -693,7 +701,7 @@
         for SeenLeaf { index, uid, address, cell, zone, started, off } in snapshot.leaves {
             // What is not listed any more gets no index: nobody would let it go.
             let ours =
-                if its_list { Some(self.desk.leaves.enter(&uid)) } else { self.desk.leaves.find(&uid) };
+                if its_list { Some(self.desk.leaves.intern(&uid)) } else { self.desk.leaves.find(&uid) };
             let Some(ours) = ours else { continue };
             indices.insert(index, ours);
             offs.extend(off.map(|off| (ours, at(off))));
@@ -710,23 +718,23 @@
         let mut known = snapshot.known;
         let leaves = std::mem::take(&mut known.leaves);
         known.leaves = leaves.into_iter().filter_map(|(i, l)| Some((*indices.get(&i)?, l))).collect();
-        self.root.learn_from(now, passed, known);
+        self.coordinator.learn_from(now, passed, known);
     }
 
     /// The other process has ended, and made so many further calls of those lent.
     pub fn settle(&mut self, now: Timestamp, further: u32) {
-        self.root.settle_with_old(now, further);
+        self.coordinator.settle_with_old(now, further);
         self.open_elsewhere = 0;
     }
 
     /// Further calls made of those kept when handing over.
     pub fn made_of(&self, kept: u32) -> u32 {
-        kept.saturating_sub(self.root.purse_left())
+        kept.saturating_sub(self.coordinator.purse_left())
     }
 
     /// The other process is gone, and what it did is not known.
     pub fn alone_again(&mut self, now: Timestamp) {
-        self.root.alone_again(now);
+        self.coordinator.alone_again(now);
         self.open_elsewhere = 0;
     }
 
@@ -736,7 +744,7 @@
 
     /// How a query ends that the other process had when it died.
     pub fn stranded(&self, vertical: RequestClassId) -> Final {
-        match self.root.stranded(vertical) {
+        match self.coordinator.stranded(vertical) {
             Some(stay_away) => Final::Rejected { stay_away },
             None => Final::Aborted,
         }
@@ -755,18 +763,18 @@
     }
 
     fn take_list(&mut self, at: Timestamp, whole: bool, rows: Vec<Listed>) {
-        self.root.list_begin(whole);
+        self.coordinator.list_begin(whole);
         if whole {
             let near = self.desk.held_leaves.values_mut().filter(|l| l.site.is_none());
             near.for_each(|l| l.off = l.off.or(Some(at)));
             self.desk.audit_lists();
             // Other sites are not discovery's to name.
             for (&leaf, held) in self.desk.held_leaves.iter().filter(|(_, l)| l.site.is_some()) {
-                self.root.leaf(ReplicaId(leaf), held.cell, true, None);
+                self.coordinator.leaf(ReplicaId(leaf), held.cell, true, None);
             }
         }
         for Listed { uid, address, cell, zone, up, started } in rows {
-            let leaf = ReplicaId(self.desk.leaves.enter(&uid));
+            let leaf = ReplicaId(self.desk.leaves.intern(&uid));
             let fresh = HeldLeaf { address: None, cell, zone: None, started, site: None, off: Some(at) };
             let held = self.desk.held_leaves.entry(leaf.0).or_insert(fresh);
             (held.cell, held.started) = (cell, started);
@@ -783,10 +791,10 @@
                 held.address = Some(address);
                 self.desk.wishes.push(Wish::Meet(leaf, address));
             }
-            self.root.leaf(leaf, cell, up, started);
-            self.root.stands_in(leaf, place);
+            self.coordinator.leaf(leaf, cell, up, started);
+            self.coordinator.stands_in(leaf, place);
         }
-        self.root.list_end(&mut self.desk);
+        self.coordinator.list_end(&mut self.desk);
     }
 
     /// Passes on what the module asked for: the parts for one leaf travel together, up to the call size told.
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, RejectReason, ReplicaId, RequestClassId};
-use pipitcrank_core::names::Names;
-use pipitcrank_core::port::Port;
+use pipitcrank_core::interner::Interner;
+use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use super::{CallNo, Final, Lent, REQUESTS, Then};
@@ -68,9 +68,9 @@
 
 #[derive(Default)]
 pub(super) struct Desk {
-    pub(super) queries: Names,
-    pub(super) parts: Names,
-    pub(super) leaves: Names,
+    pub(super) queries: Interner,
+    pub(super) parts: Interner,
+    pub(super) leaves: Interner,
     /// By index; each ends when the module lets go of it.
     pub(super) held_queries: BTreeMap<u32, HeldQuery>,
     pub(super) held_parts: BTreeMap<u32, HeldPart>,
@@ -156,7 +156,7 @@
     }
 }
 
-impl Port for Desk {
+impl CoordinatorOutput for Desk {
     fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
         if let Some(again) = self.again(part) {
             self.counters.add("again", again.name());
@@ -214,7 +214,7 @@
     }
 
     fn let_go_query(&mut self, query: QueryId) {
-        self.queries.leave(query.0);
+        self.queries.release(query.0);
         if let Some(held) = self.held_queries.remove(&query.0) {
             self.tickets.remove(&held.ticket);
             if let Some(audit) = &mut self.audit {
@@ -230,7 +230,7 @@
     }
 
     fn let_go_part(&mut self, part: PartId) {
-        self.parts.leave(part.0);
+        self.parts.release(part.0);
         self.held_parts.remove(&part.0);
         if let Some(audit) = &mut self.audit {
             audit.let_go_part(part);
@@ -238,7 +238,7 @@
     }
 
     fn let_go_leaf(&mut self, leaf: ReplicaId) {
-        self.leaves.leave(leaf.0);
+        self.leaves.release(leaf.0);
         self.held_leaves.remove(&leaf.0);
         if let Some(audit) = &mut self.audit {
             audit.let_go_leaf(leaf);
--- a/crates/pipitcrank-server/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use pipitcrank_core::told::Faulty;
+use pipitcrank_core::config::ConfigError;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
@@ -42,12 +42,12 @@
     }
 }
 
-fn unreadable(error: std::io::Error) -> Faulty {
-    Faulty { key: "NODE_CONFIG".to_string(), what: format!("can't be read: {error}") }
+fn unreadable(error: std::io::Error) -> ConfigError {
+    ConfigError { key: "NODE_CONFIG".to_string(), reason: format!("can't be read: {error}") }
 }
 
 /// Where discovery is from now on.
-fn read(text: &str, clock: &Clock) -> Result<String, Faulty> {
+fn read(text: &str, clock: &Clock) -> Result<String, ConfigError> {
     let charter = Charter::read(text, |_| None)?;
     charter.check(clock)?;
     charter.discovery()
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Instant;
 
-use pipitcrank_core::decide::zones::ZoneId;
+use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::snapshot::Snapshot;
 use tokio::net::TcpListener;
--- a/crates/pipitcrank-server/src/wire/tests.rs
+++ b/crates/pipitcrank-server/src/wire/tests.rs
@@ -1,8 +1,8 @@
 use std::cell::RefCell;
 
+use pipitcrank_core::config::SettingsReader;
 use pipitcrank_core::ids::{PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_core::told::Told;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::unbounded_channel;
 
@@ -30,8 +30,8 @@
 }
 
 fn exchange(counters: &Counters) -> Exchange {
-    let root = Told::new(&serde_json::from_str(TOLD).unwrap()).root(1).unwrap();
-    Exchange::new(root, 9, 4, counters.clone())
+    let coordinator = SettingsReader::new(&serde_json::from_str(TOLD).unwrap()).coordinator(1).unwrap();
+    Exchange::new(coordinator, 9, 4, counters.clone())
 }
 
 #[test]
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use pipitcrank_core::config::SettingsReader;
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_core::told::Told;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_server::audit;
 use pipitcrank_server::counters::Counters;
@@ -66,7 +66,7 @@
 fn audit_terms(told: &serde_json::Value) -> audit::Terms {
     let number = |key: &str| told.pointer(key).and_then(serde_json::Value::as_f64);
     let vertical = |n: usize| audit::VerticalTerms {
-        idempotency: Told::new(told).idempotency(n).unwrap(),
+        idempotency: SettingsReader::new(told).idempotency(n).unwrap(),
         dedup_window: TimeSpan::from_secs_f64(number(&format!("/classes/{n}/dedup_window_s")).unwrap_or(0.0)),
         floor: number(&format!("/domain/floor_by_class/{n}")).unwrap(),
         whole_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
@@ -111,8 +111,8 @@
     fn told(told: &str) -> Stage {
         let told = serde_json::from_str(told).unwrap();
         let counters = Counters::default();
-        let root = Told::new(&told).root(7).unwrap();
-        let mut exchange = Exchange::new(root, MOST_OPEN, 4, counters.clone());
+        let coordinator = SettingsReader::new(&told).coordinator(7).unwrap();
+        let mut exchange = Exchange::new(coordinator, MOST_OPEN, 4, counters.clone());
         exchange.audit(audit_terms(&told));
         exchange.list(at(0), true, (0..3).map(|n| listed(n, true)).collect());
         let mut stage =
--- a/crates/pipitcrank-server/tests/leaves.rs
+++ b/crates/pipitcrank-server/tests/leaves.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use pipitcrank_core::config::SettingsReader;
 use pipitcrank_core::ids::{ReplicaId, RequestClassId};
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_core::told::Told;
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::counters::Counters;
 use pipitcrank_server::exchange::{Asked, AskedPart, Exchange, Final, LeafSide, Listed};
@@ -62,8 +62,8 @@
     ) -> Stage {
         let clock = Clock::start();
         let counters = Counters::default();
-        let root = Told::new(&serde_json::from_str(TOLD).unwrap()).root(1).unwrap();
-        let mut exchange = Exchange::new(root, 1000, 4, counters.clone());
+        let coordinator = SettingsReader::new(&serde_json::from_str(TOLD).unwrap()).coordinator(1).unwrap();
+        let mut exchange = Exchange::new(coordinator, 1000, 4, counters.clone());
         let row = Listed {
             uid: "leaf".into(),
             address: Some(address),
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -1,9 +1,9 @@
 //! Frames, lists and what is told at start: decoded as the protocol says, and refused by name where they are not.
 
 use bytes::BytesMut;
+use pipitcrank_core::config::ConfigError;
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_core::told::Faulty;
 use pipitcrank_server::charter::Charter;
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::discovery::News;
@@ -202,7 +202,7 @@
 }
 
 /// Everything that the program reads at start.
-fn read_all(text: &str) -> Result<(), Faulty> {
+fn read_all(text: &str) -> Result<(), ConfigError> {
     Charter::read(text, |_| None)?.check(&Clock::start())
 }
 
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use pipitcrank_core::decide::zones::ZoneId;
+use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::charter::Charter;
 use pipitcrank_server::clock::Clock;
--- a/crates/pipitcrank-sim-adapter/src/door.rs
+++ b/crates/pipitcrank-sim-adapter/src/door.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 
-use pipitcrank_core::decide::Root;
-use pipitcrank_core::decide::zones::ZoneId;
+use pipitcrank_core::config::{ConfigError, SettingsReader};
+use pipitcrank_core::coordinator::Coordinator;
+use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, RejectReason, ReplicaId, RequestClassId};
-use pipitcrank_core::names::Names;
-use pipitcrank_core::port::Port;
+use pipitcrank_core::interner::Interner;
+use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_core::told::{Faulty, Told};
 use serde_json::Value;
 
 use crate::line::{Line, Wrong};
@@ -45,9 +45,9 @@
 
 struct Door {
     instance: String,
-    queries: Names,
-    parts: Names,
-    leaves: Names,
+    queries: Interner,
+    parts: Interner,
+    leaves: Interner,
     /// Queries by their number at this instance; an entry ends with the query's.
     asks: BTreeMap<u64, u32>,
     /// The reply so far; emptied when it is written.
@@ -61,7 +61,7 @@
     }
 }
 
-impl Port for Door {
+impl CoordinatorOutput for Door {
     fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
         let (i, job, replica) = (&self.instance, self.parts.name(part.0), self.leaves.name(leaf.0));
         let line = format!("SEND i={i} job={job} replica={replica} abandon_at_s={:.6}", until.as_secs_f64());
@@ -112,22 +112,22 @@
     }
 
     fn let_go_query(&mut self, query: QueryId) {
-        self.queries.leave(query.0);
+        self.queries.release(query.0);
         self.asks.retain(|_, q| *q != query.0);
     }
 
     fn let_go_part(&mut self, part: PartId) {
-        self.parts.leave(part.0);
+        self.parts.release(part.0);
     }
 
     fn let_go_leaf(&mut self, leaf: ReplicaId) {
-        self.leaves.leave(leaf.0);
+        self.leaves.release(leaf.0);
     }
 }
 
 pub struct Host {
     door: Door,
-    root: Root,
+    coordinator: Coordinator,
     verticals: Vec<String>,
     zones: Vec<String>,
 }
@@ -137,19 +137,20 @@
         let seed = line.number("init_seed")?;
         let told: Value = serde_json::from_str(line.field("conf")?)
             .map_err(|e| line.wrong("conf", &format!("is not the JSON expected: {e}")))?;
-        let faulty = |f: Faulty| line.wrong("conf", &f.to_string());
-        let told = Told::new(&told);
-        let (root, verticals) = (told.root(seed).map_err(faulty)?, told.verticals().map_err(faulty)?);
+        let faulty = |f: ConfigError| line.wrong("conf", &f.to_string());
+        let told = SettingsReader::new(&told);
+        let (coordinator, verticals) =
+            (told.coordinator(seed).map_err(faulty)?, told.verticals().map_err(faulty)?);
         let door = Door {
             instance: name.to_string(),
-            queries: Names::default(),
-            parts: Names::default(),
-            leaves: Names::default(),
+            queries: Interner::default(),
+            parts: Interner::default(),
+            leaves: Interner::default(),
             asks: BTreeMap::new(),
             reply: String::new(),
         };
         let zones = told.zones().map_err(faulty)?.map_or(Vec::new(), |(_, names)| names);
-        Ok(Host { door, root, verticals, zones })
+        Ok(Host { door, coordinator, verticals, zones })
     }
 
     pub fn event(
@@ -158,13 +159,13 @@
         line: &Line,
         lists: &BTreeMap<u32, Vec<Row>>,
     ) -> Result<(), Wrong> {
-        let Host { door, root, verticals, zones } = self;
+        let Host { door, coordinator, verticals, zones } = self;
         match line.word() {
-            "NEW_INSTANCE" => root.start(door),
+            "NEW_INSTANCE" => coordinator.start(door),
             "DISCOVERY" => {
                 let scope = line.field("scope")?;
                 if scope == "Error" {
-                    root.list_failed(door, now);
+                    coordinator.list_failed(door, now);
                     return Ok(());
                 }
                 if !["Partial", "Complete", "Persisted"].contains(&scope) {
@@ -172,16 +173,16 @@
                 }
                 let rows = lists.get(&line.number("ref")?);
                 let rows = rows.ok_or_else(|| line.wrong("ref", "names no list received"))?;
-                root.list_begin(scope != "Partial");
+                coordinator.list_begin(scope != "Partial");
                 for row in rows {
-                    let leaf = ReplicaId(door.leaves.enter(&row.replica));
-                    root.leaf(leaf, row.cell, row.up, row.started);
+                    let leaf = ReplicaId(door.leaves.intern(&row.replica));
+                    coordinator.leaf(leaf, row.cell, row.up, row.started);
                     let zone = zones.iter().position(|z| Some(z) == row.zone.as_ref());
                     if let Some(zone) = zone {
-                        root.stands_in(leaf, Some(ZoneId(zone as u16)));
+                        coordinator.stands_in(leaf, Some(ZoneId(zone as u16)));
                     }
                 }
-                root.list_end(door);
+                coordinator.list_end(door);
             }
             "WORK_ITEM" => {
                 let (job, ask) = (line.field("job")?, line.number("ask_no")?);
@@ -196,8 +197,8 @@
                         if door.parts.find(job).is_some() {
                             return Err(line.wrong("job", "repeats an id that is held"));
                         }
-                        let part = PartId(door.parts.enter(job));
-                        root.part(door, now, part, QueryId(query), shard, amount, hint);
+                        let part = PartId(door.parts.intern(job));
+                        coordinator.part(door, now, part, QueryId(query), shard, amount, hint);
                     }
                     return Ok(());
                 }
@@ -207,30 +208,30 @@
                 if door.queries.find(job).is_some() || door.asks.contains_key(&ask) {
                     return Err(line.wrong("job", "repeats an id that is held"));
                 }
-                let query = QueryId(door.queries.enter(job));
+                let query = QueryId(door.queries.intern(job));
                 door.asks.insert(ask, query.0);
                 let left = TimeSpan::from_secs_f64(line.amount("remaining_s")?);
-                root.query(door, now, query, RequestClassId(vertical as u16), left, hint, amount);
+                coordinator.query(door, now, query, RequestClassId(vertical as u16), left, hint, amount);
             }
             "FINISHED" => {
                 let nth = line.number("trial")?;
                 let outcome = outcome(line)?;
-                report(root, door, now, line)?;
+                report(coordinator, door, now, line)?;
                 if let Some(part) = door.parts.find(line.field("job")?) {
-                    root.ended(door, now, PartId(part), nth, outcome);
+                    coordinator.ended(door, now, PartId(part), nth, outcome);
                 }
             }
             "DROPPED" => {
                 if let Some(query) = door.queries.find(line.field("job")?) {
-                    root.gone(door, now, QueryId(query));
+                    coordinator.gone(door, now, QueryId(query));
                 }
             }
-            "ELAPSED" => root.woken(door, now, line.number("label")?),
+            "ELAPSED" => coordinator.woken(door, now, line.number("label")?),
             "HEALTH" => {
-                report(root, door, now, line)?;
+                report(coordinator, door, now, line)?;
                 let outcome = outcome(line)?;
                 if let Some(leaf) = door.leaves.find(line.field("replica")?) {
-                    root.probed(now, ReplicaId(leaf), outcome);
+                    coordinator.probed(now, ReplicaId(leaf), outcome);
                 }
             }
             // Streamed verticals and messages between co-ordinators have no part in the decisions.
@@ -241,7 +242,7 @@
     }
 
     pub fn turn(&mut self, now: Timestamp) {
-        self.root.turn(&mut self.door, now);
+        self.coordinator.turn(&mut self.door, now);
     }
 
     pub fn flush(&mut self, output: &mut dyn Write) -> io::Result<()> {
@@ -252,7 +253,7 @@
 }
 
 /// A load report that came with a line, if one did.
-fn report(root: &mut Root, door: &Door, now: Timestamp, line: &Line) -> Result<(), Wrong> {
+fn report(coordinator: &mut Coordinator, door: &Door, now: Timestamp, line: &Line) -> Result<(), Wrong> {
     let Some(pairs) = line.optional("feedback") else { return Ok(()) };
     let Some(leaf) = door.leaves.find(line.field("replica")?) else { return Ok(()) };
     let value = |name: &str| {
@@ -262,7 +263,7 @@
             .map(|v| v.ok_or_else(|| line.wrong("feedback", &format!("has no number for '{name}'"))))
             .transpose()
     };
-    root.load_report(now, ReplicaId(leaf), value("backlog")?, value("outstanding")?);
+    coordinator.load_report(now, ReplicaId(leaf), value("backlog")?, value("outstanding")?);
     Ok(())
 }
 
