--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -108,7 +108,10 @@
         e.name_zones(names.clone());
         e.name_site_zones(site_zones);
         if !zones.dry_run {
-            e.set_shares(ZoneRouting { of: vec![(ZoneId(own as u16), 1.0)], ..ZoneRouting::default() });
+            e.set_zone_routing(ZoneRouting {
+                fractions: vec![(ZoneId(own as u16), 1.0)],
+                ..ZoneRouting::default()
+            });
         }
     });
     Ok(async move {
@@ -255,7 +258,7 @@
             // Of many copies those look that speak for their zone: probes have their price.
             if self.instance.speaks() && (shut || unseen || doubted) {
                 let most = if shut || doubted { LOOKS } else { GLANCES };
-                self.hall.tell(|e| e.look_into(ZoneId(zone as u16), most));
+                self.hall.tell(|e| e.probe_zone(ZoneId(zone as u16), most));
             }
         }
         let counters = &self.hall.counters;
@@ -317,7 +320,7 @@
         let shut =
             zones.filter(|&z| self.stands_for[z] == z && all_shut(z)).map(|z| ZoneId(z as u16)).collect();
         if !self.dry {
-            self.hall.tell(|e| e.set_shares(ZoneRouting { of, shut, turned_away }));
+            self.hall.tell(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
         }
         let shares: Vec<String> = plan
             .shares
--- a/crates/pipitcrank-core/src/config.rs
+++ b/crates/pipitcrank-core/src/config.rs
@@ -199,10 +199,11 @@
         let mut coordinator =
             Coordinator::new(Rng::new(seed), cover, budget, slow_start, tries, asks_list, tick);
         for n in 0..self.verticals()?.len() {
-            coordinator.vertical(self.terms(n)?);
+            coordinator.add_request_class(self.terms(n)?);
         }
         if let Some((own, _)) = self.zones()? {
-            coordinator.set_shares(ZoneRouting { of: vec![(own, 1.0)], ..ZoneRouting::default() });
+            coordinator
+                .set_zone_routing(ZoneRouting { fractions: vec![(own, 1.0)], ..ZoneRouting::default() });
         }
         Ok(coordinator)
     }
--- a/crates/pipitcrank-core/src/coordinator.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -357,7 +357,7 @@
         }
     }
 
-    pub fn vertical(&mut self, terms: RequestClassConfig) {
+    pub fn add_request_class(&mut self, terms: RequestClassConfig) {
         self.classes.push(RequestClassState {
             terms,
             work: QuantileEstimator(None),
@@ -375,10 +375,10 @@
     fn wake(&mut self, output: &mut dyn CoordinatorOutput, at: Timestamp, then: Then) {
         let label = self.mark();
         self.alarms.insert(label, then);
-        output.wake_me(at, label);
+        output.set_timer(at, label);
     }
 
-    pub fn woken(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, label: u64) {
+    pub fn timer_fired(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, label: u64) {
         if let Some(then) = self.alarms.remove(&label) {
             then(self, output, now);
         }
@@ -388,18 +388,18 @@
 
     pub fn start(&mut self, output: &mut dyn CoordinatorOutput) {
         if self.asks_list {
-            output.watch();
+            output.watch_endpoints();
         }
     }
 
     /// A whole list follows: what it does not name is gone.
-    pub fn list_begin(&mut self, whole: bool) {
+    pub fn begin_endpoint_list(&mut self, whole: bool) {
         if whole {
             self.leaves.values_mut().for_each(|l| l.listed = false);
         }
     }
 
-    pub fn leaf(&mut self, id: ReplicaId, cell: u32, up: bool, started: Option<Timestamp>) {
+    pub fn list_replica(&mut self, id: ReplicaId, cell: u32, up: bool, started: Option<Timestamp>) {
         let state = self.leaves.entry(id).or_default();
         if started > state.started {
             // A new process: what was held against the old one is void, and it is cold.
@@ -409,7 +409,7 @@
         self.cold_until = started.map_or(self.cold_until, |t| self.cold_until.max(t + self.slow_start.cold));
     }
 
-    pub fn list_end(&mut self, output: &mut dyn CoordinatorOutput) {
+    pub fn finish_endpoint_list(&mut self, output: &mut dyn CoordinatorOutput) {
         self.cover.by_cell.iter_mut().for_each(Vec::clear);
         for (&id, state) in self.leaves.iter().filter(|(_, l)| l.listed) {
             self.cover.by_cell[(state.cell % self.cover.cells) as usize].push(id);
@@ -424,16 +424,16 @@
 
     fn drop_leaf(&mut self, output: &mut dyn CoordinatorOutput, id: ReplicaId) {
         self.leaves.remove(&id);
-        output.let_go_leaf(id);
+        output.release_replica(id);
     }
 
     /// Subscriptions that broke are asked for again after this; the list's own calls take about so long.
     const WATCH_AGAIN: TimeSpan = TimeSpan::from_millis(2000);
 
     /// The list could not be had or the subscription broke; the old list stands.
-    pub fn list_failed(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
+    pub fn endpoint_list_failed(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         if self.asks_list {
-            self.wake(output, now + Self::WATCH_AGAIN, Box::new(|_, output, _| output.watch()));
+            self.wake(output, now + Self::WATCH_AGAIN, Box::new(|_, output, _| output.watch_endpoints()));
         }
     }
 
@@ -445,7 +445,7 @@
     const HINT_STEP: f64 = 0.05;
 
     /// A query of `count` parts, with a hint of all their work if there is one.
-    pub fn query(
+    pub fn start_query(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
@@ -490,7 +490,7 @@
         self.tend(output, now, id, serial);
     }
 
-    pub fn part(
+    pub fn add_part(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
@@ -500,7 +500,7 @@
         weight: f64,
         work: Option<f64>,
     ) {
-        let Some(open) = self.queries.get_mut(&query) else { return output.let_go_part(id) };
+        let Some(open) = self.queries.get_mut(&query) else { return output.release_part(id) };
         if open.lent.is_none() {
             self.budget.take(now);
         }
@@ -548,7 +548,7 @@
         whole: bool,
         last: bool,
     ) {
-        output.merge(id, whole);
+        output.answer(id, whole);
         let (vertical, age) = (self.queries[&id].vertical, now - self.queries[&id].arrived);
         self.classes[vertical.0 as usize].stayed(age);
         self.judge(now <= self.queries[&id].slo);
@@ -593,7 +593,7 @@
     }
 
     /// A query that another process held when it died: the time to stay away if rejected, none if aborted (rule 2).
-    pub fn stranded(&self, v: RequestClassId) -> Option<TimeSpan> {
+    pub fn retry_after_if_lost(&self, v: RequestClassId) -> Option<TimeSpan> {
         (self.classes[v.0 as usize].terms.idempotency == Idempotency::Idempotent).then(|| self.waited(v))
     }
 
@@ -616,7 +616,7 @@
     fn end(&mut self, output: &mut dyn CoordinatorOutput, id: QueryId) {
         let open = self.queries.remove(&id).expect("ended queries are open");
         self.drop_parts(output, open.parts);
-        output.let_go_query(id);
+        output.release_query(id);
     }
 
     fn drop_parts(&mut self, output: &mut dyn CoordinatorOutput, parts: Vec<PartId>) {
@@ -631,7 +631,7 @@
     fn withdraw(&mut self, output: &mut dyn CoordinatorOutput, id: PartId) {
         if self.retry_policy.may_abandon {
             for (nth, _) in self.parts[&id].sent.iter().enumerate().filter(|(_, s)| s.out) {
-                output.abandon(id, nth as u32);
+                output.cancel_attempt(id, nth as u32);
             }
         }
     }
@@ -642,12 +642,12 @@
         let held = self.queries.get(&part.query).is_some_and(|q| q.parts.contains(&id));
         if !held && part.out() == 0 {
             self.parts.remove(&id);
-            output.let_go_part(id);
+            output.release_part(id);
         }
     }
 
     /// The client is gone, or the outside ended the query.
-    pub fn gone(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: QueryId) {
+    pub fn cancel_query(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: QueryId) {
         if let Some(open) = self.queries.get(&id) {
             let (class, age) = (&mut self.classes[open.vertical.0 as usize], now - open.arrived);
             if age < class.terms.slo {
@@ -684,7 +684,7 @@
 
     /// The call's first byte is about to be written: rule 2 as it stands now, and rule 6 by what has gone out. To be asked once
     /// for each call, by hosts whose calls may wait before they go out; with others they begin as they are decided.
-    pub fn begin(&mut self, now: Timestamp, id: PartId, nth: u32) -> Result<(), AttemptDenied> {
+    pub fn begin_attempt(&mut self, now: Timestamp, id: PartId, nth: u32) -> Result<(), AttemptDenied> {
         if !self.may_begin(now, id, nth) {
             return Err(AttemptDenied::RepeatForbidden);
         }
@@ -713,7 +713,13 @@
             && (part.out() == 0 || self.retry_policy.may_duplicate)
     }
 
-    fn leaf_call(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: PartId, leaf: ReplicaId) {
+    fn send_attempt(
+        &mut self,
+        output: &mut dyn CoordinatorOutput,
+        now: Timestamp,
+        id: PartId,
+        leaf: ReplicaId,
+    ) {
         let part = self.parts.get_mut(&id).expect("sent parts are held");
         let open = self.queries.get_mut(&part.query).expect("parts that may go have open queries");
         let nth = part.sent.len() as u32;
@@ -738,7 +744,7 @@
             state.sent_cold.push_back((now, work + self.cover.call_cost));
         }
         self.count_crossing(leaf);
-        output.leaf_call(id, leaf, ends);
+        output.send_attempt(id, leaf, ends);
         let after: AfterCall = Box::new(move |coordinator, output, now, outcome| {
             coordinator.learn(output, now, leaf, id, nth, outcome);
             coordinator.proceed(output, now, id, nth, outcome);
@@ -746,7 +752,7 @@
         self.calls.insert((id, nth), after);
     }
 
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
@@ -898,7 +904,7 @@
             let state = self.leaves.get_mut(&leaf).expect("holders are held");
             if state.probed.is_none_or(|(at, _)| now - at >= Self::FRESH) {
                 state.asks_again(now);
-                output.probe(leaf);
+                output.send_load_probe(leaf);
                 sent = true;
             }
             all &= state.probed.is_some_and(|(at, out)| !out || now - at >= Self::PROBE_WAIT);
@@ -909,7 +915,7 @@
         all
     }
 
-    pub fn probed(&mut self, now: Timestamp, leaf: ReplicaId, outcome: AttemptOutcome) {
+    pub fn load_probe_ended(&mut self, now: Timestamp, leaf: ReplicaId, outcome: AttemptOutcome) {
         let Some(state) = self.leaves.get_mut(&leaf) else { return };
         state.word(now, outcome, false);
         match outcome {
@@ -939,7 +945,7 @@
     // The cover.
 
     /// Places what waits. Once a moment, after its events, so that what came together shares calls.
-    pub fn turn(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
+    pub fn dispatch(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         if !std::mem::take(&mut self.moved) {
             return;
         }
@@ -1052,7 +1058,7 @@
         for (leaf, bundle) in plan {
             for id in bundle {
                 if self.may_go(now, id) {
-                    self.leaf_call(output, now, id, leaf);
+                    self.send_attempt(output, now, id, leaf);
                 }
             }
         }
--- a/crates/pipitcrank-core/src/coordinator/deadlines.rs
+++ b/crates/pipitcrank-core/src/coordinator/deadlines.rs
@@ -7,7 +7,7 @@
 impl Coordinator {
     /// Whatever is held ends by then at the latest. Guards against queries whose clients would wait for longer than the
     /// platform does before it kills: they got nothing, not even what was in.
-    pub fn end_by(&mut self, by: Timestamp) {
+    pub fn cap_deadlines(&mut self, by: Timestamp) {
         for open in self.queries.values_mut().filter(|open| by < open.ends) {
             open.ends = by;
             open.slo = open.slo.min(by);
--- a/crates/pipitcrank-core/src/coordinator/learned_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state.rs
@@ -76,7 +76,7 @@
 
 impl Coordinator {
     /// All that was learned, as of now. What has left its window is not in it.
-    pub fn known(&mut self, now: Timestamp) -> LearnedState {
+    pub fn learned_state(&mut self, now: Timestamp) -> LearnedState {
         self.budget.left(now);
         let ages = |times: &std::collections::VecDeque<Timestamp>| times.iter().map(|&t| now - t).collect();
         let classes = self.classes.iter();
@@ -112,7 +112,7 @@
     /// Takes what another process had learned `passed` ago. Leaves are by the indices of this one. A leaf
     /// that has started since is another process: of the old one nothing is taken. Verticals by name, so that
     /// after a move none learns another's work; by their order from a process that wrote no names.
-    pub fn learn_from(&mut self, now: Timestamp, passed: TimeSpan, known: LearnedState) {
+    pub fn restore_learned_state(&mut self, now: Timestamp, passed: TimeSpan, known: LearnedState) {
         let at = |age: TimeSpan| now - age - passed;
         let unnamed = known.verticals.iter().all(|k| k.name.is_empty());
         let in_order = known.verticals.len() == self.classes.len();
@@ -162,24 +162,24 @@
 
     /// What the budget of further calls is: so many free, a share of what is taken, over a span; none is no
     /// budget.
-    pub fn budget_terms(&self) -> (f64, f64, TimeSpan) {
+    pub fn retry_budget_terms(&self) -> (f64, f64, TimeSpan) {
         (self.budget.free, self.budget.share, self.budget.span)
     }
 
     /// From now on at most so many further calls, none after `until`, and nothing to cold leaves: another
     /// process has the rest.
-    pub fn finish_with(&mut self, further: u32, until: Timestamp) {
+    pub fn limit_to_delegated_retries(&mut self, further: u32, until: Timestamp) {
         self.budget.purse = Some((f64::from(further), until));
         self.slow_start.shut = Timestamp::from_micros(i64::MAX);
     }
 
     /// The process that hands over may make so many further calls, until then.
-    pub fn lend_to_old(&mut self, further: u32, until: Timestamp) {
+    pub fn delegate_to_predecessor(&mut self, further: u32, until: Timestamp) {
         self.budget.lend(Self::OLD, further, until);
     }
 
     /// It is gone and made so many.
-    pub fn settle_with_old(&mut self, now: Timestamp, further: u32) {
+    pub fn settle_with_predecessor(&mut self, now: Timestamp, further: u32) {
         self.budget.settle(now, Self::OLD, further);
     }
 
@@ -187,13 +187,13 @@
     const OLD: u64 = u64::MAX;
 
     /// How many of those lent to this process are left.
-    pub fn purse_left(&self) -> u32 {
+    pub fn delegated_retries_left(&self) -> u32 {
         self.budget.purse.map_or(0, |(n, _)| n.max(0.0) as u32)
     }
 
     /// Alone again, and what the other process did is not known: it is held to have used all it might, so
     /// nothing of a kind goes until the longest window in which that counts has passed.
-    pub fn alone_again(&mut self, now: Timestamp) {
+    pub fn resume_alone(&mut self, now: Timestamp) {
         self.budget.purse = None;
         self.budget.lent.remove(&Self::OLD);
         self.budget.shut = now + self.budget.span;
--- a/crates/pipitcrank-core/src/coordinator/sites.rs
+++ b/crates/pipitcrank-core/src/coordinator/sites.rs
@@ -8,7 +8,7 @@
 impl Coordinator {
     /// The query just taken is another site's, which counts it and lends so many further calls for it: it gains
     /// nothing here, spends nothing here, and goes to no third site.
-    pub fn lent_to(&mut self, id: QueryId, further: u32) {
+    pub fn mark_forwarded(&mut self, id: QueryId, further: u32) {
         self.budget.taken.pop_back();
         if let Some(open) = self.queries.get_mut(&id) {
             open.lent = Some((further, 0));
@@ -16,13 +16,13 @@
     }
 
     /// Whether a part of that vertical that may have run may go again at all.
-    pub fn may_repeat(&self, v: RequestClassId) -> bool {
+    pub fn may_retry(&self, v: RequestClassId) -> bool {
         self.classes[v.0 as usize].terms.idempotency != Idempotency::NonIdempotent
     }
 
     /// Parts go to another site: how many further calls that may make for them, until then. They count as made,
     /// for the budget and for each part, until `came_back` says how many were.
-    pub fn lend(&mut self, now: Timestamp, who: u64, parts: &[PartId], until: Timestamp) -> u32 {
+    pub fn delegate_retries(&mut self, now: Timestamp, who: u64, parts: &[PartId], until: Timestamp) -> u32 {
         let room = |p: &PartId| {
             self.parts.get(p).map_or(0, |p| self.retry_policy.limit - p.tried().min(self.retry_policy.limit))
         };
@@ -34,7 +34,7 @@
         n
     }
 
-    pub fn came_back(&mut self, now: Timestamp, who: u64, parts: &[PartId], lent: u32, made: u32) {
+    pub fn delegation_returned(&mut self, now: Timestamp, who: u64, parts: &[PartId], lent: u32, made: u32) {
         self.budget.settle(now, who, made);
         for id in parts {
             self.parts.get_mut(id).into_iter().for_each(|p| p.elsewhere -= lent - made.min(lent));
@@ -43,7 +43,7 @@
 
     /// The leaf stands for a cell of another site, which costs that hop; none while nothing may go there. Whether and
     /// at what cost is the route book's word; the cover goes on as ever among those left.
-    pub fn far(&mut self, leaf: ReplicaId, hop: Option<TimeSpan>) {
+    pub fn set_remote_delay(&mut self, leaf: ReplicaId, hop: Option<TimeSpan>) {
         if let Some(state) = self.leaves.get_mut(&leaf) {
             self.moved |= state.far != Some(hop);
             state.seen.take();
--- a/crates/pipitcrank-core/src/coordinator/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneRouting {
     /// Zones and the shares of queries meant for them, the nearest first. Empty: zones do not count.
-    pub of: Vec<(ZoneId, f64)>,
+    pub fractions: Vec<(ZoneId, f64)>,
     /// Nothing goes there.
     pub shut: Vec<ZoneId>,
     /// Up to this share of queries, by chance, is rejected before anything is sent for it: what all zones left
@@ -54,25 +54,25 @@
     const CROSSING_SHARE: f64 = 0.1;
 
     /// The leaf stands in that zone; none where nobody says.
-    pub fn stands_in(&mut self, leaf: ReplicaId, zone: Option<ZoneId>) {
+    pub fn set_replica_zone(&mut self, leaf: ReplicaId, zone: Option<ZoneId>) {
         if let Some(state) = self.leaves.get_mut(&leaf) {
             state.zone = zone;
         }
     }
 
-    pub fn set_shares(&mut self, shares: ZoneRouting) {
+    pub fn set_zone_routing(&mut self, shares: ZoneRouting) {
         self.moved |= self.zones.shares != shares;
         self.zones.shares = shares;
     }
 
     /// Draws the zone that a query is meant for. No chance is used where there is but one.
     pub(super) fn meant_for(&mut self) -> Option<ZoneId> {
-        let of = &self.zones.shares.of;
+        let of = &self.zones.shares.fractions;
         if of.len() < 2 {
             return of.first().map(|z| z.0);
         }
         let mut drawn = self.rng.below(Self::FINE) as f64 / Self::FINE as f64;
-        let of = &self.zones.shares.of;
+        let of = &self.zones.shares.fractions;
         for &(zone, share) in of {
             if drawn < share {
                 return Some(zone);
@@ -106,7 +106,7 @@
     }
 
     pub(super) fn count_crossing(&mut self, leaf: ReplicaId) {
-        let home = self.zones.shares.of.first().map(|z| z.0);
+        let home = self.zones.shares.fractions.first().map(|z| z.0);
         if let (Some(at), Some(home)) = (self.leaves[&leaf].zone, home) {
             let tally = &mut self.zones.tally;
             *(if at == home { &mut tally.near } else { &mut tally.across }) += 1;
@@ -125,12 +125,12 @@
         }
     }
 
-    pub fn tally(&self) -> &ZoneTraffic {
+    pub fn zone_traffic(&self) -> &ZoneTraffic {
         &self.zones.tally
     }
 
     /// What was seen of a zone's leaves, from here, by this co-ordinator alone.
-    pub fn seen_of(&self, now: Timestamp, zone: ZoneId) -> ZoneObservation {
+    pub fn observe_zone(&self, now: Timestamp, zone: ZoneId) -> ZoneObservation {
         let mut seen = ZoneObservation::default();
         let a_part: f64 = self.classes.iter().map(super::RequestClassState::usual_work).sum::<f64>()
             / self.classes.len().max(1) as f64;
@@ -172,7 +172,7 @@
 
     /// Probes some leaves of a zone that nothing is sent to, those first that were asked longest ago, so that its
     /// return rests on evidence. Each that is asked again is asked no sooner than a report is good for.
-    pub fn look_into(
+    pub fn probe_zone(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
@@ -192,7 +192,7 @@
         leaves.sort();
         for (_, leaf) in leaves.into_iter().take(if self.retry_policy.may_probe { most } else { 0 }) {
             self.leaves.get_mut(&leaf).expect("just listed").asks_again(now);
-            output.probe(leaf);
+            output.send_load_probe(leaf);
         }
     }
 
--- a/crates/pipitcrank-core/tests/cases.rs
+++ b/crates/pipitcrank-core/tests/cases.rs
@@ -11,15 +11,15 @@
 /// A query of vertical `v` with one part a shard; part ids follow from `base`.
 fn ask(coordinator: &mut Coordinator, tape: &mut Tape, t: i64, v: u16, base: u32, shards: &[u32]) {
     let n = shards.len() as f64;
-    coordinator.query(tape, at(t), QueryId(base), RequestClassId(v), ms(3000), None, n);
+    coordinator.start_query(tape, at(t), QueryId(base), RequestClassId(v), ms(3000), None, n);
     for (i, &shard) in shards.iter().enumerate() {
-        coordinator.part(tape, at(t), PartId(base + i as u32), QueryId(base), shard, 1.0 / n, None);
+        coordinator.add_part(tape, at(t), PartId(base + i as u32), QueryId(base), shard, 1.0 / n, None);
     }
 }
 
 fn turned(coordinator: &mut Coordinator, t: i64) -> Tape {
     let mut tape = Tape::default();
-    coordinator.turn(&mut tape, at(t));
+    coordinator.dispatch(&mut tape, at(t));
     tape
 }
 
@@ -31,8 +31,8 @@
 
 fn end(coordinator: &mut Coordinator, t: i64, part: PartId, nth: u32, outcome: AttemptOutcome) -> Tape {
     let mut tape = Tape::default();
-    coordinator.ended(&mut tape, at(t), part, nth, outcome);
-    coordinator.turn(&mut tape, at(t));
+    coordinator.attempt_ended(&mut tape, at(t), part, nth, outcome);
+    coordinator.dispatch(&mut tape, at(t));
     tape
 }
 
@@ -73,19 +73,23 @@
 fn after_a_move_the_leaves_carry_over_and_verticals_only_by_name() {
     // Work learned of one deployment's vertical was taken by another's in the same place (the move, 2026-12-01).
     let (mut old, _) = taught(3);
-    let known = old.known(at(0));
+    let known = old.learned_state(at(0));
     let mut other = helper::coordinator_named(3, "w");
     let mut tape = Tape::default();
     list(&mut other, &mut tape, &[]);
-    let before = other.known(at(0));
-    other.learn_from(at(10), ms(10), known.clone());
-    let after = other.known(at(10));
+    let before = other.learned_state(at(0));
+    other.restore_learned_state(at(10), ms(10), known.clone());
+    let after = other.learned_state(at(10));
     assert_eq!(after.verticals, before.verticals, "no vertical of the old names is here");
     assert_eq!(after.leaves.len(), known.leaves.len(), "the same leaves carry over");
     let mut same = helper::coordinator_named(3, "v");
     list(&mut same, &mut tape, &[]);
-    same.learn_from(at(10), ms(10), known.clone());
-    assert_eq!(same.known(at(10)).verticals[0], old.known(at(10)).verticals[0], "taken under its own name");
+    same.restore_learned_state(at(10), ms(10), known.clone());
+    assert_eq!(
+        same.learned_state(at(10)).verticals[0],
+        old.learned_state(at(10)).verticals[0],
+        "taken under its own name"
+    );
     // The first seconds after the switch: a query of the new deployment goes at once to a leaf learned of.
     ask(&mut other, &mut tape, 20, 0, 0, &[2]);
     assert_eq!(turned(&mut other, 20).calls().len(), 1, "sent at once after the switch");
@@ -111,11 +115,11 @@
 /// A root over so many leaves, each the only holder of its shards.
 fn lone_holders(count: u32) -> (Coordinator, Tape) {
     let (mut coordinator, mut tape) = (helper::coordinator_on(count, 1, 1, 2, true, false), Tape::default());
-    coordinator.list_begin(true);
+    coordinator.begin_endpoint_list(true);
     for n in 0..count {
-        coordinator.leaf(ReplicaId(n), n, true, None);
+        coordinator.list_replica(ReplicaId(n), n, true, None);
     }
-    coordinator.list_end(&mut tape);
+    coordinator.finish_endpoint_list(&mut tape);
     (coordinator, tape)
 }
 
@@ -246,9 +250,9 @@
 #[test]
 fn what_nobody_takes_is_turned_away_before_any_work() {
     let (mut coordinator, mut tape) = (coordinator(1, 2, true), Tape::default());
-    coordinator.list_begin(true);
-    coordinator.leaf(ReplicaId(0), 0, true, None);
-    coordinator.list_end(&mut tape);
+    coordinator.begin_endpoint_list(true);
+    coordinator.list_replica(ReplicaId(0), 0, true, None);
+    coordinator.finish_endpoint_list(&mut tape);
     ask(&mut coordinator, &mut tape, 0, 0, 0, &[0, 3]);
     assert_eq!(turned(&mut coordinator, 0).calls(), [], "one shard has no holder, so nothing goes");
     let late = helper::pass(&mut coordinator, &tape.0, at(200));
@@ -271,9 +275,9 @@
     let (mut coordinator, mut tape) = fresh(4);
     ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
     let first = turned(&mut coordinator, 0).calls()[0].1;
-    coordinator.list_begin(false);
-    coordinator.leaf(first, first.0, false, None);
-    coordinator.list_end(&mut tape);
+    coordinator.begin_endpoint_list(false);
+    coordinator.list_replica(first, first.0, false, None);
+    coordinator.finish_endpoint_list(&mut tape);
     let mut after = end(&mut coordinator, 5, PartId(0), 0, AttemptOutcome::Fault);
     assert!(after.0.contains(&Act::FreeLeaf(first)));
     assert_eq!(after.calls().len(), 1);
@@ -310,7 +314,7 @@
     for n in 0..4 {
         ask(&mut coordinator, &mut tape, n * 1000, 1, 0, &[0, 1, 2, 3, 4]);
         turned(&mut coordinator, n * 1000);
-        coordinator.gone(&mut tape, at(n * 1000 + 500), QueryId(0));
+        coordinator.cancel_query(&mut tape, at(n * 1000 + 500), QueryId(0));
         for part in 0..5 {
             end(&mut coordinator, n * 1000 + 510, PartId(part), 0, AttemptOutcome::Cancelled);
         }
@@ -336,7 +340,7 @@
         ask(&mut coordinator, &mut asked, t, 0, 0, &[2]);
         let calls = turned(&mut coordinator, t).calls().len();
         if n == 30 || n == 31 {
-            coordinator.gone(&mut tape, at(t + 30), QueryId(0));
+            coordinator.cancel_query(&mut tape, at(t + 30), QueryId(0));
             end(&mut coordinator, t + 31, PartId(0), 0, AttemptOutcome::Cancelled);
         } else if calls == 1 {
             begun += usize::from(n > 31);
@@ -393,8 +397,8 @@
     // In i052771 a tenth of the leaves fell silent, and every query of 75 parts had some there.
     for seed in 0..20 {
         let (mut coordinator, tape) = probing(seed);
-        coordinator.probed(at(5), ReplicaId(2), AttemptOutcome::Success);
-        coordinator.probed(at(5), ReplicaId(4), AttemptOutcome::Success);
+        coordinator.load_probe_ended(at(5), ReplicaId(2), AttemptOutcome::Success);
+        coordinator.load_probe_ended(at(5), ReplicaId(4), AttemptOutcome::Success);
         let calls = helper::pass(&mut coordinator, &tape.0, at(30)).calls();
         assert!(calls.len() == 1 && calls[0].1 != ReplicaId(3), "{calls:?}");
     }
@@ -407,7 +411,7 @@
         let (mut coordinator, _) = probing(seed);
         for (leaf, held) in [(2, 9.0), (3, 0.0), (4, 8.0)] {
             coordinator.load_report(at(5), ReplicaId(leaf), Some(held), None);
-            coordinator.probed(at(5), ReplicaId(leaf), AttemptOutcome::Success);
+            coordinator.load_probe_ended(at(5), ReplicaId(leaf), AttemptOutcome::Success);
         }
         let calls = turned(&mut coordinator, 5).calls();
         assert_eq!(calls, [(PartId(0), ReplicaId(3))]);
@@ -452,8 +456,8 @@
 fn a_client_with_little_time_left_is_told_soon() {
     // Shares of the SLO time are of the client's time where that is shorter (i9ec2ef).
     let (mut coordinator, mut tape) = (coordinator(1, 2, true), Tape::default());
-    coordinator.query(&mut tape, at(0), QueryId(0), RequestClassId(0), ms(300), None, 1.0);
-    coordinator.part(&mut tape, at(0), PartId(0), QueryId(0), 0, 1.0, None);
+    coordinator.start_query(&mut tape, at(0), QueryId(0), RequestClassId(0), ms(300), None, 1.0);
+    coordinator.add_part(&mut tape, at(0), PartId(0), QueryId(0), 0, 1.0, None);
     let seen = helper::pass(&mut coordinator, &tape.0, at(60));
     assert!(seen.0.contains(&Act::Reject(QueryId(0))), "no leaf is listed: {:?}", seen.0);
 }
--- a/crates/pipitcrank-core/tests/cold.rs
+++ b/crates/pipitcrank-core/tests/cold.rs
@@ -69,11 +69,11 @@
                 helper::list(&mut copy.coordinator, &mut tape, &started);
             }
             for &(_, part, nth) in due.iter().filter(|d| d.0 == n) {
-                copy.coordinator.ended(&mut tape, now, part, nth, AttemptOutcome::Success);
+                copy.coordinator.attempt_ended(&mut tape, now, part, nth, AttemptOutcome::Success);
             }
             while copy.alarms.front().is_some_and(|a| a.0 <= now) {
                 let (_, label) = copy.alarms.pop_front().unwrap();
-                copy.coordinator.woken(&mut tape, now, label);
+                copy.coordinator.timer_fired(&mut tape, now, label);
             }
             let rate = copy.rate * if now_ms >= BEFORE_MS { fleet.surge } else { 1.0 };
             let asks = rate.floor() as u32 + u32::from(rng.fraction() < rate.fract());
@@ -81,10 +81,10 @@
                 let (query, part) = (QueryId(copy.asked), PartId(copy.asked));
                 copy.asked += 1;
                 let shard = rng.below(helper::CELLS as usize) as u32;
-                copy.coordinator.query(&mut tape, now, query, RequestClassId(0), ms(4000), None, 1.0);
-                copy.coordinator.part(&mut tape, now, part, query, shard, 1.0, None);
+                copy.coordinator.start_query(&mut tape, now, query, RequestClassId(0), ms(4000), None, 1.0);
+                copy.coordinator.add_part(&mut tape, now, part, query, shard, 1.0, None);
             }
-            copy.coordinator.turn(&mut tape, now);
+            copy.coordinator.dispatch(&mut tape, now);
             for act in tape.0 {
                 match act {
                     Act::Call(part, leaf) => {
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -27,13 +27,13 @@
 pub struct Tape(pub Vec<Act>);
 
 impl CoordinatorOutput for Tape {
-    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, _until: Timestamp) {
+    fn send_attempt(&mut self, part: PartId, leaf: ReplicaId, _until: Timestamp) {
         self.0.push(Act::Call(part, leaf));
     }
-    fn abandon(&mut self, part: PartId, nth: u32) {
+    fn cancel_attempt(&mut self, part: PartId, nth: u32) {
         self.0.push(Act::Abandon(part, nth));
     }
-    fn merge(&mut self, query: QueryId, whole: bool) {
+    fn answer(&mut self, query: QueryId, whole: bool) {
         self.0.push(Act::Merge(query, whole));
     }
     fn reject(&mut self, query: QueryId, _stay_away: TimeSpan, _why: RejectReason) {
@@ -42,23 +42,23 @@
     fn abort(&mut self, query: QueryId, _why: RejectReason) {
         self.0.push(Act::Abort(query));
     }
-    fn wake_me(&mut self, at: Timestamp, label: u64) {
+    fn set_timer(&mut self, at: Timestamp, label: u64) {
         self.0.push(Act::Wake(at, label));
     }
-    fn probe(&mut self, leaf: ReplicaId) {
+    fn send_load_probe(&mut self, leaf: ReplicaId) {
         self.0.push(Act::Probe(leaf));
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.push(Act::Watch);
     }
-    fn note(&mut self, _text: &str) {}
-    fn let_go_query(&mut self, query: QueryId) {
+    fn log(&mut self, _text: &str) {}
+    fn release_query(&mut self, query: QueryId) {
         self.0.push(Act::FreeQuery(query));
     }
-    fn let_go_part(&mut self, part: PartId) {
+    fn release_part(&mut self, part: PartId) {
         self.0.push(Act::FreePart(part));
     }
-    fn let_go_leaf(&mut self, leaf: ReplicaId) {
+    fn release_replica(&mut self, leaf: ReplicaId) {
         self.0.push(Act::FreeLeaf(leaf));
     }
 }
@@ -169,7 +169,7 @@
 /// The verticals of the tests, named from `prefix` and their number.
 pub fn verticals(coordinator: &mut Coordinator, prefix: &str) {
     for (n, (floor, whole_from)) in FLOORS.into_iter().enumerate() {
-        coordinator.vertical(RequestClassConfig {
+        coordinator.add_request_class(RequestClassConfig {
             name: format!("{prefix}{n}"),
             idempotency: EFFECTS[n],
             dedup_window: DEDUP,
@@ -187,12 +187,12 @@
 #[allow(dead_code)] // the cases of zones list their own
 /// Lists one leaf a cell, all long up but those named, which started at that time.
 pub fn list(coordinator: &mut Coordinator, tape: &mut Tape, cold: &[(u32, Timestamp)]) {
-    coordinator.list_begin(true);
+    coordinator.begin_endpoint_list(true);
     for n in 0..CELLS {
         let started = cold.iter().find(|(l, _)| *l == n).map(|(_, t)| *t);
-        coordinator.leaf(ReplicaId(n), n, true, started);
+        coordinator.list_replica(ReplicaId(n), n, true, started);
     }
-    coordinator.list_end(tape);
+    coordinator.finish_endpoint_list(tape);
 }
 
 /// Rings the alarms that the acts set, and those set meanwhile, up to a time; a turn after each. What was done.
@@ -207,8 +207,8 @@
     {
         seen.remove(n);
         let mut tape = Tape::default();
-        coordinator.woken(&mut tape, due, label);
-        coordinator.turn(&mut tape, due);
+        coordinator.timer_fired(&mut tape, due, label);
+        coordinator.dispatch(&mut tape, due);
         seen.extend(tape.0.iter().cloned());
         done.0.extend(tape.0);
     }
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -186,7 +186,7 @@
         let id = PartId((0..).find(|n| !self.pieces.contains_key(&PartId(*n))).unwrap());
         self.pieces.insert(id, Piece { query, shard, weight, step, calls: Vec::new(), passed: false });
         self.taken.push(self.now);
-        self.coordinator.part(
+        self.coordinator.add_part(
             tape,
             self.now,
             id,
@@ -203,7 +203,7 @@
         event(self, &mut tape);
         self.did(tape)?;
         let mut tape = Tape::default();
-        self.coordinator.turn(&mut tape, self.now);
+        self.coordinator.dispatch(&mut tape, self.now);
         self.did(tape)
     }
 
@@ -216,7 +216,7 @@
         self.taken.push(self.now);
         self.asked.insert(query, Asked { vertical, arrived: self.now, ends, step: 0, first_whole: true });
         self.event(|w, tape| {
-            w.coordinator.query(
+            w.coordinator.start_query(
                 tape,
                 w.now,
                 query,
@@ -246,7 +246,7 @@
         let waited = self.asked.get(&piece.query).is_some_and(|a| a.step == piece.step);
         piece.passed |= outcome == AttemptOutcome::Success && waited;
         self.merged_any |= outcome == AttemptOutcome::Success;
-        self.event(|w, tape| w.coordinator.ended(tape, w.now, id, nth as u32, outcome))
+        self.event(|w, tape| w.coordinator.attempt_ended(tape, w.now, id, nth as u32, outcome))
     }
 
     fn pass(&mut self, span: TimeSpan) -> Result<(), TestCaseError> {
@@ -255,7 +255,7 @@
         {
             self.alarms.remove(&(due, label));
             self.now = self.now.max(due);
-            self.event(|w, tape| w.coordinator.woken(tape, w.now, label))?;
+            self.event(|w, tape| w.coordinator.timer_fired(tape, w.now, label))?;
         }
         self.now = until;
         let lost = self.asked.values().any(|a| self.now >= a.ends);
@@ -302,7 +302,7 @@
                 Op::Ask { vertical, first, count, left } => w.ask(vertical, first, count, ms(left))?,
                 Op::End { which, outcome } => w.end(which, OUTCOMES[outcome])?,
                 Op::Pass(span) => w.pass(ms(span))?,
-                Op::ListFails => w.event(|w, tape| w.coordinator.list_failed(tape, w.now))?,
+                Op::ListFails => w.event(|w, tape| w.coordinator.endpoint_list_failed(tape, w.now))?,
                 Op::List { leaf, up, cold } => {
                     w.up[leaf as usize] = up;
                     if cold {
@@ -310,9 +310,9 @@
                     }
                     let started = w.started[leaf as usize];
                     w.event(|w, tape| {
-                        w.coordinator.list_begin(false);
-                        w.coordinator.leaf(ReplicaId(leaf), leaf, up, started);
-                        w.coordinator.list_end(tape);
+                        w.coordinator.begin_endpoint_list(false);
+                        w.coordinator.list_replica(ReplicaId(leaf), leaf, up, started);
+                        w.coordinator.finish_endpoint_list(tape);
                     })?;
                 }
                 Op::Gone(which) => {
@@ -320,7 +320,7 @@
                     if !open.is_empty() {
                         let query = open[which % open.len()];
                         w.asked.remove(&query);
-                        w.event(|w, tape| w.coordinator.gone(tape, w.now, query))?;
+                        w.event(|w, tape| w.coordinator.cancel_query(tape, w.now, query))?;
                     }
                 }
             }
--- a/crates/pipitcrank-core/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -16,30 +16,30 @@
 /// Six cells; leaves 0 to 5 stand here, 6 to 11 there, one a cell each.
 fn two_zones(seed: u64, may_probe: bool) -> (Coordinator, Tape) {
     let (mut coordinator, mut tape) = (coordinator_on(6, 3, seed, 2, true, may_probe), Tape::default());
-    coordinator.list_begin(true);
+    coordinator.begin_endpoint_list(true);
     for n in 0..12 {
-        coordinator.leaf(ReplicaId(n), n % 6, true, None);
-        coordinator.stands_in(ReplicaId(n), Some(if n < 6 { HERE } else { THERE }));
+        coordinator.list_replica(ReplicaId(n), n % 6, true, None);
+        coordinator.set_replica_zone(ReplicaId(n), Some(if n < 6 { HERE } else { THERE }));
     }
-    coordinator.list_end(&mut tape);
+    coordinator.finish_endpoint_list(&mut tape);
     (coordinator, tape)
 }
 
 fn shares(of: &[(ZoneId, f64)], shut: &[ZoneId]) -> ZoneRouting {
-    ZoneRouting { of: of.to_vec(), shut: shut.to_vec(), ..ZoneRouting::default() }
+    ZoneRouting { fractions: of.to_vec(), shut: shut.to_vec(), ..ZoneRouting::default() }
 }
 
 /// Asks one query of one shard; where it went.
 fn goes(coordinator: &mut Coordinator, n: u32, t: i64, vertical: u16) -> (Vec<ReplicaId>, Vec<Act>) {
     let mut tape = Tape::default();
-    coordinator.query(&mut tape, at(t), QueryId(n), RequestClassId(vertical), ms(3000), None, 1.0);
-    coordinator.part(&mut tape, at(t), PartId(n), QueryId(n), n % 6, 1.0, None);
-    coordinator.turn(&mut tape, at(t));
+    coordinator.start_query(&mut tape, at(t), QueryId(n), RequestClassId(vertical), ms(3000), None, 1.0);
+    coordinator.add_part(&mut tape, at(t), PartId(n), QueryId(n), n % 6, 1.0, None);
+    coordinator.dispatch(&mut tape, at(t));
     (tape.calls().into_iter().map(|c| c.1).collect(), tape.0)
 }
 
 fn answered(coordinator: &mut Coordinator, n: u32, t: i64) {
-    coordinator.ended(&mut Tape::default(), at(t), PartId(n), 0, AttemptOutcome::Success);
+    coordinator.attempt_ended(&mut Tape::default(), at(t), PartId(n), 0, AttemptOutcome::Success);
 }
 
 #[test]
@@ -48,7 +48,7 @@
         let mut across = 0;
         let (mut coordinator, _) = two_zones(3, false);
         if told {
-            coordinator.set_shares(shares(&[(HERE, 1.0)], &[]));
+            coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
         }
         for n in 0..60 {
             let (leaves, _) = goes(&mut coordinator, n, i64::from(n) * 50, 0);
@@ -56,7 +56,7 @@
             answered(&mut coordinator, n, i64::from(n) * 50 + 20);
         }
         assert_eq!(across > 0, across_wanted, "{across} of 60 across, zones told: {told}");
-        let tally = coordinator.tally();
+        let tally = coordinator.zone_traffic();
         assert_eq!((tally.near, tally.across), if told { (60, 0) } else { (0, 0) });
         assert_eq!((tally.asked[0], tally.merged.iter().sum::<u64>()), ((60, 60), 60));
     }
@@ -65,7 +65,7 @@
 #[test]
 fn a_jam_at_home_sends_work_across() {
     let (mut coordinator, _) = two_zones(3, false);
-    coordinator.set_shares(shares(&[(HERE, 1.0)], &[]));
+    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
     // Every leaf here has a call out and unanswered for longer than a crossing is held to cost.
     for n in 0..12 {
         goes(&mut coordinator, n, 0, 0);
@@ -77,23 +77,23 @@
 #[test]
 fn nothing_goes_into_a_shut_zone_even_where_nobody_else_holds_the_shard() {
     let (mut coordinator, mut tape) = two_zones(3, false);
-    coordinator.set_shares(shares(&[(HERE, 1.0)], &[THERE]));
-    coordinator.list_begin(false);
-    (0..6).for_each(|n| coordinator.leaf(ReplicaId(n), n, false, None));
-    coordinator.list_end(&mut tape);
+    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[THERE]));
+    coordinator.begin_endpoint_list(false);
+    (0..6).for_each(|n| coordinator.list_replica(ReplicaId(n), n, false, None));
+    coordinator.finish_endpoint_list(&mut tape);
     let (leaves, _) = goes(&mut coordinator, 1, 0, 0);
     assert_eq!(leaves, []);
     // Opened again it is placed.
-    coordinator.set_shares(shares(&[(HERE, 1.0)], &[]));
+    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
     let mut tape = Tape::default();
-    coordinator.turn(&mut tape, at(5));
+    coordinator.dispatch(&mut tape, at(5));
     assert_eq!(tape.calls().len(), 1);
 }
 
 #[test]
 fn shares_are_drawn_about_as_told() {
     let (mut coordinator, _) = two_zones(9, false);
-    coordinator.set_shares(shares(&[(HERE, 0.7), (THERE, 0.3)], &[]));
+    coordinator.set_zone_routing(shares(&[(HERE, 0.7), (THERE, 0.3)], &[]));
     let mut across = 0;
     for n in 0..1000 {
         let (leaves, _) = goes(&mut coordinator, n, i64::from(n) * 50, 0);
@@ -101,14 +101,21 @@
         answered(&mut coordinator, n, i64::from(n) * 50 + 20);
     }
     assert!((250..350).contains(&across), "{across} of 1000");
-    assert_eq!((coordinator.tally().near, coordinator.tally().across), (1000 - across as u64, across as u64));
+    assert_eq!(
+        (coordinator.zone_traffic().near, coordinator.zone_traffic().across),
+        (1000 - across as u64, across as u64)
+    );
 }
 
 #[test]
 fn what_no_zone_can_carry_is_rejected_at_once_by_vertical() {
     let (mut coordinator, _) = two_zones(3, false);
     let turned_away = vec![1.0, 0.0];
-    coordinator.set_shares(ZoneRouting { of: vec![(HERE, 1.0)], turned_away, ..ZoneRouting::default() });
+    coordinator.set_zone_routing(ZoneRouting {
+        fractions: vec![(HERE, 1.0)],
+        turned_away,
+        ..ZoneRouting::default()
+    });
     let (leaves, acts) = goes(&mut coordinator, 1, 0, 0);
     assert_eq!(leaves, []);
     assert!(acts.contains(&Act::Reject(QueryId(1))) && acts.contains(&Act::FreePart(PartId(1))), "{acts:?}");
@@ -118,16 +125,16 @@
 #[test]
 fn silent_failing_and_answering_leaves_are_told_apart() {
     let (mut coordinator, _) = two_zones(3, true);
-    coordinator.set_shares(shares(&[(HERE, 1.0)], &[THERE]));
-    let nothing = coordinator.seen_of(at(0), THERE);
+    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[THERE]));
+    let nothing = coordinator.observe_zone(at(0), THERE);
     assert_eq!((nothing.listed, nothing.answering, nothing.silent), (6, 0, 0), "nobody was asked");
     let look = |coordinator: &mut Coordinator, t: i64, answer: &dyn Fn(u32) -> Option<AttemptOutcome>| {
         let mut tape = Tape::default();
-        coordinator.look_into(&mut tape, at(t), THERE, 6);
+        coordinator.probe_zone(&mut tape, at(t), THERE, 6);
         for act in tape.0 {
             let Act::Probe(leaf) = act else { continue };
             if let Some(outcome) = answer(leaf.0) {
-                coordinator.probed(at(t + 5), leaf, outcome);
+                coordinator.load_probe_ended(at(t + 5), leaf, outcome);
             }
         }
     };
@@ -137,22 +144,22 @@
         _ => Some(AttemptOutcome::Success),
     };
     (0..3).for_each(|n| look(&mut coordinator, n * 400, &some));
-    let seen = coordinator.seen_of(at(850), THERE);
+    let seen = coordinator.observe_zone(at(850), THERE);
     assert_eq!((seen.answering, seen.silent, seen.failing), (3, 2, 1));
     (3..5).for_each(|n| look(&mut coordinator, n * 400, &|_| Some(AttemptOutcome::Success)));
-    let seen = coordinator.seen_of(at(1700), THERE);
+    let seen = coordinator.observe_zone(at(1700), THERE);
     assert_eq!((seen.answering + seen.failing, seen.silent), (6, 0), "one word is enough");
 }
 
 #[test]
 fn a_call_left_unanswered_speaks_of_silence_and_a_long_one_beside_answers_does_not() {
     let (mut coordinator, _) = two_zones(3, false);
-    coordinator.set_shares(shares(&[(HERE, 1.0)], &[]));
+    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
     let (leaves, _) = goes(&mut coordinator, 1, 0, 0);
-    assert_eq!(coordinator.seen_of(at(300), HERE).silent, 0);
-    assert_eq!(coordinator.seen_of(at(2600), HERE).silent, 1, "{leaves:?}");
+    assert_eq!(coordinator.observe_zone(at(300), HERE).silent, 0);
+    assert_eq!(coordinator.observe_zone(at(2600), HERE).silent, 1, "{leaves:?}");
     answered(&mut coordinator, 1, 2700);
-    assert_eq!(coordinator.seen_of(at(2701), HERE).silent, 0);
+    assert_eq!(coordinator.observe_zone(at(2701), HERE).silent, 0);
 }
 
 #[test]
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -69,8 +69,8 @@
         let address = free.local_addr().unwrap();
         drop(free);
         let (clock, counters) = (Clock::start(), Counters::default());
-        let root = SettingsReader::new(&serde_json::from_str(TOLD).unwrap()).coordinator(1).unwrap();
-        let mut exchange = Exchange::new(root, 1000, 4, counters.clone());
+        let coordinator = SettingsReader::new(&serde_json::from_str(TOLD).unwrap()).coordinator(1).unwrap();
+        let mut exchange = Exchange::new(coordinator, 1000, 4, counters.clone());
         let row =
             Listed { uid: "l".into(), address: Some(address), cell: 0, zone: None, up: true, started: None };
         exchange.list(clock.now(), true, vec![row]);
--- a/crates/pipitcrank-handover/src/division/tests.rs
+++ b/crates/pipitcrank-handover/src/division/tests.rs
@@ -65,7 +65,7 @@
         known.taken = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
         known.further = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
         let purse = divide(free, share, span, TimeSpan::from_millis(longest_ms), &mut known);
-        let (mut purse_left, until) = (purse.further, now + purse.within);
+        let (mut delegated_retries_left, until) = (purse.further, now + purse.within);
         // The new one's clock is a little off.
         let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
         let mut new = RetryBudget::new(share, free, Some(span));
@@ -78,13 +78,13 @@
         for (n, step) in after.into_iter().enumerate() {
             if n == old_gone_at && !settled {
                 settled = true;
-                new.settle(now + skew, 1, purse.further - purse_left);
+                new.settle(now + skew, 1, purse.further - delegated_retries_left);
             }
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
                 Step::Taken => { new.take(now + skew); taken.push(now); }
-                Step::OldSends if !settled && purse_left > 0 && now < until => {
-                    purse_left -= 1;
+                Step::OldSends if !settled && delegated_retries_left > 0 && now < until => {
+                    delegated_retries_left -= 1;
                     made.push(now);
                     prop_assert!(kept(free, share, span, now, &taken, &made), "the old one's call");
                 }
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -24,7 +24,7 @@
         false,
         TimeSpan::from_millis(5),
     );
-    let mut fresh = coordinator.known(pipitcrank_core::time::Timestamp::default());
+    let mut fresh = coordinator.learned_state(pipitcrank_core::time::Timestamp::default());
     fresh.taken = known.taken;
     Snapshot {
         taken_us: 5,
--- a/crates/pipitcrank-recovery/src/beliefs/tests.rs
+++ b/crates/pipitcrank-recovery/src/beliefs/tests.rs
@@ -19,7 +19,7 @@
         false,
         TimeSpan::from_millis(5),
     )
-    .known(pipitcrank_core::time::Timestamp::default());
+    .learned_state(pipitcrank_core::time::Timestamp::default());
     let snapshot = Snapshot { known, ..Snapshot::default() };
     Beliefs::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MOST_MEMBERS + 80])
 }
--- a/crates/pipitcrank-server/src/audit.rs
+++ b/crates/pipitcrank-server/src/audit.rs
@@ -314,14 +314,14 @@
     }
 
     /// The exchange holds the query no more: whatever is sent for it from now on is sent after its end.
-    pub fn let_go_query(&mut self, ticket: u64) {
+    pub fn release_query(&mut self, ticket: u64) {
         if let Some(query) = self.queries.get_mut(&ticket) {
             query.answered = true;
             self.forget_if_over(ticket);
         }
     }
 
-    pub fn let_go_part(&mut self, part: PartId) {
+    pub fn release_part(&mut self, part: PartId) {
         let Some(book) = self.parts.remove(&part) else { return };
         if let Some(query) = self.queries.get_mut(&book.ticket) {
             query.parts -= 1;
@@ -335,7 +335,7 @@
         }
     }
 
-    pub fn let_go_leaf(&mut self, leaf: ReplicaId) {
+    pub fn release_replica(&mut self, leaf: ReplicaId) {
         self.drained.remove(&leaf);
     }
 
--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -82,9 +82,9 @@
     books.ends(0, 1, AttemptOutcome::Success);
     books.ends(1, 0, AttemptOutcome::Success);
     books.audit.answered(at(60), 1, Some(1.0), true);
-    books.audit.let_go_part(PartId(0));
-    books.audit.let_go_query(1);
-    books.audit.let_go_part(PartId(1));
+    books.audit.release_part(PartId(0));
+    books.audit.release_query(1);
+    books.audit.release_part(PartId(1));
     assert_eq!((books.broken(), books.audit.held()), (vec![], (0, 0)));
 }
 
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -346,7 +346,7 @@
             return Err(NotSent::TimeOver);
         }
         // Last: it counts the call as gone out.
-        self.coordinator.begin(now, call.0, call.1)?;
+        self.coordinator.begin_attempt(now, call.0, call.1)?;
         Ok(CallPart {
             id: part.id.clone(),
             shard: part.shard,
@@ -392,7 +392,7 @@
 
     /// Another site's leaves, one for each cell; nothing goes there before a hop is known.
     pub fn add_site(&mut self, site: u16, name: &str, cells: u32) -> Vec<ReplicaId> {
-        self.coordinator.list_begin(false);
+        self.coordinator.begin_endpoint_list(false);
         let mut leaves = Vec::new();
         for cell in 0..cells {
             // No name of discovery's has a blank.
@@ -401,19 +401,19 @@
             let place = place(&self.zones, &zone);
             let held = HeldLeaf { address: None, cell, zone, started: None, site: Some(site), off: None };
             self.desk.held_leaves.insert(leaf.0, held);
-            self.coordinator.leaf(leaf, cell, true, None);
-            self.coordinator.far(leaf, None);
-            self.coordinator.stands_in(leaf, place);
+            self.coordinator.list_replica(leaf, cell, true, None);
+            self.coordinator.set_remote_delay(leaf, None);
+            self.coordinator.set_replica_zone(leaf, place);
             leaves.push(leaf);
         }
-        self.coordinator.list_end(&mut self.desk);
+        self.coordinator.finish_endpoint_list(&mut self.desk);
         leaves
     }
 
     /// What the way to the site costs from now on; none closes it.
     pub fn set_hop(&mut self, site: u16, hop: Option<TimeSpan>) {
         for (&leaf, _) in self.desk.held_leaves.iter().filter(|(_, l)| l.site == Some(site)) {
-            self.coordinator.far(ReplicaId(leaf), hop);
+            self.coordinator.set_remote_delay(ReplicaId(leaf), hop);
         }
     }
 
@@ -433,7 +433,7 @@
             let until = calls.iter().map(|c| self.desk.out[c].until).min().unwrap_or(now);
             self.next_lent += 1;
             let ours: Vec<PartId> = calls.iter().map(|c| c.0).collect();
-            let further = self.coordinator.lend(now, self.next_lent, &ours, until);
+            let further = self.coordinator.delegate_retries(now, self.next_lent, &ours, until);
             let named = calls.iter().map(|c| (c.0, self.desk.held_parts[&c.0.0].id.clone()));
             self.lent.insert(self.next_lent, (named.collect(), further, until));
             let part = |c: &CallNo| &self.desk.held_parts[&c.0.0];
@@ -444,7 +444,7 @@
                 parts: calls.iter().map(|c| (part(c).shard, part(c).weight, part(c).work)).collect(),
                 idempotency_key: held.idempotency_key.clone(),
                 text: calls.first().map_or_else(|| "".into(), |c| part(c).text.clone()),
-                repeatable: self.coordinator.may_repeat(held.vertical),
+                repeatable: self.coordinator.may_retry(held.vertical),
                 who: self.next_lent,
                 further,
                 calls: calls.iter().map(|c| (part(c).shard, *c)).collect(),
@@ -463,7 +463,7 @@
                 self.desk.held_parts.get(&part.0).is_some_and(|h| Rc::ptr_eq(&h.id, id))
             };
             let parts: Vec<PartId> = parts.into_iter().filter(held).map(|(part, _)| part).collect();
-            self.coordinator.came_back(now, who, &parts, lent, made);
+            self.coordinator.delegation_returned(now, who, &parts, lent, made);
         }
     }
 
@@ -474,7 +474,7 @@
         self.zones = names;
         for (&leaf, held) in &self.desk.held_leaves {
             let place = place(&self.zones, &held.zone);
-            self.coordinator.stands_in(ReplicaId(leaf), place);
+            self.coordinator.set_replica_zone(ReplicaId(leaf), place);
         }
     }
 
@@ -484,18 +484,19 @@
     }
 
     /// From now on queries are meant for zones by these shares.
-    pub fn set_shares(&mut self, shares: ZoneRouting) {
-        self.coordinator.set_shares(shares);
+    pub fn set_zone_routing(&mut self, shares: ZoneRouting) {
+        self.coordinator.set_zone_routing(shares);
     }
 
     /// What is seen of each zone's leaves from here, in the zones' order, and what was counted since the start.
     pub fn zones_seen(&self, now: Timestamp) -> (Vec<ZoneObservation>, ZoneTraffic) {
-        let seen = (0..self.zones.len()).map(|n| self.coordinator.seen_of(now, ZoneId(n as u16))).collect();
-        (seen, self.coordinator.tally().clone())
+        let seen =
+            (0..self.zones.len()).map(|n| self.coordinator.observe_zone(now, ZoneId(n as u16))).collect();
+        (seen, self.coordinator.zone_traffic().clone())
     }
 
     /// Probes some leaves of a zone that nothing is sent to.
-    pub fn look_into(&mut self, zone: ZoneId, most: usize) {
+    pub fn probe_zone(&mut self, zone: ZoneId, most: usize) {
         self.inbox.push(Happened::LookInto(zone, most));
     }
 
@@ -517,7 +518,7 @@
         }
         while let Some((_, label)) = self.desk.alarms.first().copied().filter(|a| a.0 <= now) {
             self.desk.alarms.pop_first();
-            self.coordinator.woken(&mut self.desk, now, label);
+            self.coordinator.timer_fired(&mut self.desk, now, label);
         }
         while let Some((_, call)) = self.desk.untils.first().copied().filter(|u| u.0 <= now) {
             if let Some(leaf) = self.desk.close(call, AttemptOutcome::TimedOut) {
@@ -525,7 +526,7 @@
                 self.end_call(now, call, AttemptOutcome::TimedOut, None);
             }
         }
-        self.coordinator.turn(&mut self.desk, now);
+        self.coordinator.dispatch(&mut self.desk, now);
         self.carry_out(leaf_side);
     }
 
@@ -537,7 +538,7 @@
                 if let Some(&query) = self.desk.tickets.get(&ticket) {
                     self.desk.counters.add("queries", "client_gone");
                     tracing::debug!(target: REQUESTS, request = self.desk.queries.name(query), "client gone");
-                    self.coordinator.gone(&mut self.desk, now, QueryId(query));
+                    self.coordinator.cancel_query(&mut self.desk, now, QueryId(query));
                 }
             }
             Happened::Ended(leaf, call, outcome, value, report) => {
@@ -547,11 +548,11 @@
             Happened::Probed(leaf, outcome, report) => {
                 self.desk.counters.add("probes", outcome_name(outcome));
                 self.report(now, leaf, report);
-                self.coordinator.probed(now, leaf, outcome);
+                self.coordinator.load_probe_ended(now, leaf, outcome);
             }
             Happened::List(at, whole, rows) => self.take_list(at, whole, rows),
-            Happened::LookInto(zone, most) => self.coordinator.look_into(&mut self.desk, now, zone, most),
-            Happened::EndBy(by) => self.coordinator.end_by(by),
+            Happened::LookInto(zone, most) => self.coordinator.probe_zone(&mut self.desk, now, zone, most),
+            Happened::EndBy(by) => self.coordinator.cap_deadlines(by),
         }
     }
 
@@ -599,12 +600,20 @@
             };
             desk.held_parts.insert(index, held);
         }
-        self.coordinator.query(&mut self.desk, now, query, vertical, ends - now, work, parts.len() as f64);
+        self.coordinator.start_query(
+            &mut self.desk,
+            now,
+            query,
+            vertical,
+            ends - now,
+            work,
+            parts.len() as f64,
+        );
         if let Some(further) = further {
-            self.coordinator.lent_to(query, further);
+            self.coordinator.mark_forwarded(query, further);
         }
         for (index, part) in indices.into_iter().zip(parts) {
-            self.coordinator.part(
+            self.coordinator.add_part(
                 &mut self.desk,
                 now,
                 PartId(index),
@@ -629,7 +638,7 @@
             }
             part.value = value;
         }
-        self.coordinator.ended(&mut self.desk, now, call.0, call.1, outcome);
+        self.coordinator.attempt_ended(&mut self.desk, now, call.0, call.1, outcome);
     }
 
     fn report(&mut self, now: Timestamp, leaf: ReplicaId, report: Option<Report>) {
@@ -650,17 +659,17 @@
         longest: TimeSpan,
     ) -> Snapshot {
         self.take_lists();
-        let mut known = self.coordinator.known(now);
-        let (free, share, span) = self.coordinator.budget_terms();
+        let mut known = self.coordinator.learned_state(now);
+        let (free, share, span) = self.coordinator.retry_budget_terms();
         let purse = division::divide(free, share, span, longest, &mut known);
-        self.coordinator.finish_with(purse.further, now + purse.within);
+        self.coordinator.limit_to_delegated_retries(purse.further, now + purse.within);
         Snapshot { taken_us, rev, leaves: self.seen_leaves(now), known, lent: (purse.further, purse.within) }
     }
 
     /// What a process that comes after this one may recall, if this one ends without a word. Nothing is given away.
     pub fn remembered(&mut self, now: Timestamp, taken_us: i64, rev: Option<u64>) -> Snapshot {
         self.take_lists();
-        let known = self.coordinator.known(now);
+        let known = self.coordinator.learned_state(now);
         Snapshot { taken_us, rev, leaves: self.seen_leaves(now), known, lent: (0, TimeSpan::ZERO) }
     }
 
@@ -682,7 +691,7 @@
     pub fn go_on_from(&mut self, now: Timestamp, passed: TimeSpan, snapshot: Snapshot) {
         let (further, within) = snapshot.lent;
         self.take_over(now, passed, true, snapshot);
-        self.coordinator.lend_to_old(further, now - passed + within);
+        self.coordinator.delegate_to_predecessor(further, now - passed + within);
     }
 
     /// Goes on from what a process before this one knew `passed` ago, which is there no more. Its list counts where
@@ -690,7 +699,7 @@
     pub fn recall(&mut self, now: Timestamp, passed: TimeSpan, its_list: bool, snapshot: Snapshot) {
         self.take_lists();
         self.take_over(now, passed, its_list, snapshot);
-        self.coordinator.alone_again(now);
+        self.coordinator.resume_alone(now);
     }
 
     fn take_over(&mut self, now: Timestamp, passed: TimeSpan, its_list: bool, snapshot: Snapshot) {
@@ -718,23 +727,23 @@
         let mut known = snapshot.known;
         let leaves = std::mem::take(&mut known.leaves);
         known.leaves = leaves.into_iter().filter_map(|(i, l)| Some((*indices.get(&i)?, l))).collect();
-        self.coordinator.learn_from(now, passed, known);
+        self.coordinator.restore_learned_state(now, passed, known);
     }
 
     /// The other process has ended, and made so many further calls of those lent.
     pub fn settle(&mut self, now: Timestamp, further: u32) {
-        self.coordinator.settle_with_old(now, further);
+        self.coordinator.settle_with_predecessor(now, further);
         self.open_elsewhere = 0;
     }
 
     /// Further calls made of those kept when handing over.
     pub fn made_of(&self, kept: u32) -> u32 {
-        kept.saturating_sub(self.coordinator.purse_left())
+        kept.saturating_sub(self.coordinator.delegated_retries_left())
     }
 
     /// The other process is gone, and what it did is not known.
     pub fn alone_again(&mut self, now: Timestamp) {
-        self.coordinator.alone_again(now);
+        self.coordinator.resume_alone(now);
         self.open_elsewhere = 0;
     }
 
@@ -744,7 +753,7 @@
 
     /// How a query ends that the other process had when it died.
     pub fn stranded(&self, vertical: RequestClassId) -> Final {
-        match self.coordinator.stranded(vertical) {
+        match self.coordinator.retry_after_if_lost(vertical) {
             Some(stay_away) => Final::Rejected { stay_away },
             None => Final::Aborted,
         }
@@ -763,14 +772,14 @@
     }
 
     fn take_list(&mut self, at: Timestamp, whole: bool, rows: Vec<Listed>) {
-        self.coordinator.list_begin(whole);
+        self.coordinator.begin_endpoint_list(whole);
         if whole {
             let near = self.desk.held_leaves.values_mut().filter(|l| l.site.is_none());
             near.for_each(|l| l.off = l.off.or(Some(at)));
             self.desk.audit_lists();
             // Other sites are not discovery's to name.
             for (&leaf, held) in self.desk.held_leaves.iter().filter(|(_, l)| l.site.is_some()) {
-                self.coordinator.leaf(ReplicaId(leaf), held.cell, true, None);
+                self.coordinator.list_replica(ReplicaId(leaf), held.cell, true, None);
             }
         }
         for Listed { uid, address, cell, zone, up, started } in rows {
@@ -791,10 +800,10 @@
                 held.address = Some(address);
                 self.desk.wishes.push(Wish::Meet(leaf, address));
             }
-            self.coordinator.leaf(leaf, cell, up, started);
-            self.coordinator.stands_in(leaf, place);
+            self.coordinator.list_replica(leaf, cell, up, started);
+            self.coordinator.set_replica_zone(leaf, place);
         }
-        self.coordinator.list_end(&mut self.desk);
+        self.coordinator.finish_endpoint_list(&mut self.desk);
     }
 
     /// Passes on what the module asked for: the parts for one leaf travel together, up to the call size told.
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -157,7 +157,7 @@
 }
 
 impl CoordinatorOutput for Desk {
-    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
+    fn send_attempt(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
         if let Some(again) = self.again(part) {
             self.counters.add("again", again.name());
             let part = self.parts.name(part.0);
@@ -175,13 +175,13 @@
         self.wishes.push(Wish::Call(leaf, call));
     }
 
-    fn abandon(&mut self, part: PartId, nth: u32) {
+    fn cancel_attempt(&mut self, part: PartId, nth: u32) {
         if let Some(leaf) = self.out.get(&(part, nth)).map(|out| out.leaf) {
             self.wishes.push(Wish::GiveUp(leaf, (part, nth)));
         }
     }
 
-    fn merge(&mut self, query: QueryId, whole: bool) {
+    fn answer(&mut self, query: QueryId, whole: bool) {
         let parts = self.held_queries.get(&query.0).map(|q| &q.parts[..]).unwrap_or_default();
         let hits = parts.iter().filter_map(|p| {
             let part = self.held_parts.get_mut(p)?;
@@ -199,26 +199,26 @@
         self.refuse(query, Final::Aborted, "aborted", why);
     }
 
-    fn wake_me(&mut self, at: Timestamp, label: u64) {
+    fn set_timer(&mut self, at: Timestamp, label: u64) {
         self.alarms.insert((at, label));
     }
 
-    fn probe(&mut self, leaf: ReplicaId) {
+    fn send_load_probe(&mut self, leaf: ReplicaId) {
         self.wishes.push(Wish::Probe(leaf));
     }
 
-    fn watch(&mut self) {} // Discovery is always watched.
+    fn watch_endpoints(&mut self) {} // Discovery is always watched.
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::info!("{text}");
     }
 
-    fn let_go_query(&mut self, query: QueryId) {
+    fn release_query(&mut self, query: QueryId) {
         self.queries.release(query.0);
         if let Some(held) = self.held_queries.remove(&query.0) {
             self.tickets.remove(&held.ticket);
             if let Some(audit) = &mut self.audit {
-                audit.let_go_query(held.ticket);
+                audit.release_query(held.ticket);
             }
             // Guards against a call that waits for its connection while its query ends: it was taken for one of the query that
             // got the index next, and went out for nobody.
@@ -229,19 +229,19 @@
         }
     }
 
-    fn let_go_part(&mut self, part: PartId) {
+    fn release_part(&mut self, part: PartId) {
         self.parts.release(part.0);
         self.held_parts.remove(&part.0);
         if let Some(audit) = &mut self.audit {
-            audit.let_go_part(part);
+            audit.release_part(part);
         }
     }
 
-    fn let_go_leaf(&mut self, leaf: ReplicaId) {
+    fn release_replica(&mut self, leaf: ReplicaId) {
         self.leaves.release(leaf.0);
         self.held_leaves.remove(&leaf.0);
         if let Some(audit) = &mut self.audit {
-            audit.let_go_leaf(leaf);
+            audit.release_replica(leaf);
         }
         self.wishes.push(Wish::LetGo(leaf));
     }
--- a/crates/pipitcrank-sim-adapter/src/door.rs
+++ b/crates/pipitcrank-sim-adapter/src/door.rs
@@ -62,18 +62,18 @@
 }
 
 impl CoordinatorOutput for Door {
-    fn leaf_call(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
+    fn send_attempt(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
         let (i, job, replica) = (&self.instance, self.parts.name(part.0), self.leaves.name(leaf.0));
         let line = format!("SEND i={i} job={job} replica={replica} abandon_at_s={:.6}", until.as_secs_f64());
         self.say(&line);
     }
 
-    fn abandon(&mut self, part: PartId, nth: u32) {
+    fn cancel_attempt(&mut self, part: PartId, nth: u32) {
         let line = format!("ABANDON i={} job={} trial={nth}", self.instance, self.parts.name(part.0));
         self.say(&line);
     }
 
-    fn merge(&mut self, query: QueryId, whole: bool) {
+    fn answer(&mut self, query: QueryId, whole: bool) {
         let (i, job) = (&self.instance, self.queries.name(query.0));
         let line = format!("RESPOND i={i} job={job} complete={}", u8::from(whole));
         self.say(&line);
@@ -90,37 +90,37 @@
         self.say(&line);
     }
 
-    fn wake_me(&mut self, at: Timestamp, label: u64) {
+    fn set_timer(&mut self, at: Timestamp, label: u64) {
         let line =
             format!("NOTIFY_ME i={} alarm_time_s={:.6} label={label}", self.instance, at.as_secs_f64());
         self.say(&line);
     }
 
-    fn probe(&mut self, leaf: ReplicaId) {
+    fn send_load_probe(&mut self, leaf: ReplicaId) {
         let line = format!("CHECK i={} replica={}", self.instance, self.leaves.name(leaf.0));
         self.say(&line);
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         let line = format!("KEEP_INFORMED i={} complete=1", self.instance);
         self.say(&line);
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         let line = format!("TRACE i={} body_text={text}", self.instance);
         self.say(&line);
     }
 
-    fn let_go_query(&mut self, query: QueryId) {
+    fn release_query(&mut self, query: QueryId) {
         self.queries.release(query.0);
         self.asks.retain(|_, q| *q != query.0);
     }
 
-    fn let_go_part(&mut self, part: PartId) {
+    fn release_part(&mut self, part: PartId) {
         self.parts.release(part.0);
     }
 
-    fn let_go_leaf(&mut self, leaf: ReplicaId) {
+    fn release_replica(&mut self, leaf: ReplicaId) {
         self.leaves.release(leaf.0);
     }
 }
@@ -165,7 +165,7 @@
             "DISCOVERY" => {
                 let scope = line.field("scope")?;
                 if scope == "Error" {
-                    coordinator.list_failed(door, now);
+                    coordinator.endpoint_list_failed(door, now);
                     return Ok(());
                 }
                 if !["Partial", "Complete", "Persisted"].contains(&scope) {
@@ -173,16 +173,16 @@
                 }
                 let rows = lists.get(&line.number("ref")?);
                 let rows = rows.ok_or_else(|| line.wrong("ref", "names no list received"))?;
-                coordinator.list_begin(scope != "Partial");
+                coordinator.begin_endpoint_list(scope != "Partial");
                 for row in rows {
                     let leaf = ReplicaId(door.leaves.intern(&row.replica));
-                    coordinator.leaf(leaf, row.cell, row.up, row.started);
+                    coordinator.list_replica(leaf, row.cell, row.up, row.started);
                     let zone = zones.iter().position(|z| Some(z) == row.zone.as_ref());
                     if let Some(zone) = zone {
-                        coordinator.stands_in(leaf, Some(ZoneId(zone as u16)));
+                        coordinator.set_replica_zone(leaf, Some(ZoneId(zone as u16)));
                     }
                 }
-                coordinator.list_end(door);
+                coordinator.finish_endpoint_list(door);
             }
             "WORK_ITEM" => {
                 let (job, ask) = (line.field("job")?, line.number("ask_no")?);
@@ -198,7 +198,7 @@
                             return Err(line.wrong("job", "repeats an id that is held"));
                         }
                         let part = PartId(door.parts.intern(job));
-                        coordinator.part(door, now, part, QueryId(query), shard, amount, hint);
+                        coordinator.add_part(door, now, part, QueryId(query), shard, amount, hint);
                     }
                     return Ok(());
                 }
@@ -211,27 +211,35 @@
                 let query = QueryId(door.queries.intern(job));
                 door.asks.insert(ask, query.0);
                 let left = TimeSpan::from_secs_f64(line.amount("remaining_s")?);
-                coordinator.query(door, now, query, RequestClassId(vertical as u16), left, hint, amount);
+                coordinator.start_query(
+                    door,
+                    now,
+                    query,
+                    RequestClassId(vertical as u16),
+                    left,
+                    hint,
+                    amount,
+                );
             }
             "FINISHED" => {
                 let nth = line.number("trial")?;
                 let outcome = outcome(line)?;
                 report(coordinator, door, now, line)?;
                 if let Some(part) = door.parts.find(line.field("job")?) {
-                    coordinator.ended(door, now, PartId(part), nth, outcome);
+                    coordinator.attempt_ended(door, now, PartId(part), nth, outcome);
                 }
             }
             "DROPPED" => {
                 if let Some(query) = door.queries.find(line.field("job")?) {
-                    coordinator.gone(door, now, QueryId(query));
+                    coordinator.cancel_query(door, now, QueryId(query));
                 }
             }
-            "ELAPSED" => coordinator.woken(door, now, line.number("label")?),
+            "ELAPSED" => coordinator.timer_fired(door, now, line.number("label")?),
             "HEALTH" => {
                 report(coordinator, door, now, line)?;
                 let outcome = outcome(line)?;
                 if let Some(leaf) = door.leaves.find(line.field("replica")?) {
-                    coordinator.probed(now, ReplicaId(leaf), outcome);
+                    coordinator.load_probe_ended(now, ReplicaId(leaf), outcome);
                 }
             }
             // Streamed verticals and messages between co-ordinators have no part in the decisions.
@@ -242,7 +250,7 @@
     }
 
     pub fn turn(&mut self, now: Timestamp) {
-        self.coordinator.turn(&mut self.door, now);
+        self.coordinator.dispatch(&mut self.door, now);
     }
 
     pub fn flush(&mut self, output: &mut dyn Write) -> io::Result<()> {
