--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -8,13 +8,13 @@
 use pipitcrank_core::time::Timestamp;
 use pipitcrank_failover::agreement::Memory;
 use pipitcrank_failover::decision::Decision;
-use pipitcrank_handover::passing::mono_us;
+use pipitcrank_handover::passing::monotonic_micros;
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::beliefs::{Beliefs, Clocks, Recalled};
 use pipitcrank_recovery::store::{Fault, Store};
 use pipitcrank_server::counters::Counters;
-use pipitcrank_server::discovery::Rev;
-use pipitcrank_server::hall::Hall;
+use pipitcrank_server::discovery::SharedRevision;
+use pipitcrank_server::event_loop::EventLoop;
 use tokio::sync::Notify;
 
 use crate::peers::{since_1970_us, span};
@@ -45,7 +45,7 @@
 }
 
 fn clocks() -> Clocks {
-    Clocks { day_us: since_1970_us() as i64, since_boot_us: mono_us() }
+    Clocks { day_us: since_1970_us() as i64, since_boot_us: monotonic_micros() }
 }
 
 impl Disk {
@@ -124,19 +124,19 @@
     pub fn look(
         &mut self,
         now: Timestamp,
-        hall: &Hall,
-        rev: &Rev,
+        event_loop: &EventLoop,
+        rev: &SharedRevision,
         agreed: impl FnOnce() -> (Option<Decision>, Vec<Peer>),
     ) {
-        self.say(&hall.counters);
+        self.say(&event_loop.counters);
         if self.written.is_some_and(|at| now - at < span(self.told.every)) {
             return;
         }
         self.written = Some(now);
-        let snapshot = hall.tell(|e| e.remembered(now, mono_us(), rev.get()));
+        let snapshot = event_loop.tell(|e| e.remembered(now, monotonic_micros(), rev.get()));
         let (decision, members) = agreed();
         self.store.believe(Beliefs::new(clocks(), &snapshot, decision, members).encode());
-        hall.counters.add("store", "written");
+        event_loop.counters.add("store", "written");
     }
 
     /// When `look` is due.
@@ -170,17 +170,17 @@
 /// Has what is known written, where this copy stands alone; until the end is called.
 pub async fn write_alone(
     mut disk: Disk,
-    hall: Rc<Hall>,
-    rev: Rev,
+    event_loop: Rc<EventLoop>,
+    rev: SharedRevision,
     mut leaving: tokio::sync::watch::Receiver<bool>,
 ) {
     loop {
-        let due = hall.clock.instant(disk.due());
+        let due = event_loop.clock.instant(disk.due());
         tokio::select! {
             _ = leaving.wait_for(|left| *left) => return,
             () = disk.rings() => {}
             () = tokio::time::sleep_until(due) => {}
         }
-        disk.look(hall.clock.now(), &hall, &rev, || (None, Vec::new()));
+        disk.look(event_loop.clock.now(), &event_loop, &rev, || (None, Vec::new()));
     }
 }
--- a/crates/pipitcrank-cli/src/keeper.rs
+++ b/crates/pipitcrank-cli/src/keeper.rs
@@ -12,7 +12,7 @@
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::book::{Book, Event, Times, Wish, Worker};
 use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing};
-use pipitcrank_handover::words::{ToKeeper, ToWorker, VERSION};
+use pipitcrank_handover::words::{ToSupervisor, ToWorker, VERSION};
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
@@ -124,7 +124,7 @@
         }
     }
 
-    /// SIGHUP: workers read their charter again, the keeper the operators' file. A faulty one changes nothing.
+    /// SIGHUP: workers read their node configuration again, the keeper the operators' file. A faulty one changes nothing.
     fn reload(&self, book: &mut Book) {
         for worker in self.workers.values() {
             let _ = worker.signals.send(Signal::HUP);
@@ -222,17 +222,17 @@
 /// Hands on what the worker says, until it says no more.
 async fn listen(who: Worker, mut from: Incoming, events: UnboundedSender<Event>) {
     loop {
-        let event = match from.next::<ToKeeper>().await {
-            Ok((ToKeeper::Hello { version: VERSION }, _)) => continue,
-            Ok((ToKeeper::Hello { version }, _)) => {
+        let event = match from.next::<ToSupervisor>().await {
+            Ok((ToSupervisor::Hello { version: VERSION }, _)) => continue,
+            Ok((ToSupervisor::Hello { version }, _)) => {
                 tracing::error!(worker = who.0, "speaks version {version}, not {VERSION}");
                 Event::Garbled(who)
             }
-            Ok((ToKeeper::Checked, _)) => Event::Checked(who),
-            Ok((ToKeeper::Learned, _)) => Event::Learned(who),
-            Ok((ToKeeper::Beat, _)) => Event::Beat(who),
-            Ok((ToKeeper::Drained, _)) => Event::Drained(who),
-            Ok((ToKeeper::Passed, _)) => Event::Passed(who),
+            Ok((ToSupervisor::Checked, _)) => Event::Checked(who),
+            Ok((ToSupervisor::Learned, _)) => Event::Learned(who),
+            Ok((ToSupervisor::Beat, _)) => Event::Beat(who),
+            Ok((ToSupervisor::Drained, _)) => Event::Drained(who),
+            Ok((ToSupervisor::Passed, _)) => Event::Passed(who),
             Err(Broken::Closed | Broken::Io(_)) => return,
             Err(wrong) => {
                 tracing::error!(worker = who.0, "{wrong}");
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -20,10 +20,10 @@
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_gateway::far::Far;
 use pipitcrank_gateway::near::{Near, Peer};
-use pipitcrank_server::charter::Charter;
 use pipitcrank_server::clock::Clock;
-use pipitcrank_server::exchange::LeafSide;
-use pipitcrank_server::serve::{self, Beside, Ground};
+use pipitcrank_server::exchange::ReplicaTransport;
+use pipitcrank_server::node_config::NodeConfig;
+use pipitcrank_server::serve::{self, Beside, ServerContext};
 use pipitcrank_testkit::trial::{self, Terms};
 
 /// A scatter-gather co-ordinator: it reads many shards for one query and gives one answer.
@@ -49,13 +49,13 @@
         #[arg(long)]
         operators: Option<PathBuf>,
     },
-    /// Check the charter (NODE_CONFIG) and the operators' file, and say what is wrong by its key
+    /// Check the node configuration (NODE_CONFIG) and the operators' file, and say what is wrong by its key
     Check {
         #[arg(long)]
         operators: Option<PathBuf>,
-        /// Leave the charter: only the operators' file is looked at
-        #[arg(long)]
-        no_charter: bool,
+        /// Leave the node configuration: only the operators' file is looked at
+        #[arg(long = "no-charter")]
+        no_node_config: bool,
     },
     /// Ask a running co-ordinator to start the program anew and hand all over to it
     Upgrade {
@@ -103,7 +103,7 @@
         #[arg(long, default_value_t = 5.0)]
         wait: f64,
     },
-    /// Show it at work on this machine: stand-in leaves, some hundred queries, a leaf killed half way
+    /// Show it at work on this machine: stand-in replicas, some hundred queries, a replica killed half way
     Demo {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -156,7 +156,7 @@
     let code = match what {
         What::Serve { operators } => logged(operators, serve_or_keep),
         What::Work { operators } => logged(operators, |_, operators| work(operators)),
-        What::Check { operators, no_charter } => check(operators, no_charter),
+        What::Check { operators, no_node_config } => check(operators, no_node_config),
         What::Upgrade { pid, address, wait } => {
             said(asking::upgrade(pid, address, Duration::from_secs_f64(wait)))
         }
@@ -236,31 +236,32 @@
         })?
         .map(|()| 0);
     };
-    let (_, text) = serve::charter_text().map_err(|e| anyhow!(e))?;
-    let charter = Charter::read(&text, |name| std::env::var(name).ok())?;
-    charter.check(&clock)?;
+    let (_, text) = serve::node_config_text().map_err(|e| anyhow!(e))?;
+    let node_config = NodeConfig::read(&text, |name| std::env::var(name).ok())?;
+    node_config.check(&clock)?;
     if let Some(zones) = &operators.zones {
-        peers::own_zone(zones, charter.zones()?.as_ref())?;
+        peers::own_zone(zones, node_config.zones()?.as_ref())?;
     }
     let path = path.map(|p| p.canonicalize().context("the operators' file")).transpose()?;
-    on_one_thread(keeper::keep(keeper::program()?, path, charter.listen()?, upgrade))?
+    on_one_thread(keeper::keep(keeper::program()?, path, node_config.listen()?, upgrade))?
 }
 
 /// Whose store it is: the co-ordinator's name.
 fn owner() -> Result<String> {
-    let (_, text) = serve::charter_text().map_err(|e| anyhow!(e))?;
-    Ok(Charter::read(&text, |name| std::env::var(name).ok())?.name()?)
+    let (_, text) = serve::node_config_text().map_err(|e| anyhow!(e))?;
+    Ok(NodeConfig::read(&text, |name| std::env::var(name).ok())?.name()?)
 }
 
-/// Other copies, other sites beside the near leaves, and the store, where the operators' file has them. `opened`: the store
+/// Other copies, other sites beside the near replicas, and the store, where the operators' file has them. `opened`: the store
 /// and what a process before this one left in it; none while such a process may still have it.
 fn beside(operators: Operators, opened: Option<(Option<Disk>, Past)>) -> Option<Beside> {
     let Operators { gateway, zones, store, .. } = operators;
     if gateway.is_none() && zones.is_none() && store.is_none() {
         return None;
     }
-    Some(Box::new(move |ground: Ground| {
-        let (hall, rev, leaving) = (ground.hall.clone(), ground.rev.clone(), ground.leaving.clone());
+    Some(Box::new(move |ground: ServerContext| {
+        let (event_loop, rev, leaving) =
+            (ground.event_loop.clone(), ground.rev.clone(), ground.leaving.clone());
         let opens = async move |gone: tokio::sync::watch::Receiver<bool>| match (opened, store) {
             (Some(opened), _) => opened,
             (None, Some(told)) => {
@@ -279,12 +280,12 @@
         } else {
             tokio::task::spawn_local(async move {
                 if let (Some(disk), _) = opens(leaving.clone()).await {
-                    disk::write_alone(disk, hall, rev, leaving).await;
+                    disk::write_alone(disk, event_loop, rev, leaving).await;
                 }
             });
         }
         let Some(Gateway { site, listen, sites, connections, prefer_near }) = gateway else {
-            return ground.leaves as Rc<RefCell<dyn LeafSide>>;
+            return ground.replicas as Rc<RefCell<dyn ReplicaTransport>>;
         };
         // Told apart from any process before or beside this one: by its number and its start.
         let instance = peers::since_1970_us() << 22 ^ u64::from(std::process::id());
@@ -293,7 +294,7 @@
         let peers = sites.into_iter().map(|(name, address)| Peer { name, address }).collect();
         let prefer_near = TimeSpan::from_secs_f64(prefer_near.as_secs_f64());
         let near = Near::start(ground, &site, instance, peers, connections, prefer_near);
-        Rc::new(RefCell::new(near)) as Rc<RefCell<dyn LeafSide>>
+        Rc::new(RefCell::new(near)) as Rc<RefCell<dyn ReplicaTransport>>
     }))
 }
 
@@ -333,8 +334,8 @@
     Ok(0)
 }
 
-/// All faults that there are, one a line: the charter's first, then the operators' file's.
-fn check(operators: Option<PathBuf>, no_charter: bool) -> i32 {
+/// All faults that there are, one a line: the node configuration's first, then the operators' file's.
+fn check(operators: Option<PathBuf>, no_node_config: bool) -> i32 {
     let mut code = 0;
     let mut look = |what: &str, faults: Vec<String>| {
         if faults.is_empty() {
@@ -345,9 +346,9 @@
             code = 2;
         }
     };
-    if !no_charter {
-        let read = serve::charter_text().and_then(|(_, text)| {
-            Charter::read(&text, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
+    if !no_node_config {
+        let read = serve::node_config_text().and_then(|(_, text)| {
+            NodeConfig::read(&text, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
         });
         let faults = read.map(|c| c.faults(&Clock::start()).iter().map(ToString::to_string).collect());
         look("the charter", faults.unwrap_or_else(|wrong| vec![wrong]));
@@ -355,11 +356,11 @@
     if let Some(path) = operators {
         let read = Operators::read(&path);
         let mut faults: Vec<String> = read.as_ref().err().map(ToString::to_string).into_iter().collect();
-        // What both files say of zones has to agree; without the charter only the file itself is looked at.
-        if let (Ok(Operators { zones: Some(zones), .. }), false) = (&read, no_charter)
-            && let Ok((_, text)) = serve::charter_text()
-            && let Ok(charter) = Charter::read(&text, |name| std::env::var(name).ok())
-            && let Ok(platform) = charter.zones()
+        // What both files say of zones has to agree; without the node configuration only the file itself is looked at.
+        if let (Ok(Operators { zones: Some(zones), .. }), false) = (&read, no_node_config)
+            && let Ok((_, text)) = serve::node_config_text()
+            && let Ok(node_config) = NodeConfig::read(&text, |name| std::env::var(name).ok())
+            && let Ok(platform) = node_config.zones()
         {
             faults.extend(peers::own_zone(zones, platform.as_ref()).err().map(|wrong| wrong.to_string()));
         }
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -21,8 +21,8 @@
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::turns::{self, Copy};
 use pipitcrank_server::counters::Counters;
-use pipitcrank_server::discovery::Rev;
-use pipitcrank_server::serve::Ground;
+use pipitcrank_server::discovery::SharedRevision;
+use pipitcrank_server::serve::ServerContext;
 use tokio::net::UdpSocket;
 
 use crate::disk::{Disk, Past};
@@ -31,12 +31,12 @@
 const A_ROW: usize = 32;
 /// While another process of this copy still has the address, it is asked for again so often.
 const ADDRESS_AGAIN: Duration = Duration::from_millis(50);
-/// Of a zone that is shut, so many leaves are probed each time evidence is gathered: by all that speak together each
-/// leaf of some dozens is asked within a second.
+/// Of a zone that is shut, so many replicas are probed each time evidence is gathered: by all that speak together each
+/// replica of some dozens is asked within a second.
 const LOOKS: usize = 8;
-/// A zone is looked into where one in so many of its leaves left something without a word.
+/// A zone is looked into where one in so many of its replicas left something without a word.
 const DOUBTED: u32 = 4;
-/// Of a zone of which little was just heard, as on calm of all but the own: each leaf of some is asked each second, so
+/// Of a zone of which little was just heard, as on calm of all but the own: each replica of some is asked each second, so
 /// that its loss is known before it is needed.
 const GLANCES: usize = 2;
 /// Rates are over so long: shorter ones jump with single queries.
@@ -85,17 +85,18 @@
 
 /// What a copy is that stands there with others; or a fault by its key. `opens` gives its store, and what a process before
 /// it left there; asked once no process of this copy has its address any more.
-pub fn stand<O>(ground: &Ground, zones: Zones, opens: O) -> Result<impl Future<Output = ()> + use<O>>
+pub fn stand<O>(ground: &ServerContext, zones: Zones, opens: O) -> Result<impl Future<Output = ()> + use<O>>
 where
     O: AsyncFnOnce(tokio::sync::watch::Receiver<bool>) -> (Option<Disk>, Past) + 'static,
 {
     let own = own_zone(&zones, ground.zones.as_ref())?;
-    let (hall, utilities, rev) = (ground.hall.clone(), ground.utilities.clone(), ground.rev.clone());
+    let (event_loop, utilities, rev) =
+        (ground.event_loop.clone(), ground.utilities.clone(), ground.rev.clone());
     let (mut leaving, end_called) = (ground.leaving.clone(), ground.end_called.clone());
     let names: Vec<String> = zones.zones.iter().map(|(name, _)| name.clone()).collect();
     let regions = regions(&zones);
     let region: Vec<bool> = regions.iter().map(|r| *r == regions[own]).collect();
-    // A site is a region: its leaves stand for all of its zones.
+    // A site is a region: its replicas stand for all of its zones.
     let stands_for: Vec<usize> = (0..regions.len())
         .map(|zone| match region[zone] {
             true => zone,
@@ -104,7 +105,7 @@
         .collect();
     let sites = (0..regions.len()).filter(|&zone| !region[zone] && stands_for[zone] == zone);
     let site_zones = sites.map(|zone| (regions[zone].clone(), names[zone].clone())).collect();
-    hall.tell(|e| {
+    event_loop.tell(|e| {
         e.name_zones(names.clone());
         e.name_site_zones(site_zones);
         if !zones.dry_run {
@@ -126,7 +127,7 @@
             }
         };
         let (disk, Past { recalled, memory }) = opens(leaving.clone()).await;
-        let now = hall.clock.now();
+        let now = event_loop.clock.now();
         let mut instance = instance(now, &zones, own);
         if disk.is_some() {
             instance.keeps();
@@ -146,7 +147,7 @@
             instance,
             disk,
             rev,
-            hall,
+            event_loop,
             names,
             own,
             stands_for,
@@ -160,7 +161,7 @@
         };
         hands.run(&mut leaving).await;
         let how = if end_called.borrow().is_some() { Gone::Left } else { Gone::Upgraded };
-        let now = hands.hall.clock.now();
+        let now = hands.event_loop.clock.now();
         hands.instance.leave(now, how);
         hands.pass_on(now).await;
     })
@@ -186,7 +187,7 @@
         calm: span(zones.calm),
     };
     let count = zones.zones.len();
-    let book = Book::new(pace, near.clone(), count, zones.leaf_bears);
+    let book = Book::new(pace, near.clone(), count, zones.replica_bears);
     let follow = Follow::new(own as u16, count, near, span(zones.hold), zones.dry_run);
     let peer = Peer { address: zones.known_as, instance: since_1970_us(), zone: own as u16 };
     let seats: Vec<SocketAddr> = zones.voters.iter().map(|v| v.0).collect();
@@ -197,11 +198,11 @@
     socket: UdpSocket,
     instance: Instance,
     disk: Option<Disk>,
-    rev: Rev,
-    hall: std::rc::Rc<pipitcrank_server::hall::Hall>,
+    rev: SharedRevision,
+    event_loop: std::rc::Rc<pipitcrank_server::event_loop::EventLoop>,
     names: Vec<String>,
     own: usize,
-    /// By zone: the one whose leaves stand for it here. Its own for those of this region, the region's first for others.
+    /// By zone: the one whose replicas stand for it here. Its own for those of this region, the region's first for others.
     stands_for: Vec<usize>,
     /// By zone: whether it is of this region.
     region: Vec<bool>,
@@ -218,14 +219,14 @@
     async fn run(&mut self, leaving: &mut tokio::sync::watch::Receiver<bool>) {
         let mut bytes = vec![0; LONGEST + 1];
         loop {
-            let due = self.hall.clock.instant(self.instance.due());
+            let due = self.event_loop.clock.instant(self.instance.due());
             tokio::select! {
                 _ = leaving.wait_for(|left| *left) => return,
                 ready = self.socket.readable() => if ready.is_err() { tokio::time::sleep(ADDRESS_AGAIN).await },
                 () = rings(&self.disk) => {}
                 () = tokio::time::sleep_until(due) => {}
             }
-            let now = self.hall.clock.now();
+            let now = self.event_loop.clock.now();
             for _ in 0..A_ROW {
                 match self.socket.try_recv_from(&mut bytes) {
                     Ok((length, _)) => self.instance.datagram(now, &bytes[..length]),
@@ -242,7 +243,7 @@
     }
 
     fn see(&mut self, now: Timestamp) {
-        let (seen, tally) = self.hall.ask(|e| e.zones_seen(now));
+        let (seen, tally) = self.event_loop.ask(|e| e.zones_seen(now));
         self.rates.take(now, &tally);
         // Of another region only its site is met here, which tells nothing of one of its zones.
         let of = |(zone, seen): (usize, &ZoneObservation)| match self.region[zone] {
@@ -258,10 +259,10 @@
             // Of many copies those look that speak for their zone: probes have their price.
             if self.instance.speaks() && (shut || unseen || doubted) {
                 let most = if shut || doubted { LOOKS } else { GLANCES };
-                self.hall.tell(|e| e.probe_zone(ZoneId(zone as u16), most));
+                self.event_loop.tell(|e| e.probe_zone(ZoneId(zone as u16), most));
             }
         }
-        let counters = &self.hall.counters;
+        let counters = &self.event_loop.counters;
         counters.set("zones", "parts_near", tally.near);
         counters.set("zones", "parts_across", tally.across);
     }
@@ -274,12 +275,12 @@
             if self.instance.owes() && disk.is_kept() {
                 self.instance.kept(now);
             }
-            disk.look(now, &self.hall, &self.rev, || self.instance.beliefs());
+            disk.look(now, &self.event_loop, &self.rev, || self.instance.beliefs());
         }
         for event in self.instance.take_events() {
-            self.watch.take(now, event, &self.hall.counters);
+            self.watch.take(now, event, &self.event_loop.counters);
         }
-        let counters = &self.hall.counters;
+        let counters = &self.event_loop.counters;
         counters.set("zones", "older_decisions_left", self.instance.older_left());
         counters.set("peers_sent", "bytes", self.instance.sent.0);
         counters.set("peers_sent", "datagrams", self.instance.sent.1);
@@ -289,7 +290,7 @@
             0 => Vec::new(),
             lack => turned_away(lack, &self.rates.mix(&self.utilities)),
         };
-        // What verticals ask changes from moment to moment: followed where it matters.
+        // What request classes ask changes from moment to moment: followed where it matters.
         let differs = away.len() != self.turned_away.len()
             || away.iter().zip(&self.turned_away).any(|(a, b)| (a - b).abs() > 0.02);
         if self.plan.as_ref() != Some(&plan) || differs {
@@ -320,7 +321,7 @@
         let shut =
             zones.filter(|&z| self.stands_for[z] == z && all_shut(z)).map(|z| ZoneId(z as u16)).collect();
         if !self.dry {
-            self.hall.tell(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
+            self.event_loop.tell(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
         }
         let shares: Vec<String> = plan
             .shares
@@ -351,17 +352,12 @@
     before: (Timestamp, ZoneTraffic),
     asked: f64,
     merged: Vec<f64>,
-    by_vertical: Vec<(f64, f64)>,
+    by_class: Vec<(f64, f64)>,
 }
 
 impl Rates {
     fn new(now: Timestamp) -> Rates {
-        Rates {
-            before: (now, ZoneTraffic::default()),
-            asked: 0.0,
-            merged: Vec::new(),
-            by_vertical: Vec::new(),
-        }
+        Rates { before: (now, ZoneTraffic::default()), asked: 0.0, merged: Vec::new(), by_class: Vec::new() }
     }
 
     fn take(&mut self, now: Timestamp, tally: &ZoneTraffic) {
@@ -374,13 +370,13 @@
         let old = std::mem::replace(&mut self.before, (now, tally.clone())).1;
         let blend = |rate: &mut f64, more: u64| *rate += weight * (more as f64 / passed - *rate);
         let of = |list: &[(u64, u64)], n: usize| list.get(n).copied().unwrap_or((0, 0));
-        self.by_vertical.resize(tally.asked.len(), (0.0, 0.0));
-        for (n, rate) in self.by_vertical.iter_mut().enumerate() {
+        self.by_class.resize(tally.asked.len(), (0.0, 0.0));
+        for (n, rate) in self.by_class.iter_mut().enumerate() {
             let (now, before) = (of(&tally.asked, n), of(&old.asked, n));
             blend(&mut rate.0, now.0 - before.0);
             blend(&mut rate.1, now.1 - before.1);
         }
-        self.asked = self.by_vertical.iter().map(|r| r.1).sum();
+        self.asked = self.by_class.iter().map(|r| r.1).sum();
         self.merged.resize(tally.merged.len(), 0.0);
         for (n, rate) in self.merged.iter_mut().enumerate() {
             blend(rate, tally.merged[n] - old.merged.get(n).copied().unwrap_or(0));
@@ -396,14 +392,14 @@
         self.merged.get(zone).copied().unwrap_or(0.0).round() as u32
     }
 
-    /// Of each vertical, its share of the parts and its utility a part.
+    /// Of each request class, its share of the parts and its utility a part.
     fn mix(&self, utilities: &[f64]) -> Vec<(f64, f64)> {
         let all = self.asked.max(1e-9);
         let of = |(n, &(queries, parts)): (usize, &(f64, f64))| {
             let utility = utilities.get(n).copied().unwrap_or(1.0);
             (parts / all, utility * queries / parts.max(1e-9))
         };
-        self.by_vertical.iter().enumerate().map(of).collect()
+        self.by_class.iter().enumerate().map(of).collect()
     }
 }
 
--- a/crates/pipitcrank-cli/tests/crossings.rs
+++ b/crates/pipitcrank-cli/tests/crossings.rs
@@ -12,7 +12,7 @@
 use pipitcrank_testkit::process::Process;
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::{Pid, Resource, Rlimit, Signal, prlimit};
-use stand_ins::{Leaf, Source, charter, program};
+use stand_ins::{Source, StandInReplica, node_config, program};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
@@ -20,24 +20,24 @@
 
 fn question(id: &str) -> Question {
     let wait = Duration::from_secs(4);
-    Question { id: id.to_string(), vertical: "view", shards: vec![0], wait, text: "c41e".to_string() }
+    Question { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
 }
 
-async fn one_leaf(sockets: u32) -> Result<(Leaf, Source, Process)> {
-    let leaf = Leaf::start().await?;
-    let source = Source::start(1, vec![row("a", leaf.address, 0, "active", 0)]).await?;
-    let process = Process::start(program(), charter(&source, 1, sockets)?, None).await?;
+async fn one_replica(sockets: u32) -> Result<(StandInReplica, Source, Process)> {
+    let replica = StandInReplica::start().await?;
+    let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+    let process = Process::start(program(), node_config(&source, 1, sockets)?, None).await?;
     source.until_watched().await;
-    Ok((leaf, source, process))
+    Ok((replica, source, process))
 }
 
-/// Asks on that connection; its answer comes from one of the leaves.
-async fn asks_on(stream: &mut BufReader<TcpStream>, id: &str, leaf: &mut Leaf) -> u16 {
+/// Asks on that connection; its answer comes from one of the replicas.
+async fn asks_on(stream: &mut BufReader<TcpStream>, id: &str, replica: &mut StandInReplica) -> u16 {
     stream.get_mut().write_all(question(id).request().as_bytes()).await.unwrap();
     let answer = async { read_answer(stream).await.map_or(0, |a| a.status) };
     let mut answer = std::pin::pin!(answer);
     tokio::select! {
-        call = leaf.call() => call.answers(),
+        call = replica.call() => call.answers(),
         status = &mut answer => return status,
     }
     answer.await
@@ -48,21 +48,21 @@
 #[test]
 fn a_request_that_comes_after_our_shutdown_of_a_resting_connection_is_not_sent_on() {
     on_one_thread(LIMIT, async {
-        let (mut leaf, _source, process) = one_leaf(256).await?;
+        let (mut replica, _source, process) = one_replica(256).await?;
         let mut kept = BufReader::new(connect(process.address).await?);
-        assert_eq!(asks_on(&mut kept, "view-1", &mut leaf).await, 200);
+        assert_eq!(asks_on(&mut kept, "view-1", &mut replica).await, 200);
         process.signal(Signal::TERM)?;
         let mut nothing = [0; 1];
         assert_eq!(kept.read(&mut nothing).await?, 0, "closed in order");
         let late = kept.get_mut().write_all(question("view-2").request().as_bytes()).await;
         if late.is_ok() {
-            // Neither an answer nor a word of it to the leaf.
+            // Neither an answer nor a word of it to the replica.
             let mut rest = Vec::new();
             let _ = kept.read_to_end(&mut rest).await;
             assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert!(leaf.came().is_none(), "sent on after the shutdown");
+        assert!(replica.came().is_none(), "sent on after the shutdown");
         Ok(())
     })
     .unwrap();
@@ -73,9 +73,9 @@
 fn a_request_that_lies_beside_sigterm_is_answered() {
     on_one_thread(LIMIT, async {
         for round in 0..6 {
-            let (mut leaf, _source, process) = one_leaf(256).await?;
+            let (mut replica, _source, process) = one_replica(256).await?;
             let mut kept = BufReader::new(connect(process.address).await?);
-            assert_eq!(asks_on(&mut kept, "view-1", &mut leaf).await, 200);
+            assert_eq!(asks_on(&mut kept, "view-1", &mut replica).await, 200);
             process.signal(Signal::STOP)?;
             let mut new = BufReader::new(connect(process.address).await?);
             if round % 2 == 0 {
@@ -91,7 +91,7 @@
             }
             process.signal(Signal::CONT)?;
             for _ in 0..2 {
-                leaf.call().await.answers();
+                replica.call().await.answers();
             }
             for stream in [&mut kept, &mut new] {
                 let answer = read_answer(stream).await;
@@ -109,7 +109,7 @@
 fn a_request_read_late_is_told_no_more_time_than_its_client_has() {
     const SLACK: Duration = Duration::from_millis(150);
     on_one_thread(LIMIT, async {
-        let (mut leaf, _source, process) = one_leaf(256).await?;
+        let (mut replica, _source, process) = one_replica(256).await?;
         for (n, stood_still) in [180, 300, 500, 900].into_iter().enumerate() {
             // Some time after the last standstill.
             tokio::time::sleep(Duration::from_millis(400)).await;
@@ -118,14 +118,14 @@
             let mut kept = BufReader::new(connect(process.address).await?);
             let before = Question { id: format!("view-before-{n}"), ..asked.clone() };
             kept.get_mut().write_all(before.request().as_bytes()).await?;
-            leaf.call().await.answers();
+            replica.call().await.answers();
             assert_eq!(read_answer(&mut kept).await.map(|a| a.status), Some(200));
             process.signal(Signal::STOP)?;
             kept.get_mut().write_all(asked.request().as_bytes()).await?;
             let written = Instant::now();
             tokio::time::sleep(Duration::from_millis(stood_still)).await;
             process.signal(Signal::CONT)?;
-            let call = leaf.call().await;
+            let call = replica.call().await;
             let left = wait.saturating_sub(written.elapsed());
             assert!(call.told <= left + SLACK, "{stood_still} ms: told {:?}, left {left:?}", call.told);
             call.answers();
@@ -142,10 +142,10 @@
 fn a_drain_told_while_the_process_ends_is_kept() {
     for silent in [false, true] {
         on_one_thread(LIMIT, async {
-            let mut a = Leaf::start().await?;
-            let mut b = Leaf::start().await?;
+            let mut a = StandInReplica::start().await?;
+            let mut b = StandInReplica::start().await?;
             let source = Source::start(1, vec![row("a", a.address, 0, "active", 0)]).await?;
-            let mut told = charter(&source, 1, 256)?;
+            let mut told = node_config(&source, 1, 256)?;
             // Long enough an end.
             for class in told["settings"]["classes"].as_array_mut().unwrap() {
                 class["hard_limit_s"] = 9.0.into();
@@ -197,12 +197,12 @@
 }
 
 /// Idle clients hold as many descriptors as they get while discovery is down; then it returns, and a drain is told right
-/// then: the calls of discovery, the way to a new leaf and a client that comes have what they need.
+/// then: the calls of discovery, the way to a new replica and a client that comes have what they need.
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
     const TOLD: u32 = 96;
     on_one_thread(LIMIT, async {
-        let (mut a, source, process) = one_leaf(TOLD).await?;
+        let (mut a, source, process) = one_replica(TOLD).await?;
         let limit = Rlimit { current: Some(u64::from(TOLD)), maximum: Some(u64::from(TOLD)) };
         prlimit(Pid::from_raw(process.pid()), Resource::Nofile, limit)?;
         source.is_down(true);
@@ -219,7 +219,7 @@
         }
         let (_, descriptors) = process.holds();
         assert!(descriptors <= u64::from(TOLD), "{descriptors}");
-        let mut b = Leaf::start().await?;
+        let mut b = StandInReplica::start().await?;
         source.holds(2, vec![row("a", a.address, 0, "leaving", 0), row("b", b.address, 0, "active", 0)]);
         source.is_down(false);
         let had = Instant::now();
@@ -252,8 +252,8 @@
 fn processes_started_all_at_once_are_ready_soon_and_serve() {
     for silent in [true, false] {
         on_one_thread(LIMIT, async {
-            let mut leaf = Leaf::start().await?;
-            let source = Source::start(1, vec![row("a", leaf.address, 0, "active", 0)]).await?;
+            let mut replica = StandInReplica::start().await?;
+            let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
             if silent {
                 source.is_down(true);
             } else {
@@ -262,7 +262,7 @@
             let mut starting = tokio::task::JoinSet::new();
             let begun = Instant::now();
             for _ in 0..10 {
-                let told = charter(&source, 1, 256)?;
+                let told = node_config(&source, 1, 256)?;
                 let address: std::net::SocketAddr = told["listen"].as_str().unwrap().parse()?;
                 starting.spawn_local(async move {
                     // Clients that try all along.
@@ -283,7 +283,7 @@
                 let process = process?;
                 soon += usize::from(took < Duration::from_secs(10));
                 let mut stream = BufReader::new(connect(process.address).await?);
-                assert_eq!(asks_on(&mut stream, "view-1", &mut leaf).await, 200);
+                assert_eq!(asks_on(&mut stream, "view-1", &mut replica).await, 200);
             }
             assert!(soon >= 9, "{soon} of 10");
             Ok(())
@@ -298,9 +298,9 @@
 fn more_clients_than_places_and_descriptors_wait_as_the_listening_ends() {
     const TOLD: u32 = 96;
     on_one_thread(LIMIT, async {
-        let mut leaf = Leaf::start().await?;
-        let source = Source::start(1, vec![row("a", leaf.address, 0, "active", 0)]).await?;
-        let mut told = charter(&source, 1, TOLD)?;
+        let mut replica = StandInReplica::start().await?;
+        let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+        let mut told = node_config(&source, 1, TOLD)?;
         // The listening ends half a second after SIGTERM: well before half a request is given up on.
         for class in told["settings"]["classes"].as_array_mut().unwrap() {
             class["hard_limit_s"] = 0.5.into();
@@ -327,7 +327,7 @@
         loop {
             tokio::select! {
                 // Where a place came free after all, on a machine that is slow.
-                call = leaf.call() => call.answers(),
+                call = replica.call() => call.answers(),
                 end = ends.join_next() => match end {
                     Some(status) => *counted.entry(status?).or_insert(0) += 1,
                     None => break,
@@ -349,10 +349,10 @@
 #[test]
 fn a_connection_that_carries_one_part_and_may_be_as_long_idle_as_in_coming_up_serves() {
     on_one_thread(LIMIT, async {
-        let mut leaf = Leaf::start().await?;
-        let source = Source::start(1, vec![row("a", leaf.address, 0, "active", 0)]).await?;
-        let mut told = charter(&source, 2, 256)?;
-        // Both shards are held by the one leaf.
+        let mut replica = StandInReplica::start().await?;
+        let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+        let mut told = node_config(&source, 2, 256)?;
+        // Both shards are held by the one replica.
         told["settings"]["domain"]["span"] = 2.into();
         let allowed = &mut told["settings"]["allowed"];
         (allowed["streams_per_conn"], allowed["probing"]) = (1.into(), false.into());
@@ -365,7 +365,7 @@
             let mut asking = std::pin::pin!(client.ask_in_pieces(asked, &[]));
             for _ in 0..2 {
                 tokio::select! {
-                    call = leaf.call() => call.answers(),
+                    call = replica.call() => call.answers(),
                     how = &mut asking => panic!("{how:?}; {}", process.log()),
                 }
             }
@@ -377,33 +377,33 @@
     .unwrap();
 }
 
-/// A leaf that drained is back under its address: it gets parts again, on a new connection where nothing was out on the old
+/// A replica that drained is back under its address: it gets parts again, on a new connection where nothing was out on the old
 /// one, which was let go, and on the same where something was.
 #[test]
-fn a_drained_leaf_that_is_back_under_its_address_gets_parts_again() {
+fn a_drained_replica_that_is_back_under_its_address_gets_parts_again() {
     for held in [false, true] {
         on_one_thread(LIMIT, async {
-            let (mut leaf, source, process) = one_leaf(256).await?;
+            let (mut replica, source, process) = one_replica(256).await?;
             let mut kept = BufReader::new(connect(process.address).await?);
-            assert_eq!(asks_on(&mut kept, "view-1", &mut leaf).await, 200);
+            assert_eq!(asks_on(&mut kept, "view-1", &mut replica).await, 200);
             let mut other = BufReader::new(connect(process.address).await?);
             let mut call = None;
             if held {
                 other.get_mut().write_all(question("view-held").request().as_bytes()).await?;
-                call = Some(leaf.call().await);
+                call = Some(replica.call().await);
             }
             let changes = async |n: u64| {
                 while process.count("discovery changes").await < Some(n) {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             };
-            source.holds(2, vec![row("a", leaf.address, 0, "leaving", 0)]);
+            source.holds(2, vec![row("a", replica.address, 0, "leaving", 0)]);
             changes(1).await;
-            assert_eq!(asks_on(&mut kept, "view-2", &mut leaf).await, 503, "nobody else holds it");
-            assert!(leaf.came().is_none());
-            source.holds(3, vec![row("a", leaf.address, 0, "active", 0)]);
+            assert_eq!(asks_on(&mut kept, "view-2", &mut replica).await, 503, "nobody else holds it");
+            assert!(replica.came().is_none());
+            source.holds(3, vec![row("a", replica.address, 0, "active", 0)]);
             changes(2).await;
-            assert_eq!(asks_on(&mut kept, "view-3", &mut leaf).await, 200, "held: {held}");
+            assert_eq!(asks_on(&mut kept, "view-3", &mut replica).await, 200, "held: {held}");
             if let Some(call) = call {
                 call.answers();
                 assert_eq!(read_answer(&mut other).await.map(|a| a.status), Some(200));
--- a/crates/pipitcrank-cli/tests/ending.rs
+++ b/crates/pipitcrank-cli/tests/ending.rs
@@ -5,9 +5,9 @@
 
 use pipitcrank_testkit::client::{Clients, Lone, Question, connect};
 use pipitcrank_testkit::fleet::{Fleet, Load};
-use pipitcrank_testkit::leaf::{Manner, Work};
 use pipitcrank_testkit::ledger::{Ended, Ledger};
 use pipitcrank_testkit::process::{Process, Steps};
+use pipitcrank_testkit::replica::{Manner, Work};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 
@@ -20,7 +20,7 @@
 
 fn question(id: String) -> Question {
     let wait = Duration::from_secs(4);
-    Question { id, vertical: "view", shards: vec![0, 1], wait, text: "short".to_string() }
+    Question { id, class: "view", shards: vec![0, 1], wait, text: "short".to_string() }
 }
 
 /// It accepted and closed each new connection without an answer, for as long as clients came, and never ended.
@@ -28,7 +28,7 @@
 fn after_sigterm_new_clients_are_answered_or_refused_and_it_ends_although_they_go_on_coming() {
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(1, WORK).await?;
-        let mut process = Process::start(program(), fleet.charter(1, 1024, 3000)?, None).await?;
+        let mut process = Process::start(program(), fleet.node_config(1, 1024, 3000)?, None).await?;
         let (ledger, address) = (Ledger::default(), process.address);
         process.signal(Signal::TERM)?;
         let (asked, mut n, mut refused) = (Instant::now(), 0, 0);
@@ -72,19 +72,19 @@
     Duration::from_secs_f64(longest.min(3.0) + 0.7)
 }
 
-/// Clients wait for so long at most, all leaves hang, and the kill comes at the first moment allowed. Queries held when
+/// Clients wait for so long at most, all replicas hang, and the kill comes at the first moment allowed. Queries held when
 /// the end is called, and queries that clients go on asking for as long as anything is open to them, on connections
 /// they keep and on new ones, with a head and with a body that comes in halves; how each of them ended.
 fn killed_at_once(longest: f64) -> (Ledger, bool) {
     let (ledger, mut by_itself) = (Ledger::default(), false);
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(5, WORK).await?;
-        let mut told = fleet.charter(5, 1024, 3000)?;
+        let mut told = fleet.node_config(5, 1024, 3000)?;
         for class in told["settings"]["classes"].as_array_mut().unwrap() {
             (class["aim_s"], class["hard_limit_s"]) = ((longest / 2.0).into(), longest.into());
         }
         let mut process = Process::start(program(), told, None).await?;
-        fleet.leaves.iter().for_each(|leaf| leaf.turns(Manner::Silent));
+        fleet.replicas.iter().for_each(|replica| replica.turns(Manner::Silent));
         let wait = Duration::from_secs_f64(longest);
         let asks = |name: &str| Question { wait, ..question(name.to_string()) };
         let kept = Clients::new(process.address, ledger.clone());
@@ -166,7 +166,7 @@
 fn signals_after_sigterm_change_nothing() {
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(6, WORK).await?;
-        let mut process = Process::start(program(), fleet.charter(6, 1024, 3000)?, None).await?;
+        let mut process = Process::start(program(), fleet.node_config(6, 1024, 3000)?, None).await?;
         let (ledger, mut tasks) = (Ledger::default(), tokio::task::JoinSet::new());
         let clients = Clients::new(process.address, ledger.clone());
         for n in 0..8 {
@@ -192,10 +192,10 @@
 
 /// Asked to end while it still reads what it is told, it does not die of the signal: it ends in order once it could serve.
 #[test]
-fn sigterm_before_the_charter_is_read_ends_it_in_order() {
+fn sigterm_before_the_node_config_is_read_ends_it_in_order() {
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(7, WORK).await?;
-        let told = fleet.charter(7, 1024, 3000)?;
+        let told = fleet.node_config(7, 1024, 3000)?;
         let folder = pipitcrank_testkit::process::Folder::new("fifo")?;
         let path = folder.path().join("charter.json");
         assert!(std::process::Command::new("mkfifo").arg(&path).status()?.success());
@@ -206,14 +206,14 @@
             .spawn()?;
         // Opens once it reads.
         let path_to_write = path.clone();
-        let mut charter =
+        let mut node_config =
             tokio::task::spawn_blocking(move || std::fs::OpenOptions::new().write(true).open(path_to_write))
                 .await??;
         let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
         rustix::process::kill_process(pid, Signal::TERM)?;
         tokio::time::sleep(Duration::from_millis(100)).await;
-        std::io::Write::write_all(&mut charter, told.to_string().as_bytes())?;
-        drop(charter);
+        std::io::Write::write_all(&mut node_config, told.to_string().as_bytes())?;
+        drop(node_config);
         let begun = Instant::now();
         let ended = loop {
             match child.try_wait()? {
@@ -238,7 +238,8 @@
         for wait in [100, 900] {
             let fleet = Fleet::start(2, WORK).await?;
             let steps = Steps { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
-            let mut process = Process::start(program(), fleet.charter(2, 1024, 3000)?, steps.file()).await?;
+            let mut process =
+                Process::start(program(), fleet.node_config(2, 1024, 3000)?, steps.file()).await?;
             let clients = Clients::new(process.address, fleet.ledger.clone());
             let load = Load::start("load", 3, 100.0, 0.1, clients);
             tokio::time::sleep(Duration::from_millis(500)).await;
@@ -265,7 +266,7 @@
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(4, WORK).await?;
         let steps = Steps { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
-        let process = Process::start(program(), fleet.charter(4, 1024, 3000)?, steps.file()).await?;
+        let process = Process::start(program(), fleet.node_config(4, 1024, 3000)?, steps.file()).await?;
         let ledger = Ledger::default();
         for n in 0..2 {
             for worker in process.workers() {
--- a/crates/pipitcrank-cli/tests/leaving.rs
+++ b/crates/pipitcrank-cli/tests/leaving.rs
@@ -13,7 +13,7 @@
 use pipitcrank_testkit::process::Process;
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
-use stand_ins::{Late, Leaf, Source, charter, program};
+use stand_ins::{Late, Source, StandInReplica, node_config, program};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -23,12 +23,12 @@
 
 fn question(id: &str) -> Question {
     let wait = Duration::from_secs(4);
-    Question { id: id.to_string(), vertical: "view", shards: vec![0], wait, text: "c41e".to_string() }
+    Question { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
 }
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
+enum Replicas {
     Closes,
     Resets,
     /// With more bytes behind its request than are read with it.
@@ -37,16 +37,16 @@
     ClosesPipelined,
 }
 
-const WAYS: [Leaves; 4] =
-    [Leaves::Closes, Leaves::Resets, Leaves::ClosesBehindBytes, Leaves::ClosesPipelined];
+const WAYS: [Replicas; 4] =
+    [Replicas::Closes, Replicas::Resets, Replicas::ClosesBehindBytes, Replicas::ClosesPipelined];
 
 /// Asks as that client does.
-async fn asks(process: &Process, id: &str, how: Leaves) -> Result<TcpStream> {
+async fn asks(process: &Process, id: &str, how: Replicas) -> Result<TcpStream> {
     let mut stream = connect(process.address).await?;
     let mut bytes = question(id).request().into_bytes();
     match how {
-        Leaves::ClosesBehindBytes => bytes.extend(vec![b'x'; 100_000]),
-        Leaves::ClosesPipelined => {
+        Replicas::ClosesBehindBytes => bytes.extend(vec![b'x'; 100_000]),
+        Replicas::ClosesPipelined => {
             (0..300).for_each(|n| bytes.extend(question(&format!("{id}-{n}")).request().into_bytes()));
         }
         _ => {}
@@ -55,8 +55,8 @@
     Ok(stream)
 }
 
-fn leaves(stream: TcpStream, how: Leaves) -> Result<()> {
-    if matches!(how, Leaves::Resets) {
+fn replicas(stream: TcpStream, how: Replicas) -> Result<()> {
+    if matches!(how, Replicas::Resets) {
         stream.set_zero_linger()?;
     }
     drop(stream);
@@ -72,29 +72,29 @@
     }
 }
 
-/// Two leaves that hold the one shard.
-async fn two_leaves() -> Result<([Leaf; 2], Source, Process)> {
-    let leaves = [Leaf::start().await?, Leaf::start().await?];
-    let [a, b] = [&leaves[0], &leaves[1]].map(|l| l.address);
+/// Two replicas that hold the one shard.
+async fn two_replicas() -> Result<([StandInReplica; 2], Source, Process)> {
+    let replicas = [StandInReplica::start().await?, StandInReplica::start().await?];
+    let [a, b] = [&replicas[0], &replicas[1]].map(|l| l.address);
     let source = Source::start(1, vec![row("a", a, 0, "active", 0), row("b", b, 0, "active", 0)]).await?;
-    let mut told = charter(&source, 1, 256)?;
+    let mut told = node_config(&source, 1, 256)?;
     // Probes would hold up what is forced to come at once.
     told["settings"]["allowed"]["probing"] = false.into();
     let process = Process::start(program(), told, None).await?;
-    Ok((leaves, source, process))
+    Ok((replicas, source, process))
 }
 
 #[test]
 fn whoever_has_closed_gets_no_retry() {
     for how in WAYS {
         on_one_thread(LIMIT, async {
-            let ([mut a, mut b], _source, process) = two_leaves().await?;
+            let ([mut a, mut b], _source, process) = two_replicas().await?;
             let client = asks(&process, "view-1", how).await?;
             let first = tokio::select! {
                 call = a.call() => call,
                 call = b.call() => call,
             };
-            leaves(client, how)?;
+            replicas(client, how)?;
             counted(&process, "queries client_gone", 1).await;
             first.fails();
             tokio::time::sleep(LONG).await;
@@ -111,7 +111,7 @@
 fn whoever_has_closed_behind_a_chunked_body_gets_no_retry() {
     for (behind, resets) in [(0, false), (10, false), (100_000, false), (100_000, true)] {
         on_one_thread(LIMIT, async {
-            let ([mut a, mut b], _source, process) = two_leaves().await?;
+            let ([mut a, mut b], _source, process) = two_replicas().await?;
             let mut client = connect(process.address).await?;
             let plain = question("view-1").request();
             let (head, body) = plain.split_once("\r\n\r\n").unwrap();
@@ -145,11 +145,11 @@
 /// then another query has the place of the one that ended. Its call went out, under the other's key.
 #[test]
 fn whoever_has_closed_while_its_call_waited_for_a_connection_is_not_sent_on() {
-    for (how, cancel) in WAYS.into_iter().zip([true, true, false, true]).chain([(Leaves::Closes, false)]) {
+    for (how, cancel) in WAYS.into_iter().zip([true, true, false, true]).chain([(Replicas::Closes, false)]) {
         on_one_thread(LIMIT, async {
             let late = Late::start().await?;
             let source = Source::start(1, vec![row("a", late.address, 0, "active", 0)]).await?;
-            let mut told = charter(&source, 1, 256)?;
+            let mut told = node_config(&source, 1, 256)?;
             let allowed = &mut told["settings"]["allowed"];
             (allowed["dial_timeout_s"], allowed["probing"]) = (3.5.into(), false.into());
             allowed["cancel"] = cancel.into();
@@ -158,7 +158,7 @@
             counted(&process, "queries taken", 1).await;
             // Its call waits.
             tokio::time::sleep(Duration::from_millis(50)).await;
-            leaves(client, how)?;
+            replicas(client, how)?;
             counted(&process, "queries client_gone", 1).await;
             let mut other = Lone::connect(process.address, Ledger::default()).await?;
             let mut asking = std::pin::pin!(other.ask_in_pieces(question("view-2"), &[]));
@@ -167,24 +167,24 @@
                 how = &mut asking => panic!("{how:?}: {}", process.log()),
             }
             // Connections come up a second after they were begun.
-            let mut leaf = late.let_up();
+            let mut replica = late.let_up();
             let call = tokio::select! {
-                call = leaf.call() => call,
+                call = replica.call() => call,
                 how = &mut asking => panic!("{how:?}: {}", process.log()),
             };
             assert!(call.id.starts_with("view-2"), "{} was sent on: {how:?}, {cancel}", call.id);
             call.answers();
             assert_eq!(asking.await, Ended::Merged);
             tokio::time::sleep(LONG).await;
-            assert!(leaf.came().is_none(), "{how:?}");
+            assert!(replica.came().is_none(), "{how:?}");
             Ok(())
         })
         .unwrap();
     }
 }
 
-/// Connections to both leaves are up, so that nothing holds up a call.
-async fn warm(process: &Process, a: &mut Leaf, b: &mut Leaf, name: &str) -> Result<()> {
+/// Connections to both replicas are up, so that nothing holds up a call.
+async fn warm(process: &Process, a: &mut StandInReplica, b: &mut StandInReplica, name: &str) -> Result<()> {
     let mut warm = Lone::connect(process.address, Ledger::default()).await?;
     let (mut at_a, mut at_b) = (false, false);
     for n in 0.. {
@@ -205,18 +205,18 @@
 /// What falls due while the process stands still, beside the client's close: on waking both lie there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Due {
-    /// The leaf says that it failed: a retry.
+    /// The replica says that it failed: a retry.
     Failure,
-    /// The leaf says nothing for long: a second copy.
+    /// The replica says nothing for long: a second copy.
     Copy,
 }
 
 fn a_close_goes_first(due: Due) {
     on_one_thread(LIMIT, async {
         for round in 0..8 {
-            let ([mut a, mut b], _source, process) = two_leaves().await?;
+            let ([mut a, mut b], _source, process) = two_replicas().await?;
             warm(&process, &mut a, &mut b, &format!("view-{round}")).await?;
-            let client = asks(&process, &format!("view-{round}"), Leaves::Closes).await?;
+            let client = asks(&process, &format!("view-{round}"), Replicas::Closes).await?;
             let first = tokio::select! {
                 call = a.call() => call,
                 call = b.call() => call,
@@ -227,7 +227,7 @@
                 first.fails();
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            leaves(client, Leaves::Closes)?;
+            replicas(client, Replicas::Closes)?;
             tokio::time::sleep(Duration::from_millis(20)).await;
             if due == Due::Failure && round % 2 == 1 {
                 first.fails();
@@ -261,17 +261,17 @@
     on_one_thread(LIMIT, async {
         let late = Late::start().await?;
         let source = Source::start(1, vec![row("a", late.address, 0, "active", 0)]).await?;
-        let mut told = charter(&source, 1, 1024)?;
+        let mut told = node_config(&source, 1, 1024)?;
         told["settings"]["allowed"]["dial_timeout_s"] = 3.5.into();
         told["settings"]["allowed"]["probing"] = false.into();
         let process = Process::start(program(), told, None).await?;
         let mut clients = Vec::new();
         for n in 0..200 {
-            clients.push(asks(&process, &format!("view-{n}"), Leaves::Closes).await?);
+            clients.push(asks(&process, &format!("view-{n}"), Replicas::Closes).await?);
         }
         counted(&process, "queries taken", 200).await;
         for client in clients {
-            leaves(client, Leaves::Closes)?;
+            replicas(client, Replicas::Closes)?;
         }
         // Some had been given up on, as they had waited for long.
         let ended = async || {
@@ -282,25 +282,25 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         assert!(process.count("queries client_gone").await > Some(0));
-        let mut leaf = late.let_up();
+        let mut replica = late.let_up();
         tokio::time::sleep(Duration::from_millis(2500)).await;
-        assert!(leaf.came().is_none());
+        assert!(replica.came().is_none());
         Ok(())
     })
     .unwrap();
 }
 
-/// What is out already is given up, so that the leaf need not run it.
+/// What is out already is given up, so that the replica need not run it.
 #[test]
 fn what_is_out_for_a_client_that_left_is_given_up() {
     on_one_thread(LIMIT, async {
-        let ([mut a, mut b], _source, process) = two_leaves().await?;
-        let client = asks(&process, "view-1", Leaves::ClosesPipelined).await?;
+        let ([mut a, mut b], _source, process) = two_replicas().await?;
+        let client = asks(&process, "view-1", Replicas::ClosesPipelined).await?;
         let call = tokio::select! {
             call = a.call() => call,
             call = b.call() => call,
         };
-        leaves(client, Leaves::ClosesPipelined)?;
+        replicas(client, Replicas::ClosesPipelined)?;
         while a.given_up.borrow().is_empty() && b.given_up.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -315,8 +315,8 @@
 #[test]
 fn a_client_that_shuts_its_writing_side_has_left() {
     on_one_thread(LIMIT, async {
-        let ([mut a, mut b], _source, process) = two_leaves().await?;
-        let mut client = asks(&process, "view-1", Leaves::Closes).await?;
+        let ([mut a, mut b], _source, process) = two_replicas().await?;
+        let mut client = asks(&process, "view-1", Replicas::Closes).await?;
         let first = tokio::select! {
             call = a.call() => call,
             call = b.call() => call,
--- a/crates/pipitcrank-cli/tests/lists.rs
+++ b/crates/pipitcrank-cli/tests/lists.rs
@@ -12,17 +12,17 @@
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
-use stand_ins::{Call, Leaf, Source, charter, program};
+use stand_ins::{Call, Source, StandInReplica, node_config, program};
 
 const LIMIT: Duration = Duration::from_secs(60);
 /// The users' terms.
 const TOLD: Duration = Duration::from_secs(6);
 const TOLD_AFTER_HUP: Duration = Duration::from_secs(4);
 
-/// Two leaves of one cell; which of them a query's one part comes to.
+/// Two replicas of one cell; which of them a query's one part comes to.
 struct Scene {
     source: Source,
-    leaves: [Leaf; 2],
+    replicas: [StandInReplica; 2],
     process: Process,
     asked: u32,
 }
@@ -33,32 +33,32 @@
     }
 
     async fn set_with(change: impl Fn(&mut Value)) -> anyhow::Result<Scene> {
-        let leaves = [Leaf::start().await?, Leaf::start().await?];
-        let source = Source::start(1, vec![row("a", leaves[0].address, 0, "active", 0)]).await?;
-        let mut told = charter(&source, 1, 256)?;
+        let replicas = [StandInReplica::start().await?, StandInReplica::start().await?];
+        let source = Source::start(1, vec![row("a", replicas[0].address, 0, "active", 0)]).await?;
+        let mut told = node_config(&source, 1, 256)?;
         change(&mut told);
         let process = Process::start(program(), told, None).await?;
-        let scene = Scene { source, leaves, process, asked: 0 };
+        let scene = Scene { source, replicas, process, asked: 0 };
         scene.source.until_watched().await;
         Ok(scene)
     }
 
-    /// Discovery has it: the first leaf drains, the second is there.
+    /// Discovery has it: the first replica drains, the second is there.
     fn moves_on(&self, rev: u64) -> Instant {
-        let [a, b] = &self.leaves;
+        let [a, b] = &self.replicas;
         self.source
             .holds(rev, vec![row("a", a.address, 0, "leaving", 0), row("b", b.address, 0, "active", 0)]);
         Instant::now()
     }
 
-    /// Asks once; whether its part went to the second leaf.
+    /// Asks once; whether its part went to the second replica.
     async fn goes_to_the_second(&mut self) -> bool {
         self.asked += 1;
         let (id, wait) = (format!("view-{}", self.asked), Duration::from_millis(900));
-        let question = Question { id, vertical: "view", shards: vec![0], wait, text: "c41e".to_string() };
+        let question = Question { id, class: "view", shards: vec![0], wait, text: "c41e".to_string() };
         let mut lone = Lone::connect(self.process.address, Ledger::default()).await.unwrap();
         let mut asking = std::pin::pin!(lone.ask_in_pieces(question, &[]));
-        let [a, b] = &mut self.leaves;
+        let [a, b] = &mut self.replicas;
         let went = tokio::select! {
             call = a.call() => { call.answers(); false }
             call = b.call() => { call.answers(); true }
@@ -167,7 +167,7 @@
 fn versions_that_go_back_are_followed_and_an_old_life_brings_nothing_over_them() {
     on_one_thread(LIMIT, async {
         let mut scene = Scene::set().await?;
-        scene.source.holds_quietly(40, vec![row("a", scene.leaves[0].address, 0, "active", 0)]);
+        scene.source.holds_quietly(40, vec![row("a", scene.replicas[0].address, 0, "active", 0)]);
         scene.source.tells_watches(40);
         while scene.process.count("discovery changes").await != Some(1) {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -177,7 +177,7 @@
         let had = scene.moves_on(3);
         let took = scene.told_after(had).await;
         assert!(took < TOLD, "{took:?}; {}", scene.process.log());
-        scene.source.orphans_bring(41, vec![row("b", scene.leaves[1].address, 0, "leaving", 0)]);
+        scene.source.orphans_bring(41, vec![row("b", scene.replicas[1].address, 0, "leaving", 0)]);
         tokio::time::sleep(Duration::from_millis(200)).await;
         for _ in 0..3 {
             assert!(scene.goes_to_the_second().await, "an older list over a newer one");
@@ -214,7 +214,7 @@
         let had = scene.moves_on(2);
         scene.source.tells_watches(2);
         assert!(scene.told_after(had).await < TOLD);
-        // As it was when they were asked for: the first leaf alone, active.
+        // As it was when they were asked for: the first replica alone, active.
         held.into_iter().for_each(stand_ins::HeldLook::answers);
         tokio::time::sleep(Duration::from_millis(200)).await;
         for _ in 0..5 {
@@ -239,11 +239,11 @@
             scene.source.silences_new_watches();
             let had = if moved {
                 let there = Source::start(9, Vec::new()).await?;
-                let [a, b] = &scene.leaves;
+                let [a, b] = &scene.replicas;
                 let rows = vec![row("a", a.address, 0, "leaving", 0), row("b", b.address, 0, "active", 0)];
                 there.holds(9, rows);
                 there.next_calls_are(&[Call::Hangs, Call::Half, Call::Hangs, Call::Refuses, Call::HeadOnly]);
-                scene.process.charter_with("/discovery", there.address.to_string().into())?;
+                scene.process.node_config_with("/discovery", there.address.to_string().into())?;
                 scene.source = there;
                 Instant::now()
             } else {
@@ -283,12 +283,12 @@
 fn a_fleet_does_not_keep_a_discovery_that_bears_few_calls_from_answering() {
     const COPIES: usize = 8;
     on_one_thread(LIMIT, async {
-        let leaf = Leaf::start().await?;
-        let rows = |state| vec![row("a", leaf.address, 0, state, 0)];
+        let replica = StandInReplica::start().await?;
+        let rows = |state| vec![row("a", replica.address, 0, state, 0)];
         let source = Source::start(1, rows("active")).await?;
         let mut copies = Vec::new();
         for _ in 0..COPIES {
-            let mut told = charter(&source, 1, 256)?;
+            let mut told = node_config(&source, 1, 256)?;
             told["settings"]["registry_mode"] = "ask".into();
             told["settings"]["balancers"] = COPIES.into();
             copies.push(Process::start(program(), told, None).await?);
@@ -301,7 +301,7 @@
         source.silences_watches();
         source.holds(2, rows("leaving"));
         let had = Instant::now();
-        // Whoever has no leaf left is not able to serve.
+        // Whoever has no replica left is not able to serve.
         for copy in &copies {
             while get(copy.address, "/up").await.is_some_and(|a| a.status == 200) {
                 assert!(had.elapsed() < TOLD, "not told, {} refused; {}", source.refused(), copy.log());
--- a/crates/pipitcrank-cli/tests/repeats.rs
+++ b/crates/pipitcrank-cli/tests/repeats.rs
@@ -1,5 +1,5 @@
 //! A deduplicated query's parts carry the client's key, on whatever way they go, and none that may have run goes out again
-//! when leaves would not know it as a repeat.
+//! when replicas would not know it as a repeat.
 
 mod stand_ins;
 
@@ -12,15 +12,14 @@
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
-use stand_ins::{Late, Leaf, Source, charter, program};
+use stand_ins::{Late, Source, StandInReplica, node_config, program};
 use tokio::io::{AsyncWriteExt, BufReader};
 
 const LIMIT: Duration = Duration::from_secs(60);
 
 fn request(id: &str, keys: &[&str]) -> String {
     let wait = Duration::from_secs(4);
-    let question =
-        Question { id: id.to_string(), vertical: "rank", shards: vec![0], wait, text: "c41e".into() };
+    let question = Question { id: id.to_string(), class: "rank", shards: vec![0], wait, text: "c41e".into() };
     let headers: String = keys.iter().map(|k| format!("Idempotency-Key: {k}\r\n")).collect();
     question.request().replace("Req-Id:", &format!("{headers}Req-Id:"))
 }
@@ -32,9 +31,9 @@
     Ok(answer.unwrap_or_else(|| panic!("no whole answer; {}", process.log())))
 }
 
-/// One vertical is deduplicated within that window; connections may take so long to come up.
+/// One request class is deduplicated within that window; connections may take so long to come up.
 fn told(source: &Source, window_s: f64, way_s: f64) -> Result<Value> {
-    let mut told = charter(source, 1, 256)?;
+    let mut told = node_config(source, 1, 256)?;
     let class = &mut told["settings"]["classes"][1];
     (class["idempotency"], class["dedup_window_s"]) = ("keyed".into(), window_s.into());
     told["settings"]["allowed"]["probing"] = false.into();
@@ -45,7 +44,7 @@
 #[test]
 fn the_key_goes_out_with_the_part_and_with_its_repeat() {
     on_one_thread(LIMIT, async {
-        let (mut a, mut b) = (Leaf::start().await?, Leaf::start().await?);
+        let (mut a, mut b) = (StandInReplica::start().await?, StandInReplica::start().await?);
         let rows = vec![row("a", a.address, 0, "active", 0), row("b", b.address, 0, "active", 0)];
         let source = Source::start(1, rows).await?;
         let process = Process::start(program(), told(&source, 3.0, 1.0)?, None).await?;
@@ -69,8 +68,8 @@
 #[test]
 fn a_deduplicated_query_without_one_sound_key_is_refused_and_no_other_needs_one() {
     on_one_thread(LIMIT, async {
-        let mut leaf = Leaf::start().await?;
-        let source = Source::start(1, vec![row("a", leaf.address, 0, "active", 0)]).await?;
+        let mut replica = StandInReplica::start().await?;
+        let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
         let process = Process::start(program(), told(&source, 3.0, 1.0)?, None).await?;
         let long = "k".repeat(257);
         for keys in [&[][..], &["one", "two"], &["a,d=9"], &["a b"], &[""], &[&long]] {
@@ -80,25 +79,25 @@
             let request = request(id, keys).replace("POST /rank", "POST /view");
             let mut asking = std::pin::pin!(asks(&process, request));
             let call = tokio::select! {
-                call = leaf.call() => call,
+                call = replica.call() => call,
                 answer = &mut asking => panic!("answered {}", answer?.status),
             };
             assert_eq!(call.key.as_deref(), key);
             call.answers();
             assert_eq!(asking.await?.status, 200);
         }
-        assert!(leaf.came().is_none(), "nothing of the others went out");
+        assert!(replica.came().is_none(), "nothing of the others went out");
         Ok(())
     })
     .unwrap();
 }
 
 /// The first call is cut and may have run; its repeat waits for a connection that comes up when little of the window is left:
-/// it would come to the leaf after it.
+/// it would come to the replica after it.
 #[test]
 fn a_repeat_that_waited_beyond_the_window_does_not_go_out() {
     on_one_thread(LIMIT, async {
-        let (mut a, late) = (Leaf::start().await?, Late::start().await?);
+        let (mut a, late) = (StandInReplica::start().await?, Late::start().await?);
         let source = Source::start(1, vec![row("a", a.address, 0, "active", 0)]).await?;
         let process = Process::start(program(), told(&source, 2.4, 1.8)?, None).await?;
         source.until_watched().await;
@@ -130,11 +129,11 @@
 }
 
 /// As long as its way may take is not left of the window at once: a call on a connection just up lies there for as long as the
-/// leaf takes to open it, and came after the window.
+/// replica takes to open it, and came after the window.
 #[test]
-fn a_repeat_that_may_come_to_its_leaf_after_the_window_does_not_go_out() {
+fn a_repeat_that_may_come_to_its_replica_after_the_window_does_not_go_out() {
     on_one_thread(LIMIT, async {
-        let (mut a, mut b) = (Leaf::start().await?, Leaf::start().await?);
+        let (mut a, mut b) = (StandInReplica::start().await?, StandInReplica::start().await?);
         let rows = vec![row("a", a.address, 0, "active", 0), row("b", b.address, 0, "active", 0)];
         let source = Source::start(1, rows).await?;
         let process = Process::start(program(), told(&source, 0.9, 0.8)?, None).await?;
@@ -157,8 +156,8 @@
 #[test]
 fn the_key_goes_along_to_the_process_that_takes_over() {
     on_one_thread(LIMIT, async {
-        let mut leaf = Leaf::start().await?;
-        let source = Source::start(1, vec![row("a", leaf.address, 0, "active", 0)]).await?;
+        let mut replica = StandInReplica::start().await?;
+        let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
         let steps = Steps { start: 3.0, settle: 1.5, silent: 0.5, finish: 8.0 };
         let process = Process::start(program(), told(&source, 3.0, 1.0)?, steps.file()).await?;
         process.signal(Signal::USR2)?;
@@ -167,7 +166,7 @@
             n += 1;
             let mut asking = std::pin::pin!(asks(&process, request(&format!("rank-{n}"), &["mine"])));
             let call = tokio::select! {
-                call = leaf.call() => call,
+                call = replica.call() => call,
                 answer = &mut asking => panic!("answered {}; {}", answer?.status, process.log()),
             };
             assert_eq!(call.key.as_deref(), Some("mine"), "query {n}");
--- a/crates/pipitcrank-cli/tests/size.rs
+++ b/crates/pipitcrank-cli/tests/size.rs
@@ -7,25 +7,25 @@
 use anyhow::Result;
 use pipitcrank_testkit::client::{Clients, Question};
 use pipitcrank_testkit::discovery::{Discovery, row};
-use pipitcrank_testkit::fleet::charter_of;
-use pipitcrank_testkit::leaf::{Leaf, Work};
+use pipitcrank_testkit::fleet::node_config_of;
 use pipitcrank_testkit::ledger::{Ended, Ledger};
 use pipitcrank_testkit::process::{Process, Steps};
+use pipitcrank_testkit::replica::{StandInReplica, Work};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
 
-const LEAVES: usize = 1024;
+const REPLICAS: usize = 1024;
 const CELLS: u32 = 128;
 const SHARDS: u32 = 256;
 const WORK: Work = Work { usual: Duration::from_millis(2), at_once: 64 };
 /// Of both processes of an upgrade together, in kilobytes; built without optimization they hold more.
 const MEMORY: u64 = 96 * 1024;
 
-fn rows(first: usize, hosts: &[Leaf]) -> Vec<Value> {
+fn rows(first: usize, hosts: &[StandInReplica]) -> Vec<Value> {
     let one =
         |n: usize| row(&format!("leaf-{n}"), hosts[n % hosts.len()].address, n as u32 % CELLS, "active", 0);
-    (first..first + LEAVES).map(one).collect()
+    (first..first + REPLICAS).map(one).collect()
 }
 
 async fn counted(process: &Process, what: &str, wanted: u64) -> Result<()> {
@@ -47,7 +47,7 @@
         clients
             .ask(Question {
                 id: format!("view-{name}-{n}"),
-                vertical: "view",
+                class: "view",
                 shards,
                 wait,
                 text: "c41e".into(),
@@ -58,31 +58,31 @@
 }
 
 #[test]
-fn a_thousand_leaves_are_told_replaced_drained_and_passed_on() {
+fn a_thousand_replicas_are_told_replaced_drained_and_passed_on() {
     on_one_thread(Duration::from_secs(120), async {
         let ledger = Ledger::default();
         let mut hosts = Vec::new();
         for n in 0..8 {
-            hosts.push(Leaf::start(n, WORK, ledger.clone()).await?);
+            hosts.push(StandInReplica::start(n, WORK, ledger.clone()).await?);
         }
         let discovery = Discovery::start(rows(0, &hosts)).await?;
-        let told = charter_of(discovery.address, discovery.known(), CELLS, SHARDS, 6, 1024, 3000)?;
+        let told = node_config_of(discovery.address, discovery.known(), CELLS, SHARDS, 6, 1024, 3000)?;
         let steps = Steps { start: 10.0, settle: 0.6, silent: 2.0, finish: 8.0 };
         let process = Process::start(Path::new(env!("CARGO_BIN_EXE_pipitcrank")), told, steps.file()).await?;
         let clients = Clients::new(process.address, ledger.clone());
         serves("told", &clients).await;
 
         // Nothing of the old list is listed any more.
-        discovery.is_now(rows(LEAVES, &hosts));
+        discovery.is_now(rows(REPLICAS, &hosts));
         counted(&process, "discovery whole_list", 2).await?;
         serves("replaced", &clients).await;
 
-        for leaf in rows(LEAVES, &hosts).into_iter().step_by(3) {
-            let mut leaf = leaf;
-            leaf["state"] = "leaving".into();
-            discovery.changes(leaf);
+        for replica in rows(REPLICAS, &hosts).into_iter().step_by(3) {
+            let mut replica = replica;
+            replica["state"] = "leaving".into();
+            discovery.changes(replica);
         }
-        counted(&process, "discovery changes", LEAVES.div_ceil(3) as u64).await?;
+        counted(&process, "discovery changes", REPLICAS.div_ceil(3) as u64).await?;
         serves("drained", &clients).await;
 
         process.signal(Signal::HUP)?;
@@ -92,7 +92,7 @@
         serves("passed-on", &clients).await;
         let (memory, _) = process.holds();
         assert!(memory < MEMORY, "{memory} kB");
-        // A connection a leaf, and what of the told sockets is left: none was held to be out of reach.
+        // A connection a replica, and what of the told sockets is left: none was held to be out of reach.
         assert_eq!(process.count("leaf_connections no_socket").await, Some(0));
         assert_eq!(ledger.count(Ended::Lost) + ledger.count(Ended::Aborted), 0);
         Ok(())
--- a/crates/pipitcrank-cli/tests/sockets.rs
+++ b/crates/pipitcrank-cli/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The whole program against stand-ins for clients, leaves and discovery, on loopback. Nothing hangs on how long
+//! The whole program against stand-ins for clients, replicas and discovery, on loopback. Nothing hangs on how long
 //! anything takes: what has to happen is waited for, up to a limit far beyond it.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -24,7 +24,7 @@
     }
 }
 
-/// What a leaf stand-in does with a call, given its parts (id, shard).
+/// What a replica stand-in does with a call, given its parts (id, shard).
 type Manner = fn(&mut TcpStream, &[(String, u32)], &Receiver<()>);
 
 fn send(to: &mut TcpStream, rest: &str) {
@@ -50,16 +50,16 @@
     answers(to, parts, go);
 }
 
-struct Leaf {
+struct StandInReplica {
     address: SocketAddr,
     /// Frames as they came.
     heard: Receiver<String>,
     go: Sender<()>,
 }
 
-impl Leaf {
+impl StandInReplica {
     /// One connection after another; a second at the same time waits in the queue.
-    fn start(manner: Manner) -> Leaf {
+    fn start(manner: Manner) -> StandInReplica {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let ((hears, heard), (go, gone)) = (channel(), channel());
@@ -81,7 +81,7 @@
                 }
             }
         });
-        Leaf { address, heard, go }
+        StandInReplica { address, heard, go }
     }
 
     fn hear(&self, letter: char) -> String {
@@ -158,8 +158,8 @@
     }
 }
 
-fn list(rev: u32, all: bool, leaves: &[(u32, SocketAddr, &str)]) -> Value {
-    let targets: Vec<Value> = leaves
+fn list(rev: u32, all: bool, replicas: &[(u32, SocketAddr, &str)]) -> Value {
+    let targets: Vec<Value> = replicas
         .iter()
         .map(|(cell, endpoint, state)| {
             json!({"uid": format!("s-{cell}"), "endpoint": endpoint.to_string(), "az": "a", "pod_group": cell,
@@ -172,14 +172,14 @@
 struct Node {
     child: Child,
     address: SocketAddr,
-    charter: PathBuf,
+    node_config: PathBuf,
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.charter);
+        let _ = std::fs::remove_file(&self.node_config);
     }
 }
 
@@ -203,18 +203,18 @@
         let free = TcpListener::bind(SocketAddr::from(([127, 77, 1, n], 0))).unwrap();
         let address = free.local_addr().unwrap();
         drop(free);
-        let charter = std::env::temp_dir().join(format!("pipitcrank-{}-{n}.json", std::process::id()));
+        let node_config = std::env::temp_dir().join(format!("pipitcrank-{}-{n}.json", std::process::id()));
         let told = json!({"name":"n1","listen":address.to_string(),"discovery":discovery.address.to_string(),
             "seed":"5","limits":{"sockets":sockets,"memory_mb":64,"cores":1.0},"known":known,"settings":settings()});
-        std::fs::write(&charter, told.to_string()).unwrap();
+        std::fs::write(&node_config, told.to_string()).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_pipitcrank"))
             .arg("serve")
-            .env("NODE_CONFIG", &charter)
+            .env("NODE_CONFIG", &node_config)
             .env("NODE_DISCOVERY", discovery.address.to_string())
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        Node { child, address, charter }
+        Node { child, address, node_config }
     }
 
     fn up(&self) {
@@ -241,11 +241,11 @@
         assert!(kill.success());
     }
 
-    /// Changes one key of the charter and has it read again.
+    /// Changes one key of the node configuration and has it read again.
     fn reload(&self, key: &str, value: Value) {
-        let mut told: Value = serde_json::from_slice(&std::fs::read(&self.charter).unwrap()).unwrap();
+        let mut told: Value = serde_json::from_slice(&std::fs::read(&self.node_config).unwrap()).unwrap();
         *told.pointer_mut(key).unwrap() = value;
-        std::fs::write(&self.charter, told.to_string()).unwrap();
+        std::fs::write(&self.node_config, told.to_string()).unwrap();
         self.signal("-HUP");
     }
 
@@ -298,7 +298,7 @@
 
 #[test]
 fn queries_are_served_and_bad_input_is_told_apart() {
-    let (a, b) = (Leaf::start(answers), Leaf::start(answers));
+    let (a, b) = (StandInReplica::start(answers), StandInReplica::start(answers));
     let discovery = Discovery::start();
     let node = Node::start(1, &discovery, list(1, true, &[]));
     let (watch, feed) = discovery.watch();
@@ -363,7 +363,7 @@
         (2, closes as Manner, "leaf_connections closed 1"),
         (3, babbles as Manner, "leaf_connections bad_bytes 1"),
     ] {
-        let (bad, good) = (Leaf::start(manner), Leaf::start(answers));
+        let (bad, good) = (StandInReplica::start(manner), StandInReplica::start(answers));
         let discovery = Discovery::start();
         let known = list(1, true, &[(0, bad.address, "active"), (1, good.address, "active")]);
         let node = Node::start(n, &discovery, known);
@@ -380,8 +380,8 @@
 }
 
 #[test]
-fn parts_for_a_leaf_that_cannot_be_reached_never_ran() {
-    let good = Leaf::start(answers);
+fn parts_for_a_replica_that_cannot_be_reached_never_ran() {
+    let good = StandInReplica::start(answers);
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let discovery = Discovery::start();
     let known = list(1, true, &[(0, nobody, "active"), (1, good.address, "active")]);
@@ -396,8 +396,8 @@
 }
 
 #[test]
-fn a_client_that_closes_frees_its_leaf_calls() {
-    let (a, b) = (Leaf::start(held), Leaf::start(held));
+fn a_client_that_closes_frees_its_replica_calls() {
+    let (a, b) = (StandInReplica::start(held), StandInReplica::start(held));
     let discovery = Discovery::start();
     let known = list(1, true, &[(0, a.address, "active"), (1, b.address, "active")]);
     let node = Node::start(5, &discovery, known);
@@ -417,7 +417,7 @@
 
 #[test]
 fn the_list_is_kept_through_ends_of_the_watch() {
-    let (a, b) = (Leaf::start(answers), Leaf::start(answers));
+    let (a, b) = (StandInReplica::start(answers), StandInReplica::start(answers));
     let discovery = Discovery::start();
     let node = Node::start(6, &discovery, list(7, true, &[(0, a.address, "active")]));
     let (_, feed) = discovery.watch();
@@ -440,7 +440,7 @@
 
 #[test]
 fn after_sigterm_what_was_taken_and_what_still_comes_is_answered() {
-    let (a, b) = (Leaf::start(held), Leaf::start(held));
+    let (a, b) = (StandInReplica::start(held), StandInReplica::start(held));
     let discovery = Discovery::start();
     let known = list(1, true, &[(0, a.address, "active"), (1, b.address, "active")]);
     let mut node = Node::start(7, &discovery, known);
@@ -452,8 +452,8 @@
     node.signal("-TERM");
     wait_for("the end called", || node.try_get("/up").filter(|a| a.starts_with("HTTP/1.1 503")));
     let late = node.send(&post("late", ASK));
-    for leaf in [&a, &b] {
-        (0..8).for_each(|_| leaf.go.send(()).unwrap());
+    for replica in [&a, &b] {
+        (0..8).for_each(|_| replica.go.send(()).unwrap());
     }
     for client in [taken, late] {
         let (status, body, _) = answer(client);
@@ -467,8 +467,8 @@
 }
 
 #[test]
-fn a_new_charter_moves_the_watch_and_a_faulty_one_changes_nothing() {
-    let (a, b) = (Leaf::start(answers), Leaf::start(answers));
+fn a_new_node_config_moves_the_watch_and_a_faulty_one_changes_nothing() {
+    let (a, b) = (StandInReplica::start(answers), StandInReplica::start(answers));
     let (old, new) = (Discovery::start(), Discovery::start());
     let mut node = Node::start(8, &old, list(700, true, &[(0, a.address, "active")]));
     let (_, feed) = old.watch();
@@ -505,9 +505,9 @@
 /// Asked for or watched, a list over the bound is left and said to be, the old one stands, and it is asked for again.
 #[test]
 fn a_list_that_does_not_end_is_left_by_name() {
-    let leaf = Leaf::start(answers);
+    let replica = StandInReplica::start(answers);
     let (old, new) = (Discovery::start(), Discovery::start());
-    let known = list(700, true, &[(0, leaf.address, "active")]);
+    let known = list(700, true, &[(0, replica.address, "active")]);
     let node = Node::start(29, &old, known.clone());
     node.up();
     let endless = format!("{{\"rev\":3,\"all\":true,\"targets\":[{}", " ".repeat(5 << 20));
@@ -530,9 +530,9 @@
 
 #[test]
 fn clients_that_stay_or_say_nothing_do_not_keep_others_out() {
-    let leaf = Leaf::start(answers);
+    let replica = StandInReplica::start(answers);
     let discovery = Discovery::start();
-    let known = list(1, true, &[(0, leaf.address, "active")]);
+    let known = list(1, true, &[(0, replica.address, "active")]);
     // 16 places for clients.
     let node = Node::start_with(9, &discovery, known, 48);
     node.up();
@@ -558,9 +558,9 @@
 
 #[test]
 fn a_request_framed_both_ways_is_refused_and_nothing_behind_it_is_read() {
-    let leaf = Leaf::start(answers);
+    let replica = StandInReplica::start(answers);
     let discovery = Discovery::start();
-    let node = Node::start(10, &discovery, list(1, true, &[(0, leaf.address, "active")]));
+    let node = Node::start(10, &discovery, list(1, true, &[(0, replica.address, "active")]));
     node.up();
     let ask = ASK.replace(r#"},{"shard":1,"weight":0.5}"#, "}").replace("0.5", "1.0");
     let hidden = post("hidden", &ask);
@@ -575,7 +575,7 @@
         stream.read_to_string(&mut all).unwrap();
         assert!(all.starts_with("HTTP/1.1 400") && all.matches("HTTP/1.1 ").count() == 1, "{all}");
     }
-    assert!(!leaf.heard.try_iter().any(|f| f.starts_with('Q')), "nothing of it went out");
+    assert!(!replica.heard.try_iter().any(|f| f.starts_with('Q')), "nothing of it went out");
     let (status, body, _) = answer(node.send(&chunked));
     assert_eq!((status, hits(&body).0), (200, true), "a chunked body alone is good");
 }
@@ -594,7 +594,7 @@
 }
 
 #[test]
-fn a_faulty_charter_ends_it_with_the_key() {
+fn a_faulty_node_config_ends_it_with_the_key() {
     let path = std::env::temp_dir().join(format!("pipitcrank-{}-bad.json", std::process::id()));
     let start = |text: &str| {
         std::fs::write(&path, text).unwrap();
--- a/crates/pipitcrank-cli/tests/stand_ins/mod.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that hold what they would say until a test lets them: leaves that hand out each call, a discovery that spoils
+//! Stand-ins that hold what they would say until a test lets them: replicas that hand out each call, a discovery that spoils
 //! its calls by script, a listener whose connections come up late.
 #![allow(dead_code)] // each test file uses some of them
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_testkit::fleet::charter_of;
+use pipitcrank_testkit::fleet::node_config_of;
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -21,9 +21,9 @@
     Path::new(env!("CARGO_BIN_EXE_pipitcrank"))
 }
 
-/// What a co-ordinator is told of that discovery's leaves: one shard a cell, each held by two cells.
-pub fn charter(source: &Source, cells: u32, sockets: u32) -> Result<Value> {
-    charter_of(source.address, source.list(), cells, cells, 5, sockets, 500)
+/// What a co-ordinator is told of that discovery's replicas: one shard a cell, each held by two cells.
+pub fn node_config(source: &Source, cells: u32, sockets: u32) -> Result<Value> {
+    node_config_of(source.address, source.list(), cells, cells, 5, sockets, 500)
 }
 
 // Leaves.
@@ -68,29 +68,29 @@
     }
 }
 
-pub struct Leaf {
+pub struct StandInReplica {
     pub address: SocketAddr,
     calls: UnboundedReceiver<Asked>,
     /// Ids given up.
     pub given_up: Rc<RefCell<Vec<String>>>,
 }
 
-impl Leaf {
-    pub async fn start() -> Result<Leaf> {
-        Ok(Leaf::behind(TcpListener::bind("127.0.0.1:0").await?))
+impl StandInReplica {
+    pub async fn start() -> Result<StandInReplica> {
+        Ok(StandInReplica::behind(TcpListener::bind("127.0.0.1:0").await?))
     }
 
-    pub fn behind(listener: TcpListener) -> Leaf {
+    pub fn behind(listener: TcpListener) -> StandInReplica {
         let address = listener.local_addr().expect("a listener has an address");
         let (hand_out, calls) = unbounded_channel();
         let given_up: Rc<RefCell<Vec<String>>> = Rc::default();
         let noted = given_up.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(leaf_connection(stream, hand_out.clone(), noted.clone()));
+                tokio::task::spawn_local(replica_connection(stream, hand_out.clone(), noted.clone()));
             }
         });
-        Leaf { address, calls, given_up }
+        StandInReplica { address, calls, given_up }
     }
 
     /// The next part that comes.
@@ -104,7 +104,7 @@
     }
 }
 
-async fn leaf_connection(
+async fn replica_connection(
     stream: TcpStream,
     hand_out: UnboundedSender<Asked>,
     given_up: Rc<RefCell<Vec<String>>>,
@@ -188,8 +188,8 @@
         Ok(Late { listener, address, _fillers: fillers })
     }
 
-    pub fn let_up(self) -> Leaf {
-        Leaf::behind(self.listener)
+    pub fn let_up(self) -> StandInReplica {
+        StandInReplica::behind(self.listener)
     }
 }
 
--- a/crates/pipitcrank-cli/tests/system_calls.rs
+++ b/crates/pipitcrank-cli/tests/system_calls.rs
@@ -9,12 +9,12 @@
 use pipitcrank_testkit::discovery::row;
 use pipitcrank_testkit::faults::{Fault, Faults, Shim};
 use pipitcrank_testkit::fleet::Fleet;
-use pipitcrank_testkit::leaf::Work;
 use pipitcrank_testkit::ledger::{Ended, Ledger};
 use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::replica::Work;
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
-use stand_ins::{Leaf, Source, charter, program};
+use stand_ins::{Source, StandInReplica, node_config, program};
 
 const LIMIT: Duration = Duration::from_secs(90);
 const WORK: Work = Work { usual: Duration::from_millis(4), at_once: 32 };
@@ -31,7 +31,7 @@
         let fleet = Fleet::start_with(seed, WORK, Ledger::with_arrivals()).await?;
         let shim = Shim::build()?;
         let faults = shim.for_process("one", seed)?;
-        let told = fleet.charter(seed, 512, 3000)?;
+        let told = fleet.node_config(seed, 512, 3000)?;
         let process = Process::start_with(program(), told, faults.variables())?;
         process.up().await?;
         Ok(Scene { fleet, process, faults, _shim: shim })
@@ -59,7 +59,7 @@
 fn question(id: &str) -> Question {
     let wait = Duration::from_secs(3);
     let text = "a text that is long enough to be read in several pieces".to_string();
-    Question { id: id.to_string(), vertical: "view", shards: (0..6).collect(), wait, text }
+    Question { id: id.to_string(), class: "view", shards: (0..6).collect(), wait, text }
 }
 
 fn all_merged(ledger: &Ledger, many: usize, log: &str) {
@@ -131,9 +131,9 @@
 
 /// Calls that the old and the new replica got, in each stretch so long after the new one was listed.
 async fn calls_after_a_step(step_s: f64, stretches: &[Duration]) -> Result<Vec<[usize; 2]>> {
-    let (mut old, mut new) = (Leaf::start().await?, Leaf::start().await?);
+    let (mut old, mut new) = (StandInReplica::start().await?, StandInReplica::start().await?);
     let source = Source::start(1, vec![row("old", old.address, 0, "active", 0)]).await?;
-    let mut told = charter(&source, 1, 256)?;
+    let mut told = node_config(&source, 1, 256)?;
     told["settings"]["allowed"]["probing"] = false.into();
     told["settings"]["rules"] = serde_json::json!({"cold_from": 0.05, "cold_s": COLD.as_secs_f64(),
         "drain_grace_s": 2.0, "fall_s": 0.5, "overload_factor": 1.0});
@@ -144,7 +144,7 @@
     source.until_watched().await;
     let clients = Clients::new(process.address, Ledger::default());
     let mut n = 0;
-    let mut asks = async |old: &mut Leaf, new: &mut Leaf, lasts: Duration| {
+    let mut asks = async |old: &mut StandInReplica, new: &mut StandInReplica, lasts: Duration| {
         let (begun, mut counted) = (Instant::now(), [0, 0]);
         while begun.elapsed() < lasts {
             n += 1;
@@ -244,7 +244,7 @@
         for (fault, share) in [(Fault::Bind, 0.9), (Fault::Socket, 0.5), (Fault::Open, 0.9)] {
             faults.set(fault, share)?;
         }
-        let told = fleet.charter(7, 512, 3000)?;
+        let told = fleet.node_config(7, 512, 3000)?;
         let mut process = Process::start_with(program(), told, faults.variables())?;
         let up = tokio::time::timeout(Duration::from_secs(10), process.up()).await;
         let ended = process.ended();
@@ -258,16 +258,16 @@
 #[test]
 fn a_new_configuration_that_can_not_be_read_at_once_takes_effect_all_the_same() {
     on_one_thread(LIMIT, async {
-        let leaf = Leaf::start().await?;
-        let rows = || vec![row("a", leaf.address, 0, "active", 0)];
+        let replica = StandInReplica::start().await?;
+        let rows = || vec![row("a", replica.address, 0, "active", 0)];
         let (old, new) = (Source::start(1, rows()).await?, Source::start(1, rows()).await?);
         let shim = Shim::build()?;
         let faults = shim.for_process("one", 8)?;
-        let process = Process::start_with(program(), charter(&old, 1, 256)?, faults.variables())?;
+        let process = Process::start_with(program(), node_config(&old, 1, 256)?, faults.variables())?;
         process.up().await?;
         old.until_watched().await;
         faults.set(Fault::Open, 1.0)?;
-        process.charter_with("/discovery", new.address.to_string().into())?;
+        process.node_config_with("/discovery", new.address.to_string().into())?;
         process.signal(Signal::HUP)?;
         tokio::time::sleep(Duration::from_millis(1500)).await;
         assert_eq!(new.calls(), 0);
--- a/crates/pipitcrank-cli/tests/upgrade.rs
+++ b/crates/pipitcrank-cli/tests/upgrade.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_after_another_with_a_leaf_that_drains_the_moment_before() {
+fn one_after_another_with_a_replica_that_drains_the_moment_before() {
     survives(101, Round::Drained);
 }
 
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_faulty_charter() {
+fn a_faulty_node_config() {
     survives(109, Round::FaultyCharter);
 }
 
--- a/crates/pipitcrank-cli/tests/zones.rs
+++ b/crates/pipitcrank-cli/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Ten copies of the whole program in three zones, faults between them and before their leaves, on stand-ins from the rig:
+//! Ten copies of the whole program in three zones, faults between them and before their replicas, on stand-ins from the rig:
 //! a short form of `pipitcrank trial zones`. Each asks that no rule is broken; how fast and how much is served is the
 //! trial's own, on a machine that has nothing else to do.
 
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_lost_zone_strangers_and_copies_that_hear_nobody() {
-    survives(301, &[Trouble::Leaves, Trouble::Strangers, Trouble::Parted]);
+    survives(301, &[Trouble::Replicas, Trouble::Strangers, Trouble::Parted]);
 }
 
 #[test]
@@ -31,8 +31,8 @@
     survives(302, &[Trouble::Leader, Trouble::Drain]);
 }
 
-/// A file of one copy, with its charter beside it or none.
-fn checked(file: &str, charter: Option<&str>) -> (i32, String) {
+/// A file of one copy, with its node configuration beside it or none.
+fn checked(file: &str, node_config: Option<&str>) -> (i32, String) {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!("pipitcrank-zones-{}-{n}", std::process::id()));
@@ -41,9 +41,9 @@
     std::fs::write(&path, file).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_pipitcrank"));
     command.arg("check").arg("--operators").arg(&path);
-    match charter {
-        Some(charter) => {
-            std::fs::write(&told, charter).unwrap();
+    match node_config {
+        Some(node_config) => {
+            std::fs::write(&told, node_config).unwrap();
             command.env("NODE_CONFIG", &told);
         }
         None => {
@@ -56,7 +56,7 @@
 }
 
 const EXAMPLE: &str = include_str!("../../../deploy/examples/zones.dhall");
-const CHARTER: &str = include_str!("../../../deploy/examples/charter.json");
+const NODE_CONFIG: &str = include_str!("../../../deploy/examples/charter.json");
 
 fn example() -> String {
     let operators = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/operators.dhall");
@@ -76,7 +76,7 @@
 #[test]
 fn what_both_files_say_of_zones_has_to_agree() {
     let with = |zone: &str, zones: &str| {
-        CHARTER.replace("\"tick_s\"", &format!("\"zone\": \"{zone}\", \"zones\": {zones}, \"tick_s\""))
+        NODE_CONFIG.replace("\"tick_s\"", &format!("\"zone\": \"{zone}\", \"zones\": {zones}, \"tick_s\""))
     };
     let agrees = with("a", "[\"c\", \"a\", \"b\"]");
     assert_eq!(checked(&example(), Some(&agrees)), (0, String::new()), "in whatever order");
--- a/crates/pipitcrank-config/src/lib.rs
+++ b/crates/pipitcrank-config/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' file, in Dhall: what a co-ordinator does beside what the platform's charter tells. Typed by the
+//! The operators' file, in Dhall: what a co-ordinator does beside what the platform's node configuration tells. Typed by the
 //! reader, bounded here, and read whole: a fault names its key. What a key absent from the file stands for is in
 //! `deploy/operators.dhall`, which a file takes its defaults from, or here where it does not import that.
 //!
@@ -35,7 +35,7 @@
     pub path: std::path::PathBuf,
     /// How often what is known is written. What a voter must not forget is written as it changes.
     pub every: Duration,
-    /// What is older is no knowledge of leaves.
+    /// What is older is no knowledge of replicas.
     pub oldest: Duration,
 }
 
@@ -50,7 +50,7 @@
     pub sites: Vec<(String, SocketAddr)>,
     /// Connections kept to each.
     pub connections: u16,
-    /// What near leaves are preferred by, beside the way's own time.
+    /// What near replicas are preferred by, beside the way's own time.
     pub prefer_near: Duration,
 }
 
@@ -79,8 +79,8 @@
     pub calm: Duration,
     /// How long a decision stands without a word of the voters.
     pub hold: Duration,
-    /// Parts a second that a warm leaf bears; 0 where nobody knows.
-    pub leaf_bears: f64,
+    /// Parts a second that a warm replica bears; 0 where nobody knows.
+    pub replica_bears: f64,
     /// Decide and log, move nothing.
     pub dry_run: bool,
 }
@@ -166,7 +166,8 @@
     hold_down_most_s: f64,
     calm_s: f64,
     hold_s: f64,
-    leaf_bears: f64,
+    #[serde(rename = "leaf_bears")]
+    replica_bears: f64,
     dry_run: bool,
 }
 
@@ -371,8 +372,8 @@
             let reason = format!("has {} characters, under {LEAST_SECRET}", self.secret.len());
             return fault("/zones/secret".into(), reason);
         }
-        if !(0.0..=1e6).contains(&self.leaf_bears) {
-            let reason = format!("is {}, not from 0 to 1000000 parts a second", self.leaf_bears);
+        if !(0.0..=1e6).contains(&self.replica_bears) {
+            let reason = format!("is {}, not from 0 to 1000000 parts a second", self.replica_bears);
             return fault("/zones/leaf_bears".into(), reason);
         }
         let hold_down = time("/zones/hold_down_s", self.hold_down_s, 0.5, 3600.0)?;
@@ -394,7 +395,7 @@
             known_as,
             voters,
             secret: self.secret,
-            leaf_bears: self.leaf_bears,
+            replica_bears: self.replica_bears,
             dry_run: self.dry_run,
         })
     }
@@ -405,7 +406,7 @@
 
 impl StoreForm {
     /// Each write is a sync of the disk: ten a second are more than any start gains by. What a day old copy knew of
-    /// leaves is of no use to anybody.
+    /// replicas is of no use to anybody.
     fn checked(self) -> Result<Store, ConfigError> {
         let path = std::path::PathBuf::from(&self.path);
         let wrong = |reason: &str| ConfigError {
--- a/crates/pipitcrank-config/tests/stored_forms.rs
+++ b/crates/pipitcrank-config/tests/stored_forms.rs
@@ -41,7 +41,7 @@
             hold_down_most: seconds(300.0),
             calm: seconds(120.0),
             hold: seconds(11.0),
-            leaf_bears: 40.0,
+            replica_bears: 40.0,
             dry_run: true,
         }),
         store: Some(Store { path: "pipitcrank-n1.store".into(), every: seconds(2.0), oldest: seconds(60.0) }),
--- a/crates/pipitcrank-core/src/config.rs
+++ b/crates/pipitcrank-core/src/config.rs
@@ -121,8 +121,8 @@
         self.get(key, Value::as_array, "has no list")
     }
 
-    /// The names of the verticals, in their order.
-    pub fn verticals(&self) -> Result<Vec<String>, ConfigError> {
+    /// The names of the request classes, in their order.
+    pub fn classes(&self) -> Result<Vec<String>, ConfigError> {
         let count = self.list("/classes")?.len();
         (0..count).map(|n| Ok(self.text(&format!("/classes/{n}/name"))?.to_string())).collect()
     }
@@ -198,7 +198,7 @@
         let tick = self.span("/tick_s")?;
         let mut coordinator =
             Coordinator::new(Rng::new(seed), cover, budget, slow_start, tries, asks_list, tick);
-        for n in 0..self.verticals()?.len() {
+        for n in 0..self.classes()?.len() {
             coordinator.add_request_class(self.terms(n)?);
         }
         if let Some((own, _)) = self.zones()? {
@@ -208,7 +208,7 @@
         Ok(coordinator)
     }
 
-    /// What a second run of a part of that vertical would do.
+    /// What a second run of a part of that request class would do.
     pub fn idempotency(&self, n: usize) -> Result<Idempotency, ConfigError> {
         let key = format!("/classes/{n}/idempotency");
         match self.text(&key)? {
--- a/crates/pipitcrank-core/src/coordinator.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -1,8 +1,8 @@
-//! The decision module: which leaf answers which part of a query, when, how often, and how the query ends.
+//! The decision module: which replica answers which part of a query, when, how often, and how the query ends.
 //!
-//! A caller makes one `Coordinator` per co-ordinator from what it is told at start, names the verticals in order
-//! with `vertical`, and hands in each event as it comes: `list_begin`/`leaf`/`list_end` for the list of
-//! leaves, `query` and `part` for what is asked, `ended` for each leaf call, `probed`, `load_report`, `gone`,
+//! A caller makes one `Coordinator` per co-ordinator from what it is told at start, names the request classes in order
+//! with `request class`, and hands in each event as it comes: `list_begin`/`replica`/`list_end` for the list of
+//! replicas, `query` and `part` for what is asked, `ended` for each attempt, `probed`, `load_report`, `gone`,
 //! `woken`. After the events of one moment it calls `turn` once. All it wants done goes out through
 //! `output::CoordinatorOutput`; ids are small indices (`ids.rs`) that the caller may use again once they are let go of.
 
@@ -32,15 +32,15 @@
 
 /// What a step leaves behind for when its alarm rings.
 type Then = Box<dyn FnOnce(&mut Coordinator, &mut dyn CoordinatorOutput, Timestamp)>;
-/// What a leaf call leaves behind for its end.
+/// What a attempt leaves behind for its end.
 type AfterCall = Box<dyn FnOnce(&mut Coordinator, &mut dyn CoordinatorOutput, Timestamp, AttemptOutcome)>;
 
 /// Sums of weights may fall short by this much (a rule's own figure).
 const SHORT: f64 = 1e-4;
 
-/// One vertical as told at start.
+/// One request class as told at start.
 pub struct RequestClassConfig {
-    /// What the vertical is called: what was learned of it is taken over under this name alone.
+    /// What the request class is called: what was learned of it is taken over under this name alone.
     pub name: String,
     pub idempotency: Idempotency,
     pub dedup_window: TimeSpan,
@@ -70,7 +70,7 @@
     fn left(&mut self, age: TimeSpan) {
         let newest = if age < self.stay { 0.5 } else { 0.1 };
         self.stay = if self.leaving < 0.1 { age } else { self.stay * (1.0 - newest) + age * newest };
-        self.leaving += LeafState::NEWEST * (1.0 - self.leaving);
+        self.leaving += ReplicaState::NEWEST * (1.0 - self.leaving);
     }
 
     /// Answered or rejected at that age: near or past the time to stay, clients may stay longer than thought.
@@ -111,7 +111,7 @@
     }
 }
 
-/// Which leaves hold a shard, from cells in a ring, and how the cover is cut into calls.
+/// Which replicas hold a shard, from cells in a ring, and how the cover is cut into calls.
 #[derive(Default)]
 pub struct SetCover {
     cells: u32,
@@ -148,7 +148,7 @@
     pub may_abandon: bool,
     pub may_probe: bool,
     pub longest_stay_away: Option<TimeSpan>,
-    /// A call may be so long on its way to a leaf.
+    /// A call may be so long on its way to a replica.
     pub way: TimeSpan,
 }
 
@@ -160,13 +160,13 @@
     call: (u64, usize),
 }
 
-/// What is known of one leaf, from the list and from this co-ordinator's own calls.
+/// What is known of one replica, from the list and from this co-ordinator's own calls.
 #[derive(Default)]
-struct LeafState {
+struct ReplicaState {
     cell: u32,
     listed: bool,
     started: Option<Timestamp>,
-    /// Parts out, by number of the leaf call; emptied by their ends.
+    /// Parts out, by number of the attempt; emptied by their ends.
     out: BTreeMap<(PartId, u32), OutstandingAttempt>,
     /// The last turn that sent here, and how many parts: those share calls.
     joining: (u64, usize),
@@ -195,19 +195,19 @@
     (lag - (now - at).as_secs_f64()).max(0.0)
 }
 
-impl LeafState {
-    /// Share of faults from which a leaf is left out: two in a row; the stray error stays below.
+impl ReplicaState {
+    /// Share of faults from which a replica is left out: two in a row; the stray error stays below.
     const FAULTY: f64 = 0.3;
     /// Weight of the newest answer in the share of faults and in the lag: five answers make a view.
     const NEWEST: f64 = 0.2;
     /// The same of a part cut off with its connection.
     const CUT: f64 = 0.03;
-    /// Lag of a leaf that turns a part away as full: about what a full waiting room takes to work off. Guards
-    /// against storms of calls turned away in a millisecond and sent on to the next full leaf (i695bd0).
+    /// Lag of a replica that turns a part away as full: about what a full waiting room takes to work off. Guards
+    /// against storms of calls turned away in a millisecond and sent on to the next full replica (i695bd0).
     const FULL_LAG_S: f64 = 2.0;
-    /// A faulty leaf is tried again after this: short against a day's troubles, long against a part.
+    /// A faulty replica is tried again after this: short against a day's troubles, long against a part.
     const TRIAL_WAIT: TimeSpan = TimeSpan::from_millis(1000);
-    /// What was heard of one leaf counts for so long, then that of all: at a grown size one is met in half a minute.
+    /// What was heard of one replica counts for so long, then that of all: at a grown size one is met in half a minute.
     const KNOWN: TimeSpan = TimeSpan::from_millis(2000);
 
     /// The lag expected now: what was heard, drained, so that it is asked again (ie11df8), or what is out and late.
@@ -219,7 +219,7 @@
             .fold(heard, f64::max)
     }
 
-    /// What of an answer's time is the way, and not the leaf's.
+    /// What of an answer's time is the way, and not the replica's.
     fn hop(&self) -> TimeSpan {
         self.far.flatten().unwrap_or(TimeSpan::ZERO)
     }
@@ -235,7 +235,7 @@
 }
 
 struct AttemptRecord {
-    leaf: ReplicaId,
+    replica: ReplicaId,
     at: Timestamp,
     /// When the budget counts it: as it was decided, or as it began.
     counted: Timestamp,
@@ -246,14 +246,14 @@
 #[derive(Default)]
 struct PartState {
     query: QueryId,
-    vertical: RequestClassId,
+    class: RequestClassId,
     shard: u32,
     weight: f64,
     work: f64,
     sent: Vec<AttemptRecord>,
     waits: bool,
     done: bool,
-    /// Leaf calls that another site made for it, or may make.
+    /// Replica calls that another site made for it, or may make.
     elsewhere: u32,
 }
 
@@ -270,13 +270,13 @@
 #[derive(Default)]
 struct OpenQuery {
     serial: u64,
-    vertical: RequestClassId,
+    class: RequestClassId,
     slo: Timestamp,
     /// From then on what is in is worth most: the answer has to travel.
     answer_by: Timestamp,
     ends: Timestamp,
     arrived: Timestamp,
-    /// Hinted work of a mean part, and how large the query is taken to be against its vertical's usual.
+    /// Hinted work of a mean part, and how large the query is taken to be against its request class's usual.
     a_part: Option<f64>,
     size: f64,
     parts: Vec<PartId>,
@@ -301,13 +301,13 @@
     asks_list: bool,
     tick: TimeSpan,
     classes: Vec<RequestClassState>,
-    /// One per leaf listed or with calls out; emptied when it is off the list and its calls have ended.
-    leaves: BTreeMap<ReplicaId, LeafState>,
+    /// One per replica listed or with calls out; emptied when it is off the list and its calls have ended.
+    replicas: BTreeMap<ReplicaId, ReplicaState>,
     /// Open queries; emptied by their final answers.
     queries: BTreeMap<QueryId, OpenQuery>,
     /// Parts; emptied when their query has ended and their calls have.
     parts: BTreeMap<PartId, PartState>,
-    /// What outstanding leaf calls left behind; emptied by their ends.
+    /// What outstanding attempts left behind; emptied by their ends.
     calls: BTreeMap<(PartId, u32), AfterCall>,
     /// What alarms left behind; emptied as they ring, each set for a time that comes.
     alarms: BTreeMap<u64, Then>,
@@ -315,18 +315,18 @@
     turn: u64,
     /// Queries, the oldest first, some part of which may wait; each leaves at a turn that finds none.
     waiting: BTreeSet<(u64, QueryId)>,
-    /// Time that most leaf calls end in, for a unit of work ahead.
+    /// Time that most attempts end in, for a unit of work ahead.
     overdue: QuantileEstimator,
     /// Leaves listed, and work a second merged of late, when last counted.
     listed: usize,
     carried: (f64, Timestamp),
-    /// Lag of late over all leaves, and when last heard.
+    /// Lag of late over all replicas, and when last heard.
     lag: (f64, Timestamp),
-    /// Time a leaf takes for a unit of work where nothing else is in its way.
+    /// Time a replica takes for a unit of work where nothing else is in its way.
     rate: QuantileEstimator,
     fill: f64,
     zones: zones::Zones,
-    /// Until then some leaf is cold; when a window began, and its lot, or what is saved for it until a lot is needed (below 0).
+    /// Until then some replica is cold; when a window began, and its lot, or what is saved for it until a lot is needed (below 0).
     cold_until: Timestamp,
     lot: (Timestamp, f64),
     moved: bool,
@@ -384,7 +384,7 @@
         }
     }
 
-    // The list of leaves.
+    // The list of replicas.
 
     pub fn start(&mut self, output: &mut dyn CoordinatorOutput) {
         if self.asks_list {
@@ -395,12 +395,12 @@
     /// A whole list follows: what it does not name is gone.
     pub fn begin_endpoint_list(&mut self, whole: bool) {
         if whole {
-            self.leaves.values_mut().for_each(|l| l.listed = false);
+            self.replicas.values_mut().for_each(|l| l.listed = false);
         }
     }
 
     pub fn list_replica(&mut self, id: ReplicaId, cell: u32, up: bool, started: Option<Timestamp>) {
-        let state = self.leaves.entry(id).or_default();
+        let state = self.replicas.entry(id).or_default();
         if started > state.started {
             // A new process: what was held against the old one is void, and it is cold.
             (state.faults, state.trial_at, state.mute, state.heard) = (0.0, None, 0, None);
@@ -411,19 +411,19 @@
 
     pub fn finish_endpoint_list(&mut self, output: &mut dyn CoordinatorOutput) {
         self.cover.by_cell.iter_mut().for_each(Vec::clear);
-        for (&id, state) in self.leaves.iter().filter(|(_, l)| l.listed) {
+        for (&id, state) in self.replicas.iter().filter(|(_, l)| l.listed) {
             self.cover.by_cell[(state.cell % self.cover.cells) as usize].push(id);
         }
-        self.listed = self.leaves.values().filter(|l| l.listed && l.far.is_none()).count();
-        let gone = self.leaves.iter().filter(|(_, l)| !l.listed && l.out.is_empty()).map(|(&id, _)| id);
+        self.listed = self.replicas.values().filter(|l| l.listed && l.far.is_none()).count();
+        let gone = self.replicas.iter().filter(|(_, l)| !l.listed && l.out.is_empty()).map(|(&id, _)| id);
         for id in gone.collect::<Vec<_>>() {
-            self.drop_leaf(output, id);
+            self.drop_replica(output, id);
         }
         self.moved = true;
     }
 
-    fn drop_leaf(&mut self, output: &mut dyn CoordinatorOutput, id: ReplicaId) {
-        self.leaves.remove(&id);
+    fn drop_replica(&mut self, output: &mut dyn CoordinatorOutput, id: ReplicaId) {
+        self.replicas.remove(&id);
         output.release_replica(id);
     }
 
@@ -474,7 +474,7 @@
         let zone = self.meant_for();
         let open = OpenQuery {
             serial,
-            vertical: v,
+            class: v,
             slo,
             answer_by,
             ends,
@@ -505,24 +505,24 @@
             self.budget.take(now);
         }
         open.parts.push(id);
-        // Hints compare parts well, but queries badly: work is the vertical's usual, by the share of the query's hint.
-        let usual = self.classes[open.vertical.0 as usize].usual_work();
+        // Hints compare parts well, but queries badly: work is the request class's usual, by the share of the query's hint.
+        let usual = self.classes[open.class.0 as usize].usual_work();
         let share = work.zip(open.a_part).map_or(1.0, |(part, mean)| (part / mean).clamp(0.2, 5.0));
         let work = usual * share * open.size;
-        let vertical = open.vertical;
-        let part = PartState { query, vertical, shard, weight, work, waits: true, ..PartState::default() };
+        let class = open.class;
+        let part = PartState { query, class, shard, weight, work, waits: true, ..PartState::default() };
         self.parts.insert(id, part);
         self.waiting.insert((self.queries[&query].serial, query));
         self.moved = true;
     }
 
-    /// Whether a leaf can be meant for parts of that query at all.
-    fn reached(&self, leaf: ReplicaId, lent: bool) -> bool {
-        self.leaves[&leaf].far.is_none_or(|hop| hop.is_some() && !lent) && !self.is_shut(leaf)
+    /// Whether a replica can be meant for parts of that query at all.
+    fn reached(&self, replica: ReplicaId, lent: bool) -> bool {
+        self.replicas[&replica].far.is_none_or(|hop| hop.is_some() && !lent) && !self.is_shut(replica)
     }
 
     fn terms(&self, open: &OpenQuery) -> &RequestClassConfig {
-        &self.classes[open.vertical.0 as usize].terms
+        &self.classes[open.class.0 as usize].terms
     }
 
     /// Weight needed for any answer and for a whole one, in the step the query is in.
@@ -549,8 +549,8 @@
         last: bool,
     ) {
         output.answer(id, whole);
-        let (vertical, age) = (self.queries[&id].vertical, now - self.queries[&id].arrived);
-        self.classes[vertical.0 as usize].stayed(age);
+        let (class, age) = (self.queries[&id].class, now - self.queries[&id].arrived);
+        self.classes[class.0 as usize].stayed(age);
         self.judge(now <= self.queries[&id].slo);
         let second = self.terms(&self.queries[&id]).second_step;
         let open = self.queries.get_mut(&id).expect("merged queries are open");
@@ -577,12 +577,12 @@
     ) {
         let open = &self.queries[&id];
         // Guards against a time to stay held too short for any answer: then only rejections tell who stayed.
-        self.classes[open.vertical.0 as usize].stayed(now - open.arrived);
+        self.classes[open.class.0 as usize].stayed(now - open.arrived);
         let idempotency = self.terms(open).idempotency;
         let unrun = |p: &PartId| self.parts[p].sent.iter().all(|s| s.never_ran);
         let begun = open.parts.iter().any(|p| !self.parts[p].sent.is_empty());
         if idempotency == Idempotency::Idempotent || open.parts.iter().all(unrun) {
-            output.reject(id, self.waited(open.vertical), why);
+            output.reject(id, self.waited(open.class), why);
         } else {
             output.abort(id, why);
         }
@@ -603,7 +603,7 @@
         (self.classes[v.0 as usize].terms.slo * Self::WAIT_SHARE).min(most)
     }
 
-    /// What waits at a leaf may fill this share of the time left: room for spread, and leaves kept busy. It settles
+    /// What waits at a replica may fill this share of the time left: room for spread, and replicas kept busy. It settles
     /// where one begun query in fifteen to twenty is late; first low, as reports of a jam come late and to all.
     const FILL: (f64, f64) = (0.2, 0.7);
     const FIRST_FILL: f64 = 0.25;
@@ -649,7 +649,7 @@
     /// The client is gone, or the outside ended the query.
     pub fn cancel_query(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: QueryId) {
         if let Some(open) = self.queries.get(&id) {
-            let (class, age) = (&mut self.classes[open.vertical.0 as usize], now - open.arrived);
+            let (class, age) = (&mut self.classes[open.class.0 as usize], now - open.arrived);
             if age < class.terms.slo {
                 class.left(age);
             }
@@ -657,9 +657,9 @@
         }
     }
 
-    // Leaf calls.
+    // Replica calls.
 
-    /// Rules 1, 2 and 6 for one more leaf call of the part.
+    /// Rules 1, 2 and 6 for one more attempt of the part.
     fn may_go(&mut self, now: Timestamp, id: PartId) -> bool {
         let lent = self.queries.get(&self.parts[&id].query).and_then(|q| q.lent);
         let further = |coordinator: &mut Coordinator| {
@@ -668,11 +668,11 @@
         self.could_go(now, id) && (self.parts[&id].sent.is_empty() || further(self))
     }
 
-    /// Rule 2 for that call of the part's, also as it goes out: a repeat counts as it comes to the leaf, to none that knows it.
+    /// Rule 2 for that call of the part's, also as it goes out: a repeat counts as it comes to the replica, to none that knows it.
     fn may_begin(&self, now: Timestamp, id: PartId, nth: u32) -> bool {
         let part = &self.parts[&id];
         let risky = part.sent.iter().take(nth as usize).find(|s| !s.never_ran).map(|s| s.at);
-        let terms = &self.classes[part.vertical.0 as usize].terms;
+        let terms = &self.classes[part.class.0 as usize].terms;
         match (terms.idempotency, risky) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::IdempotentByKey, Some(first)) => {
@@ -718,7 +718,7 @@
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         id: PartId,
-        leaf: ReplicaId,
+        replica: ReplicaId,
     ) {
         let part = self.parts.get_mut(&id).expect("sent parts are held");
         let open = self.queries.get_mut(&part.query).expect("parts that may go have open queries");
@@ -728,10 +728,10 @@
             None if nth > 0 => self.budget.spend(now),
             None => {}
         }
-        part.sent.push(AttemptRecord { leaf, at: now, counted: now, out: true, never_ran: false });
+        part.sent.push(AttemptRecord { replica, at: now, counted: now, out: true, never_ran: false });
         part.waits = false;
         let (work, ends) = (part.work, open.ends);
-        let state = self.leaves.get_mut(&leaf).expect("candidates are held");
+        let state = self.replicas.get_mut(&replica).expect("candidates are held");
         let before = if state.joining.0 == self.turn { state.joining.1 } else { 0 };
         state.joining = (self.turn, before + 1);
         let call = (self.turn, before / self.cover.call_size);
@@ -743,10 +743,10 @@
             state.sent_cold.retain(|(t, _)| now - *t <= self.slow_start.window);
             state.sent_cold.push_back((now, work + self.cover.call_cost));
         }
-        self.count_crossing(leaf);
-        output.send_attempt(id, leaf, ends);
+        self.count_crossing(replica);
+        output.send_attempt(id, replica, ends);
         let after: AfterCall = Box::new(move |coordinator, output, now, outcome| {
-            coordinator.learn(output, now, leaf, id, nth, outcome);
+            coordinator.learn(output, now, replica, id, nth, outcome);
             coordinator.proceed(output, now, id, nth, outcome);
         });
         self.calls.insert((id, nth), after);
@@ -765,23 +765,23 @@
         }
     }
 
-    /// Weight of the newest answer in the lag of all leaves: one query's answers make it.
+    /// Weight of the newest answer in the lag of all replicas: one query's answers make it.
     const NEWEST_OF_ALL: f64 = 0.03;
 
-    /// What the end of a leaf call tells of the leaf, whether or not the query still waits for it.
+    /// What the end of a attempt tells of the replica, whether or not the query still waits for it.
     fn learn(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
-        leaf: ReplicaId,
+        replica: ReplicaId,
         part: PartId,
         nth: u32,
         outcome: AttemptOutcome,
     ) {
-        let vertical = self.parts[&part].vertical;
-        self.count_ended(leaf, outcome);
+        let class = self.parts[&part].class;
+        self.count_ended(replica, outcome);
         let carried = self.carried_now(now);
-        let state = self.leaves.get_mut(&leaf).expect("leaves outlive their calls");
+        let state = self.replicas.get_mut(&replica).expect("leaves outlive their calls");
         let OutstandingAttempt { at, work, ahead, .. } =
             state.out.remove(&(part, nth)).expect("calls out are listed");
         state.seen.take();
@@ -791,14 +791,14 @@
             AttemptOutcome::Success => {
                 let took = (now - at - state.hop()).as_secs_f64().max(1e-6);
                 let pace = (took / ahead.max(1e-3)).min(20.0);
-                state.faults *= 1.0 - LeafState::NEWEST;
-                state.trial_at = state.trial_at.filter(|_| state.faults >= LeafState::FAULTY);
-                // What a far site takes beside its hop is its lag; it tells nothing of how leaves work.
+                state.faults *= 1.0 - ReplicaState::NEWEST;
+                state.trial_at = state.trial_at.filter(|_| state.faults >= ReplicaState::FAULTY);
+                // What a far site takes beside its hop is its lag; it tells nothing of how replicas work.
                 let far = state.far.is_some();
                 let rate = self.rate.0.unwrap_or(if far { 1.0 } else { pace });
                 let lag = (took - rate * ahead).max(0.0);
                 let known = if far { state.lag.0 } else { state.lag_now(now, rate, drained(self.lag, now)) };
-                state.lag = (known + LeafState::NEWEST * (lag - known), now);
+                state.lag = (known + ReplicaState::NEWEST * (lag - known), now);
                 if !far {
                     self.lag = (self.lag.0 + Self::NEWEST_OF_ALL * (lag - self.lag.0), now);
                     self.overdue.see(pace, QuantileEstimator::HIGH);
@@ -807,33 +807,36 @@
                     // Only what had nothing of ours before it tells a part's own work.
                     if ahead < (work + self.cover.call_cost) * 1.01 {
                         let own = (took - self.cover.call_cost).max(took * 0.1);
-                        self.classes[vertical.0 as usize].work.see(own, QuantileEstimator::LOW);
+                        self.classes[class.0 as usize].work.see(own, QuantileEstimator::LOW);
                     }
                 }
             }
-            // A cut says little: some leaves close connections often, and one that is gone gives no route.
+            // A cut says little: some replicas close connections often, and one that is gone gives no route.
             AttemptOutcome::Fault | AttemptOutcome::Disconnected => {
-                let newest =
-                    if outcome == AttemptOutcome::Disconnected { LeafState::CUT } else { LeafState::NEWEST };
+                let newest = if outcome == AttemptOutcome::Disconnected {
+                    ReplicaState::CUT
+                } else {
+                    ReplicaState::NEWEST
+                };
                 state.faults += newest * (1.0 - state.faults);
-                if state.faults >= LeafState::FAULTY {
-                    state.trial_at = Some(now + LeafState::TRIAL_WAIT);
+                if state.faults >= ReplicaState::FAULTY {
+                    state.trial_at = Some(now + ReplicaState::TRIAL_WAIT);
                 }
             }
             AttemptOutcome::Unreachable => {
-                state.faults = state.faults.max(2.0 * LeafState::FAULTY);
-                state.trial_at = Some(now + LeafState::TRIAL_WAIT);
+                state.faults = state.faults.max(2.0 * ReplicaState::FAULTY);
+                state.trial_at = Some(now + ReplicaState::TRIAL_WAIT);
             }
-            AttemptOutcome::NoCapacity => state.lag = (LeafState::FULL_LAG_S, now),
+            AttemptOutcome::NoCapacity => state.lag = (ReplicaState::FULL_LAG_S, now),
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NeverSent => {}
         }
         if !state.listed && state.out.is_empty() {
-            self.drop_leaf(output, leaf);
+            self.drop_replica(output, replica);
         }
         self.moved = true;
     }
 
-    /// What the end of a leaf call means for its query.
+    /// What the end of a attempt means for its query.
     fn proceed(
         &mut self,
         output: &mut dyn CoordinatorOutput,
@@ -885,7 +888,7 @@
 
     // Probes.
 
-    /// A report is good for so long: leaves make theirs anew about as often.
+    /// A report is good for so long: replicas make theirs anew about as often.
     const FRESH: TimeSpan = TimeSpan::from_millis(300);
     /// A probe out for longer is held to be unanswered: several times the way there and back.
     const PROBE_WAIT: TimeSpan = TimeSpan::from_millis(30);
@@ -895,16 +898,16 @@
     }
 
     /// Probes the holders of the parts that have not reported of late; true once all have, or won't. Guards
-    /// against others' load, slow and silent leaves, which one co-ordinator of many sees too rarely.
+    /// against others' load, slow and silent replicas, which one co-ordinator of many sees too rarely.
     fn scouted(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, parts: &[PartId]) -> bool {
         let (mut sent, mut all) = (false, true);
         // Far sites are measured on their links.
-        let near = |l: &ReplicaId| self.leaves[l].far.is_none();
-        for leaf in self.holders(parts).into_iter().filter(near).collect::<Vec<_>>() {
-            let state = self.leaves.get_mut(&leaf).expect("holders are held");
+        let near = |l: &ReplicaId| self.replicas[l].far.is_none();
+        for replica in self.holders(parts).into_iter().filter(near).collect::<Vec<_>>() {
+            let state = self.replicas.get_mut(&replica).expect("holders are held");
             if state.probed.is_none_or(|(at, _)| now - at >= Self::FRESH) {
                 state.asks_again(now);
-                output.send_load_probe(leaf);
+                output.send_load_probe(replica);
                 sent = true;
             }
             all &= state.probed.is_some_and(|(at, out)| !out || now - at >= Self::PROBE_WAIT);
@@ -915,12 +918,12 @@
         all
     }
 
-    pub fn load_probe_ended(&mut self, now: Timestamp, leaf: ReplicaId, outcome: AttemptOutcome) {
-        let Some(state) = self.leaves.get_mut(&leaf) else { return };
+    pub fn load_probe_ended(&mut self, now: Timestamp, replica: ReplicaId, outcome: AttemptOutcome) {
+        let Some(state) = self.replicas.get_mut(&replica) else { return };
         state.word(now, outcome, false);
         match outcome {
             AttemptOutcome::TimedOut => {}
-            AttemptOutcome::Unreachable => state.trial_at = Some(now + LeafState::TRIAL_WAIT),
+            AttemptOutcome::Unreachable => state.trial_at = Some(now + ReplicaState::TRIAL_WAIT),
             _ => state.probed = state.probed.map(|(at, _)| (at, false)),
         }
         self.moved = true;
@@ -929,11 +932,13 @@
     pub fn load_report(
         &mut self,
         now: Timestamp,
-        leaf: ReplicaId,
+        replica: ReplicaId,
         waiting: Option<f64>,
         in_hand: Option<f64>,
     ) {
-        let (Some(state), Some(held)) = (self.leaves.get_mut(&leaf), in_hand.or(waiting)) else { return };
+        let (Some(state), Some(held)) = (self.replicas.get_mut(&replica), in_hand.or(waiting)) else {
+            return;
+        };
         let usual: f64 = self.classes.iter().map(RequestClassState::usual_work).sum();
         let a_part = usual / self.classes.len().max(1) as f64 * self.rate.0.unwrap_or(1.0);
         let others = (held - state.out.len() as f64).max(0.0);
@@ -961,7 +966,7 @@
         }
     }
 
-    /// What a leaf should answer within this share of the SLO time is never cut: there the design's plain
+    /// What a replica should answer within this share of the SLO time is never cut: there the design's plain
     /// cover saves calls and holds nobody up. A twentieth earned no more and a fifth cost 0.03.
     const SOON_SHARE: f64 = 0.1;
     /// A holder later by more than this share of the SLO time is no candidate: coverage decides among the about as free.
@@ -989,9 +994,9 @@
         let open = &self.queries[&query];
         let fresh = open.parts.iter().all(|p| self.parts[p].sent.is_empty());
         let behind = (open.slo - open.arrived) * Self::BEHIND_SHARE;
-        // Probes have their price: none for first calls while leaves that answered came to work in time.
+        // Probes have their price: none for first calls while replicas that answered came to work in time.
         let soon = (open.slo - open.arrived) * Self::SOON_SHARE;
-        let calm = fresh && self.lag.0 < soon.as_secs_f64() && now - self.lag.1 < LeafState::KNOWN;
+        let calm = fresh && self.lag.0 < soon.as_secs_f64() && now - self.lag.1 < ReplicaState::KNOWN;
         if self.retry_policy.may_probe && !calm && !self.scouted(output, now, &uncovered) {
             return;
         }
@@ -1009,36 +1014,36 @@
             let first = uncovered[self.rng.below(uncovered.len())];
             let oldest = self.parts[&first].sent.iter().filter(|s| s.out).map(|s| now - s.at).max();
             let most = oldest.map_or(left, |age| age * Self::COPY_SHARE).min(left * Self::FILL.1);
-            // Guards against parts that only add to an answer and take a jammed leaf from queries that need theirs.
+            // Guards against parts that only add to an answer and take a jammed replica from queries that need theirs.
             let spared = floor < need && 1.0 - stuck - self.parts[&first].weight >= floor;
             let mut covers: Vec<(ReplicaId, Vec<PartId>)> = Vec::new();
             let mut who = self.candidates(now, first, &plan);
             let ready = |l: ReplicaId| self.expected(now, l, &plan)(0.0) + self.crossing(l, query);
             let least = who.iter().map(|(l, _)| ready(*l)).min().unwrap_or_default();
             who.retain(|(l, _)| ready(*l) <= least + behind);
-            for (leaf, room) in who {
-                let mut bundle = self.bundle(leaf, room, first, &uncovered);
-                let takes = self.expected(now, leaf, &plan);
+            for (replica, room) in who {
+                let mut bundle = self.bundle(replica, room, first, &uncovered);
+                let takes = self.expected(now, replica, &plan);
                 // What waits there may fill a share of the time left beside this query's own work.
-                let waits = self.expected(now, leaf, &Plan::new())(0.0);
+                let waits = self.expected(now, replica, &Plan::new())(0.0);
                 let span = most.min(left - waits * (1.0 / self.fill - 1.0));
                 if spared && waits > soon {
                     continue;
                 }
                 let sums = self.sums(&bundle);
-                // A query is as slow as its slowest bundle; a leaf late even for one part is left out.
+                // A query is as slow as its slowest bundle; a replica late even for one part is left out.
                 while bundle.len() > 1 && takes(sums[bundle.len() - 1]) > span.min(level) {
                     bundle.pop();
                 }
                 if takes(sums[bundle.len() - 1]) <= span {
-                    covers.push((leaf, bundle));
+                    covers.push((replica, bundle));
                 }
             }
             let best = covers.iter().map(|(_, b)| b.len()).max();
             covers.retain(|(_, b)| Some(b.len() + 1) >= best);
             let calls = |l: &ReplicaId| {
                 let planned = plan.get(l).map_or(0, |b| b.len().div_ceil(self.cover.call_size));
-                self.leaves[l].seen(now, rate, usual, self.cover.call_cost).2 + planned
+                self.replicas[l].seen(now, rate, usual, self.cover.call_cost).2 + planned
             };
             let Some(fewest) = covers.iter().map(|(l, _)| calls(l)).min() else {
                 // Nobody can take it now; it waits for a later turn.
@@ -1047,18 +1052,18 @@
                 continue;
             };
             covers.retain(|(l, _)| calls(l) == fewest);
-            let (leaf, bundle) = covers.swap_remove(self.rng.below(covers.len()));
+            let (replica, bundle) = covers.swap_remove(self.rng.below(covers.len()));
             uncovered.retain(|p| !bundle.contains(p));
-            plan.entry(leaf).or_default().extend(bundle);
+            plan.entry(replica).or_default().extend(bundle);
         }
         self.moved |= !uncovered.is_empty();
         if fresh && 1.0 - stuck < self.bounds(&self.queries[&query]).0 {
             return;
         }
-        for (leaf, bundle) in plan {
+        for (replica, bundle) in plan {
             for id in bundle {
                 if self.may_go(now, id) {
-                    self.send_attempt(output, now, id, leaf);
+                    self.send_attempt(output, now, id, replica);
                 }
             }
         }
@@ -1067,7 +1072,7 @@
     /// When all holders of the parts would have answered if the work could be spread evenly over them.
     fn level(&self, now: Timestamp, parts: &[PartId]) -> TimeSpan {
         let lent = parts.first().is_some_and(|p| self.queries[&self.parts[p].query].lent.is_some());
-        let reached = |l: &ReplicaId| self.reached(*l, lent) && self.leaves[l].trial_at.is_none();
+        let reached = |l: &ReplicaId| self.reached(*l, lent) && self.replicas[l].trial_at.is_none();
         let usable = self.holders(parts).into_iter().filter(reached);
         let mut ready: Vec<f64> =
             usable.map(|l| self.expected(now, l, &Plan::new())(0.0).as_secs_f64()).collect();
@@ -1083,23 +1088,24 @@
         TimeSpan::from_secs_f64(level.min(1e6))
     }
 
-    /// When the leaf should have answered so much more work on top of what is planned for it.
-    fn expected(&self, now: Timestamp, leaf: ReplicaId, plan: &Plan) -> impl Fn(f64) -> TimeSpan + use<> {
-        let (state, cost) = (&self.leaves[&leaf], self.cover.call_cost);
+    /// When the replica should have answered so much more work on top of what is planned for it.
+    fn expected(&self, now: Timestamp, replica: ReplicaId, plan: &Plan) -> impl Fn(f64) -> TimeSpan + use<> {
+        let (state, cost) = (&self.replicas[&replica], self.cover.call_cost);
         let rate = self.rate.0.unwrap_or(1.0);
         let (lag, out, _) = state.seen(now, rate, drained(self.lag, now), cost);
-        let (before, hop) = (out + plan.get(&leaf).map_or(0.0, |b| self.work(b) + cost) + cost, state.hop());
+        let (before, hop) =
+            (out + plan.get(&replica).map_or(0.0, |b| self.work(b) + cost) + cost, state.hop());
         move |work| TimeSpan::from_secs_f64(lag + rate * (before + work)) + hop
     }
 
-    /// Parts that the leaf would take along with `first`, within its room for work.
-    fn bundle(&self, leaf: ReplicaId, room: f64, first: PartId, uncovered: &[PartId]) -> Vec<PartId> {
-        let cell = self.leaves[&leaf].cell;
+    /// Parts that the replica would take along with `first`, within its room for work.
+    fn bundle(&self, replica: ReplicaId, room: f64, first: PartId, uncovered: &[PartId]) -> Vec<PartId> {
+        let cell = self.replicas[&replica].cell;
         let mut bundle = vec![first];
         let mut left = room - self.parts[&first].work - self.cover.call_cost;
         for &id in uncovered.iter().filter(|&&id| id != first) {
             let part = &self.parts[&id];
-            let may = self.cover.holds(cell, part.shard) && part.sent.iter().all(|s| s.leaf != leaf);
+            let may = self.cover.holds(cell, part.shard) && part.sent.iter().all(|s| s.replica != replica);
             if may && part.work <= left {
                 left -= part.work;
                 bundle.push(id);
@@ -1115,24 +1121,24 @@
         let part = &self.parts[&id];
         let mut who: Vec<ReplicaId> = self.cover.holders(part.shard).collect();
         let lent = self.queries[&part.query].lent.is_some();
-        who.retain(|l| self.reached(*l, lent) && !part.sent.iter().any(|s| s.leaf == *l && s.out));
+        who.retain(|l| self.reached(*l, lent) && !part.sent.iter().any(|s| s.replica == *l && s.out));
         let narrow = |who: &mut Vec<ReplicaId>, keep: &dyn Fn(&ReplicaId) -> bool| {
             if who.iter().any(keep) {
                 who.retain(keep);
             }
         };
-        narrow(&mut who, &|l| part.sent.iter().all(|s| s.leaf != *l));
+        narrow(&mut who, &|l| part.sent.iter().all(|s| s.replica != *l));
         // Silent to a probe: gone, standing still, or out of reach.
         let silent = |(at, out): (Timestamp, bool)| out && now - at >= Self::PROBE_WAIT;
-        narrow(&mut who, &|l| !self.leaves[l].probed.is_some_and(silent));
-        // Also where over half of the leaves look bad: they may be bad for this co-ordinator alone.
-        narrow(&mut who, &|l| self.leaves[l].trial_at.is_none_or(|t| t <= now));
-        let room = |leaf: ReplicaId| {
-            let state = &self.leaves[&leaf];
-            let a_leaf = self.carried_now(now) / self.listed.max(1) as f64;
+        narrow(&mut who, &|l| !self.replicas[l].probed.is_some_and(silent));
+        // Also where over half of the replicas look bad: they may be bad for this co-ordinator alone.
+        narrow(&mut who, &|l| self.replicas[l].trial_at.is_none_or(|t| t <= now));
+        let room = |replica: ReplicaId| {
+            let state = &self.replicas[&replica];
+            let a_replica = self.carried_now(now) / self.listed.max(1) as f64;
             let lot = self.lot.1 * part.work;
-            let room = self.slow_start.room(state.started, now, a_leaf, lot, &state.sent_cold);
-            if room < f64::INFINITY && plan.contains_key(&leaf) { 0.0 } else { room }
+            let room = self.slow_start.room(state.started, now, a_replica, lot, &state.sent_cold);
+            if room < f64::INFINITY && plan.contains_key(&replica) { 0.0 } else { room }
         };
         who.into_iter().map(|l| (l, room(l))).filter(|(_, room)| *room > 0.0).collect()
     }
@@ -1147,13 +1153,13 @@
     /// Between two looks at a query: a few ticks, far below any SLO time.
     const REVIEW: TimeSpan = TimeSpan::from_millis(50);
 
-    /// Where the mark for overdue calls starts: a small part's work and a leaf's standstill fit below.
+    /// Where the mark for overdue calls starts: a small part's work and a replica's standstill fit below.
     const FIRST_OVERDUE: f64 = 3.0;
     /// With so many of a query's parts in, a call out for this share of the SLO time is overdue whatever
     /// others took: where many calls are never answered the mark runs away (id3caa8).
     const MOST_IN: f64 = 0.9;
     const LATEST_SHARE: f64 = 0.35;
-    /// Part of a healthy leaf's standstill, on top of that: quiet days paid for copies without it.
+    /// Part of a healthy replica's standstill, on top of that: quiet days paid for copies without it.
     const GRACE: TimeSpan = TimeSpan::from_millis(100);
     /// Of an SLO time, the share up to which a query may wait for its first calls before it is turned away.
     const WAIT_SHARE: f64 = 0.1;
@@ -1168,7 +1174,7 @@
         let few = open.in_parts as f64 >= open.parts.len() as f64 * Self::MOST_IN;
         let latest = (open.slo - open.arrived) * if few { Self::LATEST_SHARE } else { 1.0 };
         let unsent = |p: &PartId| self.parts[p].sent.is_empty();
-        // Past the SLO time a vertical that earns nothing late is only work and a client held.
+        // Past the SLO time a request class that earns nothing late is only work and a client held.
         let worthless = self.terms(open).late_worth <= 0.0 && now >= open.slo;
         let (any, whole) = self.answer(open);
         if any && now >= answer_by {
@@ -1184,11 +1190,11 @@
         for part in if now < open.slo { open.parts.clone() } else { Vec::new() } {
             let state = &self.parts[&part];
             let Some(nth) = state.sent.iter().rposition(|s| s.out) else { continue };
-            let out = &self.leaves[&state.sent[nth].leaf].out[&(part, nth as u32)];
+            let out = &self.replicas[&state.sent[nth].replica].out[&(part, nth as u32)];
             let late = now - out.at
                 > (TimeSpan::from_secs_f64(out.ahead * self.overdue.0.unwrap_or(1.0)) + Self::GRACE)
                     .min(latest)
-                    + self.leaves[&state.sent[nth].leaf].hop();
+                    + self.replicas[&state.sent[nth].replica].hop();
             if late && !state.waits && self.may_go(now, part) {
                 self.waiting.insert((serial, id));
                 self.parts.get_mut(&part).expect("open queries hold their parts").waits = true;
@@ -1201,7 +1207,7 @@
     }
 }
 
-/// What a cover gives to each leaf before anything is sent.
+/// What a cover gives to each replica before anything is sent.
 type Plan = BTreeMap<ReplicaId, Vec<PartId>>;
 
 #[cfg(test)]
--- a/crates/pipitcrank-core/src/coordinator/budget.rs
+++ b/crates/pipitcrank-core/src/coordinator/budget.rs
@@ -5,7 +5,7 @@
 
 use crate::time::{TimeSpan, Timestamp};
 
-/// Rule 6: leaf calls beyond a part's first, against what was taken, both over one sliding window.
+/// Rule 6: attempts beyond a part's first, against what was taken, both over one sliding window.
 #[derive(Default)]
 pub struct RetryBudget {
     pub(super) share: f64,
--- a/crates/pipitcrank-core/src/coordinator/learned_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state.rs
@@ -5,14 +5,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Coordinator, LeafState, QuantileEstimator};
+use super::{Coordinator, QuantileEstimator, ReplicaState};
 use crate::ids::ReplicaId;
 use crate::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    pub verticals: Vec<LearnedClassState>,
-    pub leaves: Vec<(u32, LearnedReplicaState)>,
+    pub classes: Vec<LearnedClassState>,
+    pub replicas: Vec<(u32, LearnedReplicaState)>,
     /// Ages of what counts against the budget of further calls, oldest first.
     pub taken: Vec<TimeSpan>,
     pub further: Vec<TimeSpan>,
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedClassState {
-    /// Empty from a process that did not write it: then the verticals are taken in their order.
+    /// Empty from a process that did not write it: then the request classes are taken in their order.
     #[serde(default)]
     name: String,
     work: Option<f64>,
@@ -54,13 +54,13 @@
         let good = |x: &f64| x.is_finite() && *x >= 0.0;
         let mark = |m: &Option<f64>| m.as_ref().is_none_or(|x| good(x) && *x > 0.0);
         let since = |(x, s): &(f64, TimeSpan)| good(x) && past(s);
-        self.verticals.iter().all(|v| {
+        self.classes.iter().all(|v| {
             mark(&v.work)
                 && v.hint.is_none_or(f64::is_finite)
                 && good(&v.leaving)
                 && v.leaving <= 1.0
                 && past(&v.stay)
-        }) && self.leaves.iter().all(|(_, l)| {
+        }) && self.replicas.iter().all(|(_, l)| {
             good(&l.faults)
                 && l.faults <= 1.0
                 && since(&l.lag)
@@ -80,7 +80,7 @@
         self.budget.left(now);
         let ages = |times: &std::collections::VecDeque<Timestamp>| times.iter().map(|&t| now - t).collect();
         let classes = self.classes.iter();
-        let verticals = classes.map(|t| LearnedClassState {
+        let classes = classes.map(|t| LearnedClassState {
             name: t.terms.name.clone(),
             work: t.work.0,
             hint: t.hint,
@@ -88,7 +88,7 @@
             stay: t.stay,
         });
         let window = self.slow_start.window;
-        let leaf = |l: &LeafState| LearnedReplicaState {
+        let replica = |l: &ReplicaState| LearnedReplicaState {
             started: l.started.map(|t| now - t),
             faults: l.faults,
             lag: (l.lag.0, now - l.lag.1),
@@ -96,8 +96,8 @@
             sent_cold: l.sent_cold.iter().map(|&(t, w)| (now - t, w)).filter(|(s, _)| *s <= window).collect(),
         };
         LearnedState {
-            verticals: verticals.collect(),
-            leaves: self.leaves.iter().map(|(id, l)| (id.0, leaf(l))).collect(),
+            classes: classes.collect(),
+            replicas: self.replicas.iter().map(|(id, l)| (id.0, replica(l))).collect(),
             taken: ages(&self.budget.taken),
             further: ages(&self.budget.further),
             lent: self.budget.lent.values().map(|&(n, until)| (n, until - now)).collect(),
@@ -109,26 +109,26 @@
         }
     }
 
-    /// Takes what another process had learned `passed` ago. Leaves are by the indices of this one. A leaf
+    /// Takes what another process had learned `passed` ago. Leaves are by the indices of this one. A replica
     /// that has started since is another process: of the old one nothing is taken. Verticals by name, so that
     /// after a move none learns another's work; by their order from a process that wrote no names.
     pub fn restore_learned_state(&mut self, now: Timestamp, passed: TimeSpan, known: LearnedState) {
         let at = |age: TimeSpan| now - age - passed;
-        let unnamed = known.verticals.iter().all(|k| k.name.is_empty());
-        let in_order = known.verticals.len() == self.classes.len();
+        let unnamed = known.classes.iter().all(|k| k.name.is_empty());
+        let in_order = known.classes.len() == self.classes.len();
         for (n, class) in self.classes.iter_mut().enumerate() {
             let k = match unnamed {
-                true => known.verticals.get(n).filter(|_| in_order),
-                false => known.verticals.iter().find(|k| k.name == class.terms.name),
+                true => known.classes.get(n).filter(|_| in_order),
+                false => known.classes.iter().find(|k| k.name == class.terms.name),
             };
             if let Some(k) = k {
                 class.work = QuantileEstimator(k.work);
                 (class.hint, class.leaving, class.stay) = (k.hint, k.leaving, k.stay);
             }
         }
-        let mut leaves: BTreeMap<u32, LearnedReplicaState> = known.leaves.into_iter().collect();
-        for (ReplicaId(id), state) in self.leaves.iter_mut().map(|(id, s)| (*id, s)) {
-            let Some(k) = leaves.remove(&id) else { continue };
+        let mut replicas: BTreeMap<u32, LearnedReplicaState> = known.replicas.into_iter().collect();
+        for (ReplicaId(id), state) in self.replicas.iter_mut().map(|(id, s)| (*id, s)) {
+            let Some(k) = replicas.remove(&id) else { continue };
             let same = match (state.started, k.started) {
                 (Some(ours), Some(theirs)) => {
                     (ours - at(theirs)).as_micros().abs() < Self::SAME_START.as_micros()
@@ -166,7 +166,7 @@
         (self.budget.free, self.budget.share, self.budget.span)
     }
 
-    /// From now on at most so many further calls, none after `until`, and nothing to cold leaves: another
+    /// From now on at most so many further calls, none after `until`, and nothing to cold replicas: another
     /// process has the rest.
     pub fn limit_to_delegated_retries(&mut self, further: u32, until: Timestamp) {
         self.budget.purse = Some((f64::from(further), until));
--- a/crates/pipitcrank-core/src/coordinator/learned_state/stored_forms.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state/stored_forms.rs
@@ -7,7 +7,7 @@
 
 fn known() -> LearnedState {
     LearnedState {
-        verticals: vec![
+        classes: vec![
             LearnedClassState {
                 name: "view".into(),
                 work: Some(0.25),
@@ -17,7 +17,7 @@
             },
             LearnedClassState::default(),
         ],
-        leaves: vec![
+        replicas: vec![
             (
                 3,
                 LearnedReplicaState {
--- a/crates/pipitcrank-core/src/coordinator/seen.rs
+++ b/crates/pipitcrank-core/src/coordinator/seen.rs
@@ -1,14 +1,14 @@
 //! Sums that the cover looks at again and again, worked out once. Nothing is decided here: each is what the plain sum is, to
 //! the last bit, so that a cheaper turn is the same turn.
 
-use super::{Coordinator, LeafState};
+use super::{Coordinator, ReplicaState};
 use crate::ids::PartId;
 use crate::time::Timestamp;
 
 /// For when, at which rate and usual lag; then lag, work out and calls out.
 pub(super) type Seen = ((Timestamp, f64, f64), (f64, f64, usize));
 
-impl LeafState {
+impl ReplicaState {
     /// Lag, work out and calls out: looked at for each part that waits, and the same for all of a turn.
     pub(super) fn seen(&self, now: Timestamp, rate: f64, usual: f64, call_cost: f64) -> (f64, f64, usize) {
         let key = (now, rate, usual);
--- a/crates/pipitcrank-core/src/coordinator/sites.rs
+++ b/crates/pipitcrank-core/src/coordinator/sites.rs
@@ -1,4 +1,4 @@
-//! What the module keeps of other sites: leaves that stand for a cell elsewhere, queries that are another site's, and
+//! What the module keeps of other sites: replicas that stand for a cell elsewhere, queries that are another site's, and
 //! further calls lent with parts. Which of it a cover may use is decided beside the other candidates.
 
 use super::Coordinator;
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Whether a part of that vertical that may have run may go again at all.
+    /// Whether a part of that request class that may have run may go again at all.
     pub fn may_retry(&self, v: RequestClassId) -> bool {
         self.classes[v.0 as usize].terms.idempotency != Idempotency::NonIdempotent
     }
@@ -41,10 +41,10 @@
         }
     }
 
-    /// The leaf stands for a cell of another site, which costs that hop; none while nothing may go there. Whether and
+    /// The replica stands for a cell of another site, which costs that hop; none while nothing may go there. Whether and
     /// at what cost is the route book's word; the cover goes on as ever among those left.
-    pub fn set_remote_delay(&mut self, leaf: ReplicaId, hop: Option<TimeSpan>) {
-        if let Some(state) = self.leaves.get_mut(&leaf) {
+    pub fn set_remote_delay(&mut self, replica: ReplicaId, hop: Option<TimeSpan>) {
+        if let Some(state) = self.replicas.get_mut(&replica) {
             self.moved |= state.far != Some(hop);
             state.seen.take();
             state.far = Some(hop);
--- a/crates/pipitcrank-core/src/coordinator/slow_start.rs
+++ b/crates/pipitcrank-core/src/coordinator/slow_start.rs
@@ -4,22 +4,22 @@
 
 use crate::time::{TimeSpan, Timestamp};
 
-/// Rule 4: what this co-ordinator may send to a leaf that has just started.
+/// Rule 4: what this co-ordinator may send to a replica that has just started.
 #[derive(Default)]
 pub struct SlowStart {
     pub cold_from: f64,
     pub cold: TimeSpan,
     pub factor: f64,
     pub window: TimeSpan,
-    /// Nothing to cold leaves before then: another process has the allowance, or had it.
+    /// Nothing to cold replicas before then: another process has the allowance, or had it.
     pub shut: Timestamp,
     /// How many co-ordinators there are, this one counted.
     pub among: u32,
 }
 
 impl SlowStart {
-    /// Of the allowance that the rule leaves, how much is used: the rest is for uneven co-ordinators and
-    /// small leaves. At 0.6 a release starved the fresh leaves and jammed the others (if0ee79).
+    /// Of the allowance that the rule replicas, how much is used: the rest is for uneven co-ordinators and
+    /// small replicas. At 0.6 a release starved the fresh replicas and jammed the others (if0ee79).
     const USED: f64 = 0.8;
     /// Windows without a query whose room is saved: one of hundreds is asked in few, and all would use little of the room.
     pub(super) const SAVED: f64 = 2.0;
@@ -28,10 +28,10 @@
         started.is_some_and(|t| now - t < self.cold)
     }
 
-    /// Work that may go to the leaf now. `carried` is the work a second that a leaf carries for this
+    /// Work that may go to the replica now. `carried` is the work a second that a replica carries for this
     /// co-ordinator: in use below capacity, so a careful stand-in for this co-ordinator's share of it. The
     /// slowest legal warming is assumed; at least one part is in work at a time. Room for a share of a part goes by the lot
-    /// drawn for the window: hundreds together send what there is room for. One lot for all: queries need all their leaves.
+    /// drawn for the window: hundreds together send what there is room for. One lot for all: queries need all their replicas.
     pub(super) fn room(
         &self,
         started: Option<Timestamp>,
--- a/crates/pipitcrank-core/src/coordinator/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -1,8 +1,8 @@
-//! Zones as the cover sees them: which one a query is meant for, and what a leaf elsewhere is held to cost beside its time.
+//! Zones as the cover sees them: which one a query is meant for, and what a replica elsewhere is held to cost beside its time.
 //! A narrowing (shut zones) and a cost among candidates; the cover chooses among what is left. Which shares there are is
 //! decided elsewhere: by all copies in common (`pipitcrank-failover`), or told at start.
 
-use super::{Coordinator, LeafState};
+use super::{Coordinator, ReplicaState};
 use crate::ids::{AttemptOutcome, QueryId, ReplicaId};
 use crate::output::CoordinatorOutput;
 use crate::time::{TimeSpan, Timestamp};
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
 
-/// What of each zone's leaves is used from here.
+/// What of each zone's replicas is used from here.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneRouting {
     /// Zones and the shares of queries meant for them, the nearest first. Empty: zones do not count.
@@ -19,7 +19,7 @@
     /// Nothing goes there.
     pub shut: Vec<ZoneId>,
     /// Up to this share of queries, by chance, is rejected before anything is sent for it: what all zones left
-    /// can't carry, by utility of the vertical (0 to 1 each, in the verticals' order).
+    /// can't carry, by utility of the request class (0 to 1 each, in the request classes' order).
     pub turned_away: Vec<f64>,
 }
 
@@ -32,11 +32,11 @@
 /// Counts since the start, for whoever makes rates of them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneTraffic {
-    /// Queries and parts asked, by vertical; what was turned away among them.
+    /// Queries and parts asked, by request class; what was turned away among them.
     pub asked: Vec<(u64, u64)>,
-    /// Parts merged, by zone of the leaf.
+    /// Parts merged, by zone of the replica.
     pub merged: Vec<u64>,
-    /// Parts sent to leaves of the nearest zone, and across.
+    /// Parts sent to replicas of the nearest zone, and across.
     pub near: u64,
     pub across: u64,
 }
@@ -49,13 +49,13 @@
 }
 
 impl Coordinator {
-    /// A leaf elsewhere is held to come to work later by this share of the SLO time: more than the lag that makes no
+    /// A replica elsewhere is held to come to work later by this share of the SLO time: more than the lag that makes no
     /// difference (`BEHIND_SHARE`), so near goes first; little enough that a jam at home sends work across.
     const CROSSING_SHARE: f64 = 0.1;
 
-    /// The leaf stands in that zone; none where nobody says.
-    pub fn set_replica_zone(&mut self, leaf: ReplicaId, zone: Option<ZoneId>) {
-        if let Some(state) = self.leaves.get_mut(&leaf) {
+    /// The replica stands in that zone; none where nobody says.
+    pub fn set_replica_zone(&mut self, replica: ReplicaId, zone: Option<ZoneId>) {
+        if let Some(state) = self.replicas.get_mut(&replica) {
             state.zone = zone;
         }
     }
@@ -86,41 +86,41 @@
     /// Shares are drawn to a thousandth: finer than what any copy sends in a second.
     const FINE: usize = 1000;
 
-    /// Whether a query of that vertical is to be turned away before anything is sent for it.
-    pub(super) fn turned_away(&mut self, vertical: usize) -> bool {
-        let share = self.zones.shares.turned_away.get(vertical).copied().unwrap_or(0.0);
+    /// Whether a query of that request class is to be turned away before anything is sent for it.
+    pub(super) fn turned_away(&mut self, class: usize) -> bool {
+        let share = self.zones.shares.turned_away.get(class).copied().unwrap_or(0.0);
         share > 0.0 && (self.rng.below(Self::FINE) as f64) < share * Self::FINE as f64
     }
 
-    pub(super) fn is_shut(&self, leaf: ReplicaId) -> bool {
-        self.leaves[&leaf].zone.is_some_and(|z| self.zones.shares.shut.contains(&z))
+    pub(super) fn is_shut(&self, replica: ReplicaId) -> bool {
+        self.replicas[&replica].zone.is_some_and(|z| self.zones.shares.shut.contains(&z))
     }
 
-    /// What a leaf is held to cost that does not stand in the zone that the query is meant for.
-    pub(super) fn crossing(&self, leaf: ReplicaId, query: QueryId) -> TimeSpan {
+    /// What a replica is held to cost that does not stand in the zone that the query is meant for.
+    pub(super) fn crossing(&self, replica: ReplicaId, query: QueryId) -> TimeSpan {
         let open = &self.queries[&query];
-        match (self.leaves[&leaf].zone, open.zone) {
+        match (self.replicas[&replica].zone, open.zone) {
             (Some(at), Some(meant)) if at != meant => (open.slo - open.arrived) * Self::CROSSING_SHARE,
             _ => TimeSpan::ZERO,
         }
     }
 
-    pub(super) fn count_crossing(&mut self, leaf: ReplicaId) {
+    pub(super) fn count_crossing(&mut self, replica: ReplicaId) {
         let home = self.zones.shares.fractions.first().map(|z| z.0);
-        if let (Some(at), Some(home)) = (self.leaves[&leaf].zone, home) {
+        if let (Some(at), Some(home)) = (self.replicas[&replica].zone, home) {
             let tally = &mut self.zones.tally;
             *(if at == home { &mut tally.near } else { &mut tally.across }) += 1;
         }
     }
 
-    pub(super) fn count_asked(&mut self, vertical: usize, parts: f64) {
-        let asked = count(&mut self.zones.tally.asked, vertical);
+    pub(super) fn count_asked(&mut self, class: usize, parts: f64) {
+        let asked = count(&mut self.zones.tally.asked, class);
         *asked = (asked.0 + 1, asked.1 + parts.max(0.0) as u64);
     }
 
-    /// How a leaf call ended, for the leaf's zone. Zones are few (`told::MOST_ZONES`).
-    pub(super) fn count_ended(&mut self, leaf: ReplicaId, outcome: AttemptOutcome) {
-        if let (Some(zone), AttemptOutcome::Success) = (self.leaves[&leaf].zone, outcome) {
+    /// How a attempt ended, for the replica's zone. Zones are few (`told::MOST_ZONES`).
+    pub(super) fn count_ended(&mut self, replica: ReplicaId, outcome: AttemptOutcome) {
+        if let (Some(zone), AttemptOutcome::Success) = (self.replicas[&replica].zone, outcome) {
             *count(&mut self.zones.tally.merged, usize::from(zone.0)) += 1;
         }
     }
@@ -129,36 +129,37 @@
         &self.zones.tally
     }
 
-    /// What was seen of a zone's leaves, from here, by this co-ordinator alone.
+    /// What was seen of a zone's replicas, from here, by this co-ordinator alone.
     pub fn observe_zone(&self, now: Timestamp, zone: ZoneId) -> ZoneObservation {
         let mut seen = ZoneObservation::default();
         let a_part: f64 = self.classes.iter().map(super::RequestClassState::usual_work).sum::<f64>()
             / self.classes.len().max(1) as f64;
-        for (_, state) in self.leaves.iter().filter(|(_, l)| l.zone == Some(zone) && l.listed) {
+        for (_, state) in self.replicas.iter().filter(|(_, l)| l.zone == Some(zone) && l.listed) {
             seen.listed += 1;
             seen.fresh += u32::from(state.heard.is_some_and(|h| now - h < Self::JUST));
             let usual = self.overdue.0.unwrap_or(1.0);
             let stuck = |o: &super::OutstandingAttempt| {
-                now - o.at > (LeafState::SILENT + TimeSpan::from_secs_f64(o.ahead * usual)).min(Self::STUCK)
+                now - o.at
+                    > (ReplicaState::SILENT + TimeSpan::from_secs_f64(o.ahead * usual)).min(Self::STUCK)
                     && state.heard.is_none_or(|h| h < o.at)
             };
             let unheard =
                 |at: Timestamp, long: TimeSpan| now - at > long && state.heard.is_none_or(|h| h < at);
-            let probe_lost = state.probed.is_some_and(|(at, _)| unheard(at, LeafState::PROBED));
+            let probe_lost = state.probed.is_some_and(|(at, _)| unheard(at, ReplicaState::PROBED));
             let silent =
-                state.mute + u32::from(probe_lost) >= LeafState::MUTE || state.out.values().any(stuck);
-            let late = state.out.values().any(|o| unheard(o.at, LeafState::LATE));
+                state.mute + u32::from(probe_lost) >= ReplicaState::MUTE || state.out.values().any(stuck);
+            let late = state.out.values().any(|o| unheard(o.at, ReplicaState::LATE));
             seen.doubted += u32::from(state.mute > 0 || probe_lost || late);
             let heard = state.heard.is_some_and(|h| now - h < Self::RECENT);
-            // A site's leaves are out of reach while nothing may go there.
+            // A site's replicas are out of reach while nothing may go there.
             if state.far == Some(None)
                 || state.trial_at.is_some_and(|t| t > now)
-                || state.faults >= LeafState::FAULTY
+                || state.faults >= ReplicaState::FAULTY
             {
                 seen.failing += 1;
             } else if silent {
                 seen.silent += 1;
-            } else if super::drained(state.lag, now) >= LeafState::FULL_LAG_S / 2.0 {
+            } else if super::drained(state.lag, now) >= ReplicaState::FULL_LAG_S / 2.0 {
                 seen.full += 1;
             } else if heard {
                 seen.answering += 1;
@@ -170,7 +171,7 @@
         seen
     }
 
-    /// Probes some leaves of a zone that nothing is sent to, those first that were asked longest ago, so that its
+    /// Probes some replicas of a zone that nothing is sent to, those first that were asked longest ago, so that its
     /// return rests on evidence. Each that is asked again is asked no sooner than a report is good for.
     pub fn probe_zone(
         &mut self,
@@ -179,39 +180,39 @@
         zone: ZoneId,
         most: usize,
     ) {
-        let asked = |l: &LeafState| l.probed.map(|p| p.0);
-        let due = |l: &LeafState| {
+        let asked = |l: &ReplicaState| l.probed.map(|p| p.0);
+        let due = |l: &ReplicaState| {
             // Far sites are measured on their links.
             l.listed
                 && l.far.is_none()
                 && l.zone == Some(zone)
                 && asked(l).is_none_or(|t| now - t >= Self::FRESH)
         };
-        let mut leaves: Vec<(Option<Timestamp>, ReplicaId)> =
-            self.leaves.iter().filter(|(_, l)| due(l)).map(|(&id, l)| (asked(l), id)).collect();
-        leaves.sort();
-        for (_, leaf) in leaves.into_iter().take(if self.retry_policy.may_probe { most } else { 0 }) {
-            self.leaves.get_mut(&leaf).expect("just listed").asks_again(now);
-            output.send_load_probe(leaf);
+        let mut replicas: Vec<(Option<Timestamp>, ReplicaId)> =
+            self.replicas.iter().filter(|(_, l)| due(l)).map(|(&id, l)| (asked(l), id)).collect();
+        replicas.sort();
+        for (_, replica) in replicas.into_iter().take(if self.retry_policy.may_probe { most } else { 0 }) {
+            self.replicas.get_mut(&replica).expect("just listed").asks_again(now);
+            output.send_load_probe(replica);
         }
     }
 
     /// A call out for longer than this, with nothing heard since, speaks of silence whatever its work.
     const STUCK: TimeSpan = TimeSpan::from_millis(2000);
-    /// Heard of within this, a leaf answers.
+    /// Heard of within this, a replica answers.
     const RECENT: TimeSpan = TimeSpan::from_millis(2000);
     /// Heard of within this, it needs no glance.
     const JUST: TimeSpan = TimeSpan::from_millis(500);
 }
 
-impl LeafState {
+impl ReplicaState {
     /// Silence of a call that counts as such: beyond a usual part's wait, within the aim for moving a zone.
     const SILENT: TimeSpan = TimeSpan::from_millis(700);
     /// A probe out for longer has come to nothing: many round trips between regions.
     const PROBED: TimeSpan = TimeSpan::from_millis(200);
     /// A call out for longer, with nothing heard since, is reason to look.
     const LATE: TimeSpan = TimeSpan::from_millis(200);
-    /// Unheard calls and probes in a row that make a leaf silent: one may be lost.
+    /// Unheard calls and probes in a row that make a replica silent: one may be lost.
     const MUTE: u32 = 2;
 
     /// A probe goes out; one before it may still be unanswered.
--- a/crates/pipitcrank-core/src/ids.rs
+++ b/crates/pipitcrank-core/src/ids.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestClassId(pub u16);
 
-/// How a leaf call ended, as told from outside.
+/// How a attempt ended, as told from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     Success,
@@ -40,7 +40,7 @@
 pub enum RejectReason {
     /// Its share is turned away: the zones left can't carry it.
     ZoneOverCapacity,
-    /// No leaf could take its first calls within its patience.
+    /// No replica could take its first calls within its patience.
     NoReplicaInTime,
     /// Its client's time is all but over.
     DeadlineExceeded,
--- a/crates/pipitcrank-core/src/output.rs
+++ b/crates/pipitcrank-core/src/output.rs
@@ -5,10 +5,10 @@
 use crate::time::{TimeSpan, Timestamp};
 
 pub trait CoordinatorOutput {
-    /// Sends the part to the leaf; the outside gives up waiting at `until`. Calls of one turn to one leaf
+    /// Sends the part to the replica; the outside gives up waiting at `until`. Calls of one turn to one replica
     /// travel together, up to the set call size.
-    fn send_attempt(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp);
-    /// Stops waiting for the part's leaf call of that number, counted from 0.
+    fn send_attempt(&mut self, part: PartId, replica: ReplicaId, until: Timestamp);
+    /// Stops waiting for the part's attempt of that number, counted from 0.
     fn cancel_attempt(&mut self, part: PartId, nth: u32);
     /// Answers the query from the parts that are in.
     fn answer(&mut self, query: QueryId, whole: bool);
@@ -18,12 +18,12 @@
     fn abort(&mut self, query: QueryId, why: RejectReason);
     /// Asks for `Coordinator::woken` with this label at that time.
     fn set_timer(&mut self, at: Timestamp, label: u64);
-    fn send_load_probe(&mut self, leaf: ReplicaId);
-    /// Subscribes to changes of the list of leaves.
+    fn send_load_probe(&mut self, replica: ReplicaId);
+    /// Subscribes to changes of the list of replicas.
     fn watch_endpoints(&mut self);
     fn log(&mut self, text: &str);
     /// The index is free: the module will not name it again.
     fn release_query(&mut self, query: QueryId);
     fn release_part(&mut self, part: PartId);
-    fn release_replica(&mut self, leaf: ReplicaId);
+    fn release_replica(&mut self, replica: ReplicaId);
 }
--- a/crates/pipitcrank-core/tests/cases.rs
+++ b/crates/pipitcrank-core/tests/cases.rs
@@ -8,7 +8,7 @@
 use pipitcrank_core::coordinator::Coordinator;
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 
-/// A query of vertical `v` with one part a shard; part ids follow from `base`.
+/// A query of request class `v` with one part a shard; part ids follow from `base`.
 fn ask(coordinator: &mut Coordinator, tape: &mut Tape, t: i64, v: u16, base: u32, shards: &[u32]) {
     let n = shards.len() as f64;
     coordinator.start_query(tape, at(t), QueryId(base), RequestClassId(v), ms(3000), None, n);
@@ -36,12 +36,12 @@
     tape
 }
 
-/// Asks for shard 2 at each of the times, and counts what goes to the leaf.
-fn sent_to(coordinator: &mut Coordinator, tape: &mut Tape, leaf: ReplicaId, times: &[i64]) -> usize {
+/// Asks for shard 2 at each of the times, and counts what goes to the replica.
+fn sent_to(coordinator: &mut Coordinator, tape: &mut Tape, replica: ReplicaId, times: &[i64]) -> usize {
     let mut count = 0;
     for (n, &t) in (1..).zip(times) {
         ask(coordinator, tape, t, 0, n * 10, &[2]);
-        count += turned(coordinator, t).calls().iter().filter(|c| c.1 == leaf).count();
+        count += turned(coordinator, t).calls().iter().filter(|c| c.1 == replica).count();
     }
     count
 }
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn after_a_move_the_leaves_carry_over_and_verticals_only_by_name() {
-    // Work learned of one deployment's vertical was taken by another's in the same place (the move, 2026-12-01).
+fn after_a_move_the_replicas_carry_over_and_classes_only_by_name() {
+    // Work learned of one deployment's request class was taken by another's in the same place (the move, 2026-12-01).
     let (mut old, _) = taught(3);
     let known = old.learned_state(at(0));
     let mut other = helper::coordinator_named(3, "w");
@@ -80,25 +80,25 @@
     let before = other.learned_state(at(0));
     other.restore_learned_state(at(10), ms(10), known.clone());
     let after = other.learned_state(at(10));
-    assert_eq!(after.verticals, before.verticals, "no vertical of the old names is here");
-    assert_eq!(after.leaves.len(), known.leaves.len(), "the same leaves carry over");
+    assert_eq!(after.classes, before.classes, "no vertical of the old names is here");
+    assert_eq!(after.replicas.len(), known.replicas.len(), "the same leaves carry over");
     let mut same = helper::coordinator_named(3, "v");
     list(&mut same, &mut tape, &[]);
     same.restore_learned_state(at(10), ms(10), known.clone());
     assert_eq!(
-        same.learned_state(at(10)).verticals[0],
-        old.learned_state(at(10)).verticals[0],
+        same.learned_state(at(10)).classes[0],
+        old.learned_state(at(10)).classes[0],
         "taken under its own name"
     );
-    // The first seconds after the switch: a query of the new deployment goes at once to a leaf learned of.
+    // The first seconds after the switch: a query of the new deployment goes at once to a replica learned of.
     ask(&mut other, &mut tape, 20, 0, 0, &[2]);
     assert_eq!(turned(&mut other, 20).calls().len(), 1, "sent at once after the switch");
 }
 
 #[test]
 fn coverage_decides_within_one_part_of_the_best() {
-    // Of shards 0 to 2 leaf 2 holds all, 1 and 3 hold two, 0 and 4 one: whichever is drawn, two parts or three
-    // go to one leaf, and leaf 0 or 4 comes in only for what is left after that.
+    // Of shards 0 to 2 replica 2 holds all, 1 and 3 hold two, 0 and 4 one: whichever is drawn, two parts or three
+    // go to one replica, and replica 0 or 4 comes in only for what is left after that.
     let (mut whole, mut split) = (0, 0);
     for seed in 0..200 {
         let (mut coordinator, mut tape) = taught(seed);
@@ -112,7 +112,7 @@
     assert!(whole > 50 && split > 50, "both near-ties are taken: {whole} and {split}");
 }
 
-/// A root over so many leaves, each the only holder of its shards.
+/// A root over so many replicas, each the only holder of its shards.
 fn lone_holders(count: u32) -> (Coordinator, Tape) {
     let (mut coordinator, mut tape) = (helper::coordinator_on(count, 1, 1, 2, true, false), Tape::default());
     coordinator.begin_endpoint_list(true);
@@ -155,7 +155,7 @@
 
 #[test]
 fn many_parts_are_spread_over_their_holders() {
-    // Uncut, two leaves of six would have taken six parts each and held the query up.
+    // Uncut, two replicas of six would have taken six parts each and held the query up.
     let (mut coordinator, mut tape) = fresh(3);
     let shards: Vec<u32> = (0..12).collect();
     ask(&mut coordinator, &mut tape, 0, 0, 0, &shards);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_faulty_leaf_is_left_out_for_a_second() {
+fn a_faulty_replica_is_left_out_for_a_second() {
     let (mut coordinator, mut tape) = fresh(6);
     ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
     let bad = turned(&mut coordinator, 0).calls()[0].1;
@@ -189,8 +189,8 @@
 }
 
 #[test]
-fn a_full_leaf_is_left_to_drain() {
-    // In i695bd0 parts turned away in a millisecond went straight on to the next full leaf, a thousand times.
+fn a_full_replica_is_left_to_drain() {
+    // In i695bd0 parts turned away in a millisecond went straight on to the next full replica, a thousand times.
     let (mut coordinator, mut tape) = fresh(8);
     ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
     let full = turned(&mut coordinator, 0).calls()[0].1;
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_cold_leaf_gets_one_part_a_window_until_more_is_known() {
+fn a_cold_replica_gets_one_part_a_window_until_more_is_known() {
     let (mut coordinator, mut tape) = (coordinator(9, 2, true), Tape::default());
     list(&mut coordinator, &mut tape, &[(2, at(0)), (3, at(0)), (4, at(0))]);
     for n in 0..6 {
@@ -210,16 +210,16 @@
     assert_eq!((calls.len(), to.len()), (3, 3), "{calls:?}");
 }
 
-/// Of 300 co-ordinators each sent the one part a window that always went: 178 in a second, and the leaf fell over. One leaf
-/// with one worker bears 12 of these parts in the window; each query needs two leaves, both of them cold.
+/// Of 300 co-ordinators each sent the one part a window that always went: 178 in a second, and the replica fell over. One replica
+/// with one worker bears 12 of these parts in the window; each query needs two replicas, both of them cold.
 #[test]
-fn of_hundreds_of_co_ordinators_few_send_to_cold_leaves_and_those_whole_queries() {
+fn of_hundreds_of_co_ordinators_few_send_to_cold_replicas_and_those_whole_queries() {
     few_send(false);
 }
 
 /// The same of co-ordinators that have had answers before: with a lot that counted only where nothing was carried all sent.
 #[test]
-fn few_send_to_cold_leaves_also_where_leaves_have_carried_something() {
+fn few_send_to_cold_replicas_also_where_replicas_have_carried_something() {
     few_send(true);
 }
 
@@ -236,12 +236,12 @@
                 end(&mut coordinator, 150, PartId(part), 0, AttemptOutcome::Success);
             }
         }
-        list(&mut coordinator, &mut tape, &(0..6).map(|leaf| (leaf, at(150))).collect::<Vec<_>>());
+        list(&mut coordinator, &mut tape, &(0..6).map(|replica| (replica, at(150))).collect::<Vec<_>>());
         ask(&mut coordinator, &mut tape, 160, 0, 0, &[0, 3]);
         let calls = turned(&mut coordinator, 160).calls();
         whole += usize::from(calls.len() == 2);
         assert!(calls.is_empty() || calls.len() == 2, "no work for nothing");
-        calls.into_iter().for_each(|(_, leaf)| *most.entry(leaf).or_insert(0) += 1);
+        calls.into_iter().for_each(|(_, replica)| *most.entry(replica).or_insert(0) += 1);
     }
     assert!(most.values().all(|&n| n <= 20), "12 and what is chance, 2 root 12 + 2: {most:?}");
     assert!(whole >= 3, "they are asked all the same: {whole}");
@@ -270,8 +270,8 @@
 }
 
 #[test]
-fn an_overdue_part_gets_a_copy_although_its_leaf_is_forgotten() {
-    // A part may remember a leaf that has left the list and is held no more; looking it up ended the adapter.
+fn an_overdue_part_gets_a_copy_although_its_replica_is_forgotten() {
+    // A part may remember a replica that has left the list and is held no more; looking it up ended the adapter.
     let (mut coordinator, mut tape) = fresh(4);
     ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
     let first = turned(&mut coordinator, 0).calls()[0].1;
@@ -279,7 +279,7 @@
     coordinator.list_replica(first, first.0, false, None);
     coordinator.finish_endpoint_list(&mut tape);
     let mut after = end(&mut coordinator, 5, PartId(0), 0, AttemptOutcome::Fault);
-    assert!(after.0.contains(&Act::FreeLeaf(first)));
+    assert!(after.0.contains(&Act::FreeReplica(first)));
     assert_eq!(after.calls().len(), 1);
     after.0.extend(tape.0);
     let copies = helper::pass(&mut coordinator, &after.0, at(1400)).calls().len();
@@ -287,8 +287,8 @@
 }
 
 #[test]
-fn a_lag_of_the_past_does_not_keep_leaves_idle() {
-    // In ie11df8 leaves stood idle because of answers that had come late seconds before.
+fn a_lag_of_the_past_does_not_keep_replicas_idle() {
+    // In ie11df8 replicas stood idle because of answers that had come late seconds before.
     let (mut coordinator, mut tape) = taught(12);
     let shards: Vec<u32> = (0..6).collect();
     for n in 0..4 {
@@ -309,7 +309,7 @@
 
 #[test]
 fn where_clients_leave_early_a_partial_answer_comes_before_they_do() {
-    // In i85cd7c clients left after a third of the SLO time; the vertical with a floor has an answer by then.
+    // In i85cd7c clients left after a third of the SLO time; the request class with a floor has an answer by then.
     let (mut coordinator, mut tape) = fresh(7);
     for n in 0..4 {
         ask(&mut coordinator, &mut tape, n * 1000, 1, 0, &[0, 1, 2, 3, 4]);
@@ -330,8 +330,8 @@
 }
 
 #[test]
-fn two_stray_leavers_do_not_end_a_vertical() {
-    // On a long day of sockets two clients in a row left early by chance; all others of that vertical were then
+fn two_stray_leavers_do_not_end_a_class() {
+    // On a long day of sockets two clients in a row left early by chance; all others of that request class were then
     // rejected for 100 s: their time was held too short for any answer, and only answers told who had stayed.
     let (mut coordinator, mut tape) = fresh(7);
     let mut begun = 0;
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn a_part_cut_off_leaves_its_leaf_in_but_a_leaf_that_always_cuts_goes_out() {
+fn a_part_cut_off_replicas_its_replica_in_but_a_replica_that_always_cuts_goes_out() {
     // Leaves that closed connections after an answer were left out by turns, and the other holders got it all.
     let (mut coordinator, mut tape) = fresh(6);
     ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
@@ -393,8 +393,8 @@
 }
 
 #[test]
-fn a_leaf_silent_to_a_probe_is_no_candidate() {
-    // In i052771 a tenth of the leaves fell silent, and every query of 75 parts had some there.
+fn a_replica_silent_to_a_probe_is_no_candidate() {
+    // In i052771 a tenth of the replicas fell silent, and every query of 75 parts had some there.
     for seed in 0..20 {
         let (mut coordinator, tape) = probing(seed);
         coordinator.load_probe_ended(at(5), ReplicaId(2), AttemptOutcome::Success);
@@ -405,13 +405,13 @@
 }
 
 #[test]
-fn a_leaf_that_reports_to_hold_much_is_no_candidate() {
+fn a_replica_that_reports_to_hold_much_is_no_candidate() {
     // In i263f35 no co-ordinator saw the queues that 87 others had made.
     for seed in 0..20 {
         let (mut coordinator, _) = probing(seed);
-        for (leaf, held) in [(2, 9.0), (3, 0.0), (4, 8.0)] {
-            coordinator.load_report(at(5), ReplicaId(leaf), Some(held), None);
-            coordinator.load_probe_ended(at(5), ReplicaId(leaf), AttemptOutcome::Success);
+        for (replica, held) in [(2, 9.0), (3, 0.0), (4, 8.0)] {
+            coordinator.load_report(at(5), ReplicaId(replica), Some(held), None);
+            coordinator.load_probe_ended(at(5), ReplicaId(replica), AttemptOutcome::Success);
         }
         let calls = turned(&mut coordinator, 5).calls();
         assert_eq!(calls, [(PartId(0), ReplicaId(3))]);
@@ -434,8 +434,8 @@
 }
 
 #[test]
-fn a_leaf_not_heard_of_is_held_to_lag_as_all_did() {
-    // At the grown size a co-ordinator meets a leaf once in half a minute; in i4a20e0 all of them were late.
+fn a_replica_not_heard_of_is_held_to_lag_as_all_did() {
+    // At the grown size a co-ordinator meets a replica once in half a minute; in i4a20e0 all of them were late.
     let (mut coordinator, mut tape) = lone_holders(40);
     let shards: Vec<u32> = (0..39).collect();
     ask(&mut coordinator, &mut tape, 0, 0, 0, &shards);
@@ -481,14 +481,14 @@
 fn a_part_that_only_adds_is_not_sent_where_much_waits_and_one_that_all_hangs_on_is() {
     // On the fleet's herd and join days queries that may be partial, of 200 parts, filled the one good holder of each
     // shard whose other holder was stuck; queries that need every part were rejected unsent, three of four.
-    for (vertical, goes) in [(1, false), (0, true)] {
+    for (class, goes) in [(1, false), (0, true)] {
         let (mut coordinator, mut tape) = fresh(3);
         // All holders of shard 2 have something out, which takes a sixth of the SLO time.
         for n in 0..3 {
             ask(&mut coordinator, &mut tape, n, 2, n as u32, &[2]);
             turned(&mut coordinator, n);
         }
-        ask(&mut coordinator, &mut tape, 100, vertical, 50, &[2, 5, 0]);
+        ask(&mut coordinator, &mut tape, 100, class, 50, &[2, 5, 0]);
         let calls = turned(&mut coordinator, 100).calls();
         assert_eq!(calls.iter().any(|c| c.0 == PartId(50)), goes, "{calls:?}");
         assert!(calls.iter().any(|c| c.0 == PartId(51)), "others go in any case: {calls:?}");
@@ -497,7 +497,7 @@
 
 #[test]
 fn what_waits_is_bounded_first_and_a_long_part_of_ones_own_is_not() {
-    // A share of the time left for all, own work included, kept a vertical of long parts from ever beginning.
+    // A share of the time left for all, own work included, kept a request class of long parts from ever beginning.
     let (mut coordinator, mut tape) = fresh(3);
     ask(&mut coordinator, &mut tape, 0, 0, 0, &[2]);
     turned(&mut coordinator, 0);
--- a/crates/pipitcrank-core/tests/cold.rs
+++ b/crates/pipitcrank-core/tests/cold.rs
@@ -1,5 +1,5 @@
-//! What cold leaves get from all co-ordinators together, of which each has a module that knows of no other: over many seeds,
-//! for few busy ones, many quiet ones, and one far busier than the rest. The bound is the users': of N parts that a leaf may
+//! What cold replicas get from all co-ordinators together, of which each has a module that knows of no other: over many seeds,
+//! for few busy ones, many quiet ones, and one far busier than the rest. The bound is the users': of N parts that a replica may
 //! get in a window, 2 root N + 2 more are chance.
 
 mod helper;
@@ -12,14 +12,14 @@
 use pipitcrank_core::rng::Rng;
 use pipitcrank_core::time::Timestamp;
 
-/// Work of a part, and the helper's rules for cold leaves: three times what they can do in 2 s, from a fifth of it on,
+/// Work of a part, and the helper's rules for cold replicas: three times what they can do in 2 s, from a fifth of it on,
 /// warm after 10 s.
 const WORK_MS: i64 = 100;
 const CALL_MS: i64 = 50;
 const WINDOW_MS: i64 = 2000;
 const WARM_MS: i64 = 10_000;
 const STEP_MS: i64 = 20;
-/// They serve for so long before leaves start anew, and are looked at until these are warm.
+/// They serve for so long before replicas start anew, and are looked at until these are warm.
 const BEFORE_MS: i64 = 6000;
 
 struct Copy {
@@ -32,20 +32,20 @@
     calls: BTreeMap<PartId, u32>,
 }
 
-/// How many co-ordinators there are, how busy each is against the mean, and what share of the leaves' work is asked for.
+/// How many co-ordinators there are, how busy each is against the mean, and what share of the replicas' work is asked for.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
     copies: usize,
     first_is: f64,
     load: f64,
-    /// So many times as much is asked from the start of the cold leaves on: a burst, clients that come again.
+    /// So many times as much is asked from the start of the cold replicas on: a burst, clients that come again.
     surge: f64,
 }
 
-/// Parts that each leaf got while cold, by their time after its start.
+/// Parts that each replica got while cold, by their time after its start.
 fn played(fleet: Fleet, cold: u32, seed: u64) -> BTreeMap<ReplicaId, Vec<i64>> {
     let mut rng = Rng::new(seed);
-    // Each leaf does a second's work in a second.
+    // Each replica does a second's work in a second.
     let all = f64::from(helper::CELLS) * fleet.load * STEP_MS as f64 / WORK_MS as f64;
     let mean = all / (fleet.copies as f64 - 1.0 + fleet.first_is);
     let mut copies: Vec<Copy> = (0..fleet.copies)
@@ -65,7 +65,7 @@
         for (n, copy) in copies.iter_mut().enumerate() {
             let mut tape = Tape::default();
             if starts {
-                let started: Vec<_> = (0..cold).map(|leaf| (leaf, now)).collect();
+                let started: Vec<_> = (0..cold).map(|replica| (replica, now)).collect();
                 helper::list(&mut copy.coordinator, &mut tape, &started);
             }
             for &(_, part, nth) in due.iter().filter(|d| d.0 == n) {
@@ -87,13 +87,13 @@
             copy.coordinator.dispatch(&mut tape, now);
             for act in tape.0 {
                 match act {
-                    Act::Call(part, leaf) => {
+                    Act::Call(part, replica) => {
                         let nth = *copy.calls.entry(part).and_modify(|n| *n += 1).or_insert(0);
                         ends.entry(now_ms + WORK_MS + CALL_MS + STEP_MS - (WORK_MS + CALL_MS) % STEP_MS)
                             .or_default()
                             .push((n, part, nth));
-                        if now_ms >= BEFORE_MS && leaf.0 < cold {
-                            came.entry(leaf).or_default().push(now_ms - BEFORE_MS);
+                        if now_ms >= BEFORE_MS && replica.0 < cold {
+                            came.entry(replica).or_default().push(now_ms - BEFORE_MS);
                         }
                     }
                     Act::Wake(when, label) => {
@@ -108,7 +108,7 @@
     came
 }
 
-/// The worst moment of any leaf: parts in a window, and how many there may be with what is chance.
+/// The worst moment of any replica: parts in a window, and how many there may be with what is chance.
 fn worst(came: &BTreeMap<ReplicaId, Vec<i64>>) -> (usize, f64) {
     let mut worst = (0, 1.0);
     for times in came.values() {
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! A port that writes down what the module asks for, and a root over a small ring of leaves.
+//! A port that writes down what the module asks for, and a root over a small ring of replicas.
 
 use pipitcrank_core::coordinator::{
     Coordinator, RequestClassConfig, RetryBudget, RetryPolicy, SetCover, SlowStart,
@@ -20,15 +20,15 @@
     Probe(ReplicaId),
     FreeQuery(QueryId),
     FreePart(PartId),
-    FreeLeaf(ReplicaId),
+    FreeReplica(ReplicaId),
 }
 
 #[derive(Default)]
 pub struct Tape(pub Vec<Act>);
 
 impl CoordinatorOutput for Tape {
-    fn send_attempt(&mut self, part: PartId, leaf: ReplicaId, _until: Timestamp) {
-        self.0.push(Act::Call(part, leaf));
+    fn send_attempt(&mut self, part: PartId, replica: ReplicaId, _until: Timestamp) {
+        self.0.push(Act::Call(part, replica));
     }
     fn cancel_attempt(&mut self, part: PartId, nth: u32) {
         self.0.push(Act::Abandon(part, nth));
@@ -45,8 +45,8 @@
     fn set_timer(&mut self, at: Timestamp, label: u64) {
         self.0.push(Act::Wake(at, label));
     }
-    fn send_load_probe(&mut self, leaf: ReplicaId) {
-        self.0.push(Act::Probe(leaf));
+    fn send_load_probe(&mut self, replica: ReplicaId) {
+        self.0.push(Act::Probe(replica));
     }
     fn watch_endpoints(&mut self) {
         self.0.push(Act::Watch);
@@ -58,8 +58,8 @@
     fn release_part(&mut self, part: PartId) {
         self.0.push(Act::FreePart(part));
     }
-    fn release_replica(&mut self, leaf: ReplicaId) {
-        self.0.push(Act::FreeLeaf(leaf));
+    fn release_replica(&mut self, replica: ReplicaId) {
+        self.0.push(Act::FreeReplica(replica));
     }
 }
 
@@ -79,9 +79,9 @@
 pub const SHARE: f64 = 0.1;
 pub const BUDGET_SPAN: TimeSpan = TimeSpan::from_millis(1000);
 pub const DEDUP: TimeSpan = TimeSpan::from_millis(700);
-/// A repeat counts as it comes to its leaf.
+/// A repeat counts as it comes to its replica.
 pub const WAY: TimeSpan = TimeSpan::from_millis(80);
-/// Floor and need by vertical: repeatable whole, repeatable with a floor, deduplicated, side-effecting, and one
+/// Floor and need by request class: repeatable whole, repeatable with a floor, deduplicated, side-effecting, and one
 /// with a second step; a sixth, repeatable and whole, earns nothing after its SLO time.
 pub const FLOORS: [(f64, f64); 6] = [(1.0, 1.0), (0.6, 1.0), (1.0, 1.0), (1.0, 1.0), (0.5, 0.8), (1.0, 1.0)];
 pub const EFFECTS: [Idempotency; 6] = [
@@ -116,7 +116,7 @@
     may_probe: bool,
 ) -> Coordinator {
     let mut coordinator = bare(cells, hold, seed, call_size, may_duplicate, may_probe, 1);
-    verticals(&mut coordinator, "v");
+    classes(&mut coordinator, "v");
     coordinator
 }
 
@@ -124,15 +124,15 @@
 #[allow(dead_code)] // the cases use it, the rules do not
 pub fn coordinator_among(seed: u64, among: u32) -> Coordinator {
     let mut coordinator = bare(CELLS, HOLD, seed, 2, true, false, among);
-    verticals(&mut coordinator, "v");
+    classes(&mut coordinator, "v");
     coordinator
 }
 
-/// A root as the tests' at another deployment: the same leaves and rules, verticals of other names.
+/// A root as the tests' at another deployment: the same replicas and rules, request classes of other names.
 #[allow(dead_code)] // the cases use it, the rules do not
 pub fn coordinator_named(seed: u64, prefix: &str) -> Coordinator {
     let mut coordinator = bare(CELLS, HOLD, seed, 2, true, false, 1);
-    verticals(&mut coordinator, prefix);
+    classes(&mut coordinator, prefix);
     coordinator
 }
 
@@ -166,8 +166,8 @@
     Coordinator::new(Rng::new(seed), cover, budget, slow_start, tries, true, TICK)
 }
 
-/// The verticals of the tests, named from `prefix` and their number.
-pub fn verticals(coordinator: &mut Coordinator, prefix: &str) {
+/// The request classes of the tests, named from `prefix` and their number.
+pub fn classes(coordinator: &mut Coordinator, prefix: &str) {
     for (n, (floor, whole_from)) in FLOORS.into_iter().enumerate() {
         coordinator.add_request_class(RequestClassConfig {
             name: format!("{prefix}{n}"),
@@ -185,7 +185,7 @@
 }
 
 #[allow(dead_code)] // the cases of zones list their own
-/// Lists one leaf a cell, all long up but those named, which started at that time.
+/// Lists one replica a cell, all long up but those named, which started at that time.
 pub fn list(coordinator: &mut Coordinator, tape: &mut Tape, cold: &[(u32, Timestamp)]) {
     coordinator.begin_endpoint_list(true);
     for n in 0..CELLS {
