--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -14,10 +14,10 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Ask { vertical: usize, first: u32, count: u32, left: i64 },
+    Ask { class: usize, first: u32, count: u32, left: i64 },
     End { which: usize, outcome: usize },
     Pass(i64),
-    List { leaf: u32, up: bool, cold: bool },
+    List { replica: u32, up: bool, cold: bool },
     Gone(usize),
     ListFails,
 }
@@ -38,10 +38,10 @@
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
         3 => (0..6usize, 0..12u32, 1..8u32, 30..4000i64)
-            .prop_map(|(vertical, first, count, left)| Op::Ask { vertical, first, count, left }),
+            .prop_map(|(class, first, count, left)| Op::Ask { class, first, count, left }),
         8 => (any::<usize>(), 0..10usize).prop_map(|(which, outcome)| Op::End { which, outcome }),
         5 => (1..400i64).prop_map(Op::Pass),
-        1 => (0..helper::CELLS, any::<bool>(), any::<bool>()).prop_map(|(leaf, up, cold)| Op::List { leaf, up, cold }),
+        1 => (0..helper::CELLS, any::<bool>(), any::<bool>()).prop_map(|(replica, up, cold)| Op::List { replica, up, cold }),
         1 => any::<usize>().prop_map(Op::Gone),
         1 => Just(Op::ListFails),
     ]
@@ -52,13 +52,13 @@
     shard: u32,
     weight: f64,
     step: u8,
-    /// Time, leaf and ending of each leaf call.
+    /// Time, replica and ending of each attempt.
     calls: Vec<(Timestamp, ReplicaId, Option<AttemptOutcome>)>,
     passed: bool,
 }
 
 struct Asked {
-    vertical: usize,
+    class: usize,
     arrived: Timestamp,
     ends: Timestamp,
     step: u8,
@@ -85,7 +85,7 @@
     fn did(&mut self, tape: Tape) -> Result<(), TestCaseError> {
         for act in tape.0 {
             match act {
-                Act::Call(part, leaf) => self.called(part, leaf)?,
+                Act::Call(part, replica) => self.called(part, replica)?,
                 Act::Abandon(part, nth) => {
                     prop_assert!(
                         (nth as usize) < self.pieces[&part].calls.len(),
@@ -98,7 +98,7 @@
                     prop_assert!(asked.is_some(), "a second final answer");
                     let ran = |p: &Piece| p.calls.iter().any(|c| !c.2.is_some_and(unrun));
                     let mut ours = self.pieces.values().filter(|p| p.query == query);
-                    let repeatable = helper::EFFECTS[asked.unwrap().vertical] == Idempotency::Idempotent;
+                    let repeatable = helper::EFFECTS[asked.unwrap().class] == Idempotency::Idempotent;
                     prop_assert!(repeatable || !ours.any(ran), "rejected though something may have run");
                 }
                 Act::Abort(query) => {
@@ -112,25 +112,27 @@
                     prop_assert!(piece.calls.iter().all(|c| c.2.is_some()), "let go with a call out");
                 }
                 Act::FreeQuery(query) => prop_assert!(!self.asked.contains_key(&query), "let go while open"),
-                Act::Watch | Act::FreeLeaf(_) | Act::Probe(_) => {}
+                Act::Watch | Act::FreeReplica(_) | Act::Probe(_) => {}
             }
         }
         Ok(())
     }
 
-    fn called(&mut self, part: PartId, leaf: ReplicaId) -> Result<(), TestCaseError> {
+    fn called(&mut self, part: PartId, replica: ReplicaId) -> Result<(), TestCaseError> {
         let now = self.now;
         let piece = self.pieces.get_mut(&part).expect("sends what it let go");
         let asked = self.asked.get(&piece.query);
         prop_assert!(asked.is_some_and(|a| a.step == piece.step && now < a.ends), "sent after the end");
         let asked = asked.unwrap();
         prop_assert!(!piece.passed, "sent though its answer is in");
-        prop_assert!(self.up[leaf.0 as usize], "sent to a leaf that is leaving or gone");
-        prop_assert!((leaf.0 + helper::CELLS - piece.shard % helper::CELLS) % helper::CELLS < helper::HOLD);
+        prop_assert!(self.up[replica.0 as usize], "sent to a leaf that is leaving or gone");
+        prop_assert!(
+            (replica.0 + helper::CELLS - piece.shard % helper::CELLS) % helper::CELLS < helper::HOLD
+        );
         prop_assert!(piece.calls.len() < helper::TRY_LIMIT);
         prop_assert!(self.duplicates || piece.calls.iter().all(|c| c.2.is_some()), "two calls out");
         let risky = piece.calls.iter().find(|c| !c.2.is_some_and(unrun)).map(|c| c.0);
-        match (helper::EFFECTS[asked.vertical], risky) {
+        match (helper::EFFECTS[asked.class], risky) {
             (Idempotency::NonIdempotent, Some(_)) => prop_assert!(false, "an effect may happen twice"),
             (Idempotency::IdempotentByKey, Some(first)) => {
                 prop_assert!(now - first + helper::WAY <= helper::DEDUP, "too late")
@@ -144,12 +146,12 @@
             let further = self.further.iter().filter(within).count() as f64;
             prop_assert!(further <= helper::FREE + helper::SHARE * taken, "over the budget");
         }
-        piece.calls.push((now, leaf, None));
-        // With nothing merged yet there is nothing to judge a cold leaf's allowance by: one part a window.
-        if self.started[leaf.0 as usize].is_some_and(|t| now - t < ms(10_000)) && !self.merged_any {
-            let near = self.cold_sends.iter().filter(|(t, l)| *l == leaf && now - *t <= ms(2000)).count();
+        piece.calls.push((now, replica, None));
+        // With nothing merged yet there is nothing to judge a cold replica's allowance by: one part a window.
+        if self.started[replica.0 as usize].is_some_and(|t| now - t < ms(10_000)) && !self.merged_any {
+            let near = self.cold_sends.iter().filter(|(t, l)| *l == replica && now - *t <= ms(2000)).count();
             prop_assert!(near == 0, "a cold leaf is pushed");
-            self.cold_sends.push((now, leaf));
+            self.cold_sends.push((now, replica));
         }
         Ok(())
     }
@@ -158,14 +160,14 @@
         let asked = self.asked.get_mut(&query);
         prop_assert!(asked.is_some(), "a second final answer");
         let asked = asked.unwrap();
-        let (floor, need) = helper::FLOORS[asked.vertical];
+        let (floor, need) = helper::FLOORS[asked.class];
         let need = if asked.step == 0 { need } else { 1.0 };
         let ours = || self.pieces.values().filter(|p| p.query == query && p.step == asked.step);
         let weight: f64 = ours().filter(|p| p.passed).map(|p| p.weight).sum();
         prop_assert!(weight >= floor - 1e-4, "answered from {weight}, under the floor");
         let may = weight >= need - 1e-4 && asked.first_whole && (asked.step == 0 || ours().all(|p| p.passed));
         prop_assert!(!whole || may, "marked whole at {weight}");
-        if asked.vertical == 4 && asked.step == 0 {
+        if asked.class == 4 && asked.step == 0 {
             let count = ours().filter(|p| p.passed).count().clamp(1, 2);
             (asked.step, asked.first_whole) = (1, whole);
             return self.second_step(query, count);
@@ -207,20 +209,20 @@
         self.did(tape)
     }
 
-    fn ask(&mut self, vertical: usize, first: u32, count: u32, left: TimeSpan) -> Result<(), TestCaseError> {
+    fn ask(&mut self, class: usize, first: u32, count: u32, left: TimeSpan) -> Result<(), TestCaseError> {
         let ids = || self.pieces.values().map(|p| p.query);
         let query = QueryId(
             (0..).find(|n| !self.asked.contains_key(&QueryId(*n)) && ids().all(|q| q.0 != *n)).unwrap(),
         );
         let ends = self.now + left;
         self.taken.push(self.now);
-        self.asked.insert(query, Asked { vertical, arrived: self.now, ends, step: 0, first_whole: true });
+        self.asked.insert(query, Asked { class, arrived: self.now, ends, step: 0, first_whole: true });
         self.event(|w, tape| {
             w.coordinator.start_query(
                 tape,
                 w.now,
                 query,
-                RequestClassId(vertical as u16),
+                RequestClassId(class as u16),
                 left,
                 Some(0.5),
                 f64::from(count),
@@ -261,7 +263,7 @@
         let lost = self.asked.values().any(|a| self.now >= a.ends);
         prop_assert!(!lost, "a query has had no answer in its time");
         // A query that can earn nothing more is not held: one look after its SLO time of 1.5 s at most.
-        let worthless = |a: &Asked| helper::LATE_WORTH[a.vertical] == 0.0;
+        let worthless = |a: &Asked| helper::LATE_WORTH[a.class] == 0.0;
         let held = self.asked.values().any(|a| worthless(a) && self.now > a.arrived + ms(1500 + 50 + 5));
         prop_assert!(!held, "a query worth nothing more is held past its SLO time");
         Ok(())
@@ -299,19 +301,19 @@
         })?;
         for op in ops {
             match op {
-                Op::Ask { vertical, first, count, left } => w.ask(vertical, first, count, ms(left))?,
+                Op::Ask { class, first, count, left } => w.ask(class, first, count, ms(left))?,
                 Op::End { which, outcome } => w.end(which, OUTCOMES[outcome])?,
                 Op::Pass(span) => w.pass(ms(span))?,
                 Op::ListFails => w.event(|w, tape| w.coordinator.endpoint_list_failed(tape, w.now))?,
-                Op::List { leaf, up, cold } => {
-                    w.up[leaf as usize] = up;
+                Op::List { replica, up, cold } => {
+                    w.up[replica as usize] = up;
                     if cold {
-                        w.started[leaf as usize] = Some(w.now);
+                        w.started[replica as usize] = Some(w.now);
                     }
-                    let started = w.started[leaf as usize];
+                    let started = w.started[replica as usize];
                     w.event(|w, tape| {
                         w.coordinator.begin_endpoint_list(false);
-                        w.coordinator.list_replica(ReplicaId(leaf), leaf, up, started);
+                        w.coordinator.list_replica(ReplicaId(replica), replica, up, started);
                         w.coordinator.finish_endpoint_list(tape);
                     })?;
                 }
--- a/crates/pipitcrank-core/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -1,5 +1,5 @@
 //! Zones in the cover: near first, across when near lags, nothing into a shut zone, shares drawn, and what is seen of a
-//! zone's leaves.
+//! zone's replicas.
 
 mod helper;
 
@@ -13,7 +13,7 @@
 const HERE: ZoneId = ZoneId(0);
 const THERE: ZoneId = ZoneId(1);
 
-/// Six cells; leaves 0 to 5 stand here, 6 to 11 there, one a cell each.
+/// Six cells; replicas 0 to 5 stand here, 6 to 11 there, one a cell each.
 fn two_zones(seed: u64, may_probe: bool) -> (Coordinator, Tape) {
     let (mut coordinator, mut tape) = (coordinator_on(6, 3, seed, 2, true, may_probe), Tape::default());
     coordinator.begin_endpoint_list(true);
@@ -30,9 +30,9 @@
 }
 
 /// Asks one query of one shard; where it went.
-fn goes(coordinator: &mut Coordinator, n: u32, t: i64, vertical: u16) -> (Vec<ReplicaId>, Vec<Act>) {
+fn goes(coordinator: &mut Coordinator, n: u32, t: i64, class: u16) -> (Vec<ReplicaId>, Vec<Act>) {
     let mut tape = Tape::default();
-    coordinator.start_query(&mut tape, at(t), QueryId(n), RequestClassId(vertical), ms(3000), None, 1.0);
+    coordinator.start_query(&mut tape, at(t), QueryId(n), RequestClassId(class), ms(3000), None, 1.0);
     coordinator.add_part(&mut tape, at(t), PartId(n), QueryId(n), n % 6, 1.0, None);
     coordinator.dispatch(&mut tape, at(t));
     (tape.calls().into_iter().map(|c| c.1).collect(), tape.0)
@@ -51,8 +51,8 @@
             coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
         }
         for n in 0..60 {
-            let (leaves, _) = goes(&mut coordinator, n, i64::from(n) * 50, 0);
-            across += leaves.iter().filter(|l| l.0 >= 6).count();
+            let (replicas, _) = goes(&mut coordinator, n, i64::from(n) * 50, 0);
+            across += replicas.iter().filter(|l| l.0 >= 6).count();
             answered(&mut coordinator, n, i64::from(n) * 50 + 20);
         }
         assert_eq!(across > 0, across_wanted, "{across} of 60 across, zones told: {told}");
@@ -66,12 +66,12 @@
 fn a_jam_at_home_sends_work_across() {
     let (mut coordinator, _) = two_zones(3, false);
     coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
-    // Every leaf here has a call out and unanswered for longer than a crossing is held to cost.
+    // Every replica here has a call out and unanswered for longer than a crossing is held to cost.
     for n in 0..12 {
         goes(&mut coordinator, n, 0, 0);
     }
-    let (leaves, _) = goes(&mut coordinator, 30, 600, 0);
-    assert!(leaves[0].0 >= 6, "{leaves:?}");
+    let (replicas, _) = goes(&mut coordinator, 30, 600, 0);
+    assert!(replicas[0].0 >= 6, "{replicas:?}");
 }
 
 #[test]
@@ -81,8 +81,8 @@
     coordinator.begin_endpoint_list(false);
     (0..6).for_each(|n| coordinator.list_replica(ReplicaId(n), n, false, None));
     coordinator.finish_endpoint_list(&mut tape);
-    let (leaves, _) = goes(&mut coordinator, 1, 0, 0);
-    assert_eq!(leaves, []);
+    let (replicas, _) = goes(&mut coordinator, 1, 0, 0);
+    assert_eq!(replicas, []);
     // Opened again it is placed.
     coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
     let mut tape = Tape::default();
@@ -96,8 +96,8 @@
     coordinator.set_zone_routing(shares(&[(HERE, 0.7), (THERE, 0.3)], &[]));
     let mut across = 0;
     for n in 0..1000 {
-        let (leaves, _) = goes(&mut coordinator, n, i64::from(n) * 50, 0);
-        across += leaves.iter().filter(|l| l.0 >= 6).count();
+        let (replicas, _) = goes(&mut coordinator, n, i64::from(n) * 50, 0);
+        across += replicas.iter().filter(|l| l.0 >= 6).count();
         answered(&mut coordinator, n, i64::from(n) * 50 + 20);
     }
     assert!((250..350).contains(&across), "{across} of 1000");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_no_zone_can_carry_is_rejected_at_once_by_vertical() {
+fn what_no_zone_can_carry_is_rejected_at_once_by_class() {
     let (mut coordinator, _) = two_zones(3, false);
     let turned_away = vec![1.0, 0.0];
     coordinator.set_zone_routing(ZoneRouting {
@@ -116,14 +116,14 @@
         turned_away,
         ..ZoneRouting::default()
     });
-    let (leaves, acts) = goes(&mut coordinator, 1, 0, 0);
-    assert_eq!(leaves, []);
+    let (replicas, acts) = goes(&mut coordinator, 1, 0, 0);
+    assert_eq!(replicas, []);
     assert!(acts.contains(&Act::Reject(QueryId(1))) && acts.contains(&Act::FreePart(PartId(1))), "{acts:?}");
     assert_eq!(goes(&mut coordinator, 2, 0, 1).0.len(), 1);
 }
 
 #[test]
-fn silent_failing_and_answering_leaves_are_told_apart() {
+fn silent_failing_and_answering_replicas_are_told_apart() {
     let (mut coordinator, _) = two_zones(3, true);
     coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[THERE]));
     let nothing = coordinator.observe_zone(at(0), THERE);
@@ -132,9 +132,9 @@
         let mut tape = Tape::default();
         coordinator.probe_zone(&mut tape, at(t), THERE, 6);
         for act in tape.0 {
-            let Act::Probe(leaf) = act else { continue };
-            if let Some(outcome) = answer(leaf.0) {
-                coordinator.load_probe_ended(at(t + 5), leaf, outcome);
+            let Act::Probe(replica) = act else { continue };
+            if let Some(outcome) = answer(replica.0) {
+                coordinator.load_probe_ended(at(t + 5), replica, outcome);
             }
         }
     };
@@ -155,9 +155,9 @@
 fn a_call_left_unanswered_speaks_of_silence_and_a_long_one_beside_answers_does_not() {
     let (mut coordinator, _) = two_zones(3, false);
     coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
-    let (leaves, _) = goes(&mut coordinator, 1, 0, 0);
+    let (replicas, _) = goes(&mut coordinator, 1, 0, 0);
     assert_eq!(coordinator.observe_zone(at(300), HERE).silent, 0);
-    assert_eq!(coordinator.observe_zone(at(2600), HERE).silent, 1, "{leaves:?}");
+    assert_eq!(coordinator.observe_zone(at(2600), HERE).silent, 1, "{replicas:?}");
     answered(&mut coordinator, 1, 2700);
     assert_eq!(coordinator.observe_zone(at(2701), HERE).silent, 0);
 }
--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -121,14 +121,14 @@
         s.turn(1);
     });
     count(&mut all, "a leaf of 2,000 changes", 40, Stage::set(2000, 100, 200, 4000), |s, n| {
-        s.leaf_changes(n % 2000, n % 2 == 0);
+        s.replica_changes(n % 2000, n % 2 == 0);
         s.turn(5);
     });
     let grown = || Stage::set(1024, 128, 256, 4000);
     count(&mut all, "6 parts over 1,024 leaves", 400, grown(), |s, n| s.serve_one(0, n, 6));
     count(&mut all, "200 parts over 1,024 leaves", 40, grown(), |s, n| s.serve_one(1, n, 200));
     count(&mut all, "a third of 1,024 leaves changes in one moment", 10, grown(), |s, n| {
-        (0..1024).step_by(3).for_each(|leaf| s.leaf_changes(leaf, n % 2 == 0));
+        (0..1024).step_by(3).for_each(|replica| s.replica_changes(replica, n % 2 == 0));
         s.turn(5);
     });
     count(&mut all, "a whole list of 1,024 leaves", 10, grown(), |s, _| {
@@ -195,8 +195,8 @@
     all.insert("answer of 60 kB taken: bytes".into(), counted.bytes_total as f64);
 }
 
-/// The sum of all that the module asked for on a generated stream: queries of all verticals, answers, faults, silence,
-/// clients that leave, leaves that come and go.
+/// The sum of all that the module asked for on a generated stream: queries of all request classes, answers, faults, silence,
+/// clients that leave, replicas that come and go.
 fn decisions(seed: u64) -> u32 {
     let mut chance = Pcg64::seed_from_u64(seed);
     let mut stage = Stage::set(24, 12, 40, 300);
@@ -205,10 +205,10 @@
     for _ in 0..4000 {
         match chance.random_range(0..10) {
             0..=2 => {
-                let vertical = chance.random_range(0..3u16);
-                let parts = [6, 20, 1][vertical as usize];
+                let class = chance.random_range(0..3u16);
+                let parts = [6, 20, 1][class as usize];
                 let wait = chance.random_range(300..4000);
-                tickets.push(stage.ask(vertical, chance.random_range(0..40), parts, wait));
+                tickets.push(stage.ask(class, chance.random_range(0..40), parts, wait));
             }
             3..=7 if !out.is_empty() => {
                 for _ in 0..chance.random_range(1..12usize).min(out.len()) {
@@ -228,21 +228,21 @@
                 stage.exchange.client_gone(ticket);
             }
             9 if chance.random_bool(0.1) => {
-                stage.leaf_changes(chance.random_range(0..24), chance.random_bool(0.7))
+                stage.replica_changes(chance.random_range(0..24), chance.random_bool(0.7))
             }
             _ => {}
         }
         stage.turn(chance.random_range(1..12));
-        for (leaf, parts) in &stage.noted.calls {
-            sum.update(&leaf.0.to_le_bytes());
+        for (replica, parts) in &stage.noted.calls {
+            sum.update(&replica.0.to_le_bytes());
             parts.iter().for_each(|(part, nth)| {
                 sum.update(&part.0.to_le_bytes());
                 sum.update(&nth.to_le_bytes());
             });
         }
-        for (leaf, (part, nth)) in stage.noted.given_up.drain(..) {
+        for (replica, (part, nth)) in stage.noted.given_up.drain(..) {
             sum.update(
-                &[&leaf.0.to_le_bytes()[..], &part.0.to_le_bytes(), &nth.to_le_bytes(), b"x"].concat(),
+                &[&replica.0.to_le_bytes()[..], &part.0.to_le_bytes(), &nth.to_le_bytes(), b"x"].concat(),
             );
             out.retain(|call| *call != (part, nth));
         }
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -1,4 +1,4 @@
-//! The exchange with the decision module in it, driven by hand: leaves that answer when told, and a note of all that is
+//! The exchange with the decision module in it, driven by hand: replicas that answer when told, and a note of all that is
 //! asked of them.
 
 use std::cell::RefCell;
@@ -10,28 +10,30 @@
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_server::counters::Counters;
-use pipitcrank_server::exchange::{Asked, AskedPart, CallNo, Exchange, Final, LeafSide, Listed};
+use pipitcrank_server::exchange::{
+    AttemptId, Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
+};
 use serde_json::json;
 
 /// What the exchange asked for, in order.
 #[derive(Default)]
 pub struct Noted {
-    pub calls: Vec<(ReplicaId, Vec<CallNo>)>,
-    pub given_up: Vec<(ReplicaId, CallNo)>,
+    pub calls: Vec<(ReplicaId, Vec<AttemptId>)>,
+    pub given_up: Vec<(ReplicaId, AttemptId)>,
     pub probes: Vec<ReplicaId>,
 }
 
-impl LeafSide for Noted {
+impl ReplicaTransport for Noted {
     fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
     fn let_go(&mut self, _: ReplicaId) {}
-    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>) {
-        self.calls.push((leaf, parts));
+    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+        self.calls.push((replica, parts));
     }
-    fn give_up(&mut self, leaf: ReplicaId, call: CallNo) {
-        self.given_up.push((leaf, call));
+    fn give_up(&mut self, replica: ReplicaId, call: AttemptId) {
+        self.given_up.push((replica, call));
     }
-    fn probe(&mut self, leaf: ReplicaId) {
-        self.probes.push(leaf);
+    fn probe(&mut self, replica: ReplicaId) {
+        self.probes.push(replica);
     }
 }
 
@@ -46,11 +48,11 @@
 }
 
 impl Stage {
-    pub fn set(leaves: u32, cells: u32, shards: u32, most_open: usize) -> Stage {
-        let vertical = |name: &str, kind: &str| json!({"name": name, "aim_s": 2.0, "hard_limit_s": 6.0, "idempotency": kind});
+    pub fn set(replicas: u32, cells: u32, shards: u32, most_open: usize) -> Stage {
+        let class = |name: &str, kind: &str| json!({"name": name, "aim_s": 2.0, "hard_limit_s": 6.0, "idempotency": kind});
         let told = json!({
             "allowed": {"cancel": true, "probing": false, "may_duplicate": true, "retry_after": false, "try_limit": 4},
-            "classes": [vertical("view", "safe"), vertical("rank", "safe"), vertical("sale", "unsafe")],
+            "classes": [class("view", "safe"), class("rank", "safe"), class("sale", "unsafe")],
             "domain": {"call_cost_s": 0.001, "complete_from": [1.0, 1.0, 1.0], "floor_by_class": [1.0, 0.8, 1.0],
                 "follow_up": [0, 0, 0], "parts_a_call": 8, "sets": cells, "shards": shards, "span": 3},
             "rules": {"cold_from": 0.3, "cold_s": 9.0, "fall_s": 1.5, "overload_factor": 4.0, "repeat_ratio": 0.1,
@@ -59,7 +61,7 @@
         });
         let coordinator = SettingsReader::new(&told).coordinator(11).expect("a charter of our own is good");
         let mut exchange = Exchange::new(coordinator, most_open, 8, Counters::default());
-        exchange.list(Timestamp::default(), true, (0..leaves).map(|n| row(n, cells, true)).collect());
+        exchange.list(Timestamp::default(), true, (0..replicas).map(|n| row(n, cells, true)).collect());
         let (noted, finals) = (Noted::default(), Rc::default());
         let mut stage = Stage { exchange, noted, now: Timestamp::default(), finals, cells, shards, asked: 0 };
         stage.turn(5);
@@ -72,35 +74,35 @@
         self.exchange.turn(self.now, &mut self.noted);
     }
 
-    pub fn leaf_changes(&mut self, n: u32, up: bool) {
+    pub fn replica_changes(&mut self, n: u32, up: bool) {
         let row = row(n, self.cells, up);
         self.exchange.list(self.now, false, vec![row]);
     }
 
-    pub fn whole_list(&mut self, leaves: u32) {
-        self.exchange.list(self.now, true, (0..leaves).map(|n| row(n, self.cells, true)).collect());
+    pub fn whole_list(&mut self, replicas: u32) {
+        self.exchange.list(self.now, true, (0..replicas).map(|n| row(n, self.cells, true)).collect());
     }
 
-    pub fn ask(&mut self, vertical: u16, first: u32, parts: u32, wait_ms: i64) -> u64 {
+    pub fn ask(&mut self, class: u16, first: u32, parts: u32, wait_ms: i64) -> u64 {
         self.asked += 1;
         let weight = 1.0 / f64::from(parts);
-        let part = |n| AskedPart { shard: (first + n) % self.shards, weight, work: Some(0.01) };
-        let asked = Asked {
+        let part = |n| QueryPart { shard: (first + n) % self.shards, weight, work: Some(0.01) };
+        let asked = QueryRequest {
             id: format!("q{}", self.asked),
-            vertical: RequestClassId(vertical),
+            class: RequestClassId(class),
             ends: self.now + TimeSpan::from_millis(wait_ms),
             parts: (0..parts).map(part).collect(),
             idempotency_key: None,
             text: "c41e".into(),
         };
         let finals = self.finals.clone();
-        let then = Box::new(move |last: Final| {
+        let then = Box::new(move |last: QueryResponse| {
             let word = match last {
-                Final::Merged { whole: true, .. } => "merged",
-                Final::Merged { whole: false, .. } => "merged in part",
-                Final::Rejected { .. } => "rejected",
-                Final::Aborted => "aborted",
-                Final::Repeated => "repeated",
+                QueryResponse::Answered { whole: true, .. } => "merged",
+                QueryResponse::Answered { whole: false, .. } => "merged in part",
+                QueryResponse::Rejected { .. } => "rejected",
+                QueryResponse::Aborted => "aborted",
+                QueryResponse::DuplicateId => "repeated",
             };
             *finals.borrow_mut().entry(word).or_default() += 1;
         });
@@ -109,23 +111,23 @@
     }
 
     /// All calls noted go, and their parts are out.
-    pub fn release(&mut self) -> Vec<CallNo> {
+    pub fn release(&mut self) -> Vec<AttemptId> {
         let mut out = Vec::new();
-        for (leaf, mut parts) in std::mem::take(&mut self.noted.calls) {
-            self.exchange.release(self.now, leaf, &mut parts);
+        for (replica, mut parts) in std::mem::take(&mut self.noted.calls) {
+            self.exchange.release(self.now, replica, &mut parts);
             out.extend(parts);
         }
         out
     }
 
-    pub fn ended(&mut self, call: CallNo, outcome: AttemptOutcome) {
+    pub fn ended(&mut self, call: AttemptId, outcome: AttemptOutcome) {
         let value = (outcome == AttemptOutcome::Success).then(|| "value".to_string());
         self.exchange.ended(call, outcome, value, None);
     }
 
-    /// One query from its arrival to its answer, with leaves that answer within two turns.
-    pub fn serve_one(&mut self, vertical: u16, first: u32, parts: u32) {
-        self.ask(vertical, first, parts, 4000);
+    /// One query from its arrival to its answer, with replicas that answer within two turns.
+    pub fn serve_one(&mut self, class: u16, first: u32, parts: u32) {
+        self.ask(class, first, parts, 4000);
         for _ in 0..400 {
             self.turn(5);
             for call in self.release() {
@@ -139,7 +141,7 @@
     }
 }
 
-fn row(n: u32, cells: u32, up: bool) -> Listed {
+fn row(n: u32, cells: u32, up: bool) -> Endpoint {
     let address = Some(SocketAddr::from(([127, 0, 0, 1], 1000 + n as u16)));
-    Listed { uid: format!("leaf-{n}"), address, cell: n % cells, zone: None, up, started: None }
+    Endpoint { uid: format!("leaf-{n}"), address, cell: n % cells, zone: None, up, started: None }
 }
--- a/crates/pipitcrank-failover/src/agreement.rs
+++ b/crates/pipitcrank-failover/src/agreement.rs
@@ -1,5 +1,5 @@
 //! The adapter round the agreement's library (`raft`): few voters, each at a seat of the operators' list, agree on one
-//! decision a number. Nothing is decided here of zones. What the library leaves open stands here: who belongs to the
+//! decision a number. Nothing is decided here of zones. What the library replicas open stands here: who belongs to the
 //! voters when processes begin without memory.
 //!
 //! A process that was handed no `Memory` must never vote as if it remembered. Each has an id of its own, made of its seat
--- a/crates/pipitcrank-failover/src/book.rs
+++ b/crates/pipitcrank-failover/src/book.rs
@@ -24,25 +24,25 @@
 
 /// Evidence has to stand for so long before anything is said of it: two words of each copy.
 const SEEN: TimeSpan = TimeSpan::from_millis(300);
-/// A step of leaving, in thousandths of the load, and the time between two: a whole zone in 0.8 s, so that leaves
+/// A step of leaving, in thousandths of the load, and the time between two: a whole zone in 0.8 s, so that replicas
 /// elsewhere take on a quarter of a zone each time.
 const STEP: u16 = 250;
 const STEP_TIME: TimeSpan = TimeSpan::from_millis(200);
 /// Coming home takes half a step each `RETURN_TIME`: leaves there are cold, and the others carry well meanwhile.
 const RETURN_STEP: u16 = 125;
 const RETURN_TIME: TimeSpan = TimeSpan::from_millis(500);
-/// Cold leaves' share from which a zone comes back at half the pace.
+/// Cold replicas' share from which a zone comes back at half the pace.
 const COLD: f64 = 0.3;
-/// What a cold leaf carries of a warm one's: the least that rules allow for.
+/// What a cold replica carries of a warm one's: the least that rules allow for.
 const COLD_CARRIES: f64 = 0.3;
 /// Shares have to change by so many thousandths for new figures to be worth a decision, and so long apart.
 const WORTH: u16 = 50;
 /// And what a zone carries by this part of itself.
 const CAPACITY_WORTH: u32 = 4;
 const FIGURES_TIME: TimeSpan = TimeSpan::from_millis(500);
-/// Share of full leaves from which a zone is at what it carries, whatever operators say it bears.
+/// Share of full replicas from which a zone is at what it carries, whatever operators say it bears.
 const AT_ITS_MOST: f64 = 0.3;
-/// What a leaf bears is never held lower than this share of what operators say, and comes back by so much a second.
+/// What a replica bears is never held lower than this share of what operators say, and comes back by so much a second.
 const LEAST_BEARS: f64 = 0.2;
 const BEARS_BACK: f64 = 0.02;
 
@@ -67,14 +67,14 @@
     /// When its last step was decided, and since when it has been serving.
     stepped: Timestamp,
     serving: Timestamp,
-    /// Parts a second that one of its leaves bears, as evidence shows.
+    /// Parts a second that one of its replicas bears, as evidence shows.
     bears: f64,
 }
 
 pub struct Book {
     pace: Pace,
     near: Nearness,
-    /// Parts a second that a warm leaf bears, as operators say; 0 where they say nothing.
+    /// Parts a second that a warm replica bears, as operators say; 0 where they say nothing.
     told_bears: f64,
     watches: Vec<Watch>,
     /// Since when each way has been as it is: `[from][to]`, cut or not.
@@ -211,13 +211,13 @@
             if against || current.places[zone].state != State::Serving {
                 watch.serving = now;
             }
-            // Guards against figures of operators that the leaves do not keep: what they carried when full counts.
-            let (leaves, merged) = (matrix.well(zone), matrix.merged(zone));
+            // Guards against figures of operators that the replicas do not keep: what they carried when full counts.
+            let (replicas, merged) = (matrix.well(zone), matrix.merged(zone));
             let full = matrix.cells[zone][zone].full;
-            if self.told_bears > 0.0 && leaves > 0.0 {
-                let a_leaf = merged / leaves;
-                watch.bears = if full >= AT_ITS_MOST && a_leaf < watch.bears {
-                    a_leaf.max(self.told_bears * LEAST_BEARS)
+            if self.told_bears > 0.0 && replicas > 0.0 {
+                let a_replica = merged / replicas;
+                watch.bears = if full >= AT_ITS_MOST && a_replica < watch.bears {
+                    a_replica.max(self.told_bears * LEAST_BEARS)
                 } else {
                     (watch.bears + self.told_bears * BEARS_BACK * passed).min(self.told_bears)
                 };
--- a/crates/pipitcrank-failover/src/book/tests.rs
+++ b/crates/pipitcrank-failover/src/book/tests.rs
@@ -10,12 +10,12 @@
     calm: TimeSpan::from_millis(30_000),
 };
 
-/// Three zones of ten leaves that bear 100 parts a second each; 300 are asked in each.
+/// Three zones of ten replicas that bear 100 parts a second each; 300 are asked in each.
 struct Scene {
     book: Book,
     decision: Decision,
     now: Timestamp,
-    /// `[from][to]`: leaves silent, full.
+    /// `[from][to]`: replicas silent, full.
     silent: [[u16; 3]; 3],
     full: [u16; 3],
     asked: u32,
@@ -274,11 +274,11 @@
 }
 
 #[test]
-fn what_leaves_bore_when_full_counts_against_what_operators_say() {
+fn what_replicas_bore_when_full_counts_against_what_operators_say() {
     let mut scene = scene();
     scene.full[1] = 4;
     scene.pass(500);
-    // 300 merged by ten leaves that are full: 30 each, not the 100 told.
+    // 300 merged by ten replicas that are full: 30 each, not the 100 told.
     assert!(scene.book.watches[1].bears < 31.0, "{}", scene.book.watches[1].bears);
     scene.full[1] = 0;
     scene.pass(60_000);
--- a/crates/pipitcrank-failover/src/instance.rs
+++ b/crates/pipitcrank-failover/src/instance.rs
@@ -93,7 +93,7 @@
     pub standing: String,
     /// This copy's thousandths for each zone.
     pub shares: Vec<(u16, u16)>,
-    /// By zone, where this copy is a voter: what evidence says, copies that speak, leaves that are well.
+    /// By zone, where this copy is a voter: what evidence says, copies that speak, replicas that are well.
     pub evidence: Vec<(String, u16, u16)>,
     pub leader: Option<u8>,
     pub voters_heard: u8,
--- a/crates/pipitcrank-failover/src/shares.rs
+++ b/crates/pipitcrank-failover/src/shares.rs
@@ -134,7 +134,7 @@
     (u128::from(part) * u128::from(WHOLE) / u128::from(of.max(1))) as u16
 }
 
-/// Of each vertical, the share (0 to 1) to be turned away so that `lack` (thousandths) of the work is: those of least
+/// Of each request class, the share (0 to 1) to be turned away so that `lack` (thousandths) of the work is: those of least
 /// utility a work first. `mix`: share of the work and utility a work of each.
 pub fn turned_away(lack: u16, mix: &[(f64, f64)]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..mix.len()).collect();
--- a/crates/pipitcrank-gateway/src/far.rs
+++ b/crates/pipitcrank-gateway/src/far.rs
@@ -11,9 +11,9 @@
 
 use bytes::BytesMut;
 use pipitcrank_core::ids::RequestClassId;
-use pipitcrank_server::exchange::{Asked, AskedPart, Final, Lent};
-use pipitcrank_server::hall::Hall;
-use pipitcrank_server::serve::Ground;
+use pipitcrank_server::event_loop::EventLoop;
+use pipitcrank_server::exchange::{Lent, QueryPart, QueryRequest, QueryResponse};
+use pipitcrank_server::serve::ServerContext;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -56,11 +56,11 @@
 }
 
 pub struct Far {
-    hall: Rc<Hall>,
+    event_loop: Rc<EventLoop>,
     own: String,
     instance: u64,
     peers: Vec<String>,
-    verticals: Vec<String>,
+    classes: Vec<String>,
     shards: u32,
     tickets: Arc<AtomicU64>,
     ledger: RefCell<Ledger>,
@@ -73,13 +73,13 @@
 }
 
 impl Far {
-    pub fn new(ground: &Ground, own: &str, instance: u64, peers: Vec<String>) -> Rc<Far> {
+    pub fn new(ground: &ServerContext, own: &str, instance: u64, peers: Vec<String>) -> Rc<Far> {
         Rc::new(Far {
-            hall: ground.hall.clone(),
+            event_loop: ground.event_loop.clone(),
             own: own.to_string(),
             instance,
             peers,
-            verticals: ground.verticals.clone(),
+            classes: ground.classes.clone(),
             shards: ground.shards,
             tickets: ground.tickets.clone(),
             ledger: RefCell::new(Ledger::new(own, ground.longest)),
@@ -122,17 +122,17 @@
                 tokio::time::sleep(LISTEN_AGAIN).await;
                 continue;
             };
-            // Until links are encrypted nobody from elsewhere is heard. Peers' connections are of the sockets told, as leaves'
+            // Until links are encrypted nobody from elsewhere is heard. Peers' connections are of the sockets told, as replicas'
             // are: however many copies a site has, what is told holds.
-            let place = self.hall.sockets.place().filter(|_| from.ip().is_loopback());
+            let place = self.event_loop.sockets.place().filter(|_| from.ip().is_loopback());
             let Some(place) = place else {
-                self.hall.counters.add("peers", "turned_away");
+                self.event_loop.counters.add("peers", "turned_away");
                 continue;
             };
             let far = self.clone();
             tokio::task::spawn_local(async move {
                 let why = far.clone().serve(stream).await;
-                far.hall.counters.add("peers", why);
+                far.event_loop.counters.add("peers", why);
                 tracing::info!("a peer's link ended: {why}");
                 drop(place);
             });
@@ -232,7 +232,7 @@
                                 credit_in.send_modify(|all| *all = all.saturating_add(u64::from(bytes)));
                             }
                             Said::Ping { sent_us } => {
-                                let mine_us = self.hall.clock.now().as_micros();
+                                let mine_us = self.event_loop.clock.now().as_micros();
                                 say.send(Said::Pong { sent_us, mine_us });
                             }
                             Said::Hello { .. } | Said::Part { .. } | Said::End { .. } | Said::Pong { .. } => {
@@ -266,14 +266,14 @@
     }
 
     fn forwarded(self: &Rc<Far>, lane: &Lane, forward: Forward, key: Option<Arc<str>>, say: &Say) {
-        let vertical = self.verticals.iter().position(|v| *v == forward.vertical);
-        let known = vertical.is_some() && forward.parts.iter().all(|(shard, ..)| *shard < self.shards);
-        let now = self.hall.clock.now();
+        let class = self.classes.iter().position(|v| *v == forward.class);
+        let known = class.is_some() && forward.parts.iter().all(|(shard, ..)| *shard < self.shards);
+        let now = self.event_loop.clock.now();
         if *self.leaving.borrow() {
             // Nothing of it was begun, and it may go elsewhere at once. A repeat is known by the ledger as ever.
             let known = self.ledger.borrow_mut().asked(now, lane, forward.number).is_some();
             if !known {
-                self.hall.counters.add("forwarded", "leaving");
+                self.event_loop.counters.add("forwarded", "leaving");
                 say.send(Said::End { number: forward.number, how: How::Late, made: 0 });
                 return;
             }
@@ -281,15 +281,15 @@
         let verdict = self.ledger.borrow_mut().came(now, lane, &forward, known);
         match verdict {
             Verdict::Begin(mark) => {
-                self.hall.counters.add("forwarded", "begun");
-                self.begin(mark, lane, RequestClassId(vertical.unwrap_or(0) as u16), forward, key);
+                self.event_loop.counters.add("forwarded", "begun");
+                self.begin(mark, lane, RequestClassId(class.unwrap_or(0) as u16), forward, key);
             }
             Verdict::Again => {
-                self.hall.counters.add("forwarded", "again");
+                self.event_loop.counters.add("forwarded", "again");
                 self.tell_again(lane, forward.number, say);
             }
             Verdict::Refuse(how) => {
-                self.hall.counters.add("forwarded", if how == How::Late { "late" } else { "refused" });
+                self.event_loop.counters.add("forwarded", if how == How::Late { "late" } else { "refused" });
                 say.send(Said::End { number: forward.number, how, made: 0 });
             }
         }
@@ -299,23 +299,23 @@
         self: &Rc<Far>,
         mark: u64,
         lane: &Lane,
-        vertical: RequestClassId,
+        class: RequestClassId,
         forward: Forward,
         idempotency_key: Option<Arc<str>>,
     ) {
         let all: f64 = forward.parts.iter().map(|(_, w, _)| w).sum();
         let even = 1.0 / forward.parts.len() as f64;
         // Of the parts that came the weights are shares again.
-        let part = |(shard, weight, work): &(u32, f64, Option<f64>)| AskedPart {
+        let part = |(shard, weight, work): &(u32, f64, Option<f64>)| QueryPart {
             shard: *shard,
             weight: if all > 0.0 { weight / all } else { even },
             work: *work,
         };
-        let asked = Asked {
+        let asked = QueryRequest {
             // Of all that is held here its name is its own; the origin's stays readable.
             id: format!("{}@{}.{:x}.{}.{}", forward.id, lane.site, lane.instance, lane.lane, forward.number),
-            vertical,
-            ends: self.hall.clock.now() + forward.left,
+            class,
+            ends: self.event_loop.clock.now() + forward.left,
             parts: forward.parts.iter().map(part).collect(),
             idempotency_key,
             text: forward.text.into(),
@@ -330,21 +330,21 @@
             }
         });
         let (far, parts) = (self.clone(), forward.parts.len());
-        let then = Box::new(move |last: Final| far.ended(mark, last, parts));
+        let then = Box::new(move |last: QueryResponse| far.ended(mark, last, parts));
         let lent = Lent { further: forward.further, made, as_in };
-        self.hall.tell(|e| e.asked_by_site(ticket, asked, lent, then));
+        self.event_loop.tell(|e| e.asked_by_site(ticket, asked, lent, then));
     }
 
-    fn ended(&self, mark: u64, last: Final, parts: usize) {
+    fn ended(&self, mark: u64, last: QueryResponse, parts: usize) {
         let made = self.in_hand.borrow_mut().remove(&mark).map_or(0, |h| h.made.get());
         let how = match last {
-            Final::Merged { hits, .. } if hits.len() == parts => How::Done,
+            QueryResponse::Answered { hits, .. } if hits.len() == parts => How::Done,
             // In part: those not in may have run.
-            Final::Merged { .. } | Final::Aborted => How::Aborted,
-            Final::Rejected { stay_away } => How::Rejected { stay_away },
-            Final::Repeated => How::NotHere,
+            QueryResponse::Answered { .. } | QueryResponse::Aborted => How::Aborted,
+            QueryResponse::Rejected { stay_away } => How::Rejected { stay_away },
+            QueryResponse::DuplicateId => How::NotHere,
         };
-        self.hall.counters.add(
+        self.event_loop.counters.add(
             "forwarded",
             match how {
                 How::Done => "done",
@@ -368,8 +368,8 @@
     fn given_up(&self, lane: &Lane, number: u64, say: &Say) {
         let Some(mark) = self.ledger.borrow_mut().given_up(lane, number) else { return };
         if let Some(InHand { ticket, made }) = self.in_hand.borrow_mut().remove(&mark) {
-            self.hall.counters.add("forwarded", "given_up");
-            self.hall.tell(|e| e.client_gone(ticket));
+            self.event_loop.counters.add("forwarded", "given_up");
+            self.event_loop.tell(|e| e.client_gone(ticket));
             let made = made.get();
             self.ledger.borrow_mut().ended(mark, How::Aborted, made);
             say.send(Said::End { number, how: How::Aborted, made });
@@ -377,7 +377,7 @@
     }
 
     fn tell_again(&self, lane: &Lane, number: u64, say: &Say) {
-        let told = self.ledger.borrow_mut().asked(self.hall.clock.now(), lane, number);
+        let told = self.ledger.borrow_mut().asked(self.event_loop.clock.now(), lane, number);
         let Some(told) = told else {
             say.send(Said::End { number, how: How::Unknown, made: 0 });
             return;
--- a/crates/pipitcrank-gateway/src/forwards.rs
+++ b/crates/pipitcrank-gateway/src/forwards.rs
@@ -1,7 +1,7 @@
 //! What of ours is out on one lane, by number, and what each turn of its connection means for it. No I/O. Outcomes keep
 //! their meaning over the hop:
 //!
-//! | what is known | ending of the part's leaf call |
+//! | what is known | ending of the part's attempt |
 //! | --- | --- |
 //! | answered | pass |
 //! | its frame was not written whole; or the far side says that it never came, that nothing of it was begun, that it rejects it | never ran |
--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -79,7 +79,7 @@
     pub number: u64,
     /// The query's name at its origin.
     pub id: String,
-    pub vertical: String,
+    pub class: String,
     /// Time left when it was written, less the way there and back.
     pub left: TimeSpan,
     /// Further calls that may be made for it.
@@ -148,7 +148,7 @@
 fn sound(said: &Said) -> bool {
     match said {
         Said::Hello { site, .. } => !site.is_empty() && site.len() <= LONGEST_NAME,
-        // It goes into a list that leaves read.
+        // It goes into a list that replicas read.
         Said::ForwardWithKey(_, key) if !is_idempotency_key(key) => false,
         Said::Forward(f) | Said::ForwardWithKey(f, _) => {
             let good = |x: f64| x.is_finite() && (0.0..=1e6).contains(&x);
--- a/crates/pipitcrank-gateway/src/frames/tests.rs
+++ b/crates/pipitcrank-gateway/src/frames/tests.rs
@@ -6,7 +6,7 @@
     Forward {
         number: 7,
         id: "q1".into(),
-        vertical: "view".into(),
+        class: "view".into(),
         left: TimeSpan::from_millis(800),
         further: 1,
         crossed: vec!["north".into()],
--- a/crates/pipitcrank-gateway/src/ledger.rs
+++ b/crates/pipitcrank-gateway/src/ledger.rs
@@ -16,9 +16,9 @@
 }
 
 /// Most sites that a forward may have crossed when it comes: one, its origin. Each hop costs a round trip of the client's
-/// time, and a site that is asked answers from its own leaves.
+/// time, and a site that is asked answers from its own replicas.
 const MOST_CROSSED: usize = 1;
-/// Less time than this is no time: a tick there and a leaf's quickest answer.
+/// Less time than this is no time: a tick there and a replica's quickest answer.
 const LEAST_LEFT: TimeSpan = TimeSpan::from_millis(5);
 /// Forwards held over all lanes. Beyond that none is taken: forgetting one that may be asked for is worse.
 pub const MOST: usize = 20_000;
@@ -86,7 +86,7 @@
         self.marks.len()
     }
 
-    /// A forward came on a lane. `known`: its vertical and shards are.
+    /// A forward came on a lane. `known`: its request class and shards are.
     pub fn came(&mut self, now: Timestamp, lane: &Lane, forward: &Forward, known: bool) -> Verdict {
         self.forget(now);
         self.make_room(lane);
--- a/crates/pipitcrank-gateway/src/ledger/tests.rs
+++ b/crates/pipitcrank-gateway/src/ledger/tests.rs
@@ -12,7 +12,7 @@
     Forward {
         number,
         id: "q".into(),
-        vertical: "sale".into(),
+        class: "sale".into(),
         left: TimeSpan::from_millis(800),
         further: 0,
         crossed: vec!["north".into()],
--- a/crates/pipitcrank-gateway/src/near.rs
+++ b/crates/pipitcrank-gateway/src/near.rs
@@ -11,10 +11,10 @@
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::clock::duration;
-use pipitcrank_server::exchange::{CallNo, LeafSide};
-use pipitcrank_server::hall::Hall;
-use pipitcrank_server::leaves::Leaves;
-use pipitcrank_server::serve::Ground;
+use pipitcrank_server::event_loop::EventLoop;
+use pipitcrank_server::exchange::{AttemptId, ReplicaTransport};
+use pipitcrank_server::replica_pool::ReplicaPool;
+use pipitcrank_server::serve::ServerContext;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -35,7 +35,7 @@
 const TRY_AGAIN: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1600));
 
 enum Job {
-    Call(ReplicaId, Vec<CallNo>),
+    Call(ReplicaId, Vec<AttemptId>),
     GiveUp(u64),
 }
 
@@ -43,7 +43,7 @@
 struct Lane {
     number: u16,
     jobs: UnboundedSender<Job>,
-    book: RefCell<Forwards<CallNo>>,
+    book: RefCell<Forwards<AttemptId>>,
     /// Calls queued and not begun; with the book's they say how busy the lane is.
     queued: Cell<usize>,
     up: Cell<bool>,
@@ -60,15 +60,15 @@
 
 /// What this side is and knows, and each task of it shares.
 struct Side {
-    hall: Rc<Hall>,
+    event_loop: Rc<EventLoop>,
     own: String,
     instance: u64,
-    verticals: Vec<String>,
+    classes: Vec<String>,
 }
 
-/// The leaf side where there are other sites: near leaves as ever, cells of other sites over their links.
+/// The replica side where there are other sites: near leaves as ever, cells of other sites over their links.
 pub struct Near {
-    leaves: Rc<RefCell<Leaves>>,
+    replicas: Rc<RefCell<ReplicaPool>>,
     sites: Vec<Rc<Site>>,
     far: BTreeMap<ReplicaId, Rc<Site>>,
     side: Rc<Side>,
@@ -82,15 +82,15 @@
 
 impl Near {
     pub fn start(
-        ground: Ground,
+        ground: ServerContext,
         own: &str,
         instance: u64,
         peers: Vec<Peer>,
         lanes: u16,
         prefer_near: TimeSpan,
     ) -> Near {
-        let Ground { hall, leaves, verticals, cells, .. } = ground;
-        let side = Rc::new(Side { hall, own: own.to_string(), instance, verticals });
+        let ServerContext { event_loop, replicas, classes, cells, .. } = ground;
+        let side = Rc::new(Side { event_loop, own: own.to_string(), instance, classes });
         let (mut sites, mut far) = (Vec::new(), BTreeMap::new());
         for (n, Peer { name, address }) in peers.into_iter().enumerate() {
             let number = n as u16;
@@ -107,48 +107,52 @@
                 })
             });
             let lanes: Vec<Rc<Lane>> = lanes.collect();
-            let cells = side.hall.tell(|e| e.add_site(number, &name, cells));
+            let cells = side.event_loop.tell(|e| e.add_site(number, &name, cells));
             let route = RefCell::new(Route::new(prefer_near));
             let site = Rc::new(Site { number, name, address, route, lanes, told: Cell::default() });
-            far.extend(cells.into_iter().map(|leaf| (leaf, site.clone())));
+            far.extend(cells.into_iter().map(|replica| (replica, site.clone())));
             for (lane, queue) in site.lanes.iter().zip(queues) {
                 tokio::task::spawn_local(keep_linked(side.clone(), site.clone(), lane.clone(), queue));
             }
             tokio::task::spawn_local(look_after(side.clone(), site.clone()));
             sites.push(site);
         }
-        Near { leaves, sites, far, side }
+        Near { replicas, sites, far, side }
     }
 }
 
-impl LeafSide for Near {
-    fn meet(&mut self, leaf: ReplicaId, address: SocketAddr) {
-        self.leaves.borrow_mut().meet(leaf, address);
+impl ReplicaTransport for Near {
+    fn meet(&mut self, replica: ReplicaId, address: SocketAddr) {
+        self.replicas.borrow_mut().meet(replica, address);
     }
 
-    fn let_go(&mut self, leaf: ReplicaId) {
-        self.leaves.borrow_mut().let_go(leaf);
+    fn let_go(&mut self, replica: ReplicaId) {
+        self.replicas.borrow_mut().let_go(replica);
     }
 
-    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>) {
-        let Some(site) = self.far.get(&leaf) else { return self.leaves.borrow_mut().call(leaf, parts) };
+    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+        let Some(site) = self.far.get(&replica) else {
+            return self.replicas.borrow_mut().call(replica, parts);
+        };
         let up = site.lanes.iter().filter(|l| l.up.get());
         match up.min_by_key(|l| l.queued.get() + l.book.borrow().out()) {
             Some(lane) => {
                 lane.queued.set(lane.queued.get() + 1);
                 // The lane's task takes all jobs, also while its link is down.
-                let _ = lane.jobs.send(Job::Call(leaf, parts));
+                let _ = lane.jobs.send(Job::Call(replica, parts));
             }
             None => {
-                let hall = self.side.hall.clone();
+                let event_loop = self.side.event_loop.clone();
                 // Not at once: the exchange is in its turn.
-                tokio::task::spawn_local(async move { never_began(&hall, leaf, parts) });
+                tokio::task::spawn_local(async move { never_began(&event_loop, replica, parts) });
             }
         }
     }
 
-    fn give_up(&mut self, leaf: ReplicaId, call: CallNo) {
-        let Some(site) = self.far.get(&leaf) else { return self.leaves.borrow_mut().give_up(leaf, call) };
+    fn give_up(&mut self, replica: ReplicaId, call: AttemptId) {
+        let Some(site) = self.far.get(&replica) else {
+            return self.replicas.borrow_mut().give_up(replica, call);
+        };
         for lane in &site.lanes {
             let gave_up = lane.book.borrow_mut().give_up(call);
             if let Some(gave_up) = gave_up {
@@ -160,17 +164,17 @@
         }
     }
 
-    fn probe(&mut self, leaf: ReplicaId) {
-        match self.far.get(&leaf) {
-            None => self.leaves.borrow_mut().probe(leaf),
+    fn probe(&mut self, replica: ReplicaId) {
+        match self.far.get(&replica) {
+            None => self.replicas.borrow_mut().probe(replica),
             // The module asks for none; heartbeats tell more.
             Some(site) => debug_assert!(self.sites.iter().any(|s| Rc::ptr_eq(s, site))),
         }
     }
 }
 
-fn never_began(hall: &Hall, leaf: ReplicaId, parts: Vec<CallNo>) {
-    hall.tell(|e| parts.into_iter().for_each(|call| e.never_began(leaf, call)));
+fn never_began(event_loop: &EventLoop, replica: ReplicaId, parts: Vec<AttemptId>) {
+    event_loop.tell(|e| parts.into_iter().for_each(|call| e.never_began(replica, call)));
 }
 
 /// Tells the exchange what the route says, as often as heartbeats come.
@@ -179,7 +183,7 @@
     beats.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         beats.tick().await;
-        let now = side.hall.clock.now();
+        let now = side.event_loop.clock.now();
         for lane in &site.lanes {
             let over = lane.book.borrow_mut().expired(now);
             over.into_iter().for_each(|o| close(&side, &site, o));
@@ -190,7 +194,7 @@
 
 /// Told only where it differs by enough to matter, as each change makes the module look again.
 fn tell_hop(side: &Side, site: &Site) {
-    let hop = site.route.borrow_mut().hop(side.hall.clock.now());
+    let hop = site.route.borrow_mut().hop(side.event_loop.clock.now());
     let same = match (hop, site.told.get()) {
         (Some(now), Some(told)) => ((now - told).as_secs_f64()).abs() <= told.as_secs_f64() * 0.1 + 0.001,
         (now, told) => now.is_none() && told.is_none(),
@@ -203,18 +207,18 @@
                 "the way is {}",
                 if hop.is_some() { "open" } else { "closed" }
             );
-            side.hall.counters.add("sites", if hop.is_some() { "opened" } else { "closed" });
+            side.event_loop.counters.add("sites", if hop.is_some() { "opened" } else { "closed" });
         }
         site.told.set(hop);
-        side.hall.tell(|e| e.set_hop(site.number, hop));
+        side.event_loop.tell(|e| e.set_hop(site.number, hop));
     }
 }
 
 /// A forward is over: for the module, the budget and the route.
-fn close(side: &Side, site: &Site, over: Over<CallNo>) {
-    let now = side.hall.clock.now();
+fn close(side: &Side, site: &Site, over: Over<AttemptId>) {
+    let now = side.event_loop.clock.now();
     site.route.borrow_mut().ended(now, over.mark, over.route);
-    side.hall.counters.add(
+    side.event_loop.counters.add(
         "forwards",
         match over.route {
             crate::route::Ended::Answered => "answered",
@@ -223,7 +227,7 @@
             crate::route::Ended::Failed => "failed",
         },
     );
-    side.hall.tell(|e| {
+    side.event_loop.tell(|e| {
         if let Some(made) = over.made {
             e.came_back(now, over.who, made);
         }
@@ -246,8 +250,8 @@
         match connected {
             Ok(greeted) => {
                 pause = TRY_AGAIN.0;
-                side.hall.counters.add("links", "opened");
-                site.route.borrow_mut().linked(side.hall.clock.now());
+                side.event_loop.counters.add("links", "opened");
+                site.route.borrow_mut().linked(side.event_loop.clock.now());
                 let same = before == Some(greeted.instance);
                 before = Some(greeted.instance);
                 lane.up.set(true);
@@ -255,7 +259,7 @@
                 lane.up.set(false);
                 site.route.borrow_mut().unlinked();
                 tracing::warn!(site = site.name, lane = lane.number, "the link ended: {why}");
-                side.hall.counters.add("links", why);
+                side.event_loop.counters.add("links", why);
                 while let Ok(job) = queue.try_recv() {
                     refuse(&side, &lane, job);
                 }
@@ -264,7 +268,7 @@
                 tell_hop(&side, &site);
             }
             Err(why) => {
-                side.hall.counters.add("links", why);
+                side.event_loop.counters.add("links", why);
                 tracing::debug!(site = site.name, lane = lane.number, "no link: {why}");
             }
         }
@@ -278,9 +282,9 @@
 }
 
 fn refuse(side: &Side, lane: &Lane, job: Job) {
-    if let Job::Call(leaf, parts) = job {
+    if let Job::Call(replica, parts) = job {
         lane.queued.set(lane.queued.get() - 1);
-        never_began(&side.hall, leaf, parts);
+        never_began(&side.event_loop, replica, parts);
     }
 }
 
@@ -385,7 +389,7 @@
                     Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
                     Ok(_) => {
                         heard = Instant::now();
-                        self.site.route.borrow_mut().heard(self.side.hall.clock.now());
+                        self.site.route.borrow_mut().heard(self.side.event_loop.clock.now());
                     }
                     Err(_) => return "reset",
                 },
@@ -400,7 +404,7 @@
                     }
                     if self.writing.is_empty() && let Some(number) = self.number.take() {
                         self.lane.book.borrow_mut().written(number);
-                        self.side.hall.counters.add("forwards", "sent");
+                        self.side.event_loop.counters.add("forwards", "sent");
                     }
                 }
                 _ = beats.tick() => {
@@ -421,7 +425,7 @@
     /// One at a time: behind what is not taken from us there is no use for a second.
     fn ping(&mut self) {
         if self.next.is_empty() && self.writing.is_empty() {
-            self.say(&Said::Ping { sent_us: self.side.hall.clock.now().as_micros() });
+            self.say(&Said::Ping { sent_us: self.side.event_loop.clock.now().as_micros() });
         }
     }
 
@@ -437,11 +441,11 @@
     fn take_job(&mut self, job: Job) {
         match job {
             Job::GiveUp(number) => self.say(&Said::GiveUp { number }),
-            Job::Call(leaf, mut parts) => {
+            Job::Call(replica, mut parts) => {
                 self.lane.queued.set(self.lane.queued.get() - 1);
-                let now = self.side.hall.clock.now();
+                let now = self.side.event_loop.clock.now();
                 let way = self.site.route.borrow().trip().unwrap_or(TimeSpan::ZERO);
-                for going in self.side.hall.tell(|e| e.forward(now, leaf, &mut parts)) {
+                for going in self.side.event_loop.tell(|e| e.forward(now, replica, &mut parts)) {
                     let mark = self.site.route.borrow_mut().sent(now);
                     let number = self.lane.book.borrow_mut().begin(
                         going.calls,
@@ -453,7 +457,7 @@
                     let forward = Forward {
                         number,
                         id: going.id,
-                        vertical: self.side.verticals[going.vertical.0 as usize].clone(),
+                        class: self.side.classes[going.class.0 as usize].clone(),
                         left: going.until - now - way,
                         further: going.further,
                         crossed: vec![self.side.own.clone()],
@@ -492,17 +496,19 @@
     }
 
     fn took(&mut self, said: Said) -> Result<(), &'static str> {
-        let now = self.side.hall.clock.now();
+        let now = self.side.event_loop.clock.now();
         match said {
             Said::Part { number, shard, value } => {
                 let call = self.lane.book.borrow_mut().part(number, shard);
                 match call {
                     Some(call) => {
                         self.site.route.borrow_mut().part(now);
-                        self.side.hall.counters.add("forwards", "parts");
-                        self.side.hall.tell(|e| e.ended(call, AttemptOutcome::Success, Some(value), None));
+                        self.side.event_loop.counters.add("forwards", "parts");
+                        self.side
+                            .event_loop
+                            .tell(|e| e.ended(call, AttemptOutcome::Success, Some(value), None));
                     }
-                    None => self.side.hall.counters.add("forwards", "late_parts"),
+                    None => self.side.event_loop.counters.add("forwards", "late_parts"),
                 }
             }
             Said::End { number, how, made } => {
@@ -510,7 +516,7 @@
                 match over {
                     Some(over) => close(self.side, self.site, over),
                     None if how == How::Unknown => {}
-                    None => self.side.hall.counters.add("forwards", "late_ends"),
+                    None => self.side.event_loop.counters.add("forwards", "late_ends"),
                 }
             }
             Said::Credit { bytes } => {
--- a/crates/pipitcrank-gateway/src/route.rs
+++ b/crates/pipitcrank-gateway/src/route.rs
@@ -15,7 +15,7 @@
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-/// Failed forwards in a row that hold a site out: one may be a leaf's fault.
+/// Failed forwards in a row that hold a site out: one may be a replica's fault.
 const FAILS: u32 = 3;
 /// Answered trials in a row that let it in again.
 const GOOD: u32 = 3;
@@ -58,7 +58,7 @@
 }
 
 pub struct Route {
-    /// What near leaves are preferred by.
+    /// What near replicas are preferred by.
     prefer_near: TimeSpan,
     /// Links up.
     links: u32,
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -16,10 +16,10 @@
 use pipitcrank_gateway::frames::{Forward, How, Said, VERSION, encode, take};
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::counters::Counters;
-use pipitcrank_server::exchange::{CallNo, Exchange, LeafSide, Listed};
-use pipitcrank_server::hall::{Hall, Sockets};
-use pipitcrank_server::leaves::Leaves;
-use pipitcrank_server::serve::Ground;
+use pipitcrank_server::event_loop::{ConnectionLimiter, EventLoop};
+use pipitcrank_server::exchange::{AttemptId, Endpoint, Exchange, ReplicaTransport};
+use pipitcrank_server::replica_pool::ReplicaPool;
+use pipitcrank_server::serve::ServerContext;
 use proptest::prelude::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -32,33 +32,33 @@
   "sets":1,"shards":4,"span":1},"rules":{"cold_from":0.3,"cold_s":9.0,"drain_grace_s":2.0,"fall_s":1.5,
   "overload_factor":4.0},"tick_s":0.001}"#;
 
-/// A leaf side that answers each part at once, once for each run that it counts, or holds it.
+/// A replica side that answers each part at once, once for each run that it counts, or holds it.
 struct Runs {
-    hall: Rc<Hall>,
-    ran: Rc<RefCell<Vec<CallNo>>>,
+    event_loop: Rc<EventLoop>,
+    ran: Rc<RefCell<Vec<AttemptId>>>,
     answers: bool,
 }
 
-impl LeafSide for Runs {
+impl ReplicaTransport for Runs {
     fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
     fn let_go(&mut self, _: ReplicaId) {}
-    fn call(&mut self, _: ReplicaId, parts: Vec<CallNo>) {
+    fn call(&mut self, _: ReplicaId, parts: Vec<AttemptId>) {
         self.ran.borrow_mut().extend(&parts);
-        let (hall, answers) = (self.hall.clone(), self.answers);
+        let (event_loop, answers) = (self.event_loop.clone(), self.answers);
         tokio::task::spawn_local(async move {
             for call in parts.into_iter().filter(|_| answers) {
-                hall.tell(|e| e.ended(call, AttemptOutcome::Success, Some("v".into()), None));
+                event_loop.tell(|e| e.ended(call, AttemptOutcome::Success, Some("v".into()), None));
             }
         });
     }
-    fn give_up(&mut self, _: ReplicaId, _: CallNo) {}
+    fn give_up(&mut self, _: ReplicaId, _: AttemptId) {}
     fn probe(&mut self, _: ReplicaId) {}
 }
 
 struct Scene {
     address: SocketAddr,
-    hall: Rc<Hall>,
-    ran: Rc<RefCell<Vec<CallNo>>>,
+    event_loop: Rc<EventLoop>,
+    ran: Rc<RefCell<Vec<AttemptId>>>,
     leave: watch::Sender<bool>,
 }
 
@@ -71,16 +71,22 @@
         let (clock, counters) = (Clock::start(), Counters::default());
         let coordinator = SettingsReader::new(&serde_json::from_str(TOLD).unwrap()).coordinator(1).unwrap();
         let mut exchange = Exchange::new(coordinator, 1000, 4, counters.clone());
-        let row =
-            Listed { uid: "l".into(), address: Some(address), cell: 0, zone: None, up: true, started: None };
+        let row = Endpoint {
+            uid: "l".into(),
+            address: Some(address),
+            cell: 0,
+            zone: None,
+            up: true,
+            started: None,
+        };
         exchange.list(clock.now(), true, vec![row]);
-        let hall = Rc::new(Hall::new(clock, counters, Sockets::new(9), exchange));
+        let event_loop = Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange));
         let (second, ran) = (Duration::from_secs(1), Rc::default());
         let (leave, left) = watch::channel(false);
-        let ground = Ground {
-            hall: hall.clone(),
-            leaves: Leaves::new(hall.clone(), 8, second, second),
-            verticals: vec!["view".into(), "sale".into()],
+        let ground = ServerContext {
+            event_loop: event_loop.clone(),
+            replicas: ReplicaPool::new(event_loop.clone(), 8, second, second),
+            classes: vec!["view".into(), "sale".into()],
             shards: 4,
             cells: 1,
             longest: TimeSpan::from_millis(6000),
@@ -93,11 +99,11 @@
         };
         let far = Far::new(&ground, "south", 77, vec!["north".into()]);
         tokio::task::spawn_local(far.listen(address));
-        let side: Rc<RefCell<dyn LeafSide>> =
-            Rc::new(RefCell::new(Runs { hall: hall.clone(), ran: Rc::clone(&ran), answers }));
-        let turns = hall.clone();
+        let side: Rc<RefCell<dyn ReplicaTransport>> =
+            Rc::new(RefCell::new(Runs { event_loop: event_loop.clone(), ran: Rc::clone(&ran), answers }));
+        let turns = event_loop.clone();
         tokio::task::spawn_local(async move { turns.take_turns(TimeSpan::from_millis(1), &*side).await });
-        tokio::time::timeout(Duration::from_secs(30), scene(Scene { address, hall, ran, leave }))
+        tokio::time::timeout(Duration::from_secs(30), scene(Scene { address, event_loop, ran, leave }))
             .await
             .unwrap();
     });
@@ -164,11 +170,11 @@
     Said::Hello { version, site: site.into(), instance, lane: 0, credit: 1 << 20, can: 0 }
 }
 
-fn forward(number: u64, vertical: &str) -> Said {
+fn forward(number: u64, class: &str) -> Said {
     Said::Forward(Forward {
         number,
         id: "q".into(),
-        vertical: vertical.into(),
+        class: class.into(),
         left: TimeSpan::from_millis(4000),
         further: 0,
         crossed: vec!["north".into()],
@@ -256,7 +262,7 @@
         for (change, how) in [
             ((|f| f.left = TimeSpan::from_millis(1)) as fn(&mut Forward), How::Late),
             (|f| f.left = TimeSpan::from_millis(-50), How::Late),
-            (|f| f.vertical = "nothing".into(), How::NotHere),
+            (|f| f.class = "nothing".into(), How::NotHere),
             (|f| f.parts[0].0 = 99, How::NotHere),
             (|f| f.crossed = vec!["south".into()], How::NotHere),
             (|f| f.crossed.push("west".into()), How::NotHere),
@@ -282,7 +288,7 @@
         peer.say(&Said::GiveUp { number: 1 }).await;
         assert_eq!(peer.told().await, (vec![], How::Aborted));
         tokio::time::sleep(Duration::from_millis(20)).await;
-        assert!(scene.hall.ask(Exchange::quiet), "nothing is held for it");
+        assert!(scene.event_loop.ask(Exchange::quiet), "nothing is held for it");
     });
 }
 
@@ -302,7 +308,13 @@
         ] {
             let counted = || {
                 let (what, which) = why.split_once(' ').unwrap();
-                scene.hall.counters.all().iter().find(|(w, k, _)| w == what && k == which).map_or(0, |c| c.2)
+                scene
+                    .event_loop
+                    .counters
+                    .all()
+                    .iter()
+                    .find(|(w, k, _)| w == what && k == which)
+                    .map_or(0, |c| c.2)
             };
             let before = counted();
             let mut peer = Peer::connect(&scene).await;
--- a/crates/pipitcrank-gateway/tests/stored_forms.rs
+++ b/crates/pipitcrank-gateway/tests/stored_forms.rs
@@ -11,7 +11,7 @@
     Forward {
         number: 7,
         id: "9b1f".into(),
-        vertical: "view".into(),
+        class: "view".into(),
         left: TimeSpan::from_millis(800),
         further: 2,
         crossed: vec!["north".into()],
--- a/crates/pipitcrank-handover/src/division.rs
+++ b/crates/pipitcrank-handover/src/division.rs
@@ -6,7 +6,7 @@
 //! purse's time is over are passed on, so that the new one's own bound never falls while the old one may send, and what
 //! held at its last further call holds at each of the old one's.
 //!
-//! **Cold leaves** (rule 4): the new process has the allowance with all that was sent; the old one sends them nothing.
+//! **Cold replicas** (rule 4): the new process has the allowance with all that was sent; the old one sends them nothing.
 //!
 //! **Sockets and open queries**: the old one keeps what it has and tells the new one as that shrinks.
 
--- a/crates/pipitcrank-handover/src/passing.rs
+++ b/crates/pipitcrank-handover/src/passing.rs
@@ -170,7 +170,7 @@
 }
 
 /// The machine's monotonic clock in microseconds: the same for all its processes.
-pub fn mono_us() -> i64 {
+pub fn monotonic_micros() -> i64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec * 1_000_000 + now.tv_nsec / 1000
 }
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -10,7 +10,7 @@
 const MAGIC: [u8; 4] = *b"pckn";
 /// Raised with each change of the body's form.
 pub const VERSION: u16 = 2;
-/// Longest body: some twenty thousand leaves.
+/// Longest body: some twenty thousand replicas.
 pub const LONGEST: usize = 4 << 20;
 const HEAD: usize = 4 + 2 + 4 + 4;
 /// Most of each kind taken: far above what any told limit lets be held.
@@ -22,15 +22,15 @@
     pub taken_us: i64,
     /// Version of discovery's list, where one is held.
     pub rev: Option<u64>,
-    pub leaves: Vec<SeenLeaf>,
+    pub replicas: Vec<ReplicaRecord>,
     pub known: LearnedState,
     /// Further calls that stay with the giver, and for how long.
     pub lent: (u32, TimeSpan),
 }
 
-/// One leaf of the list; its place is the index by which `known` names it.
+/// One replica of the list; its place is the index by which `known` names it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SeenLeaf {
+pub struct ReplicaRecord {
     pub index: u32,
     pub uid: String,
     pub address: Option<SocketAddr>,
@@ -91,10 +91,10 @@
         }
         let (snapshot, rest): (Snapshot, _) = postcard::take_from_bytes(body).map_err(|_| Refused::Body)?;
         let few =
-            snapshot.leaves.len().max(snapshot.known.taken.len()).max(snapshot.known.further.len()) <= MOST;
+            snapshot.replicas.len().max(snapshot.known.taken.len()).max(snapshot.known.further.len()) <= MOST;
         let past = |s: &Option<TimeSpan>| s.is_none_or(|s| s >= TimeSpan::ZERO);
-        let leaves = snapshot.leaves.iter().all(|l| past(&l.off) && !l.uid.is_empty());
-        if rest.is_empty() && few && leaves && snapshot.known.sound() {
+        let replicas = snapshot.replicas.iter().all(|l| past(&l.off) && !l.uid.is_empty());
+        if rest.is_empty() && few && replicas && snapshot.known.sound() {
             Ok(snapshot)
         } else {
             Err(Refused::Unsound)
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn some() -> Snapshot {
-    let leaf = |n: u32| SeenLeaf {
+    let replica = |n: u32| ReplicaRecord {
         index: n,
         uid: format!("s-{n}"),
         address: Some(([127, 0, 0, 1], n as u16).into()),
@@ -29,7 +29,7 @@
     Snapshot {
         taken_us: 5,
         rev: Some(7),
-        leaves: (0..4).map(leaf).collect(),
+        replicas: (0..4).map(replica).collect(),
         known: fresh,
         lent: (2, TimeSpan::from_millis(9)),
     }
--- a/crates/pipitcrank-handover/src/words.rs
+++ b/crates/pipitcrank-handover/src/words.rs
@@ -32,7 +32,7 @@
 
 /// From a worker to the keeper.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToKeeper {
+pub enum ToSupervisor {
     Hello {
         version: u16,
     },
@@ -50,19 +50,19 @@
 
 /// From the old worker to the new one.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum ToNew {
+pub enum ToSuccessor {
     Hello {
         version: u16,
     },
     /// A snapshot as encoded, or nothing where none could be made.
     Known(Vec<u8>),
-    Ask(RelayedAsk),
+    Ask(RelayedQuery),
     Gone {
         ticket: u64,
     },
-    /// What the old one still holds: connections to leaves, to clients, open queries and parts.
+    /// What the old one still holds: connections to replicas, to clients, open queries and parts.
     Room {
-        leaves: u32,
+        replicas: u32,
         clients: u32,
         open: u32,
     },
@@ -78,21 +78,21 @@
         counters: Vec<(String, String, u64)>,
     },
     /// A query that came with a key by which leaves know a repeat. Last, so that the older messages keep their form.
-    AskWithKey(RelayedAsk, String),
+    AskWithKey(RelayedQuery, String),
 }
 
 /// From the new worker to the old one.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum ToOld {
+pub enum ToPredecessor {
     Hello { version: u16 },
-    Answer { ticket: u64, last: RelayedFinal },
+    Answer { ticket: u64, last: RelayedResponse },
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RelayedAsk {
+pub struct RelayedQuery {
     pub ticket: u64,
     pub id: String,
-    pub vertical: u16,
+    pub class: u16,
     /// Time left.
     pub left: TimeSpan,
     pub parts: Vec<(u32, f64, Option<f64>)>,
@@ -100,7 +100,7 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum RelayedFinal {
+pub enum RelayedResponse {
     Merged { whole: bool, hits: Vec<(u32, String)> },
     Rejected { stay_away: TimeSpan },
     Aborted,
--- a/crates/pipitcrank-handover/tests/passing.rs
+++ b/crates/pipitcrank-handover/tests/passing.rs
@@ -6,7 +6,7 @@
 use std::os::unix::net::UnixStream;
 
 use pipitcrank_handover::passing::{Broken, Incoming, Outgoing, join, pair};
-use pipitcrank_handover::words::{ToKeeper, ToNew, ToOld, VERSION};
+use pipitcrank_handover::words::{ToPredecessor, ToSuccessor, ToSupervisor, VERSION};
 use proptest::prelude::*;
 
 fn play<T>(scene: impl AsyncFnOnce() -> T) -> T {
@@ -27,7 +27,7 @@
         b.write_all(bytes).unwrap();
         drop(b);
         loop {
-            match from.next::<ToKeeper>().await {
+            match from.next::<ToSupervisor>().await {
                 Ok(_) => {}
                 Err(broken) => return broken,
             }
@@ -35,7 +35,7 @@
     })
 }
 
-fn encoded(message: &ToKeeper) -> Vec<u8> {
+fn encoded(message: &ToSupervisor) -> Vec<u8> {
     play(async || {
         let (a, mut b) = pair().unwrap();
         let (to, _from) = join(a).unwrap();
@@ -66,11 +66,11 @@
             theirs.write_all(&n.to_be_bytes()).unwrap();
             let with = n % 3 != 1;
             let read = vec![n as u8; (n as usize * 7919) % 300_000];
-            to.send(&ToNew::Connection { read, whole_within: None }, with.then(|| OwnedFd::from(ours)));
+            to.send(&ToSuccessor::Connection { read, whole_within: None }, with.then(|| OwnedFd::from(ours)));
         }
         for n in 0..40u32 {
-            let (message, fd) = from.next::<ToNew>().await.unwrap();
-            let ToNew::Connection { read, .. } = message else { panic!("another message") };
+            let (message, fd) = from.next::<ToSuccessor>().await.unwrap();
+            let ToSuccessor::Connection { read, .. } = message else { panic!("another message") };
             assert!(read.len() == (n as usize * 7919) % 300_000 && read.iter().all(|b| *b == n as u8));
             assert_eq!(fd.is_some(), n % 3 != 1);
             if let Some(fd) = fd {
@@ -85,7 +85,7 @@
 #[test]
 fn a_closed_link_and_one_cut_within_a_message_are_told_apart() {
     assert!(matches!(fed(b""), Broken::Closed));
-    let hello = encoded(&ToKeeper::Hello { version: VERSION });
+    let hello = encoded(&ToSupervisor::Hello { version: VERSION });
     assert!(matches!(fed(&hello), Broken::Closed));
     for cut in 1..hello.len() {
         assert!(matches!(fed(&hello[..cut]), Broken::Cut), "cut at {cut}");
@@ -95,7 +95,7 @@
 #[test]
 fn messages_that_are_too_long_or_lack_their_descriptor_or_have_more_behind_end_it() {
     assert!(matches!(fed(&u32::MAX.to_be_bytes()), Broken::TooLong(_)));
-    let hello = encoded(&ToKeeper::Checked);
+    let hello = encoded(&ToSupervisor::Checked);
     let mut with_fd = hello.clone();
     with_fd[4] = 1;
     assert!(matches!(fed(&with_fd), Broken::Descriptors));
@@ -115,10 +115,10 @@
         for _ in 0..70 {
             let (ours, _) = UnixStream::pair().unwrap();
             // A message that says it has none: its descriptor stays in the queue.
-            to.send_with_stray(&ToOld::Hello { version: VERSION }, ours.into());
+            to.send_with_stray(&ToPredecessor::Hello { version: VERSION }, ours.into());
         }
         let broken = loop {
-            match from.next::<ToOld>().await {
+            match from.next::<ToPredecessor>().await {
                 Ok((_, fd)) => assert!(fd.is_none()),
                 Err(broken) => break broken,
             }
--- a/crates/pipitcrank-handover/tests/stored_forms.rs
+++ b/crates/pipitcrank-handover/tests/stored_forms.rs
@@ -3,8 +3,10 @@
 use std::fmt::Debug;
 
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_handover::snapshot::{SeenLeaf, Snapshot};
-use pipitcrank_handover::words::{RelayedAsk, RelayedFinal, ToKeeper, ToNew, ToOld, ToWorker};
+use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
+use pipitcrank_handover::words::{
+    RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -21,8 +23,8 @@
     Snapshot {
         taken_us: 1_700_000_123,
         rev: Some(77),
-        leaves: vec![
-            SeenLeaf {
+        replicas: vec![
+            ReplicaRecord {
                 index: 3,
                 uid: "s-3".into(),
                 address: Some(([127, 0, 0, 1], 7010).into()),
@@ -31,7 +33,7 @@
                 started: Some(TimeSpan::from_millis(70)),
                 off: Some(TimeSpan::from_millis(6)),
             },
-            SeenLeaf {
+            ReplicaRecord {
                 index: 9,
                 uid: "s-9".into(),
                 address: None,
@@ -52,11 +54,11 @@
     fixtures::check("snapshot.hex", &[("snapshot", snapshot())], encode, |b| Snapshot::decode(b).unwrap());
 }
 
-fn ask() -> RelayedAsk {
-    RelayedAsk {
+fn ask() -> RelayedQuery {
+    RelayedQuery {
         ticket: 21,
         id: "9b1f".into(),
-        vertical: 2,
+        class: 2,
         left: TimeSpan::from_millis(850),
         parts: vec![(3, 0.75, None), (4, 0.25, Some(0.01))],
         text: "c41e77d0".into(),
@@ -80,40 +82,43 @@
     check(
         "upgrade_to_supervisor.hex",
         &[
-            ("hello", ToKeeper::Hello { version: 1 }),
-            ("checked", ToKeeper::Checked),
-            ("learned", ToKeeper::Learned),
-            ("beat", ToKeeper::Beat),
-            ("drained", ToKeeper::Drained),
-            ("passed", ToKeeper::Passed),
+            ("hello", ToSupervisor::Hello { version: 1 }),
+            ("checked", ToSupervisor::Checked),
+            ("learned", ToSupervisor::Learned),
+            ("beat", ToSupervisor::Beat),
+            ("drained", ToSupervisor::Drained),
+            ("passed", ToSupervisor::Passed),
         ],
     );
     check(
         "upgrade_to_new.hex",
         &[
-            ("hello", ToNew::Hello { version: 1 }),
-            ("known", ToNew::Known(vec![1, 2, 255])),
-            ("ask", ToNew::Ask(ask())),
-            ("gone", ToNew::Gone { ticket: 21 }),
-            ("room", ToNew::Room { leaves: 11, clients: 12, open: 13 }),
+            ("hello", ToSuccessor::Hello { version: 1 }),
+            ("known", ToSuccessor::Known(vec![1, 2, 255])),
+            ("ask", ToSuccessor::Ask(ask())),
+            ("gone", ToSuccessor::Gone { ticket: 21 }),
+            ("room", ToSuccessor::Room { replicas: 11, clients: 12, open: 13 }),
             (
                 "connection",
-                ToNew::Connection { read: b"POST".to_vec(), whole_within: Some(TimeSpan::from_millis(2500)) },
+                ToSuccessor::Connection {
+                    read: b"POST".to_vec(),
+                    whole_within: Some(TimeSpan::from_millis(2500)),
+                },
             ),
-            ("idle_connection", ToNew::Connection { read: Vec::new(), whole_within: None }),
-            ("bye", ToNew::Bye { further: 3, counters: vec![("queries".into(), "taken".into(), 9)] }),
-            ("ask_with_key", ToNew::AskWithKey(ask(), "19dd61b8".into())),
+            ("idle_connection", ToSuccessor::Connection { read: Vec::new(), whole_within: None }),
+            ("bye", ToSuccessor::Bye { further: 3, counters: vec![("queries".into(), "taken".into(), 9)] }),
+            ("ask_with_key", ToSuccessor::AskWithKey(ask(), "19dd61b8".into())),
         ],
     );
-    let answer = |last| ToOld::Answer { ticket: 21, last };
+    let answer = |last| ToPredecessor::Answer { ticket: 21, last };
     check(
         "upgrade_to_old.hex",
         &[
-            ("hello", ToOld::Hello { version: 1 }),
-            ("merged", answer(RelayedFinal::Merged { whole: true, hits: vec![(3, "5be2".into())] })),
-            ("rejected", answer(RelayedFinal::Rejected { stay_away: TimeSpan::from_millis(50) })),
-            ("aborted", answer(RelayedFinal::Aborted)),
-            ("repeated", answer(RelayedFinal::Repeated)),
+            ("hello", ToPredecessor::Hello { version: 1 }),
+            ("merged", answer(RelayedResponse::Merged { whole: true, hits: vec![(3, "5be2".into())] })),
+            ("rejected", answer(RelayedResponse::Rejected { stay_away: TimeSpan::from_millis(50) })),
+            ("aborted", answer(RelayedResponse::Aborted)),
+            ("repeated", answer(RelayedResponse::Repeated)),
         ],
     );
 }
--- a/crates/pipitcrank-membership/src/evidence.rs
+++ b/crates/pipitcrank-membership/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What copies see of zones, joined. Each copy says in bounded numbers what it sees of each zone's leaves; the newest word
+//! What copies see of zones, joined. Each copy says in bounded numbers what it sees of each zone's replicas; the newest word
 //! of each that is not too old makes a matrix, from zone to zone. From that: a zone that is dead, a way between two zones
 //! that is cut, a zone cut off from all, and one copy that is itself sick are four different things. Nothing is decided
 //! here of where work goes.
@@ -15,13 +15,13 @@
 /// A word is good for so long: some of those who speak so often may be lost.
 pub const SPEAK: TimeSpan = TimeSpan::from_millis(250);
 const GOOD_FOR: TimeSpan = TimeSpan::from_millis(1000);
-/// Share of the leaves seen that are bad from which a zone is seen as bad, and from which it is seen as well again.
+/// Share of the replicas seen that are bad from which a zone is seen as bad, and from which it is seen as well again.
 pub const BAD: f64 = 0.8;
 pub const WELL: f64 = 0.2;
 /// A copy that holds this share of all zones but its own for bad, while others of its zone do not, is sick itself.
 const MOST: f64 = 0.99;
 
-/// What one copy sees of one zone's leaves, as counts; work in thousandths of a leaf's second, each second.
+/// What one copy sees of one zone's replicas, as counts; work in thousandths of a replica's second, each second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     pub listed: u16,
@@ -39,7 +39,7 @@
         [self.answering, self.silent, self.failing, self.full].iter().map(|&n| u32::from(n)).sum()
     }
 
-    /// Share of the leaves seen that give nothing; none where nothing was seen.
+    /// Share of the replicas seen that give nothing; none where nothing was seen.
     pub fn bad(&self) -> Option<f64> {
         let seen = self.seen();
         (seen > 0).then(|| f64::from(u32::from(self.silent) + u32::from(self.failing)) / f64::from(seen))
@@ -92,7 +92,7 @@
 pub struct Cell {
     /// Copies whose word counts.
     pub speakers: usize,
-    /// Share of leaves seen that give nothing; none where none was seen.
+    /// Share of replicas seen that give nothing; none where none was seen.
     pub bad: Option<f64>,
     pub full: f64,
     pub cold: f64,
@@ -109,11 +109,11 @@
     /// Nobody has seen enough of it.
     Unknown,
     Well,
-    /// Some of its leaves give nothing: it can carry less.
+    /// Some of its replicas give nothing: it can carry less.
     Part,
     /// It takes work and all of it waits.
     Slow,
-    /// Nobody gets anything from its leaves, its own copies, where any speak, no more than others.
+    /// Nobody gets anything from its replicas, its own copies, where any speak, no more than others.
     Dead,
     /// No other zone reaches it, and no copy of its own says anything.
     CutOff,
--- a/crates/pipitcrank-membership/src/evidence/tests.rs
+++ b/crates/pipitcrank-membership/src/evidence/tests.rs
@@ -10,7 +10,7 @@
     Row { listed: good + silent, answering: good, silent, ..Row::default() }
 }
 
-/// Three copies a zone; each zone sees each other with so many of ten leaves silent.
+/// Three copies a zone; each zone sees each other with so many of ten replicas silent.
 fn joined(silent: [[u16; 3]; 3]) -> Matrix {
     let mut words = Words::new(3);
     for zone in 0..3u16 {
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn all_copies_of_a_zone_alone_with_dead_leaves_are_heard() {
-    // Of the copies of zone 1 all see their own leaves dead, and the others' well.
+fn all_copies_of_a_zone_alone_with_dead_replicas_are_heard() {
+    // Of the copies of zone 1 all see their own replicas dead, and the others' well.
     let matrix = joined([[0, 10, 0], [0, 10, 0], [0, 10, 0]]);
     assert_eq!((matrix.finding(1), matrix.speakers(1)), (Finding::Dead, 3));
-    // The other way round: its leaves are well, and none of its copies speaks.
+    // The other way round: its replicas are well, and none of its copies speaks.
     let mut words = Words::new(2);
     words.take(
         Timestamp::default(),
--- a/crates/pipitcrank-recovery/src/beliefs.rs
+++ b/crates/pipitcrank-recovery/src/beliefs.rs
@@ -37,7 +37,7 @@
 /// What of it is gone by.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recalled {
-    /// How long ago, and what was known of leaves.
+    /// How long ago, and what was known of replicas.
     pub known: Option<(TimeSpan, Snapshot)>,
     pub decision: Option<Decision>,
     pub members: Vec<Peer>,
@@ -79,7 +79,7 @@
         (rest.is_empty() && beliefs.members.len() <= MOST_MEMBERS).then_some(beliefs)
     }
 
-    /// What of it may be gone by now. `oldest`: what is older is no knowledge of leaves.
+    /// What of it may be gone by now. `oldest`: what is older is no knowledge of replicas.
     pub fn recall(self, now: Clocks, oldest: TimeSpan) -> Recalled {
         let age = age(self.written, now);
         let young = age.filter(|age| *age <= oldest);
--- a/crates/pipitcrank-recovery/src/store.rs
+++ b/crates/pipitcrank-recovery/src/store.rs
@@ -27,7 +27,7 @@
 const AGAIN: Duration = Duration::from_millis(1000);
 /// The store's own cache: what is kept is some ten thousand bytes.
 const CACHE: usize = 512 * 1024;
-/// Longest value taken: a snapshot of the most leaves told and its head.
+/// Longest value taken: a snapshot of the most replicas told and its head.
 const LONGEST: usize = 8 << 20;
 
 const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
--- a/crates/pipitcrank-server/src/acceptor.rs
+++ b/crates/pipitcrank-server/src/acceptor.rs
@@ -17,9 +17,9 @@
 use crate::client_task::{Mood, serve, turn_away};
 use crate::clock::duration;
 use crate::counters::Counters;
+use crate::event_loop::{ConnectionLimiter, ConnectionPermit};
 use crate::exchange::REQUESTS;
 use crate::front::EndCalled;
-use crate::hall::{Place, Sockets};
 use crate::shutdown::ShutdownSchedule;
 
 /// How often connections are looked over: a tenth of the second that is to spare where one has to end by a time.
@@ -56,7 +56,7 @@
 
 impl Rounds {
     /// `waited`: how long a new one may have waited to be accepted.
-    fn receive(&self, place: Option<Place>, come: Adopted, waited: Option<Duration>) {
+    fn receive(&self, place: Option<ConnectionPermit>, come: Adopted, waited: Option<Duration>) {
         let new = waited.is_some();
         self.counters.add("clients", if new { "accepted" } else { "adopted" });
         let (router, counters, mood) = (self.router.clone(), self.counters.clone(), self.mood.clone());
@@ -78,7 +78,7 @@
         });
     }
 
-    fn accepted(&self, place: Option<Place>, accepted: Accepted) {
+    fn accepted(&self, place: Option<ConnectionPermit>, accepted: Accepted) {
         let Accepted { stream, waited } = accepted;
         let come = Adopted { stream, read: Bytes::new(), whole_within: None };
         self.receive(place, come, Some(waited));
@@ -89,7 +89,7 @@
     fn take_the_rest(
         &self,
         queue: ClosingQueue,
-        clients: &Sockets,
+        clients: &ConnectionLimiter,
         turned_away: &Rc<()>,
     ) -> Option<ClosingQueue> {
         loop {
@@ -123,7 +123,7 @@
 pub async fn keep(
     mut orders: UnboundedReceiver<Order>,
     router: Router,
-    clients: Sockets,
+    clients: ConnectionLimiter,
     counters: Counters,
     schedule: ShutdownSchedule,
     mut end_called: EndCalled,
@@ -218,8 +218,8 @@
     }
 }
 
-/// Ends when there may be a place again, after asking for one that the leaf side does not need.
-async fn more(clients: &Sockets) {
+/// Ends when there may be a place again, after asking for one that the replica side does not need.
+async fn more(clients: &ConnectionLimiter) {
     let freed = clients.freed();
     clients.want();
     freed.await;
--- a/crates/pipitcrank-server/src/audit.rs
+++ b/crates/pipitcrank-server/src/audit.rs
@@ -66,9 +66,9 @@
     tracing::error!(rule = rule.name(), request, reason, "a rule is broken");
 }
 
-/// What the settings say of one vertical.
+/// What the settings say of one request class.
 #[derive(Clone, Copy, Debug)]
-pub struct VerticalTerms {
+pub struct ClassRules {
     pub idempotency: Idempotency,
     pub dedup_window: TimeSpan,
     /// Weight needed for any answer, and for a whole one.
@@ -79,7 +79,7 @@
 /// What the settings say of attempts.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub verticals: Vec<VerticalTerms>,
+    pub classes: Vec<ClassRules>,
     pub may_duplicate: bool,
     pub try_limit: u32,
     pub drain_grace: TimeSpan,
@@ -93,7 +93,7 @@
 pub struct Taken<'a> {
     pub ticket: u64,
     pub id: &'a str,
-    pub vertical: RequestClassId,
+    pub class: RequestClassId,
     /// When the client's own time is over.
     pub client_ends: Timestamp,
     /// Another site's: that one counts it in its budget.
@@ -105,14 +105,14 @@
 pub struct Sent {
     pub part: PartId,
     pub attempt: u32,
-    pub leaf: ReplicaId,
+    pub replica: ReplicaId,
     /// The time told to the replica.
     pub told: TimeSpan,
 }
 
 struct Query {
     id: Rc<str>,
-    vertical: RequestClassId,
+    class: RequestClassId,
     client_ends: Timestamp,
     lent: bool,
     answered: bool,
@@ -139,13 +139,13 @@
     attempts: Vec<Attempt>,
 }
 
-/// The books. A query's and a part's entry end as the exchange lets go of them, a leaf's with the leaf.
+/// The books. A query's and a part's entry end as the exchange lets go of them, a replica's with the replica.
 pub struct Audit {
     terms: Terms,
     counters: Counters,
     queries: BTreeMap<u64, Query>,
     parts: BTreeMap<PartId, PartBook>,
-    /// Since when leaves count as draining or gone.
+    /// Since when replicas count as draining or gone.
     drained: BTreeMap<ReplicaId, Timestamp>,
     /// Times of requests taken and of further attempts; emptied as they leave the budget's span.
     taken: VecDeque<Timestamp>,
@@ -166,10 +166,10 @@
     }
 
     pub fn taken(&mut self, now: Timestamp, taken: Taken) {
-        let Taken { ticket, id, vertical, client_ends, lent, parts } = taken;
+        let Taken { ticket, id, class, client_ends, lent, parts } = taken;
         let query = Query {
             id: id.into(),
-            vertical,
+            class,
             client_ends,
             lent,
             answered: false,
@@ -190,7 +190,7 @@
 
     /// The last look has passed it: its first byte is written next.
     pub fn sent(&mut self, now: Timestamp, sent: Sent) {
-        let Sent { part, attempt, leaf, told } = sent;
+        let Sent { part, attempt, replica, told } = sent;
         let Some(book) = self.parts.get(&part) else {
             return violated(&self.counters, Rule::SentAfterAnswer, "unknown", "the part is not held");
         };
@@ -198,7 +198,7 @@
             return violated(&self.counters, Rule::SentAfterAnswer, "unknown", "the query is not held");
         };
         let (further, lent) = (!book.attempts.is_empty(), query.lent);
-        for (rule, reason) in self.broken_by(now, query, book, leaf, told) {
+        for (rule, reason) in self.broken_by(now, query, book, replica, told) {
             violated(&self.counters, rule, &query.id, reason);
         }
         let id = query.id.clone();
@@ -216,18 +216,18 @@
         now: Timestamp,
         query: &Query,
         book: &PartBook,
-        leaf: ReplicaId,
+        replica: ReplicaId,
         told: TimeSpan,
     ) -> Vec<(Rule, &'static str)> {
         let terms = &self.terms;
-        let vertical = &terms.verticals[query.vertical.0 as usize];
+        let class = &terms.classes[query.class.0 as usize];
         let risky = book.attempts.iter().find(|a| !matches!(a.state, State::NeverRan));
         let out = book.attempts.iter().any(|a| matches!(a.state, State::Out));
-        let drained = self.drained.get(&leaf).is_some_and(|&since| now - since > terms.drain_grace);
+        let drained = self.drained.get(&replica).is_some_and(|&since| now - since > terms.drain_grace);
         let closed = query.closed.is_some_and(|at| now - at > CLOSE_SLACK);
-        let unsafe_again = vertical.idempotency == Idempotency::NonIdempotent && risky.is_some();
-        let late_again = vertical.idempotency == Idempotency::IdempotentByKey
-            && risky.is_some_and(|first| now - first.at > vertical.dedup_window);
+        let unsafe_again = class.idempotency == Idempotency::NonIdempotent && risky.is_some();
+        let late_again = class.idempotency == Idempotency::IdempotentByKey
+            && risky.is_some_and(|first| now - first.at > class.dedup_window);
         let all = [
             (query.answered, Rule::SentAfterAnswer, "its query was answered"),
             (closed, Rule::SentAfterClose, "its client had closed"),
@@ -285,8 +285,8 @@
         if now - query.client_ends > ANSWER_SLACK && query.closed.is_none() {
             violated(&self.counters, Rule::LateAnswer, &query.id, "after the client's time");
         }
-        let vertical = &self.terms.verticals[query.vertical.0 as usize];
-        let needed = if whole { vertical.whole_from } else { vertical.floor.min(vertical.whole_from) };
+        let class = &self.terms.classes[query.class.0 as usize];
+        let needed = if whole { class.whole_from } else { class.floor.min(class.whole_from) };
         if weight.is_some_and(|weight| weight + 2.0 * WEIGHT_SLACK < needed) {
             violated(&self.counters, Rule::DishonestAnswer, &query.id, "the parts in it weigh too little");
         }
@@ -301,14 +301,14 @@
         }
     }
 
-    /// A leaf counts as draining or gone since then, or is up.
-    pub fn listed(&mut self, leaf: ReplicaId, off_since: Option<Timestamp>) {
+    /// A replica counts as draining or gone since then, or is up.
+    pub fn listed(&mut self, replica: ReplicaId, off_since: Option<Timestamp>) {
         match off_since {
             Some(since) => {
-                self.drained.entry(leaf).or_insert(since);
+                self.drained.entry(replica).or_insert(since);
             }
             None => {
-                self.drained.remove(&leaf);
+                self.drained.remove(&replica);
             }
         }
     }
@@ -335,8 +335,8 @@
         }
     }
 
-    pub fn release_replica(&mut self, leaf: ReplicaId) {
-        self.drained.remove(&leaf);
+    pub fn release_replica(&mut self, replica: ReplicaId) {
+        self.drained.remove(&replica);
     }
 
     /// Entries held, of queries and parts.
--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -6,24 +6,24 @@
 const VIEW: RequestClassId = RequestClassId(0);
 const SALE: RequestClassId = RequestClassId(1);
 const PAY: RequestClassId = RequestClassId(2);
-const LEAF: ReplicaId = ReplicaId(7);
+const REPLICA: ReplicaId = ReplicaId(7);
 
 fn at(ms: i64) -> Timestamp {
     Timestamp::from_micros(ms * 1000)
 }
 
 fn terms() -> Terms {
-    let vertical = |idempotency, floor| VerticalTerms {
+    let class = |idempotency, floor| ClassRules {
         idempotency,
         dedup_window: TimeSpan::from_millis(1000),
         floor,
         whole_from: 1.0,
     };
     Terms {
-        verticals: vec![
-            vertical(Idempotency::Idempotent, 0.5),
-            vertical(Idempotency::NonIdempotent, 1.0),
-            vertical(Idempotency::IdempotentByKey, 1.0),
+        classes: vec![
+            class(Idempotency::Idempotent, 0.5),
+            class(Idempotency::NonIdempotent, 1.0),
+            class(Idempotency::IdempotentByKey, 1.0),
         ],
         may_duplicate: false,
         try_limit: 3,
@@ -40,27 +40,27 @@
 }
 
 impl Books {
-    /// With one query of that vertical, of two parts, whose client waits until 4 s.
-    fn with(vertical: RequestClassId) -> Books {
-        Books::told(terms(), vertical)
+    /// With one query of that request class, of two parts, whose client waits until 4 s.
+    fn with(class: RequestClassId) -> Books {
+        Books::told(terms(), class)
     }
 
-    fn told(terms: Terms, vertical: RequestClassId) -> Books {
+    fn told(terms: Terms, class: RequestClassId) -> Books {
         let counters = Counters::default();
         let mut books = Books { audit: Audit::new(terms, counters.clone()), counters };
-        books.takes(1, vertical, &[PartId(0), PartId(1)]);
+        books.takes(1, class, &[PartId(0), PartId(1)]);
         books
     }
 
-    fn takes(&mut self, ticket: u64, vertical: RequestClassId, parts: &[PartId]) {
+    fn takes(&mut self, ticket: u64, class: RequestClassId, parts: &[PartId]) {
         let client_ends = at(4000);
-        let taken = Taken { ticket, id: "q", vertical, client_ends, lent: false, parts };
+        let taken = Taken { ticket, id: "q", class, client_ends, lent: false, parts };
         self.audit.taken(at(0), taken);
     }
 
     fn sends(&mut self, ms: i64, part: u32, attempt: u32) {
         let told = at(4000) - at(ms);
-        self.audit.sent(at(ms), Sent { part: PartId(part), attempt, leaf: LEAF, told });
+        self.audit.sent(at(ms), Sent { part: PartId(part), attempt, replica: REPLICA, told });
     }
 
     fn ends(&mut self, part: u32, attempt: u32, outcome: AttemptOutcome) {
@@ -110,7 +110,7 @@
 fn more_time_told_than_the_client_has_is_counted() {
     let mut books = Books::with(VIEW);
     let told = TimeSpan::from_millis(3151);
-    books.audit.sent(at(1000), Sent { part: PartId(0), attempt: 0, leaf: LEAF, told });
+    books.audit.sent(at(1000), Sent { part: PartId(0), attempt: 0, replica: REPLICA, told });
     assert_eq!(books.broken(), ["deadline_told"]);
 }
 
@@ -157,8 +157,8 @@
 #[test]
 fn a_part_sent_to_a_drained_replica_beyond_the_grace_is_counted() {
     let mut books = Books::with(VIEW);
-    books.audit.listed(LEAF, Some(at(100)));
-    books.audit.listed(LEAF, Some(at(250)));
+    books.audit.listed(REPLICA, Some(at(100)));
+    books.audit.listed(REPLICA, Some(at(250)));
     books.sends(300, 0, 0);
     assert!(books.broken().is_empty(), "within the grace");
     books.sends(301, 1, 0);
--- a/crates/pipitcrank-server/src/discovery.rs
+++ b/crates/pipitcrank-server/src/discovery.rs
@@ -25,8 +25,8 @@
 use crate::clock::Clock;
 use crate::dial::Connector;
 use crate::ends::ConnectionEnd;
-use crate::exchange::Listed;
-use crate::hall::Hall;
+use crate::event_loop::EventLoop;
+use crate::exchange::Endpoint;
 use crate::objects::{Objects, Spoilt};
 
 /// A watch that brings nothing whole for so long has died unnoticed, or never ends an object: an empty line is due every
@@ -55,7 +55,7 @@
 const PAID_COPIES: u32 = 8;
 /// Doublings at most.
 const PAID_DOUBLED: u32 = 8;
-/// Longest list taken: some ten thousand leaves, indented, and a tenth of the least memory that platforms tell.
+/// Longest list taken: some ten thousand replicas, indented, and a tenth of the least memory that platforms tell.
 const LONGEST: usize = 4 << 20;
 
 /// A list, or the changes of one.
@@ -88,14 +88,14 @@
 
 impl News {
     /// Whether it is the whole list, and its rows; or what is wrong with it.
-    pub fn rows(self, clock: &Clock) -> Result<(bool, Vec<Listed>), String> {
+    pub fn rows(self, clock: &Clock) -> Result<(bool, Vec<Endpoint>), String> {
         let rows = self.targets.into_iter().map(|t| {
             let address = t.endpoint.map(|e| e.parse().map_err(|_| format!("endpoint '{e}' of {}", t.uid)));
             let address = address.transpose()?;
             if t.state != State::Left && (address.is_none() || t.pod_group.is_none()) {
                 return Err(format!("no endpoint or pod_group of {}", t.uid));
             }
-            Ok(Listed {
+            Ok(Endpoint {
                 uid: t.uid,
                 address,
                 cell: t.pod_group.unwrap_or(0),
@@ -145,18 +145,32 @@
 type Asker = Client<Connector, Empty<Bytes>>;
 
 /// Version of the list that is held; none asks for the whole list.
-pub type Rev = Rc<Cell<Option<u64>>>;
+pub type SharedRevision = Rc<Cell<Option<u64>>>;
 
 /// Watches for ever, wherever discovery is at the moment; `rev` is the version of the list as first known, and then
 /// as held. `paid`: lists are told to who asks alone.
-pub async fn watch(hall: Rc<Hall>, mut address: watch::Receiver<String>, rev: Rev, paid: Option<Paid>) {
+pub async fn watch(
+    event_loop: Rc<EventLoop>,
+    mut address: watch::Receiver<String>,
+    rev: SharedRevision,
+    paid: Option<Paid>,
+) {
     // Each call has a connection of its own. Guards against one kept that has died: it would swallow call after call.
     let client: Asker = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(Connector);
     loop {
         let at = address.borrow_and_update().clone();
         let (again, had, doubted) = (Notify::new(), Notify::new(), Cell::new(false));
         let paid = paid.as_ref();
-        let source = Source { hall: &hall, client: &client, at: &at, rev: &rev, paid, again, had, doubted };
+        let source = Source {
+            event_loop: &event_loop,
+            client: &client,
+            at: &at,
+            rev: &rev,
+            paid,
+            again,
+            had,
+            doubted,
+        };
         let moved = async {
             while address.changed().await.is_ok() {
                 if *address.borrow_and_update() != at {
@@ -173,7 +187,7 @@
             _ = source.look_for_ever() => {}
             _ = source.watch_for_ever() => {}
             () = moved => {
-                hall.counters.add("discovery", "moved");
+                event_loop.counters.add("discovery", "moved");
                 rev.set(None);
             }
         }
@@ -182,10 +196,10 @@
 
 /// Discovery at one address.
 struct Source<'a> {
-    hall: &'a Hall,
+    event_loop: &'a EventLoop,
     client: &'a Asker,
     at: &'a str,
-    rev: &'a Rev,
+    rev: &'a SharedRevision,
     paid: Option<&'a Paid>,
     /// Calls for a look before its time.
     again: Notify,
@@ -271,12 +285,12 @@
 
     fn ended(&self, what: &str, end: ConnectionEnd) {
         tracing::warn!("the {what} discovery ended: {}", end.name());
-        self.hall.counters.add("discovery", end.name());
+        self.event_loop.counters.add("discovery", end.name());
     }
 
     /// What a look brought; false where it has to be asked again. `before`: the version held when it began.
     fn take_look(&self, before: Option<u64>, body: &[u8]) -> Result<bool, ConnectionEnd> {
-        let (rev, whole, rows) = read(self.hall, body)?;
+        let (rev, whole, rows) = read(self.event_loop, body)?;
         if !whole {
             tracing::warn!("discovery sent changes for the whole list");
             return Err(ConnectionEnd::BadBytes);
@@ -293,14 +307,14 @@
         }
         self.doubted.set(false);
         // Guards against a restart of discovery after which its versions come to the number held, with another list.
-        if self.rev.get() != Some(rev) || !self.hall.ask(|e| e.holds_list(&rows)) {
+        if self.rev.get() != Some(rev) || !self.event_loop.ask(|e| e.holds_list(&rows)) {
             self.tell(rev, whole, rows);
         }
         Ok(true)
     }
 
-    fn tell(&self, rev: u64, whole: bool, rows: Vec<Listed>) {
-        self.hall.tell(|e| e.list(self.hall.clock.now(), whole, rows));
+    fn tell(&self, rev: u64, whole: bool, rows: Vec<Endpoint>) {
+        self.event_loop.tell(|e| e.list(self.event_loop.clock.now(), whole, rows));
         if self.rev.replace(Some(rev)).is_none() {
             self.had.notify_one();
         }
@@ -362,7 +376,7 @@
 
     /// What a watch brought that stood at that version; where it stands now.
     fn take_news(&self, stood_at: u64, news: &[u8]) -> Result<u64, ConnectionEnd> {
-        let (rev, whole, rows) = read(self.hall, news)?;
+        let (rev, whole, rows) = read(self.event_loop, news)?;
         let held = self.rev.get();
         // Guards against an older life's list over a new one's: a look has found that versions began anew.
         if held.is_some_and(|held| held < stood_at) {
@@ -393,11 +407,11 @@
 }
 
 /// What discovery sent: its version, whether it is the whole list, its rows.
-fn read(hall: &Hall, news: &[u8]) -> Result<(u64, bool, Vec<Listed>), ConnectionEnd> {
+fn read(event_loop: &EventLoop, news: &[u8]) -> Result<(u64, bool, Vec<Endpoint>), ConnectionEnd> {
     let news: Result<News, String> = serde_json::from_slice(news).map_err(|e| e.to_string());
     let read = news.and_then(|n| {
         let rev = n.rev;
-        let (whole, rows) = n.rows(&hall.clock)?;
+        let (whole, rows) = n.rows(&event_loop.clock)?;
         Ok((rev, whole, rows))
     });
     read.map_err(|wrong| {
--- a/crates/pipitcrank-server/src/ends.rs
+++ b/crates/pipitcrank-server/src/ends.rs
@@ -1,5 +1,5 @@
 //! How things end on the network: every way in which a connection can end is one value of one type, and what
-//! that means for a leaf call is said here and nowhere else.
+//! that means for a attempt is said here and nowhere else.
 
 use pipitcrank_core::ids::AttemptOutcome;
 
@@ -54,12 +54,12 @@
         )
     }
 
-    /// What it means for a leaf call on it. Until its frame is written whole a call can't have run.
+    /// What it means for a attempt on it. Until its frame is written whole a call can't have run.
     pub fn outcome(self, written: bool) -> AttemptOutcome {
         if written { AttemptOutcome::Disconnected } else { AttemptOutcome::Unreachable }
     }
 
-    /// What it means for a probe on it. Guards against a leaf held to be out of reach because it closed a connection
+    /// What it means for a probe on it. Guards against a replica held to be out of reach because it closed a connection
     /// that was up: only one that never came up tells that.
     pub fn of_probe(self) -> AttemptOutcome {
         let up = !matches!(self, ConnectionEnd::Refused | ConnectionEnd::NeverUp | ConnectionEnd::NoSocket);
@@ -67,7 +67,7 @@
     }
 }
 
-/// The leaf's own words for how a part ended.
+/// The replica's own words for how a part ended.
 pub fn outcome_from_wire(word: &str) -> Option<AttemptOutcome> {
     match word {
         "ok" => Some(AttemptOutcome::Success),
--- a/crates/pipitcrank-server/src/hall.rs
+++ b/crates/pipitcrank-server/src/event_loop.rs
@@ -9,12 +9,12 @@
 
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::exchange::{Exchange, LeafSide};
+use crate::exchange::{Exchange, ReplicaTransport};
 
-pub struct Hall {
+pub struct EventLoop {
     pub clock: Clock,
     pub counters: Counters,
-    pub sockets: Sockets,
+    pub sockets: ConnectionLimiter,
     exchange: RefCell<Exchange>,
     bell: Notify,
     /// When something was last told, and whether that was long after what came before.
@@ -48,7 +48,7 @@
 /// Sockets open of one side, of the number that it may hold at most; the sides' sums may be more than there are, since
 /// what one does not need the other may use.
 #[derive(Clone)]
-pub struct Sockets {
+pub struct ConnectionLimiter {
     all: usize,
     most: Rc<Cell<usize>>,
     open: Rc<Cell<usize>>,
@@ -57,36 +57,36 @@
 }
 
 /// One socket's place; given back when dropped.
-pub struct Place(Rc<Cell<usize>>, Rc<Pool>);
+pub struct ConnectionPermit(Rc<Cell<usize>>, Rc<Pool>);
 
-impl Sockets {
+impl ConnectionLimiter {
     /// One side alone.
-    pub fn new(most: usize) -> Sockets {
-        Sockets::of(Rc::new(Pool { all: most, ..Pool::default() }), most)
+    pub fn new(most: usize) -> ConnectionLimiter {
+        ConnectionLimiter::of(Rc::new(Pool { all: most, ..Pool::default() }), most)
     }
 
-    /// Two sides that share so many: a third is each one's own, the last third whoever's needs it. Guards against leaves
-    /// held to be out of reach for want of a socket that no client needed: with 512 told and 200 leaves, a third is too few.
-    pub fn shared(all: usize) -> (Sockets, Sockets) {
+    /// Two sides that share so many: a third is each one's own, the last third whoever's needs it. Guards against replicas
+    /// held to be out of reach for want of a socket that no client needed: with 512 told and 200 replicas, a third is too few.
+    pub fn shared(all: usize) -> (ConnectionLimiter, ConnectionLimiter) {
         let pool = Rc::new(Pool { all, ..Pool::default() });
-        let side = || Sockets::of(pool.clone(), all - all / 3);
+        let side = || ConnectionLimiter::of(pool.clone(), all - all / 3);
         (side(), side())
     }
 
-    fn of(pool: Rc<Pool>, all: usize) -> Sockets {
+    fn of(pool: Rc<Pool>, all: usize) -> ConnectionLimiter {
         let (most, open, elsewhere) = (Rc::new(Cell::new(all)), Rc::default(), Rc::default());
-        Sockets { all, most, open, elsewhere, pool }
+        ConnectionLimiter { all, most, open, elsewhere, pool }
     }
 
-    pub fn place(&self) -> Option<Place> {
+    pub fn place(&self) -> Option<ConnectionPermit> {
         (self.free() > 0).then(|| self.place_taken_over())
     }
 
     /// For a socket that is open already, as another process had it: it counts even where that is too many.
-    pub fn place_taken_over(&self) -> Place {
+    pub fn place_taken_over(&self) -> ConnectionPermit {
         self.open.set(self.open() + 1);
         self.pool.open.set(self.pool.open.get() + 1);
-        Place(self.open.clone(), self.pool.clone())
+        ConnectionPermit(self.open.clone(), self.pool.clone())
     }
 
     pub fn open(&self) -> usize {
@@ -141,7 +141,7 @@
     }
 
     /// A place, as soon as there is one.
-    pub async fn next_place(&self) -> Place {
+    pub async fn next_place(&self) -> ConnectionPermit {
         loop {
             let freed = self.freed();
             match self.place() {
@@ -152,7 +152,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
         self.1.open.set(self.1.open.get() - 1);
@@ -160,10 +160,23 @@
     }
 }
 
-impl Hall {
-    pub fn new(clock: Clock, counters: Counters, sockets: Sockets, exchange: Exchange) -> Hall {
+impl EventLoop {
+    pub fn new(
+        clock: Clock,
+        counters: Counters,
+        sockets: ConnectionLimiter,
+        exchange: Exchange,
+    ) -> EventLoop {
         let (told, late) = (Cell::new(clock.now()), Cell::default());
-        Hall { clock, counters, sockets, exchange: RefCell::new(exchange), bell: Notify::new(), told, late }
+        EventLoop {
+            clock,
+            counters,
+            sockets,
+            exchange: RefCell::new(exchange),
+            bell: Notify::new(),
+            told,
+            late,
+        }
     }
 
     /// Tells the exchange of something that happened, and sees to it that a turn follows.
@@ -200,7 +213,7 @@
 
     /// Takes turns for ever. What happens within one `tick` shares a turn, as the module is used to: the first
     /// event after a pause is handled at once.
-    pub async fn take_turns(&self, tick: TimeSpan, leaf_side: &RefCell<dyn LeafSide>) {
+    pub async fn take_turns(&self, tick: TimeSpan, transport: &RefCell<dyn ReplicaTransport>) {
         let mut earliest = Timestamp::default();
         loop {
             let due = if self.ask(Exchange::idle) {
@@ -219,7 +232,7 @@
             self.catch_up().await;
             let now = self.clock.now();
             earliest = now + tick;
-            self.exchange.borrow_mut().turn(now, &mut *leaf_side.borrow_mut());
+            self.exchange.borrow_mut().turn(now, &mut *transport.borrow_mut());
         }
     }
 }
--- a/crates/pipitcrank-server/src/hall/tests.rs
+++ b/crates/pipitcrank-server/src/event_loop/tests.rs
@@ -11,12 +11,12 @@
         all in 3usize..40,
         steps in proptest::collection::vec((0u8..5, 0usize..40), 0..200),
     ) {
-        let (leaves, clients) = Sockets::shared(all);
-        let (mut of_leaves, mut of_clients, mut elsewhere) = (Vec::new(), Vec::new(), 0);
+        let (replicas, clients) = ConnectionLimiter::shared(all);
+        let (mut of_replicas, mut of_clients, mut elsewhere) = (Vec::new(), Vec::new(), 0);
         for (what, n) in steps {
             let (side, held, others) = match what % 2 {
-                0 => (&leaves, &mut of_leaves, of_clients.len()),
-                _ => (&clients, &mut of_clients, of_leaves.len()),
+                0 => (&replicas, &mut of_replicas, of_clients.len()),
+                _ => (&clients, &mut of_clients, of_replicas.len()),
             };
             match what {
                 0 | 1 => {
@@ -28,15 +28,15 @@
                 2 | 3 if n < held.len() => drop(held.swap_remove(n)),
                 // Another process holds so many clients' ones of what is not held here.
                 4 => {
-                    elsewhere = n.min(all - of_leaves.len() - of_clients.len());
+                    elsewhere = n.min(all - of_replicas.len() - of_clients.len());
                     clients.leave_to_other(elsewhere);
                 }
                 _ => {}
             }
-            prop_assert_eq!((leaves.open(), clients.open()), (of_leaves.len(), of_clients.len()));
-            prop_assert!(leaves.open() + clients.open() + elsewhere <= all);
+            prop_assert_eq!((replicas.open(), clients.open()), (of_replicas.len(), of_clients.len()));
+            prop_assert!(replicas.open() + clients.open() + elsewhere <= all);
         }
-        let least = leaves.most().min(clients.most().max(elsewhere));
+        let least = replicas.most().min(clients.most().max(elsewhere));
         prop_assert!(least >= all / 3 || elsewhere > 0, "a third is each one's own");
     }
 }
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Where the client side and the leaf side meet: queries come in with what to do with their answer, calls go out,
+//! Where the client side and the replica side meet: queries come in with what to do with their answer, calls go out,
 //! what becomes of them comes back. It holds the decision module and no socket; it is driven by hand in tests.
 //!
 //! Whatever happens is put into the inbox as it comes. `turn` hands all of it to the module, then what is due by
@@ -15,7 +15,7 @@
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::division;
-use pipitcrank_handover::snapshot::{SeenLeaf, Snapshot};
+use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
 
 use crate::audit::{self, Audit, Sent, Taken};
 use crate::counters::Counters;
@@ -25,20 +25,20 @@
 
 mod desk;
 
-use desk::{Desk, HeldLeaf, HeldPart, HeldQuery, Out, Wish};
+use desk::{Desk, HeldPart, HeldQuery, Out, ReplicaEntry, Wish};
 
 /// A query as a client asked it.
-pub struct Asked {
+pub struct QueryRequest {
     pub id: String,
-    pub vertical: RequestClassId,
+    pub class: RequestClassId,
     pub ends: Timestamp,
-    pub parts: Vec<AskedPart>,
-    /// By which leaves know a repeat of a deduplicated vertical's.
+    pub parts: Vec<QueryPart>,
+    /// By which leaves know a repeat of a deduplicated request class's.
     pub idempotency_key: Option<Arc<str>>,
     pub text: Arc<str>,
 }
 
-pub struct AskedPart {
+pub struct QueryPart {
     pub shard: u32,
     pub weight: f64,
     /// The client's guess at the work, in seconds.
@@ -47,8 +47,8 @@
 
 /// The one final answer to a query.
 #[derive(Debug, PartialEq)]
-pub enum Final {
-    Merged {
+pub enum QueryResponse {
+    Answered {
         whole: bool,
         hits: Vec<(u32, String)>,
     },
@@ -57,11 +57,11 @@
     },
     Aborted,
     /// It repeats the id of one that is held.
-    Repeated,
+    DuplicateId,
 }
 
 /// What a query leaves behind for its final answer.
-pub type Then = Box<dyn FnOnce(Final)>;
+pub type Then = Box<dyn FnOnce(QueryResponse)>;
 
 /// What a query of another site's leaves behind for each part's answer: shard and value. It may only note them down: it
 /// is called within a turn.
@@ -75,10 +75,10 @@
 }
 
 /// Parts of one query on their way to another site.
-pub struct Going {
-    pub calls: Vec<(u32, CallNo)>,
+pub struct OutgoingForward {
+    pub calls: Vec<(u32, AttemptId)>,
     pub id: String,
-    pub vertical: RequestClassId,
+    pub class: RequestClassId,
     pub until: Timestamp,
     /// Shard, weight, work in seconds.
     pub parts: Vec<(u32, f64, Option<f64>)>,
@@ -91,7 +91,7 @@
 }
 
 /// One entry of discovery's list.
-pub struct Listed {
+pub struct Endpoint {
     pub uid: String,
     pub address: Option<SocketAddr>,
     pub cell: u32,
@@ -101,31 +101,31 @@
     pub started: Option<Timestamp>,
 }
 
-/// One part's leaf call, by its number among the part's calls.
-pub type CallNo = (PartId, u32);
+/// One part's attempt, by its number among the part's calls.
+pub type AttemptId = (PartId, u32);
 
 /// Under this target each request's way is logged, by its id: taken, sent, not sent, ended, answered.
 pub const REQUESTS: &str = "pipitcrank::requests";
 
-/// What the exchange wants done on the leaf side.
-pub trait LeafSide {
-    /// The leaf is reached at that address from now on.
-    fn meet(&mut self, leaf: ReplicaId, address: SocketAddr);
-    /// The leaf will not be named again.
-    fn let_go(&mut self, leaf: ReplicaId);
+/// What the exchange wants done on the replica side.
+pub trait ReplicaTransport {
+    /// The replica is reached at that address from now on.
+    fn meet(&mut self, replica: ReplicaId, address: SocketAddr);
+    /// The replica will not be named again.
+    fn let_go(&mut self, replica: ReplicaId);
     /// One call that carries these parts. They go through `Exchange::release` before the first byte is written.
-    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>);
+    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>);
     /// Nobody waits for the part any more.
-    fn give_up(&mut self, leaf: ReplicaId, call: CallNo);
-    fn probe(&mut self, leaf: ReplicaId);
+    fn give_up(&mut self, replica: ReplicaId, call: AttemptId);
+    fn probe(&mut self, replica: ReplicaId);
 }
 
 enum Happened {
-    Asked(u64, Asked, Then, Option<Lent>),
+    QueryRequest(u64, QueryRequest, Then, Option<Lent>),
     Gone(u64),
-    Ended(ReplicaId, CallNo, AttemptOutcome, Option<String>, Option<Report>),
+    Ended(ReplicaId, AttemptId, AttemptOutcome, Option<String>, Option<Report>),
     Probed(ReplicaId, AttemptOutcome, Option<Report>),
-    List(Timestamp, bool, Vec<Listed>),
+    List(Timestamp, bool, Vec<Endpoint>),
     LookInto(ZoneId, usize),
     EndBy(Timestamp),
 }
@@ -191,13 +191,13 @@
     }
 
     /// A query came in; the ticket, which is never used again, stands for it until its final answer.
-    pub fn asked(&mut self, ticket: u64, asked: Asked, then: Then) {
-        self.inbox.push(Happened::Asked(ticket, asked, then, None));
+    pub fn asked(&mut self, ticket: u64, asked: QueryRequest, then: Then) {
+        self.inbox.push(Happened::QueryRequest(ticket, asked, then, None));
     }
 
     /// The same of a query that another site forwards.
-    pub fn asked_by_site(&mut self, ticket: u64, asked: Asked, lent: Lent, then: Then) {
-        self.inbox.push(Happened::Asked(ticket, asked, then, Some(lent)));
+    pub fn asked_by_site(&mut self, ticket: u64, asked: QueryRequest, lent: Lent, then: Then) {
+        self.inbox.push(Happened::QueryRequest(ticket, asked, then, Some(lent)));
     }
 
     pub fn client_gone(&mut self, ticket: u64) {
@@ -208,16 +208,16 @@
         self.inbox.push(Happened::Gone(ticket));
     }
 
-    /// A leaf call ended; only its first end counts.
+    /// A attempt ended; only its first end counts.
     pub fn ended(
         &mut self,
-        call: CallNo,
+        call: AttemptId,
         outcome: AttemptOutcome,
         value: Option<String>,
         report: Option<Report>,
     ) {
-        if let Some(leaf) = self.desk.close(call, outcome) {
-            self.inbox.push(Happened::Ended(leaf, call, outcome, value, report));
+        if let Some(replica) = self.desk.close(call, outcome) {
+            self.inbox.push(Happened::Ended(replica, call, outcome, value, report));
         }
     }
 
@@ -226,30 +226,31 @@
         self.inbox.push(Happened::EndBy(by));
     }
 
-    pub fn probed(&mut self, leaf: ReplicaId, outcome: AttemptOutcome, report: Option<Report>) {
-        self.inbox.push(Happened::Probed(leaf, outcome, report));
+    pub fn probed(&mut self, replica: ReplicaId, outcome: AttemptOutcome, report: Option<Report>) {
+        self.inbox.push(Happened::Probed(replica, outcome, report));
     }
 
-    /// News of the list of leaves; a whole list names all there are.
-    pub fn list(&mut self, now: Timestamp, whole: bool, rows: Vec<Listed>) {
+    /// News of the list of replicas; a whole list names all there are.
+    pub fn list(&mut self, now: Timestamp, whole: bool, rows: Vec<Endpoint>) {
         self.desk.counters.add("discovery", if whole { "whole_list" } else { "changes" });
         self.inbox.push(Happened::List(now, whole, rows));
     }
 
     // What the outside asks.
 
-    /// Whether a query taken now could be served: some leaf is listed as up.
+    /// Whether a query taken now could be served: some replica is listed as up.
     pub fn able(&self) -> bool {
-        self.desk.held_leaves.values().any(|l| l.off.is_none() && l.site.is_none())
+        self.desk.held_replicas.values().any(|l| l.off.is_none() && l.site.is_none())
     }
 
     /// Whether that whole list says nothing new; true as well while news of the list wait to be taken.
-    pub fn holds_list(&self, rows: &[Listed]) -> bool {
+    pub fn holds_list(&self, rows: &[Endpoint]) -> bool {
         let news = self.inbox.iter().any(|h| matches!(h, Happened::List(..)));
-        let up = self.desk.held_leaves.values().filter(|l| l.off.is_none() && l.site.is_none()).count();
-        let same = |row: &Listed| {
-            let held = self.desk.leaves.find(&row.uid).and_then(|index| self.desk.held_leaves.get(&index));
-            let same = |held: &HeldLeaf| {
+        let up = self.desk.held_replicas.values().filter(|l| l.off.is_none() && l.site.is_none()).count();
+        let same = |row: &Endpoint| {
+            let held =
+                self.desk.replicas.find(&row.uid).and_then(|index| self.desk.held_replicas.get(&index));
+            let same = |held: &ReplicaEntry| {
                 (held.address, held.cell, held.started) == (row.address, row.cell, row.started)
                     && held.off.is_none() == row.up
             };
@@ -270,7 +271,7 @@
 
     /// Whether a query of that id is held.
     pub fn holds(&self, id: &str) -> bool {
-        let waits = |h: &Happened| matches!(h, Happened::Asked(_, asked, ..) if asked.id == id);
+        let waits = |h: &Happened| matches!(h, Happened::QueryRequest(_, asked, ..) if asked.id == id);
         self.desk.queries.find(id).is_some() || self.inbox.iter().any(waits)
     }
 
@@ -279,7 +280,7 @@
         self.desk.open()
     }
 
-    pub fn is_out(&self, call: CallNo) -> bool {
+    pub fn is_out(&self, call: AttemptId) -> bool {
         self.desk.out.contains_key(&call)
     }
 
@@ -289,30 +290,35 @@
         self.desk.alarms.first().map(|a| a.0).into_iter().chain(until).min()
     }
 
-    /// Told to drain a leaf gets nothing more, also within the grace. Guards against a word read late by a process that waits
+    /// Told to drain a replica gets nothing more, also within the grace. Guards against a word read late by a process that waits
     /// for the processor: the grace counts from when it could be read.
-    pub fn drains(&self, leaf: ReplicaId) -> bool {
-        self.desk.held_leaves.get(&leaf.0).is_some_and(|l| l.off.is_some())
+    pub fn drains(&self, replica: ReplicaId) -> bool {
+        self.desk.held_replicas.get(&replica.0).is_some_and(|l| l.off.is_some())
     }
 
     /// The last look just before a call's first byte is written: what of it may still go, and how. Whatever is sent passes here.
-    /// Guards against frames held up on the way to the socket while their query ended, their time ran out, or their leaf
+    /// Guards against frames held up on the way to the socket while their query ended, their time ran out, or their replica
     /// drained: those count as never run.
-    pub fn release(&mut self, now: Timestamp, leaf: ReplicaId, parts: &mut Vec<CallNo>) -> Vec<CallPart> {
+    pub fn release(
+        &mut self,
+        now: Timestamp,
+        replica: ReplicaId,
+        parts: &mut Vec<AttemptId>,
+    ) -> Vec<CallPart> {
         let mut going = Vec::new();
         parts.retain(|&call| {
             // Guards against a call given up while it was queued, whose number another part's call has by now: that
-            // is its own leaf's, and goes out once.
+            // is its own replica's, and goes out once.
             let Some(Out { until, released, .. }) =
-                self.desk.out.get_mut(&call).filter(|out| out.leaf == leaf && !out.released)
+                self.desk.out.get_mut(&call).filter(|out| out.replica == replica && !out.released)
             else {
                 return false;
             };
             *released = true;
             let until = *until;
-            match self.may_send(now, leaf, call, until) {
+            match self.may_send(now, replica, call, until) {
                 Ok(part) => {
-                    self.note_sent(now, leaf, call, part.wait);
+                    self.note_sent(now, replica, call, part.wait);
                     going.push(part);
                     true
                 }
@@ -326,12 +332,12 @@
         going
     }
 
-    /// The guard of all sending: rules on ended queries, closed clients, drained leaves, time, repeats and the budget.
+    /// The guard of all sending: rules on ended queries, closed clients, drained replicas, time, repeats and the budget.
     fn may_send(
         &mut self,
         now: Timestamp,
-        leaf: ReplicaId,
-        call: CallNo,
+        replica: ReplicaId,
+        call: AttemptId,
         until: Timestamp,
     ) -> Result<CallPart, NotSent> {
         let part = &self.desk.held_parts[&call.0.0];
@@ -339,7 +345,7 @@
         if self.gone.contains(&query.ticket) {
             return Err(NotSent::ClientClosed);
         }
-        if self.drains(leaf) || !self.desk.held_leaves.contains_key(&leaf.0) {
+        if self.drains(replica) || !self.desk.held_replicas.contains_key(&replica.0) {
             return Err(NotSent::ReplicaDrained);
         }
         if now >= until {
@@ -356,30 +362,30 @@
         })
     }
 
-    fn note_sent(&mut self, now: Timestamp, leaf: ReplicaId, call: CallNo, told: TimeSpan) {
+    fn note_sent(&mut self, now: Timestamp, replica: ReplicaId, call: AttemptId, told: TimeSpan) {
         let part = &self.desk.held_parts[&call.0.0];
-        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, leaf = leaf.0, told_s = told.as_secs_f64(), "sent");
+        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, replica = replica.0, told_s = told.as_secs_f64(), "sent");
         if let Some(audit) = &mut self.desk.audit {
-            audit.sent(now, Sent { part: call.0, attempt: call.1, leaf, told });
+            audit.sent(now, Sent { part: call.0, attempt: call.1, replica, told });
         }
     }
 
-    fn note_not_sent(&self, call: CallNo, why: NotSent) {
+    fn note_not_sent(&self, call: AttemptId, why: NotSent) {
         self.desk.counters.add("not_sent", why.name());
         let part = &self.desk.held_parts[&call.0.0];
         tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, why = why.name(), "not sent");
     }
 
-    /// A call queued for that leaf was never begun, and won't be. Guards against ending another part's call that has its
+    /// A call queued for that replica was never begun, and won't be. Guards against ending another part's call that has its
     /// number by now and may be out: it would go out a second time.
-    pub fn never_began(&mut self, leaf: ReplicaId, call: CallNo) {
-        if self.desk.out.get(&call).is_some_and(|out| out.leaf == leaf && !out.released) {
+    pub fn never_began(&mut self, replica: ReplicaId, call: AttemptId) {
+        if self.desk.out.get(&call).is_some_and(|out| out.replica == replica && !out.released) {
             self.ended(call, AttemptOutcome::Unreachable, None, None);
         }
     }
 
     /// Nothing of these has been written after all.
-    pub fn take_back(&mut self, parts: &[CallNo]) {
+    pub fn take_back(&mut self, parts: &[AttemptId]) {
         for call in parts {
             self.desk.out.get_mut(call).into_iter().for_each(|out| out.released = false);
             if let Some(audit) = &mut self.desk.audit {
@@ -390,38 +396,43 @@
 
     // Other sites.
 
-    /// Another site's leaves, one for each cell; nothing goes there before a hop is known.
+    /// Another site's replicas, one for each cell; nothing goes there before a hop is known.
     pub fn add_site(&mut self, site: u16, name: &str, cells: u32) -> Vec<ReplicaId> {
         self.coordinator.begin_endpoint_list(false);
-        let mut leaves = Vec::new();
+        let mut replicas = Vec::new();
         for cell in 0..cells {
             // No name of discovery's has a blank.
-            let leaf = ReplicaId(self.desk.leaves.intern(&format!("site {name} {cell}")));
+            let replica = ReplicaId(self.desk.replicas.intern(&format!("site {name} {cell}")));
             let zone = self.site_zones.get(name).cloned();
             let place = place(&self.zones, &zone);
-            let held = HeldLeaf { address: None, cell, zone, started: None, site: Some(site), off: None };
-            self.desk.held_leaves.insert(leaf.0, held);
-            self.coordinator.list_replica(leaf, cell, true, None);
-            self.coordinator.set_remote_delay(leaf, None);
-            self.coordinator.set_replica_zone(leaf, place);
-            leaves.push(leaf);
+            let held = ReplicaEntry { address: None, cell, zone, started: None, site: Some(site), off: None };
+            self.desk.held_replicas.insert(replica.0, held);
+            self.coordinator.list_replica(replica, cell, true, None);
+            self.coordinator.set_remote_delay(replica, None);
+            self.coordinator.set_replica_zone(replica, place);
+            replicas.push(replica);
         }
         self.coordinator.finish_endpoint_list(&mut self.desk);
-        leaves
+        replicas
     }
 
     /// What the way to the site costs from now on; none closes it.
     pub fn set_hop(&mut self, site: u16, hop: Option<TimeSpan>) {
-        for (&leaf, _) in self.desk.held_leaves.iter().filter(|(_, l)| l.site == Some(site)) {
-            self.coordinator.set_remote_delay(ReplicaId(leaf), hop);
+        for (&replica, _) in self.desk.held_replicas.iter().filter(|(_, l)| l.site == Some(site)) {
+            self.coordinator.set_remote_delay(ReplicaId(replica), hop);
         }
     }
 
-    /// The last look before a forward's first byte, as `release` is for a leaf's: what of it may still go, by query.
-    pub fn forward(&mut self, now: Timestamp, leaf: ReplicaId, parts: &mut Vec<CallNo>) -> Vec<Going> {
-        self.release(now, leaf, parts);
+    /// The last look before a forward's first byte, as `release` is for a replica's: what of it may still go, by query.
+    pub fn forward(
+        &mut self,
+        now: Timestamp,
+        replica: ReplicaId,
+        parts: &mut Vec<AttemptId>,
+    ) -> Vec<OutgoingForward> {
+        self.release(now, replica, parts);
         self.lent.retain(|_, (.., until)| *until > now);
-        let mut by_query: BTreeMap<u32, Vec<CallNo>> = BTreeMap::new();
+        let mut by_query: BTreeMap<u32, Vec<AttemptId>> = BTreeMap::new();
         for &call in parts.iter() {
             // What was released has its query.
             let query = self.desk.held_parts[&call.0.0].query;
@@ -436,15 +447,15 @@
             let further = self.coordinator.delegate_retries(now, self.next_lent, &ours, until);
             let named = calls.iter().map(|c| (c.0, self.desk.held_parts[&c.0.0].id.clone()));
             self.lent.insert(self.next_lent, (named.collect(), further, until));
-            let part = |c: &CallNo| &self.desk.held_parts[&c.0.0];
-            all.push(Going {
+            let part = |c: &AttemptId| &self.desk.held_parts[&c.0.0];
+            all.push(OutgoingForward {
                 id: self.desk.queries.name(query).to_string(),
-                vertical: held.vertical,
+                class: held.class,
                 until,
                 parts: calls.iter().map(|c| (part(c).shard, part(c).weight, part(c).work)).collect(),
                 idempotency_key: held.idempotency_key.clone(),
                 text: calls.first().map_or_else(|| "".into(), |c| part(c).text.clone()),
-                repeatable: self.coordinator.may_retry(held.vertical),
+                repeatable: self.coordinator.may_retry(held.class),
                 who: self.next_lent,
                 further,
                 calls: calls.iter().map(|c| (part(c).shard, *c)).collect(),
@@ -472,9 +483,9 @@
     /// The zones that there are, by place. Leaves that stand elsewhere have none.
     pub fn name_zones(&mut self, names: Vec<String>) {
         self.zones = names;
-        for (&leaf, held) in &self.desk.held_leaves {
+        for (&replica, held) in &self.desk.held_replicas {
             let place = place(&self.zones, &held.zone);
-            self.coordinator.set_replica_zone(ReplicaId(leaf), place);
+            self.coordinator.set_replica_zone(ReplicaId(replica), place);
         }
     }
 
@@ -488,25 +499,25 @@
         self.coordinator.set_zone_routing(shares);
     }
 
-    /// What is seen of each zone's leaves from here, in the zones' order, and what was counted since the start.
+    /// What is seen of each zone's replicas from here, in the zones' order, and what was counted since the start.
     pub fn zones_seen(&self, now: Timestamp) -> (Vec<ZoneObservation>, ZoneTraffic) {
         let seen =
             (0..self.zones.len()).map(|n| self.coordinator.observe_zone(now, ZoneId(n as u16))).collect();
         (seen, self.coordinator.zone_traffic().clone())
     }
 
-    /// Probes some leaves of a zone that nothing is sent to.
+    /// Probes some replicas of a zone that nothing is sent to.
     pub fn probe_zone(&mut self, zone: ZoneId, most: usize) {
         self.inbox.push(Happened::LookInto(zone, most));
     }
 
     // Turns.
 
-    pub fn turn(&mut self, now: Timestamp, leaf_side: &mut dyn LeafSide) {
+    pub fn turn(&mut self, now: Timestamp, transport: &mut dyn ReplicaTransport) {
         self.now_is(now);
         let mut inbox = std::mem::take(&mut self.inbox).into_iter().peekable();
         while let Some(mut happened) = inbox.next() {
-            // Guards against a look at all leaves for each of hundreds that change in one moment. Told one by one they
+            // Guards against a look at all replicas for each of hundreds that change in one moment. Told one by one they
             // count from the first.
             if let Happened::List(_, false, rows) = &mut happened {
                 let change = |h: &Happened| matches!(h, Happened::List(_, false, _));
@@ -521,18 +532,18 @@
             self.coordinator.timer_fired(&mut self.desk, now, label);
         }
         while let Some((_, call)) = self.desk.untils.first().copied().filter(|u| u.0 <= now) {
-            if let Some(leaf) = self.desk.close(call, AttemptOutcome::TimedOut) {
-                self.desk.wishes.push(Wish::GiveUp(leaf, call));
+            if let Some(replica) = self.desk.close(call, AttemptOutcome::TimedOut) {
+                self.desk.wishes.push(Wish::GiveUp(replica, call));
                 self.end_call(now, call, AttemptOutcome::TimedOut, None);
             }
         }
         self.coordinator.dispatch(&mut self.desk, now);
-        self.carry_out(leaf_side);
+        self.carry_out(transport);
     }
 
     fn hand_in(&mut self, now: Timestamp, happened: Happened) {
         match happened {
-            Happened::Asked(ticket, asked, then, lent) => self.take(now, ticket, asked, then, lent),
+            Happened::QueryRequest(ticket, asked, then, lent) => self.take(now, ticket, asked, then, lent),
             Happened::Gone(ticket) => {
                 self.gone.remove(&ticket);
                 if let Some(&query) = self.desk.tickets.get(&ticket) {
@@ -541,14 +552,14 @@
                     self.coordinator.cancel_query(&mut self.desk, now, QueryId(query));
                 }
             }
-            Happened::Ended(leaf, call, outcome, value, report) => {
-                self.report(now, leaf, report);
+            Happened::Ended(replica, call, outcome, value, report) => {
+                self.report(now, replica, report);
                 self.end_call(now, call, outcome, value);
             }
-            Happened::Probed(leaf, outcome, report) => {
+            Happened::Probed(replica, outcome, report) => {
                 self.desk.counters.add("probes", outcome_name(outcome));
-                self.report(now, leaf, report);
-                self.coordinator.load_probe_ended(now, leaf, outcome);
+                self.report(now, replica, report);
+                self.coordinator.load_probe_ended(now, replica, outcome);
             }
             Happened::List(at, whole, rows) => self.take_list(at, whole, rows),
             Happened::LookInto(zone, most) => self.coordinator.probe_zone(&mut self.desk, now, zone, most),
@@ -556,19 +567,19 @@
         }
     }
 
-    fn take(&mut self, now: Timestamp, ticket: u64, asked: Asked, then: Then, lent: Option<Lent>) {
-        let Asked { id, vertical, ends, parts, idempotency_key, text } = asked;
+    fn take(&mut self, now: Timestamp, ticket: u64, asked: QueryRequest, then: Then, lent: Option<Lent>) {
+        let QueryRequest { id, class, ends, parts, idempotency_key, text } = asked;
         let ids: Vec<Rc<str>> = parts.iter().map(|p| format!("{id}.{}", p.shard).into()).collect();
         let desk = &mut self.desk;
         if desk.queries.find(&id).is_some() || ids.iter().any(|p| desk.parts.find(p).is_some()) {
             desk.counters.add("queries", "repeated");
-            return then(Final::Repeated);
+            return then(QueryResponse::DuplicateId);
         }
         // With the number told open, further queries never reach the module. Guards against turning away a query
         // while there is room: a part that is in is not open any more, and the last query taken may pass the number.
         if desk.open() + self.open_elsewhere >= self.most_open {
             desk.counters.add("queries", "turned_away_over_most_open");
-            return then(Final::Rejected { stay_away: TimeSpan::ZERO });
+            return then(QueryResponse::Rejected { stay_away: TimeSpan::ZERO });
         }
         desk.counters.add("queries", "taken");
         let further = lent.as_ref().map(|l| l.further);
@@ -579,10 +590,10 @@
         if let Some(audit) = &mut desk.audit {
             let parts: Vec<PartId> = indices.iter().map(|&p| PartId(p)).collect();
             let lent = lent.is_some();
-            audit.taken(now, Taken { ticket, id: &id, vertical, client_ends: ends, lent, parts: &parts });
+            audit.taken(now, Taken { ticket, id: &id, class, client_ends: ends, lent, parts: &parts });
         }
         let (then, held_parts) = (Some(then), indices.clone());
-        let held = HeldQuery { ticket, then, parts: held_parts, vertical, idempotency_key, lent };
+        let held = HeldQuery { ticket, then, parts: held_parts, class, idempotency_key, lent };
         desk.held_queries.insert(query.0, held);
         let works: Option<Vec<f64>> = parts.iter().map(|p| p.work).collect();
         let work = works.map(|w| w.iter().sum());
@@ -600,15 +611,7 @@
             };
             desk.held_parts.insert(index, held);
         }
-        self.coordinator.start_query(
-            &mut self.desk,
-            now,
-            query,
-            vertical,
-            ends - now,
-            work,
-            parts.len() as f64,
-        );
+        self.coordinator.start_query(&mut self.desk, now, query, class, ends - now, work, parts.len() as f64);
         if let Some(further) = further {
             self.coordinator.mark_forwarded(query, further);
         }
@@ -625,7 +628,7 @@
         }
     }
 
-    fn end_call(&mut self, now: Timestamp, call: CallNo, outcome: AttemptOutcome, value: Option<String>) {
+    fn end_call(&mut self, now: Timestamp, call: AttemptId, outcome: AttemptOutcome, value: Option<String>) {
         self.desk.counters.add("leaf_calls", outcome_name(outcome));
         let Some(part) = self.desk.held_parts.get_mut(&call.0.0) else { return };
         tracing::debug!(target: REQUESTS, part = &*part.id, attempt = call.1, outcome = outcome_name(outcome), "ended");
@@ -641,9 +644,9 @@
         self.coordinator.attempt_ended(&mut self.desk, now, call.0, call.1, outcome);
     }
 
-    fn report(&mut self, now: Timestamp, leaf: ReplicaId, report: Option<Report>) {
+    fn report(&mut self, now: Timestamp, replica: ReplicaId, report: Option<Report>) {
         if let Some(Report { waiting, in_hand }) = report {
-            self.coordinator.load_report(now, leaf, waiting, in_hand);
+            self.coordinator.load_report(now, replica, waiting, in_hand);
         }
     }
 
@@ -663,21 +666,27 @@
         let (free, share, span) = self.coordinator.retry_budget_terms();
         let purse = division::divide(free, share, span, longest, &mut known);
         self.coordinator.limit_to_delegated_retries(purse.further, now + purse.within);
-        Snapshot { taken_us, rev, leaves: self.seen_leaves(now), known, lent: (purse.further, purse.within) }
+        Snapshot {
+            taken_us,
+            rev,
+            replicas: self.seen_replicas(now),
+            known,
+            lent: (purse.further, purse.within),
+        }
     }
 
     /// What a process that comes after this one may recall, if this one ends without a word. Nothing is given away.
     pub fn remembered(&mut self, now: Timestamp, taken_us: i64, rev: Option<u64>) -> Snapshot {
         self.take_lists();
         let known = self.coordinator.learned_state(now);
-        Snapshot { taken_us, rev, leaves: self.seen_leaves(now), known, lent: (0, TimeSpan::ZERO) }
+        Snapshot { taken_us, rev, replicas: self.seen_replicas(now), known, lent: (0, TimeSpan::ZERO) }
     }
 
-    fn seen_leaves(&self, now: Timestamp) -> Vec<SeenLeaf> {
-        let near = self.desk.held_leaves.iter().filter(|(_, l)| l.site.is_none());
-        near.map(|(&index, held)| SeenLeaf {
+    fn seen_replicas(&self, now: Timestamp) -> Vec<ReplicaRecord> {
+        let near = self.desk.held_replicas.iter().filter(|(_, l)| l.site.is_none());
+        near.map(|(&index, held)| ReplicaRecord {
             index,
-            uid: self.desk.leaves.name(index).to_string(),
+            uid: self.desk.replicas.name(index).to_string(),
             address: held.address,
             cell: held.cell,
             zone: held.zone.clone(),
@@ -707,26 +716,26 @@
         let mut indices = BTreeMap::new();
         let mut rows = Vec::new();
         let mut offs = Vec::new();
-        for SeenLeaf { index, uid, address, cell, zone, started, off } in snapshot.leaves {
+        for ReplicaRecord { index, uid, address, cell, zone, started, off } in snapshot.replicas {
             // What is not listed any more gets no index: nobody would let it go.
             let ours =
-                if its_list { Some(self.desk.leaves.intern(&uid)) } else { self.desk.leaves.find(&uid) };
+                if its_list { Some(self.desk.replicas.intern(&uid)) } else { self.desk.replicas.find(&uid) };
             let Some(ours) = ours else { continue };
             indices.insert(index, ours);
             offs.extend(off.map(|off| (ours, at(off))));
-            rows.push(Listed { uid, address, cell, zone, up: off.is_none(), started: started.map(at) });
+            rows.push(Endpoint { uid, address, cell, zone, up: off.is_none(), started: started.map(at) });
         }
         if its_list {
             self.take_list(now, true, rows);
-            for (leaf, off) in offs {
-                if let Some(held) = self.desk.held_leaves.get_mut(&leaf) {
+            for (replica, off) in offs {
+                if let Some(held) = self.desk.held_replicas.get_mut(&replica) {
                     held.off = Some(off);
                 }
             }
         }
         let mut known = snapshot.known;
-        let leaves = std::mem::take(&mut known.leaves);
-        known.leaves = leaves.into_iter().filter_map(|(i, l)| Some((*indices.get(&i)?, l))).collect();
+        let replicas = std::mem::take(&mut known.replicas);
+        known.replicas = replicas.into_iter().filter_map(|(i, l)| Some((*indices.get(&i)?, l))).collect();
         self.coordinator.restore_learned_state(now, passed, known);
     }
 
@@ -752,10 +761,10 @@
     }
 
     /// How a query ends that the other process had when it died.
-    pub fn stranded(&self, vertical: RequestClassId) -> Final {
-        match self.coordinator.retry_after_if_lost(vertical) {
-            Some(stay_away) => Final::Rejected { stay_away },
-            None => Final::Aborted,
+    pub fn stranded(&self, class: RequestClassId) -> QueryResponse {
+        match self.coordinator.retry_after_if_lost(class) {
+            Some(stay_away) => QueryResponse::Rejected { stay_away },
+            None => QueryResponse::Aborted,
         }
     }
 
@@ -771,21 +780,21 @@
         }
     }
 
-    fn take_list(&mut self, at: Timestamp, whole: bool, rows: Vec<Listed>) {
+    fn take_list(&mut self, at: Timestamp, whole: bool, rows: Vec<Endpoint>) {
         self.coordinator.begin_endpoint_list(whole);
         if whole {
-            let near = self.desk.held_leaves.values_mut().filter(|l| l.site.is_none());
+            let near = self.desk.held_replicas.values_mut().filter(|l| l.site.is_none());
             near.for_each(|l| l.off = l.off.or(Some(at)));
             self.desk.audit_lists();
             // Other sites are not discovery's to name.
-            for (&leaf, held) in self.desk.held_leaves.iter().filter(|(_, l)| l.site.is_some()) {
-                self.coordinator.list_replica(ReplicaId(leaf), held.cell, true, None);
+            for (&replica, held) in self.desk.held_replicas.iter().filter(|(_, l)| l.site.is_some()) {
+                self.coordinator.list_replica(ReplicaId(replica), held.cell, true, None);
             }
         }
-        for Listed { uid, address, cell, zone, up, started } in rows {
-            let leaf = ReplicaId(self.desk.leaves.intern(&uid));
-            let fresh = HeldLeaf { address: None, cell, zone: None, started, site: None, off: Some(at) };
-            let held = self.desk.held_leaves.entry(leaf.0).or_insert(fresh);
+        for Endpoint { uid, address, cell, zone, up, started } in rows {
+            let replica = ReplicaId(self.desk.replicas.intern(&uid));
+            let fresh = ReplicaEntry { address: None, cell, zone: None, started, site: None, off: Some(at) };
+            let held = self.desk.held_replicas.entry(replica.0).or_insert(fresh);
             (held.cell, held.started) = (cell, started);
             held.zone = zone.or(held.zone.take());
             let place = place(&self.zones, &held.zone);
@@ -794,45 +803,45 @@
             }
             held.off = if up { None } else { held.off.or(Some(at)) };
             if let Some(audit) = &mut self.desk.audit {
-                audit.listed(leaf, held.off);
+                audit.listed(replica, held.off);
             }
             if let Some(address) = address.filter(|a| held.address != Some(*a)) {
                 held.address = Some(address);
-                self.desk.wishes.push(Wish::Meet(leaf, address));
+                self.desk.wishes.push(Wish::Meet(replica, address));
             }
-            self.coordinator.list_replica(leaf, cell, up, started);
-            self.coordinator.set_replica_zone(leaf, place);
+            self.coordinator.list_replica(replica, cell, up, started);
+            self.coordinator.set_replica_zone(replica, place);
         }
         self.coordinator.finish_endpoint_list(&mut self.desk);
     }
 
-    /// Passes on what the module asked for: the parts for one leaf travel together, up to the call size told.
-    fn carry_out(&mut self, leaf_side: &mut dyn LeafSide) {
+    /// Passes on what the module asked for: the parts for one replica travel together, up to the call size told.
+    fn carry_out(&mut self, transport: &mut dyn ReplicaTransport) {
         let wishes = std::mem::take(&mut self.desk.wishes);
         // In the order of their first part.
-        let mut bundles: Vec<(ReplicaId, Vec<CallNo>)> = Vec::new();
+        let mut bundles: Vec<(ReplicaId, Vec<AttemptId>)> = Vec::new();
         let mut places: BTreeMap<ReplicaId, usize> = BTreeMap::new();
         for wish in wishes {
             match wish {
-                Wish::Call(leaf, call) => {
-                    let place = *places.entry(leaf).or_insert(bundles.len());
+                Wish::Call(replica, call) => {
+                    let place = *places.entry(replica).or_insert(bundles.len());
                     match bundles.get_mut(place) {
                         Some((_, bundle)) => bundle.push(call),
-                        None => bundles.push((leaf, vec![call])),
+                        None => bundles.push((replica, vec![call])),
                     }
                 }
-                Wish::GiveUp(leaf, call) => {
-                    leaf_side.give_up(leaf, call);
+                Wish::GiveUp(replica, call) => {
+                    transport.give_up(replica, call);
                     self.ended(call, AttemptOutcome::Cancelled, None, None);
                 }
-                Wish::Probe(leaf) => leaf_side.probe(leaf),
-                Wish::Meet(leaf, address) => leaf_side.meet(leaf, address),
-                Wish::LetGo(leaf) => leaf_side.let_go(leaf),
+                Wish::Probe(replica) => transport.probe(replica),
+                Wish::Meet(replica, address) => transport.meet(replica, address),
+                Wish::LetGo(replica) => transport.let_go(replica),
             }
         }
-        for (leaf, bundle) in bundles {
+        for (replica, bundle) in bundles {
             for parts in bundle.chunks(self.call_size) {
-                leaf_side.call(leaf, parts.to_vec());
+                transport.call(replica, parts.to_vec());
             }
         }
     }
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -1,4 +1,4 @@
-//! What the exchange holds of queries, parts, leaves and calls, and what the decision module asks of it.
+//! What the exchange holds of queries, parts, replicas and calls, and what the decision module asks of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use super::{CallNo, Final, Lent, REQUESTS, Then};
+use super::{AttemptId, Lent, QueryResponse, REQUESTS, Then};
 use crate::audit::Audit;
 use crate::counters::Counters;
 use crate::reasons::Again;
@@ -20,7 +20,7 @@
     pub(super) then: Option<Then>,
     /// In the order asked.
     pub(super) parts: Vec<u32>,
-    pub(super) vertical: RequestClassId,
+    pub(super) class: RequestClassId,
     pub(super) idempotency_key: Option<Arc<str>>,
     pub(super) lent: Option<Lent>,
 }
@@ -39,7 +39,7 @@
     pub(super) last_outcome: Option<AttemptOutcome>,
 }
 
-pub(super) struct HeldLeaf {
+pub(super) struct ReplicaEntry {
     pub(super) address: Option<SocketAddr>,
     pub(super) cell: u32,
     pub(super) zone: Option<String>,
@@ -51,7 +51,7 @@
 }
 
 pub(super) struct Out {
-    pub(super) leaf: ReplicaId,
+    pub(super) replica: ReplicaId,
     pub(super) until: Timestamp,
     /// Its frame is being written, or was.
     pub(super) released: bool,
@@ -59,8 +59,8 @@
 
 /// What the module asked for, until the turn is over.
 pub(super) enum Wish {
-    Call(ReplicaId, CallNo),
-    GiveUp(ReplicaId, CallNo),
+    Call(ReplicaId, AttemptId),
+    GiveUp(ReplicaId, AttemptId),
     Probe(ReplicaId),
     Meet(ReplicaId, SocketAddr),
     LetGo(ReplicaId),
@@ -70,16 +70,16 @@
 pub(super) struct Desk {
     pub(super) queries: Interner,
     pub(super) parts: Interner,
-    pub(super) leaves: Interner,
+    pub(super) replicas: Interner,
     /// By index; each ends when the module lets go of it.
     pub(super) held_queries: BTreeMap<u32, HeldQuery>,
     pub(super) held_parts: BTreeMap<u32, HeldPart>,
-    pub(super) held_leaves: BTreeMap<u32, HeldLeaf>,
+    pub(super) held_replicas: BTreeMap<u32, ReplicaEntry>,
     /// Queries by the front's ticket; an entry ends with its query.
     pub(super) tickets: BTreeMap<u64, u32>,
-    /// Leaf calls out, and when waiting for them ends; emptied by their ends.
-    pub(super) out: BTreeMap<CallNo, Out>,
-    pub(super) untils: BTreeSet<(Timestamp, CallNo)>,
+    /// Replica calls out, and when waiting for them ends; emptied by their ends.
+    pub(super) out: BTreeMap<AttemptId, Out>,
+    pub(super) untils: BTreeSet<(Timestamp, AttemptId)>,
     /// Alarms; emptied as they ring.
     pub(super) alarms: BTreeSet<(Timestamp, u64)>,
     /// Emptied at each turn's end.
@@ -92,14 +92,14 @@
 }
 
 impl Desk {
-    /// Ends a call for the outside, and says at which leaf it was out; none if it has ended before.
-    pub(super) fn close(&mut self, call: CallNo, outcome: AttemptOutcome) -> Option<ReplicaId> {
-        let Out { leaf, until, .. } = self.out.remove(&call)?;
+    /// Ends a call for the outside, and says at which replica it was out; none if it has ended before.
+    pub(super) fn close(&mut self, call: AttemptId, outcome: AttemptOutcome) -> Option<ReplicaId> {
+        let Out { replica, until, .. } = self.out.remove(&call)?;
         if let Some(audit) = &mut self.audit {
             audit.ended(call.0, call.1, outcome);
         }
         self.untils.remove(&(until, call));
-        Some(leaf)
+        Some(replica)
     }
 
     /// Queries and parts open: a part that is in is not.
@@ -108,7 +108,7 @@
         self.held_queries.len() + open.count()
     }
 
-    fn finish(&mut self, query: QueryId, last: Final, word: &'static str) {
+    fn finish(&mut self, query: QueryId, last: QueryResponse, word: &'static str) {
         self.counters.add("queries", word);
         tracing::debug!(target: REQUESTS, request = self.queries.name(query.0), outcome = word, "answered");
         self.check_answer(query, &last);
@@ -119,30 +119,32 @@
     }
 
     /// Rejected or aborted, and why.
-    fn refuse(&mut self, query: QueryId, last: Final, word: &'static str, why: RejectReason) {
+    fn refuse(&mut self, query: QueryId, last: QueryResponse, word: &'static str, why: RejectReason) {
         self.counters.add("refusals", why.name());
         tracing::debug!(target: REQUESTS, request = self.queries.name(query.0), why = why.name(), "refused");
         self.finish(query, last, word);
     }
 
-    fn check_answer(&mut self, query: QueryId, last: &Final) {
+    fn check_answer(&mut self, query: QueryId, last: &QueryResponse) {
         let (Some(audit), Some(held)) = (&mut self.audit, self.held_queries.get(&query.0)) else { return };
         let weight_of = |shard: &u32| {
             let mut parts = held.parts.iter().filter_map(|p| self.held_parts.get(p));
             parts.find(|p| p.shard == *shard).map_or(0.0, |p| p.weight)
         };
         let (weight, whole) = match last {
-            Final::Merged { whole, hits } => (Some(hits.iter().map(|(s, _)| weight_of(s)).sum()), *whole),
+            QueryResponse::Answered { whole, hits } => {
+                (Some(hits.iter().map(|(s, _)| weight_of(s)).sum()), *whole)
+            }
             _ => (None, false),
         };
         audit.answered(self.now, held.ticket, weight, whole);
     }
 
-    /// The leaves that a whole list may have left out.
+    /// The replicas that a whole list may have left out.
     pub(super) fn audit_lists(&mut self) {
         let Some(audit) = &mut self.audit else { return };
-        for (&leaf, held) in self.held_leaves.iter().filter(|(_, l)| l.site.is_none()) {
-            audit.listed(ReplicaId(leaf), held.off);
+        for (&replica, held) in self.held_replicas.iter().filter(|(_, l)| l.site.is_none()) {
+            audit.listed(ReplicaId(replica), held.off);
         }
     }
 
@@ -157,11 +159,11 @@
 }
 
 impl CoordinatorOutput for Desk {
-    fn send_attempt(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
+    fn send_attempt(&mut self, part: PartId, replica: ReplicaId, until: Timestamp) {
         if let Some(again) = self.again(part) {
             self.counters.add("again", again.name());
             let part = self.parts.name(part.0);
-            tracing::debug!(target: REQUESTS, part, leaf = leaf.0, why = again.name(), "goes again");
+            tracing::debug!(target: REQUESTS, part, replica = replica.0, why = again.name(), "goes again");
         }
         let held = self.held_parts.get_mut(&part.0).expect("called parts are held");
         let call = (part, held.calls);
@@ -170,14 +172,14 @@
         if let Some(lent) = lent.filter(|_| call.1 > 0) {
             lent.made.set(lent.made.get() + 1);
         }
-        self.out.insert(call, Out { leaf, until, released: false });
+        self.out.insert(call, Out { replica, until, released: false });
         self.untils.insert((until, call));
-        self.wishes.push(Wish::Call(leaf, call));
+        self.wishes.push(Wish::Call(replica, call));
     }
 
     fn cancel_attempt(&mut self, part: PartId, nth: u32) {
-        if let Some(leaf) = self.out.get(&(part, nth)).map(|out| out.leaf) {
-            self.wishes.push(Wish::GiveUp(leaf, (part, nth)));
+        if let Some(replica) = self.out.get(&(part, nth)).map(|out| out.replica) {
+            self.wishes.push(Wish::GiveUp(replica, (part, nth)));
         }
     }
 
@@ -188,23 +190,27 @@
             Some((part.shard, part.value.take()?))
         });
         let hits = hits.collect();
-        self.finish(query, Final::Merged { whole, hits }, if whole { "merged" } else { "merged_in_part" });
+        self.finish(
+            query,
+            QueryResponse::Answered { whole, hits },
+            if whole { "merged" } else { "merged_in_part" },
+        );
     }
 
     fn reject(&mut self, query: QueryId, stay_away: TimeSpan, why: RejectReason) {
-        self.refuse(query, Final::Rejected { stay_away }, "rejected", why);
+        self.refuse(query, QueryResponse::Rejected { stay_away }, "rejected", why);
     }
 
     fn abort(&mut self, query: QueryId, why: RejectReason) {
-        self.refuse(query, Final::Aborted, "aborted", why);
+        self.refuse(query, QueryResponse::Aborted, "aborted", why);
     }
 
     fn set_timer(&mut self, at: Timestamp, label: u64) {
         self.alarms.insert((at, label));
     }
 
-    fn send_load_probe(&mut self, leaf: ReplicaId) {
-        self.wishes.push(Wish::Probe(leaf));
+    fn send_load_probe(&mut self, replica: ReplicaId) {
+        self.wishes.push(Wish::Probe(replica));
     }
 
     fn watch_endpoints(&mut self) {} // Discovery is always watched.
@@ -237,12 +243,12 @@
         }
     }
 
-    fn release_replica(&mut self, leaf: ReplicaId) {
-        self.leaves.release(leaf.0);
-        self.held_leaves.remove(&leaf.0);
+    fn release_replica(&mut self, replica: ReplicaId) {
+        self.replicas.release(replica.0);
+        self.held_replicas.remove(&replica.0);
         if let Some(audit) = &mut self.audit {
-            audit.release_replica(leaf);
+            audit.release_replica(replica);
         }
-        self.wishes.push(Wish::LetGo(leaf));
+        self.wishes.push(Wish::LetGo(replica));
     }
 }
--- a/crates/pipitcrank-server/src/frames.rs
+++ b/crates/pipitcrank-server/src/frames.rs
@@ -1,4 +1,4 @@
-//! The frames that co-ordinators and leaves exchange: four bytes of length (most significant first), a letter,
+//! The frames that co-ordinators and replicas exchange: four bytes of length (most significant first), a letter,
 //! and the rest. Decoded once into a small value, encoded once.
 
 use std::fmt;
@@ -11,7 +11,7 @@
 
 use crate::ends::outcome_from_wire;
 
-/// Longest frame taken from a leaf: as much as any message body of the protocol may hold.
+/// Longest frame taken from a replica: as much as any message body of the protocol may hold.
 const MOST: usize = 64 * 1024;
 
 /// One part of a call, as it goes out.
@@ -20,7 +20,7 @@
     pub id: Rc<str>,
     pub shard: u32,
     pub wait: TimeSpan,
-    /// As the client gave it: leaves know a repeat by it.
+    /// As the client gave it: replicas know a repeat by it.
     pub idempotency_key: Option<Arc<str>>,
     pub text: Arc<str>,
 }
@@ -32,9 +32,9 @@
     pub in_hand: Option<f64>,
 }
 
-/// What a leaf sends.
+/// What a replica sends.
 #[derive(Debug, PartialEq)]
-pub enum FromLeaf {
+pub enum ReplicaFrame {
     Answer { id: String, outcome: AttemptOutcome, report: Option<Report>, value: String },
     Alive(AttemptOutcome),
     Load(AttemptOutcome, Option<Report>),
@@ -84,7 +84,7 @@
 }
 
 /// Takes the first whole frame from the buffer, if there is one.
-pub fn take(buffer: &mut BytesMut) -> Result<Option<FromLeaf>, BadFrame> {
+pub fn take(buffer: &mut BytesMut) -> Result<Option<ReplicaFrame>, BadFrame> {
     let Some(head) = buffer.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
     if length == 0 || length > MOST {
@@ -101,18 +101,18 @@
         b'A' => answer(rest).map(Some),
         b'P' => match outcome_from_wire(rest) {
             Some(outcome @ (AttemptOutcome::Success | AttemptOutcome::Fault)) => {
-                Ok(Some(FromLeaf::Alive(outcome)))
+                Ok(Some(ReplicaFrame::Alive(outcome)))
             }
             _ => Err(BadFrame("a probe's answer is neither ok nor err")),
         },
-        b'L' if rest == "err" => Ok(Some(FromLeaf::Load(AttemptOutcome::Fault, None))),
-        b'L' => Ok(Some(FromLeaf::Load(AttemptOutcome::Success, report(rest)))),
-        b'E' => Ok(Some(FromLeaf::Complaint(rest.to_string()))),
+        b'L' if rest == "err" => Ok(Some(ReplicaFrame::Load(AttemptOutcome::Fault, None))),
+        b'L' => Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report(rest)))),
+        b'E' => Ok(Some(ReplicaFrame::Complaint(rest.to_string()))),
         _ => Err(BadFrame("its letter is not known")),
     }
 }
 
-fn answer(rest: &str) -> Result<FromLeaf, BadFrame> {
+fn answer(rest: &str) -> Result<ReplicaFrame, BadFrame> {
     let (line, value) = rest.split_once('\n').ok_or(BadFrame("an answer has no line"))?;
     let words: Vec<&str> = line.split(' ').collect();
     let [id, word, score, load] = words[..] else {
@@ -127,11 +127,11 @@
     if outcome == AttemptOutcome::Success && (value.is_empty() || value.contains('\0')) {
         return Err(BadFrame("an answer has no value, or another frame in it"));
     }
-    Ok(FromLeaf::Answer { id: id.to_string(), outcome, report: report(load), value: value.to_string() })
+    Ok(ReplicaFrame::Answer { id: id.to_string(), outcome, report: report(load), value: value.to_string() })
 }
 
 /// `name=value` pairs set apart by commas, or `-`. Names not known are left. The protocol's example has the first
-/// name of each, leaves use the second, that of the settings: read under one alone, reports told nothing. A report
+/// name of each, replicas use the second, that of the settings: read under one alone, reports told nothing. A report
 /// that can't be read tells nothing, but the answer it comes with is good: it was thrown away once, with all else
 /// out on the connection.
 fn report(text: &str) -> Option<Report> {
--- a/crates/pipitcrank-server/src/front.rs
+++ b/crates/pipitcrank-server/src/front.rs
@@ -1,5 +1,5 @@
 //! The front: HTTP requests of clients are decoded once into a query for the exchange, and its final answer is
-//! encoded once. It knows nothing of leaves.
+//! encoded once. It knows nothing of replicas.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::awake::Awake;
 use crate::clock::{Clock, duration};
 use crate::counters::Counters;
-use crate::exchange::{Asked, AskedPart, Final};
+use crate::exchange::{QueryPart, QueryRequest, QueryResponse};
 
 /// Largest body taken, as the protocol says.
 const MOST_BODY: usize = 64 * 1024;
@@ -76,7 +76,7 @@
 
 /// What the front has for the exchange.
 pub enum Knock {
-    Ask(u64, Asked, oneshot::Sender<Final>),
+    Ask(u64, QueryRequest, oneshot::Sender<QueryResponse>),
     Gone(u64),
     /// Is it able to serve?
     Able(oneshot::Sender<bool>),
@@ -86,8 +86,8 @@
 pub struct Door {
     pub clock: Clock,
     pub counters: Counters,
-    pub verticals: Arc<[String]>,
-    /// Whether a repeat of the vertical's is known by the client's key.
+    pub classes: Arc<[String]>,
+    /// Whether a repeat of the request class's is known by the client's key.
     pub deduplicated: Arc<[bool]>,
     pub shards: u32,
     pub knocks: UnboundedSender<Knock>,
@@ -170,7 +170,7 @@
 async fn query(State(door): State<Door>, request: Request) -> Response {
     let (parts, body) = request.into_parts();
     let word = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or("");
-    let Some(vertical) = door.verticals.iter().position(|v| v == word) else {
+    let Some(class) = door.classes.iter().position(|v| v == word) else {
         return bad(&door, "unknown_path", StatusCode::NOT_FOUND, "no such vertical");
     };
     if parts.method != Method::POST {
@@ -179,19 +179,19 @@
         return refused;
     }
     let arrival = parts.extensions.get::<Arrival>().cloned();
-    let asked = match read(&door, RequestClassId(vertical as u16), &parts.headers, arrival, body).await {
+    let asked = match read(&door, RequestClassId(class as u16), &parts.headers, arrival, body).await {
         Ok(asked) => asked,
         Err((status, what)) => {
             let kind = if status == StatusCode::PAYLOAD_TOO_LARGE { "too_large" } else { "malformed" };
             return bad(&door, kind, status, what);
         }
     };
-    // Guards against a wave of queries whose clients have long gone, after this process stood still: all leaves were
+    // Guards against a wave of queries whose clients have long gone, after this process stood still: all replicas were
     // asked for them at once, and nobody was served for ten seconds.
     let now = door.clock.now();
     if asked.ends <= now && door.awake.unread_for(now) > TimeSpan::ZERO {
         door.counters.add("queries", "unread_too_long");
-        return encode(Final::Rejected { stay_away: TimeSpan::ZERO });
+        return encode(QueryResponse::Rejected { stay_away: TimeSpan::ZERO });
     }
     let ticket = door.tickets.fetch_add(1, Ordering::Relaxed);
     let (answer, answered) = oneshot::channel();
@@ -217,11 +217,11 @@
 /// One request, read whole.
 async fn read(
     door: &Door,
-    vertical: RequestClassId,
+    class: RequestClassId,
     headers: &HeaderMap,
     arrival: Option<Arrival>,
     body: Body,
-) -> Result<Asked, Wrong> {
+) -> Result<QueryRequest, Wrong> {
     let received = door.clock.now();
     door.awake.look(received);
     let in_queue =
@@ -246,11 +246,11 @@
         return Err(wrong("Req-Key is no key"));
     }
     let key = header("Idempotency-Key");
-    // Guards against a repeat that leaves could not know, and against one that they would read as something else.
+    // Guards against a repeat that replicas could not know, and against one that they would read as something else.
     if headers.contains_key("Idempotency-Key") && !key.is_some_and(is_idempotency_key) {
         return Err(wrong("Idempotency-Key is no key, or there are several"));
     }
-    if key.is_none() && door.deduplicated[vertical.0 as usize] {
+    if key.is_none() && door.deduplicated[class.0 as usize] {
         return Err(wrong("Idempotency-Key is missing"));
     }
     let left = header("Req-Deadline-Ms").filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
@@ -271,8 +271,8 @@
         arrival.whole.set();
     }
     let ends = ends(received + left - unread, *door.end_called.borrow(), door.last_answer);
-    let asked = decode(&body, id, vertical, ends, door.shards).map_err(wrong)?;
-    Ok(Asked { idempotency_key: key.map(Into::into), ..asked })
+    let asked = decode(&body, id, class, ends, door.shards).map_err(wrong)?;
+    Ok(QueryRequest { idempotency_key: key.map(Into::into), ..asked })
 }
 
 /// Guards against an answer that would come when this process has been killed.
@@ -306,10 +306,10 @@
 fn decode(
     body: &Bytes,
     id: &str,
-    vertical: RequestClassId,
+    class: RequestClassId,
     ends: Timestamp,
     shards: u32,
-) -> Result<Asked, &'static str> {
+) -> Result<QueryRequest, &'static str> {
     let Question { shards: pieces, q } =
         serde_json::from_slice(body).map_err(|_| "the body is not the JSON expected")?;
     if pieces.is_empty() {
@@ -330,13 +330,13 @@
     if pieces.iter().any(|p| p.key.as_deref().is_some_and(|k| !is_key(k))) {
         return Err("a part's key is no key");
     }
-    let parts = pieces.into_iter().map(|p| AskedPart {
+    let parts = pieces.into_iter().map(|p| QueryPart {
         shard: p.shard,
         weight: p.weight,
         work: p.cost.map(|us| us / 1e6),
     });
     let (id, parts) = (id.to_string(), parts.collect());
-    Ok(Asked { id, vertical, ends, parts, idempotency_key: None, text: q.into() })
+    Ok(QueryRequest { id, class, ends, parts, idempotency_key: None, text: q.into() })
 }
 
 /// Leaves read it behind `k=` in a list that commas and blanks divide.
@@ -348,13 +348,13 @@
     key.len() == 16 && key.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-fn encode(last: Final) -> Response {
+fn encode(last: QueryResponse) -> Response {
     match last {
-        Final::Merged { whole, hits } => {
+        QueryResponse::Answered { whole, hits } => {
             let hits = hits.iter().map(|(shard, doc)| Hit { shard: *shard, doc }).collect();
             axum::Json(Answer { complete: whole, hits }).into_response()
         }
-        Final::Rejected { stay_away } => {
+        QueryResponse::Rejected { stay_away } => {
             let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
             if stay_away > TimeSpan::ZERO
                 && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", stay_away.as_secs_f64()))
@@ -363,8 +363,8 @@
             }
             response
         }
-        Final::Aborted => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
-        Final::Repeated => {
+        QueryResponse::Aborted => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
+        QueryResponse::DuplicateId => {
             last_on_connection((StatusCode::CONFLICT, "a query with this Req-Id is held").into_response())
         }
     }
--- a/crates/pipitcrank-server/src/charter.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -16,22 +16,22 @@
 use crate::clock::{Clock, duration};
 use crate::counters::Counters;
 use crate::discovery::News;
-use crate::exchange::{Exchange, Listed};
+use crate::exchange::{Endpoint, Exchange};
 
-/// Descriptors that are neither a client's nor a leaf's: standard ones, the runtime's, listener, discovery.
+/// Descriptors that are neither a client's nor a replica's: standard ones, the runtime's, listener, discovery.
 const OWN_SOCKETS: u32 = 24;
 
-pub struct Charter<V> {
+pub struct NodeConfig<V> {
     all: Value,
     variable: V,
 }
 
-impl<V: Fn(&str) -> Option<String>> Charter<V> {
+impl<V: Fn(&str) -> Option<String>> NodeConfig<V> {
     /// From the file's text and the variables, which go before it.
-    pub fn read(text: &str, variable: V) -> Result<Charter<V>, ConfigError> {
+    pub fn read(text: &str, variable: V) -> Result<NodeConfig<V>, ConfigError> {
         let not_json =
             |e| ConfigError { key: "NODE_CONFIG".to_string(), reason: format!("is not JSON: {e}") };
-        Ok(Charter { all: serde_json::from_str(text).map_err(not_json)?, variable })
+        Ok(NodeConfig { all: serde_json::from_str(text).map_err(not_json)?, variable })
     }
 
     fn told(&self) -> SettingsReader<'_> {
@@ -98,7 +98,7 @@
     }
 
     /// The list of leaves as last held, and its version.
-    pub fn known(&self, clock: &Clock) -> Result<(u64, Vec<Listed>), ConfigError> {
+    pub fn known(&self, clock: &Clock) -> Result<(u64, Vec<Endpoint>), ConfigError> {
         let wrong = |reason: String| self.told().error("/known", &format!("is no list: {reason}"));
         let known = self.all.get("known").ok_or_else(|| wrong("it is missing".to_string()))?;
         let known = News::deserialize(known).map_err(|e| wrong(e.to_string()))?;
@@ -116,7 +116,7 @@
         Ok((rev, rows))
     }
 
-    /// Sockets for leaves and clients together, at most.
+    /// Sockets for replicas and clients together, at most.
     pub fn sockets(&self) -> Result<usize, ConfigError> {
         match self.told().count("/limits/sockets")? {
             most if most >= 2 * OWN_SOCKETS => Ok((most - OWN_SOCKETS) as usize),
@@ -124,22 +124,22 @@
         }
     }
 
-    /// The names of the verticals, in the module's order.
-    pub fn verticals(&self) -> Result<Vec<String>, ConfigError> {
-        self.settings()?.verticals()
+    /// The names of the request classes, in the module's order.
+    pub fn classes(&self) -> Result<Vec<String>, ConfigError> {
+        self.settings()?.classes()
     }
 
-    /// Whether leaves know a repeat by the client's key, by vertical.
+    /// Whether replicas know a repeat by the client's key, by request class.
     pub fn deduplicated(&self) -> Result<Vec<bool>, ConfigError> {
         let settings = self.settings()?;
         let keyed = |n| Ok(settings.text(&format!("/classes/{n}/idempotency"))? == "keyed");
-        (0..settings.verticals()?.len()).map(keyed).collect()
+        (0..settings.classes()?.len()).map(keyed).collect()
     }
 
-    /// Utility of a vertical's whole answer, in the module's order; 1 where nothing is said.
+    /// Utility of a request class's whole answer, in the module's order; 1 where nothing is said.
     pub fn utilities(&self) -> Result<Vec<f64>, ConfigError> {
         let settings = self.settings()?;
-        (0..settings.verticals()?.len())
+        (0..settings.classes()?.len())
             .map(|n| settings.number_or(&format!("/classes/{n}/worth"), 1.0))
             .collect()
     }
@@ -147,7 +147,7 @@
     /// What passes in a time without any promise: the longest that a client is waited for.
     pub fn longest(&self) -> Result<TimeSpan, ConfigError> {
         let settings = self.settings()?;
-        let mut limits = (0..settings.verticals()?.len()).map(|n| {
+        let mut limits = (0..settings.classes()?.len()).map(|n| {
             let key = format!("/classes/{n}/hard_limit_s");
             match settings.span(&key)? {
                 limit if limit > TimeSpan::ZERO => Ok(limit),
@@ -157,7 +157,7 @@
         limits.try_fold(TimeSpan::ZERO, |most, next| Ok(most.max(next?)))
     }
 
-    /// Cells that a site's leaves stand in.
+    /// Cells that a site's replicas stand in.
     pub fn cells(&self) -> Result<u32, ConfigError> {
         self.settings()?.count("/domain/sets")
     }
@@ -172,14 +172,14 @@
 
     pub fn exchange(&self, counters: Counters) -> Result<Exchange, ConfigError> {
         let settings = self.settings()?;
-        for n in 0..settings.verticals()?.len() {
+        for n in 0..settings.classes()?.len() {
             let key = format!("/domain/follow_up/{n}");
             if settings.number(&key)? > 0.0 {
                 return Err(settings.error(&key, "asks for a second step, which sockets don't have"));
             }
         }
         let zones = self.zones()?.map_or(Vec::new(), |(_, names)| names);
-        // Nothing goes to a leaf that was told to drain, so its grace is not needed; it has to be told all the same.
+        // Nothing goes to a replica that was told to drain, so its grace is not needed; it has to be told all the same.
         settings.span("/rules/drain_grace_s")?;
         let (seed, call_size) = (self.seed()?, self.call_size()?);
         // The decision module counts in the same calls.
@@ -201,9 +201,9 @@
     /// What the run-time check of the rules goes by.
     fn audit_terms(&self) -> Result<audit::Terms, ConfigError> {
         let settings = self.settings()?;
-        let vertical = |n: usize| {
+        let class = |n: usize| {
             let window = settings.number_or(&format!("/classes/{n}/dedup_window_s"), 0.0)?;
-            Ok(audit::VerticalTerms {
+            Ok(audit::ClassRules {
                 idempotency: settings.idempotency(n)?,
                 dedup_window: TimeSpan::from_secs_f64(window),
                 floor: settings.number(&format!("/domain/floor_by_class/{n}"))?,
@@ -212,7 +212,7 @@
         };
         let span = TimeSpan::from_secs_f64(settings.number_or("/rules/budget_span_s", 0.0)?);
         Ok(audit::Terms {
-            verticals: (0..settings.verticals()?.len()).map(vertical).collect::<Result<_, _>>()?,
+            classes: (0..settings.classes()?.len()).map(class).collect::<Result<_, _>>()?,
             may_duplicate: settings.flag("/allowed/may_duplicate")?,
             try_limit: settings.count("/allowed/try_limit")?,
             drain_grace: settings.span("/rules/drain_grace_s")?,
@@ -250,7 +250,7 @@
         self.settings()?.zones()
     }
 
-    /// Parts that a connection to a leaf carries at once.
+    /// Parts that a connection to a replica carries at once.
     pub fn streams(&self) -> Result<usize, ConfigError> {
         Ok(self.settings()?.count_from_1("/allowed/streams_per_conn")? as usize)
     }
@@ -261,12 +261,12 @@
         Ok(a_call.min(self.streams()? as u32))
     }
 
-    /// Time for a connection to a leaf to come up.
+    /// Time for a connection to a replica to come up.
     pub fn dial_limit(&self) -> Result<Duration, ConfigError> {
         Ok(duration(self.settings()?.span("/allowed/dial_timeout_s")?))
     }
 
-    /// How long a connection to a leaf may stand idle: closed before the leaf would, earlier by as long as a way
+    /// How long a connection to a replica may stand idle: closed before the replica would, earlier by as long as a way
     /// there may take at most, or by half of it. Guards against connections closed as they come up, for ever, where they may
     /// take as long to come up as they may stand idle.
     pub fn idle_limit(&self) -> Result<Duration, ConfigError> {
--- a/crates/pipitcrank-server/src/objects/tests.rs
+++ b/crates/pipitcrank-server/src/objects/tests.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 
-fn list(leaves: usize, name: &str) -> Value {
+fn list(replicas: usize, name: &str) -> Value {
     let target = |n| json!({"uid": format!("{name}{n}"), "endpoint": "127.0.0.1:1", "pod_group": n, "more": {"x": []}});
-    json!({"rev": leaves, "all": true, "targets": (0..leaves).map(target).collect::<Vec<_>>()})
+    json!({"rev": replicas, "all": true, "targets": (0..replicas).map(target).collect::<Vec<_>>()})
 }
 
 proptest! {
@@ -17,8 +17,8 @@
         cuts in proptest::collection::vec(1usize..90, 0..60),
     ) {
         let mut bytes = Vec::new();
-        for (leaves, name, indented, between) in &lists {
-            let list = list(*leaves, name);
+        for (replicas, name, indented, between) in &lists {
+            let list = list(*replicas, name);
             let text = if *indented { serde_json::to_string_pretty(&list) } else { serde_json::to_string(&list) };
             bytes.extend_from_slice(text.unwrap().as_bytes());
             bytes.extend_from_slice(between.as_bytes());
@@ -32,7 +32,7 @@
                 found.push(serde_json::from_slice::<Value>(&object).unwrap());
             }
         }
-        let wanted: Vec<Value> = lists.iter().map(|(leaves, name, ..)| list(*leaves, name)).collect();
+        let wanted: Vec<Value> = lists.iter().map(|(replicas, name, ..)| list(*replicas, name)).collect();
         prop_assert_eq!(found, wanted);
     }
 }
--- a/crates/pipitcrank-server/src/relay.rs
+++ b/crates/pipitcrank-server/src/relay.rs
@@ -8,25 +8,25 @@
 use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_handover::passing::Outgoing;
-use pipitcrank_handover::words::{RelayedAsk, RelayedFinal, ToNew};
+use pipitcrank_handover::words::{RelayedQuery, RelayedResponse, ToSuccessor};
 use tokio::sync::oneshot;
 
-use crate::exchange::{Asked, AskedPart, Final};
-use crate::hall::Hall;
+use crate::event_loop::EventLoop;
+use crate::exchange::{QueryPart, QueryRequest, QueryResponse};
 
 /// How long before the client's time an answer has to be back: what the link and this thread may take. Guards against
 /// a query lost because the other process hangs.
 const BEFORE_TIME: TimeSpan = TimeSpan::from_millis(5);
 
 struct Out {
-    vertical: RequestClassId,
-    answer: oneshot::Sender<Final>,
+    class: RequestClassId,
+    answer: oneshot::Sender<QueryResponse>,
 }
 
 /// Cheap to clone; all clones are one.
 #[derive(Clone)]
 pub struct Relay {
-    hall: Rc<Hall>,
+    event_loop: Rc<EventLoop>,
     /// To the process that works on queries, while there is one.
     to: Rc<RefCell<Option<Outgoing>>>,
     /// By the front's ticket; each leaves with its answer, or its client.
@@ -34,8 +34,8 @@
 }
 
 impl Relay {
-    pub fn new(hall: Rc<Hall>) -> Relay {
-        Relay { hall, to: Rc::default(), out: Rc::default() }
+    pub fn new(event_loop: Rc<EventLoop>) -> Relay {
+        Relay { event_loop, to: Rc::default(), out: Rc::default() }
     }
 
     /// From now on queries go there.
@@ -51,28 +51,28 @@
     pub fn ask(
         &self,
         ticket: u64,
-        asked: Asked,
-        answer: oneshot::Sender<Final>,
-    ) -> Result<(), (Asked, oneshot::Sender<Final>)> {
+        asked: QueryRequest,
+        answer: oneshot::Sender<QueryResponse>,
+    ) -> Result<(), (QueryRequest, oneshot::Sender<QueryResponse>)> {
         let to = self.to.borrow();
-        let Some(to) = to.as_ref().filter(|_| !self.hall.ask(|e| e.holds(&asked.id))) else {
+        let Some(to) = to.as_ref().filter(|_| !self.event_loop.ask(|e| e.holds(&asked.id))) else {
             return Err((asked, answer));
         };
-        let left = asked.ends - self.hall.clock.now();
-        self.out.borrow_mut().insert(ticket, Out { vertical: asked.vertical, answer });
+        let left = asked.ends - self.event_loop.clock.now();
+        self.out.borrow_mut().insert(ticket, Out { class: asked.class, answer });
         let relay = self.clone();
-        let by = self.hall.clock.instant(asked.ends - BEFORE_TIME);
+        let by = self.event_loop.clock.instant(asked.ends - BEFORE_TIME);
         tokio::task::spawn_local(async move {
             tokio::time::sleep_until(by).await;
             if relay.strand(ticket) {
-                relay.hall.counters.add("upgrades", "not_answered_in_time");
+                relay.event_loop.counters.add("upgrades", "not_answered_in_time");
             }
         });
         let key = asked.idempotency_key.clone();
         let words = to_words(ticket, left - BEFORE_TIME, asked);
         let ask = match key {
-            None => ToNew::Ask(words),
-            Some(key) => ToNew::AskWithKey(words, key.to_string()),
+            None => ToSuccessor::Ask(words),
+            Some(key) => ToSuccessor::AskWithKey(words, key.to_string()),
         };
         to.send(&ask, None);
         Ok(())
@@ -82,12 +82,12 @@
     pub fn gone(&self, ticket: u64) -> bool {
         let held = self.out.borrow_mut().remove(&ticket).is_some();
         if let Some(to) = self.to.borrow().as_ref().filter(|_| held) {
-            to.send(&ToNew::Gone { ticket }, None);
+            to.send(&ToSuccessor::Gone { ticket }, None);
         }
         held
     }
 
-    pub fn answered(&self, ticket: u64, last: RelayedFinal) {
+    pub fn answered(&self, ticket: u64, last: RelayedResponse) {
         if let Some(out) = self.out.borrow_mut().remove(&ticket) {
             let _ = out.answer.send(from_words(last));
         }
@@ -96,8 +96,10 @@
     /// Answers a query of which the other process is not known to have done anything, nor not to have.
     fn strand(&self, ticket: u64) -> bool {
         let Some(out) = self.out.borrow_mut().remove(&ticket) else { return false };
-        let last = self.hall.ask(|e| e.stranded(out.vertical));
-        self.hall.counters.add("queries", if last == Final::Aborted { "aborted" } else { "rejected" });
+        let last = self.event_loop.ask(|e| e.stranded(out.class));
+        self.event_loop
+            .counters
+            .add("queries", if last == QueryResponse::Aborted { "aborted" } else { "rejected" });
         let _ = out.answer.send(last);
         true
     }
@@ -110,48 +112,47 @@
     }
 }
 
-fn to_words(ticket: u64, left: TimeSpan, asked: Asked) -> RelayedAsk {
+fn to_words(ticket: u64, left: TimeSpan, asked: QueryRequest) -> RelayedQuery {
     let parts = asked.parts.iter().map(|p| (p.shard, p.weight, p.work)).collect();
-    let (id, vertical, text) = (asked.id, asked.vertical.0, asked.text.to_string());
-    RelayedAsk { ticket, id, vertical, left, parts, text }
+    let (id, class, text) = (asked.id, asked.class.0, asked.text.to_string());
+    RelayedQuery { ticket, id, class, left, parts, text }
 }
 
-/// A query as handed on; none if its vertical or a shard is not known here.
+/// A query as handed on; none if its request class or a shard is not known here.
 pub fn asked(
-    hall: &Hall,
-    verticals: usize,
+    event_loop: &EventLoop,
+    classes: usize,
     shards: u32,
-    ask: RelayedAsk,
+    ask: RelayedQuery,
     idempotency_key: Option<String>,
-) -> Option<Asked> {
-    let RelayedAsk { id, vertical, left, parts, text, .. } = ask;
-    let known =
-        usize::from(vertical) < verticals && !parts.is_empty() && parts.iter().all(|(s, ..)| *s < shards);
-    let part = |(shard, weight, work)| AskedPart { shard, weight, work };
-    known.then(|| Asked {
+) -> Option<QueryRequest> {
+    let RelayedQuery { id, class, left, parts, text, .. } = ask;
+    let known = usize::from(class) < classes && !parts.is_empty() && parts.iter().all(|(s, ..)| *s < shards);
+    let part = |(shard, weight, work)| QueryPart { shard, weight, work };
+    known.then(|| QueryRequest {
         id,
-        vertical: RequestClassId(vertical),
-        ends: hall.clock.now() + left,
+        class: RequestClassId(class),
+        ends: event_loop.clock.now() + left,
         parts: parts.into_iter().map(part).collect(),
         idempotency_key: idempotency_key.map(Into::into),
         text: text.into(),
     })
 }
 
-pub fn to_final_words(last: Final) -> RelayedFinal {
+pub fn to_final_words(last: QueryResponse) -> RelayedResponse {
     match last {
-        Final::Merged { whole, hits } => RelayedFinal::Merged { whole, hits },
-        Final::Rejected { stay_away } => RelayedFinal::Rejected { stay_away },
-        Final::Aborted => RelayedFinal::Aborted,
-        Final::Repeated => RelayedFinal::Repeated,
+        QueryResponse::Answered { whole, hits } => RelayedResponse::Merged { whole, hits },
+        QueryResponse::Rejected { stay_away } => RelayedResponse::Rejected { stay_away },
+        QueryResponse::Aborted => RelayedResponse::Aborted,
+        QueryResponse::DuplicateId => RelayedResponse::Repeated,
     }
 }
 
-fn from_words(last: RelayedFinal) -> Final {
+fn from_words(last: RelayedResponse) -> QueryResponse {
     match last {
-        RelayedFinal::Merged { whole, hits } => Final::Merged { whole, hits },
-        RelayedFinal::Rejected { stay_away } => Final::Rejected { stay_away },
-        RelayedFinal::Aborted => Final::Aborted,
-        RelayedFinal::Repeated => Final::Repeated,
+        RelayedResponse::Merged { whole, hits } => QueryResponse::Answered { whole, hits },
+        RelayedResponse::Rejected { stay_away } => QueryResponse::Rejected { stay_away },
+        RelayedResponse::Aborted => QueryResponse::Aborted,
+        RelayedResponse::Repeated => QueryResponse::DuplicateId,
     }
 }
--- a/crates/pipitcrank-server/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -1,4 +1,4 @@
-//! A new charter while the process runs: at SIGHUP the file is read again, and what may change of it takes effect.
+//! A new node configuration while the process runs: at SIGHUP the file is read again, and what may change of it takes effect.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -7,9 +7,9 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::charter::Charter;
 use crate::clock::Clock;
 use crate::counters::Counters;
+use crate::node_config::NodeConfig;
 use crate::system_errors::waited_for;
 
 /// A file that can't be opened or read for a while is waited for so long: folders may fail for 30 s.
@@ -48,7 +48,7 @@
 
 /// Where discovery is from now on.
 fn read(text: &str, clock: &Clock) -> Result<String, ConfigError> {
-    let charter = Charter::read(text, |_| None)?;
-    charter.check(clock)?;
-    charter.discovery()
+    let node_config = NodeConfig::read(text, |_| None)?;
+    node_config.check(clock)?;
+    node_config.discovery()
 }
