--- a/crates/pipitcrank-server/src/leaves.rs
+++ b/crates/pipitcrank-server/src/replica_pool.rs
@@ -1,4 +1,4 @@
-//! The leaf side: which connection to a leaf carries what. Connections are used again while they have streams
+//! The replica side: which connection to a replica carries what. Connections are used again while they have streams
 //! free; one more is opened only when none has.
 
 use std::cell::{Cell, RefCell};
@@ -12,13 +12,13 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
 use crate::ends::ConnectionEnd;
-use crate::exchange::{CallNo, LeafSide};
-use crate::hall::Hall;
+use crate::event_loop::EventLoop;
+use crate::exchange::{AttemptId, ReplicaTransport};
 use crate::wire;
 
 /// What a connection is given to do, in order.
 pub enum Job {
-    Call(Vec<CallNo>),
+    Call(Vec<AttemptId>),
     GiveUp(Rc<str>),
     Probe,
     /// Asks for a sign of life on this connection.
@@ -27,16 +27,16 @@
 
 /// A part on a connection, from when it is queued for it until its call has ended.
 pub struct Carried {
-    pub call: CallNo,
+    pub call: AttemptId,
     /// Its id on the wire, once its frame has been begun.
     pub id: Option<Rc<str>>,
     /// Whether its frame was written whole.
     pub written: bool,
 }
 
-/// What the leaf side and the connection's own task both know of it.
+/// What the replica side and the connection's own task both know of it.
 pub struct Wire {
-    pub leaf: ReplicaId,
+    pub replica: ReplicaId,
     pub jobs: UnboundedSender<Job>,
     /// Within the streams told.
     pub carried: RefCell<Vec<Carried>>,
@@ -44,7 +44,7 @@
     pub probes: Cell<u32>,
     /// A frame could not be written at once: the other side does not read.
     pub stalled: Cell<bool>,
-    /// A frame of the leaf's has begun and is not whole.
+    /// A frame of the replica's has begun and is not whole.
     pub half_read: Cell<bool>,
     /// Something is out and nothing has come for long.
     pub doubted: Cell<bool>,
@@ -52,7 +52,7 @@
     pub pings: Cell<u32>,
     /// Parts given up or answered, of those begun on it.
     pub given_up: RefCell<GivenUp>,
-    /// The leaf is not needed any more, or the socket is: it closes when nothing is out on it.
+    /// The replica is not needed any more, or the socket is: it closes when nothing is out on it.
     pub let_go: Cell<bool>,
     /// When it was last given something, by count.
     pub used: Cell<u64>,
@@ -71,9 +71,9 @@
         self.carried.borrow().is_empty() && self.probes.get() == 0 && !self.let_go.get()
     }
 
-    pub fn new(leaf: ReplicaId, jobs: UnboundedSender<Job>) -> Wire {
+    pub fn new(replica: ReplicaId, jobs: UnboundedSender<Job>) -> Wire {
         Wire {
-            leaf,
+            replica,
             jobs,
             carried: RefCell::default(),
             probes: Cell::default(),
@@ -121,29 +121,29 @@
     wires: Vec<Rc<Wire>>,
 }
 
-pub struct Leaves {
-    hall: Rc<Hall>,
-    this: std::rc::Weak<RefCell<Leaves>>,
+pub struct ReplicaPool {
+    event_loop: Rc<EventLoop>,
+    this: std::rc::Weak<RefCell<ReplicaPool>>,
     streams: usize,
     way_limit: Duration,
     idle_limit: Duration,
-    /// One per leaf met; ends when the exchange lets go of it.
+    /// One per replica met; ends when the exchange lets go of it.
     lines: BTreeMap<ReplicaId, Line>,
     /// How often a connection was given something.
     uses: u64,
 }
 
-impl Leaves {
+impl ReplicaPool {
     pub fn new(
-        hall: Rc<Hall>,
+        event_loop: Rc<EventLoop>,
         streams: usize,
         way_limit: Duration,
         idle_limit: Duration,
-    ) -> Rc<RefCell<Leaves>> {
-        let leaves = Rc::new_cyclic(|this| {
-            let (this, hall) = (this.clone(), hall.clone());
-            RefCell::new(Leaves {
-                hall,
+    ) -> Rc<RefCell<ReplicaPool>> {
+        let replicas = Rc::new_cyclic(|this| {
+            let (this, event_loop) = (this.clone(), event_loop.clone());
+            RefCell::new(ReplicaPool {
+                event_loop,
                 this,
                 streams,
                 way_limit,
@@ -152,15 +152,15 @@
                 uses: 0,
             })
         });
-        let ours = Rc::downgrade(&leaves);
+        let ours = Rc::downgrade(&replicas);
         tokio::task::spawn_local(async move {
             loop {
-                hall.sockets.wanted_back().await;
-                let Some(leaves) = ours.upgrade() else { return };
-                leaves.borrow_mut().give_back();
+                event_loop.sockets.wanted_back().await;
+                let Some(replicas) = ours.upgrade() else { return };
+                replicas.borrow_mut().give_back();
             }
         });
-        leaves
+        replicas
     }
 
     /// Ends the connection that was unused for longest; false where all are in use.
@@ -170,55 +170,56 @@
             Some(wire) => retire([wire.clone()]),
             None => return false,
         }
-        self.hall.counters.add("leaf_connections", "given_back");
+        self.event_loop.counters.add("leaf_connections", "given_back");
         true
     }
 
     /// A sound connection with room for so many more parts, opened if need be.
-    fn wire(&mut self, leaf: ReplicaId, parts: usize) -> Result<Rc<Wire>, ConnectionEnd> {
+    fn wire(&mut self, replica: ReplicaId, parts: usize) -> Result<Rc<Wire>, ConnectionEnd> {
         self.uses += 1;
-        let line = self.lines.get(&leaf).ok_or(ConnectionEnd::LetGo)?;
+        let line = self.lines.get(&replica).ok_or(ConnectionEnd::LetGo)?;
         let room = |w: &&Rc<Wire>| w.sound() && w.carried.borrow().len() + parts <= self.streams;
         if let Some(wire) = line.wires.iter().find(room) {
             wire.used.set(self.uses);
             return Ok(wire.clone());
         }
-        let place = self.hall.sockets.place();
-        // Guards against a leaf held to be out of reach while sockets to others stand unused.
+        let place = self.event_loop.sockets.place();
+        // Guards against a replica held to be out of reach while sockets to others stand unused.
         if place.is_none() && !self.give_back() {
             return Err(ConnectionEnd::NoSocket);
         }
         let (jobs, queue) = unbounded_channel();
-        let wire = Rc::new(Wire::new(leaf, jobs));
+        let wire = Rc::new(Wire::new(replica, jobs));
         wire.used.set(self.uses);
-        let line = self.lines.get_mut(&leaf).ok_or(ConnectionEnd::LetGo)?;
+        let line = self.lines.get_mut(&replica).ok_or(ConnectionEnd::LetGo)?;
         line.wires.push(wire.clone());
-        let (hall, this, address) = (self.hall.clone(), self.this.clone(), line.address);
+        let (event_loop, this, address) = (self.event_loop.clone(), self.this.clone(), line.address);
         let (way_limit, idle_limit, ours) = (self.way_limit, self.idle_limit, wire.clone());
         tokio::task::spawn_local(async move {
-            let place = async { if place.is_some() { place } else { Some(hall.sockets.next_place().await) } };
+            let place =
+                async { if place.is_some() { place } else { Some(event_loop.sockets.next_place().await) } };
             let (end, left) = match tokio::time::timeout(way_limit, place).await {
-                Ok(_place) => wire::run(&hall, &ours, queue, address, way_limit, idle_limit).await,
+                Ok(_place) => wire::run(&event_loop, &ours, queue, address, way_limit, idle_limit).await,
                 Err(_) => (ConnectionEnd::NoSocket, wire::left(queue)),
             };
-            if let Some(leaves) = this.upgrade() {
-                leaves.borrow_mut().ended(&ours, end, left);
+            if let Some(replicas) = this.upgrade() {
+                replicas.borrow_mut().ended(&ours, end, left);
             }
         });
         Ok(wire)
     }
 
-    /// Whether a connection to the leaf has half a frame of its.
-    pub fn half_read(&self, leaf: ReplicaId) -> bool {
-        self.lines.get(&leaf).is_some_and(|l| l.wires.iter().any(|w| w.half_read.get()))
+    /// Whether a connection to the replica has half a frame of its.
+    pub fn half_read(&self, replica: ReplicaId) -> bool {
+        self.lines.get(&replica).is_some_and(|l| l.wires.iter().any(|w| w.half_read.get()))
     }
 
     /// A connection has ended: so have all calls on it. But those `left`, not begun when it was closed by
     /// ourselves, go out on another.
-    fn ended(&mut self, wire: &Rc<Wire>, end: ConnectionEnd, left: Vec<Vec<CallNo>>) {
-        tracing::debug!("connection to leaf {} ended: {}", wire.leaf.0, end.name());
-        self.hall.counters.add("leaf_connections", end.name());
-        if let Some(line) = self.lines.get_mut(&wire.leaf) {
+    fn ended(&mut self, wire: &Rc<Wire>, end: ConnectionEnd, left: Vec<Vec<AttemptId>>) {
+        tracing::debug!("connection to leaf {} ended: {}", wire.replica.0, end.name());
+        self.event_loop.counters.add("leaf_connections", end.name());
+        if let Some(line) = self.lines.get_mut(&wire.replica) {
             line.wires.retain(|w| !Rc::ptr_eq(w, wire));
         }
         let mut carried = wire.carried.take();
@@ -226,36 +227,36 @@
             for mut parts in left {
                 parts.retain(|call| carried.iter().any(|c| c.call == *call));
                 carried.retain(|c| !parts.contains(&c.call));
-                self.call(wire.leaf, parts);
+                self.call(wire.replica, parts);
             }
         }
         for Carried { call, written, .. } in carried {
-            self.hall.tell(|e| e.ended(call, end.outcome(written), None, None));
+            self.event_loop.tell(|e| e.ended(call, end.outcome(written), None, None));
         }
-        // Of a leaf let go nothing is told: its index may stand for another by now.
+        // Of a replica let go nothing is told: its index may stand for another by now.
         if wire.probes.get() > 0 && !wire.let_go.get() {
-            self.hall.tell(|e| e.probed(wire.leaf, end.of_probe(), None));
+            self.event_loop.tell(|e| e.probed(wire.replica, end.of_probe(), None));
         }
     }
 }
 
-impl LeafSide for Leaves {
-    fn meet(&mut self, leaf: ReplicaId, address: SocketAddr) {
-        let line = self.lines.entry(leaf).or_insert(Line { address, wires: Vec::new() });
+impl ReplicaTransport for ReplicaPool {
+    fn meet(&mut self, replica: ReplicaId, address: SocketAddr) {
+        let line = self.lines.entry(replica).or_insert(Line { address, wires: Vec::new() });
         if line.address != address {
             line.address = address;
             retire(std::mem::take(&mut line.wires));
         }
     }
 
-    fn let_go(&mut self, leaf: ReplicaId) {
-        if let Some(line) = self.lines.remove(&leaf) {
+    fn let_go(&mut self, replica: ReplicaId) {
+        if let Some(line) = self.lines.remove(&replica) {
             retire(line.wires);
         }
     }
 
-    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>) {
-        match self.wire(leaf, parts.len()) {
+    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+        match self.wire(replica, parts.len()) {
             Ok(wire) => {
                 let carried = parts.iter().map(|&call| Carried { call, id: None, written: false });
                 wire.carried.borrow_mut().extend(carried);
@@ -263,20 +264,20 @@
                 let _ = wire.jobs.send(Job::Call(parts));
             }
             Err(end) => {
-                self.hall.counters.add("leaf_connections", end.name());
-                let hall = self.hall.clone();
+                self.event_loop.counters.add("leaf_connections", end.name());
+                let event_loop = self.event_loop.clone();
                 // Not at once: the exchange is in its turn.
                 tokio::task::spawn_local(async move {
                     for call in parts {
-                        hall.tell(|e| e.ended(call, end.outcome(false), None, None));
+                        event_loop.tell(|e| e.ended(call, end.outcome(false), None, None));
                     }
                 });
             }
         }
     }
 
-    fn give_up(&mut self, leaf: ReplicaId, call: CallNo) {
-        let Some(line) = self.lines.get(&leaf) else { return };
+    fn give_up(&mut self, replica: ReplicaId, call: AttemptId) {
+        let Some(line) = self.lines.get(&replica) else { return };
         for wire in &line.wires {
             let mut carried = wire.carried.borrow_mut();
             let Some(nth) = carried.iter().position(|c| c.call == call) else { continue };
@@ -288,14 +289,14 @@
         }
     }
 
-    fn probe(&mut self, leaf: ReplicaId) {
-        if let Ok(wire) = self.wire(leaf, 0) {
+    fn probe(&mut self, replica: ReplicaId) {
+        if let Ok(wire) = self.wire(replica, 0) {
             wire.probes.set(wire.probes.get() + 1);
             let _ = wire.jobs.send(Job::Probe);
         } else {
-            let hall = self.hall.clone();
+            let event_loop = self.event_loop.clone();
             tokio::task::spawn_local(async move {
-                hall.tell(|e| e.probed(leaf, AttemptOutcome::Unreachable, None))
+                event_loop.tell(|e| e.probed(replica, AttemptOutcome::Unreachable, None))
             });
         }
     }
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -18,16 +18,16 @@
 
 use crate::acceptor::{self, Order};
 use crate::awake::Awake;
-use crate::charter::Charter;
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::discovery::{self, Paid, Rev};
-use crate::exchange::{Exchange, LeafSide};
+use crate::discovery::{self, Paid, SharedRevision};
+use crate::event_loop::{ConnectionLimiter, EventLoop};
+use crate::exchange::{Exchange, ReplicaTransport};
 use crate::front::{self, Door, Knock};
-use crate::hall::{Hall, Sockets};
-use crate::leaves::Leaves;
+use crate::node_config::NodeConfig;
 use crate::relay::Relay;
 use crate::reload;
+use crate::replica_pool::ReplicaPool;
 use crate::shutdown::ShutdownSchedule;
 use crate::system_errors::{PAUSE, passes, waited_for};
 use crate::worker::{FirstList, Worker};
@@ -39,7 +39,7 @@
 const START_LIMIT: std::time::Duration = std::time::Duration::from_secs(8);
 
 /// The file that `NODE_CONFIG` names, and its text; before anything else runs, so it may wait.
-pub fn charter_text() -> Result<(String, String), String> {
+pub fn node_config_text() -> Result<(String, String), String> {
     let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
     let until = Instant::now() + START_LIMIT;
     loop {
@@ -51,11 +51,11 @@
     }
 }
 
-/// What stands beside the near leaf side is made of.
-pub struct Ground {
-    pub hall: Rc<Hall>,
-    pub leaves: Rc<RefCell<Leaves>>,
-    pub verticals: Vec<String>,
+/// What stands beside the near replica side is made of.
+pub struct ServerContext {
+    pub event_loop: Rc<EventLoop>,
+    pub replicas: Rc<RefCell<ReplicaPool>>,
+    pub classes: Vec<String>,
     pub shards: u32,
     pub cells: u32,
     /// How long a query may be held.
@@ -67,17 +67,17 @@
     pub end_called: watch::Receiver<Option<Timestamp>>,
     /// What the platform says of zones: the own one's place, and all names.
     pub zones: Option<(ZoneId, Vec<String>)>,
-    /// Utility of a whole answer, by vertical.
+    /// Utility of a whole answer, by request class.
     pub utilities: Vec<f64>,
     /// Version of discovery's list, where one is held.
-    pub rev: Rev,
+    pub rev: SharedRevision,
 }
 
 /// What a process before this one knew, and how long ago.
 pub type Recalled = Option<(TimeSpan, Snapshot)>;
 
-/// Makes a leaf side that also reaches what near leaves are not, such as other sites.
-pub type Beside = Box<dyn FnOnce(Ground) -> Rc<RefCell<dyn LeafSide>>>;
+/// Makes a replica side that also reaches what near replicas are not, such as other sites.
+pub type Beside = Box<dyn FnOnce(ServerContext) -> Rc<RefCell<dyn ReplicaTransport>>>;
 
 /// Serves until asked to end, or until all has passed to another process. Under a keeper its link comes along; the
 /// listener then is the keeper's.
@@ -91,67 +91,72 @@
     let hangups = signal(SignalKind::hangup())?;
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
-    let (path, text) = charter_text()?;
-    let charter = Charter::read(&text, |name| std::env::var(name).ok())?;
+    let (path, text) = node_config_text()?;
+    let node_config = NodeConfig::read(&text, |name| std::env::var(name).ok())?;
 
     let counters = Counters::default();
-    let exchange = charter.exchange(counters.clone())?;
-    let (rev, rows) = charter.known(&clock)?;
-    let (for_leaves, for_clients) = Sockets::shared(charter.sockets()?);
-    let hall = Rc::new(Hall::new(clock.clone(), counters.clone(), for_leaves, exchange));
-    let leaves = Leaves::new(hall.clone(), charter.streams()?, charter.dial_limit()?, charter.idle_limit()?);
+    let exchange = node_config.exchange(counters.clone())?;
+    let (rev, rows) = node_config.known(&clock)?;
+    let (for_replicas, for_clients) = ConnectionLimiter::shared(node_config.sockets()?);
+    let event_loop = Rc::new(EventLoop::new(clock.clone(), counters.clone(), for_replicas, exchange));
+    let replicas = ReplicaPool::new(
+        event_loop.clone(),
+        node_config.streams()?,
+        node_config.dial_limit()?,
+        node_config.idle_limit()?,
+    );
     let (knocks, knocked) = unbounded_channel();
     let (call_end, end_called) = watch::channel(None);
     let tickets = Arc::new(AtomicU64::new(0));
     let door_tickets = tickets.clone();
-    let verticals = charter.verticals()?;
-    let worker_verticals = verticals.len();
-    let schedule = ShutdownSchedule::of(charter.longest()?);
+    let classes = node_config.classes()?;
+    let worker_classes = classes.len();
+    let schedule = ShutdownSchedule::of(node_config.longest()?);
     let awake = Arc::new(Awake::new(clock.now()));
     let router = front::router(Door {
         clock: clock.clone(),
         counters: counters.clone(),
-        verticals: verticals.into(),
-        deduplicated: charter.deduplicated()?.into(),
-        shards: charter.shards()?,
+        classes: classes.into(),
+        deduplicated: node_config.deduplicated()?.into(),
+        shards: node_config.shards()?,
         knocks,
         end_called: end_called.clone(),
         last_answer: schedule.last_answer,
         tickets: tickets.clone(),
         awake: awake.clone(),
     });
-    let (move_watch, watched) = watch::channel(charter.discovery()?);
-    let (tick, name, listen) = (charter.tick()?, charter.name()?, charter.listen()?);
+    let (move_watch, watched) = watch::channel(node_config.discovery()?);
+    let (tick, name, listen) = (node_config.tick()?, node_config.name()?, node_config.listen()?);
     let rev_held = Rc::new(Cell::new(None));
-    let (watch_hall, watch_rev) = (hall.clone(), rev_held.clone());
-    let paid = charter.lists_are_asked_for()?.then_some((charter.seed()?, charter.copies()?));
+    let (watch_event_loop, watch_rev) = (event_loop.clone(), rev_held.clone());
+    let paid = node_config.lists_are_asked_for()?.then_some((node_config.seed()?, node_config.copies()?));
     let list_known = move || {
         let paid = paid.map(|(seed, copies)| Paid::new(seed, copies));
-        let watch = discovery::watch(watch_hall.clone(), watched.clone(), watch_rev.clone(), paid);
+        let watch = discovery::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
         tokio::task::spawn_local(watch);
     };
     tokio::task::spawn_local(reload::heed(hangups, path.into(), clock.clone(), counters.clone(), move_watch));
     let (leave, leaving) = watch::channel(false);
     let leave = Rc::new(leave);
-    let relay = Relay::new(hall.clone());
+    let relay = Relay::new(event_loop.clone());
     let (acceptor, ordered) = unbounded_channel();
     let ground_rev = rev_held.clone();
     let ended = call_end.clone();
     match keeper {
         None => {
             rev_held.set(Some(rev));
-            hall.tell(|e| e.list(clock.now(), true, rows));
+            event_loop.tell(|e| e.list(clock.now(), true, rows));
             if let Some((passed, snapshot)) = recalled {
                 let later = snapshot.rev.filter(|&theirs| theirs > rev);
                 rev_held.set(Some(later.unwrap_or(rev)));
-                let leaves = snapshot.leaves.len();
+                let replicas = snapshot.replicas.len();
                 tracing::info!(
-                    leaves,
+                    replicas,
                     its_list = later.is_some(),
                     age_s = passed.as_secs_f64(),
                     "goes on from what is stored"
                 );
-                hall.tell(|e| e.recall(clock.now(), passed, later.is_some(), snapshot));
+                event_loop.tell(|e| e.recall(clock.now(), passed, later.is_some(), snapshot));
             }
             list_known();
             let listener = waited_for(START_LIMIT, || TcpListener::bind(listen)).await;
@@ -161,7 +166,7 @@
         }
         Some(keeper) => {
             let worker = Rc::new(Worker {
-                hall: hall.clone(),
+                event_loop: event_loop.clone(),
                 relay: relay.clone(),
                 acceptor: acceptor.clone(),
                 clients: for_clients.clone(),
@@ -169,9 +174,9 @@
                 list_known: Rc::new(list_known),
                 first_list: Cell::new(Some(FirstList { rev, rows })),
                 tickets,
-                verticals: worker_verticals,
-                shards: charter.shards()?,
-                longest: charter.longest()?,
+                classes: worker_classes,
+                shards: node_config.shards()?,
+                longest: node_config.longest()?,
                 end_called: call_end.clone(),
                 leave: leave.clone(),
             });
@@ -197,22 +202,22 @@
         // Kept: a closed channel would read as a second call.
         std::future::pending::<()>().await;
     });
-    tokio::task::spawn_local(answer_by_the_end(hall.clone(), end_called.clone(), schedule.last_answer));
-    tokio::task::spawn_local(hear(hall.clone(), relay.clone(), knocked));
-    let leaf_side: Rc<RefCell<dyn LeafSide>> = match beside {
-        None => leaves,
-        Some(beside) => beside(Ground {
-            hall: hall.clone(),
-            leaves,
-            verticals: charter.verticals()?,
-            shards: charter.shards()?,
-            cells: charter.cells()?,
-            longest: charter.longest()?,
+    tokio::task::spawn_local(answer_by_the_end(event_loop.clone(), end_called.clone(), schedule.last_answer));
+    tokio::task::spawn_local(hear(event_loop.clone(), relay.clone(), knocked));
+    let transport: Rc<RefCell<dyn ReplicaTransport>> = match beside {
+        None => replicas,
+        Some(beside) => beside(ServerContext {
+            event_loop: event_loop.clone(),
+            replicas,
+            classes: node_config.classes()?,
+            shards: node_config.shards()?,
+            cells: node_config.cells()?,
+            longest: node_config.longest()?,
             tickets: door_tickets,
             leaving,
             end_called: end_called.clone(),
-            zones: charter.zones()?,
-            utilities: charter.utilities()?,
+            zones: node_config.zones()?,
+            utilities: node_config.utilities()?,
             rev: ground_rev,
         }),
     };
@@ -223,9 +228,9 @@
             tokio::time::sleep(LOOK).await;
         }
     });
-    let quiet = || hall.ask(Exchange::quiet) && relay.quiet();
+    let quiet = || event_loop.ask(Exchange::quiet) && relay.quiet();
     tokio::select! {
-        () = hall.take_turns(tick, &leaf_side) => {}
+        () = event_loop.take_turns(tick, &transport) => {}
         () = acceptor::keep(ordered, router, for_clients, counters.clone(), schedule, end_called, quiet) => {}
     }
     tracing::info!("counters at exit:\n{}", counters.show());
@@ -234,22 +239,22 @@
 
 /// What is held when the end is called has its answer before the kill, as what comes later has.
 async fn answer_by_the_end(
-    hall: Rc<Hall>,
+    event_loop: Rc<EventLoop>,
     mut end_called: watch::Receiver<Option<Timestamp>>,
     last_answer: TimeSpan,
 ) {
     if let Ok(called) = end_called.wait_for(Option::is_some).await.map(|at| *at) {
-        called.into_iter().for_each(|at| hall.tell(|e| e.end_by(at + last_answer)));
+        called.into_iter().for_each(|at| event_loop.tell(|e| e.end_by(at + last_answer)));
     }
 }
 
 /// Hands what the front has to the exchange, or to the process that takes over.
-async fn hear(hall: Rc<Hall>, relay: Relay, mut knocked: UnboundedReceiver<Knock>) {
+async fn hear(event_loop: Rc<EventLoop>, relay: Relay, mut knocked: UnboundedReceiver<Knock>) {
     while let Some(knock) = knocked.recv().await {
         match knock {
             Knock::Ask(ticket, asked, answer) => {
                 let Err((asked, answer)) = relay.ask(ticket, asked, answer) else { continue };
-                hall.tell(|e| {
+                event_loop.tell(|e| {
                     let then = Box::new(move |last| {
                         // Nobody listens where the client left in this very moment.
                         let _ = answer.send(last);
@@ -259,11 +264,11 @@
             }
             Knock::Gone(ticket) => {
                 if !relay.gone(ticket) {
-                    hall.tell(|e| e.client_gone(ticket));
+                    event_loop.tell(|e| e.client_gone(ticket));
                 }
             }
             Knock::Able(answer) => {
-                let _ = answer.send(hall.ask(Exchange::able));
+                let _ = answer.send(event_loop.ask(Exchange::able));
             }
         }
     }
--- a/crates/pipitcrank-server/src/shutdown.rs
+++ b/crates/pipitcrank-server/src/shutdown.rs
@@ -13,7 +13,7 @@
 const STAY: f64 = 1.5 / 3.7;
 /// A connection of which nothing came for so long ends: what clients use they use more often, 0.5 s of 3.7 s.
 const IDLE: f64 = 0.5 / 3.7;
-/// The last answer leaves by then: 0.4 s of 3.7 s are left to be written, to be read, and to have been heard late.
+/// The last answer replicas by then: 0.4 s of 3.7 s are left to be written, to be read, and to have been heard late.
 const LAST_ANSWER: f64 = 3.3 / 3.7;
 /// Of what is left then, accepting may go on for this share where it fails.
 const QUEUE_SHARE: f64 = 0.5;
--- a/crates/pipitcrank-server/src/wire.rs
+++ b/crates/pipitcrank-server/src/wire.rs
@@ -1,4 +1,4 @@
-//! One connection to a leaf, from its opening to its end.
+//! One connection to a replica, from its opening to its end.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,34 +12,34 @@
 
 use crate::dial::dial;
 use crate::ends::ConnectionEnd;
-use crate::exchange::CallNo;
-use crate::frames::{self, FromLeaf};
-use crate::hall::Hall;
-use crate::leaves::{Job, Wire};
+use crate::event_loop::EventLoop;
+use crate::exchange::AttemptId;
+use crate::frames::{self, ReplicaFrame};
+use crate::replica_pool::{Job, Wire};
 use crate::stream::{Expects, Stream};
 
 /// What is being written: nothing, a job whose first byte has not gone, or the rest of a frame.
 enum Writing {
     Nothing,
     Next(Job),
-    Rest(Bytes, Vec<CallNo>),
+    Rest(Bytes, Vec<AttemptId>),
 }
 
 /// `way_limit`, the time told for a connection to come up, stands for the longest way there and back: a frame begun
 /// is whole within it, and a connection with something out that brings nothing for so long is doubted, then pinged,
 /// then held to be silent. How the connection ended, and the calls that were still to be begun on it.
 pub async fn run(
-    hall: &Rc<Hall>,
+    event_loop: &Rc<EventLoop>,
     wire: &Wire,
     mut jobs: UnboundedReceiver<Job>,
     address: SocketAddr,
     way_limit: Duration,
     idle_limit: Duration,
-) -> (ConnectionEnd, Vec<Vec<CallNo>>) {
+) -> (ConnectionEnd, Vec<Vec<AttemptId>>) {
     let end = match open(address, way_limit).await {
         Ok(stream) => {
-            hall.counters.add("leaf_connections", "opened");
-            serve(hall, wire, &mut jobs, stream, way_limit, idle_limit).await
+            event_loop.counters.add("leaf_connections", "opened");
+            serve(event_loop, wire, &mut jobs, stream, way_limit, idle_limit).await
         }
         Err(end) => end,
     };
@@ -47,7 +47,7 @@
 }
 
 /// The calls that were still to be begun.
-pub fn left(mut jobs: UnboundedReceiver<Job>) -> Vec<Vec<CallNo>> {
+pub fn left(mut jobs: UnboundedReceiver<Job>) -> Vec<Vec<AttemptId>> {
     let left = std::iter::from_fn(|| jobs.try_recv().ok());
     left.filter_map(|job| if let Job::Call(parts) = job { Some(parts) } else { None }).collect()
 }
@@ -64,7 +64,7 @@
 }
 
 async fn serve(
-    hall: &Rc<Hall>,
+    event_loop: &Rc<EventLoop>,
     wire: &Wire,
     jobs: &mut UnboundedReceiver<Job>,
     stream: Stream,
@@ -88,7 +88,7 @@
         }
         tokio::select! {
             biased;
-            // Guards against a frame written into a connection that the leaf closes at that moment: it would end
+            // Guards against a frame written into a connection that the replica closes at that moment: it would end
             // as a reset and count as having run.
             () = tokio::time::sleep_until(used + idle_limit), if nothing && idle(wire) => {
                 return ConnectionEnd::Idle;
@@ -108,12 +108,12 @@
                             Ok(None) => break,
                             Ok(Some(frame)) => {
                                 begun = used;
-                                if let Err(end) = took(hall, wire, frame) {
+                                if let Err(end) = took(event_loop, wire, frame) {
                                     return end;
                                 }
                             }
                             Err(bad) => {
-                                tracing::warn!("leaf {} sent a bad frame: {bad}", wire.leaf.0);
+                                tracing::warn!("leaf {} sent a bad frame: {bad}", wire.replica.0);
                                 return ConnectionEnd::BadBytes;
                             }
                         }
@@ -124,7 +124,7 @@
             // Guards against a frame that never ends: it would swallow all later answers. After the read: a process that was
             // held up for so long finds its end there.
             () = tokio::time::sleep_until(begun + way_limit), if wire.half_read.get() => {
-                tracing::warn!("leaf {} did not end a frame", wire.leaf.0);
+                tracing::warn!("leaf {} did not end a frame", wire.replica.0);
                 return ConnectionEnd::BadBytes;
             }
             ready = stream.writable(), if !nothing => {
@@ -132,17 +132,17 @@
                     return ConnectionEnd::Reset;
                 }
                 if matches!(writing, Writing::Next(Job::Call(_))) {
-                    hall.catch_up().await;
+                    event_loop.catch_up().await;
                 }
-                writing = match write(hall, wire, &stream, writing) {
+                writing = match write(event_loop, wire, &stream, writing) {
                     Ok(writing) => writing,
                     Err(_) => return ConnectionEnd::Reset,
                 };
                 wire.stalled.set(!matches!(writing, Writing::Nothing));
                 used = Instant::now();
             }
-            // Guards against a connection that has fallen silent while its leaf is well: it took call after call, and
-            // what was out on it made the leaf look jammed. A leaf answers this however much it has to do.
+            // Guards against a connection that has fallen silent while its replica is well: it took call after call, and
+            // what was out on it made the replica look jammed. A replica answers this however much it has to do.
             () = tokio::time::sleep_until(quiet_since + way_limit), if quiet.is_some() && !wire.doubted.get() => {
                 wire.doubted.set(true);
                 let _ = wire.jobs.send(Job::Ping);
@@ -170,17 +170,17 @@
 }
 
 /// One step of writing.
-fn write(hall: &Rc<Hall>, wire: &Wire, to: &Stream, writing: Writing) -> io::Result<Writing> {
+fn write(event_loop: &Rc<EventLoop>, wire: &Wire, to: &Stream, writing: Writing) -> io::Result<Writing> {
     let begins = matches!(writing, Writing::Next(_));
     let (mut rest, parts) = match writing {
         Writing::Nothing => return Ok(Writing::Nothing),
         Writing::Rest(rest, parts) => (rest, parts),
         Writing::Next(Job::GiveUp(id)) => (frames::give_up(&id), Vec::new()),
-        // Guards against a probe that waited for its connection while its leaf was told to drain or went.
-        Writing::Next(Job::Probe) if wire.let_go.get() || hall.ask(|e| e.drains(wire.leaf)) => {
+        // Guards against a probe that waited for its connection while its replica was told to drain or went.
+        Writing::Next(Job::Probe) if wire.let_go.get() || event_loop.ask(|e| e.drains(wire.replica)) => {
             wire.probes.set(wire.probes.get().saturating_sub(1));
             if !wire.let_go.get() {
-                hall.tell(|e| e.probed(wire.leaf, AttemptOutcome::NeverSent, None));
+                event_loop.tell(|e| e.probed(wire.replica, AttemptOutcome::NeverSent, None));
             }
             return Ok(Writing::Nothing);
         }
@@ -191,14 +191,14 @@
         }
         Writing::Next(Job::Call(mut parts)) => {
             // Guards against a call given up while it was queued here, whose number is by now that of another part's call on
-            // another connection to the leaf: it went out here, and its answer was taken for one that nobody asked for.
+            // another connection to the replica: it went out here, and its answer was taken for one that nobody asked for.
             let waits =
-                |call: &CallNo| wire.carried.borrow().iter().any(|c| c.call == *call && c.id.is_none());
+                |call: &AttemptId| wire.carried.borrow().iter().any(|c| c.call == *call && c.id.is_none());
             parts.retain(waits);
-            let going = hall.tell(|e| e.release(hall.clock.now(), wire.leaf, &mut parts));
+            let going = event_loop.tell(|e| e.release(event_loop.clock.now(), wire.replica, &mut parts));
             let mut carried = wire.carried.borrow_mut();
             // What was not released has ended.
-            carried.retain(|c| c.id.is_some() || hall.ask(|e| e.is_out(c.call)));
+            carried.retain(|c| c.id.is_some() || event_loop.ask(|e| e.is_out(c.call)));
             if going.is_empty() {
                 return Ok(Writing::Nothing);
             }
@@ -218,7 +218,7 @@
             for c in wire.carried.borrow_mut().iter_mut().filter(|c| parts.contains(&c.call)) {
                 c.id = None;
             }
-            hall.tell(|e| e.take_back(&parts));
+            event_loop.tell(|e| e.take_back(&parts));
             return Ok(Writing::Next(Job::Call(parts)));
         }
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -227,49 +227,49 @@
     if !rest.is_empty() {
         return Ok(Writing::Rest(rest, parts));
     }
-    hall.counters.add("frames", if parts.is_empty() { "small_sent" } else { "calls_sent" });
+    event_loop.counters.add("frames", if parts.is_empty() { "small_sent" } else { "calls_sent" });
     for c in wire.carried.borrow_mut().iter_mut().filter(|c| parts.contains(&c.call)) {
         c.written = true;
     }
     Ok(Writing::Nothing)
 }
 
-/// Deals with one frame of the leaf's.
-fn took(hall: &Rc<Hall>, wire: &Wire, frame: FromLeaf) -> Result<(), ConnectionEnd> {
+/// Deals with one frame of the replica's.
+fn took(event_loop: &Rc<EventLoop>, wire: &Wire, frame: ReplicaFrame) -> Result<(), ConnectionEnd> {
     match frame {
-        FromLeaf::Answer { id, outcome, report, value } => {
+        ReplicaFrame::Answer { id, outcome, report, value } => {
             let mut carried = wire.carried.borrow_mut();
             let Some(nth) = carried.iter().position(|c| c.id.as_deref() == Some(&*id)) else {
                 if wire.given_up.borrow().has(&id) {
-                    hall.counters.add("frames", "late_answers");
+                    event_loop.counters.add("frames", "late_answers");
                     return Ok(());
                 }
                 // Guards against waiting in vain for the part whose id was spoilt.
-                tracing::warn!("leaf {} answered what it was not asked", wire.leaf.0);
+                tracing::warn!("leaf {} answered what it was not asked", wire.replica.0);
                 return Err(ConnectionEnd::BadBytes);
             };
             let call = carried.swap_remove(nth).call;
             // Its second copy is harmless.
             wire.given_up.borrow_mut().add(&id);
-            hall.counters.add("frames", "answers");
+            event_loop.counters.add("frames", "answers");
             let value = (outcome == AttemptOutcome::Success).then_some(value);
-            hall.tell(|e| e.ended(call, outcome, value, report));
+            event_loop.tell(|e| e.ended(call, outcome, value, report));
         }
-        FromLeaf::Load(outcome, report) => {
+        ReplicaFrame::Load(outcome, report) => {
             let Some(before) = wire.probes.get().checked_sub(1) else {
-                tracing::warn!("leaf {} answered a probe that was not sent", wire.leaf.0);
+                tracing::warn!("leaf {} answered a probe that was not sent", wire.replica.0);
                 return Err(ConnectionEnd::BadBytes);
             };
             wire.probes.set(before);
             if !wire.let_go.get() {
-                hall.tell(|e| e.probed(wire.leaf, outcome, report));
+                event_loop.tell(|e| e.probed(wire.replica, outcome, report));
             }
         }
-        FromLeaf::Alive(_) => {
+        ReplicaFrame::Alive(_) => {
             wire.pings.set(wire.pings.get().checked_sub(1).ok_or(ConnectionEnd::BadBytes)?);
         }
-        FromLeaf::Complaint(words) => {
-            tracing::warn!("leaf {} could not use a frame: {words}", wire.leaf.0);
+        ReplicaFrame::Complaint(words) => {
+            tracing::warn!("leaf {} could not use a frame: {words}", wire.replica.0);
             return Err(ConnectionEnd::Complaint);
         }
     }
--- a/crates/pipitcrank-server/src/wire/tests.rs
+++ b/crates/pipitcrank-server/src/wire/tests.rs
@@ -9,9 +9,9 @@
 use super::*;
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::exchange::{Asked, AskedPart, Exchange, LeafSide, Listed};
-use crate::hall::Sockets;
-use crate::leaves::Carried;
+use crate::event_loop::ConnectionLimiter;
+use crate::exchange::{Endpoint, Exchange, QueryPart, QueryRequest, ReplicaTransport};
+use crate::replica_pool::Carried;
 
 const TOLD: &str = r#"{"allowed":{"cancel":true,"probing":false,"may_duplicate":true,"retry_after":false,
   "try_limit":1},"classes":[{"aim_s":50.0,"hard_limit_s":60.0,"idempotency":"safe","name":"view"}],
@@ -21,11 +21,11 @@
 
 struct Nobody;
 
-impl LeafSide for Nobody {
+impl ReplicaTransport for Nobody {
     fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
     fn let_go(&mut self, _: ReplicaId) {}
-    fn call(&mut self, _: ReplicaId, _: Vec<CallNo>) {}
-    fn give_up(&mut self, _: ReplicaId, _: CallNo) {}
+    fn call(&mut self, _: ReplicaId, _: Vec<AttemptId>) {}
+    fn give_up(&mut self, _: ReplicaId, _: AttemptId) {}
     fn probe(&mut self, _: ReplicaId) {}
 }
 
@@ -37,39 +37,44 @@
 #[test]
 fn a_sign_of_life_is_good_once_for_each_ping() {
     let counters = Counters::default();
-    let hall = Rc::new(Hall::new(Clock::start(), counters.clone(), Sockets::new(9), exchange(&counters)));
+    let event_loop = Rc::new(EventLoop::new(
+        Clock::start(),
+        counters.clone(),
+        ConnectionLimiter::new(9),
+        exchange(&counters),
+    ));
     let (jobs, _queue) = unbounded_channel();
     let wire = Wire::new(ReplicaId(0), jobs);
     wire.pings.set(1);
-    let alive = || took(&hall, &wire, FromLeaf::Alive(AttemptOutcome::Fault));
+    let alive = || took(&event_loop, &wire, ReplicaFrame::Alive(AttemptOutcome::Fault));
     assert_eq!(alive(), Ok(()), "busy with probes, but alive");
     assert_eq!(alive(), Err(ConnectionEnd::BadBytes), "nobody asked");
 }
 
-/// One leaf at the end of a connection, and a query whose one call to it is out.
-async fn one_call_out() -> (TcpStream, Stream, Rc<Hall>, CallNo) {
+/// One replica at the end of a connection, and a query whose one call to it is out.
+async fn one_call_out() -> (TcpStream, Stream, Rc<EventLoop>, AttemptId) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).await.unwrap();
-    let (leaf_end, _) = listener.accept().await.unwrap();
+    let (replica_end, _) = listener.accept().await.unwrap();
     let to = Stream::new(stream);
     to.writable().await.unwrap();
-    let (hall, call) = one_query(address);
-    (leaf_end, to, hall, call)
+    let (event_loop, call) = one_query(address);
+    (replica_end, to, event_loop, call)
 }
 
-/// A hall that has one leaf there and one query, the first, with its one call out.
-fn one_query(address: SocketAddr) -> (Rc<Hall>, CallNo) {
+/// A hall that has one replica there and one query, the first, with its one call out.
+fn one_query(address: SocketAddr) -> (Rc<EventLoop>, AttemptId) {
     let (clock, counters) = (Clock::start(), Counters::default());
     let mut exchange = exchange(&counters);
     let row =
-        Listed { uid: "l".into(), address: Some(address), cell: 0, zone: None, up: true, started: None };
+        Endpoint { uid: "l".into(), address: Some(address), cell: 0, zone: None, up: true, started: None };
     exchange.list(clock.now(), true, vec![row]);
-    let parts = vec![AskedPart { shard: 0, weight: 1.0, work: None }];
+    let parts = vec![QueryPart { shard: 0, weight: 1.0, work: None }];
     let ends = clock.now() + TimeSpan::from_millis(50_000);
-    let asked = Asked {
+    let asked = QueryRequest {
         id: "q".into(),
-        vertical: RequestClassId(0),
+        class: RequestClassId(0),
         ends,
         parts,
         idempotency_key: None,
@@ -79,7 +84,7 @@
     exchange.turn(clock.now(), &mut Nobody);
     let call = (PartId(0), 0);
     assert!(exchange.is_out(call));
-    (Rc::new(Hall::new(clock, counters, Sockets::new(9), exchange)), call)
+    (Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange)), call)
 }
 
 /// The process stood still; on waking one asks whether all is told, and while it waits a call is ready on another connection.
@@ -90,23 +95,23 @@
     local
         .run_until(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let (hall, call) = one_query(listener.local_addr().unwrap());
+            let (event_loop, call) = one_query(listener.local_addr().unwrap());
             let (jobs, mut queue) = unbounded_channel();
             let wire = Rc::new(Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs.clone()) });
-            let (ours, at) = (hall.clone(), listener.local_addr().unwrap());
+            let (ours, at) = (event_loop.clone(), listener.local_addr().unwrap());
             let running = wire.clone();
             let limit = Duration::from_secs(9);
             let stream = open(at, limit).await.unwrap();
             tokio::task::spawn_local(async move {
                 serve(&ours, &running, &mut queue, stream, limit, limit).await;
             });
-            let _leaf_end = listener.accept().await.unwrap();
+            let _replica_end = listener.accept().await.unwrap();
             std::thread::sleep(Duration::from_millis(100));
             // Something is told, as late as that: all that follows waits.
-            hall.tell(|e| e.probed(ReplicaId(0), AttemptOutcome::Success, None));
-            let first = hall.clone();
+            event_loop.tell(|e| e.probed(ReplicaId(0), AttemptOutcome::Success, None));
+            let first = event_loop.clone();
             tokio::task::spawn_local(async move { first.catch_up().await });
-            let gone = hall.clone();
+            let gone = event_loop.clone();
             tokio::task::spawn_local(async move {
                 tokio::task::yield_now().await;
                 jobs.send(Job::Call(vec![call])).unwrap();
@@ -114,7 +119,7 @@
                 gone.tell(|e| e.client_gone(1));
             });
             tokio::time::sleep(Duration::from_millis(50)).await;
-            assert_eq!(hall.counters.get("frames", "calls_sent"), 0, "a call for a client that left");
+            assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "a call for a client that left");
             assert!(wire.carried.borrow().is_empty(), "it was looked at");
         })
         .await;
@@ -123,51 +128,56 @@
 /// A call was queued on this connection and given up there; its number is that of a call queued on another one now.
 #[tokio::test]
 async fn a_call_that_another_connection_carries_does_not_go_out_here() {
-    let (_leaf_end, to, hall, call) = one_call_out().await;
+    let (_replica_end, to, event_loop, call) = one_call_out().await;
     let (jobs, _) = unbounded_channel();
     let here = Wire::new(ReplicaId(0), jobs.clone());
     let there = Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs) };
     let queued = || Writing::Next(Job::Call(vec![call]));
-    assert!(matches!(write(&hall, &here, &to, queued()).unwrap(), Writing::Nothing));
-    assert_eq!(hall.counters.get("frames", "calls_sent"), 0, "not here");
-    assert!(matches!(write(&hall, &there, &to, queued()).unwrap(), Writing::Nothing));
-    assert_eq!(hall.counters.get("frames", "calls_sent"), 1, "but there");
+    assert!(matches!(write(&event_loop, &here, &to, queued()).unwrap(), Writing::Nothing));
+    assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "not here");
+    assert!(matches!(write(&event_loop, &there, &to, queued()).unwrap(), Writing::Nothing));
+    assert_eq!(event_loop.counters.get("frames", "calls_sent"), 1, "but there");
     assert!(there.carried.borrow()[0].written);
 }
 
-fn carries(call: CallNo) -> RefCell<Vec<Carried>> {
+fn carries(call: AttemptId) -> RefCell<Vec<Carried>> {
     RefCell::new(vec![Carried { call, id: None, written: false }])
 }
 
 #[tokio::test]
 async fn a_call_of_which_no_byte_has_gone_is_looked_at_again() {
-    let (_unread, to, hall, call) = one_call_out().await;
+    let (_unread, to, event_loop, call) = one_call_out().await;
     while to.try_write(&[0; 1 << 16]).is_ok() {}
     let (jobs, _) = unbounded_channel();
     let wire = Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs) };
 
-    let next = write(&hall, &wire, &to, Writing::Next(Job::Call(vec![call]))).unwrap();
+    let next = write(&event_loop, &wire, &to, Writing::Next(Job::Call(vec![call]))).unwrap();
     assert!(matches!(next, Writing::Next(Job::Call(_))), "nothing of it has gone");
     assert!(wire.carried.borrow()[0].id.is_none());
-    hall.tell(|e| e.ended(call, AttemptOutcome::Cancelled, None, None));
-    assert!(matches!(write(&hall, &wire, &to, next).unwrap(), Writing::Nothing), "dropped: it is over");
+    event_loop.tell(|e| e.ended(call, AttemptOutcome::Cancelled, None, None));
+    assert!(matches!(write(&event_loop, &wire, &to, next).unwrap(), Writing::Nothing), "dropped: it is over");
 }
 
-/// A probe waits at its connection while its leaf is told to drain: it does not go out, and counts as never sent.
+/// A probe waits at its connection while its replica is told to drain: it does not go out, and counts as never sent.
 #[tokio::test]
-async fn a_probe_queued_for_a_leaf_that_drains_meanwhile_does_not_go_out() {
+async fn a_probe_queued_for_a_replica_that_drains_meanwhile_does_not_go_out() {
     for drains in [false, true] {
-        let (leaf_end, to, hall, _call) = one_call_out().await;
+        let (replica_end, to, event_loop, _call) = one_call_out().await;
         let (jobs, _queue) = unbounded_channel();
         let wire = Wire::new(ReplicaId(0), jobs);
         wire.probes.set(1);
-        let row = Listed { uid: "l".into(), address: None, cell: 0, zone: None, up: !drains, started: None };
-        hall.tell(|e| e.list(hall.clock.now(), false, vec![row]));
-        let take_turn = async { hall.take_turns(TimeSpan::from_millis(1), &RefCell::new(Nobody)).await };
+        let row =
+            Endpoint { uid: "l".into(), address: None, cell: 0, zone: None, up: !drains, started: None };
+        event_loop.tell(|e| e.list(event_loop.clock.now(), false, vec![row]));
+        let take_turn =
+            async { event_loop.take_turns(TimeSpan::from_millis(1), &RefCell::new(Nobody)).await };
         assert!(tokio::time::timeout(Duration::from_millis(50), take_turn).await.is_err());
-        assert!(matches!(write(&hall, &wire, &to, Writing::Next(Job::Probe)).unwrap(), Writing::Nothing));
+        assert!(matches!(
+            write(&event_loop, &wire, &to, Writing::Next(Job::Probe)).unwrap(),
+            Writing::Nothing
+        ));
         let mut came = [0; 9];
-        let sent = leaf_end.try_read(&mut came).is_ok_and(|n| n > 0);
+        let sent = replica_end.try_read(&mut came).is_ok_and(|n| n > 0);
         assert_eq!((sent, wire.probes.get()), (!drains, u32::from(!drains)), "drains: {drains}");
     }
 }
--- a/crates/pipitcrank-server/src/worker.rs
+++ b/crates/pipitcrank-server/src/worker.rs
@@ -12,40 +12,42 @@
 
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_handover::division;
-use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing, mono_us};
+use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing, monotonic_micros};
 use pipitcrank_handover::snapshot::Snapshot;
-use pipitcrank_handover::words::{RelayedAsk, RelayedFinal, ToKeeper, ToNew, ToOld, ToWorker, VERSION};
+use pipitcrank_handover::words::{
+    RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION,
+};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
 
 use crate::acceptor::{Adopted, Order};
-use crate::discovery::Rev;
-use crate::exchange::{Exchange, Final, Listed};
-use crate::hall::{Hall, Sockets};
+use crate::discovery::SharedRevision;
+use crate::event_loop::{ConnectionLimiter, EventLoop};
+use crate::exchange::{Endpoint, Exchange, QueryResponse};
 use crate::relay::{self, Relay};
 
 /// How often it looks whether a step is done, and gives a sign of life: a small part of any limit that the operators
 /// may set.
 const LOOK: Duration = Duration::from_millis(50);
 
-/// What this process knows the list of leaves by before it is told otherwise.
+/// What this process knows the list of replicas by before it is told otherwise.
 pub struct FirstList {
     pub rev: u64,
-    pub rows: Vec<Listed>,
+    pub rows: Vec<Endpoint>,
 }
 
 pub struct Worker {
-    pub hall: Rc<Hall>,
+    pub event_loop: Rc<EventLoop>,
     pub relay: Relay,
     pub acceptor: UnboundedSender<Order>,
-    pub clients: Sockets,
-    pub rev: Rev,
+    pub clients: ConnectionLimiter,
+    pub rev: SharedRevision,
     /// Called once the list is there, from wherever it came.
     pub list_known: Rc<dyn Fn()>,
     pub first_list: Cell<Option<FirstList>>,
     pub tickets: Arc<AtomicU64>,
-    pub verticals: usize,
+    pub classes: usize,
     pub shards: u32,
     /// How long a query may be held.
     pub longest: TimeSpan,
@@ -91,11 +93,11 @@
     /// Obeys until the keeper is gone; then it ends in order, as nobody could upgrade or signal it any more.
     pub async fn obey(self: Rc<Worker>, keeper: StdStream) -> Result<(), Broken> {
         let (to_keeper, mut from_keeper) = passing::join(keeper)?;
-        to_keeper.send(&ToKeeper::Hello { version: VERSION }, None);
-        to_keeper.send(&ToKeeper::Checked, None);
+        to_keeper.send(&ToSupervisor::Hello { version: VERSION }, None);
+        to_keeper.send(&ToSupervisor::Checked, None);
         let mut peer = Peer::Nobody;
-        let mut from_old: Link<ToNew> = None;
-        let mut from_new: Link<ToOld> = None;
+        let mut from_old: Link<ToSuccessor> = None;
+        let mut from_new: Link<ToPredecessor> = None;
         let mut looks = tokio::time::interval(LOOK);
         looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let (pass_on, mut passed_on) = unbounded_channel::<Adopted>();
@@ -107,7 +109,7 @@
                         self.list_as_first_known();
                         self.end_called.send_if_modified(|e| {
                             let first = e.is_none();
-                            *e = e.or(Some(self.hall.clock.now()));
+                            *e = e.or(Some(self.event_loop.clock.now()));
                             first
                         });
                         return Ok(());
@@ -125,13 +127,13 @@
                         }
                         ToWorker::TakeOver => {
                             let (to, from) = passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
-                            to.send(&ToOld::Hello { version: VERSION }, None);
+                            to.send(&ToPredecessor::Hello { version: VERSION }, None);
                             from_old = Some((from, std::marker::PhantomData));
                             peer = Peer::Old(Old { to, lent: None, tickets: Rc::default() });
                         }
                         ToWorker::HandOver => {
                             let (to, from) = passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
-                            to.send(&ToNew::Hello { version: VERSION }, None);
+                            to.send(&ToSuccessor::Hello { version: VERSION }, None);
                             from_new = Some((from, std::marker::PhantomData));
                             peer = Peer::New(New { to, kept: 0, trusted: false, passing: false, drained: false });
                         }
@@ -151,7 +153,7 @@
                         }
                         ToWorker::Upgrades { asked, done, undone } => {
                             for (which, n) in [("asked", asked), ("done", done), ("undone", undone)] {
-                                self.hall.counters.set("upgrades", which, n);
+                                self.event_loop.counters.set("upgrades", which, n);
                             }
                         }
                     }
@@ -172,11 +174,11 @@
                     }
                 },
                 said = heard(&mut from_new) => match (said, &mut peer) {
-                    (Ok((ToOld::Hello { version: VERSION }, _)), Peer::New(new)) => {
+                    (Ok((ToPredecessor::Hello { version: VERSION }, _)), Peer::New(new)) => {
                         new.trusted = true;
                         self.hand_over(new);
                     }
-                    (Ok((ToOld::Answer { ticket, last }, _)), _) => self.relay.answered(ticket, last),
+                    (Ok((ToPredecessor::Answer { ticket, last }, _)), _) => self.relay.answered(ticket, last),
                     (Ok(_), _) => {
                         tracing::warn!("the new process speaks another version");
                         from_new = None;
@@ -192,23 +194,23 @@
                 Some(Adopted { stream, read, whole_within }) = passed_on.recv() => {
                     if let (Peer::New(new), Ok(stream)) = (&peer, stream.into_std()) {
                         let whole_within = whole_within.map(|d| TimeSpan::from_secs_f64(d.as_secs_f64()));
-                        new.to.send(&ToNew::Connection { read: read.to_vec(), whole_within }, Some(stream.into()));
+                        new.to.send(&ToSuccessor::Connection { read: read.to_vec(), whole_within }, Some(stream.into()));
                     }
                 }
                 _ = looks.tick() => match &mut peer {
-                    Peer::Old(old) if old.lent.is_some() => to_keeper.send(&ToKeeper::Beat, None),
+                    Peer::Old(old) if old.lent.is_some() => to_keeper.send(&ToSupervisor::Beat, None),
                     Peer::New(new) if new.trusted => {
                         self.tell_room(new);
-                        let own = self.hall.ask(Exchange::quiet);
+                        let own = self.event_loop.ask(Exchange::quiet);
                         if own && !new.drained {
                             new.drained = true;
-                            to_keeper.send(&ToKeeper::Drained, None);
+                            to_keeper.send(&ToSupervisor::Drained, None);
                         }
                         if from_new.is_some() && new.passing && own && self.relay.quiet() && self.clients.open() == 0 && passed_on.is_empty() {
-                            let further = self.hall.ask(|e| e.made_of(new.kept));
-                            let counters = self.hall.counters.all();
-                            new.to.send(&ToNew::Bye { further, counters }, None);
-                            to_keeper.send(&ToKeeper::Passed, None);
+                            let further = self.event_loop.ask(|e| e.made_of(new.kept));
+                            let counters = self.event_loop.counters.all();
+                            new.to.send(&ToSuccessor::Bye { further, counters }, None);
+                            to_keeper.send(&ToSupervisor::Passed, None);
                             peer = Peer::Nobody;
                             // What is queued is written before the tasks that write it end.
                             tokio::time::sleep(LOOK).await;
@@ -221,12 +223,12 @@
         }
     }
 
-    /// The list that the charter names, unless one is held already.
+    /// The list that the node configuration names, unless one is held already.
     fn list_as_first_known(&self) {
         if let Some(FirstList { rev, rows }) = self.first_list.take() {
             self.rev.set(Some(rev));
-            let now = self.hall.clock.now();
-            self.hall.tell(|e| e.list(now, true, rows));
+            let now = self.event_loop.clock.now();
+            self.event_loop.tell(|e| e.list(now, true, rows));
             (self.list_known)();
         }
     }
@@ -234,15 +236,16 @@
     // As the old one.
 
     fn hand_over(&self, new: &mut New) {
-        let now = self.hall.clock.now();
-        let snapshot = self.hall.tell(|e| e.hand_over(now, mono_us(), self.rev.get(), self.longest));
+        let now = self.event_loop.clock.now();
+        let snapshot =
+            self.event_loop.tell(|e| e.hand_over(now, monotonic_micros(), self.rev.get(), self.longest));
         new.kept = snapshot.lent.0;
         let bytes = snapshot.encode().unwrap_or_else(|e| {
             tracing::error!("what is known can't be handed over: {e}");
             Vec::new()
         });
         tracing::info!("{} bytes of what is known are handed over", bytes.len());
-        new.to.send(&ToNew::Known(bytes), None);
+        new.to.send(&ToSuccessor::Known(bytes), None);
         self.tell_room(new);
         self.relay.begin(new.to.clone());
         self.leave.send_replace(true);
@@ -250,19 +253,19 @@
 
     /// What is held here is not the new one's; it only shrinks.
     fn tell_room(&self, new: &New) {
-        let (leaves, clients) = (&self.hall.sockets, &self.clients);
-        leaves.set_most(division::sockets(leaves.most(), leaves.open()).0);
-        let open = self.hall.ask(Exchange::open) as u32;
-        let (leaves, clients) = (leaves.open() as u32, clients.open() as u32);
-        new.to.send(&ToNew::Room { leaves, clients, open }, None);
+        let (replicas, clients) = (&self.event_loop.sockets, &self.clients);
+        replicas.set_most(division::sockets(replicas.most(), replicas.open()).0);
+        let open = self.event_loop.ask(Exchange::open) as u32;
+        let (replicas, clients) = (replicas.open() as u32, clients.open() as u32);
+        new.to.send(&ToSuccessor::Room { replicas, clients, open }, None);
     }
 
     fn go_back(&self, new: New) {
         let stranded = self.relay.end();
         if new.trusted {
             tracing::warn!("going on alone; {stranded} queries were with the new process");
-            self.hall.tell(|e| e.alone_again(self.hall.clock.now()));
-            self.hall.sockets.set_all();
+            self.event_loop.tell(|e| e.alone_again(self.event_loop.clock.now()));
+            self.event_loop.sockets.set_all();
             self.leave.send_replace(false);
         }
         if new.passing {
@@ -272,31 +275,31 @@
 
     // As the new one.
 
-    fn said_by_old(&self, old: &mut Old, said: ToNew, fd: Option<OwnedFd>, to_keeper: &Outgoing) {
+    fn said_by_old(&self, old: &mut Old, said: ToSuccessor, fd: Option<OwnedFd>, to_keeper: &Outgoing) {
         match said {
-            ToNew::Hello { version: VERSION } => {}
-            ToNew::Hello { version } => {
+            ToSuccessor::Hello { version: VERSION } => {}
+            ToSuccessor::Hello { version } => {
                 tracing::error!("the old process speaks version {version}, not {VERSION}");
                 // Not a word more: the keeper's limit ends this try.
                 old.lent = None;
             }
-            ToNew::Known(bytes) => {
+            ToSuccessor::Known(bytes) => {
                 old.lent = Some(self.learn(&bytes));
-                to_keeper.send(&ToKeeper::Learned, None);
+                to_keeper.send(&ToSupervisor::Learned, None);
             }
-            ToNew::Ask(ask) => self.asked(old, ask, None),
-            ToNew::AskWithKey(ask, key) => self.asked(old, ask, Some(key)),
-            ToNew::Gone { ticket } => {
+            ToSuccessor::Ask(ask) => self.asked(old, ask, None),
+            ToSuccessor::AskWithKey(ask, key) => self.asked(old, ask, Some(key)),
+            ToSuccessor::Gone { ticket } => {
                 if let Some(ours) = old.tickets.borrow_mut().remove(&ticket) {
-                    self.hall.tell(|e| e.client_gone(ours));
+                    self.event_loop.tell(|e| e.client_gone(ours));
                 }
             }
-            ToNew::Room { leaves, clients, open } => {
-                self.hall.sockets.leave_to_other(leaves as usize);
+            ToSuccessor::Room { replicas, clients, open } => {
+                self.event_loop.sockets.leave_to_other(replicas as usize);
                 self.clients.leave_to_other(clients as usize);
-                self.hall.tell(|e| e.set_open_elsewhere(open as usize));
+                self.event_loop.tell(|e| e.set_open_elsewhere(open as usize));
             }
-            ToNew::Connection { read, whole_within } => {
+            ToSuccessor::Connection { read, whole_within } => {
                 let stream = fd.map(std::net::TcpStream::from).ok_or(()).and_then(|s| {
                     s.set_nonblocking(true).map_err(drop)?;
                     TcpStream::from_std(s).map_err(drop)
@@ -307,8 +310,8 @@
                         self.acceptor.send(Order::Adopt(Adopted { stream, read: read.into(), whole_within }));
                 }
             }
-            ToNew::Bye { further, counters } => {
-                self.hall.counters.go_on_from(counters);
+            ToSuccessor::Bye { further, counters } => {
+                self.event_loop.counters.go_on_from(counters);
                 self.settle(old, Some(further));
             }
         }
@@ -316,56 +319,58 @@
 
     /// How many further calls stayed with the old one.
     fn learn(&self, bytes: &[u8]) -> u32 {
-        let now = self.hall.clock.now();
+        let now = self.event_loop.clock.now();
         match Snapshot::decode(bytes) {
             Ok(snapshot) => {
-                let passed = TimeSpan::from_secs_f64(((mono_us() - snapshot.taken_us).max(0) as f64) / 1e6);
+                let passed =
+                    TimeSpan::from_secs_f64(((monotonic_micros() - snapshot.taken_us).max(0) as f64) / 1e6);
                 tracing::info!(
-                    leaves = snapshot.leaves.len(),
+                    replicas = snapshot.replicas.len(),
                     "going on from what was known {} s ago",
                     passed.as_secs_f64()
                 );
                 self.first_list.take();
                 self.rev.set(snapshot.rev);
                 let lent = snapshot.lent.0;
-                self.hall.tell(|e| e.go_on_from(now, passed, snapshot));
+                self.event_loop.tell(|e| e.go_on_from(now, passed, snapshot));
                 (self.list_known)();
                 lent
             }
             Err(why) => {
                 tracing::warn!("what was known is refused ({why}); going by the list alone");
-                self.hall.counters.add("upgrades", "snapshots_refused");
+                self.event_loop.counters.add("upgrades", "snapshots_refused");
                 self.list_as_first_known();
                 // What the other process spent, or may spend, is not known.
-                self.hall.tell(|e| e.alone_again(now));
+                self.event_loop.tell(|e| e.alone_again(now));
                 0
             }
         }
     }
 
-    fn asked(&self, old: &Old, ask: RelayedAsk, key: Option<String>) {
+    fn asked(&self, old: &Old, ask: RelayedQuery, key: Option<String>) {
         let (theirs, to) = (ask.ticket, old.to.clone());
-        let answer = move |last: RelayedFinal| to.send(&ToOld::Answer { ticket: theirs, last }, None);
-        let Some(asked) = relay::asked(&self.hall, self.verticals, self.shards, ask, key) else {
-            return answer(RelayedFinal::Rejected { stay_away: TimeSpan::ZERO });
+        let answer =
+            move |last: RelayedResponse| to.send(&ToPredecessor::Answer { ticket: theirs, last }, None);
+        let Some(asked) = relay::asked(&self.event_loop, self.classes, self.shards, ask, key) else {
+            return answer(RelayedResponse::Rejected { stay_away: TimeSpan::ZERO });
         };
         let ours = self.tickets.fetch_add(1, Ordering::Relaxed);
         old.tickets.borrow_mut().insert(theirs, ours);
         let tickets = old.tickets.clone();
-        let then = Box::new(move |last: Final| {
+        let then = Box::new(move |last: QueryResponse| {
             tickets.borrow_mut().remove(&theirs);
             answer(relay::to_final_words(last));
         });
-        self.hall.tell(|e| e.asked(ours, asked, then));
+        self.event_loop.tell(|e| e.asked(ours, asked, then));
     }
 
     /// The old one has said all it had to, or is gone without a word.
     fn settle(&self, old: &mut Old, further: Option<u32>) {
         if let Some(lent) = old.lent.take() {
             let further = further.unwrap_or(lent).min(lent);
-            self.hall.tell(|e| e.settle(self.hall.clock.now(), further));
+            self.event_loop.tell(|e| e.settle(self.event_loop.clock.now(), further));
         }
-        self.hall.sockets.set_all();
+        self.event_loop.sockets.set_all();
         self.clients.set_all();
     }
 
@@ -373,7 +378,7 @@
         // Guards against an old one that died before it told anything: then the list is all there is.
         if self.first_list.take().map(|f| self.first_list.set(Some(f))).is_some() {
             self.list_as_first_known();
-            self.hall.tell(|e| e.alone_again(self.hall.clock.now()));
+            self.event_loop.tell(|e| e.alone_again(self.event_loop.clock.now()));
         }
         self.settle(&mut old, None);
     }
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -11,7 +11,9 @@
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_server::audit;
 use pipitcrank_server::counters::Counters;
-use pipitcrank_server::exchange::{Asked, AskedPart, CallNo, Exchange, Final, LeafSide, Lent, Listed};
+use pipitcrank_server::exchange::{
+    AttemptId, Endpoint, Exchange, Lent, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
+};
 use pipitcrank_server::frames::Report;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -30,49 +32,49 @@
     Timestamp::from_micros(ms * 1000)
 }
 
-/// The leaf side, written down.
+/// The replica side, written down.
 #[derive(Default)]
 struct Ledger {
-    calls: Vec<(ReplicaId, Vec<CallNo>)>,
-    given_up: Vec<CallNo>,
+    calls: Vec<(ReplicaId, Vec<AttemptId>)>,
+    given_up: Vec<AttemptId>,
     met: BTreeMap<ReplicaId, SocketAddr>,
     probed: Vec<ReplicaId>,
 }
 
-impl LeafSide for Ledger {
-    fn meet(&mut self, leaf: ReplicaId, address: SocketAddr) {
-        self.met.insert(leaf, address);
+impl ReplicaTransport for Ledger {
+    fn meet(&mut self, replica: ReplicaId, address: SocketAddr) {
+        self.met.insert(replica, address);
     }
-    fn let_go(&mut self, leaf: ReplicaId) {
-        self.met.remove(&leaf);
+    fn let_go(&mut self, replica: ReplicaId) {
+        self.met.remove(&replica);
     }
-    fn call(&mut self, leaf: ReplicaId, parts: Vec<CallNo>) {
-        self.calls.push((leaf, parts));
+    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+        self.calls.push((replica, parts));
     }
-    fn give_up(&mut self, _leaf: ReplicaId, call: CallNo) {
+    fn give_up(&mut self, _replica: ReplicaId, call: AttemptId) {
         self.given_up.push(call);
     }
-    fn probe(&mut self, leaf: ReplicaId) {
-        self.probed.push(leaf);
+    fn probe(&mut self, replica: ReplicaId) {
+        self.probed.push(replica);
     }
 }
 
-fn listed(n: u32, up: bool) -> Listed {
+fn listed(n: u32, up: bool) -> Endpoint {
     let address = Some(SocketAddr::from(([127, 0, 0, 1], 5000 + n as u16)));
-    Listed { uid: format!("leaf-{n}"), address, cell: n, zone: None, up, started: None }
+    Endpoint { uid: format!("leaf-{n}"), address, cell: n, zone: None, up, started: None }
 }
 
 /// The rules that the run-time check goes by, of those settings.
 fn audit_terms(told: &serde_json::Value) -> audit::Terms {
     let number = |key: &str| told.pointer(key).and_then(serde_json::Value::as_f64);
-    let vertical = |n: usize| audit::VerticalTerms {
+    let class = |n: usize| audit::ClassRules {
         idempotency: SettingsReader::new(told).idempotency(n).unwrap(),
         dedup_window: TimeSpan::from_secs_f64(number(&format!("/classes/{n}/dedup_window_s")).unwrap_or(0.0)),
         floor: number(&format!("/domain/floor_by_class/{n}")).unwrap(),
         whole_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
     };
     audit::Terms {
-        verticals: (0..told["classes"].as_array().unwrap().len()).map(vertical).collect(),
+        classes: (0..told["classes"].as_array().unwrap().len()).map(class).collect(),
         may_duplicate: told["allowed"]["may_duplicate"].as_bool().unwrap(),
         try_limit: number("/allowed/try_limit").unwrap() as u32,
         drain_grace: TimeSpan::ZERO,
@@ -82,7 +84,7 @@
     }
 }
 
-type Answers = Rc<RefCell<Vec<(String, Final)>>>;
+type Answers = Rc<RefCell<Vec<(String, QueryResponse)>>>;
 
 struct Stage {
     exchange: Exchange,
@@ -103,7 +105,7 @@
 }
 
 impl Stage {
-    /// Three leaves in a ring of three cells, each shard held by two.
+    /// Three replicas in a ring of three cells, each shard held by two.
     fn set() -> Stage {
         Stage::told(TOLD)
     }
@@ -125,12 +127,12 @@
         self.exchange.turn(at(ms), &mut self.ledger);
     }
 
-    fn ask(&mut self, id: &str, vertical: u16, shards: std::ops::Range<u32>, ends: i64) -> u64 {
+    fn ask(&mut self, id: &str, class: u16, shards: std::ops::Range<u32>, ends: i64) -> u64 {
         let weight = 1.0 / shards.len() as f64;
-        let parts = shards.map(|shard| AskedPart { shard, weight, work: Some(0.02) }).collect();
-        let asked = Asked {
+        let parts = shards.map(|shard| QueryPart { shard, weight, work: Some(0.02) }).collect();
+        let asked = QueryRequest {
             id: id.into(),
-            vertical: RequestClassId(vertical),
+            class: RequestClassId(class),
             ends: at(ends),
             parts,
             idempotency_key: None,
@@ -147,20 +149,20 @@
     }
 
     /// Lets all calls made so far go, as the connections would just before the first byte.
-    fn release(&mut self, ms: i64) -> Vec<(ReplicaId, CallNo, String, u32)> {
+    fn release(&mut self, ms: i64) -> Vec<(ReplicaId, AttemptId, String, u32)> {
         let mut out = Vec::new();
-        for (leaf, mut parts) in std::mem::take(&mut self.ledger.calls) {
-            let going = self.exchange.release(at(ms), leaf, &mut parts);
+        for (replica, mut parts) in std::mem::take(&mut self.ledger.calls) {
+            let going = self.exchange.release(at(ms), replica, &mut parts);
             assert_eq!(going.len(), parts.len());
             for (part, call) in going.into_iter().zip(parts) {
                 assert_eq!(&*part.text, "text");
-                out.push((leaf, call, part.id.to_string(), part.shard));
+                out.push((replica, call, part.id.to_string(), part.shard));
             }
         }
         out
     }
 
-    fn pass(&mut self, call: CallNo, value: &str) {
+    fn pass(&mut self, call: AttemptId, value: &str) {
         self.exchange.ended(call, AttemptOutcome::Success, Some(value.into()), None);
     }
 
@@ -182,7 +184,7 @@
 }
 
 #[test]
-fn a_query_travels_in_calls_and_is_answered_as_the_leaves_gave_it() {
+fn a_query_travels_in_calls_and_is_answered_as_the_replicas_gave_it() {
     let mut stage = Stage::set();
     stage.ask("q", 0, 0..6, 4000);
     stage.turn(10);
@@ -192,8 +194,8 @@
     let mut ids: Vec<&str> = out.iter().map(|o| &*o.2).collect();
     ids.sort();
     assert_eq!(ids, ["q.0", "q.1", "q.2", "q.3", "q.4", "q.5"]);
-    for (leaf, _, _, shard) in &out {
-        let cell = stage.ledger.met[leaf].port() as u32 - 5000;
+    for (replica, _, _, shard) in &out {
+        let cell = stage.ledger.met[replica].port() as u32 - 5000;
         assert!((cell + 3 - shard % 3) % 3 < 2, "leaf {cell} does not hold shard {shard}");
     }
     for (_, call, id, _) in out.iter().rev() {
@@ -202,7 +204,7 @@
     assert_eq!(stage.final_of("q"), None, "answered in the turn, not between");
     stage.turn(60);
     let hits = (0..6).map(|n| (n, format!("doc of q.{n}"))).collect();
-    let wanted = Final::Merged { whole: true, hits };
+    let wanted = QueryResponse::Answered { whole: true, hits };
     assert_eq!(stage.final_of("q"), Some(format!("{wanted:?}")));
     assert!(stage.exchange.quiet());
     assert_eq!(stage.counters.get("leaf_calls", "pass"), 6);
@@ -217,7 +219,7 @@
     let (_, call, _, shard) = out[0].clone();
     stage.pass(call, "in");
     stage.run_to(1100);
-    let wanted = Final::Merged { whole: false, hits: vec![(shard, "in".into())] };
+    let wanted = QueryResponse::Answered { whole: false, hits: vec![(shard, "in".into())] };
     assert_eq!(stage.final_of("q"), Some(format!("{wanted:?}")));
     assert!(stage.ledger.given_up.contains(&out[1].1), "nobody waits for the other part");
 }
@@ -231,7 +233,7 @@
     stage.ask("over", 0, 0..1, 4000);
     stage.turn(10);
     assert_eq!((stage.final_of("five"), stage.final_of("long")), (None, None));
-    let over = Final::Rejected { stay_away: TimeSpan::ZERO };
+    let over = QueryResponse::Rejected { stay_away: TimeSpan::ZERO };
     assert_eq!(stage.final_of("over"), Some(format!("{over:?}")));
     assert_eq!(stage.counters.get("queries", "turned_away_over_most_open"), 1);
     // Nine are open again but for the parts that are in: those are not, though their query is.
@@ -256,7 +258,7 @@
     stage.ask("q", 0, 1..2, 4000);
     stage.turn(10);
     let answers: Vec<_> = stage.answers.borrow_mut().drain(..).collect();
-    assert_eq!(answers, [("q".to_string(), Final::Repeated)]);
+    assert_eq!(answers, [("q".to_string(), QueryResponse::DuplicateId)]);
     stage.release(10).iter().for_each(|o| stage.pass(o.1, "x"));
     stage.turn(20);
     assert!(stage.final_of("q").unwrap().contains("whole: true"), "the first is served all the same");
@@ -287,20 +289,20 @@
     stage.turn(300);
     assert_eq!(stage.counters.get("leaf_calls", "stale"), 1);
     // A tenth of its SLO time: given up on, it is told at once when to come back (the move, 2026-12-01).
-    let rejected = Final::Rejected { stay_away: TimeSpan::from_millis(100) };
+    let rejected = QueryResponse::Rejected { stay_away: TimeSpan::from_millis(100) };
     // It never ran, so even a side-effecting query may be rejected.
     assert_eq!(stage.final_of("q"), Some(format!("{rejected:?}")));
 }
 
 #[test]
-fn a_frame_for_a_leaf_told_drained_is_dropped_at_once_and_placed_anew() {
+fn a_frame_for_a_replica_told_drained_is_dropped_at_once_and_placed_anew() {
     for whole in [false, true] {
         let mut stage = Stage::set();
         stage.ask("early", 2, 0..1, 4000);
         stage.ask("late", 2, 0..1, 4000);
         stage.turn(10);
-        let (leaf, _) = stage.ledger.calls[0].clone();
-        let n = stage.ledger.met[&leaf].port() as u32 - 5000;
+        let (replica, _) = stage.ledger.calls[0].clone();
+        let n = stage.ledger.met[&replica].port() as u32 - 5000;
         // Told by its own row, or by a whole list that lacks it.
         let rows = if whole {
             (0..3).filter(|m| *m != n).map(|m| listed(m, true)).collect()
@@ -309,14 +311,19 @@
         };
         stage.exchange.list(at(20), whole, rows);
         stage.turn(25);
-        let (on, off): (Vec<_>, Vec<_>) = stage.ledger.calls.clone().into_iter().partition(|c| c.0 == leaf);
+        let (on, off): (Vec<_>, Vec<_>) =
+            stage.ledger.calls.clone().into_iter().partition(|c| c.0 == replica);
         let mut queued = on.into_iter().flat_map(|c| c.1).collect::<Vec<_>>();
         let dropped = queued.len();
         assert!(dropped > 0);
-        assert_eq!(stage.exchange.release(at(26), leaf, &mut queued).len(), 0, "not within the grace either");
+        assert_eq!(
+            stage.exchange.release(at(26), replica, &mut queued).len(),
+            0,
+            "not within the grace either"
+        );
         stage.turn(30);
         assert_eq!(stage.counters.get("leaf_calls", "stale"), dropped as u64);
-        let again = stage.ledger.calls.iter().skip(off.len()).filter(|c| c.0 != leaf).count();
+        let again = stage.ledger.calls.iter().skip(off.len()).filter(|c| c.0 != replica).count();
         assert!(again > 0, "the other holder is asked");
     }
 }
@@ -329,7 +336,7 @@
     let out = stage.release(10);
     stage.run_to(399);
     let aborted = stage.final_of("q").expect("answered before its deadline");
-    assert_eq!(aborted, format!("{:?}", Final::Aborted), "it may have run");
+    assert_eq!(aborted, format!("{:?}", QueryResponse::Aborted), "it may have run");
     stage.run_to(500);
     assert!(stage.ledger.given_up.contains(&out[0].1));
     stage.pass(out[0].1, "late");
@@ -338,10 +345,10 @@
 }
 
 #[test]
-fn what_leaves_report_to_probes_reaches_the_decisions() {
+fn what_replicas_report_to_probes_reaches_the_decisions() {
     for busy in [false, true] {
         let mut stage = Stage::told(&TOLD.replace("\"probing\":false", "\"probing\":true"));
-        // Long after anything was heard of the leaves.
+        // Long after anything was heard of the replicas.
         stage.ask("q", 0, 0..1, 9000);
         stage.turn(5010);
         let holders = std::mem::take(&mut stage.ledger.probed);
@@ -352,8 +359,8 @@
         );
         let chosen =
             |n: usize| Report { waiting: Some(if busy && n == 1 { 40.0 } else { 0.0 }), in_hand: None };
-        for (n, leaf) in holders.iter().enumerate() {
-            stage.exchange.probed(*leaf, AttemptOutcome::Success, Some(chosen(n)));
+        for (n, replica) in holders.iter().enumerate() {
+            stage.exchange.probed(*replica, AttemptOutcome::Success, Some(chosen(n)));
         }
         stage.turn(5015);
         assert_eq!(stage.ledger.calls.len(), 1);
@@ -379,7 +386,7 @@
 }
 
 #[test]
-fn it_is_able_to_serve_only_with_a_leaf_that_is_up() {
+fn it_is_able_to_serve_only_with_a_replica_that_is_up() {
     let mut stage = Stage::set();
     assert!(stage.exchange.able());
     stage.exchange.list(at(10), true, vec![listed(1, false)]);
@@ -416,7 +423,7 @@
     })]
 
     /// Whatever happens and in whatever order: one final answer before the deadline unless the client left; hits
-    /// only as leaves gave them; nothing is released for a query that is over.
+    /// only as replicas gave them; nothing is released for a query that is over.
     #[test]
     fn every_query_ends_once_and_in_time(ops in proptest::collection::vec(op(), 1..60)) {
         const HOW: [AttemptOutcome; 6] =
@@ -426,12 +433,12 @@
         let mut given: BTreeMap<(String, u32), Vec<String>> = BTreeMap::new();
         for (n, op) in ops.into_iter().enumerate() {
             match op {
-                Op::Ask(vertical, first, count, left) => {
-                    let ticket = stage.ask(&format!("q{}", stage.tickets + 1), vertical, first..(first + count).min(12), now + left);
+                Op::Ask(class, first, count, left) => {
+                    let ticket = stage.ask(&format!("q{}", stage.tickets + 1), class, first..(first + count).min(12), now + left);
                     asked.insert(format!("q{ticket}"), (now + left, false));
                 }
                 Op::End(which, how) if !out.is_empty() => {
-                    let (_, call, id, shard): (ReplicaId, CallNo, String, u32) = out.swap_remove(which % out.len());
+                    let (_, call, id, shard): (ReplicaId, AttemptId, String, u32) = out.swap_remove(which % out.len());
                     let value = (HOW[how] == AttemptOutcome::Success).then(|| format!("v{n}"));
                     let query = id.split('.').next().unwrap().to_string();
                     given.entry((query, shard)).or_default().extend(value.clone());
@@ -448,10 +455,10 @@
                         stage.exchange.client_gone(ticket);
                     }
                 }
-                Op::List(leaf, up, whole) => stage.exchange.list(at(now), whole, vec![listed(leaf, up)]),
+                Op::List(replica, up, whole) => stage.exchange.list(at(now), whole, vec![listed(replica, up)]),
             }
             stage.turn(now);
-            // Of calls given up the leaf side tells nothing more.
+            // Of calls given up the replica side tells nothing more.
             out.retain(|(_, call, _, _)| !stage.ledger.given_up.contains(call));
             stage.ledger.given_up.clear();
             for released in stage.release(now) {
@@ -465,7 +472,7 @@
             }
         }
         for (query, last) in stage.answers.borrow().iter() {
-            if let Final::Merged { hits, .. } = last {
+            if let QueryResponse::Answered { hits, .. } = last {
                 for (shard, value) in hits {
                     prop_assert!(given[&(query.clone(), *shard)].contains(value));
                 }
@@ -481,7 +488,7 @@
     let mut stage = Stage::set();
     let ticket = stage.ask("first", 2, 0..1, 4000);
     stage.turn(10);
-    let (leaf, queued) = stage.ledger.calls.remove(0);
+    let (replica, queued) = stage.ledger.calls.remove(0);
     // Its client leaves while it waits for its first byte; the next query's part gets its number.
     stage.exchange.client_gone(ticket);
     stage.turn(20);
@@ -490,8 +497,8 @@
     let (now_at, calls) = stage.ledger.calls.remove(0);
     assert_eq!(calls, queued, "the number is used again");
     assert_eq!(stage.exchange.release(at(31), now_at, &mut calls.clone()).len(), 1);
-    assert!(stage.exchange.release(at(32), leaf, &mut queued.clone()).is_empty(), "once, to its own leaf");
-    stage.exchange.never_began(leaf, queued[0]);
+    assert!(stage.exchange.release(at(32), replica, &mut queued.clone()).is_empty(), "once, to its own leaf");
+    stage.exchange.never_began(replica, queued[0]);
     stage.turn(33);
     assert!(stage.ledger.calls.is_empty(), "a sale that is out is not sent again");
     stage.exchange.ended(calls[0], AttemptOutcome::Success, Some("v".into()), None);
@@ -522,18 +529,18 @@
     let drained: Vec<ReplicaId> =
         new.ledger.met.iter().filter(|(_, a)| a.port() == 5001).map(|(l, _)| *l).collect();
     assert!(!new.ledger.calls.is_empty());
-    assert!(new.ledger.calls.iter().all(|(leaf, _)| !drained.contains(leaf)), "no new work");
+    assert!(new.ledger.calls.iter().all(|(replica, _)| !drained.contains(replica)), "no new work");
 }
 
 #[test]
-fn a_leaf_left_out_as_faulty_stays_so_for_who_goes_on() {
+fn a_replica_left_out_as_faulty_stays_so_for_who_goes_on() {
     let mut stage = Stage::set();
     let shunned = stage.ledger.met.iter().find(|(_, a)| a.port() == 5000).map(|(l, _)| *l).unwrap();
     for n in 0..40 {
         stage.ask(&format!("q{n}"), 0, 0..1, 3000 + n * 10);
         stage.turn(n * 10);
-        for (leaf, calls) in std::mem::take(&mut stage.ledger.calls) {
-            let outcome = if leaf == shunned { AttemptOutcome::Fault } else { AttemptOutcome::Success };
+        for (replica, calls) in std::mem::take(&mut stage.ledger.calls) {
+            let outcome = if replica == shunned { AttemptOutcome::Fault } else { AttemptOutcome::Success };
             calls.into_iter().for_each(|c| {
                 stage.exchange.ended(
                     c,
@@ -552,7 +559,7 @@
     }
     new.turn(505);
     assert!(
-        new.ledger.calls.iter().all(|(leaf, _)| *leaf != shunned),
+        new.ledger.calls.iter().all(|(replica, _)| *replica != shunned),
         "two in a row were seen by the old one"
     );
     let mut fresh = Stage::set();
@@ -560,13 +567,13 @@
         fresh.ask(&format!("q{n}"), 0, 0..1, 4000);
     }
     fresh.turn(505);
-    assert!(fresh.ledger.calls.iter().any(|(leaf, _)| *leaf == shunned), "who knows nothing asks it");
+    assert!(fresh.ledger.calls.iter().any(|(replica, _)| *replica == shunned), "who knows nothing asks it");
 }
 
 #[test]
-fn who_hands_over_sends_nothing_to_a_cold_leaf_any_more() {
+fn who_hands_over_sends_nothing_to_a_cold_replica_any_more() {
     let mut stage = Stage::set();
-    let cold = |n| Listed { started: Some(at(990)), ..listed(n, true) };
+    let cold = |n| Endpoint { started: Some(at(990)), ..listed(n, true) };
     stage.exchange.list(at(1000), true, (0..3).map(cold).collect());
     stage.turn(1000);
     stage.exchange.hand_over(at(1001), 0, None, TimeSpan::from_millis(4000));
@@ -582,7 +589,7 @@
 }
 
 #[test]
-fn a_far_site_gets_parts_only_at_a_known_cost_and_near_leaves_go_first() {
+fn a_far_site_gets_parts_only_at_a_known_cost_and_near_replicas_go_first() {
     let mut stage = Stage::set();
     let far = stage.exchange.add_site(0, "south", 3);
     let asked_of = |stage: &mut Stage, name: &str, ms: i64| {
@@ -591,9 +598,9 @@
         let calls = std::mem::take(&mut stage.ledger.calls);
         calls.iter().flat_map(|(_, calls)| calls).for_each(|c| stage.pass(*c, "v"));
         stage.turn(ms + 1);
-        calls.iter().map(|(leaf, _)| *leaf).collect::<Vec<_>>()
+        calls.iter().map(|(replica, _)| *replica).collect::<Vec<_>>()
     };
-    let near_gone: Vec<Listed> = (0..3).map(|n| listed(n, false)).collect();
+    let near_gone: Vec<Endpoint> = (0..3).map(|n| listed(n, false)).collect();
     assert!(asked_of(&mut stage, "a", 10).iter().all(|l| !far.contains(l)), "closed");
     stage.exchange.set_hop(0, Some(TimeSpan::from_millis(100)));
     for n in 0..5 {
@@ -605,13 +612,13 @@
     stage.exchange.list(at(40), false, near_gone);
     stage.turn(41);
     assert!(!stage.exchange.able(), "a far site alone is not ours to be up by");
-    let (leaf, mut calls) = {
+    let (replica, mut calls) = {
         stage.ask("c", 0, 0..1, 3000);
         stage.turn(50);
         stage.ledger.calls.remove(0)
     };
-    assert!(far.contains(&leaf));
-    let going = stage.exchange.forward(at(51), leaf, &mut calls);
+    assert!(far.contains(&replica));
+    let going = stage.exchange.forward(at(51), replica, &mut calls);
     assert_eq!((going.len(), &going[0].id[..], going[0].repeatable), (1, "c", true));
     // Discovery's next whole list does not name sites: they stay.
     stage.exchange.list(at(60), true, (0..3).map(|n| listed(n, false)).collect());
@@ -627,10 +634,10 @@
         let mut stage = Stage::set();
         let far = stage.exchange.add_site(0, "west", 3);
         stage.exchange.set_hop(0, Some(TimeSpan::from_millis(1)));
-        let parts = vec![AskedPart { shard: 0, weight: 1.0, work: None }];
-        let asked = Asked {
+        let parts = vec![QueryPart { shard: 0, weight: 1.0, work: None }];
+        let asked = QueryRequest {
             id: "q@n".into(),
-            vertical: RequestClassId(0),
+            class: RequestClassId(0),
             ends: at(3000),
             parts,
             idempotency_key: None,
@@ -644,8 +651,8 @@
         let mut calls = 0;
         for ms in (0..2000).step_by(5) {
             stage.turn(ms);
-            for (leaf, parts) in std::mem::take(&mut stage.ledger.calls) {
-                assert!(!far.contains(&leaf), "hops are bounded");
+            for (replica, parts) in std::mem::take(&mut stage.ledger.calls) {
+                assert!(!far.contains(&replica), "hops are bounded");
                 calls += parts.len() as u32;
                 let outcome = if calls <= further { AttemptOutcome::Fault } else { AttemptOutcome::Success };
                 let value = (outcome == AttemptOutcome::Success).then(|| "v".to_string());
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -4,11 +4,11 @@
 use pipitcrank_core::config::ConfigError;
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::charter::Charter;
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::discovery::News;
 use pipitcrank_server::ends::ConnectionEnd;
-use pipitcrank_server::frames::{self, CallPart, FromLeaf, Report};
+use pipitcrank_server::frames::{self, CallPart, ReplicaFrame, Report};
+use pipitcrank_server::node_config::NodeConfig;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
     [&(rest.len() as u32).to_be_bytes()[..], rest].concat()
 }
 
-fn take(bytes: &[u8]) -> Result<Option<FromLeaf>, String> {
+fn take(bytes: &[u8]) -> Result<Option<ReplicaFrame>, String> {
     frames::take(&mut BytesMut::from(bytes)).map_err(|bad| bad.to_string())
 }
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn frames_of_a_leaf_are_taken_one_by_one_as_they_come_whole() {
+fn frames_of_a_replica_are_taken_one_by_one_as_they_come_whole() {
     let answer = framed(b"A9b1f.3 ok 1840277719 inflight=7,util=0.61\n5be2a07c\n19");
     let load = framed(b"Lqueue=2.5");
     let mut buffer = BytesMut::new();
@@ -51,7 +51,7 @@
     buffer.extend_from_slice(&answer[answer.len() - 1..]);
     buffer.extend_from_slice(&load);
     let report = Some(Report { waiting: None, in_hand: Some(7.0) });
-    let wanted = FromLeaf::Answer {
+    let wanted = ReplicaFrame::Answer {
         id: "9b1f.3".into(),
         outcome: AttemptOutcome::Success,
         report,
@@ -59,16 +59,16 @@
     };
     assert_eq!(frames::take(&mut buffer), Ok(Some(wanted)));
     let report = Some(Report { waiting: Some(2.5), in_hand: None });
-    assert_eq!(frames::take(&mut buffer), Ok(Some(FromLeaf::Load(AttemptOutcome::Success, report))));
+    assert_eq!(frames::take(&mut buffer), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report))));
     let report = Some(Report { waiting: Some(4.364), in_hand: Some(5.0) });
-    let wanted = FromLeaf::Load(AttemptOutcome::Success, report);
+    let wanted = ReplicaFrame::Load(AttemptOutcome::Success, report);
     assert_eq!(take(&framed(b"Lbacklog=4.364,eps=0,outstanding=5")), Ok(Some(wanted)));
-    assert_eq!(take(&framed(b"L-")), Ok(Some(FromLeaf::Load(AttemptOutcome::Success, None))));
-    assert_eq!(take(&framed(b"Lerr")), Ok(Some(FromLeaf::Load(AttemptOutcome::Fault, None))));
-    assert_eq!(take(&framed(b"Pok")), Ok(Some(FromLeaf::Alive(AttemptOutcome::Success))));
-    assert_eq!(take(&framed(b"Eno such shard")), Ok(Some(FromLeaf::Complaint("no such shard".into()))));
+    assert_eq!(take(&framed(b"L-")), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, None))));
+    assert_eq!(take(&framed(b"Lerr")), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Fault, None))));
+    assert_eq!(take(&framed(b"Pok")), Ok(Some(ReplicaFrame::Alive(AttemptOutcome::Success))));
+    assert_eq!(take(&framed(b"Eno such shard")), Ok(Some(ReplicaFrame::Complaint("no such shard".into()))));
     for (word, outcome) in [("err", AttemptOutcome::Fault), ("busy", AttemptOutcome::NoCapacity)] {
-        let wanted = FromLeaf::Answer { id: "q.1".into(), outcome, report: None, value: String::new() };
+        let wanted = ReplicaFrame::Answer { id: "q.1".into(), outcome, report: None, value: String::new() };
         assert_eq!(take(&framed(format!("Aq.1 {word} 0 -\n").as_bytes())), Ok(Some(wanted)));
     }
 }
@@ -96,14 +96,14 @@
 #[test]
 fn a_load_report_that_cannot_be_read_is_left_and_its_answer_counts() {
     for report in ["nan", "%%%", "queue=many", "queue=-1", "queue=inf", "a,b"] {
-        let wanted = FromLeaf::Answer {
+        let wanted = ReplicaFrame::Answer {
             id: "q.1".into(),
             outcome: AttemptOutcome::Success,
             report: None,
             value: "d".into(),
         };
         assert_eq!(take(&framed(format!("Aq.1 ok 7 {report}\nd").as_bytes())), Ok(Some(wanted)), "{report}");
-        let wanted = FromLeaf::Load(AttemptOutcome::Success, None);
+        let wanted = ReplicaFrame::Load(AttemptOutcome::Success, None);
         assert_eq!(take(&framed(format!("L{report}").as_bytes())), Ok(Some(wanted)), "{report}");
     }
 }
@@ -121,7 +121,7 @@
         );
     }
     assert_eq!(ConnectionEnd::NeverUp.outcome(false), AttemptOutcome::Unreachable);
-    // A probe lost with a connection that was up is no sign that there is no way to the leaf.
+    // A probe lost with a connection that was up is no sign that there is no way to the replica.
     assert_eq!(ConnectionEnd::Refused.of_probe(), AttemptOutcome::Unreachable);
     assert_eq!(
         (ConnectionEnd::Closed.of_probe(), ConnectionEnd::Idle.of_probe()),
@@ -203,20 +203,23 @@
 
 /// Everything that the program reads at start.
 fn read_all(text: &str) -> Result<(), ConfigError> {
-    Charter::read(text, |_| None)?.check(&Clock::start())
+    NodeConfig::read(text, |_| None)?.check(&Clock::start())
 }
 
 #[test]
 fn what_is_told_at_start_is_read_and_variables_go_before_the_file() {
-    let charter = Charter::read(&told().to_string(), |_| None).unwrap();
-    assert_eq!((charter.name(), charter.streams(), charter.shards()), (Ok("n1".into()), Ok(32), Ok(12)));
+    let node_config = NodeConfig::read(&told().to_string(), |_| None).unwrap();
+    assert_eq!(
+        (node_config.name(), node_config.streams(), node_config.shards()),
+        (Ok("n1".into()), Ok(32), Ok(12))
+    );
     assert!(
-        charter.idle_limit().unwrap() < std::time::Duration::from_secs(15),
+        node_config.idle_limit().unwrap() < std::time::Duration::from_secs(15),
         "closed before the leaf would"
     );
-    assert_eq!(charter.sockets(), Ok(1000), "of 1,024 some are neither a client's nor a leaf's");
+    assert_eq!(node_config.sockets(), Ok(1000), "of 1,024 some are neither a client's nor a leaf's");
     let named = |name: &str| (name == "NODE_NAME").then(|| "other".to_string());
-    assert_eq!(Charter::read(&told().to_string(), named).unwrap().name(), Ok("other".into()));
+    assert_eq!(NodeConfig::read(&told().to_string(), named).unwrap().name(), Ok("other".into()));
     assert_eq!(read_all(&told().to_string()), Ok(()));
 }
 
@@ -227,7 +230,11 @@
     for (streams, a_call) in [(1, 1), (3, 3), (4, 4), (32, 4)] {
         all["settings"]["allowed"]["streams_per_conn"] = streams.into();
         assert_eq!(read_all(&all.to_string()), Ok(()), "{streams}");
-        assert_eq!(Charter::read(&all.to_string(), |_| None).unwrap().call_size(), Ok(a_call), "{streams}");
+        assert_eq!(
+            NodeConfig::read(&all.to_string(), |_| None).unwrap().call_size(),
+            Ok(a_call),
+            "{streams}"
+        );
     }
 }
 
@@ -238,7 +245,7 @@
     for (idle, dial) in [(1.0, 1.0), (1.0, 2.0), (2.0, 1.5), (30.0, 0.25)] {
         all["settings"]["allowed"]["conn_idle_s"] = idle.into();
         all["settings"]["allowed"]["dial_timeout_s"] = dial.into();
-        let kept = Charter::read(&all.to_string(), |_| None).unwrap().idle_limit().unwrap().as_secs_f64();
+        let kept = NodeConfig::read(&all.to_string(), |_| None).unwrap().idle_limit().unwrap().as_secs_f64();
         assert!((idle / 2.0..idle).contains(&kept), "{kept} of {idle}, {dial}");
     }
 }
--- a/crates/pipitcrank-server/tests/leaves.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -1,4 +1,4 @@
-//! The leaf side against a stand-in for a leaf, in one process: which connections it opens, uses again and closes.
+//! The replica side against a stand-in for a replica, in one process: which connections it opens, uses again and closes.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,9 +11,11 @@
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::counters::Counters;
-use pipitcrank_server::exchange::{Asked, AskedPart, Exchange, Final, LeafSide, Listed};
-use pipitcrank_server::hall::{Hall, Sockets};
-use pipitcrank_server::leaves::Leaves;
+use pipitcrank_server::event_loop::{ConnectionLimiter, EventLoop};
+use pipitcrank_server::exchange::{
+    Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
+};
+use pipitcrank_server::replica_pool::ReplicaPool;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
@@ -27,10 +29,10 @@
 const SHORT: Duration = Duration::from_millis(50);
 const TICK: TimeSpan = TimeSpan::from_millis(1);
 
-/// One leaf that holds everything; its connections are handed out as they come.
+/// One replica that holds everything; its connections are handed out as they come.
 struct Stage {
-    hall: Rc<Hall>,
-    leaves: Rc<RefCell<Leaves>>,
+    event_loop: Rc<EventLoop>,
+    replicas: Rc<RefCell<ReplicaPool>>,
     accepted: UnboundedReceiver<TcpStream>,
     asked: u64,
 }
@@ -64,7 +66,7 @@
         let counters = Counters::default();
         let coordinator = SettingsReader::new(&serde_json::from_str(TOLD).unwrap()).coordinator(1).unwrap();
         let mut exchange = Exchange::new(coordinator, 1000, 4, counters.clone());
-        let row = Listed {
+        let row = Endpoint {
             uid: "leaf".into(),
             address: Some(address),
             cell: 0,
@@ -73,33 +75,33 @@
             started: None,
         };
         exchange.list(clock.now(), true, vec![row]);
-        let hall = Rc::new(Hall::new(clock, counters, Sockets::new(sockets), exchange));
-        let leaves = Leaves::new(hall.clone(), streams, way, idle);
-        let (turns, side) = (hall.clone(), leaves.clone());
+        let event_loop = Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(sockets), exchange));
+        let replicas = ReplicaPool::new(event_loop.clone(), streams, way, idle);
+        let (turns, side) = (event_loop.clone(), replicas.clone());
         tokio::task::spawn_local(async move { turns.take_turns(TICK, &*side).await });
-        Stage { hall, leaves, accepted, asked: 0 }
+        Stage { event_loop, replicas, accepted, asked: 0 }
     }
 
-    fn ask(&mut self, parts: u32, text: Arc<str>) -> oneshot::Receiver<Final> {
+    fn ask(&mut self, parts: u32, text: Arc<str>) -> oneshot::Receiver<QueryResponse> {
         self.asked += 1;
         let (tell, told) = oneshot::channel();
-        let ends = self.hall.clock.now() + TimeSpan::from_millis(59_000);
+        let ends = self.event_loop.clock.now() + TimeSpan::from_millis(59_000);
         let weight = 1.0 / f64::from(parts);
-        let parts = (0..parts).map(|shard| AskedPart { shard, weight, work: None }).collect();
+        let parts = (0..parts).map(|shard| QueryPart { shard, weight, work: None }).collect();
         let id = format!("q{}", self.asked);
-        let asked = Asked { id, vertical: RequestClassId(0), ends, parts, idempotency_key: None, text };
+        let asked = QueryRequest { id, class: RequestClassId(0), ends, parts, idempotency_key: None, text };
         let then = Box::new(move |last| {
             let _ = tell.send(last);
         });
-        self.hall.tell(|e| e.asked(self.asked, asked, then));
+        self.event_loop.tell(|e| e.asked(self.asked, asked, then));
         told
     }
 
     async fn count(&self, what: &'static str, which: &'static str, wanted: u64) {
-        while self.hall.counters.get(what, which) < wanted {
+        while self.event_loop.counters.get(what, which) < wanted {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(self.hall.counters.get(what, which), wanted, "{what} {which}");
+        assert_eq!(self.event_loop.counters.get(what, which), wanted, "{what} {which}");
     }
 }
 
@@ -137,18 +139,18 @@
             answer(&mut wires[nth], id).await;
         }
         for last in told {
-            assert!(matches!(last.await.unwrap(), Final::Merged { whole: true, .. }));
+            assert!(matches!(last.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
         }
         let again = stage.ask(1, "t".into());
         assert!(frame(&mut wires[0]).await.starts_with("Qq4.0 "), "the first one again");
         answer(&mut wires[0], "q4.0").await;
         again.await.unwrap();
-        assert_eq!(stage.hall.counters.get("leaf_connections", "opened"), 2);
+        assert_eq!(stage.event_loop.counters.get("leaf_connections", "opened"), 2);
     });
 }
 
 #[test]
-fn a_connection_is_closed_idle_before_the_leaf_would_and_what_comes_next_opens_another() {
+fn a_connection_is_closed_idle_before_the_replica_would_and_what_comes_next_opens_another() {
     play(async {
         let mut stage = Stage::set(8, 9, Duration::from_millis(30)).await;
         for n in 1..4 {
@@ -158,11 +160,11 @@
             // Idle is when nothing is out: however long this takes, the connection stays.
             tokio::time::sleep(Duration::from_millis(60)).await;
             answer(&mut stream, &format!("q{n}.0")).await;
-            assert!(matches!(told.await.unwrap(), Final::Merged { whole: true, .. }));
+            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
             assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "closed in order");
             stage.count("leaf_connections", "idle", n).await;
         }
-        assert_eq!(stage.hall.counters.get("leaf_calls", "cut"), 0);
+        assert_eq!(stage.event_loop.counters.get("leaf_calls", "cut"), 0);
     });
 }
 
@@ -180,9 +182,9 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "));
         answer(&mut second, "q2.0").await;
-        assert!(matches!(told.await.unwrap(), Final::Merged { whole: true, .. }));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
         drop(first);
-        assert!(matches!(stuck.await.unwrap(), Final::Rejected { .. }), "its one call never ran");
+        assert!(matches!(stuck.await.unwrap(), QueryResponse::Rejected { .. }), "its one call never ran");
         stage.count("leaf_calls", "no_route", 1).await;
     });
 }
@@ -210,26 +212,26 @@
         let mut stream = stage.accepted.recv().await.unwrap();
         frame(&mut stream).await;
         let told = stage.ask(1, "t".into());
-        assert!(matches!(told.await.unwrap(), Final::Rejected { .. }));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Rejected { .. }));
         stage.count("leaf_connections", "no_socket", 1).await;
         answer(&mut stream, "q1.0").await;
-        assert!(matches!(first.await.unwrap(), Final::Merged { whole: true, .. }));
+        assert!(matches!(first.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
     });
 }
 
 #[test]
-fn a_leaf_that_refuses_connections_ran_nothing() {
+fn a_replica_that_refuses_connections_ran_nothing() {
     play(async {
         let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let (_, accepted) = unbounded_channel::<TcpStream>();
         let mut stage = Stage::facing(nobody, accepted, 8, 9, LONG, LONG);
-        assert!(matches!(stage.ask(2, "t".into()).await.unwrap(), Final::Rejected { .. }));
+        assert!(matches!(stage.ask(2, "t".into()).await.unwrap(), QueryResponse::Rejected { .. }));
         stage.count("leaf_calls", "no_route", 2).await;
     });
 }
 
 #[test]
-fn a_leaf_let_go_has_its_connections_closed_even_while_a_probe_is_unanswered() {
+fn a_replica_let_go_has_its_connections_closed_even_while_a_probe_is_unanswered() {
     play(async {
         let mut stage = Stage::set(8, 9, LONG).await;
         let told = stage.ask(1, "t".into());
@@ -237,9 +239,9 @@
         frame(&mut stream).await;
         answer(&mut stream, "q1.0").await;
         told.await.unwrap();
-        stage.leaves.borrow_mut().probe(ReplicaId(0));
+        stage.replicas.borrow_mut().probe(ReplicaId(0));
         assert_eq!(frame(&mut stream).await, "L");
-        stage.hall.tell(|e| e.list(stage.hall.clock.now(), true, Vec::new()));
+        stage.event_loop.tell(|e| e.list(stage.event_loop.clock.now(), true, Vec::new()));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
         stage.count("leaf_connections", "let_go", 1).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -257,8 +259,8 @@
         // A length that does not fit: the next answers would be its value.
         stream.write_all(b"\0\0\x40\0Aq1.0 ok 1 -\nvalue").await.unwrap();
         // Whether the next call finds the half frame or an ended connection, it opens one of its own.
-        while !stage.leaves.borrow().half_read(ReplicaId(0))
-            && stage.hall.counters.get("leaf_connections", "bad_bytes") == 0
+        while !stage.replicas.borrow().half_read(ReplicaId(0))
+            && stage.event_loop.counters.get("leaf_connections", "bad_bytes") == 0
         {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -266,7 +268,7 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "), "no more is given to the first");
         answer(&mut second, "q2.0").await;
-        assert!(matches!(next.await.unwrap(), Final::Merged { whole: true, .. }));
+        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
         stage.count("leaf_connections", "bad_bytes", 1).await;
         told.await.unwrap();
         stage.count("leaf_calls", "cut", 1).await;
@@ -282,7 +284,7 @@
         frame(&mut stream).await;
         let two = stage.ask(2, "t".into());
         frame(&mut stream).await;
-        stage.hall.tell(|e| e.client_gone(1));
+        stage.event_loop.tell(|e| e.client_gone(1));
         stage.count("leaf_calls", "undone", 1).await;
         answer(&mut stream, "q1.0").await;
         answer(&mut stream, "q2.0").await;
@@ -309,7 +311,7 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "));
         answer(&mut second, "q2.0").await;
-        assert!(matches!(next.await.unwrap(), Final::Merged { whole: true, .. }));
+        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
         assert_eq!(silent.read(&mut [0]).await.unwrap(), 0, "closed, with nothing sent on it since");
         told.await.unwrap();
         stage.count("leaf_connections", "silent", 1).await;
@@ -317,26 +319,26 @@
     });
 }
 
-/// An own lack of sockets was held against the leaf: it counted as out of reach, and its shards' other holders had all.
+/// An own lack of sockets was held against the replica: it counted as out of reach, and its shards' other holders had all.
 #[test]
-fn a_socket_unused_at_one_leaf_is_given_back_for_another() {
+fn a_socket_unused_at_one_replica_is_given_back_for_another() {
     play(async {
         let mut stage = Stage::set(1, 1, LONG).await;
         let told = stage.ask(1, "t".into());
         let mut first = stage.accepted.recv().await.unwrap();
         frame(&mut first).await;
         let other = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        stage.leaves.borrow_mut().meet(ReplicaId(9), other.local_addr().unwrap());
-        stage.leaves.borrow_mut().probe(ReplicaId(9));
+        stage.replicas.borrow_mut().meet(ReplicaId(9), other.local_addr().unwrap());
+        stage.replicas.borrow_mut().probe(ReplicaId(9));
         stage.count("probes", "no_route", 1).await;
         answer(&mut first, "q1.0").await;
-        assert!(matches!(told.await.unwrap(), Final::Merged { whole: true, .. }));
-        stage.leaves.borrow_mut().probe(ReplicaId(9));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        stage.replicas.borrow_mut().probe(ReplicaId(9));
         let (mut stream, _) = other.accept().await.unwrap();
         assert_eq!(frame(&mut stream).await, "L");
         assert_eq!(first.read(&mut [0; 1]).await.unwrap(), 0, "the unused one was closed");
         stage.count("leaf_connections", "given_back", 1).await;
-        assert_eq!(stage.hall.sockets.open(), 1);
+        assert_eq!(stage.event_loop.sockets.open(), 1);
     });
 }
 
@@ -353,9 +355,9 @@
         }
         for (n, (told, stream)) in asked.iter_mut().enumerate() {
             answer(stream, &format!("q{}.0", n + 1)).await;
-            assert!(matches!(told.await.unwrap(), Final::Merged { whole: true, .. }));
+            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
         }
-        let sockets = stage.hall.sockets.clone();
+        let sockets = stage.event_loop.sockets.clone();
         let _client = sockets.place().unwrap();
         assert!(sockets.place().is_none(), "all are taken");
         sockets.want();
@@ -380,13 +382,13 @@
         let rest = b"Aq1.0 ok 1 -\nvalue";
         stream.write_u32(rest.len() as u32).await.unwrap();
         stream.write_all(&rest[..7]).await.unwrap();
-        while !stage.leaves.borrow().half_read(ReplicaId(0)) {
+        while !stage.replicas.borrow().half_read(ReplicaId(0)) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         stream.write_all(&rest[7..]).await.unwrap();
         // Everything here runs on this thread.
         std::thread::sleep(way * 2);
-        assert!(matches!(told.await.unwrap(), Final::Merged { whole: true, .. }));
-        assert_eq!(stage.hall.counters.get("leaf_connections", "bad_bytes"), 0);
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert_eq!(stage.event_loop.counters.get("leaf_connections", "bad_bytes"), 0);
     });
 }
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -5,16 +5,16 @@
 
 use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::charter::Charter;
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::counters::Counters;
+use pipitcrank_server::node_config::NodeConfig;
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fixtures/node_config.json");
 
 #[test]
 fn a_node_configuration_with_every_key_is_read_as_by_an_earlier_version() {
     let text = std::fs::read_to_string(FILE).unwrap();
-    let config = Charter::read(&text, |_| None).unwrap();
+    let config = NodeConfig::read(&text, |_| None).unwrap();
     let clock = Clock::start();
     assert_eq!(config.faults(&clock), []);
     assert_eq!(config.name().unwrap(), "n1");
@@ -22,7 +22,7 @@
     assert_eq!(config.discovery().unwrap(), "127.0.0.1:7001");
     assert_eq!(config.seed().unwrap(), 0x5eed);
     assert_eq!(config.sockets().unwrap(), 256 - 24);
-    assert_eq!(config.verticals().unwrap(), ["view", "sale", "bill"]);
+    assert_eq!(config.classes().unwrap(), ["view", "sale", "bill"]);
     assert_eq!(config.deduplicated().unwrap(), [false, true, false]);
     assert_eq!(config.utilities().unwrap(), [3.0, 1.0, 1.0]);
     assert_eq!(config.longest().unwrap(), TimeSpan::from_millis(6000));
--- a/crates/pipitcrank-sim-adapter/src/door.rs
+++ b/crates/pipitcrank-sim-adapter/src/door.rs
@@ -47,7 +47,7 @@
     instance: String,
     queries: Interner,
     parts: Interner,
-    leaves: Interner,
+    replicas: Interner,
     /// Queries by their number at this instance; an entry ends with the query's.
     asks: BTreeMap<u64, u32>,
     /// The reply so far; emptied when it is written.
@@ -62,8 +62,8 @@
 }
 
 impl CoordinatorOutput for Door {
-    fn send_attempt(&mut self, part: PartId, leaf: ReplicaId, until: Timestamp) {
-        let (i, job, replica) = (&self.instance, self.parts.name(part.0), self.leaves.name(leaf.0));
+    fn send_attempt(&mut self, part: PartId, replica: ReplicaId, until: Timestamp) {
+        let (i, job, replica) = (&self.instance, self.parts.name(part.0), self.replicas.name(replica.0));
         let line = format!("SEND i={i} job={job} replica={replica} abandon_at_s={:.6}", until.as_secs_f64());
         self.say(&line);
     }
@@ -96,8 +96,8 @@
         self.say(&line);
     }
 
-    fn send_load_probe(&mut self, leaf: ReplicaId) {
-        let line = format!("CHECK i={} replica={}", self.instance, self.leaves.name(leaf.0));
+    fn send_load_probe(&mut self, replica: ReplicaId) {
+        let line = format!("CHECK i={} replica={}", self.instance, self.replicas.name(replica.0));
         self.say(&line);
     }
 
@@ -120,15 +120,15 @@
         self.parts.release(part.0);
     }
 
-    fn release_replica(&mut self, leaf: ReplicaId) {
-        self.leaves.release(leaf.0);
+    fn release_replica(&mut self, replica: ReplicaId) {
+        self.replicas.release(replica.0);
     }
 }
 
 pub struct Host {
     door: Door,
     coordinator: Coordinator,
-    verticals: Vec<String>,
+    classes: Vec<String>,
     zones: Vec<String>,
 }
 
@@ -139,18 +139,18 @@
             .map_err(|e| line.wrong("conf", &format!("is not the JSON expected: {e}")))?;
         let faulty = |f: ConfigError| line.wrong("conf", &f.to_string());
         let told = SettingsReader::new(&told);
-        let (coordinator, verticals) =
-            (told.coordinator(seed).map_err(faulty)?, told.verticals().map_err(faulty)?);
+        let (coordinator, classes) =
+            (told.coordinator(seed).map_err(faulty)?, told.classes().map_err(faulty)?);
         let door = Door {
             instance: name.to_string(),
             queries: Interner::default(),
             parts: Interner::default(),
-            leaves: Interner::default(),
+            replicas: Interner::default(),
             asks: BTreeMap::new(),
             reply: String::new(),
         };
         let zones = told.zones().map_err(faulty)?.map_or(Vec::new(), |(_, names)| names);
-        Ok(Host { door, coordinator, verticals, zones })
+        Ok(Host { door, coordinator, classes, zones })
     }
 
     pub fn event(
@@ -159,7 +159,7 @@
         line: &Line,
         lists: &BTreeMap<u32, Vec<Row>>,
     ) -> Result<(), Wrong> {
-        let Host { door, coordinator, verticals, zones } = self;
+        let Host { door, coordinator, classes, zones } = self;
         match line.word() {
             "NEW_INSTANCE" => coordinator.start(door),
             "DISCOVERY" => {
@@ -175,11 +175,11 @@
                 let rows = rows.ok_or_else(|| line.wrong("ref", "names no list received"))?;
                 coordinator.begin_endpoint_list(scope != "Partial");
                 for row in rows {
-                    let leaf = ReplicaId(door.leaves.intern(&row.replica));
-                    coordinator.list_replica(leaf, row.cell, row.up, row.started);
+                    let replica = ReplicaId(door.replicas.intern(&row.replica));
+                    coordinator.list_replica(replica, row.cell, row.up, row.started);
                     let zone = zones.iter().position(|z| Some(z) == row.zone.as_ref());
                     if let Some(zone) = zone {
-                        coordinator.set_replica_zone(leaf, Some(ZoneId(zone as u16)));
+                        coordinator.set_replica_zone(replica, Some(ZoneId(zone as u16)));
                     }
                 }
                 coordinator.finish_endpoint_list(door);
@@ -203,23 +203,15 @@
                     return Ok(());
                 }
                 let class = line.field("class")?;
-                let vertical = verticals.iter().position(|v| v == class);
-                let vertical = vertical.ok_or_else(|| line.wrong("class", "is not among the settings'"))?;
+                let class = classes.iter().position(|v| v == class);
+                let class = class.ok_or_else(|| line.wrong("class", "is not among the settings'"))?;
                 if door.queries.find(job).is_some() || door.asks.contains_key(&ask) {
                     return Err(line.wrong("job", "repeats an id that is held"));
                 }
                 let query = QueryId(door.queries.intern(job));
                 door.asks.insert(ask, query.0);
                 let left = TimeSpan::from_secs_f64(line.amount("remaining_s")?);
-                coordinator.start_query(
-                    door,
-                    now,
-                    query,
-                    RequestClassId(vertical as u16),
-                    left,
-                    hint,
-                    amount,
-                );
+                coordinator.start_query(door, now, query, RequestClassId(class as u16), left, hint, amount);
             }
             "FINISHED" => {
                 let nth = line.number("trial")?;
@@ -238,11 +230,11 @@
             "HEALTH" => {
                 report(coordinator, door, now, line)?;
                 let outcome = outcome(line)?;
-                if let Some(leaf) = door.leaves.find(line.field("replica")?) {
-                    coordinator.load_probe_ended(now, ReplicaId(leaf), outcome);
+                if let Some(replica) = door.replicas.find(line.field("replica")?) {
+                    coordinator.load_probe_ended(now, ReplicaId(replica), outcome);
                 }
             }
-            // Streamed verticals and messages between co-ordinators have no part in the decisions.
+            // Streamed request classes and messages between co-ordinators have no part in the decisions.
             "FIRST" | "MEMO" => {}
             word => return Err(line.wrong("i", &format!("comes with '{word}', an event that is not known"))),
         }
@@ -263,7 +255,7 @@
 /// A load report that came with a line, if one did.
 fn report(coordinator: &mut Coordinator, door: &Door, now: Timestamp, line: &Line) -> Result<(), Wrong> {
     let Some(pairs) = line.optional("feedback") else { return Ok(()) };
-    let Some(leaf) = door.leaves.find(line.field("replica")?) else { return Ok(()) };
+    let Some(replica) = door.replicas.find(line.field("replica")?) else { return Ok(()) };
     let value = |name: &str| {
         let text = pairs.split(',').filter_map(|p| p.split_once(':')).find(|(key, _)| *key == name);
         let number = text.map(|(_, v)| v.parse::<f64>().ok().filter(|v| v.is_finite()));
@@ -271,7 +263,7 @@
             .map(|v| v.ok_or_else(|| line.wrong("feedback", &format!("has no number for '{name}'"))))
             .transpose()
     };
-    coordinator.load_report(now, ReplicaId(leaf), value("backlog")?, value("outstanding")?);
+    coordinator.load_report(now, ReplicaId(replica), value("backlog")?, value("outstanding")?);
     Ok(())
 }
 
--- a/crates/pipitcrank-simulation/src/lib.rs
+++ b/crates/pipitcrank-simulation/src/lib.rs
@@ -8,7 +8,7 @@
 //! | `zones.rs` | the experiment `zones` |
 //! | `plot.rs` | figures over time as a picture |
 
-pub mod leaves;
 pub mod net;
 pub mod plot;
+pub mod replicas;
 pub mod zones;
--- a/crates/pipitcrank-simulation/src/leaves.rs
+++ b/crates/pipitcrank-simulation/src/replicas.rs
@@ -9,14 +9,14 @@
 const SLO_S: f64 = 1.0;
 /// The waiting room, in seconds of work.
 const ROOM_S: f64 = 2.0;
-/// Warming: share of a warm leaf at the start, and for how long it grows; what a cold leaf may get over a window, as
+/// Warming: share of a warm replica at the start, and for how long it grows; what a cold replica may get over a window, as
 /// rule 4 has it.
 const COLD_FROM: f64 = 0.3;
 const COLD: TimeSpan = TimeSpan::from_millis(8000);
 const COLD_FACTOR: f64 = 4.0;
 const COLD_WINDOW_S: f64 = 1.5;
 
-pub struct Leaves {
+pub struct Replicas {
     /// Leaves, and parts a second that one bears.
     pub count: u16,
     bears: f64,
@@ -40,10 +40,10 @@
     pub unanswered: f64,
 }
 
-impl Leaves {
-    pub fn new(count: u16, bears: f64) -> Leaves {
+impl Replicas {
+    pub fn new(count: u16, bears: f64) -> Replicas {
         let (queue, came) = (0.0, VecDeque::new());
-        Leaves { count, bears, lost: false, slower: 1.0, started: None, queue, came, pushed_over: 0.0 }
+        Replicas { count, bears, lost: false, slower: 1.0, started: None, queue, came, pushed_over: 0.0 }
     }
 
     /// Parts a second when all are well and warm.
--- a/crates/pipitcrank-simulation/src/zones.rs
+++ b/crates/pipitcrank-simulation/src/zones.rs
@@ -1,4 +1,4 @@
-//! The experiment `zones`: a zone's leaves are lost under load and come back cold, before so many copies; by the common
+//! The experiment `zones`: a zone's replicas are lost under load and come back cold, before so many copies; by the common
 //! decision, by each copy alone, and without zones. What is measured: time to agree and to move, messages and bytes a copy,
 //! service, load moved.
 //!
@@ -23,15 +23,15 @@
 use rand_pcg::Pcg64;
 use serde::Serialize;
 
-use crate::leaves::Leaves;
 use crate::net::{Net, Next};
 use crate::plot::Line;
+use crate::replicas::Replicas;
 
 const STEP: TimeSpan = TimeSpan::from_millis(100);
 /// Leaves a zone, and parts a second that one bears.
-const LEAVES: u16 = 40;
+const REPLICAS: u16 = 40;
 const BEARS: f64 = 200.0;
-/// Of what all leaves bear, what is asked: with one of three zones lost the rest has a tenth to spare.
+/// Of what all replicas bear, what is asked: with one of three zones lost the rest has a tenth to spare.
 const LOAD: f64 = 0.54;
 /// Of parts that get no answer, what the budget lets be asked again.
 const AGAIN: f64 = 0.1;
@@ -63,7 +63,7 @@
     pub suspected_s: Option<f64>,
     pub out_s: Option<f64>,
     pub moved_s: Option<f64>,
-    /// From the return of the leaves until all copies send home as before.
+    /// From the return of the replicas until all copies send home as before.
     pub home_s: Option<f64>,
     /// From a decision's number being agreed on until 99 of 100 copies act on it: the middle and the longest.
     pub spread_s: (f64, f64),
@@ -105,7 +105,7 @@
     net: Net,
     copies: Vec<Copy>,
     addresses: BTreeMap<SocketAddr, usize>,
-    leaves: Vec<Leaves>,
+    replicas: Vec<Replicas>,
     lost: Option<(usize, Timestamp)>,
     way: Way,
     /// Of each number: when first acted on, and by how many copies, and when by nearly all.
@@ -143,7 +143,7 @@
             net,
             copies: Vec::new(),
             addresses: (0..copies).map(|n| (address(n), n)).collect(),
-            leaves: (0..zones).map(|_| Leaves::new(LEAVES, BEARS)).collect(),
+            replicas: (0..zones).map(|_| Replicas::new(REPLICAS, BEARS)).collect(),
             lost: None,
             way,
             acted: BTreeMap::new(),
@@ -177,16 +177,16 @@
 
     /// What the copy sees of each zone at that moment.
     fn rows(&self, now: Timestamp, copy: usize) -> Vec<Row> {
-        let row = |(zone, leaves): (usize, &Leaves)| {
-            let count = leaves.count;
-            let full = if leaves.wait_s(now) > 1.0 { count } else { 0 };
-            let cold = if leaves.is_cold(now) { count } else { 0 };
+        let row = |(zone, replicas): (usize, &Replicas)| {
+            let count = replicas.count;
+            let full = if replicas.wait_s(now) > 1.0 { count } else { 0 };
+            let cold = if replicas.is_cold(now) { count } else { 0 };
             match self.sees_silent(now, copy, zone) {
                 true => Row { listed: count, silent: count, ..Row::default() },
                 false => Row { listed: count, answering: count - full, full, cold, ..Row::default() },
             }
         };
-        self.leaves.iter().enumerate().map(row).collect()
+        self.replicas.iter().enumerate().map(row).collect()
     }
 
     /// Calls a copy and passes on what it wants.
@@ -224,7 +224,7 @@
         }
         let zone = held.zone as u16;
         for (to, bytes) in instance.take_out() {
-            let to = self.addresses.get(&to).map(|&n| (n, (n % self.leaves.len()) as u16));
+            let to = self.addresses.get(&to).map(|&n| (n, (n % self.replicas.len()) as u16));
             self.net.send(now, zone, to, bytes);
         }
         let due = instance.due().max(now + TimeSpan::from_millis(1));
@@ -236,7 +236,7 @@
 
     /// Parts a second of all clients.
     fn asked(&self) -> f64 {
-        self.leaves.iter().map(Leaves::whole).sum::<f64>() * LOAD
+        self.replicas.iter().map(Replicas::whole).sum::<f64>() * LOAD
     }
 
     /// Whether the copy sees that zone silent.
@@ -247,7 +247,7 @@
     /// What the cover of each copy does by itself, whatever the shares: what is meant for a zone that it sees silent goes
     /// to the others, evenly.
     fn by_own_sight(&self, now: Timestamp, copy: usize, shares: &[(u16, u16)]) -> Vec<(u16, f64)> {
-        let zones = self.leaves.len();
+        let zones = self.replicas.len();
         let mut of: Vec<f64> = vec![0.0; zones];
         shares.iter().for_each(|&(z, s)| of[usize::from(z)] += f64::from(s));
         if let Some(silent) = (0..zones).find(|&z| of[z] > 0.0 && self.sees_silent(now, copy, z)) {
@@ -273,7 +273,7 @@
 
     /// One step of the world; asked, answered in time, load by zone (parts a second).
     fn step(&mut self, now: Timestamp) -> (f64, f64, Vec<f64>) {
-        let zones = self.leaves.len();
+        let zones = self.replicas.len();
         let a_copy = self.asked() / self.copies.len() as f64 * STEP.as_secs_f64();
         let mut parts = vec![0.0; zones];
         for copy in 0..self.copies.len() {
@@ -300,8 +300,8 @@
         }
         let mut in_time = 0.0;
         let mut again = 0.0;
-        for (leaves, &parts) in self.leaves.iter_mut().zip(&parts) {
-            let step = leaves.step(now, parts, STEP);
+        for (replicas, &parts) in self.replicas.iter_mut().zip(&parts) {
+            let step = replicas.step(now, parts, STEP);
             in_time += step.in_time;
             again += step.unanswered * AGAIN;
         }
@@ -349,19 +349,19 @@
             Next::Step => {
                 if world.lost.is_none() && (LOST..BACK).contains(&at) {
                     calm = (world.net.sent, world.net.bytes);
-                    world.leaves[zone].lose();
+                    world.replicas[zone].lose();
                     world.lost = Some((zone, now));
                 }
                 if world.lost.is_some() && at >= BACK {
-                    world.leaves[zone].start(now);
+                    world.replicas[zone].start(now);
                     world.lost = None;
                 }
                 let (asked, in_time, parts) = world.step(now);
                 service.push((at, in_time / asked));
                 for (zone, parts) in parts.iter().enumerate() {
-                    load[zone].push((at, parts / world.leaves[zone].whole()));
-                    if !world.leaves[zone].lost {
-                        peak = peak.max(parts / world.leaves[zone].whole());
+                    load[zone].push((at, parts / world.replicas[zone].whole()));
+                    if !world.replicas[zone].lost {
+                        peak = peak.max(parts / world.replicas[zone].whole());
                     }
                 }
                 if (LOST..BACK).contains(&at) {
@@ -378,7 +378,7 @@
             }
         }
     }
-    let pushed_over = world.leaves.iter().map(|l| l.pushed_over).sum();
+    let pushed_over = world.replicas.iter().map(|l| l.pushed_over).sum();
     let busiest =
         world.copies.iter().filter_map(|c| c.instance.as_ref()).map(|i| i.sent.0).max().unwrap_or(0);
     Run { service, load, lost, all, peak, pushed_over, world, calm, home, busiest }
--- a/crates/pipitcrank-testkit/src/client.rs
+++ b/crates/pipitcrank-testkit/src/client.rs
@@ -18,7 +18,7 @@
 #[derive(Clone)]
 pub struct Question {
     pub id: String,
-    pub vertical: &'static str,
+    pub class: &'static str,
     pub shards: Vec<u32>,
     pub wait: Duration,
     pub text: String,
@@ -28,7 +28,7 @@
     /// One that is answered soon.
     pub fn short(id: &str) -> Question {
         let wait = Duration::from_secs(4);
-        Question { id: id.to_string(), vertical: "view", shards: vec![0, 1], wait, text: "short".to_string() }
+        Question { id: id.to_string(), class: "view", shards: vec![0, 1], wait, text: "short".to_string() }
     }
 
     pub fn request(&self) -> String {
@@ -37,7 +37,7 @@
         let body = json!({"shards": shards, "q": self.text}).to_string();
         format!(
             "POST /{} HTTP/1.1\r\nHost: x\r\nReq-Id: {}\r\nReq-Deadline-Ms: {}\r\nContent-Length: {}\r\n\r\n{body}",
-            self.vertical,
+            self.class,
             self.id,
             self.wait.as_millis(),
             body.len()
@@ -140,7 +140,7 @@
         answer
     }
 
-    /// Asks, and leaves after a while without having read anything.
+    /// Asks, and replicas after a while without having read anything.
     pub async fn ask_and_leave(&self, question: Question, after: Duration) {
         if let Ok(mut stream) = connect(self.address).await {
             let _ = stream.write_all(question.request().as_bytes()).await;
--- a/crates/pipitcrank-testkit/src/demo.rs
+++ b/crates/pipitcrank-testkit/src/demo.rs
@@ -1,4 +1,4 @@
-//! The main job on one machine: stand-in leaves, one co-ordinator, some hundred queries of three verticals, a leaf
+//! The main job on one machine: stand-in replicas, one co-ordinator, some hundred queries of three request classes, a replica
 //! killed half way.
 
 use std::path::Path;
@@ -10,9 +10,9 @@
 
 use crate::client::Clients;
 use crate::fleet::{Fleet, question};
-use crate::leaf::Work;
 use crate::ledger::{Ended, Ledger};
 use crate::process::Process;
+use crate::replica::Work;
 use crate::trial::on_one_thread;
 
 const LIMIT: Duration = Duration::from_secs(60);
@@ -24,7 +24,7 @@
     on_one_thread(LIMIT, async {
         println!("starting 12 stand-in leaves, discovery and one co-ordinator on loopback");
         let fleet = Fleet::start(seed, Work { usual: Duration::from_millis(10), at_once: 16 }).await?;
-        let process = Process::start(program, fleet.charter(seed, 1024, 2000)?, None).await?;
+        let process = Process::start(program, fleet.node_config(seed, 1024, 2000)?, None).await?;
         let mut chance = Pcg64::seed_from_u64(seed);
         let ledgers = ["view", "rank", "sale"].map(|v| (v, Ledger::default()));
         let mut tasks = tokio::task::JoinSet::new();
@@ -32,10 +32,10 @@
         let all = Clients::new(process.address, Ledger::default());
         for n in 0..QUERIES {
             if n == QUERIES / 2 {
-                fleet.leaves[5].kill();
+                fleet.replicas[5].kill();
             }
             let question = question("demo", n, 0.0, &mut chance);
-            let ledger = ledgers.iter().find(|(v, _)| *v == question.vertical).map(|(_, l)| l.clone());
+            let ledger = ledgers.iter().find(|(v, _)| *v == question.class).map(|(_, l)| l.clone());
             let clients = all.entered_in(ledger.unwrap_or_default());
             tasks.spawn_local(async move { clients.ask(question).await });
             tokio::time::sleep(PAUSE).await;
@@ -46,13 +46,13 @@
             "vertical", "asked", "whole", "in part", "rejected", "aborted", "half, ms", "99%, ms"
         );
         let mut answered = 0;
-        for (vertical, l) in &ledgers {
+        for (class, l) in &ledgers {
             let ends =
                 [Ended::Merged, Ended::MergedInPart, Ended::Rejected, Ended::Aborted].map(|e| l.count(e));
             answered += ends.iter().sum::<u64>();
             let [whole, part, rejected, aborted] = ends;
             println!(
-                "{vertical:<10} {:>7} {whole:>7} {part:>7} {rejected:>8} {aborted:>8} {:>9.1} {:>9.1}",
+                "{class:<10} {:>7} {whole:>7} {part:>7} {rejected:>8} {aborted:>8} {:>9.1} {:>9.1}",
                 l.all(),
                 l.within(0.5),
                 l.within(0.99)
--- a/crates/pipitcrank-testkit/src/discovery.rs
+++ b/crates/pipitcrank-testkit/src/discovery.rs
@@ -50,7 +50,7 @@
         Ok(Discovery { address, changes, newest, first: list(1, true, rows), now })
     }
 
-    /// The first list, as a charter names it.
+    /// The first list, as a node configuration names it.
     pub fn known(&self) -> Value {
         self.first.clone()
     }
--- a/crates/pipitcrank-testkit/src/fleet.rs
+++ b/crates/pipitcrank-testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of stand-in leaves with its discovery, the charter that a co-ordinator of it is told, and the load asked.
+//! A fleet of stand-in leaves with its discovery, the node configuration that a co-ordinator of it is told, and the load asked.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
@@ -13,16 +13,16 @@
 
 use crate::client::{Clients, Question};
 use crate::discovery::{Discovery, row};
-use crate::leaf::{Leaf, Work};
 use crate::ledger::{Ended, Ledger};
+use crate::replica::{StandInReplica, Work};
 
-/// Cells, and leaves a cell; a shard is held by two cells.
+/// Cells, and replicas a cell; a shard is held by two cells.
 const CELLS: u32 = 6;
-const LEAVES_A_CELL: u32 = 2;
+const REPLICAS_A_CELL: u32 = 2;
 pub const SHARDS: u32 = 12;
 
 pub struct Fleet {
-    pub leaves: Vec<Leaf>,
+    pub replicas: Vec<StandInReplica>,
     pub discovery: Discovery,
     pub ledger: Ledger,
 }
@@ -32,32 +32,32 @@
         Fleet::start_with(seed, work, Ledger::default()).await
     }
 
-    /// With what its leaves run entered in a ledger that others share.
+    /// With what its replicas run entered in a ledger that others share.
     pub async fn start_with(seed: u64, work: Work, ledger: Ledger) -> Result<Fleet> {
-        let (mut leaves, mut rows) = (Vec::new(), Vec::new());
-        for n in 0..CELLS * LEAVES_A_CELL {
-            let leaf = Leaf::start(seed ^ u64::from(n) << 32, work, ledger.clone()).await?;
-            rows.push(row(&format!("leaf-{n}"), leaf.address, n % CELLS, "active", 0));
-            leaves.push(leaf);
+        let (mut replicas, mut rows) = (Vec::new(), Vec::new());
+        for n in 0..CELLS * REPLICAS_A_CELL {
+            let replica = StandInReplica::start(seed ^ u64::from(n) << 32, work, ledger.clone()).await?;
+            rows.push(row(&format!("leaf-{n}"), replica.address, n % CELLS, "active", 0));
+            replicas.push(replica);
         }
-        Ok(Fleet { leaves, discovery: Discovery::start(rows).await?, ledger })
+        Ok(Fleet { replicas, discovery: Discovery::start(rows).await?, ledger })
     }
 
-    /// Tells that the leaf drains, or is back.
-    pub fn drains(&self, leaf: usize, state: &str) {
-        let address = self.leaves[leaf].address;
-        self.discovery.changes(row(&format!("leaf-{leaf}"), address, leaf as u32 % CELLS, state, 0));
+    /// Tells that the replica drains, or is back.
+    pub fn drains(&self, replica: usize, state: &str) {
+        let address = self.replicas[replica].address;
+        self.discovery.changes(row(&format!("leaf-{replica}"), address, replica as u32 % CELLS, state, 0));
     }
 
     /// What a co-ordinator of this fleet is told; it listens on an address free a moment ago.
-    pub fn charter(&self, seed: u64, sockets: u32, max_open: u32) -> Result<Value> {
+    pub fn node_config(&self, seed: u64, sockets: u32, max_open: u32) -> Result<Value> {
         let discovery = &self.discovery;
-        charter_of(discovery.address, discovery.known(), CELLS, SHARDS, seed, sockets, max_open)
+        node_config_of(discovery.address, discovery.known(), CELLS, SHARDS, seed, sockets, max_open)
     }
 }
 
 /// What a co-ordinator is told that watches that discovery; it listens on an address free a moment ago.
-pub fn charter_of(
+pub fn node_config_of(
     discovery: SocketAddr,
     known: Value,
     cells: u32,
@@ -67,7 +67,7 @@
     max_open: u32,
 ) -> Result<Value> {
     let listen = free_address()?;
-    let vertical = |name: &str, aim: f64, limit: f64, kind: &str| json!({"name": name, "aim_s": aim, "hard_limit_s": limit, "idempotency": kind});
+    let class = |name: &str, aim: f64, limit: f64, kind: &str| json!({"name": name, "aim_s": aim, "hard_limit_s": limit, "idempotency": kind});
     Ok(json!({
         "name": "stand-in", "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{:x}", seed & 0xffff_ffff), "limits": {"sockets": sockets, "memory_mb": 256, "cores": 1.0},
@@ -76,8 +76,8 @@
             "allowed": {"cancel": true, "probing": true, "may_duplicate": true, "retry_after": true,
                 "max_retry_after_s": 2.0, "try_limit": 4, "conn_idle_s": 30.0, "dial_timeout_s": 0.5,
                 "max_open": max_open, "streams_per_conn": 32},
-            "classes": [vertical("view", 1.0, 4.0, "safe"), vertical("rank", 1.0, 4.0, "safe"),
-                vertical("sale", 3.0, 5.0, "unsafe")],
+            "classes": [class("view", 1.0, 4.0, "safe"), class("rank", 1.0, 4.0, "safe"),
+                class("sale", 3.0, 5.0, "unsafe")],
             "domain": {"call_cost_s": 0.001, "complete_from": [1.0, 1.0, 1.0], "floor_by_class": [1.0, 0.8, 1.0],
                 "follow_up": [0, 0, 0], "parts_a_call": 8, "sets": cells, "shards": shards, "span": 2},
             "rules": {"cold_from": 0.3, "cold_s": 8.0, "drain_grace_s": 2.0, "fall_s": 1.5,
@@ -87,9 +87,9 @@
     }))
 }
 
-/// Utility of a vertical's whole answer, and its SLO time as the charter has it.
-fn utility(vertical: &str) -> (f64, Duration) {
-    match vertical {
+/// Utility of a request class's whole answer, and its SLO time as the node configuration has it.
+fn utility(class: &str) -> (f64, Duration) {
+    match class {
         "rank" => (3.0, Duration::from_secs(1)),
         "sale" => (1.0, Duration::from_secs(3)),
         _ => (1.0, Duration::from_secs(1)),
@@ -161,7 +161,7 @@
         let first = chance.random_range(0..SHARDS);
         (0..count).map(|i| (first + i) % SHARDS).collect()
     };
-    let (vertical, shards): (_, Vec<u32>) = if kind < 0.55 {
+    let (class, shards): (_, Vec<u32>) = if kind < 0.55 {
         let count = chance.random_range(4..=6);
         ("view", some(chance, count))
     } else if kind < 0.78 {
@@ -169,8 +169,8 @@
     } else {
         ("sale", some(chance, 1))
     };
-    let slow = vertical == "sale" && chance.random_bool(slow_sales);
+    let slow = class == "sale" && chance.random_bool(slow_sales);
     let text = if slow { format!("lasts={}", chance.random_range(1000..2000)) } else { format!("text {n}") };
     let wait = Duration::from_millis(4000);
-    Question { id: format!("{vertical}-{name}-{n}"), vertical, shards, wait, text }
+    Question { id: format!("{class}-{name}-{n}"), class, shards, wait, text }
 }
--- a/crates/pipitcrank-testkit/src/ledger.rs
+++ b/crates/pipitcrank-testkit/src/ledger.rs
@@ -23,12 +23,12 @@
     Lost,
 }
 
-/// A part as it came to a leaf.
+/// A part as it came to a replica.
 #[derive(Clone)]
 pub struct Arrival {
     pub part: String,
     pub at: Instant,
-    pub leaf: SocketAddr,
+    pub replica: SocketAddr,
     /// The time that the co-ordinator says it waits.
     pub told: Duration,
 }
@@ -45,7 +45,7 @@
     queries: BTreeMap<String, Option<Ended>>,
     /// Queries answered more than once.
     answered_twice: u64,
-    /// By part: how often a leaf ran it.
+    /// By part: how often a replica ran it.
     runs: BTreeMap<String, u32>,
     took: Option<Histogram<u64>>,
     /// What merged answers took.
@@ -131,7 +131,7 @@
         let _ = histogram.record(took.as_micros() as u64);
     }
 
-    /// A leaf begins to work on the part. What another site names `q@site....1` is part 1 of `q`.
+    /// A replica begins to work on the part. What another site names `q@site....1` is part 1 of `q`.
     pub fn ran(&self, part: &str) {
         let name = match (part.split_once('@'), part.rsplit_once('.')) {
             (Some((query, _)), Some((_, shard))) => format!("{query}.{shard}"),
--- a/crates/pipitcrank-testkit/src/process.rs
+++ b/crates/pipitcrank-testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! The program under trial as a process of its own, in a folder of its own with its charter and operators' file.
+//! The program under trial as a process of its own, in a folder of its own with its node configuration and operators' file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -38,7 +38,7 @@
     child: Child,
     pub address: SocketAddr,
     pub program: PathBuf,
-    pub charter: PathBuf,
+    pub node_config: PathBuf,
     pub folder: Folder,
     told: Value,
     /// Variables it is started with, beside its own.
@@ -65,7 +65,7 @@
 }
 
 impl Process {
-    /// Starts a copy of the program. `told` is the charter; `operators` is the operators' file, if there is one. What it logs goes to `log` in its
+    /// Starts a copy of the program. `told` is the node configuration; `operators` is the operators' file, if there is one. What it logs goes to `log` in its
     /// folder.
     pub async fn start(program: &Path, told: Value, operators: Option<String>) -> Result<Process> {
         let folder = Folder::new("serve")?;
@@ -88,16 +88,16 @@
         operators: Option<String>,
         variables: Vec<(String, String)>,
     ) -> Result<Process> {
-        let charter = folder.path().join("charter.json");
+        let node_config = folder.path().join("charter.json");
         let address: SocketAddr = told["listen"].as_str().context("/listen")?.parse()?;
-        std::fs::write(&charter, told.to_string())?;
-        let child = Process::spawn(&program, &charter, folder.path(), operators, &variables)?;
-        Ok(Process { child, address, program, charter, folder, told, variables })
+        std::fs::write(&node_config, told.to_string())?;
+        let child = Process::spawn(&program, &node_config, folder.path(), operators, &variables)?;
+        Ok(Process { child, address, program, node_config, folder, told, variables })
     }
 
     fn spawn(
         program: &Path,
-        charter: &Path,
+        node_config: &Path,
         folder: &Path,
         operators: Option<String>,
         variables: &[(String, String)],
@@ -107,7 +107,7 @@
         command
             .arg("serve")
             .envs(variables.iter().cloned())
-            .env("NODE_CONFIG", charter)
+            .env("NODE_CONFIG", node_config)
             .stdin(Stdio::null())
             .stderr(log);
         if let Some(text) = operators {
@@ -136,7 +136,7 @@
     /// The same, without waiting until it serves.
     pub fn begin_again(&mut self, operators: Option<String>) -> Result<()> {
         self.child =
-            Process::spawn(&self.program, &self.charter, self.folder.path(), operators, &self.variables)?;
+            Process::spawn(&self.program, &self.node_config, self.folder.path(), operators, &self.variables)?;
         Ok(())
     }
 
@@ -227,15 +227,15 @@
         Some(line.and_then(|n| n.trim().parse().ok()).unwrap_or(0))
     }
 
-    /// The charter with one key changed, as it is read at the next start.
-    pub fn charter_with(&self, key: &str, value: Value) -> Result<()> {
+    /// The node configuration with one key changed, as it is read at the next start.
+    pub fn node_config_with(&self, key: &str, value: Value) -> Result<()> {
         let mut told = self.told.clone();
         *told.pointer_mut(key).context("a key of the charter")? = value;
-        Ok(std::fs::write(&self.charter, told.to_string())?)
+        Ok(std::fs::write(&self.node_config, told.to_string())?)
     }
 
-    pub fn charter_as_it_was(&self) -> Result<()> {
-        Ok(std::fs::write(&self.charter, self.told.to_string())?)
+    pub fn node_config_as_it_was(&self) -> Result<()> {
+        Ok(std::fs::write(&self.node_config, self.told.to_string())?)
     }
 
     pub fn log(&self) -> String {
--- a/crates/pipitcrank-testkit/src/leaf.rs
+++ b/crates/pipitcrank-testkit/src/replica.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a leaf: frames of four bytes of length, a letter and the rest. It works on so many parts at once,
+//! A stand-in for a replica: frames of four bytes of length, a letter and the rest. It works on so many parts at once,
 //! the others wait, and beyond its waiting room it is busy.
 
 use std::cell::{Cell, RefCell};
@@ -49,7 +49,7 @@
     pub at_once: usize,
 }
 
-pub struct Leaf {
+pub struct StandInReplica {
     pub address: SocketAddr,
     shared: Rc<Shared>,
     accepting: tokio::task::JoinHandle<()>,
@@ -77,8 +77,8 @@
     connections_came: RefCell<Vec<Duration>>,
 }
 
-impl Leaf {
-    pub async fn start(seed: u64, work: Work, ledger: Ledger) -> Result<Leaf> {
+impl StandInReplica {
+    pub async fn start(seed: u64, work: Work, ledger: Ledger) -> Result<StandInReplica> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let shared = Rc::new(Shared {
@@ -115,7 +115,7 @@
                 });
             }
         });
-        Ok(Leaf { address, shared, accepting })
+        Ok(StandInReplica { address, shared, accepting })
     }
 
     pub fn turns(&self, manner: Manner) {
@@ -135,7 +135,7 @@
         *self.shared.cold.borrow_mut() = Some((Instant::now(), cold));
     }
 
-    /// Parts beyond what the rule on cold leaves allows in any window: `factor` times what a leaf of that warmth does in
+    /// Parts beyond what the rule on cold replicas allows in any window: `factor` times what a replica of that warmth does in
     /// it, where it begins with the share `from` and warms evenly.
     pub fn pushed_over(&self, factor: f64, from: f64, window: Duration) -> u64 {
         let Some((_, cold)) = *self.shared.cold.borrow() else { return 0 };
@@ -216,7 +216,7 @@
                     shared.ledger.arrived(|| Arrival {
                         part: part.id.clone(),
                         at: Instant::now(),
-                        leaf: shared.address,
+                        replica: shared.address,
                         told: part.told,
                     });
                     take(shared, part, out.clone(), given_up.clone());
--- a/crates/pipitcrank-testkit/src/soak/clients.rs
+++ b/crates/pipitcrank-testkit/src/soak/clients.rs
@@ -24,7 +24,7 @@
 pub enum Manner {
     Plain,
     /// Closes, or resets, before its answer.
-    Leaves,
+    Replicas,
     /// The same with bytes behind its request.
     LeavesBehindBytes,
     /// The same behind a chunked body.
@@ -129,7 +129,7 @@
 
 fn question(node: usize, n: u64, chance: &mut Pcg64) -> Question {
     let kind: f64 = chance.random();
-    let (vertical, count) = match kind {
+    let (class, count) = match kind {
         k if k < 0.45 => ("view", chance.random_range(2..=5)),
         k if k < 0.65 => ("rank", chance.random_range(4..=8)),
         k if k < 0.85 => ("sale", 1),
@@ -139,7 +139,7 @@
     let shards = (0..count).map(|i| (first + i) % SHARDS).collect();
     let manner = match chance.random_range(0..100) {
         0..66 => Manner::Plain,
-        66..76 => Manner::Leaves,
+        66..76 => Manner::Replicas,
         76..80 => Manner::LeavesBehindBytes,
         80..84 => Manner::LeavesBehindChunks,
         84..88 => Manner::Half,
@@ -151,7 +151,7 @@
         Manner::Hurried => Duration::from_millis(chance.random_range(0..40)),
         _ => Duration::from_millis(chance.random_range(600..2000)),
     };
-    Question { id: format!("{vertical}-{node}-{n}"), wait, shards, manner }
+    Question { id: format!("{class}-{node}-{n}"), wait, shards, manner }
 }
 
 impl Question {
@@ -162,10 +162,10 @@
     }
 
     fn head(&self, framing: &str) -> String {
-        let vertical = self.id.split('-').next().unwrap_or("view");
-        let key = if vertical == "pay" { format!("Idempotency-Key: {}\r\n", self.id) } else { String::new() };
+        let class = self.id.split('-').next().unwrap_or("view");
+        let key = if class == "pay" { format!("Idempotency-Key: {}\r\n", self.id) } else { String::new() };
         format!(
-            "POST /{vertical} HTTP/1.1\r\nHost: x\r\nReq-Id: {}\r\n{key}Req-Deadline-Ms: {}\r\n{framing}\r\n\r\n",
+            "POST /{class} HTTP/1.1\r\nHost: x\r\nReq-Id: {}\r\n{key}Req-Deadline-Ms: {}\r\n{framing}\r\n\r\n",
             self.id,
             self.wait.as_millis()
         )
--- a/crates/pipitcrank-testkit/src/soak/judge.rs
+++ b/crates/pipitcrank-testkit/src/soak/judge.rs
@@ -139,8 +139,8 @@
     fn was_stalled(&self, arrival: &Arrival) -> bool {
         let before = arrival.at - Duration::from_millis(50);
         let stalls = self.scene.stalls.borrow();
-        let mut of_leaf = stalls.iter().filter(|s| s.0 == arrival.leaf);
-        of_leaf.any(|(_, from, to)| *from <= arrival.at && to.is_none_or(|to| to >= before))
+        let mut of_replica = stalls.iter().filter(|s| s.0 == arrival.replica);
+        of_replica.any(|(_, from, to)| *from <= arrival.at && to.is_none_or(|to| to >= before))
     }
 
     fn sent_for(&mut self, request: &Request, arrival: &Arrival) {
@@ -195,8 +195,8 @@
             by + TOLD_AFTER + DRAIN_GRACE + HELD_UP + SEEN_LATE
         };
         let drains = self.scene.drains.borrow();
-        let mut of_leaf = drains.iter().filter(|d| d.0 == arrival.leaf);
-        let sent = of_leaf.any(|(_, told, until)| {
+        let mut of_replica = drains.iter().filter(|d| d.0 == arrival.replica);
+        let sent = of_replica.any(|(_, told, until)| {
             arrival.at > told_by(*told) && until.is_none_or(|until| arrival.at < until)
         });
         drop(drains);
@@ -211,7 +211,7 @@
         let Some(started) = replica.started else { return };
         let came: Vec<Duration> = arrivals
             .iter()
-            .filter(|a| a.leaf == replica.leaf.address && !self.was_stalled(a))
+            .filter(|a| a.replica == replica.replica.address && !self.was_stalled(a))
             .filter(|a| a.at >= started && replica.gone.is_none_or(|gone| a.at < gone))
             .map(|a| a.at.saturating_duration_since(started))
             .collect();
--- a/crates/pipitcrank-testkit/src/soak/scene.rs
+++ b/crates/pipitcrank-testkit/src/soak/scene.rs
@@ -16,11 +16,11 @@
 use super::clients::Request;
 use crate::discovery::{Discovery, row};
 use crate::faults::{Faults, Shim};
-use crate::fleet::charter_of;
-use crate::leaf::{Leaf, Work};
+use crate::fleet::node_config_of;
 use crate::ledger::Ledger;
 use crate::link::{Link, Way};
 use crate::process::Process;
+use crate::replica::{StandInReplica, Work};
 
 pub const CELLS: u32 = 6;
 pub const SHARDS: u32 = 12;
@@ -47,7 +47,7 @@
 pub struct Replica {
     pub name: String,
     pub cell: u32,
-    pub leaf: Leaf,
+    pub replica: StandInReplica,
     pub way: Link,
     /// Unix time of its start in milliseconds, 0 if long ago; and when that was.
     pub boot_ms: i64,
@@ -170,7 +170,7 @@
     pub fn drain(&self, n: usize) {
         let replicas = self.replicas.borrow();
         let replica = &replicas[n];
-        self.drains.borrow_mut().push((replica.leaf.address, Instant::now(), None));
+        self.drains.borrow_mut().push((replica.replica.address, Instant::now(), None));
         self.discovery.changes(replica.row("leaving"));
     }
 
@@ -178,7 +178,7 @@
         let replicas = self.replicas.borrow();
         let replica = &replicas[n];
         let mut drains = self.drains.borrow_mut();
-        let drain = drains.iter_mut().rev().find(|d| d.0 == replica.leaf.address && d.2.is_none());
+        let drain = drains.iter_mut().rev().find(|d| d.0 == replica.replica.address && d.2.is_none());
         if let Some((_, _, until)) = drain {
             *until = Some(Instant::now());
         }
@@ -190,7 +190,7 @@
         let (cell, old_row) = {
             let mut replicas = self.replicas.borrow_mut();
             replicas[n].gone = Some(Instant::now());
-            replicas[n].leaf.kill();
+            replicas[n].replica.kill();
             replicas[n].way.cut();
             (replicas[n].cell, replicas[n].row("left"))
         };
@@ -199,13 +199,13 @@
         let started = Some(Instant::now());
         let mut new = replica(number, cell, self.seed, &self.ledger, started).await?;
         new.boot_ms += (self.wall_step.get() * 1000.0) as i64;
-        new.leaf.starts_cold(COLD);
+        new.replica.starts_cold(COLD);
         // It may have got the address of one that is gone.
-        for drain in self.drains.borrow_mut().iter_mut().filter(|d| d.0 == new.leaf.address) {
+        for drain in self.drains.borrow_mut().iter_mut().filter(|d| d.0 == new.replica.address) {
             drain.2 = drain.2.or(started);
         }
         let new_row = new.row("active");
-        let gone = self.replicas.borrow()[n].leaf.address;
+        let gone = self.replicas.borrow()[n].replica.address;
         self.drains.borrow_mut().push((gone, Instant::now(), None));
         self.discovery.changes(old_row);
         self.discovery.changes(new_row);
@@ -260,17 +260,17 @@
     ledger: &Ledger,
     started: Option<Instant>,
 ) -> Result<Replica> {
-    let leaf = Leaf::start(seed ^ (number as u64) << 32, WORK, ledger.clone()).await?;
-    let way = Link::start(seed ^ (number as u64) << 16, leaf.address, loopback()).await?;
+    let replica = StandInReplica::start(seed ^ (number as u64) << 32, WORK, ledger.clone()).await?;
+    let way = Link::start(seed ^ (number as u64) << 16, replica.address, loopback()).await?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).context("the clock stands before 1970")?;
     let boot_ms = if started.is_some() { now.as_millis() as i64 } else { 0 };
-    Ok(Replica { name: format!("replica-{number}"), cell, leaf, way, boot_ms, started, gone: None })
+    Ok(Replica { name: format!("replica-{number}"), cell, replica, way, boot_ms, started, gone: None })
 }
 
 fn told(discovery: &Discovery, watched: SocketAddr, seed: u64, n: usize, processes: usize) -> Result<Value> {
     let known = discovery.known();
     let mut told =
-        charter_of(watched, known, CELLS, SHARDS, seed ^ ((n as u64 + 1) * 7919), SOCKETS, MOST_OPEN)?;
+        node_config_of(watched, known, CELLS, SHARDS, seed ^ ((n as u64 + 1) * 7919), SOCKETS, MOST_OPEN)?;
     told["name"] = json!(format!("soak-{n}"));
     let class = |name: &str, kind: &str| {
         json!({"name": name, "aim_s": 0.8, "hard_limit_s": LONGEST_DEADLINE_S, "idempotency": kind,
--- a/crates/pipitcrank-testkit/src/soak/script.rs
+++ b/crates/pipitcrank-testkit/src/soak/script.rs
@@ -14,9 +14,9 @@
 use super::scene::{GRACE, Node, Scene};
 use crate::client::connect;
 use crate::faults::Fault;
-use crate::leaf::Manner;
 use crate::link::Way;
 use crate::process::Process;
+use crate::replica::Manner;
 
 /// Longest time from a start until it serves that a soak waits.
 const START_LIMIT: Duration = Duration::from_secs(20);
@@ -45,7 +45,7 @@
     ShortReads,
     ShortWrites,
     Accepts,
-    Sockets,
+    ConnectionLimiter,
     Connects,
     Interrupts,
     Broken,
@@ -80,7 +80,7 @@
     (Kind::ShortReads, "short-reads"),
     (Kind::ShortWrites, "short-writes"),
     (Kind::Accepts, "accepts"),
-    (Kind::Sockets, "sockets"),
+    (Kind::ConnectionLimiter, "sockets"),
     (Kind::Connects, "connects"),
     (Kind::Interrupts, "interrupts"),
     (Kind::Broken, "broken"),
@@ -218,7 +218,7 @@
         Kind::ShortReads => faulty(node, draw, Fault::ShortRead, 0.05).await?,
         Kind::ShortWrites => faulty(node, draw, Fault::ShortWrite, 0.05).await?,
         Kind::Accepts => faulty(node, draw, Fault::Accept, 0.6).await?,
-        Kind::Sockets => faulty(node, draw, Fault::Socket, 0.3).await?,
+        Kind::ConnectionLimiter => faulty(node, draw, Fault::Socket, 0.3).await?,
         Kind::Connects => faulty(node, draw, Fault::Connect, 0.3).await?,
         Kind::Interrupts => faulty(node, draw, Fault::Interrupt, 0.05).await?,
         Kind::Broken => faulty(node, draw, Fault::Broken, 0.02).await?,
@@ -335,7 +335,7 @@
 async fn reload(scene: &Scene, node: &Node, second: bool) -> Result<()> {
     let process = node.process.lock().await;
     let address = scene.ways_to_discovery[usize::from(second)].address.to_string();
-    process.charter_with("/discovery", address.into())?;
+    process.node_config_with("/discovery", address.into())?;
     process.signal(Signal::HUP)?;
     Ok(())
 }
@@ -355,7 +355,7 @@
     let name = scene.replicas.borrow()[draw.replica].name.clone();
     let turns = |manner| {
         let replicas = scene.replicas.borrow();
-        replicas.iter().filter(|r| r.name == name).for_each(|r| r.leaf.turns(manner));
+        replicas.iter().filter(|r| r.name == name).for_each(|r| r.replica.turns(manner));
     };
     turns(manner);
     tokio::time::sleep(draw.lasts).await;
@@ -375,16 +375,16 @@
 }
 
 async fn way_stalls(scene: &Scene, draw: &Draw) {
-    let (way, leaf) = {
+    let (way, replica) = {
         let replicas = scene.replicas.borrow();
-        (replicas[draw.replica].way.clone(), replicas[draw.replica].leaf.address)
+        (replicas[draw.replica].way.clone(), replicas[draw.replica].replica.address)
     };
-    scene.stalls.borrow_mut().push((leaf, Instant::now(), None));
+    scene.stalls.borrow_mut().push((replica, Instant::now(), None));
     way.turns(stalled(draw.share < 0.6, draw.share > 0.3));
     tokio::time::sleep(draw.lasts).await;
     way.turns(stalled(false, false));
     let mut stalls = scene.stalls.borrow_mut();
-    if let Some(stall) = stalls.iter_mut().find(|s| s.0 == leaf && s.2.is_none()) {
+    if let Some(stall) = stalls.iter_mut().find(|s| s.0 == replica && s.2.is_none()) {
         stall.2 = Some(Instant::now());
     }
 }
--- a/crates/pipitcrank-testkit/src/trial/gateway.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway.rs
@@ -1,4 +1,4 @@
-//! Three sites on loopback, joined by links that can be slow, silent, cut and healed; one site whose own leaves of two
+//! Three sites on loopback, joined by links that can be slow, silent, cut and healed; one site whose own replicas of two
 //! cells turn work away, so that the others are needed. The same seed is played with the gateway, with the site of the
 //! shortest round trip alone, and without any far site.
 
@@ -15,10 +15,10 @@
 use super::Outcome;
 use crate::client::Clients;
 use crate::fleet::{Fleet, Load, free_address, question};
-use crate::leaf::{Manner, Work};
 use crate::ledger::{Ended, Ledger};
 use crate::link::{Link, Way};
 use crate::process::Process;
+use crate::replica::{Manner, Work};
 
 const WORK: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
 /// Queries a second at the site in trouble.
@@ -28,9 +28,9 @@
 /// How long a trouble lasts, and the rest after it.
 const TROUBLE: Duration = Duration::from_millis(1500);
 const REST: Duration = Duration::from_millis(500);
-/// Of the budget as the stand-in charter tells it.
+/// Of the budget as the stand-in node configuration tells it.
 const BUDGET: (f64, f64, Duration) = (5.0, 0.1, Duration::from_secs(10));
-/// How long a call may wait at a leaf before it is seen to run.
+/// How long a call may wait at a replica before it is seen to run.
 const SLACK: Duration = Duration::from_secs(2);
 const NEAR_TRIP: Duration = Duration::from_millis(10);
 const FAR_TRIP: Duration = Duration::from_millis(40);
@@ -59,7 +59,7 @@
     Leavers,
     /// Both sites lack cells, and forward to each other.
     Mutual,
-    /// The far site's leaves are all busy.
+    /// The far site's replicas are all busy.
     FarFull,
     /// Leaves of the far site are dead, and its list does not know.
     FarStale,
@@ -99,7 +99,7 @@
 }
 
 struct Scene {
-    /// north, south, west; the first has the trouble with its leaves.
+    /// north, south, west; the first has the trouble with its replicas.
     sites: Vec<Site>,
     /// From north to the two others.
     links: Vec<Link>,
@@ -152,8 +152,8 @@
             } else {
                 Some(file(n, listens[n], &peers, prefer))
             };
-            let charter = fleet.charter(seed ^ n as u64, 1024, 3000)?;
-            let process = Process::start(program, charter, file.clone()).await?;
+            let node_config = fleet.node_config(seed ^ n as u64, 1024, 3000)?;
+            let process = Process::start(program, node_config, file.clone()).await?;
             sites.push(Site { fleet, process, file });
         }
         Ok(Scene { sites, links, ledger })
@@ -161,9 +161,9 @@
 
     /// Two cells of the site turn all work away, so shards that only they hold have nobody near.
     fn lacks(&self, site: usize, cells: [u32; 2], manner: Manner) {
-        for (n, leaf) in self.sites[site].fleet.leaves.iter().enumerate() {
+        for (n, replica) in self.sites[site].fleet.replicas.iter().enumerate() {
             if cells.contains(&(n as u32 % 6)) {
-                leaf.turns(manner);
+                replica.turns(manner);
             }
         }
     }
@@ -254,14 +254,14 @@
             }
             Trouble::FarStale => {}
             Trouble::FarFull => {
-                self.sites[1].fleet.leaves.iter().for_each(|l| l.turns(Manner::Busy));
+                self.sites[1].fleet.replicas.iter().for_each(|l| l.turns(Manner::Busy));
                 tokio::time::sleep(TROUBLE).await;
-                self.sites[1].fleet.leaves.iter().for_each(|l| l.turns(Manner::Answers));
+                self.sites[1].fleet.replicas.iter().for_each(|l| l.turns(Manner::Answers));
             }
         }
         if trouble == Trouble::FarStale {
             // They stay dead; each shard has holders in another cell.
-            [2, 8].into_iter().for_each(|n: usize| self.sites[1].fleet.leaves[n].kill());
+            [2, 8].into_iter().for_each(|n: usize| self.sites[1].fleet.replicas[n].kill());
             tokio::time::sleep(TROUBLE).await;
         }
         self.links[0].turns(near);
--- a/crates/pipitcrank-testkit/src/trial/returns.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns.rs
@@ -21,21 +21,21 @@
 use super::zones::{Seen, free_udp, section, tell, watch};
 use crate::client::Clients;
 use crate::fleet::Load;
-use crate::leaf::Work;
 use crate::ledger::{Ended, Ledger};
 use crate::net::Net;
 use crate::process::{Folder, Process, signal_worker};
+use crate::replica::Work;
 use crate::zoned::Zoned;
 
 const ZONES: [(&str, &str); 3] = [("a", "north"), ("b", "north"), ("c", "north")];
 const COPIES: usize = 12;
 /// The zone that an operator drains before, so that there is a decision to be remembered.
 const DRAINED: usize = 2;
-/// A leaf does two hundred parts a second.
+/// A replica does two hundred parts a second.
 const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
-/// Queries a second at each copy; a query has 5.7 parts. Two zones of six leaves are left: eight tenths of what they bear.
+/// Queries a second at each copy; a query has 5.7 parts. Two zones of six replicas are left: eight tenths of what they bear.
 const RATE: f64 = 22.0;
-/// Budget of one copy as the charter tells it, and how long a call may wait at a leaf before it is seen to run.
+/// Budget of one copy as the node configuration tells it, and how long a call may wait at a replica before it is seen to run.
 const BUDGET: (f64, f64, Duration) = (5.0, 0.1, Duration::from_secs(10));
 const SLACK: Duration = Duration::from_secs(2);
 /// Full service: of what was served before, in each of the five seconds from then on.
@@ -43,7 +43,7 @@
 const HOLDS: u64 = 5;
 /// The aim where something was kept or somebody survived, from the last process's start.
 const BACK_WITHIN: f64 = 5.0;
-/// Most parts that come to one leaf in a second, of what it does; more is a stampede.
+/// Most parts that come to one replica in a second, of what it does; more is a stampede.
 const MOST_PARTS: f64 = 1.2 * 200.0;
 
 /// What copies come back from, and what goes wrong beside it.
@@ -143,7 +143,7 @@
         for (n, &(listen, known_as)) in places.iter().enumerate() {
             let store = stores.path().join(format!("n{n}"));
             let file = file(zone_of(n), listen, known_as, &voters, kept.then_some(&store));
-            let mut told = zoned.charter(zone_of(n), seed ^ n as u64, true)?;
+            let mut told = zoned.node_config(zone_of(n), seed ^ n as u64, true)?;
             told["name"] = format!("n{n}").into();
             let process = Process::start(program, told, Some(file.clone())).await?;
             members.push(Member { process, known_as, file, store, up: Rc::new(Cell::new(true)) });
@@ -252,7 +252,7 @@
     agreed: Option<f64>,
     /// Share of queries in the first ten seconds that got nothing that serves.
     errors: f64,
-    /// Most parts and connections that came to a leaf in a second: before, and after the start.
+    /// Most parts and connections that came to a replica in a second: before, and after the start.
     before: (usize, usize),
     after: (usize, usize),
     missing: Vec<String>,
--- a/crates/pipitcrank-testkit/src/trial/upgrade.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade.rs
@@ -18,19 +18,19 @@
 use super::Outcome;
 use crate::client::{Clients, Lone, Question, get};
 use crate::fleet::{Fleet, Load};
-use crate::leaf::{Manner, Work};
 use crate::ledger::{Ended, Ledger};
 use crate::process::{Process, Steps, signal_worker};
+use crate::replica::{Manner, Work};
 
 /// Queries a second; a debug build serves them as well.
 const RATE: f64 = 150.0;
-/// Of a part; sixteen at once at each leaf.
+/// Of a part; sixteen at once at each replica.
 const USUAL: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
-/// Twelve leaves that do 600 parts a second, some 110 queries: with twice as many asked they are overloaded.
+/// Twelve replicas that do 600 parts a second, some 110 queries: with twice as many asked they are overloaded.
 const SCARCE: Work = Work { usual: Duration::from_millis(40), at_once: 2 };
 const OVERLOAD: f64 = 220.0;
 /// Of sales, the share that is in flight through most of a passing: one or two at any time. With many more the
-/// module takes their leaves to lag.
+/// module takes their replicas to lag.
 const SLOW_SALES: f64 = 0.03;
 /// Kept connections that rest where a process is killed: some of them with it, whatever the load takes from them.
 const RESTING: usize = 40;
@@ -59,7 +59,7 @@
     Noise,
     AskedTwice,
     Reloaded,
-    /// A leaf drains the moment before.
+    /// A replica drains the moment before.
     Drained,
     /// The old process is killed in the trial: what it held is lost with it, and is counted apart. Connections rest there
     /// then, so that the kill closes some each time.
@@ -175,7 +175,7 @@
     scene(program, seed, script, (USUAL, RATE, IDLE), false).await
 }
 
-/// Plain upgrades while twice as much is asked as the leaves can do. No idle clients: with places short they give way, as
+/// Plain upgrades while twice as much is asked as the replicas can do. No idle clients: with places short they give way, as
 /// they do without an upgrade.
 pub async fn overloaded(program: &Path, seed: u64, rounds: u32) -> Result<Outcome> {
     scene(program, seed, &vec![Round::Plain; rounds as usize], (SCARCE, OVERLOAD, 0), false).await
@@ -192,7 +192,7 @@
     let mut chance = Pcg64::seed_from_u64(seed ^ 5);
     let rounds = script.len() as u32;
     let fleet = Fleet::start(seed, work).await?;
-    let mut process = Process::start(program, fleet.charter(seed, 1024, 3000)?, STEPS.file()).await?;
+    let mut process = Process::start(program, fleet.node_config(seed, 1024, 3000)?, STEPS.file()).await?;
     let quiet = {
         let clients = Clients::new(process.address, Ledger::default());
         let load = Load::start("quiet", seed ^ 1, rate, SLOW_SALES, clients.clone());
@@ -378,7 +378,7 @@
         Round::HangsBeforeReady => put_in_place(process, Some("exec sleep 100"), 0o755)?,
         Round::CrashesBeforeReady => put_in_place(process, Some("exit 70"), 0o755)?,
         Round::Noise => put_in_place(process, Some("head -c 300 /dev/urandom >&0; exec sleep 100"), 0o755)?,
-        Round::FaultyCharter => process.charter_with("/settings/tick_s", json!("soon"))?,
+        Round::FaultyCharter => process.node_config_with("/settings/tick_s", json!("soon"))?,
         Round::Drained => fleet.drains(3, "leaving"),
         _ => {}
     }
@@ -426,7 +426,7 @@
     })
     .await;
     put_back(process)?;
-    process.charter_as_it_was()?;
+    process.node_config_as_it_was()?;
     if round == Round::Drained {
         fleet.drains(3, "active");
     }
@@ -436,7 +436,7 @@
 /// The same load while the plain program is ended and started anew, as before there were upgrades.
 async fn restarts(program: &Path, seed: u64, outcome: &mut Outcome) -> Result<()> {
     let fleet = Fleet::start(seed ^ 7, USUAL).await?;
-    let mut process = Process::start(program, fleet.charter(seed, 1024, 3000)?, None).await?;
+    let mut process = Process::start(program, fleet.node_config(seed, 1024, 3000)?, None).await?;
     let clients = Clients::new(process.address, fleet.ledger.clone());
     let load = Load::start("restart", seed ^ 3, RATE, SLOW_SALES, clients);
     for _ in 0..RESTARTS {
@@ -453,15 +453,16 @@
     Ok(())
 }
 
-/// With two bad leaves: how well queries are served in the first seconds after an upgrade, and after a restart that
+/// With two bad replicas: how well queries are served in the first seconds after an upgrade, and after a restart that
 /// knows the list alone.
 pub async fn known(program: &Path, seed: u64) -> Result<Outcome> {
     let mut outcome = Outcome::default();
     for (name, steps) in [("an upgrade", STEPS.file()), ("a restart", None)] {
         let fleet = Fleet::start(seed, USUAL).await?;
-        fleet.leaves[2].turns(Manner::Slow(60.0));
-        fleet.leaves[7].turns(Manner::Fails);
-        let mut process = Process::start(program, fleet.charter(seed, 1024, 3000)?, steps.clone()).await?;
+        fleet.replicas[2].turns(Manner::Slow(60.0));
+        fleet.replicas[7].turns(Manner::Fails);
+        let mut process =
+            Process::start(program, fleet.node_config(seed, 1024, 3000)?, steps.clone()).await?;
         let clients = Clients::new(process.address, Ledger::default());
         let load = Load::start("warm", seed ^ 1, RATE, 0.0, clients.clone());
         tokio::time::sleep(Duration::from_secs_f64(QUIET_S)).await;
@@ -499,6 +500,6 @@
     Ok(outcome)
 }
 
-/// What counts as soon: some times the usual answer, a small part of what the bad leaf takes.
+/// What counts as soon: some times the usual answer, a small part of what the bad replica takes.
 const SOON: Duration = Duration::from_millis(100);
 const FIRST_S: f64 = 10.0;
--- a/crates/pipitcrank-testkit/src/trial/zones.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones.rs
@@ -1,5 +1,5 @@
 //! Nine copies of the program in three zones, three of them voters, three more in a region of their own that the gateway
-//! reaches, and one without this part, as the version before; leaves in each zone; faults between copies, and between copies and leaves, from the seed. Who watches asks each copy
+//! reaches, and one without this part, as the version before; replicas in each zone; faults between copies, and between copies and replicas, from the seed. Who watches asks each copy
 //! ten times a second what it knows and does, and holds it against the promises.
 
 use std::cell::{Cell, RefCell};
@@ -23,29 +23,29 @@
 use super::Outcome;
 use crate::client::Clients;
 use crate::fleet::{Load, free_address};
-use crate::leaf::{Manner, Work};
 use crate::ledger::{Ended, Ledger};
 use crate::net::{Drops, Net};
 use crate::process::Process;
+use crate::replica::{Manner, Work};
 use crate::zoned::Zoned;
 
 /// Zones of the region that has the troubles, and one of another, reached by the gateway alone.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const SOUTH: usize = 3;
-/// The copy that has ways of its own to all leaves.
+/// The copy that has ways of its own to all replicas.
 const SICK: usize = 7;
 const ALL_ZONES: [(&str, &str); 4] = [("a", "north"), ("b", "north"), ("c", "north"), ("d", "south")];
 const A_ZONE: usize = 3;
 pub(super) const SECRET: &str = "a secret of the trial's own";
-/// A leaf does two hundred parts a second; a zone is asked about a third of what it is held to carry, so that one alone
+/// A replica does two hundred parts a second; a zone is asked about a third of what it is held to carry, so that one alone
 /// carries nearly all three.
 const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
-const LEAF_BEARS: f64 = 160.0;
+const REPLICA_BEARS: f64 = 160.0;
 /// Queries a second at each copy.
 const RATE: f64 = 18.0;
-/// Rule 4 as the charter tells it: factor, share at the start, window, warming.
+/// Rule 4 as the node configuration tells it: factor, share at the start, window, warming.
 const COLD: (f64, f64, Duration, Duration) = (1.2, 0.15, Duration::from_millis(1500), Duration::from_secs(8));
-/// Budget of one copy, and how long a call may wait at a leaf before it is seen to run.
+/// Budget of one copy, and how long a call may wait at a replica before it is seen to run.
 const BUDGET: (f64, f64, Duration) = (5.0, 0.1, Duration::from_secs(10));
 const SLACK: Duration = Duration::from_secs(2);
 /// The aim for moving off a zone that is lost.
@@ -56,19 +56,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trouble {
     Calm,
-    /// All leaves of a zone vanish without a word, its copies live; it returns cold.
-    Leaves,
+    /// All replicas of a zone vanish without a word, its copies live; it returns cold.
+    Replicas,
     /// Leaves and copies of a zone.
     Zone,
-    /// Copies of a zone are killed, its leaves live.
+    /// Copies of a zone are killed, its replicas live.
     Copies,
-    /// Half of a zone's leaves.
+    /// Half of a zone's replicas.
     Half,
     /// A zone that comes and goes each 1.5 s.
     Flaps,
-    /// Copies of a zone hear none of the others; its leaves are well for all.
+    /// Copies of a zone hear none of the others; its replicas are well for all.
     Parted,
-    /// Copies of one zone do not reach the leaves of another, both ways round; the third reaches both.
+    /// Copies of one zone do not reach the replicas of another, both ways round; the third reaches both.
     Cut,
     /// The voter that leads stands still for 5 s while a zone is lost, and wakes as if nothing were.
     Leader,
@@ -84,7 +84,7 @@
     Drain,
     /// A zone is lost while datagrams are lost, doubled and late.
     Lossy,
-    /// One copy reaches no leaf anywhere, and says so of all zones.
+    /// One copy reaches no replica anywhere, and says so of all zones.
     Sick,
     /// A whole region loses its leaves while its links go on pinging.
     Region,
@@ -94,7 +94,7 @@
 
 pub const ALL: [Trouble; 18] = [
     Trouble::Calm,
-    Trouble::Leaves,
+    Trouble::Replicas,
     Trouble::Zone,
     Trouble::Copies,
     Trouble::Half,
@@ -181,7 +181,7 @@
     format!(
         "zones = Some {{ zone = \"{}\", listen = \"{listen}\", known_as = \"{known_as}\", zones = [ {} ] \
          , peers = [] : List Text, voters = [ {} ], secret = \"{SECRET}\", suspect_s = 0.4, hold_down_s = 1.0 \
-         , hold_down_most_s = 8.0, calm_s = 6.0, hold_s = 6.0, leaf_bears = {LEAF_BEARS:?}, dry_run = False }}",
+         , hold_down_most_s = 8.0, calm_s = 6.0, hold_s = 6.0, leaf_bears = {REPLICA_BEARS:?}, dry_run = False }}",
         zones[own].0,
         named.join(", "),
         seats.join(", "),
@@ -201,8 +201,8 @@
 }
 
 /// What a copy is told, with rule 4 as tight as the trial has it.
-fn charter(zoned: &Zoned, zone: usize, seed: u64, way: Way) -> Result<serde_json::Value> {
-    let mut told = zoned.charter(zone, seed, way != Way::None)?;
+fn node_config(zoned: &Zoned, zone: usize, seed: u64, way: Way) -> Result<serde_json::Value> {
+    let mut told = zoned.node_config(zone, seed, way != Way::None)?;
     let rules = &mut told["settings"]["rules"];
     (rules["overload_factor"], rules["cold_from"]) = (COLD.0.into(), COLD.1.into());
     Ok(told)
@@ -228,12 +228,12 @@
             let gate = Gate { listen: gates[n], other: gates[other] };
             let file = (way == Way::Common).then(|| file(zone, listen, known_as, &voters, gate));
             let view = if n == SICK { zoned.apart() } else { zone };
-            let told = charter(&zoned, view, seed ^ n as u64, way)?;
+            let told = node_config(&zoned, view, seed ^ n as u64, way)?;
             let process = Process::start(program, told, file.clone()).await?;
             members.push(Member { process, zone, listen, known_as, file, up: Rc::new(Cell::new(true)) });
         }
         // One of the version before: it knows of no others.
-        let told = charter(&zoned, 0, seed ^ 99, way)?;
+        let told = node_config(&zoned, 0, seed ^ 99, way)?;
         let process = Process::start(program, told, None).await?;
         let nowhere = free_address()?;
         let up = Rc::new(Cell::new(true));
@@ -438,7 +438,7 @@
 }
 
 impl Scene {
-    /// Loses a zone's leaves, waits until all have left it, and has them come back cold.
+    /// Loses a zone's replicas, waits until all have left it, and has them come back cold.
     async fn lose(&mut self, zone: usize, shows: &mut Shows, out_for: Duration) {
         self.zoned.vanish(zone, 6, true);
         let moved = self.until(|s| s.is_out(zone), 12.0).await;
@@ -475,7 +475,7 @@
         let (secs, ms) = (Duration::from_secs, Duration::from_millis);
         match trouble {
             Trouble::Calm => tokio::time::sleep(secs(5)).await,
-            Trouble::Leaves => {
+            Trouble::Replicas => {
                 self.lose(zone, &mut shows, secs(2)).await;
                 self.home(&mut shows, 25.0).await;
             }
@@ -839,10 +839,10 @@
         }
         None => {
             // The loss of a zone is in each; of the others, some.
-            troubles.retain(|t| !matches!(t, Trouble::Calm | Trouble::Leaves));
+            troubles.retain(|t| !matches!(t, Trouble::Calm | Trouble::Replicas));
             troubles.shuffle(&mut chance);
             troubles.truncate(5);
-            troubles.insert(0, Trouble::Leaves);
+            troubles.insert(0, Trouble::Replicas);
             troubles.insert(0, Trouble::Calm);
         }
     }
@@ -862,7 +862,7 @@
 impl Scene {
     /// The same loss of a zone, with nobody to ask when it was left: as long as the common decision took at the most.
     async fn lose_blindly(&mut self, seed: u64) -> Result<(f64, Vec<Ledger>)> {
-        let mut chance = Pcg64::seed_from_u64(seed ^ Trouble::Leaves as u64);
+        let mut chance = Pcg64::seed_from_u64(seed ^ Trouble::Replicas as u64);
         let zone = chance.random_range(0..ZONES.len());
         let ledgers: Vec<Ledger> = self.members.iter().map(|_| Ledger::default()).collect();
         let loads: Vec<Load> = (0..self.members.len())
@@ -921,7 +921,7 @@
             outcome.figure("parts that cross zones on calm, %", share * 100.0);
             outcome.promise(share < 0.05, "under 5 % of parts cross zones on calm");
         }
-        if aims && matches!(trouble, Trouble::Leaves | Trouble::Zone) {
+        if aims && matches!(trouble, Trouble::Replicas | Trouble::Zone) {
             outcome.promise(
                 shows.moved.is_some_and(|s| s <= MOVED_WITHIN),
                 &format!("moved within {MOVED_WITHIN} s of a zone's loss ({name}: {:?})", shows.moved),
--- a/crates/pipitcrank-testkit/src/zoned.rs
+++ b/crates/pipitcrank-testkit/src/zoned.rs
@@ -1,4 +1,4 @@
-//! A fleet in zones: each zone's leaves hold all shards, and copies of each zone reach each leaf over a way of their own,
+//! A fleet in zones: each zone's replicas hold all shards, and copies of each zone reach each replica over a way of their own,
 //! so that a zone can vanish for all, or a way between two alone can be cut. Each zone has its own word of discovery.
 
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use serde_json::{Value, json};
 
 use crate::discovery::{Discovery, row};
-use crate::fleet::{SHARDS, charter_of};
-use crate::leaf::{Leaf, Manner, Work};
+use crate::fleet::{SHARDS, node_config_of};
 use crate::ledger::Ledger;
 use crate::link::{Link, Way};
+use crate::replica::{Manner, StandInReplica, Work};
 
-/// Cells, each with one leaf a zone; a shard is held by two cells.
+/// Cells, each with one replica a zone; a shard is held by two cells.
 pub const CELLS: u32 = 6;
 /// One round trip within a zone, and across.
 const NEAR: Duration = Duration::from_micros(400);
@@ -24,7 +24,7 @@
     pub names: Vec<String>,
     regions: Vec<String>,
     /// `[zone][cell]`.
-    pub leaves: Vec<Vec<Rc<Leaf>>>,
+    pub replicas: Vec<Vec<Rc<StandInReplica>>>,
     /// `[view][zone][cell]`.
     links: Vec<Vec<Vec<Link>>>,
     pub discoveries: Vec<Discovery>,
@@ -38,7 +38,7 @@
 }
 
 impl Zoned {
-    /// Zones and the region of each: copies are told of leaves of their own region alone. One copy of zone `apart` has
+    /// Zones and the region of each: copies are told of replicas of their own region alone. One copy of zone `apart` has
     /// ways of its own (`view`).
     pub async fn start(
         seed: u64,
@@ -48,14 +48,14 @@
         ledger: Ledger,
     ) -> Result<Zoned> {
         let zones = names.len();
-        let mut leaves = Vec::new();
+        let mut replicas = Vec::new();
         for zone in 0..zones {
             let mut of_zone = Vec::new();
             for cell in 0..CELLS {
                 let seed = seed ^ (zone as u64) << 40 ^ u64::from(cell) << 32;
-                of_zone.push(Rc::new(Leaf::start(seed, work, ledger.clone()).await?));
+                of_zone.push(Rc::new(StandInReplica::start(seed, work, ledger.clone()).await?));
             }
-            leaves.push(of_zone);
+            replicas.push(of_zone);
         }
         let mut links = Vec::new();
         let mut discoveries = Vec::new();
@@ -64,24 +64,25 @@
             let mut to_zones = Vec::new();
             let mut rows = Vec::new();
             for zone in 0..zones {
-                let mut to_leaves = Vec::new();
+                let mut to_replicas = Vec::new();
                 for cell in 0..CELLS {
-                    let leaf = &leaves[zone][cell as usize];
+                    let replica = &replicas[zone][cell as usize];
                     let link =
-                        Link::start(seed ^ (view * 64 + zone) as u64, leaf.address, way(from, zone)).await?;
+                        Link::start(seed ^ (view * 64 + zone) as u64, replica.address, way(from, zone))
+                            .await?;
                     if names[zone].1 == names[from].1 {
                         rows.push(zoned_row(names[zone].0, cell, link.address, "active", 0));
                     }
-                    to_leaves.push(link);
+                    to_replicas.push(link);
                 }
-                to_zones.push(to_leaves);
+                to_zones.push(to_replicas);
             }
             links.push(to_zones);
             discoveries.push(Discovery::start(rows).await?);
         }
         let regions = names.iter().map(|n| n.1.to_string()).collect();
         let names = names.iter().map(|n| n.0.to_string()).collect();
-        Ok(Zoned { names, regions, leaves, links, discoveries, views, ledger })
+        Ok(Zoned { names, regions, replicas, links, discoveries, views, ledger })
     }
 
     /// The view of the copy that has ways of its own.
@@ -98,10 +99,10 @@
         }
     }
 
-    /// What a copy with that view is told. `platform`: whether the platform says where leaves and the copy stand.
-    pub fn charter(&self, view: usize, seed: u64, platform: bool) -> Result<Value> {
+    /// What a copy with that view is told. `platform`: whether the platform says where replicas and the copy stand.
+    pub fn node_config(&self, view: usize, seed: u64, platform: bool) -> Result<Value> {
         let (zone, discovery) = (self.views[view], &self.discoveries[view]);
-        let mut told = charter_of(discovery.address, discovery.known(), CELLS, SHARDS, seed, 1024, 3000)?;
+        let mut told = node_config_of(discovery.address, discovery.known(), CELLS, SHARDS, seed, 1024, 3000)?;
         if platform {
             told["settings"]["zone"] = json!(self.names[zone]);
             told["settings"]["zones"] = json!(self.names);
@@ -110,7 +111,7 @@
         Ok(told)
     }
 
-    /// The ways from one zone's copies to another zone's leaves.
+    /// The ways from one zone's copies to another zone's replicas.
     fn turn(&self, from: usize, to: usize, silent: bool) {
         for (view, _) in self.views.iter().enumerate().filter(|(_, zone)| **zone == from) {
             for link in &self.links[view][to] {
@@ -119,26 +120,26 @@
         }
     }
 
-    /// Machines of a zone, the first so many of its leaves, vanish without a word, or are back.
-    pub fn vanish(&self, zone: usize, leaves: usize, silent: bool) {
+    /// Machines of a zone, the first so many of its replicas, vanish without a word, or are back.
+    pub fn vanish(&self, zone: usize, replicas: usize, silent: bool) {
         for (view, &from) in self.views.iter().enumerate() {
-            for link in &self.links[view][zone][..leaves] {
+            for link in &self.links[view][zone][..replicas] {
                 link.turns(Way { stalled_there: silent, stalled_back: silent, ..way(from, zone) });
             }
         }
     }
 
-    /// Nothing passes between copies of one zone and leaves of the other, either way round, or does again.
+    /// Nothing passes between copies of one zone and replicas of the other, either way round, or does again.
     pub fn cut(&self, a: usize, b: usize, silent: bool) {
         self.turn(a, b, silent);
         self.turn(b, a, silent);
     }
 
     pub fn manner(&self, zone: usize, manner: Manner) {
-        self.leaves[zone].iter().for_each(|l| l.turns(manner));
+        self.replicas[zone].iter().for_each(|l| l.turns(manner));
     }
 
-    /// The zone's leaves have just started, and all are told so; the stand-ins count what comes to them cold.
+    /// The zone's replicas have just started, and all are told so; the stand-ins count what comes to them cold.
     pub fn starts_cold(&self, zone: usize, cold: Duration) {
         // A machine that starts knows of no connection: guards against what was written to the one before it.
         self.links.iter().flat_map(|to| &to[zone]).for_each(Link::break_now);
@@ -152,23 +153,23 @@
                 discovery.changes(zoned_row(&self.names[zone], cell, address, "active", now));
             }
         }
-        self.leaves[zone].iter().for_each(|l| l.starts_cold(cold));
+        self.replicas[zone].iter().for_each(|l| l.starts_cold(cold));
     }
 
-    /// Most parts, and most new connections, that came to any one leaf in a stretch between two moments.
+    /// Most parts, and most new connections, that came to any one replica in a stretch between two moments.
     pub fn most_in(
         &self,
         stretch: Duration,
         from: std::time::Instant,
         to: std::time::Instant,
     ) -> (usize, usize) {
-        let each = self.leaves.iter().flatten().map(|l| l.most_in(stretch, from, to));
+        let each = self.replicas.iter().flatten().map(|l| l.most_in(stretch, from, to));
         each.fold((0, 0), |most, one| (most.0.max(one.0), most.1.max(one.1)))
     }
 
-    /// Parts that came to a cold leaf beyond what it may get in any window, over all leaves.
+    /// Parts that came to a cold replica beyond what it may get in any window, over all replicas.
     pub fn pushed_over(&self, factor: f64, from: f64, window: Duration) -> u64 {
-        self.leaves.iter().flatten().map(|l| l.pushed_over(factor, from, window)).sum()
+        self.replicas.iter().flatten().map(|l| l.pushed_over(factor, from, window)).sum()
     }
 }
 
