--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -6,8 +6,8 @@
 
 use pipitcrank_config::Store as Told;
 use pipitcrank_core::time::Timestamp;
-use pipitcrank_failover::agreement::Memory;
 use pipitcrank_failover::decision::Decision;
+use pipitcrank_failover::voter::Memory;
 use pipitcrank_handover::passing::monotonic_micros;
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::beliefs::{Beliefs, Clocks, Recalled};
--- a/crates/pipitcrank-failover/src/book.rs
+++ b/crates/pipitcrank-failover/src/controller.rs
@@ -20,7 +20,7 @@
 use pipitcrank_membership::evidence::{Finding, Matrix};
 
 use crate::decision::{Cause, Decision, Order, Place, State, UNKNOWN, WHOLE};
-use crate::shares::{Nearness, table};
+use crate::routing_table::{Nearness, table};
 
 /// Evidence has to stand for so long before anything is said of it: two words of each copy.
 const SEEN: TimeSpan = TimeSpan::from_millis(300);
--- a/crates/pipitcrank-failover/src/follow.rs
+++ b/crates/pipitcrank-failover/src/follower.rs
@@ -14,7 +14,7 @@
 use pipitcrank_membership::evidence::{BAD, Row, WELL};
 
 use crate::decision::{Decision, WHOLE};
-use crate::shares::{Nearness, table};
+use crate::routing_table::{Nearness, table};
 
 /// Beats come each half second and go round in some gossip: three may be lost.
 const FRESH: TimeSpan = TimeSpan::from_millis(2500);
--- a/crates/pipitcrank-failover/src/lib.rs
+++ b/crates/pipitcrank-failover/src/lib.rs
@@ -3,17 +3,17 @@
 //!
 //! | file | decides |
 //! | --- | --- |
-//! | `book.rs` | what the next decision is: states of zones, steps, hold-down; what operators may order |
-//! | `shares.rs` | which share of each zone's queries is meant for which zone |
-//! | `follow.rs` | what one copy acts on: the decision, or, cut off for long, its own evidence within bounds |
-//! | `agreement.rs` | nothing: the adapter round the agreement's library, and who belongs to the voters |
-//! | `instance.rs` | nothing: joins the parts of one copy; fed datagrams and times |
+//! | `controller.rs` | what the next decision is: states of zones, steps, hold-down; what operators may order |
+//! | `routing_table.rs` | which share of each zone's queries is meant for which zone |
+//! | `follower.rs` | what one copy acts on: the decision, or, cut off for long, its own evidence within bounds |
+//! | `voter.rs` | nothing: the adapter round the agreement's library, and who belongs to the voters |
+//! | `node.rs` | nothing: joins the parts of one copy; fed datagrams and times |
 //!
 //! No sockets and no clock anywhere here: the program's hands (`pipitcrank-cli`), the emulator and the tests drive the same.
 
-pub mod agreement;
-pub mod book;
+pub mod controller;
 pub mod decision;
-pub mod follow;
-pub mod instance;
-pub mod shares;
+pub mod follower;
+pub mod node;
+pub mod routing_table;
+pub mod voter;
--- a/crates/pipitcrank-failover/src/instance.rs
+++ b/crates/pipitcrank-failover/src/node.rs
@@ -11,10 +11,10 @@
 use pipitcrank_membership::peer::Peer;
 use serde::{Deserialize, Serialize};
 
-use crate::agreement::{Agreement, Memory, Out, Word};
-use crate::book::Book;
+use crate::controller::Book;
 use crate::decision::{Cause, Decision, Order};
-use crate::follow::{Follow, Plan, Standing};
+use crate::follower::{Follow, Plan, Standing};
+use crate::voter::{Agreement, Memory, Out, Word};
 
 /// The leader says so often that the voters are there.
 const BEAT: TimeSpan = TimeSpan::from_millis(500);
--- a/crates/pipitcrank-failover/src/agreement.rs
+++ b/crates/pipitcrank-failover/src/voter.rs
@@ -18,7 +18,7 @@
 //! ```
 //!
 //! Founding takes all seats, so no two generations can both have a majority that acts; admitting takes a majority of the
-//! group as it was. With fewer, nothing is decided: copies hold what stands, then go by their own evidence (`follow.rs`).
+//! group as it was. With fewer, nothing is decided: copies hold what stands, then go by their own evidence (`follower.rs`).
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/pipitcrank-failover/tests/agreement.rs
+++ b/crates/pipitcrank-failover/tests/voter.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_failover::agreement::{Agreement, Memory, Out};
 use pipitcrank_failover::decision::Decision;
+use pipitcrank_failover::voter::{Agreement, Memory, Out};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use pipitcrank_failover::agreement::Memory;
 use pipitcrank_failover::decision::Decision;
+use pipitcrank_failover::voter::Memory;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::beliefs::{Beliefs, Clocks};
--- a/crates/pipitcrank-simulation/src/zones.rs
+++ b/crates/pipitcrank-simulation/src/zones.rs
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_failover::book::{Book, Pace};
+use pipitcrank_failover::controller::{Book, Pace};
 use pipitcrank_failover::decision::State;
-use pipitcrank_failover::follow::{Follow, Plan, Standing};
-use pipitcrank_failover::instance::{Event, Instance};
-use pipitcrank_failover::shares::Nearness;
+use pipitcrank_failover::follower::{Follow, Plan, Standing};
+use pipitcrank_failover::node::{Event, Instance};
+use pipitcrank_failover::routing_table::Nearness;
 use pipitcrank_membership::envelope::key;
 use pipitcrank_membership::evidence::Row;
 use pipitcrank_membership::peer::Peer;
--- a/crates/pipitcrank-testkit/src/trial/returns.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns.rs
@@ -10,8 +10,8 @@
 
 use anyhow::{Result, ensure};
 use pipitcrank_failover::decision::{Decision, Order, State};
-use pipitcrank_failover::instance::Answer;
-use pipitcrank_failover::shares::Nearness;
+use pipitcrank_failover::node::Answer;
+use pipitcrank_failover::routing_table::Nearness;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
--- a/crates/pipitcrank-testkit/src/trial/zones.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones.rs
@@ -11,8 +11,8 @@
 
 use anyhow::{Context, Result, ensure};
 use pipitcrank_failover::decision::{Decision, Order, Place, State, UNKNOWN};
-use pipitcrank_failover::instance::{Answer, Command, Shown};
-use pipitcrank_failover::shares::{Nearness, table};
+use pipitcrank_failover::node::{Answer, Command, Shown};
+use pipitcrank_failover::routing_table::{Nearness, table};
 use pipitcrank_membership::envelope::{Kind, Sealer, key};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
