--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -6,10 +6,9 @@
 
 use pipitcrank_config::Store as Told;
 use pipitcrank_core::time::Timestamp;
-use pipitcrank_failover::decision::Decision;
-use pipitcrank_failover::voter::Memory;
+use pipitcrank_failover::node::RestartState;
+use pipitcrank_failover::voter::VoterMemory;
 use pipitcrank_handover::passing::monotonic_micros;
-use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::beliefs::{Beliefs, Clocks, Recalled};
 use pipitcrank_recovery::store::{Fault, Store};
 use pipitcrank_server::counters::Counters;
@@ -30,7 +29,7 @@
 #[derive(Default)]
 pub struct Past {
     pub recalled: Recalled,
-    pub memory: Option<Memory>,
+    pub memory: Option<VoterMemory>,
 }
 
 pub struct Disk {
@@ -84,7 +83,7 @@
     fn read(&self, promises: Option<&[u8]>, beliefs: Option<&[u8]>) -> Past {
         let at = self.told.path.display();
         let memory = promises.and_then(|bytes| {
-            let read = Memory::decode(bytes);
+            let read = VoterMemory::decode(bytes);
             if read.is_none() {
                 tracing::warn!(
                     "/store/path {at}: what a voter must not forget can't be read; it comes back as a new one"
@@ -111,7 +110,7 @@
         self.bell.notified().await;
     }
 
-    pub fn keep(&mut self, memory: &Memory) {
+    pub fn keep(&mut self, memory: &VoterMemory) {
         self.wanted = self.store.keep(memory.encode());
     }
 
@@ -126,7 +125,7 @@
         now: Timestamp,
         event_loop: &EventLoop,
         rev: &SharedRevision,
-        agreed: impl FnOnce() -> (Option<Decision>, Vec<Peer>),
+        agreed: impl FnOnce() -> RestartState,
     ) {
         self.say(&event_loop.counters);
         if self.written.is_some_and(|at| now - at < span(self.told.every)) {
@@ -134,7 +133,7 @@
         }
         self.written = Some(now);
         let snapshot = event_loop.tell(|e| e.remembered(now, monotonic_micros(), rev.get()));
-        let (decision, members) = agreed();
+        let RestartState { decision, members } = agreed();
         self.store.believe(Beliefs::new(clocks(), &snapshot, decision, members).encode());
         event_loop.counters.add("store", "written");
     }
@@ -181,6 +180,6 @@
             () = disk.rings() => {}
             () = tokio::time::sleep_until(due) => {}
         }
-        disk.look(event_loop.clock.now(), &event_loop, &rev, || (None, Vec::new()));
+        disk.look(event_loop.clock.now(), &event_loop, &rev, RestartState::default);
     }
 }
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -10,14 +10,16 @@
 use pipitcrank_config::Zones;
 use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_failover::controller::{Book, Pace};
-use pipitcrank_failover::decision::{Order, State, UNKNOWN, WHOLE};
-use pipitcrank_failover::follower::{Follow, Plan};
-use pipitcrank_failover::node::{Answer, Command, Event, Instance, Shown};
-use pipitcrank_failover::routing_table::{Nearness, turned_away};
-use pipitcrank_membership::envelope::{LONGEST, key};
-use pipitcrank_membership::evidence::Row;
-use pipitcrank_membership::members::{Gone, News};
+use pipitcrank_failover::controller::{FailoverController, FailoverTiming};
+use pipitcrank_failover::decision::{FULL_PERMILLE, OperatorOrder, UNKNOWN_CAPACITY, ZoneState};
+use pipitcrank_failover::follower::{DecisionFollower, RoutingPlan};
+use pipitcrank_failover::node::{
+    FailoverNode, FailoverNodeConfig, NodeEvent, OperatorAnswer, OperatorClient, ReceivedAnswer, StatusReport,
+};
+use pipitcrank_failover::routing_table::{ClassLoad, Proximity, shed_fractions};
+use pipitcrank_membership::envelope::{MAX_DATAGRAM_BYTES, OutgoingDatagram, derive_key};
+use pipitcrank_membership::evidence::ReplicaCounts;
+use pipitcrank_membership::members::{Departure, MembershipEvent};
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::turns::{self, Copy};
 use pipitcrank_server::counters::Counters;
@@ -130,7 +132,7 @@
         let now = event_loop.clock.now();
         let mut instance = instance(now, &zones, own);
         if disk.is_some() {
-            instance.keeps();
+            instance.require_durable_memory();
             if let Some(decision) = &recalled.decision {
                 let (generation, count) = (decision.number >> 32, decision.number as u32);
                 tracing::info!(
@@ -138,7 +140,7 @@
                     "recalls decision {generation}.{count}: none older is taken"
                 );
             }
-            instance.recall(now, recalled.decision, recalled.members, memory);
+            instance.restore(now, recalled.decision, recalled.members, memory);
         }
         tracing::info!(zone = names[own], known_as = %zones.known_as, voter = votes(&zones), "stands with other copies");
         let (watch, rates) = (Watch::new(&names), Rates::new(now));
@@ -160,7 +162,7 @@
             turned_away: Vec::new(),
         };
         hands.run(&mut leaving).await;
-        let how = if end_called.borrow().is_some() { Gone::Left } else { Gone::Upgraded };
+        let how = if end_called.borrow().is_some() { Departure::Left } else { Departure::Upgraded };
         let now = hands.event_loop.clock.now();
         hands.instance.leave(now, how);
         hands.pass_on(now).await;
@@ -178,25 +180,33 @@
     zones.voters.iter().any(|v| v.0 == zones.known_as)
 }
 
-fn instance(now: Timestamp, zones: &Zones, own: usize) -> Instance {
-    let near = Nearness::new(&regions(zones));
-    let pace = Pace {
-        suspect: span(zones.suspect),
+fn instance(now: Timestamp, zones: &Zones, own: usize) -> FailoverNode {
+    let near = Proximity::new(&regions(zones));
+    let timing = FailoverTiming {
+        suspect_after: span(zones.suspect),
         hold_down: span(zones.hold_down),
-        hold_down_most: span(zones.hold_down_most),
-        calm: span(zones.calm),
+        max_hold_down: span(zones.hold_down_most),
+        calm_after: span(zones.calm),
     };
     let count = zones.zones.len();
-    let book = Book::new(pace, near.clone(), count, zones.replica_bears);
-    let follow = Follow::new(own as u16, count, near, span(zones.hold), zones.dry_run);
+    let controller = FailoverController::new(timing, near.clone(), count, zones.replica_bears);
+    let follower = DecisionFollower::new(own as u16, count, near, span(zones.hold), zones.dry_run);
     let peer = Peer { address: zones.known_as, instance: since_1970_us(), zone: own as u16 };
-    let seats: Vec<SocketAddr> = zones.voters.iter().map(|v| v.0).collect();
-    Instance::new(now, peer, key(&zones.secret), &zones.peers, &seats, count, book, follow)
+    let config = FailoverNodeConfig {
+        own: peer,
+        key: derive_key(&zones.secret),
+        known_nodes: zones.peers.clone(),
+        voters: zones.voters.iter().map(|v| v.0).collect(),
+        zone_count: count,
+        controller,
+        follower,
+    };
+    FailoverNode::new(now, config)
 }
 
 struct Hands {
     socket: UdpSocket,
-    instance: Instance,
+    instance: FailoverNode,
     disk: Option<Disk>,
     rev: SharedRevision,
     event_loop: std::rc::Rc<pipitcrank_server::event_loop::EventLoop>,
@@ -211,15 +221,15 @@
     watch: Watch,
     rates: Rates,
     /// What the exchange goes by.
-    plan: Option<Plan>,
+    plan: Option<RoutingPlan>,
     turned_away: Vec<f64>,
 }
 
 impl Hands {
     async fn run(&mut self, leaving: &mut tokio::sync::watch::Receiver<bool>) {
-        let mut bytes = vec![0; LONGEST + 1];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.event_loop.clock.instant(self.instance.due());
+            let due = self.event_loop.clock.instant(self.instance.next_deadline());
             tokio::select! {
                 _ = leaving.wait_for(|left| *left) => return,
                 ready = self.socket.readable() => if ready.is_err() { tokio::time::sleep(ADDRESS_AGAIN).await },
@@ -229,13 +239,13 @@
             let now = self.event_loop.clock.now();
             for _ in 0..A_ROW {
                 match self.socket.try_recv_from(&mut bytes) {
-                    Ok((length, _)) => self.instance.datagram(now, &bytes[..length]),
+                    Ok((length, _)) => self.instance.handle_datagram(now, &bytes[..length]),
                     // Nothing there, or a word of the machine that somebody sent to is not there.
                     Err(_) => break,
                 }
             }
             self.instance.tick(now);
-            if self.instance.wants_to_see(now) {
+            if self.instance.take_report_due(now) {
                 self.see(now);
             }
             self.pass_on(now).await;
@@ -248,16 +258,16 @@
         // Of another region only its site is met here, which tells nothing of one of its zones.
         let of = |(zone, seen): (usize, &ZoneObservation)| match self.region[zone] {
             true => row(seen, self.rates.merged(zone)),
-            false => Row::default(),
+            false => ReplicaCounts::default(),
         };
         let rows = seen.iter().enumerate().map(of).collect();
-        self.instance.sees(now, rows, self.rates.asked());
+        self.instance.report_evidence(now, rows, self.rates.asked());
         for (zone, seen) in seen.iter().enumerate() {
-            let shut = self.plan.as_ref().is_some_and(|p| p.shut.contains(&(zone as u16)));
+            let shut = self.plan.as_ref().is_some_and(|p| p.closed_zones.contains(&(zone as u16)));
             let unseen = seen.fresh * 2 < seen.listed;
             let doubted = seen.doubted * DOUBTED >= seen.listed && seen.doubted > 0;
             // Of many copies those look that speak for their zone: probes have their price.
-            if self.instance.speaks() && (shut || unseen || doubted) {
+            if self.instance.is_reporter() && (shut || unseen || doubted) {
                 let most = if shut || doubted { LOOKS } else { GLANCES };
                 self.event_loop.tell(|e| e.probe_zone(ZoneId(zone as u16), most));
             }
@@ -272,23 +282,23 @@
             if let Some(memory) = self.instance.take_memory() {
                 disk.keep(&memory);
             }
-            if self.instance.owes() && disk.is_kept() {
-                self.instance.kept(now);
+            if self.instance.awaits_persistence() && disk.is_kept() {
+                self.instance.memory_persisted(now);
             }
-            disk.look(now, &self.event_loop, &self.rev, || self.instance.beliefs());
+            disk.look(now, &self.event_loop, &self.rev, || self.instance.restart_state());
         }
         for event in self.instance.take_events() {
             self.watch.take(now, event, &self.event_loop.counters);
         }
         let counters = &self.event_loop.counters;
-        counters.set("zones", "older_decisions_left", self.instance.older_left());
-        counters.set("peers_sent", "bytes", self.instance.sent.0);
-        counters.set("peers_sent", "datagrams", self.instance.sent.1);
-        let plan = self.instance.plan(now);
-        counters.set("zones", "decision", plan.number);
-        let away = match plan.lack {
+        counters.set("zones", "older_decisions_left", self.instance.stale_decisions());
+        counters.set("peers_sent", "bytes", self.instance.sent.bytes);
+        counters.set("peers_sent", "datagrams", self.instance.sent.datagrams);
+        let plan = self.instance.routing_plan(now);
+        counters.set("zones", "decision", plan.decision_number);
+        let away = match plan.shed {
             0 => Vec::new(),
-            lack => turned_away(lack, &self.rates.mix(&self.utilities)),
+            shed => shed_fractions(shed, &self.rates.mix(&self.utilities)),
         };
         // What request classes ask changes from moment to moment: followed where it matters.
         let differs = away.len() != self.turned_away.len()
@@ -297,24 +307,24 @@
             self.apply(&plan, away.clone());
             (self.plan, self.turned_away) = (Some(plan), away);
         }
-        for (to, bytes) in self.instance.take_out() {
+        for OutgoingDatagram { to, bytes } in self.instance.take_datagrams() {
             // A datagram that can't go now is one that was lost.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
 
-    fn apply(&self, plan: &Plan, turned_away: Vec<f64>) {
-        let whole = f64::from(WHOLE);
+    fn apply(&self, plan: &RoutingPlan, turned_away: Vec<f64>) {
+        let whole = f64::from(FULL_PERMILLE);
         let mut of: Vec<(ZoneId, f64)> = vec![(ZoneId(self.own as u16), 0.0)];
-        for &(zone, share) in &plan.shares {
-            let stands = ZoneId(self.stands_for[usize::from(zone)] as u16);
+        for fraction in &plan.fractions {
+            let stands = ZoneId(self.stands_for[usize::from(fraction.zone)] as u16);
             match of.iter_mut().find(|(known, _)| *known == stands) {
-                Some((_, sum)) => *sum += f64::from(share) / whole,
-                None => of.push((stands, f64::from(share) / whole)),
+                Some((_, sum)) => *sum += f64::from(fraction.permille) / whole,
+                None => of.push((stands, f64::from(fraction.permille) / whole)),
             }
         }
         // A region is shut when all of its zones are.
-        let is_shut = |zone: usize| plan.shut.contains(&(zone as u16));
+        let is_shut = |zone: usize| plan.closed_zones.contains(&(zone as u16));
         let all_shut =
             |first: usize| (0..self.stands_for.len()).filter(|&z| self.stands_for[z] == first).all(is_shut);
         let zones = 0..self.names.len();
@@ -324,26 +334,29 @@
             self.event_loop.tell(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
         }
         let shares: Vec<String> = plan
-            .shares
+            .fractions
             .iter()
-            .map(|&(zone, share)| {
-                format!("{} {:.1} %", self.names[usize::from(zone)], f64::from(share) / 10.0)
-            })
+            .map(|f| format!("{} {:.1} %", self.names[usize::from(f.zone)], f64::from(f.permille) / 10.0))
             .collect();
-        tracing::info!(number = plan.number, lack = plan.lack, "queries are meant for {}", shares.join(", "));
+        tracing::info!(
+            number = plan.decision_number,
+            lack = plan.shed,
+            "queries are meant for {}",
+            shares.join(", ")
+        );
     }
 }
 
-fn row(seen: &ZoneObservation, merged: u32) -> Row {
+fn row(seen: &ZoneObservation, merged: u32) -> ReplicaCounts {
     let small = |n: u32| n.min(u32::from(u16::MAX)) as u16;
-    Row {
+    ReplicaCounts {
         listed: small(seen.listed),
         answering: small(seen.answering),
         silent: small(seen.silent),
         failing: small(seen.failing),
-        full: small(seen.full),
-        cold: small(seen.cold),
-        merged,
+        saturated: small(seen.full),
+        warming_up: small(seen.cold),
+        answered_parts: merged,
     }
 }
 
@@ -393,11 +406,11 @@
     }
 
     /// Of each request class, its share of the parts and its utility a part.
-    fn mix(&self, utilities: &[f64]) -> Vec<(f64, f64)> {
+    fn mix(&self, utilities: &[f64]) -> Vec<ClassLoad> {
         let all = self.asked.max(1e-9);
         let of = |(n, &(queries, parts)): (usize, &(f64, f64))| {
             let utility = utilities.get(n).copied().unwrap_or(1.0);
-            (parts / all, utility * queries / parts.max(1e-9))
+            ClassLoad { work_fraction: parts / all, priority_weight: utility * queries / parts.max(1e-9) }
         };
         self.by_class.iter().enumerate().map(of).collect()
     }
@@ -417,13 +430,15 @@
         Watch { names: names.to_vec(), bad_said: None }
     }
 
-    fn take(&mut self, now: Timestamp, event: Event, counters: &Counters) {
+    fn take(&mut self, now: Timestamp, event: NodeEvent, counters: &Counters) {
         match event {
-            Event::Decided(decision) => {
+            NodeEvent::Decided(decision) => {
                 counters.add("zones", "decisions");
                 let zone = &self.names[usize::from(decision.zone)];
-                let states: Vec<String> = (self.names.iter().zip(&decision.places))
-                    .map(|(name, p)| format!("{name} {} {:.1} %", p.state.name(), f64::from(p.kept) / 10.0))
+                let states: Vec<String> = (self.names.iter().zip(&decision.zones))
+                    .map(|(name, p)| {
+                        format!("{name} {} {:.1} %", p.state.name(), f64::from(p.retained) / 10.0)
+                    })
                     .collect();
                 tracing::info!(
                     number = decision.number,
@@ -434,58 +449,52 @@
                     states.join(", ")
                 );
             }
-            Event::Proposed { cause, zone, finding, speakers, voters } => {
+            NodeEvent::Proposed { cause, zone, finding, reporters, voters } => {
                 counters.add("zones", "proposed");
                 tracing::info!(
                     cause = cause.name(),
                     zone = self.names[usize::from(zone)],
-                    evidence = ?finding,
-                    speakers,
+                    evidence = %finding.name(),
+                    speakers = reporters,
                     voters,
                     "asks the voters"
                 );
             }
-            Event::Member(News::Up(peer)) => {
+            NodeEvent::Membership(MembershipEvent::Up(peer)) => {
                 counters.add("members", "up");
                 tracing::info!(member = %peer.address, zone = self.zone(&peer), "a copy is there");
             }
-            Event::Member(News::Down(peer, how)) => {
+            NodeEvent::Membership(MembershipEvent::Down(peer, how)) => {
                 let how = match how {
-                    Gone::Left => "left",
-                    Gone::Upgraded => "upgraded",
-                    Gone::Died => "died",
+                    Departure::Left => "left",
+                    Departure::Upgraded => "upgraded",
+                    Departure::Died => "died",
                 };
                 counters.add("members", how);
                 tracing::info!(member = %peer.address, zone = self.zone(&peer), "a copy {how}");
             }
-            Event::Member(News::Refuted(_)) => {
+            NodeEvent::Membership(MembershipEvent::Refuted(_)) => {
                 counters.add("members", "refuted");
                 tracing::warn!("held to be dead by others, and refuted");
             }
-            Event::Standing(standing) => {
+            NodeEvent::StatusChanged(standing) => {
                 counters.add("zones_standing", standing.name());
                 tracing::info!("zones: this copy is {}", standing.name());
             }
-            Event::Leads(leads) => {
+            NodeEvent::LeadershipChanged(leads) => {
                 counters.add("zones", if leads { "leads" } else { "leads_no_more" });
                 tracing::info!("{}", if leads { "leads the voters" } else { "leads the voters no more" });
             }
-            Event::Left(left) => {
-                let reason = match left {
-                    pipitcrank_membership::envelope::Left::TooLong => "too_long",
-                    pipitcrank_membership::envelope::Left::Cut => "cut",
-                    pipitcrank_membership::envelope::Left::OtherVersion => "other_version",
-                    pipitcrank_membership::envelope::Left::Forged => "forged",
-                    pipitcrank_membership::envelope::Left::Replayed => "replayed",
-                };
+            NodeEvent::DatagramRejected(rejection) => {
+                let reason = rejection.name();
                 counters.add("peers_left", reason);
                 self.say_bad(now, reason);
             }
-            Event::Unread => {
+            NodeEvent::Undecodable => {
                 counters.add("peers_left", "unread");
                 self.say_bad(now, "unread");
             }
-            Event::Order(order, answer) => tracing::info!(?order, ?answer, "an operator's order"),
+            NodeEvent::OrderAnswered(order, answer) => tracing::info!(?order, ?answer, "an operator's order"),
         }
     }
 
@@ -525,10 +534,10 @@
         Ok(found.with_context(|| format!("'{name}' is none of {}", names.join(", ")))? as u16)
     };
     let order = match what {
-        "drain" => Some(Order::Drain(place()?)),
-        "return" => Some(Order::Return(place()?)),
-        "freeze" => Some(Order::Freeze),
-        "thaw" => Some(Order::Thaw),
+        "drain" => Some(OperatorOrder::Drain(place()?)),
+        "return" => Some(OperatorOrder::Return(place()?)),
+        "freeze" => Some(OperatorOrder::Freeze),
+        "thaw" => Some(OperatorOrder::Thaw),
         _ => None,
     };
     // An order is for whoever leads the voters; each of them says whether it does.
@@ -540,10 +549,14 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let answer = runtime.block_on(ask(&zones, &to, Asks::Order(order), wait))?;
     match answer {
-        Some(Answer::Shown(shown)) => show(&zones, &shown),
-        Some(Answer::Done(number)) => println!("decided, number {}.{}", number >> 32, number as u32),
-        Some(Answer::Refused(why)) => bail!("refused: {why}"),
-        Some(Answer::NotLeading(_) | Answer::Who(..)) => bail!("no voter leads: {} asked", to.len()),
+        Some(OperatorAnswer::Status(shown)) => show(&zones, &shown),
+        Some(OperatorAnswer::Decided(number)) => {
+            println!("decided, number {}.{}", number >> 32, number as u32)
+        }
+        Some(OperatorAnswer::Rejected(why)) => bail!("refused: {why}"),
+        Some(OperatorAnswer::NotLeader(_) | OperatorAnswer::Members { .. }) => {
+            bail!("no voter leads: {} asked", to.len())
+        }
         None => bail!(
             "no answer of {} within {wait:?}",
             to.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
@@ -569,8 +582,8 @@
     let mut faults = Vec::new();
     for &voter in &there {
         match runtime.block_on(ask(zones, &[voter], Asks::StayAway(away.clone()), wait))? {
-            Some(Answer::Done(_)) => println!("{voter} goes on without {} voters", away.len()),
-            Some(Answer::Refused(why)) => faults.push(format!("{voter} refused: {why}")),
+            Some(OperatorAnswer::Decided(_)) => println!("{voter} goes on without {} voters", away.len()),
+            Some(OperatorAnswer::Rejected(why)) => faults.push(format!("{voter} refused: {why}")),
             _ => faults.push(format!("{voter} did not answer")),
         }
     }
@@ -585,14 +598,16 @@
     let to = [at.unwrap_or(zones.known_as)];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let silent = || format!("no answer of {} within {wait:?}", to[0]);
-    let Some(Answer::Shown(shown)) = runtime.block_on(ask(&zones, &to, Asks::Order(None), wait))? else {
+    let Some(OperatorAnswer::Status(shown)) = runtime.block_on(ask(&zones, &to, Asks::Order(None), wait))?
+    else {
         bail!(silent())
     };
     let decision = shown.decision.with_context(|| format!("{} knows of no decision", to[0]))?;
     let mut copies = Vec::new();
     let mut after = None;
     loop {
-        let Some(Answer::Who(some, more)) = runtime.block_on(ask(&zones, &to, Asks::Who(after), wait))?
+        let Some(OperatorAnswer::Members { members: some, more }) =
+            runtime.block_on(ask(&zones, &to, Asks::Who(after), wait))?
         else {
             bail!(silent())
         };
@@ -608,7 +623,7 @@
     }
     let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.0));
     let home: Vec<bool> =
-        decision.places.iter().map(|p| p.state == State::Serving && p.kept == WHOLE).collect();
+        decision.zones.iter().map(|p| p.state == ZoneState::Serving && p.retained == FULL_PERMILLE).collect();
     let waves = turns::plan(&copies, zones.voters.len(), leader, &home, share)?;
     for (n, wave) in waves.iter().enumerate() {
         let named = |c: &Copy| {
@@ -621,22 +636,22 @@
 }
 
 enum Asks {
-    Order(Option<Order>),
+    Order(Option<OperatorOrder>),
     Who(Option<SocketAddr>),
     StayAway(Vec<u8>),
 }
 
-async fn ask(zones: &Zones, to: &[SocketAddr], asks: Asks, wait: Duration) -> Result<Option<Answer>> {
+async fn ask(zones: &Zones, to: &[SocketAddr], asks: Asks, wait: Duration) -> Result<Option<OperatorAnswer>> {
     let socket = UdpSocket::bind((zones.listen.ip(), 0)).await.context("an address to ask from")?;
-    let mut command = Command::new(key(&zones.secret), socket.local_addr()?, since_1970_us());
+    let mut command = OperatorClient::new(derive_key(&zones.secret), socket.local_addr()?, since_1970_us());
     let (until, mut last) = (Instant::now() + wait, None);
-    let mut bytes = vec![0; LONGEST + 1];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
     while Instant::now() < until {
         for &at in to {
             let asked = match &asks {
-                Asks::Order(order) => command.ask(at, *order),
-                Asks::Who(after) => command.who(at, *after),
-                Asks::StayAway(seats) => command.stay_away(at, seats.clone()),
+                Asks::Order(order) => command.request(at, *order),
+                Asks::Who(after) => command.request_members(at, *after),
+                Asks::StayAway(seats) => command.request_exclusion(at, seats.clone()),
             };
             if let Some(asked) = asked {
                 let _ = socket.send_to(&asked, at).await;
@@ -646,9 +661,11 @@
         while let Ok(came) = tokio::time::timeout_at(again.into(), socket.recv_from(&mut bytes)).await {
             // An error tells of one who is not there; the others may be.
             let Ok((length, _)) = came else { continue };
-            match command.answer(&bytes[..length]) {
-                Some((_, Answer::NotLeading(leader))) => last = Some(Answer::NotLeading(leader)),
-                Some((_, answer)) => return Ok(Some(answer)),
+            match command.open_answer(&bytes[..length]) {
+                Some(ReceivedAnswer { answer: OperatorAnswer::NotLeader(leader), .. }) => {
+                    last = Some(OperatorAnswer::NotLeader(leader))
+                }
+                Some(ReceivedAnswer { answer, .. }) => return Ok(Some(answer)),
                 None => {}
             }
         }
@@ -656,9 +673,9 @@
     Ok(last)
 }
 
-fn show(zones: &Zones, shown: &Shown) {
+fn show(zones: &Zones, shown: &StatusReport) {
     let share = |n: u16| format!("{:.1} %", f64::from(n) / 10.0);
-    println!("this copy is {}; {} copies are there", shown.standing, shown.members);
+    println!("this copy is {}; {} copies are there", shown.status, shown.members);
     if let Some(leader) = shown.leader {
         let at = zones.voters.get(usize::from(leader)).map_or("?".to_string(), |v| v.0.to_string());
         println!("{} of {} voters are heard, {at} leads", shown.voters_heard, zones.voters.len());
@@ -675,15 +692,15 @@
         "zone", "state", "kept", "share", "carries/s", "asked/s"
     );
     for (n, (name, _)) in zones.zones.iter().enumerate() {
-        let Some(place) = decision.places.get(n) else { continue };
-        let meant = shown.shares.iter().find(|s| usize::from(s.0) == n).map_or(0, |s| s.1);
-        let carries = if place.carries == UNKNOWN { "?".to_string() } else { place.carries.to_string() };
-        let evidence =
-            shown.evidence.get(n).map_or("this copy is no voter".to_string(), |(found, speak, well)| {
-                format!("{found}: {speak} copies speak, {well} leaves well")
-            });
+        let Some(place) = decision.zones.get(n) else { continue };
+        let meant = shown.fractions.iter().find(|f| usize::from(f.zone) == n).map_or(0, |f| f.permille);
+        let carries =
+            if place.capacity == UNKNOWN_CAPACITY { "?".to_string() } else { place.capacity.to_string() };
+        let evidence = shown.evidence.get(n).map_or("this copy is no voter".to_string(), |e| {
+            format!("{}: {} copies speak, {} leaves well", e.finding, e.reporters, e.healthy_replicas)
+        });
         let cut: Vec<&str> = (0..zones.zones.len())
-            .filter(|to| place.cut & (1 << to) != 0)
+            .filter(|to| place.cut_paths & (1 << to) != 0)
             .map(|to| zones.zones[to].0.as_str())
             .collect();
         let cut = if cut.is_empty() { String::new() } else { format!("; way cut to {}", cut.join(", ")) };
@@ -691,9 +708,9 @@
         println!(
             "{name:<16} {:<10} {:>8} {:>8} {carries:>10} {:>10}  {evidence}{drained}{cut}",
             place.state.name(),
-            share(place.kept),
+            share(place.retained),
             share(meant),
-            place.asked
+            place.demand
         );
     }
 }
--- a/crates/pipitcrank-failover/src/controller.rs
+++ b/crates/pipitcrank-failover/src/controller.rs
@@ -3,24 +3,26 @@
 //!
 //! ```text
 //! Serving   -- evidence against it for SEEN                    --> Suspected
-//! Suspected -- against it for `suspect` more                   --> Leaving, by a step
+//! Suspected -- against it for `suspect_after` more                   --> Leaving, by a step
 //!           -- well for as long                                --> Serving
 //! Leaving   -- each step's time                                --> kept less a step; at nothing Out
 //!           -- evidence that it is well (not drained)          --> Returning, hold-down doubled
 //! Out       -- well for the hold-down, not drained             --> Returning, by half a step
 //! Returning -- each step's time, twice as long while cold      --> kept more by half a step; at all Serving
 //!           -- evidence against it                             --> Leaving, hold-down doubled
-//! Serving for `calm` without a fault                           --> hold-down at its shortest
+//! Serving for `calm_after` without a fault                           --> hold-down at its shortest
 //! ```
 //!
 //! Rules that hold whatever the evidence: no step while no other zone is known to be well; a zone that still serves (slow,
 //! or drained) is left only as far as the others have room; all that was seen before this voter led does not count.
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_membership::evidence::{Finding, Matrix};
+use pipitcrank_membership::evidence::{EvidenceMatrix, Finding};
 
-use crate::decision::{Cause, Decision, Order, Place, State, UNKNOWN, WHOLE};
-use crate::routing_table::{Nearness, table};
+use crate::decision::{
+    Decision, DecisionCause, FULL_PERMILLE, OperatorOrder, UNKNOWN_CAPACITY, ZoneDecision, ZoneState,
+};
+use crate::routing_table::{Proximity, RoutingTable};
 
 /// Evidence has to stand for so long before anything is said of it: two words of each copy.
 const SEEN: TimeSpan = TimeSpan::from_millis(300);
@@ -31,7 +33,7 @@
 /// Coming home takes half a step each `RETURN_TIME`: leaves there are cold, and the others carry well meanwhile.
 const RETURN_STEP: u16 = 125;
 const RETURN_TIME: TimeSpan = TimeSpan::from_millis(500);
-/// Cold replicas' share from which a zone comes back at half the pace.
+/// Cold replicas' share from which a zone comes back at half the timing.
 const COLD: f64 = 0.3;
 /// What a cold replica carries of a warm one's: the least that rules allow for.
 const COLD_CARRIES: f64 = 0.3;
@@ -48,14 +50,14 @@
 
 /// Times that operators set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct FailoverTiming {
     /// Evidence against a zone stands for so long before it is left.
-    pub suspect: TimeSpan,
+    pub suspect_after: TimeSpan,
     /// A zone that is out is well for so long before it comes back, and at most, doubled at each relapse.
     pub hold_down: TimeSpan,
-    pub hold_down_most: TimeSpan,
+    pub max_hold_down: TimeSpan,
     /// Serving without a fault for so long: the hold-down is at its shortest again.
-    pub calm: TimeSpan,
+    pub calm_after: TimeSpan,
 }
 
 /// What is known of a zone while this voter leads.
@@ -71,9 +73,9 @@
     bears: f64,
 }
 
-pub struct Book {
-    pace: Pace,
-    near: Nearness,
+pub struct FailoverController {
+    timing: FailoverTiming,
+    near: Proximity,
     /// Parts a second that a warm replica bears, as operators say; 0 where they say nothing.
     told_bears: f64,
     watches: Vec<Watch>,
@@ -84,12 +86,12 @@
     led_since: Timestamp,
 }
 
-impl Book {
-    pub fn new(pace: Pace, near: Nearness, zones: usize, told_bears: f64) -> Book {
+impl FailoverController {
+    pub fn new(timing: FailoverTiming, near: Proximity, zones: usize, told_bears: f64) -> FailoverController {
         let never = Timestamp::from_micros(i64::MIN / 4);
         let watch = Watch { against: None, well: None, stepped: never, serving: never, bears: told_bears };
-        Book {
-            pace,
+        FailoverController {
+            timing,
             near,
             told_bears,
             watches: vec![watch; zones],
@@ -101,7 +103,7 @@
     }
 
     /// This voter leads from now on. What it saw before was not held against the decision that stood then.
-    pub fn leads(&mut self, now: Timestamp) {
+    pub fn leadership_gained(&mut self, now: Timestamp) {
         self.led_since = now;
         self.looked = now;
         for watch in &mut self.watches {
@@ -111,29 +113,34 @@
     }
 
     /// The next decision, if there is a cause for one.
-    pub fn next(&mut self, now: Timestamp, matrix: &Matrix, current: &Decision) -> Option<Decision> {
+    pub fn next_decision(
+        &mut self,
+        now: Timestamp,
+        matrix: &EvidenceMatrix,
+        current: &Decision,
+    ) -> Option<Decision> {
         self.watch(now, matrix, current);
         if current.frozen {
             return None;
         }
         let mut next = current.clone();
         self.measure(matrix, &mut next);
-        let moves = (0..current.places.len()).find_map(|zone| {
+        let moves = (0..current.zones.len()).find_map(|zone| {
             let cause = self.step(now, matrix, current, &mut next, zone)?;
             Some((zone, cause))
         });
         let way = || self.cut_ways(now, matrix, current);
         if let Some((zone, cause)) = moves {
             self.watches[zone].stepped = now;
-            if next.places[zone].state == State::Serving {
+            if next.zones[zone].state == ZoneState::Serving {
                 self.watches[zone].serving = now;
             }
             (next.cause, next.zone) = (cause, zone as u16);
-        } else if let Some((from, cut)) = way() {
-            next.places[from].cut = cut;
-            (next.cause, next.zone) = (Cause::Way, from as u16);
+        } else if let Some((from, cut_paths)) = way() {
+            next.zones[from].cut_paths = cut_paths;
+            (next.cause, next.zone) = (DecisionCause::PathChanged, from as u16);
         } else if now - self.figures_at >= FIGURES_TIME && self.matters(current, &next) {
-            (next.cause, next.zone) = (Cause::Figures, 0);
+            (next.cause, next.zone) = (DecisionCause::LoadChanged, 0);
         } else {
             return None;
         }
@@ -142,81 +149,86 @@
     }
 
     /// An operator's order as a decision, or why not.
-    pub fn order(&self, matrix: &Matrix, current: &Decision, order: Order) -> Result<Decision, String> {
+    pub fn apply_order(
+        &self,
+        matrix: &EvidenceMatrix,
+        current: &Decision,
+        order: OperatorOrder,
+    ) -> Result<Decision, String> {
         let mut next = current.clone();
         self.measure(matrix, &mut next);
-        let known = |zone: u16| match usize::from(zone) < current.places.len() {
+        let known = |zone: u16| match usize::from(zone) < current.zones.len() {
             true => Ok(usize::from(zone)),
             false => Err(format!("there is no zone {zone}")),
         };
         match order {
-            Order::Drain(zone) => {
+            OperatorOrder::Drain(zone) => {
                 let n = known(zone)?;
-                if current.places[n].drained {
+                if current.zones[n].drained {
                     return Err("it is drained already".into());
                 }
                 if !self.others_well(matrix, current, n) {
                     return Err("no other zone is known to be well and serving".into());
                 }
-                if let (Some(left), asked) = (carried_without(&next, n), all_asked(&next))
-                    && left < asked
+                if let (Some(left), demand) = (carried_without(&next, n), all_asked(&next))
+                    && left < demand
                 {
                     let what =
-                        format!("the zones left carry {left} parts a second of the {asked} that are asked");
+                        format!("the zones left carry {left} parts a second of the {demand} that are asked");
                     return Err(what);
                 }
-                next.places[n].drained = true;
-                if next.places[n].kept > 0 {
-                    next.places[n].state = State::Leaving;
-                    next.places[n].kept = next.places[n].kept.saturating_sub(STEP);
-                    if next.places[n].kept == 0 {
-                        next.places[n].state = State::Out;
+                next.zones[n].drained = true;
+                if next.zones[n].retained > 0 {
+                    next.zones[n].state = ZoneState::Draining;
+                    next.zones[n].retained = next.zones[n].retained.saturating_sub(STEP);
+                    if next.zones[n].retained == 0 {
+                        next.zones[n].state = ZoneState::OutOfService;
                     }
                 }
-                (next.cause, next.zone) = (Cause::Drained, zone);
+                (next.cause, next.zone) = (DecisionCause::Drained, zone);
             }
-            Order::Return(zone) => {
+            OperatorOrder::Return(zone) => {
                 let n = known(zone)?;
-                match current.places[n].state {
-                    State::Leaving | State::Out => {}
+                match current.zones[n].state {
+                    ZoneState::Draining | ZoneState::OutOfService => {}
                     state => return Err(format!("it is {}", state.name())),
                 }
                 match matrix.finding(n) {
-                    Finding::Well | Finding::Part => {}
-                    found => return Err(format!("evidence on it is {found:?}, not that it is well")),
+                    Finding::Healthy | Finding::Degraded => {}
+                    found => return Err(format!("evidence on it is {}, not that it is well", found.name())),
                 }
-                let place = &mut next.places[n];
-                (place.drained, place.state) = (false, State::Returning);
-                place.kept = (place.kept + RETURN_STEP).min(WHOLE - 1);
-                (next.cause, next.zone) = (Cause::Returned, zone);
+                let place = &mut next.zones[n];
+                (place.drained, place.state) = (false, ZoneState::Returning);
+                place.retained = (place.retained + RETURN_STEP).min(FULL_PERMILLE - 1);
+                (next.cause, next.zone) = (DecisionCause::Returned, zone);
             }
-            Order::Freeze if current.frozen => return Err("it is frozen already".into()),
-            Order::Thaw if !current.frozen => return Err("it is not frozen".into()),
-            Order::Freeze => (next.frozen, next.cause) = (true, Cause::Frozen),
-            Order::Thaw => (next.frozen, next.cause) = (false, Cause::Thawed),
+            OperatorOrder::Freeze if current.frozen => return Err("it is frozen already".into()),
+            OperatorOrder::Thaw if !current.frozen => return Err("it is not frozen".into()),
+            OperatorOrder::Freeze => (next.frozen, next.cause) = (true, DecisionCause::Frozen),
+            OperatorOrder::Thaw => (next.frozen, next.cause) = (false, DecisionCause::Thawed),
         }
         Ok(next)
     }
 
-    fn watch(&mut self, now: Timestamp, matrix: &Matrix, current: &Decision) {
+    fn watch(&mut self, now: Timestamp, matrix: &EvidenceMatrix, current: &Decision) {
         let passed = (now - self.looked).as_secs_f64().clamp(0.0, 1.0);
         self.looked = now;
         for zone in 0..self.watches.len() {
             let finding = matrix.finding(zone);
             let against = matches!(finding, Finding::Dead | Finding::CutOff | Finding::Slow);
-            let well = matches!(finding, Finding::Well | Finding::Part);
+            let well = matches!(finding, Finding::Healthy | Finding::Degraded);
             let watch = &mut self.watches[zone];
             watch.against = against.then(|| watch.against.unwrap_or(now));
             watch.well = well.then(|| watch.well.unwrap_or(now));
-            if against || current.places[zone].state != State::Serving {
+            if against || current.zones[zone].state != ZoneState::Serving {
                 watch.serving = now;
             }
             // Guards against figures of operators that the replicas do not keep: what they carried when full counts.
-            let (replicas, merged) = (matrix.well(zone), matrix.merged(zone));
-            let full = matrix.cells[zone][zone].full;
+            let (replicas, answered_parts) = (matrix.well(zone), matrix.answered_parts(zone));
+            let saturated = matrix.cells[zone][zone].saturated;
             if self.told_bears > 0.0 && replicas > 0.0 {
-                let a_replica = merged / replicas;
-                watch.bears = if full >= AT_ITS_MOST && a_replica < watch.bears {
+                let a_replica = answered_parts / replicas;
+                watch.bears = if saturated >= AT_ITS_MOST && a_replica < watch.bears {
                     a_replica.max(self.told_bears * LEAST_BEARS)
                 } else {
                     (watch.bears + self.told_bears * BEARS_BACK * passed).min(self.told_bears)
@@ -225,9 +237,9 @@
             for to in 0..self.watches.len() {
                 let (was, since) = self.ways[zone][to];
                 let seen = matrix.cells[zone][to].bad.is_some();
-                let cut = matrix.is_cut(zone, to);
-                if seen && cut != was {
-                    self.ways[zone][to] = (cut, now);
+                let cut_paths = matrix.is_cut(zone, to);
+                if seen && cut_paths != was {
+                    self.ways[zone][to] = (cut_paths, now);
                 } else if !seen {
                     self.ways[zone][to] = (was, since.max(now));
                 }
@@ -236,25 +248,25 @@
     }
 
     /// What each zone carries and is asked, as evidence has it now.
-    fn measure(&self, matrix: &Matrix, next: &mut Decision) {
-        for (zone, place) in next.places.iter_mut().enumerate() {
-            if matrix.speakers(zone) > 0 {
-                place.asked = matrix.asked[zone].round().clamp(0.0, f64::from(UNKNOWN - 1)) as u32;
+    fn measure(&self, matrix: &EvidenceMatrix, next: &mut Decision) {
+        for (zone, place) in next.zones.iter_mut().enumerate() {
+            if matrix.reporters(zone) > 0 {
+                place.demand = matrix.demand[zone].round().clamp(0.0, f64::from(UNKNOWN_CAPACITY - 1)) as u32;
             }
             // A zone that is bad as a whole is left in steps, not by what it carries.
-            let counts = matches!(matrix.finding(zone), Finding::Well | Finding::Part);
+            let counts = matches!(matrix.finding(zone), Finding::Healthy | Finding::Degraded);
             if self.told_bears > 0.0 && counts {
-                let warm = 1.0 - matrix.cold(zone) * (1.0 - COLD_CARRIES);
-                let carries = matrix.well(zone) * warm * self.watches[zone].bears;
+                let warm = 1.0 - matrix.warming_up(zone) * (1.0 - COLD_CARRIES);
+                let capacity = matrix.well(zone) * warm * self.watches[zone].bears;
                 let whole = matrix.listed(zone) * self.told_bears;
-                let carries = match place.carries {
-                    UNKNOWN => carries,
+                let capacity = match place.capacity {
+                    UNKNOWN_CAPACITY => capacity,
                     held => {
-                        let part = |step: u16| whole * f64::from(step) / f64::from(WHOLE);
-                        carries.clamp(f64::from(held) - part(STEP), f64::from(held) + part(RETURN_STEP))
+                        let part = |step: u16| whole * f64::from(step) / f64::from(FULL_PERMILLE);
+                        capacity.clamp(f64::from(held) - part(STEP), f64::from(held) + part(RETURN_STEP))
                     }
                 };
-                place.carries = carries.round().clamp(0.0, f64::from(UNKNOWN - 1)) as u32;
+                place.capacity = capacity.round().clamp(0.0, f64::from(UNKNOWN_CAPACITY - 1)) as u32;
             }
         }
     }
@@ -263,68 +275,76 @@
     fn step(
         &self,
         now: Timestamp,
-        matrix: &Matrix,
+        matrix: &EvidenceMatrix,
         current: &Decision,
         next: &mut Decision,
         zone: usize,
-    ) -> Option<Cause> {
+    ) -> Option<DecisionCause> {
         let watch = self.watches[zone];
-        let place = &current.places[zone];
+        let place = &current.zones[zone];
         let for_long = |since: Option<Timestamp>, long: TimeSpan| since.is_some_and(|s| now - s >= long);
         let finding = matrix.finding(zone);
         let cause = match finding {
-            Finding::Dead => Cause::Dead,
-            Finding::CutOff => Cause::CutOff,
-            _ => Cause::Slow,
+            Finding::Dead => DecisionCause::Dead,
+            Finding::CutOff => DecisionCause::CutOff,
+            _ => DecisionCause::Slow,
         };
         let due = |time: TimeSpan| now - watch.stepped >= time;
-        let to = &mut next.places[zone];
+        let to = &mut next.zones[zone];
         match place.state {
-            State::Serving if for_long(watch.against, SEEN) && self.others_well(matrix, current, zone) => {
-                to.state = State::Suspected;
+            ZoneState::Serving
+                if for_long(watch.against, SEEN) && self.others_well(matrix, current, zone) =>
+            {
+                to.state = ZoneState::Suspected;
                 Some(cause)
             }
-            State::Serving if place.level > 0 && now - watch.serving >= self.pace.calm => {
-                to.level = 0;
-                Some(Cause::Calm)
+            ZoneState::Serving
+                if place.hold_down_level > 0 && now - watch.serving >= self.timing.calm_after =>
+            {
+                to.hold_down_level = 0;
+                Some(DecisionCause::Calm)
             }
-            State::Suspected if for_long(watch.against, SEEN + self.pace.suspect) => {
+            ZoneState::Suspected if for_long(watch.against, SEEN + self.timing.suspect_after) => {
                 if !self.others_well(matrix, current, zone) {
                     return None;
                 }
                 self.leave(next, zone, finding).then_some(cause)
             }
-            State::Suspected if for_long(watch.well, self.pace.suspect) => {
-                to.state = State::Serving;
-                Some(Cause::Well)
+            ZoneState::Suspected if for_long(watch.well, self.timing.suspect_after) => {
+                to.state = ZoneState::Serving;
+                Some(DecisionCause::Healthy)
             }
-            State::Leaving if !place.drained && for_long(watch.well, SEEN + self.pace.suspect) => {
-                to.state = State::Returning;
-                to.level = relapsed(place);
-                Some(Cause::Well)
+            ZoneState::Draining
+                if !place.drained && for_long(watch.well, SEEN + self.timing.suspect_after) =>
+            {
+                to.state = ZoneState::Returning;
+                to.hold_down_level = relapsed(place);
+                Some(DecisionCause::Healthy)
             }
-            State::Leaving if due(STEP_TIME) && self.others_well(matrix, current, zone) => {
+            ZoneState::Draining if due(STEP_TIME) && self.others_well(matrix, current, zone) => {
                 let still = place.drained || watch.against.is_some();
-                (still && self.leave(next, zone, finding)).then_some(Cause::Step)
+                (still && self.leave(next, zone, finding)).then_some(DecisionCause::NextStep)
             }
-            State::Out if !place.drained && for_long(watch.well, self.held(place.level)) => {
-                (to.state, to.kept) = (State::Returning, RETURN_STEP);
-                Some(Cause::Well)
+            ZoneState::OutOfService
+                if !place.drained && for_long(watch.well, self.held(place.hold_down_level)) =>
+            {
+                (to.state, to.retained) = (ZoneState::Returning, RETURN_STEP);
+                Some(DecisionCause::Healthy)
             }
-            State::Returning if for_long(watch.against, SEEN) => {
-                (to.state, to.level) = (State::Leaving, relapsed(place));
+            ZoneState::Returning if for_long(watch.against, SEEN) => {
+                (to.state, to.hold_down_level) = (ZoneState::Draining, relapsed(place));
                 Some(cause)
             }
-            State::Returning => {
-                let slower = if matrix.cold(zone) >= COLD { 2.0 } else { 1.0 };
+            ZoneState::Returning => {
+                let slower = if matrix.warming_up(zone) >= COLD { 2.0 } else { 1.0 };
                 if !due(RETURN_TIME * slower) || watch.well.is_none() {
                     return None;
                 }
-                to.kept = (place.kept + RETURN_STEP).min(WHOLE);
-                if to.kept == WHOLE {
-                    to.state = State::Serving;
+                to.retained = (place.retained + RETURN_STEP).min(FULL_PERMILLE);
+                if to.retained == FULL_PERMILLE {
+                    to.state = ZoneState::Serving;
                 }
-                Some(Cause::Step)
+                Some(DecisionCause::NextStep)
             }
             _ => None,
         }
@@ -334,85 +354,90 @@
     /// that still serves only as far as they have room.
     fn leave(&self, next: &mut Decision, zone: usize, finding: Finding) -> bool {
         let gives_nothing = matches!(finding, Finding::Dead | Finding::CutOff);
-        let before = next.places[zone].clone();
-        let place = &mut next.places[zone];
-        place.kept = place.kept.saturating_sub(STEP);
-        place.state = if place.kept == 0 { State::Out } else { State::Leaving };
-        if gives_nothing || before.kept == 0 {
+        let before = next.zones[zone].clone();
+        let place = &mut next.zones[zone];
+        place.retained = place.retained.saturating_sub(STEP);
+        place.state = if place.retained == 0 { ZoneState::OutOfService } else { ZoneState::Draining };
+        if gives_nothing || before.retained == 0 {
             return true;
         }
         let lacking = |d: &Decision| -> u64 {
-            let table = table(d, &self.near);
-            (0..d.places.len()).map(|n| u64::from(table.lack[n]) * u64::from(d.places[n].asked)).sum()
+            let table = RoutingTable::new(d, &self.near);
+            (0..d.zones.len()).map(|n| u64::from(table.shed[n]) * u64::from(d.zones[n].demand)).sum()
         };
         let after = lacking(next);
-        let moved = next.places[zone].clone();
-        next.places[zone] = before;
+        let moved = next.zones[zone].clone();
+        next.zones[zone] = before;
         let fits = after <= lacking(next);
         if fits {
-            next.places[zone] = moved;
+            next.zones[zone] = moved;
         }
         fits
     }
 
     /// Whether some other zone is known to be well and serves: guards against moving everything nowhere, as where the one
     /// that looks is the one that is cut off.
-    fn others_well(&self, matrix: &Matrix, current: &Decision, zone: usize) -> bool {
-        (0..current.places.len()).filter(|&n| n != zone).any(|n| {
-            let place = &current.places[n];
-            let well = matches!(matrix.finding(n), Finding::Well | Finding::Part);
-            well && matrix.speakers(n) > 0 && place.kept > 0 && !place.drained
+    fn others_well(&self, matrix: &EvidenceMatrix, current: &Decision, zone: usize) -> bool {
+        (0..current.zones.len()).filter(|&n| n != zone).any(|n| {
+            let place = &current.zones[n];
+            let well = matches!(matrix.finding(n), Finding::Healthy | Finding::Degraded);
+            well && matrix.reporters(n) > 0 && place.retained > 0 && !place.drained
         })
     }
 
-    fn held(&self, level: u8) -> TimeSpan {
-        (self.pace.hold_down * f64::from(1u32 << level.min(16))).min(self.pace.hold_down_most)
+    fn held(&self, hold_down_level: u8) -> TimeSpan {
+        (self.timing.hold_down * f64::from(1u32 << hold_down_level.min(16))).min(self.timing.max_hold_down)
     }
 
     /// A way that has been cut, or whole, for long enough to be said so; the new mask of its zone.
-    fn cut_ways(&self, now: Timestamp, matrix: &Matrix, current: &Decision) -> Option<(usize, u16)> {
+    fn cut_ways(&self, now: Timestamp, matrix: &EvidenceMatrix, current: &Decision) -> Option<(usize, u16)> {
         (0..self.ways.len()).find_map(|from| {
-            let mut mask = current.places[from].cut;
-            for (to, &(cut, since)) in self.ways[from].iter().enumerate() {
+            let mut mask = current.zones[from].cut_paths;
+            for (to, &(cut_paths, since)) in self.ways[from].iter().enumerate() {
                 // A zone that is bad for all is no way that is cut.
                 let whole_zone = matches!(matrix.finding(to), Finding::Dead | Finding::CutOff);
                 if from == to || whole_zone {
                     continue;
                 }
-                if cut && now - since >= SEEN + self.pace.suspect {
+                if cut_paths && now - since >= SEEN + self.timing.suspect_after {
                     mask |= 1 << to;
-                } else if !cut && now - since >= self.pace.hold_down {
+                } else if !cut_paths && now - since >= self.timing.hold_down {
                     mask &= !(1 << to);
                 }
             }
-            (mask != current.places[from].cut).then_some((from, mask))
+            (mask != current.zones[from].cut_paths).then_some((from, mask))
         })
     }
 
     fn matters(&self, current: &Decision, next: &Decision) -> bool {
-        let moved = |a: u32, b: u32| (a == UNKNOWN) != (b == UNKNOWN) || a.abs_diff(b) > a / CAPACITY_WORTH;
-        if current.places.iter().zip(&next.places).any(|(a, b)| moved(a.carries, b.carries)) {
+        let moved = |a: u32, b: u32| {
+            (a == UNKNOWN_CAPACITY) != (b == UNKNOWN_CAPACITY) || a.abs_diff(b) > a / CAPACITY_WORTH
+        };
+        if current.zones.iter().zip(&next.zones).any(|(a, b)| moved(a.capacity, b.capacity)) {
             return true;
         }
-        let (old, new) = (table(current, &self.near), table(next, &self.near));
+        let (old, new) = (RoutingTable::new(current, &self.near), RoutingTable::new(next, &self.near));
         let differ = |a: &[u16], b: &[u16]| a.iter().zip(b).any(|(a, b)| a.abs_diff(*b) >= WORTH);
-        old.of.iter().zip(&new.of).any(|(a, b)| differ(a, b)) || differ(&old.lack, &new.lack)
+        old.fractions.iter().zip(&new.fractions).any(|(a, b)| differ(a, b)) || differ(&old.shed, &new.shed)
     }
 }
 
-fn relapsed(place: &Place) -> u8 {
-    place.level.saturating_add(1).min(16)
+fn relapsed(place: &ZoneDecision) -> u8 {
+    place.hold_down_level.saturating_add(1).min(16)
 }
 
 /// What all zones but one carry, of those that serve; none where nobody says.
 fn carried_without(decision: &Decision, zone: usize) -> Option<u64> {
-    let others =
-        decision.places.iter().enumerate().filter(|(n, p)| *n != zone && p.kept == WHOLE && !p.drained);
-    others.map(|(_, p)| (p.carries != UNKNOWN).then_some(u64::from(p.carries) * 9 / 10)).sum()
+    let others = decision
+        .zones
+        .iter()
+        .enumerate()
+        .filter(|(n, p)| *n != zone && p.retained == FULL_PERMILLE && !p.drained);
+    others.map(|(_, p)| (p.capacity != UNKNOWN_CAPACITY).then_some(u64::from(p.capacity) * 9 / 10)).sum()
 }
 
 fn all_asked(decision: &Decision) -> u64 {
-    decision.places.iter().map(|p| u64::from(p.asked)).sum()
+    decision.zones.iter().map(|p| u64::from(p.demand)).sum()
 }
 
 #[cfg(test)]
--- a/crates/pipitcrank-failover/src/controller/tests.rs
+++ b/crates/pipitcrank-failover/src/controller/tests.rs
@@ -1,82 +1,82 @@
-use pipitcrank_membership::evidence::{Row, Word, Words};
+use pipitcrank_membership::evidence::{EvidenceReport, EvidenceTable, ReplicaCounts};
 use proptest::prelude::*;
 
 use super::*;
 
-const PACE: Pace = Pace {
-    suspect: TimeSpan::from_millis(500),
+const TIMING: FailoverTiming = FailoverTiming {
+    suspect_after: TimeSpan::from_millis(500),
     hold_down: TimeSpan::from_millis(2000),
-    hold_down_most: TimeSpan::from_millis(16_000),
-    calm: TimeSpan::from_millis(30_000),
+    max_hold_down: TimeSpan::from_millis(16_000),
+    calm_after: TimeSpan::from_millis(30_000),
 };
 
 /// Three zones of ten replicas that bear 100 parts a second each; 300 are asked in each.
 struct Scene {
-    book: Book,
+    book: FailoverController,
     decision: Decision,
     now: Timestamp,
     /// `[from][to]`: replicas silent, full.
     silent: [[u16; 3]; 3],
-    full: [u16; 3],
-    asked: u32,
-    merged: u32,
+    saturated: [u16; 3],
+    demand: u32,
+    answered_parts: u32,
     mute: Option<usize>,
     history: Vec<(Timestamp, Decision)>,
 }
 
 fn scene() -> Scene {
-    let near = Nearness::new(&["r", "r", "r"].map(str::to_string));
-    let mut book = Book::new(PACE, near, 3, 100.0);
-    book.leads(Timestamp::default());
-    let (silent, full) = ([[0; 3]; 3], [0; 3]);
-    let decision = Decision::first(3, 1 << 32);
+    let near = Proximity::new(&["r", "r", "r"].map(str::to_string));
+    let mut book = FailoverController::new(TIMING, near, 3, 100.0);
+    book.leadership_gained(Timestamp::default());
+    let (silent, saturated) = ([[0; 3]; 3], [0; 3]);
+    let decision = Decision::initial(3, 1 << 32);
     Scene {
         book,
         decision,
         now: Timestamp::default(),
         silent,
-        full,
-        asked: 300,
-        merged: 100,
+        saturated,
+        demand: 300,
+        answered_parts: 100,
         mute: None,
         history: Vec::new(),
     }
 }
 
 impl Scene {
-    fn matrix(&self) -> Matrix {
-        let mut words = Words::new(3);
+    fn matrix(&self) -> EvidenceMatrix {
+        let mut words = EvidenceTable::new(3);
         for zone in (0..3usize).filter(|z| self.mute != Some(*z)) {
             let row = |to: usize| {
                 let silent = self.silent[zone][to];
-                let full = self.full[to].min(10 - silent);
-                Row {
+                let saturated = self.saturated[to].min(10 - silent);
+                ReplicaCounts {
                     listed: 10,
                     silent,
-                    full,
-                    answering: 10 - silent - full,
-                    merged: self.merged,
-                    ..Row::default()
+                    saturated,
+                    answering: 10 - silent - saturated,
+                    answered_parts: self.answered_parts,
+                    ..ReplicaCounts::default()
                 }
             };
-            let word = Word {
+            let word = EvidenceReport {
                 zone: zone as u16,
-                number: 1,
-                rows: (0..3).map(row).collect(),
-                asked: self.asked,
-                copies: 1,
+                sequence: 1,
+                replica_counts: (0..3).map(row).collect(),
+                demand: self.demand,
+                nodes: 1,
             };
             let from = ([127, 0, 0, 1], zone as u16).into();
-            assert!(words.take(self.now, from, 1, word));
+            assert!(words.record(self.now, from, 1, word));
         }
-        words.join(self.now)
+        words.matrix(self.now)
     }
 
     fn pass(&mut self, ms: i64) {
         for _ in 0..ms / 50 {
             self.now = self.now + TimeSpan::from_millis(50);
             let matrix = self.matrix();
-            if let Some(mut next) = self.book.next(self.now, &matrix, &self.decision) {
+            if let Some(mut next) = self.book.next_decision(self.now, &matrix, &self.decision) {
                 next.number = self.decision.number + 1;
                 self.decision = next;
                 self.history.push((self.now, self.decision.clone()));
@@ -92,8 +92,8 @@
         self.silent = [[0; 3]; 3];
     }
 
-    fn state(&self, zone: usize) -> (State, u16) {
-        (self.decision.places[zone].state, self.decision.places[zone].kept)
+    fn state(&self, zone: usize) -> (ZoneState, u16) {
+        (self.decision.zones[zone].state, self.decision.zones[zone].retained)
     }
 }
 
@@ -101,20 +101,20 @@
 fn a_dead_zone_is_out_in_steps_within_the_aim_and_home_again_in_steps() {
     let mut scene = scene();
     scene.pass(2000);
-    assert_eq!(scene.state(1), (State::Serving, 1000));
+    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
     scene.kill(1);
     scene.pass(2000);
-    assert_eq!(scene.state(1), (State::Out, 0), "within two seconds of the evidence");
-    let kept: Vec<u16> = scene.history.iter().map(|(_, d)| d.places[1].kept).collect();
-    assert!(kept.windows(2).all(|w| w[0].abs_diff(w[1]) <= STEP), "{kept:?}");
+    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "within two seconds of the evidence");
+    let retained: Vec<u16> = scene.history.iter().map(|(_, d)| d.zones[1].retained).collect();
+    assert!(retained.windows(2).all(|w| w[0].abs_diff(w[1]) <= STEP), "{retained:?}");
     scene.pass(5000);
-    assert_eq!(scene.state(1), (State::Out, 0), "not for time alone");
+    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "not for time alone");
     scene.heal();
     let healed = scene.now;
     scene.pass(12_000);
-    assert_eq!(scene.state(1), (State::Serving, 1000));
-    let first = scene.history.iter().find(|(at, d)| *at > healed && d.places[1].kept > 0).unwrap();
-    assert!(first.0 - healed >= PACE.hold_down);
+    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
+    let first = scene.history.iter().find(|(at, d)| *at > healed && d.zones[1].retained > 0).unwrap();
+    assert!(first.0 - healed >= TIMING.hold_down);
 }
 
 #[test]
@@ -122,16 +122,16 @@
     let mut scene = scene();
     (0..3).for_each(|from| scene.silent[from][1] = 5);
     scene.pass(5000);
-    assert_eq!(scene.state(1), (State::Serving, 1000));
-    assert_eq!(scene.decision.places[1].carries, 500);
+    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
+    assert_eq!(scene.decision.zones[1].capacity, 500);
     scene.heal();
     scene.pass(2000);
     scene.kill(1);
     scene.pass(300);
     scene.heal();
     scene.pass(1000);
-    assert_eq!(scene.state(1), (State::Serving, 1000));
-    assert!(scene.history.iter().all(|(_, d)| d.places[1].kept == 1000));
+    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
+    assert!(scene.history.iter().all(|(_, d)| d.zones[1].retained == 1000));
 }
 
 #[test]
@@ -144,7 +144,7 @@
         scene.pass(3000);
         scene.heal();
         last = scene.now;
-        while scene.decision.places[1].kept == 0 {
+        while scene.decision.zones[1].retained == 0 {
             scene.pass(50);
         }
         waits.push((scene.now - last).as_secs_f64());
@@ -153,7 +153,7 @@
     }
     assert!(waits.windows(2).all(|w| w[1] >= w[0] * 1.7), "{waits:?}, last at {last:?}");
     scene.pass(60_000);
-    assert_eq!((scene.state(1).0, scene.decision.places[1].level), (State::Serving, 0));
+    assert_eq!((scene.state(1).0, scene.decision.zones[1].hold_down_level), (ZoneState::Serving, 0));
 }
 
 #[test]
@@ -165,9 +165,10 @@
         scene.heal();
         scene.pass(3000);
     }
-    let moves = scene.history.iter().filter(|(_, d)| d.zone == 1 && d.cause == Cause::Well).count();
+    let moves =
+        scene.history.iter().filter(|(_, d)| d.zone == 1 && d.cause == DecisionCause::Healthy).count();
     assert!(moves <= 6, "{moves} returns in two minutes");
-    assert_eq!(scene.state(1).0, State::Out);
+    assert_eq!(scene.state(1).0, ZoneState::OutOfService);
 }
 
 #[test]
@@ -175,11 +176,11 @@
     let mut scene = scene();
     (scene.silent[0][1], scene.silent[1][0]) = (10, 10);
     scene.pass(3000);
-    assert!((0..3).all(|z| scene.state(z) == (State::Serving, 1000)));
-    assert_eq!([0, 1, 2].map(|z| scene.decision.places[z].cut), [0b010, 0b001, 0]);
+    assert!((0..3).all(|z| scene.state(z) == (ZoneState::Serving, 1000)));
+    assert_eq!([0, 1, 2].map(|z| scene.decision.zones[z].cut_paths), [0b010, 0b001, 0]);
     scene.heal();
     scene.pass(4000);
-    assert_eq!([0, 1, 2].map(|z| scene.decision.places[z].cut), [0, 0, 0]);
+    assert_eq!([0, 1, 2].map(|z| scene.decision.zones[z].cut_paths), [0, 0, 0]);
 }
 
 #[test]
@@ -187,10 +188,10 @@
     let mut scene = scene();
     scene.silent = [[0, 10, 0], [10, 0, 10], [0, 10, 0]];
     scene.pass(4000);
-    assert!((0..3).all(|z| scene.state(z) == (State::Serving, 1000)));
-    assert_eq!([0, 1, 2].map(|z| scene.decision.places[z].cut), [0b010, 0b101, 0b010]);
-    let shares = table(&scene.decision, &scene.book.near);
-    assert_eq!((shares.of[1].clone(), shares.lack[1]), (vec![0, 1000, 0], 0));
+    assert!((0..3).all(|z| scene.state(z) == (ZoneState::Serving, 1000)));
+    assert_eq!([0, 1, 2].map(|z| scene.decision.zones[z].cut_paths), [0b010, 0b101, 0b010]);
+    let fractions = RoutingTable::new(&scene.decision, &scene.book.near);
+    assert_eq!((fractions.fractions[1].clone(), fractions.shed[1]), (vec![0, 1000, 0], 0));
 }
 
 #[test]
@@ -200,23 +201,27 @@
     scene.pass(1000);
     scene.kill(2);
     scene.pass(3000);
-    assert_eq!([1, 2].map(|z| scene.state(z).0), [State::Out, State::Out]);
+    assert_eq!([1, 2].map(|z| scene.state(z).0), [ZoneState::OutOfService, ZoneState::OutOfService]);
     scene.kill(0);
     scene.pass(5000);
-    assert_eq!(scene.state(0), (State::Serving, 1000), "nowhere to go");
+    assert_eq!(scene.state(0), (ZoneState::Serving, 1000), "nowhere to go");
 }
 
 #[test]
 fn a_slow_zone_is_left_only_as_far_as_the_others_carry() {
     let mut scene = scene();
     // All three asked 700: the others have 200 free each by plan, and the zone's 700 do not fit.
-    (scene.asked, scene.merged) = (700, 234);
-    scene.full[1] = 10;
+    (scene.demand, scene.answered_parts) = (700, 234);
+    scene.saturated[1] = 10;
     scene.pass(6000);
-    let kept = scene.state(1).1;
-    assert!(scene.state(1).0 == State::Leaving && kept > 0 && kept < 1000, "{:?}", scene.state(1));
-    let shares = table(&scene.decision, &scene.book.near);
-    assert_eq!(shares.lack, [0, 0, 0]);
+    let retained = scene.state(1).1;
+    assert!(
+        scene.state(1).0 == ZoneState::Draining && retained > 0 && retained < 1000,
+        "{:?}",
+        scene.state(1)
+    );
+    let fractions = RoutingTable::new(&scene.decision, &scene.book.near);
+    assert_eq!(fractions.shed, [0, 0, 0]);
 }
 
 #[test]
@@ -224,41 +229,42 @@
     let mut scene = scene();
     scene.pass(2000);
     let matrix = scene.matrix();
-    let ask = |d: &Decision, order| scene.book.order(&matrix, d, order);
-    assert!(ask(&scene.decision, Order::Drain(7)).unwrap_err().contains("no zone"));
-    assert!(ask(&scene.decision, Order::Return(1)).unwrap_err().contains("serving"));
-    assert!(ask(&scene.decision, Order::Thaw).unwrap_err().contains("not frozen"));
-    let drained = ask(&scene.decision, Order::Drain(1)).unwrap();
-    assert_eq!((drained.places[1].state, drained.places[1].drained), (State::Leaving, true));
-    assert!(ask(&drained, Order::Drain(1)).unwrap_err().contains("already"));
+    let ask = |d: &Decision, order| scene.book.apply_order(&matrix, d, order);
+    assert!(ask(&scene.decision, OperatorOrder::Drain(7)).unwrap_err().contains("no zone"));
+    assert!(ask(&scene.decision, OperatorOrder::Return(1)).unwrap_err().contains("serving"));
+    assert!(ask(&scene.decision, OperatorOrder::Thaw).unwrap_err().contains("not frozen"));
+    let drained = ask(&scene.decision, OperatorOrder::Drain(1)).unwrap();
+    assert_eq!((drained.zones[1].state, drained.zones[1].drained), (ZoneState::Draining, true));
+    assert!(ask(&drained, OperatorOrder::Drain(1)).unwrap_err().contains("already"));
     scene.decision = drained;
     scene.pass(3000);
-    assert_eq!(scene.state(1), (State::Out, 0));
+    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0));
     scene.pass(60_000);
-    assert_eq!(scene.state(1), (State::Out, 0), "until an operator returns it");
+    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "until an operator returns it");
     let (matrix, current) = (scene.matrix(), scene.decision.clone());
-    let one_more = scene.book.order(&matrix, &current, Order::Drain(2));
-    assert!(one_more.is_err() || scene.decision.places[2].carries >= 1000, "{one_more:?}");
-    scene.decision = scene.book.order(&matrix, &current, Order::Return(1)).unwrap();
+    let one_more = scene.book.apply_order(&matrix, &current, OperatorOrder::Drain(2));
+    assert!(one_more.is_err() || scene.decision.zones[2].capacity >= 1000, "{one_more:?}");
+    scene.decision = scene.book.apply_order(&matrix, &current, OperatorOrder::Return(1)).unwrap();
     scene.pass(10_000);
-    assert_eq!(scene.state(1), (State::Serving, 1000));
+    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
     // Too much is asked for two zones to carry.
-    scene.asked = 700;
+    scene.demand = 700;
     scene.pass(2000);
-    let refused = scene.book.order(&scene.matrix(), &scene.decision, Order::Drain(1)).unwrap_err();
+    let refused =
+        scene.book.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Drain(1)).unwrap_err();
     assert!(refused.contains("1800 parts a second of the 2100"), "{refused}");
 }
 
 #[test]
 fn frozen_nothing_moves_by_itself() {
     let mut scene = scene();
-    scene.decision = scene.book.order(&scene.matrix(), &scene.decision, Order::Freeze).unwrap();
+    scene.decision = scene.book.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Freeze).unwrap();
     scene.kill(1);
     scene.pass(5000);
-    assert_eq!(scene.state(1), (State::Serving, 1000));
-    scene.decision = scene.book.order(&scene.matrix(), &scene.decision, Order::Thaw).unwrap();
+    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
+    scene.decision = scene.book.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Thaw).unwrap();
     scene.pass(3000);
-    assert_eq!(scene.state(1).0, State::Out);
+    assert_eq!(scene.state(1).0, ZoneState::OutOfService);
 }
 
 #[test]
@@ -268,19 +274,19 @@
     scene.silent[1] = [0; 3];
     scene.mute = Some(1);
     scene.pass(2500);
-    assert_eq!(scene.state(1).0, State::Out);
-    let first = scene.history.iter().find(|(_, d)| d.zone == 1 && d.cause != Cause::Figures);
-    assert_eq!(first.unwrap().1.cause, Cause::CutOff);
+    assert_eq!(scene.state(1).0, ZoneState::OutOfService);
+    let first = scene.history.iter().find(|(_, d)| d.zone == 1 && d.cause != DecisionCause::LoadChanged);
+    assert_eq!(first.unwrap().1.cause, DecisionCause::CutOff);
 }
 
 #[test]
 fn what_replicas_bore_when_full_counts_against_what_operators_say() {
     let mut scene = scene();
-    scene.full[1] = 4;
+    scene.saturated[1] = 4;
     scene.pass(500);
     // 300 merged by ten replicas that are full: 30 each, not the 100 told.
     assert!(scene.book.watches[1].bears < 31.0, "{}", scene.book.watches[1].bears);
-    scene.full[1] = 0;
+    scene.saturated[1] = 0;
     scene.pass(60_000);
     assert_eq!(scene.book.watches[1].bears, 100.0);
 }
@@ -293,22 +299,22 @@
     #[test]
     fn moves_keep_the_rules(script in proptest::collection::vec((0usize..3, 0u16..=10, 0u16..=10, 50i64..1500), 1..40)) {
         let mut scene = scene();
-        for (zone, silent, full, ms) in script {
+        for (zone, silent, saturated, ms) in script {
             (0..3).for_each(|from| scene.silent[from][zone] = silent);
-            scene.full[zone] = full;
+            scene.saturated[zone] = saturated;
             scene.pass(ms);
         }
-        let mut before = (Timestamp::default(), Decision::first(3, 1 << 32));
+        let mut before = (Timestamp::default(), Decision::initial(3, 1 << 32));
         let mut changed = [Timestamp::from_micros(i64::MIN / 4); 3];
         for (at, decision) in &scene.history {
-            prop_assert!(decision.sound(3));
-            prop_assert!(decision.places.iter().any(|p| p.kept > 0), "all are out: {:?}", decision);
+            prop_assert!(decision.is_valid(3));
+            prop_assert!(decision.zones.iter().any(|p| p.retained > 0), "all are out: {:?}", decision);
             for (zone, last) in changed.iter_mut().enumerate() {
-                let (was, is) = (&before.1.places[zone], &decision.places[zone]);
-                prop_assert!(was.kept.saturating_sub(is.kept) <= STEP);
-                prop_assert!(is.kept.saturating_sub(was.kept) <= RETURN_STEP);
-                if was.kept != is.kept {
-                    let quick = decision.cause == Cause::Step && *at - *last < STEP_TIME;
+                let (was, is) = (&before.1.zones[zone], &decision.zones[zone]);
+                prop_assert!(was.retained.saturating_sub(is.retained) <= STEP);
+                prop_assert!(is.retained.saturating_sub(was.retained) <= RETURN_STEP);
+                if was.retained != is.retained {
+                    let quick = decision.cause == DecisionCause::NextStep && *at - *last < STEP_TIME;
                     prop_assert!(!quick, "{at:?} {decision:?}");
                     *last = *at;
                 }
@@ -316,8 +322,8 @@
             before = (*at, decision.clone());
         }
         scene.heal();
-        scene.full = [0; 3];
+        scene.saturated = [0; 3];
         scene.pass(60_000);
-        prop_assert!((0..3).all(|z| scene.state(z) == (State::Serving, 1000)), "{:?}", scene.decision);
+        prop_assert!((0..3).all(|z| scene.state(z) == (ZoneState::Serving, 1000)), "{:?}", scene.decision);
     }
 }
--- a/crates/pipitcrank-failover/src/node/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/node/stored_forms.rs
@@ -18,12 +18,12 @@
     Peer { address: ([127, 0, 0, 1], 7201).into(), instance: 1 << 50, zone: 2 }
 }
 
-fn shown() -> Shown {
-    Shown {
-        decision: Some(Decision::first(2, 7 << 32)),
-        standing: "follows".into(),
-        shares: vec![(0, 900), (1, 100)],
-        evidence: vec![("Well".into(), 5, 40)],
+fn shown() -> StatusReport {
+    StatusReport {
+        decision: Some(Decision::initial(2, 7 << 32)),
+        status: "follows".into(),
+        fractions: vec![ZoneFraction { zone: 0, permille: 900 }, ZoneFraction { zone: 1, permille: 100 }],
+        evidence: vec![ZoneEvidence { finding: "Well".into(), reporters: 5, healthy_replicas: 40 }],
         leader: Some(1),
         voters_heard: 3,
         members: 20,
@@ -32,32 +32,40 @@
 
 #[test]
 fn messages_between_copies_are_read_and_written_as_by_an_earlier_version() {
-    let row = Row { listed: 9, answering: 1, silent: 2, failing: 3, full: 4, cold: 5, merged: 60_000 };
-    let evidence = Evidence { zone: 1, number: 300, rows: vec![row], asked: 7000, copies: 12 };
-    let stands = Said::Stands {
+    let row = ReplicaCounts {
+        listed: 9,
+        answering: 1,
+        silent: 2,
+        failing: 3,
+        saturated: 4,
+        warming_up: 5,
+        answered_parts: 60_000,
+    };
+    let evidence = Evidence { zone: 1, sequence: 300, replica_counts: vec![row], demand: 7000, nodes: 12 };
+    let stands = Message::Stands {
         nonce: 17,
-        decision: Some(Decision::first(2, 7 << 32)),
+        decision: Some(Decision::initial(2, 7 << 32)),
         rank: (8, 9),
         beat_number: 10,
         age: TimeSpan::from_millis(40),
     };
-    let told = |answer| Said::Told { ticket: 33, answer };
+    let told = |answer| Message::Told { ticket: 33, answer };
     check(
         "node_messages.hex",
         &[
-            ("voter", Said::Voter(Word::Found { generation: 9 })),
-            ("evidence", Said::Evidence(evidence)),
-            ("look", Said::Look(17)),
+            ("voter", Message::Voter(VoterMessage::Found { generation: 9 })),
+            ("evidence", Message::Evidence(evidence)),
+            ("look", Message::StatusQuery(17)),
             ("stands", stands),
-            ("ask_show", Said::Ask { ticket: 33, order: None }),
-            ("ask_order", Said::Ask { ticket: 33, order: Some(Order::Drain(2)) }),
-            ("told_shown", told(Answer::Shown(shown()))),
-            ("told_done", told(Answer::Done(7 << 32 | 1))),
-            ("told_refused", told(Answer::Refused("it is frozen already".into()))),
-            ("told_not_leading", told(Answer::NotLeading(Some(2)))),
-            ("told_who", told(Answer::Who(vec![peer()], true))),
-            ("stay_away", Said::StayAway { ticket: 33, seats: vec![1, 2] }),
-            ("who", Said::Who { ticket: 33, after: Some(([127, 0, 0, 1], 7202).into()) }),
+            ("ask_show", Message::Ask { ticket: 33, order: None }),
+            ("ask_order", Message::Ask { ticket: 33, order: Some(OperatorOrder::Drain(2)) }),
+            ("told_shown", told(OperatorAnswer::Status(shown()))),
+            ("told_done", told(OperatorAnswer::Decided(7 << 32 | 1))),
+            ("told_refused", told(OperatorAnswer::Rejected("it is frozen already".into()))),
+            ("told_not_leading", told(OperatorAnswer::NotLeader(Some(2)))),
+            ("told_who", told(OperatorAnswer::Members { members: vec![peer()], more: true })),
+            ("stay_away", Message::StayAway { ticket: 33, seats: vec![1, 2] }),
+            ("who", Message::Who { ticket: 33, after: Some(([127, 0, 0, 1], 7202).into()) }),
         ],
     );
 }
--- a/crates/pipitcrank-failover/src/voter.rs
+++ b/crates/pipitcrank-failover/src/voter.rs
@@ -2,7 +2,7 @@
 //! decision a number. Nothing is decided here of zones. What the library replicas open stands here: who belongs to the
 //! voters when processes begin without memory.
 //!
-//! A process that was handed no `Memory` must never vote as if it remembered. Each has an id of its own, made of its seat
+//! A process that was handed no `VoterMemory` must never vote as if it remembered. Each has an id of its own, made of its seat
 //! and its start, and leaves it for good when it leaves a group. One that was handed what a process before it wrote down
 //! goes on under that id, once a majority has written down that it is a later run of it: so a copy of an older day that
 //! somebody put back is told apart by any majority, and comes back as one without memory.
@@ -62,7 +62,7 @@
 
 /// What voters say to each other beside the library's messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum VoterMessage {
     Hello {
         id: u64,
         /// Its group's; 0 without one.
@@ -94,10 +94,10 @@
 
 /// What goes to another seat.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum VoterOutput {
     /// The library's own message, of that generation.
-    Agree(u64, Vec<u8>),
-    Word(Word),
+    Raft(u64, Vec<u8>),
+    Message(VoterMessage),
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -150,7 +150,7 @@
 /// What a voter must not forget: to be kept where no crash takes it, before anything that was said after it goes out.
 /// Good for the same seat alone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Memory {
+pub struct VoterMemory {
     seat: usize,
     /// What its id is made of.
     instance: u64,
@@ -162,13 +162,13 @@
     group: Option<GroupMemory>,
 }
 
-impl Memory {
+impl VoterMemory {
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// What was encoded, if it can be read whole.
-    pub fn decode(bytes: &[u8]) -> Option<Memory> {
+    pub fn decode(bytes: &[u8]) -> Option<VoterMemory> {
         let (memory, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(memory)
     }
@@ -214,7 +214,7 @@
     begun: Option<(Vec<u64>, Decision)>,
 }
 
-pub struct Agreement {
+pub struct Voter {
     seat: usize,
     seats: usize,
     zones: usize,
@@ -245,20 +245,20 @@
     greeted: Timestamp,
     led_at: Timestamp,
     decided: Vec<Decision>,
-    out: Vec<(usize, Out)>,
+    out: Vec<(usize, VoterOutput)>,
     /// Messages of the library that could not be read or were not meant for this process's group.
-    pub left_out: u64,
+    pub discarded_messages: u64,
 }
 
 fn seat_of(id: u64) -> usize {
     (id & 0xff) as usize - 1
 }
 
-impl Agreement {
+impl Voter {
     /// `seat` of so many; `instance` tells this process apart from any before at that seat.
-    pub fn new(now: Timestamp, seat: usize, seats: usize, zones: usize, instance: u64) -> Agreement {
+    pub fn new(now: Timestamp, seat: usize, seats: usize, zones: usize, instance: u64) -> Voter {
         assert!(seat < seats && seats <= MOST_SEATS, "the operators' file is checked for this");
-        Agreement {
+        Voter {
             seat,
             seats,
             zones,
@@ -281,12 +281,12 @@
             led_at: now,
             decided: Vec::new(),
             out: Vec::new(),
-            left_out: 0,
+            discarded_messages: 0,
         }
     }
 
     /// Goes on from what a process before it at that seat wrote down. Of what can't be gone on from nothing is taken.
-    pub fn remember(&mut self, now: Timestamp, memory: Memory) {
+    pub fn restore(&mut self, now: Timestamp, memory: VoterMemory) {
         let runs_fit = memory.runs.len() == self.seats;
         if memory.seat != self.seat || !runs_fit || memory.instance == 0 {
             return;
@@ -314,7 +314,7 @@
         // Guards against a memory that does not hang together: the library takes such a one for its own fault.
         let in_row = entries.iter().zip(at.0 + 1..).all(|(e, index)| e.index == index && e.term >= at.1);
         let last = at.0 + entries.len() as u64;
-        let decision = decision.filter(|d| d.sound(self.zones));
+        let decision = decision.filter(|d| d.is_valid(self.zones));
         let whole = in_row && at.0 > 0 && (at.0..=last).contains(&hard.2) && decision.is_some();
         let kept = whole && log.wl().apply_snapshot(snapshot).is_ok() && log.wl().append(&entries).is_ok();
         if !kept {
@@ -334,7 +334,7 @@
 
     /// What must not be forgotten, where that has changed since last asked. Nothing that was said since goes out before it
     /// is kept.
-    pub fn take_memory(&mut self) -> Option<Memory> {
+    pub fn take_memory(&mut self) -> Option<VoterMemory> {
         if !std::mem::take(&mut self.changed) {
             return None;
         }
@@ -359,7 +359,7 @@
                 entries: bytes,
             })
         });
-        Some(Memory {
+        Some(VoterMemory {
             seat: self.seat,
             instance: self.instance,
             left: self.left,
@@ -388,7 +388,7 @@
 
     /// Seats that the operators say stay away: a new generation is founded without them. To be said of seats alone
     /// that are dead for good: one that goes on with others could have a majority of its own.
-    pub fn stay_away(&mut self, seats: Vec<usize>) {
+    pub fn exclude_voters(&mut self, seats: Vec<usize>) {
         self.without = seats;
     }
 
@@ -417,7 +417,7 @@
         mixed | (self.seat as u64 + 1)
     }
 
-    pub fn due(&self) -> Timestamp {
+    pub fn next_deadline(&self) -> Timestamp {
         (self.ticked + TICK).min(self.greeted + GREET)
     }
 
@@ -452,7 +452,7 @@
     }
 
     fn greet(&mut self) {
-        let hello = Word::Hello {
+        let hello = VoterMessage::Hello {
             id: self.id(),
             generation: self.group.as_ref().map_or(0, |g| g.generation),
             led: self.has_leader(),
@@ -463,13 +463,13 @@
         self.say_to_all(hello);
     }
 
-    fn say_to_all(&mut self, word: Word) {
+    fn say_to_all(&mut self, word: VoterMessage) {
         let others = (0..self.seats).filter(|&s| s != self.seat);
-        self.out.extend(others.map(|s| (s, Out::Word(word.clone()))));
+        self.out.extend(others.map(|s| (s, VoterOutput::Message(word.clone()))));
     }
 
     /// What this copy follows, and the highest generation that anything heard speaks of.
-    pub fn follows(&mut self, decision: &Decision) {
+    pub fn observe_decision(&mut self, decision: &Decision) {
         self.highest = self.highest.max(decision.generation());
         if self.known.as_ref().is_none_or(|k| k.number < decision.number) {
             self.known = Some(decision.clone());
@@ -490,9 +490,9 @@
                     // Until all have begun.
                     Some((ids, first)) => {
                         let (generation, ids, first) = (founding.generation, ids.clone(), first.clone());
-                        Word::Begin { generation, ids, first }
+                        VoterMessage::Begin { generation, ids, first }
                     }
-                    None => Word::Found { generation: founding.generation },
+                    None => VoterMessage::Found { generation: founding.generation },
                 };
                 self.say_to_all(word);
                 return;
@@ -510,7 +510,7 @@
         self.leave(now, generation, self.seat);
         let promises = BTreeMap::from([(self.seat, (self.id(), self.known.clone()))]);
         self.founding = Some(Founding { generation, since: now, promises, begun: None });
-        self.say_to_all(Word::Found { generation });
+        self.say_to_all(VoterMessage::Found { generation });
         self.begin_if_all(now);
     }
 
@@ -534,11 +534,11 @@
         let ids: Vec<u64> = founding.promises.values().map(|p| p.0).collect();
         let known = founding.promises.values().filter_map(|p| p.1.as_ref()).max_by_key(|d| d.number);
         let number = founding.generation << 32;
-        let mut first = known.cloned().unwrap_or_else(|| Decision::first(self.zones, number));
-        (first.number, first.cause) = (number, crate::decision::Cause::Begun);
+        let mut first = known.cloned().unwrap_or_else(|| Decision::initial(self.zones, number));
+        (first.number, first.cause) = (number, crate::decision::DecisionCause::GroupFounded);
         founding.begun = Some((ids.clone(), first.clone()));
         let generation = founding.generation;
-        self.say_to_all(Word::Begin { generation, ids: ids.clone(), first: first.clone() });
+        self.say_to_all(VoterMessage::Begin { generation, ids: ids.clone(), first: first.clone() });
         self.begin(now, generation, &ids, first);
     }
 
@@ -599,7 +599,7 @@
                 (self.led_at, self.changed) = (now, true);
                 self.group = Some(Group { generation, id, node, decision, admitted_at: now });
             }
-            Err(_) => self.left_out += 1,
+            Err(_) => self.discarded_messages += 1,
         }
     }
 
@@ -638,12 +638,12 @@
 
     // What comes.
 
-    pub fn heard_word(&mut self, now: Timestamp, seat: usize, word: Word) {
+    pub fn handle_message(&mut self, now: Timestamp, seat: usize, word: VoterMessage) {
         if seat >= self.seats || seat == self.seat {
             return;
         }
         match word {
-            Word::Hello { id, generation, led, highest, run, runs } => {
+            VoterMessage::Hello { id, generation, led, highest, run, runs } => {
                 if seat_of(id.max(1)) != seat || runs.len() != self.seats {
                     return;
                 }
@@ -657,7 +657,7 @@
                 self.highest = self.highest.max(highest.min(u64::from(u32::MAX) / 2));
                 self.heard.insert(seat, Heard { at: now, id, generation, led, noted: runs[self.seat] });
             }
-            Word::Found { generation } => {
+            VoterMessage::Found { generation } => {
                 let free = !self.has_leader() && now - self.led_at >= FOUND_AFTER * 0.5;
                 let newer = generation > self.group.as_ref().map_or(0, |g| g.generation);
                 // The first seat founds, or the first of those that do not stay away.
@@ -671,11 +671,11 @@
                     _ => self.leave(now, generation, seat),
                 }
                 self.highest = self.highest.max(generation);
-                let joins = Word::Joins { generation, id: self.id(), known: self.known.clone() };
-                self.out.push((seat, Out::Word(joins)));
+                let joins = VoterMessage::Joins { generation, id: self.id(), known: self.known.clone() };
+                self.out.push((seat, VoterOutput::Message(joins)));
             }
-            Word::Joins { generation, id, known } => {
-                let known = known.filter(|d| d.sound(self.zones));
+            VoterMessage::Joins { generation, id, known } => {
+                let known = known.filter(|d| d.is_valid(self.zones));
                 if let Some(founding) = &mut self.founding
                     && founding.generation == generation
                     && founding.begun.is_none()
@@ -685,11 +685,11 @@
                     self.begin_if_all(now);
                 }
             }
-            Word::Begin { generation, ids, first } => {
+            VoterMessage::Begin { generation, ids, first } => {
                 let meant = ids.contains(&self.id()) && ids.len() <= self.seats;
                 let promised =
                     self.promised.is_some_and(|(p, founder, _)| (p, founder) == (generation, seat));
-                if promised && meant && first.sound(self.zones) {
+                if promised && meant && first.is_valid(self.zones) {
                     self.begin(now, generation, &ids, first);
                 }
             }
@@ -697,22 +697,22 @@
     }
 
     /// A message of the library.
-    pub fn heard_agree(&mut self, now: Timestamp, generation: u64, bytes: &[u8]) {
+    pub fn handle_raft(&mut self, now: Timestamp, generation: u64, bytes: &[u8]) {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
-            self.left_out += 1;
+            self.discarded_messages += 1;
             return;
         };
         // Guards against what is meant for a process before this one, which may have promised otherwise.
         let local = raft::raw_node::is_local_msg(message.msg_type);
         if message.to != self.id() || local || self.promised.is_some() || self.unproven {
-            self.left_out += 1;
+            self.discarded_messages += 1;
             return;
         }
         if self.group.is_none() {
             self.join(now, generation, None);
         }
         let Some(group) = self.group.as_mut().filter(|g| g.generation == generation) else {
-            self.left_out += 1;
+            self.discarded_messages += 1;
             return;
         };
         // Guards against a memory from before something that was written under this id: the library would stop the process.
@@ -722,7 +722,7 @@
             return self.forget();
         }
         if group.node.step(message).is_err() {
-            self.left_out += 1;
+            self.discarded_messages += 1;
         }
         self.work();
         if self.has_leader() {
@@ -752,10 +752,10 @@
                 let whole = ready.snapshot().clone();
                 let told = postcard::from_bytes::<Decision>(&whole.data);
                 if group.node.store().log.wl().apply_snapshot(whole).is_err() {
-                    self.left_out += 1;
+                    self.discarded_messages += 1;
                 }
                 if let Ok(decision) = told
-                    && decision.sound(self.zones)
+                    && decision.is_valid(self.zones)
                 {
                     *group.node.store().decision.borrow_mut() =
                         postcard::to_allocvec(&decision).unwrap_or_default();
@@ -766,7 +766,7 @@
             let committed = ready.take_committed_entries();
             apply(group, committed, self.zones, &mut self.decided);
             if !ready.entries().is_empty() && group.node.store().log.wl().append(ready.entries()).is_err() {
-                self.left_out += 1;
+                self.discarded_messages += 1;
             }
             if let Some(hard) = ready.hs() {
                 group.node.store().log.wl().set_hardstate(hard.clone());
@@ -789,7 +789,7 @@
                     && seat != self.seat
                     && let Ok(bytes) = message.write_to_bytes()
                 {
-                    self.out.push((seat, Out::Agree(group.generation, bytes)));
+                    self.out.push((seat, VoterOutput::Raft(group.generation, bytes)));
                 }
             }
         }
@@ -804,7 +804,7 @@
 
     // What it says.
 
-    pub fn take_out(&mut self) -> Vec<(usize, Out)> {
+    pub fn take_outputs(&mut self) -> Vec<(usize, VoterOutput)> {
         std::mem::take(&mut self.out)
     }
 
@@ -818,7 +818,7 @@
         self.group.as_ref()?.decision.as_ref()
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.group.as_ref().is_some_and(|g| g.node.raft.state == StateRole::Leader)
     }
 
@@ -851,7 +851,7 @@
     }
 
     /// Whether this process is among the voters of its group as it knows it.
-    pub fn votes(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.group.as_ref().is_some_and(|g| g.node.raft.prs().conf().voters().ids().contains(g.id))
     }
 
@@ -869,7 +869,7 @@
                 let Ok(Proposal { base, mut decision }) = postcard::from_bytes(&entry.data) else { continue };
                 // One decision a number: made from another than the one that stands, it is void at all voters alike.
                 let Some(current) = &group.decision else { continue };
-                if base != current.number || !decision.sound(zones) {
+                if base != current.number || !decision.is_valid(zones) {
                     continue;
                 }
                 decision.number = current.number + 1;
--- a/crates/pipitcrank-failover/src/voter/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/voter/stored_forms.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 
 use super::*;
-use crate::decision::{Cause, Order, Place, State};
+use crate::decision::{DecisionCause, OperatorOrder, ZoneDecision, ZoneState};
 
 #[path = "../../../../fixtures/mod.rs"]
 mod fixtures;
@@ -16,48 +16,56 @@
 }
 
 fn decision() -> Decision {
-    let place = |state, kept| Place { state, kept, level: 3, drained: true, carries: 900, asked: 70, cut: 4 };
+    let place = |state, retained| ZoneDecision {
+        state,
+        retained,
+        hold_down_level: 3,
+        drained: true,
+        capacity: 900,
+        demand: 70,
+        cut_paths: 4,
+    };
     Decision {
         number: 7 << 32 | 9,
-        places: vec![
-            place(State::Serving, WHOLE),
-            place(State::Suspected, 900),
-            place(State::Leaving, 500),
-            place(State::Out, 0),
-            place(State::Returning, 100),
+        zones: vec![
+            place(ZoneState::Serving, FULL_PERMILLE),
+            place(ZoneState::Suspected, 900),
+            place(ZoneState::Draining, 500),
+            place(ZoneState::OutOfService, 0),
+            place(ZoneState::Returning, 100),
         ],
         frozen: true,
-        cause: Cause::CutOff,
+        cause: DecisionCause::CutOff,
         zone: 2,
     }
 }
 
-const WHOLE: u16 = crate::decision::WHOLE;
+const FULL_PERMILLE: u16 = crate::decision::FULL_PERMILLE;
 
 #[test]
 fn decisions_are_read_and_written_as_by_an_earlier_version() {
     check("decision.hex", &[("decision", decision())]);
     let causes = [
-        ("begun", Cause::Begun),
-        ("dead", Cause::Dead),
-        ("cut_off", Cause::CutOff),
-        ("slow", Cause::Slow),
-        ("well", Cause::Well),
-        ("step", Cause::Step),
-        ("way", Cause::Way),
-        ("figures", Cause::Figures),
-        ("calm", Cause::Calm),
-        ("drained", Cause::Drained),
-        ("returned", Cause::Returned),
-        ("frozen", Cause::Frozen),
-        ("thawed", Cause::Thawed),
+        ("begun", DecisionCause::GroupFounded),
+        ("dead", DecisionCause::Dead),
+        ("cut_off", DecisionCause::CutOff),
+        ("slow", DecisionCause::Slow),
+        ("well", DecisionCause::Healthy),
+        ("step", DecisionCause::NextStep),
+        ("way", DecisionCause::PathChanged),
+        ("figures", DecisionCause::LoadChanged),
+        ("calm", DecisionCause::Calm),
+        ("drained", DecisionCause::Drained),
+        ("returned", DecisionCause::Returned),
+        ("frozen", DecisionCause::Frozen),
+        ("thawed", DecisionCause::Thawed),
     ];
     check("decision_causes.hex", &causes);
     let orders = [
-        ("drain", Order::Drain(2)),
-        ("return", Order::Return(3)),
-        ("freeze", Order::Freeze),
-        ("thaw", Order::Thaw),
+        ("drain", OperatorOrder::Drain(2)),
+        ("return", OperatorOrder::Return(3)),
+        ("freeze", OperatorOrder::Freeze),
+        ("thaw", OperatorOrder::Thaw),
     ];
     check("operator_orders.hex", &orders);
     check("proposal.hex", &[("proposal", Proposal { base: 8, decision: decision() })]);
@@ -65,7 +73,7 @@
 
 #[test]
 fn messages_between_voters_are_read_and_written_as_by_an_earlier_version() {
-    let hello = Word::Hello {
+    let hello = VoterMessage::Hello {
         id: 0x301,
         generation: 7,
         led: true,
@@ -77,9 +85,9 @@
         "voter_messages.hex",
         &[
             ("hello", hello),
-            ("found", Word::Found { generation: 9 }),
-            ("joins", Word::Joins { generation: 9, id: 0x402, known: Some(decision()) }),
-            ("begin", Word::Begin { generation: 9, ids: vec![0x301, 0x402], first: decision() }),
+            ("found", VoterMessage::Found { generation: 9 }),
+            ("joins", VoterMessage::Joins { generation: 9, id: 0x402, known: Some(decision()) }),
+            ("begin", VoterMessage::Begin { generation: 9, ids: vec![0x301, 0x402], first: decision() }),
         ],
     );
 }
@@ -94,7 +102,7 @@
         hard: (5, 0x301, 12),
         entries: vec![vec![1, 2], vec![3]],
     };
-    let memory = Memory {
+    let memory = VoterMemory {
         seat: 1,
         instance: 1 << 50,
         left: 2,
@@ -104,6 +112,8 @@
         runs: vec![(0x301, (2, 6)), (0x402, (1, 5))],
         group: Some(group),
     };
-    let values = [("in_a_group", memory), ("new", Memory::default())];
-    fixtures::check("voter_memory.hex", &values, Memory::encode, |bytes| Memory::decode(bytes).unwrap());
+    let values = [("in_a_group", memory), ("new", VoterMemory::default())];
+    fixtures::check("voter_memory.hex", &values, VoterMemory::encode, |bytes| {
+        VoterMemory::decode(bytes).unwrap()
+    });
 }
--- a/crates/pipitcrank-failover/tests/voter.rs
+++ b/crates/pipitcrank-failover/tests/voter.rs
@@ -5,7 +5,7 @@
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::decision::Decision;
-use pipitcrank_failover::voter::{Agreement, Memory, Out};
+use pipitcrank_failover::voter::{Voter, VoterMemory, VoterOutput};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -14,12 +14,12 @@
 struct Net {
     now: Timestamp,
     chance: Pcg64,
-    voters: Vec<Option<Agreement>>,
+    voters: Vec<Option<Voter>>,
     /// Process of each seat, by number.
     process: Vec<u64>,
     /// Stands still: what comes waits until it wakes.
     stopped: BTreeSet<usize>,
-    on_way: BTreeMap<(Timestamp, u64), (usize, usize, Out)>,
+    on_way: BTreeMap<(Timestamp, u64), (usize, usize, VoterOutput)>,
     next: u64,
     /// Ways that are cut, by direction.
     cut: BTreeSet<(usize, usize)>,
@@ -34,7 +34,7 @@
     two_under_one: u64,
     went_back: u64,
     /// By seat, what was kept: all of it, oldest first. Empty where there is no disk.
-    kept: Vec<Vec<Memory>>,
+    kept: Vec<Vec<VoterMemory>>,
     disks: bool,
 }
 
@@ -69,7 +69,7 @@
         self.starts += 1_000_001;
         self.process[seat] = self.starts;
         self.stopped.remove(&seat);
-        self.voters[seat] = Some(Agreement::new(self.now, seat, self.voters.len(), ZONES, self.starts));
+        self.voters[seat] = Some(Voter::new(self.now, seat, self.voters.len(), ZONES, self.starts));
     }
 
     /// A process at that seat that goes on from what was kept so many writes before the last.
@@ -77,7 +77,7 @@
         self.start(seat);
         let place = self.kept[seat].len().checked_sub(1 + writes_before);
         if let (Some(place), Some(voter)) = (place, &mut self.voters[seat]) {
-            voter.remember(self.now, self.kept[seat][place].clone());
+            voter.restore(self.now, self.kept[seat][place].clone());
         }
     }
 
@@ -94,23 +94,25 @@
                     }
                 } else if let Some(voter) = &mut self.voters[to] {
                     match out {
-                        Out::Agree(generation, bytes) => voter.heard_agree(self.now, generation, &bytes),
-                        Out::Word(word) => voter.heard_word(self.now, from, word),
+                        VoterOutput::Raft(generation, bytes) => {
+                            voter.handle_raft(self.now, generation, &bytes)
+                        }
+                        VoterOutput::Message(word) => voter.handle_message(self.now, from, word),
                     }
                 }
             }
             let proposes = self.now - self.proposed >= TimeSpan::from_millis(100);
             for seat in (0..self.voters.len()).filter(|s| !self.stopped.contains(s)) {
                 let Some(voter) = &mut self.voters[seat] else { continue };
-                if voter.due() <= self.now {
+                if voter.next_deadline() <= self.now {
                     voter.tick(self.now);
                 }
                 if proposes
-                    && voter.leads()
+                    && voter.is_leader()
                     && let Some(mut next) = voter.decision().cloned()
                 {
                     self.proposals += 1;
-                    next.places[0].asked = self.proposals;
+                    next.zones[0].demand = self.proposals;
                     voter.propose(next.number, next);
                 }
             }
@@ -128,7 +130,7 @@
                 let newest = self.newest.entry(self.process[seat]).or_insert(0);
                 self.went_back += u64::from(decision.number < *newest);
                 *newest = decision.number;
-                voter.follows(&decision);
+                voter.observe_decision(&decision);
             }
             // Kept before anything goes out.
             if let Some(memory) = voter.take_memory()
@@ -136,12 +138,12 @@
             {
                 self.kept[seat].push(memory);
             }
-            for (to, out) in voter.take_out() {
+            for (to, out) in voter.take_outputs() {
                 if self.cut.contains(&(seat, to)) || self.chance.random_bool(self.loss) {
                     continue;
                 }
-                let copies = if self.chance.random_bool(self.loss / 3.0) { 2 } else { 1 };
-                for _ in 0..copies {
+                let nodes = if self.chance.random_bool(self.loss / 3.0) { 2 } else { 1 };
+                for _ in 0..nodes {
                     let delay = TimeSpan::from_millis(1 + self.chance.random_range(0..=self.delay_ms));
                     self.next += 1;
                     self.on_way.insert((self.now + delay, self.next), (seat, to, out.clone()));
@@ -151,7 +153,7 @@
     }
 
     fn leaders(&self) -> Vec<usize> {
-        (0..self.voters.len()).filter(|&s| self.voters[s].as_ref().is_some_and(Agreement::leads)).collect()
+        (0..self.voters.len()).filter(|&s| self.voters[s].as_ref().is_some_and(Voter::is_leader)).collect()
     }
 
     /// Cuts a set off from the rest, both ways.
@@ -215,7 +217,7 @@
     net.pass(5000);
     net.start(2);
     net.goes_on(3000, "one restarted");
-    assert!(net.voters[2].as_ref().unwrap().votes());
+    assert!(net.voters[2].as_ref().unwrap().is_voter());
     net.voters[0] = None;
     net.goes_on(4000, "the new one is needed for a majority");
     net.start(0);
@@ -273,10 +275,10 @@
     let voter = net.voters[1].as_mut().unwrap();
     let before = voter.decision().cloned();
     for bytes in [&b"garbage"[..], &[0xff; 900], &[]] {
-        voter.heard_agree(net.now, voter.generation(), bytes);
-        voter.heard_agree(net.now, 99, bytes);
+        voter.handle_raft(net.now, voter.generation(), bytes);
+        voter.handle_raft(net.now, 99, bytes);
     }
-    assert!(voter.left_out >= 6);
+    assert!(voter.discarded_messages >= 6);
     assert_eq!(voter.decision().cloned(), before);
     net.goes_on(2000, "after garbage");
 }
@@ -332,12 +334,12 @@
     let mut net = Net::new(11, 3);
     net.disks = true;
     net.goes_on(5000, "first start");
-    let ids: Vec<u64> = net.voters.iter().flatten().map(Agreement::own_id).collect();
+    let ids: Vec<u64> = net.voters.iter().flatten().map(Voter::own_id).collect();
     for all in [vec![2], vec![0, 1], vec![0, 1, 2]] {
         all.iter().for_each(|&seat| net.start_with(seat, 0));
         net.goes_on(4000, "restarted with what was kept");
     }
-    assert_eq!(ids, net.voters.iter().flatten().map(Agreement::own_id).collect::<Vec<_>>());
+    assert_eq!(ids, net.voters.iter().flatten().map(Voter::own_id).collect::<Vec<_>>());
     assert_eq!(net.generations(), 1, "nothing had to be founded anew");
     // A third that has nothing comes in beside them.
     net.voters[0] = None;
@@ -358,15 +360,15 @@
         let memory = memories.last().unwrap();
         let bytes = postcard::to_allocvec(memory).unwrap();
         assert!(bytes.len() < 4000, "{} bytes", bytes.len());
-        assert_eq!(postcard::from_bytes::<Memory>(&bytes).unwrap(), *memory);
+        assert_eq!(postcard::from_bytes::<VoterMemory>(&bytes).unwrap(), *memory);
     }
     let (mine, others) = (net.kept[0].last().unwrap().clone(), net.kept[1].last().unwrap().clone());
     net.start(0);
     let voter = net.voters[0].as_mut().unwrap();
     let blank = voter.own_id();
-    voter.remember(net.now, others);
+    voter.restore(net.now, others);
     assert_eq!(voter.own_id(), blank, "another seat's");
-    voter.remember(net.now, mine);
+    voter.restore(net.now, mine);
     assert_ne!(voter.own_id(), blank);
     assert!(
         voter.decision().is_some() && voter.take_decided().is_empty(),
@@ -388,10 +390,10 @@
     let later = net.kept[2].len() - old;
     net.start_with(2, later);
     net.pass(100);
-    assert!(!net.voters[2].as_ref().unwrap().votes() || net.voters[2].as_ref().unwrap().is_unproven());
+    assert!(!net.voters[2].as_ref().unwrap().is_voter() || net.voters[2].as_ref().unwrap().is_unproven());
     net.goes_on(5000, "put back");
     let voter = net.voters[2].as_ref().unwrap();
-    assert!(voter.own_id() != id && voter.votes(), "admitted anew under another id");
+    assert!(voter.own_id() != id && voter.is_voter(), "admitted anew under another id");
     assert_eq!(net.generations(), 1);
 }
 
@@ -406,17 +408,17 @@
     net.pass(15_000);
     assert_eq!(net.all.len(), decided, "two of three without memory decide nothing");
     for seat in [1, 2] {
-        net.voters[seat].as_mut().unwrap().stay_away(vec![0]);
+        net.voters[seat].as_mut().unwrap().exclude_voters(vec![0]);
     }
     net.goes_on(8000, "begun anew without it");
     assert!(*net.all.keys().last().unwrap() >> 32 > before >> 32, "above all numbers used");
     // It comes back after all, when the command is taken back.
     for seat in [1, 2] {
-        net.voters[seat].as_mut().unwrap().stay_away(Vec::new());
+        net.voters[seat].as_mut().unwrap().exclude_voters(Vec::new());
     }
     net.start(0);
     net.goes_on(5000, "back");
-    assert!(net.voters[0].as_ref().unwrap().votes());
+    assert!(net.voters[0].as_ref().unwrap().is_voter());
 }
 
 /// Processes that die at any moment and go on from what was kept, or from an older copy of it, or from nothing, on a
--- a/crates/pipitcrank-membership/src/envelope.rs
+++ b/crates/pipitcrank-membership/src/envelope.rs
@@ -13,11 +13,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Raised with each change of any message's form.
-pub const VERSION: u8 = 1;
+pub const PROTOCOL_VERSION: u8 = 1;
 /// Longest datagram: it travels whole through any network met.
-pub const LONGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// What is left for the body, whatever the head takes.
-pub const LONGEST_BODY: usize = LONGEST - 4 - 20 - 10 - 10 - TAG;
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - 4 - 20 - 10 - 10 - TAG;
 const MAGIC: [u8; 2] = *b"pm";
 const TAG: usize = 16;
 /// Senders remembered, and processes of one that are over: above any fleet's size; the longest silent goes first.
@@ -29,30 +29,48 @@
 /// What the body is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Kind {
+pub enum DatagramKind {
     /// foca's own bytes.
     Gossip = 1,
     /// The agreement's library's own bytes.
-    Agree = 2,
+    Consensus = 2,
     /// A message of ours in postcard's form.
-    Word = 3,
+    Message = 3,
 }
 
-/// Why a datagram was left. The names are the counter's.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Left {
-    #[error("too_long")]
+#[error("{}", self.name())]
+pub enum DatagramRejection {
     TooLong,
-    #[error("cut")]
-    Cut,
-    #[error("other_version")]
-    OtherVersion,
-    #[error("forged")]
+    Truncated,
+    UnsupportedVersion,
     Forged,
-    #[error("replayed")]
     Replayed,
 }
 
+impl DatagramRejection {
+    /// The name of its counter.
+    pub fn name(self) -> &'static str {
+        match self {
+            DatagramRejection::TooLong => "too_long",
+            DatagramRejection::Truncated => "cut",
+            DatagramRejection::UnsupportedVersion => "other_version",
+            DatagramRejection::Forged => "forged",
+            DatagramRejection::Replayed => "replayed",
+        }
+    }
+}
+
+/// A datagram that is ready to be sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingDatagram {
+    /// Where it goes.
+    pub to: SocketAddr,
+    /// What it holds.
+    pub bytes: Vec<u8>,
+}
+
 #[derive(Serialize, Deserialize)]
 struct Head {
     from: SocketAddr,
@@ -69,7 +87,7 @@
 }
 
 /// The key that a secret of the operators' file stands for.
-pub fn key(secret: &str) -> [u8; 32] {
+pub fn derive_key(secret: &str) -> [u8; 32] {
     blake3::derive_key("pipitcrank 2026-12 between copies", secret.as_bytes())
 }
 
@@ -89,12 +107,12 @@
     }
 
     /// None where the body is too long to travel.
-    pub fn seal(&mut self, to: SocketAddr, kind: Kind, body: &[u8]) -> Option<Vec<u8>> {
-        if body.len() > LONGEST_BODY {
+    pub fn seal(&mut self, to: SocketAddr, kind: DatagramKind, body: &[u8]) -> Option<Vec<u8>> {
+        if body.len() > MAX_BODY_BYTES {
             return None;
         }
         self.number += 1;
-        let mut out = vec![MAGIC[0], MAGIC[1], VERSION, kind as u8];
+        let mut out = vec![MAGIC[0], MAGIC[1], PROTOCOL_VERSION, kind as u8];
         let head = Head { from: self.from, instance: self.instance, number: self.number };
         out.extend(postcard::to_allocvec(&head).ok()?);
         out.extend_from_slice(body);
@@ -125,8 +143,8 @@
 
 /// What was in a datagram.
 #[derive(Debug, PartialEq)]
-pub struct Opened<'a> {
-    pub kind: Kind,
+pub struct OpenedDatagram<'a> {
+    pub kind: DatagramKind,
     pub from: SocketAddr,
     pub instance: u64,
     pub body: &'a [u8],
@@ -137,35 +155,37 @@
         Opener { key, own, senders: BTreeMap::new(), opened: 0 }
     }
 
-    pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<Opened<'a>, Left> {
-        if datagram.len() > LONGEST {
-            return Err(Left::TooLong);
+    pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramRejection> {
+        if datagram.len() > MAX_DATAGRAM_BYTES {
+            return Err(DatagramRejection::TooLong);
         }
-        let (sealed, found) = datagram.split_last_chunk::<TAG>().ok_or(Left::Cut)?;
-        let (&[a, b, version, kind], rest) = sealed.split_first_chunk::<4>().ok_or(Left::Cut)?;
+        let (sealed, found) = datagram.split_last_chunk::<TAG>().ok_or(DatagramRejection::Truncated)?;
+        let (&[a, b, version, kind], rest) =
+            sealed.split_first_chunk::<4>().ok_or(DatagramRejection::Truncated)?;
         if [a, b] != MAGIC {
-            return Err(Left::Forged);
+            return Err(DatagramRejection::Forged);
         }
-        if version != VERSION {
-            return Err(Left::OtherVersion);
+        if version != PROTOCOL_VERSION {
+            return Err(DatagramRejection::UnsupportedVersion);
         }
         // blake3's own comparison takes the same time whatever differs.
         let (ours, theirs) = (tag(&self.key, self.own, sealed), *found);
         if widened(ours) != widened(theirs) {
-            return Err(Left::Forged);
+            return Err(DatagramRejection::Forged);
         }
         let kind = match kind {
-            1 => Kind::Gossip,
-            2 => Kind::Agree,
-            3 => Kind::Word,
-            _ => return Err(Left::OtherVersion),
+            1 => DatagramKind::Gossip,
+            2 => DatagramKind::Consensus,
+            3 => DatagramKind::Message,
+            _ => return Err(DatagramRejection::UnsupportedVersion),
         };
-        let (head, body): (Head, _) = postcard::take_from_bytes(rest).map_err(|_| Left::Cut)?;
+        let (head, body): (Head, _) =
+            postcard::take_from_bytes(rest).map_err(|_| DatagramRejection::Truncated)?;
         self.opened += 1;
         if !self.is_new(&head) {
-            return Err(Left::Replayed);
+            return Err(DatagramRejection::Replayed);
         }
-        Ok(Opened { kind, from: head.from, instance: head.instance, body })
+        Ok(OpenedDatagram { kind, from: head.from, instance: head.instance, body })
     }
 
     fn is_new(&mut self, head: &Head) -> bool {
--- a/crates/pipitcrank-membership/src/envelope/tests.rs
+++ b/crates/pipitcrank-membership/src/envelope/tests.rs
@@ -7,46 +7,51 @@
 }
 
 fn pair() -> (Sealer, Opener) {
-    (Sealer::new(key("s"), at(1), 7), Opener::new(key("s"), at(2)))
+    (Sealer::new(derive_key("s"), at(1), 7), Opener::new(derive_key("s"), at(2)))
 }
 
 #[test]
 fn what_was_sealed_is_opened_once_by_whom_it_is_meant_for() {
     let (mut ours, mut theirs) = pair();
-    let sent = ours.seal(at(2), Kind::Word, b"hello").unwrap();
+    let sent = ours.seal(at(2), DatagramKind::Message, b"hello").unwrap();
     let opened = theirs.open(&sent).unwrap();
     assert_eq!(
         (opened.kind, opened.from, opened.instance, opened.body),
-        (Kind::Word, at(1), 7, &b"hello"[..])
+        (DatagramKind::Message, at(1), 7, &b"hello"[..])
+    );
+    assert_eq!(theirs.open(&sent), Err(DatagramRejection::Replayed));
+    let elsewhere = ours.seal(at(3), DatagramKind::Message, b"hello").unwrap();
+    assert_eq!(theirs.open(&elsewhere), Err(DatagramRejection::Forged), "meant for another");
+    let mut others = Sealer::new(derive_key("t"), at(1), 7);
+    assert_eq!(
+        theirs.open(&others.seal(at(2), DatagramKind::Message, b"").unwrap()),
+        Err(DatagramRejection::Forged)
     );
-    assert_eq!(theirs.open(&sent), Err(Left::Replayed));
-    let elsewhere = ours.seal(at(3), Kind::Word, b"hello").unwrap();
-    assert_eq!(theirs.open(&elsewhere), Err(Left::Forged), "meant for another");
-    let mut others = Sealer::new(key("t"), at(1), 7);
-    assert_eq!(theirs.open(&others.seal(at(2), Kind::Word, b"").unwrap()), Err(Left::Forged));
 }
 
 #[test]
 fn each_kind_of_bad_datagram_has_its_reason() {
     let (mut ours, mut theirs) = pair();
-    assert_eq!(theirs.open(&[0; 1401]), Err(Left::TooLong));
-    assert_eq!(theirs.open(b"pm"), Err(Left::Cut));
-    let mut other = ours.seal(at(2), Kind::Word, b"x").unwrap();
-    other[2] = VERSION + 1;
-    assert_eq!(theirs.open(&other), Err(Left::OtherVersion));
-    assert_eq!(ours.seal(at(2), Kind::Word, &[0; LONGEST]), None);
+    assert_eq!(theirs.open(&[0; 1401]), Err(DatagramRejection::TooLong));
+    assert_eq!(theirs.open(b"pm"), Err(DatagramRejection::Truncated));
+    let mut other = ours.seal(at(2), DatagramKind::Message, b"x").unwrap();
+    other[2] = PROTOCOL_VERSION + 1;
+    assert_eq!(theirs.open(&other), Err(DatagramRejection::UnsupportedVersion));
+    assert_eq!(ours.seal(at(2), DatagramKind::Message, &[0; MAX_DATAGRAM_BYTES]), None);
 }
 
 #[test]
 fn a_new_process_is_heard_and_the_one_before_it_no_more() {
     let (mut old, mut theirs) = pair();
-    let (first, late) =
-        (old.seal(at(2), Kind::Word, b"1").unwrap(), old.seal(at(2), Kind::Word, b"2").unwrap());
+    let (first, late) = (
+        old.seal(at(2), DatagramKind::Message, b"1").unwrap(),
+        old.seal(at(2), DatagramKind::Message, b"2").unwrap(),
+    );
     theirs.open(&first).unwrap();
     // Its clock went back meanwhile.
-    let mut new = Sealer::new(key("s"), at(1), 5);
-    theirs.open(&new.seal(at(2), Kind::Word, b"").unwrap()).unwrap();
-    assert_eq!(theirs.open(&late), Err(Left::Replayed));
+    let mut new = Sealer::new(derive_key("s"), at(1), 5);
+    theirs.open(&new.seal(at(2), DatagramKind::Message, b"").unwrap()).unwrap();
+    assert_eq!(theirs.open(&late), Err(DatagramRejection::Replayed));
 }
 
 proptest! {
@@ -57,7 +62,7 @@
     fn nothing_changed_is_opened(body in proptest::collection::vec(any::<u8>(), 0..200), at_byte in 0usize..300,
                                  by in 1u8..=255, cut in any::<bool>()) {
         let (mut ours, mut theirs) = pair();
-        let mut sent = ours.seal(at(2), Kind::Gossip, &body).unwrap();
+        let mut sent = ours.seal(at(2), DatagramKind::Gossip, &body).unwrap();
         let place = at_byte % sent.len();
         if cut { sent.truncate(place) } else { sent[place] ^= by }
         prop_assert!(theirs.open(&sent).is_err());
@@ -67,7 +72,7 @@
     #[test]
     fn each_number_once(order in proptest::collection::vec(0usize..60, 0..200)) {
         let (mut ours, mut theirs) = pair();
-        let sent: Vec<_> = (0..60).map(|_| ours.seal(at(2), Kind::Word, b"").unwrap()).collect();
+        let sent: Vec<_> = (0..60).map(|_| ours.seal(at(2), DatagramKind::Message, b"").unwrap()).collect();
         let mut seen = std::collections::BTreeSet::new();
         for n in order {
             prop_assert_eq!(theirs.open(&sent[n]).is_ok(), seen.insert(n));
--- a/crates/pipitcrank-membership/src/evidence.rs
+++ b/crates/pipitcrank-membership/src/evidence.rs
@@ -11,32 +11,32 @@
 
 /// Copies of one zone that speak for it: enough that the middle of them stands against two sick ones; what those who
 /// decide hear grows with zones, not with copies.
-pub const SPEAKERS: usize = 5;
+pub const REPORTERS_PER_ZONE: usize = 5;
 /// A word is good for so long: some of those who speak so often may be lost.
-pub const SPEAK: TimeSpan = TimeSpan::from_millis(250);
-const GOOD_FOR: TimeSpan = TimeSpan::from_millis(1000);
+pub const REPORT_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
+const REPORT_LIFETIME: TimeSpan = TimeSpan::from_millis(1000);
 /// Share of the replicas seen that are bad from which a zone is seen as bad, and from which it is seen as well again.
-pub const BAD: f64 = 0.8;
-pub const WELL: f64 = 0.2;
+pub const UNHEALTHY_FRACTION: f64 = 0.8;
+pub const HEALTHY_FRACTION: f64 = 0.2;
 /// A copy that holds this share of all zones but its own for bad, while others of its zone do not, is sick itself.
 const MOST: f64 = 0.99;
 
 /// What one copy sees of one zone's replicas, as counts; work in thousandths of a replica's second, each second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct ReplicaCounts {
     pub listed: u16,
     pub answering: u16,
     pub silent: u16,
     pub failing: u16,
-    pub full: u16,
-    pub cold: u16,
+    pub saturated: u16,
+    pub warming_up: u16,
     /// Parts a second merged there.
-    pub merged: u32,
+    pub answered_parts: u32,
 }
 
-impl Row {
+impl ReplicaCounts {
     pub fn seen(&self) -> u32 {
-        [self.answering, self.silent, self.failing, self.full].iter().map(|&n| u32::from(n)).sum()
+        [self.answering, self.silent, self.failing, self.saturated].iter().map(|&n| u32::from(n)).sum()
     }
 
     /// Share of the replicas seen that give nothing; none where nothing was seen.
@@ -52,55 +52,55 @@
 
 /// A copy's word on all zones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct EvidenceReport {
     /// Its own zone, by place.
     pub zone: u16,
     /// Grows with each word of one process.
-    pub number: u64,
+    pub sequence: u64,
     /// By zone, in the operators' order.
-    pub rows: Vec<Row>,
+    pub replica_counts: Vec<ReplicaCounts>,
     /// Parts a second asked of this copy by clients.
-    pub asked: u32,
+    pub demand: u32,
     /// Copies that it knows of in its zone, itself counted.
-    pub copies: u16,
+    pub nodes: u16,
 }
 
-impl Word {
+impl EvidenceReport {
     /// Whether it can be one: as many rows as there are zones, counts that do not exceed what is listed by much.
-    pub fn sound(&self, zones: usize) -> bool {
+    pub fn is_valid(&self, zones: usize) -> bool {
         usize::from(self.zone) < zones
-            && self.rows.len() == zones
-            && self.copies > 0
-            && self.rows.iter().all(|r| r.seen() <= u32::from(r.listed) && r.cold <= r.listed)
+            && self.replica_counts.len() == zones
+            && self.nodes > 0
+            && self.replica_counts.iter().all(|r| r.seen() <= u32::from(r.listed) && r.warming_up <= r.listed)
     }
 }
 
 struct Held {
     at: Timestamp,
     instance: u64,
-    word: Word,
+    word: EvidenceReport,
 }
 
 /// The newest word of each copy that speaks. One entry a speaker, gone when it is too old.
-pub struct Words {
+pub struct EvidenceTable {
     zones: usize,
     held: BTreeMap<SocketAddr, Held>,
 }
 
 /// What all words of one zone's copies say of one zone: the middle of them, so that one sick copy changes nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Cell {
+pub struct EvidenceCell {
     /// Copies whose word counts.
-    pub speakers: usize,
+    pub reporters: usize,
     /// Share of replicas seen that give nothing; none where none was seen.
     pub bad: Option<f64>,
-    pub full: f64,
-    pub cold: f64,
+    pub saturated: f64,
+    pub warming_up: f64,
     pub listed: f64,
     /// Leaves that were seen to be well.
     pub answering: f64,
     /// Parts a second that the zone's copies together had merged there.
-    pub merged: f64,
+    pub answered_parts: f64,
 }
 
 /// What there is about one zone.
@@ -108,9 +108,9 @@
 pub enum Finding {
     /// Nobody has seen enough of it.
     Unknown,
-    Well,
+    Healthy,
     /// Some of its replicas give nothing: it can carry less.
-    Part,
+    Degraded,
     /// It takes work and all of it waits.
     Slow,
     /// Nobody gets anything from its replicas, its own copies, where any speak, no more than others.
@@ -119,70 +119,87 @@
     CutOff,
 }
 
+impl Finding {
+    /// As it is shown to operators and written to logs.
+    pub fn name(self) -> &'static str {
+        match self {
+            Finding::Unknown => "Unknown",
+            Finding::Healthy => "Well",
+            Finding::Degraded => "Part",
+            Finding::Slow => "Slow",
+            Finding::Dead => "Dead",
+            Finding::CutOff => "CutOff",
+        }
+    }
+}
+
 /// All that was said, joined.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Matrix {
+pub struct EvidenceMatrix {
     /// `[from][to]`.
-    pub cells: Vec<Vec<Cell>>,
+    pub cells: Vec<Vec<EvidenceCell>>,
     /// Parts a second asked by the clients of each zone, over all its copies.
-    pub asked: Vec<f64>,
+    pub demand: Vec<f64>,
     /// Copies whose word differs from all others of their zone in what they reach.
     pub sick: Vec<SocketAddr>,
 }
 
-impl Words {
-    pub fn new(zones: usize) -> Words {
-        Words { zones, held: BTreeMap::new() }
+impl EvidenceTable {
+    pub fn new(zones: usize) -> EvidenceTable {
+        EvidenceTable { zones, held: BTreeMap::new() }
     }
 
     /// Takes a copy's word; whether it could be used.
-    pub fn take(&mut self, now: Timestamp, from: SocketAddr, instance: u64, word: Word) -> bool {
-        if !word.sound(self.zones) {
+    pub fn record(&mut self, now: Timestamp, from: SocketAddr, instance: u64, word: EvidenceReport) -> bool {
+        if !word.is_valid(self.zones) {
             return false;
         }
         // Guards against words that overtook each other.
-        if self.held.get(&from).is_some_and(|h| h.instance == instance && h.word.number >= word.number) {
+        if self.held.get(&from).is_some_and(|h| h.instance == instance && h.word.sequence >= word.sequence) {
             return true;
         }
         // Speakers are few; a peer that floods addresses is not let fill the memory.
-        if self.held.len() >= self.zones * SPEAKERS * 4 && !self.held.contains_key(&from) {
+        if self.held.len() >= self.zones * REPORTERS_PER_ZONE * 4 && !self.held.contains_key(&from) {
             return false;
         }
         self.held.insert(from, Held { at: now, instance, word });
         true
     }
 
-    pub fn join(&mut self, now: Timestamp) -> Matrix {
-        self.held.retain(|_, h| now - h.at <= GOOD_FOR);
-        let mut matrix = Matrix {
-            cells: vec![vec![Cell::default(); self.zones]; self.zones],
-            asked: vec![0.0; self.zones],
+    pub fn matrix(&mut self, now: Timestamp) -> EvidenceMatrix {
+        self.held.retain(|_, h| now - h.at <= REPORT_LIFETIME);
+        let mut matrix = EvidenceMatrix {
+            cells: vec![vec![EvidenceCell::default(); self.zones]; self.zones],
+            demand: vec![0.0; self.zones],
             sick: Vec::new(),
         };
         for from in 0..self.zones {
-            let all: Vec<(SocketAddr, &Word)> = self.held.iter().map(|(a, h)| (*a, &h.word)).collect();
-            let mut words: Vec<(SocketAddr, &Word)> =
+            let all: Vec<(SocketAddr, &EvidenceReport)> =
+                self.held.iter().map(|(a, h)| (*a, &h.word)).collect();
+            let mut words: Vec<(SocketAddr, &EvidenceReport)> =
                 all.into_iter().filter(|(_, w)| usize::from(w.zone) == from).collect();
             let others_reach = words.iter().filter(|(_, w)| !reaches_nobody(w)).count();
             if others_reach * 2 > words.len() {
                 matrix.sick.extend(words.iter().filter(|(_, w)| reaches_nobody(w)).map(|(a, _)| *a));
                 words.retain(|(_, w)| !reaches_nobody(w));
             }
-            let copies = middle(words.iter().map(|(_, w)| f64::from(w.copies))).unwrap_or(0.0);
-            let each = |sum: f64| if words.is_empty() { 0.0 } else { sum / words.len() as f64 * copies };
-            matrix.asked[from] = each(words.iter().map(|(_, w)| f64::from(w.asked)).sum());
+            let nodes = middle(words.iter().map(|(_, w)| f64::from(w.nodes))).unwrap_or(0.0);
+            let each = |sum: f64| if words.is_empty() { 0.0 } else { sum / words.len() as f64 * nodes };
+            matrix.demand[from] = each(words.iter().map(|(_, w)| f64::from(w.demand)).sum());
             for to in 0..self.zones {
-                let rows = || words.iter().map(|(_, w)| w.rows[to]);
-                let sighted = || rows().filter(|r| r.seen() > 0);
-                matrix.cells[from][to] = Cell {
-                    speakers: words.len(),
+                let replica_counts = || words.iter().map(|(_, w)| w.replica_counts[to]);
+                let sighted = || replica_counts().filter(|r| r.seen() > 0);
+                matrix.cells[from][to] = EvidenceCell {
+                    reporters: words.len(),
                     bad: middle(sighted().filter_map(|r| r.bad())),
-                    full: middle(sighted().map(|r| r.share(r.full))).unwrap_or(0.0),
-                    cold: middle(sighted().map(|r| r.share(r.cold))).unwrap_or(0.0),
-                    listed: middle(rows().map(|r| f64::from(r.listed))).unwrap_or(0.0),
-                    answering: middle(rows().map(|r| f64::from(r.answering) + f64::from(r.full)))
-                        .unwrap_or(0.0),
-                    merged: each(rows().map(|r| f64::from(r.merged)).sum()),
+                    saturated: middle(sighted().map(|r| r.share(r.saturated))).unwrap_or(0.0),
+                    warming_up: middle(sighted().map(|r| r.share(r.warming_up))).unwrap_or(0.0),
+                    listed: middle(replica_counts().map(|r| f64::from(r.listed))).unwrap_or(0.0),
+                    answering: middle(
+                        replica_counts().map(|r| f64::from(r.answering) + f64::from(r.saturated)),
+                    )
+                    .unwrap_or(0.0),
+                    answered_parts: each(replica_counts().map(|r| f64::from(r.answered_parts)).sum()),
                 };
             }
         }
@@ -191,8 +208,8 @@
 }
 
 /// It gets nothing from any zone, its own among them.
-fn reaches_nobody(word: &Word) -> bool {
-    let mut seen = word.rows.iter().filter_map(Row::bad).peekable();
+fn reaches_nobody(word: &EvidenceReport) -> bool {
+    let mut seen = word.replica_counts.iter().filter_map(ReplicaCounts::bad).peekable();
     seen.peek().is_some() && seen.all(|bad| bad >= MOST)
 }
 
@@ -203,41 +220,44 @@
     values.get(values.len().checked_sub(1)? / 2).copied()
 }
 
-impl Matrix {
+impl EvidenceMatrix {
     pub fn zones(&self) -> usize {
         self.cells.len()
     }
 
     /// Whether copies of that zone get nothing from the other.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cells[from][to].bad.is_some_and(|bad| bad >= BAD)
+        self.cells[from][to].bad.is_some_and(|bad| bad >= UNHEALTHY_FRACTION)
     }
 
     /// What there is about one zone. A zone whose own copies do not speak is judged by the others alone, one that only
     /// itself sees by itself.
     pub fn finding(&self, zone: usize) -> Finding {
-        let seen = |from: &usize| self.cells[*from][zone].bad.map(|bad| (bad, self.cells[*from][zone].full));
+        let seen =
+            |from: &usize| self.cells[*from][zone].bad.map(|bad| (bad, self.cells[*from][zone].saturated));
         let others: Vec<(f64, f64)> =
             (0..self.zones()).filter(|f| *f != zone).filter_map(|f| seen(&f)).collect();
         let own = seen(&zone);
-        let all_others_bad = !others.is_empty() && others.iter().all(|(bad, _)| *bad >= BAD);
+        let all_others_bad = !others.is_empty() && others.iter().all(|(bad, _)| *bad >= UNHEALTHY_FRACTION);
         match own {
-            Some((bad, _)) if bad >= BAD && (all_others_bad || others.is_empty()) => Finding::Dead,
+            Some((bad, _)) if bad >= UNHEALTHY_FRACTION && (all_others_bad || others.is_empty()) => {
+                Finding::Dead
+            }
             // Where its own copies get on with it, only the ways there are cut: it goes on for its own clients.
             None if all_others_bad => Finding::CutOff,
             None if others.is_empty() => Finding::Unknown,
             _ => {
                 // By those who reach it: a way that is cut says nothing of the zone.
                 let reach: Vec<(f64, f64)> =
-                    others.into_iter().chain(own).filter(|(bad, _)| *bad < BAD).collect();
+                    others.into_iter().chain(own).filter(|(bad, _)| *bad < UNHEALTHY_FRACTION).collect();
                 let bad = middle(reach.iter().map(|r| r.0)).unwrap_or(1.0);
-                let full = middle(reach.iter().map(|r| r.1)).unwrap_or(0.0);
-                if full >= BAD {
+                let saturated = middle(reach.iter().map(|r| r.1)).unwrap_or(0.0);
+                if saturated >= UNHEALTHY_FRACTION {
                     Finding::Slow
-                } else if bad > WELL {
-                    Finding::Part
+                } else if bad > HEALTHY_FRACTION {
+                    Finding::Degraded
                 } else {
-                    Finding::Well
+                    Finding::Healthy
                 }
             }
         }
@@ -258,34 +278,35 @@
         middle(self.cells.iter().map(|row| row[zone].listed).filter(|n| *n > 0.0)).unwrap_or(0.0)
     }
 
-    pub fn cold(&self, zone: usize) -> f64 {
+    pub fn warming_up(&self, zone: usize) -> f64 {
         middle(
             (0..self.zones())
                 .filter(|f| self.cells[*f][zone].bad.is_some())
-                .map(|f| self.cells[f][zone].cold),
+                .map(|f| self.cells[f][zone].warming_up),
         )
         .unwrap_or(0.0)
     }
 
-    pub fn merged(&self, zone: usize) -> f64 {
-        (0..self.zones()).map(|from| self.cells[from][zone].merged).sum()
+    pub fn answered_parts(&self, zone: usize) -> f64 {
+        (0..self.zones()).map(|from| self.cells[from][zone].answered_parts).sum()
     }
 
     /// Copies heard of that zone.
-    pub fn speakers(&self, zone: usize) -> usize {
-        self.cells[zone].first().map_or(0, |c| c.speakers)
+    pub fn reporters(&self, zone: usize) -> usize {
+        self.cells[zone].first().map_or(0, |c| c.reporters)
     }
 }
 
 /// Whether this copy is among those that speak for its zone: the first by a mix of address and process, so that places
 /// in the list, and the eldest, do not always carry it.
-pub fn speaks(own: &crate::peer::Peer, of_zone: impl Iterator<Item = crate::peer::Peer>) -> bool {
+pub fn is_reporter(own: &crate::peer::Peer, of_zone: impl Iterator<Item = crate::peer::Peer>) -> bool {
     let rank = |p: &crate::peer::Peer| {
         let mixed = blake3::hash(format!("{} {}", p.address, p.instance).as_bytes());
         (*mixed.as_bytes(), p.address)
     };
     let ours = rank(own);
-    of_zone.filter(|p| p.address != own.address && rank(p) < ours).take(SPEAKERS).count() < SPEAKERS
+    of_zone.filter(|p| p.address != own.address && rank(p) < ours).take(REPORTERS_PER_ZONE).count()
+        < REPORTERS_PER_ZONE
 }
 
 #[cfg(test)]
--- a/crates/pipitcrank-membership/src/members.rs
+++ b/crates/pipitcrank-membership/src/members.rs
@@ -22,7 +22,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::envelope::LONGEST_BODY;
+use crate::envelope::MAX_BODY_BYTES;
 use crate::peer::Peer;
 
 /// Each copy probes another so often, and waits so long before it asks others to: some round trips between regions, and
@@ -43,13 +43,13 @@
 const ASK_NAMED: TimeSpan = TimeSpan::from_millis(1000);
 const NAMED_AT_ONCE: usize = 8;
 /// Longest word that goes round as a rumour: fits beside what foca itself says.
-pub const LONGEST_RUMOUR: usize = 900;
+pub const MAX_BROADCAST_BYTES: usize = 900;
 /// Goodbyes remembered.
 const MOST_GOODBYES: usize = 4096;
 
 /// How a member went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Gone {
+pub enum Departure {
     /// It was asked to end.
     Left,
     /// It hands over to another process of the same copy.
@@ -60,9 +60,9 @@
 
 /// What became of a member.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum MembershipEvent {
     Up(Peer),
-    Down(Peer, Gone),
+    Down(Peer, Departure),
     /// This copy was held to be dead and refuted it under a new instance.
     Refuted(Peer),
 }
@@ -70,7 +70,7 @@
 /// What goes round. Of one topic the highest rank replaces all others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Rumour {
-    Goodbye(Peer, Gone),
+    Goodbye(Peer, Departure),
     Topic(u8, (u64, u64), Vec<u8>),
 }
 
@@ -95,7 +95,7 @@
 
 #[derive(Default)]
 struct Rumours {
-    goodbyes: BTreeMap<SocketAddr, (u64, Gone)>,
+    goodbyes: BTreeMap<SocketAddr, (u64, Departure)>,
     topics: BTreeMap<u8, (u64, u64)>,
     heard: VecDeque<(u8, Vec<u8>)>,
 }
@@ -156,7 +156,7 @@
         max_transmissions: NonZeroU8::new(14).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: SUSPECT,
         remove_down_after: Some(FORGET),
-        max_packet_size: NonZeroUsize::new(LONGEST_BODY).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(MAX_BODY_BYTES).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
         periodic_announce: every(Duration::from_secs(5), 1),
         periodic_announce_to_down_members: every(ASK_DEAD, 2),
@@ -175,12 +175,12 @@
     named: Vec<SocketAddr>,
     next_named: usize,
     ask_named: Timestamp,
-    news: Vec<News>,
+    news: Vec<MembershipEvent>,
     send: Vec<(SocketAddr, Vec<u8>)>,
     /// How often members came or went.
-    pub changes: u64,
+    pub membership_changes: u64,
     /// What foca did not take; the sender is at fault.
-    pub unread: u64,
+    pub undecodable: u64,
 }
 
 impl Members {
@@ -201,8 +201,8 @@
             ask_named: Timestamp::from_micros(i64::MIN),
             news: Vec::new(),
             send: Vec::new(),
-            changes: 0,
-            unread: 0,
+            membership_changes: 0,
+            undecodable: 0,
         }
     }
 
@@ -211,25 +211,25 @@
     }
 
     /// Other copies held to be there, suspects among them.
-    pub fn there(&self) -> impl Iterator<Item = &Peer> {
+    pub fn live_members(&self) -> impl Iterator<Item = &Peer> {
         self.foca.iter_members().map(|m| m.id())
     }
 
     /// How many copies of that zone are there, this one counted.
-    pub fn of_zone(&self, zone: u16) -> usize {
-        self.there().filter(|p| p.zone == zone).count() + usize::from(self.own().zone == zone)
+    pub fn count_in_zone(&self, zone: u16) -> usize {
+        self.live_members().filter(|p| p.zone == zone).count() + usize::from(self.own().zone == zone)
     }
 
     /// A body of gossip that came.
-    pub fn heard(&mut self, now: Timestamp, body: &[u8]) {
+    pub fn handle_gossip(&mut self, now: Timestamp, body: &[u8]) {
         if self.foca.handle_data(body, &mut self.runtime).is_err() {
-            self.unread += 1;
+            self.undecodable += 1;
         }
         self.drain(now);
     }
 
     /// When `tick` is due.
-    pub fn due(&self) -> Timestamp {
+    pub fn next_deadline(&self) -> Timestamp {
         self.timers.first_key_value().map_or(self.ask_named, |((at, _), _)| (*at).min(self.ask_named))
     }
 
@@ -237,15 +237,15 @@
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             let timer = entry.remove();
             if self.foca.handle_timer(timer, &mut self.runtime).is_err() {
-                self.unread += 1;
+                self.undecodable += 1;
             }
             self.drain(now);
         }
         if now >= self.ask_named {
             self.ask_named = now + ASK_NAMED;
-            let there: BTreeSet<SocketAddr> = self.there().map(|p| p.address).collect();
+            let live_members: BTreeSet<SocketAddr> = self.live_members().map(|p| p.address).collect();
             let (before, after) = self.named.split_at(self.next_named.min(self.named.len()));
-            let missing = after.iter().chain(before).copied().filter(|a| !there.contains(a));
+            let missing = after.iter().chain(before).copied().filter(|a| !live_members.contains(a));
             let missing: Vec<SocketAddr> = missing.take(NAMED_AT_ONCE).collect();
             let last = missing.last().and_then(|last| self.named.iter().position(|a| a == last));
             self.next_named = last.map_or(0, |last| last + 1);
@@ -258,8 +258,8 @@
     }
 
     /// Has the word go round to all; of one topic the highest rank stays. A word too long goes nowhere.
-    pub fn spread(&mut self, topic: u8, rank: (u64, u64), body: &[u8]) {
-        if body.len() > LONGEST_RUMOUR {
+    pub fn broadcast(&mut self, topic: u8, rank: (u64, u64), body: &[u8]) {
+        if body.len() > MAX_BROADCAST_BYTES {
             return;
         }
         if let Ok(data) = postcard::to_allocvec(&Rumour::Topic(topic, rank, body.to_vec())) {
@@ -268,23 +268,23 @@
     }
 
     /// Members that another copy knew of: they are asked after as any, and are no news.
-    pub fn learn(&mut self, now: Timestamp, peers: impl Iterator<Item = Peer>) {
+    pub fn add_known_members(&mut self, now: Timestamp, peers: impl Iterator<Item = Peer>) {
         let own = self.own().address;
         let others = peers.filter(|p| p.address != own).map(foca::Member::alive);
         if self.foca.apply_many(others, false, &mut self.runtime).is_err() {
-            self.unread += 1;
+            self.undecodable += 1;
         }
         self.drain(now);
     }
 
     /// Gossips at once, to as many as at any other time: whoever hears news first passes it on first.
-    pub fn hurry(&mut self, now: Timestamp) {
+    pub fn gossip_now(&mut self, now: Timestamp) {
         let _ = self.foca.gossip(&mut self.runtime);
         self.drain(now);
     }
 
-    /// Says goodbye: nothing is sent after this but what `take_sent` still has.
-    pub fn leave(&mut self, now: Timestamp, how: Gone) {
+    /// Says goodbye: nothing is sent after this but what `take_datagrams` still has.
+    pub fn leave(&mut self, now: Timestamp, how: Departure) {
         if let Ok(data) = postcard::to_allocvec(&Rumour::Goodbye(self.own().clone(), how)) {
             let _ = self.foca.add_broadcast(&data);
         }
@@ -294,16 +294,16 @@
         self.timers.clear();
     }
 
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.news)
     }
 
     /// Rumours that came, by topic.
-    pub fn take_rumours(&mut self) -> Vec<(u8, Vec<u8>)> {
+    pub fn take_broadcasts(&mut self) -> Vec<(u8, Vec<u8>)> {
         self.rumours.0.borrow_mut().heard.drain(..).collect()
     }
 
-    pub fn take_sent(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.send)
     }
 
@@ -316,23 +316,23 @@
             self.timers.insert((now + TimeSpan::from_secs_f64(after.as_secs_f64()), self.next_timer), timer);
         }
         while let Some(notification) = self.runtime.to_notify() {
-            self.changes += 1;
+            self.membership_changes += 1;
             match notification {
-                OwnedNotification::MemberUp(peer) => self.news.push(News::Up(peer)),
+                OwnedNotification::MemberUp(peer) => self.news.push(MembershipEvent::Up(peer)),
                 OwnedNotification::MemberDown(peer) => {
                     let how = self.goodbye(&peer);
-                    self.news.push(News::Down(peer, how));
+                    self.news.push(MembershipEvent::Down(peer, how));
                 }
-                OwnedNotification::Rejoin(peer) => self.news.push(News::Refuted(peer)),
+                OwnedNotification::Rejoin(peer) => self.news.push(MembershipEvent::Refuted(peer)),
                 _ => {}
             }
         }
     }
 
-    fn goodbye(&self, peer: &Peer) -> Gone {
+    fn goodbye(&self, peer: &Peer) -> Departure {
         let rumours = self.rumours.0.borrow();
         let said = rumours.goodbyes.get(&peer.address);
-        said.filter(|(instance, _)| *instance >= peer.instance).map_or(Gone::Died, |(_, how)| *how)
+        said.filter(|(instance, _)| *instance >= peer.instance).map_or(Departure::Died, |(_, how)| *how)
     }
 }
 
--- a/crates/pipitcrank-recovery/src/beliefs/tests.rs
+++ b/crates/pipitcrank-recovery/src/beliefs/tests.rs
@@ -21,7 +21,7 @@
     )
     .learned_state(pipitcrank_core::time::Timestamp::default());
     let snapshot = Snapshot { known, ..Snapshot::default() };
-    Beliefs::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MOST_MEMBERS + 80])
+    Beliefs::new(now, &snapshot, Some(Decision::initial(3, 7 << 32)), vec![peer; MOST_MEMBERS + 80])
 }
 
 #[test]
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pipitcrank_failover::decision::Decision;
-use pipitcrank_failover::voter::Memory;
+use pipitcrank_failover::voter::VoterMemory;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::beliefs::{Beliefs, Clocks};
@@ -19,7 +19,7 @@
     let snapshot = Snapshot::decode(&fixtures::read("snapshot.hex")["snapshot"]).unwrap();
     let member = Peer { address: ([127, 0, 0, 1], 7201).into(), instance: 1 << 50, zone: 2 };
     let written = Clocks { day_us: 1_700_000_000_000_000, since_boot_us: 5_000_000 };
-    Beliefs::new(written, &snapshot, Some(Decision::first(2, 7 << 32)), vec![member])
+    Beliefs::new(written, &snapshot, Some(Decision::initial(2, 7 << 32)), vec![member])
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let mut store = Store::open(path.clone(), OWNER.into(), || {});
     let found = store.found(SOON).unwrap();
     assert_eq!(found.promises.as_ref(), Some(memory));
-    assert_eq!(&Memory::decode(memory).unwrap().encode(), memory);
+    assert_eq!(&VoterMemory::decode(memory).unwrap().encode(), memory);
     assert_eq!(found.beliefs, Some(beliefs().encode()));
     store.keep(vec![1]);
     drop(store);
--- a/crates/pipitcrank-simulation/src/zones.rs
+++ b/crates/pipitcrank-simulation/src/zones.rs
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_failover::controller::{Book, Pace};
-use pipitcrank_failover::decision::State;
-use pipitcrank_failover::follower::{Follow, Plan, Standing};
-use pipitcrank_failover::node::{Event, Instance};
-use pipitcrank_failover::routing_table::Nearness;
-use pipitcrank_membership::envelope::key;
-use pipitcrank_membership::evidence::Row;
+use pipitcrank_failover::controller::{FailoverController, FailoverTiming};
+use pipitcrank_failover::decision::ZoneState;
+use pipitcrank_failover::follower::{DecisionFollower, DecisionStatus, RoutingPlan};
+use pipitcrank_failover::node::{FailoverNode, FailoverNodeConfig, NodeEvent};
+use pipitcrank_failover::routing_table::{Proximity, ZoneFraction};
+use pipitcrank_membership::envelope::{OutgoingDatagram, derive_key};
+use pipitcrank_membership::evidence::ReplicaCounts;
 use pipitcrank_membership::peer::Peer;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -90,14 +90,14 @@
 }
 
 struct Copy {
-    instance: Option<Instance>,
+    instance: Option<FailoverNode>,
     zone: usize,
     /// When it sees a silence, after it began, and how long it keeps away where it goes alone.
     sees: f64,
     again: f64,
     left: Option<Timestamp>,
-    plan: Plan,
-    known: (u64, Standing),
+    plan: RoutingPlan,
+    known: (u64, DecisionStatus),
     due: Timestamp,
 }
 
@@ -110,7 +110,7 @@
     way: Way,
     /// Of each number: when first acted on, and by how many copies, and when by nearly all.
     acted: BTreeMap<u64, (Timestamp, usize, Option<Timestamp>)>,
-    states: BTreeMap<u64, (Timestamp, Vec<(State, u16)>)>,
+    states: BTreeMap<u64, (Timestamp, Vec<(ZoneState, u16)>)>,
     two_under_one: u64,
     older: u64,
 }
@@ -122,7 +122,7 @@
 impl World {
     fn new(copies: usize, zones: usize, seed: u64, way: Way) -> World {
         let mut chance = Pcg64::seed_from_u64(seed);
-        let near = Nearness::new(&vec!["r".to_string(); zones]);
+        let near = Proximity::new(&vec!["r".to_string(); zones]);
         let net = Net::new(Pcg64::seed_from_u64(seed ^ 1), 0.01, TimeSpan::from_millis(4));
         let start = Timestamp::default();
         let peers: Vec<Peer> = (0..copies)
@@ -132,12 +132,12 @@
                 zone: (n % zones) as u16,
             })
             .collect();
-        let seats: Vec<SocketAddr> = (0..VOTERS.min(copies | 1)).map(address).collect();
-        let pace = Pace {
-            suspect: TimeSpan::from_millis(600),
+        let voters: Vec<SocketAddr> = (0..VOTERS.min(copies | 1)).map(address).collect();
+        let timing = FailoverTiming {
+            suspect_after: TimeSpan::from_millis(600),
             hold_down: TimeSpan::from_millis(2000),
-            hold_down_most: TimeSpan::from_millis(60_000),
-            calm: TimeSpan::from_millis(60_000),
+            max_hold_down: TimeSpan::from_millis(60_000),
+            calm_after: TimeSpan::from_millis(60_000),
         };
         let mut world = World {
             net,
@@ -153,19 +153,34 @@
         };
         for (n, peer) in peers.iter().enumerate() {
             let instance = (way == Way::Common).then(|| {
-                let book = Book::new(pace, near.clone(), zones, BEARS * 0.95);
-                let follow =
-                    Follow::new(peer.zone, zones, near.clone(), TimeSpan::from_millis(10_000), false);
-                let mut instance =
-                    Instance::new(start, peer.clone(), key("the lab's"), &[], &seats, zones, book, follow);
-                instance.learn(start, peers.iter().cloned());
+                let controller = FailoverController::new(timing, near.clone(), zones, BEARS * 0.95);
+                let follower = DecisionFollower::new(
+                    peer.zone,
+                    zones,
+                    near.clone(),
+                    TimeSpan::from_millis(10_000),
+                    false,
+                );
+                let config = FailoverNodeConfig {
+                    own: peer.clone(),
+                    key: derive_key("the lab's"),
+                    known_nodes: Vec::new(),
+                    voters: voters.clone(),
+                    zone_count: zones,
+                    controller,
+                    follower,
+                };
+                let mut instance = FailoverNode::new(start, config);
+                instance.add_known_members(start, peers.iter().cloned());
                 instance
             });
-            let plan = Plan { number: 0, shares: vec![(peer.zone, 1000)], shut: Vec::new(), lack: 0 };
+            let home = ZoneFraction { zone: peer.zone, permille: 1000 };
+            let plan =
+                RoutingPlan { decision_number: 0, fractions: vec![home], closed_zones: Vec::new(), shed: 0 };
             let sees = chance.random_range(SEES.0..SEES.1);
             let again = chance.random_range(TRIES_AGAIN.0..TRIES_AGAIN.1);
             let zone = usize::from(peer.zone);
-            let (left, known, due) = (None, (0, Standing::Blind), Timestamp::from_secs_f64(1e9));
+            let (left, known, due) = (None, (0, DecisionStatus::NoDecision), Timestamp::from_secs_f64(1e9));
             world.copies.push(Copy { instance, zone, sees, again, left, plan, known, due });
             // Not all at one moment.
             let first = start + TimeSpan::from_secs_f64(chance.random_range(0.0..0.25));
@@ -176,14 +191,20 @@
     }
 
     /// What the copy sees of each zone at that moment.
-    fn rows(&self, now: Timestamp, copy: usize) -> Vec<Row> {
+    fn rows(&self, now: Timestamp, copy: usize) -> Vec<ReplicaCounts> {
         let row = |(zone, replicas): (usize, &Replicas)| {
             let count = replicas.count;
             let full = if replicas.wait_s(now) > 1.0 { count } else { 0 };
             let cold = if replicas.is_cold(now) { count } else { 0 };
             match self.sees_silent(now, copy, zone) {
-                true => Row { listed: count, silent: count, ..Row::default() },
-                false => Row { listed: count, answering: count - full, full, cold, ..Row::default() },
+                true => ReplicaCounts { listed: count, silent: count, ..ReplicaCounts::default() },
+                false => ReplicaCounts {
+                    listed: count,
+                    answering: count - full,
+                    saturated: full,
+                    warming_up: cold,
+                    ..ReplicaCounts::default()
+                },
             }
         };
         self.replicas.iter().enumerate().map(row).collect()
@@ -191,26 +212,27 @@
 
     /// Calls a copy and passes on what it wants.
     fn call(&mut self, now: Timestamp, copy: usize, datagram: Option<&[u8]>) {
-        let wants = self.copies[copy].instance.as_mut().is_some_and(|i| i.wants_to_see(now));
+        let wants = self.copies[copy].instance.as_mut().is_some_and(|i| i.take_report_due(now));
         let rows = if wants { self.rows(now, copy) } else { Vec::new() };
         let (asked, count) = (self.asked() / self.copies.len() as f64, self.copies.len());
         let held = &mut self.copies[copy];
         let Some(instance) = &mut held.instance else { return };
         if let Some(datagram) = datagram {
-            instance.datagram(now, datagram);
+            instance.handle_datagram(now, datagram);
         }
         if wants {
-            instance.sees(now, rows, asked.round() as u32);
+            instance.report_evidence(now, rows, asked.round() as u32);
         }
         instance.tick(now);
         for event in instance.take_events() {
-            if let Event::Decided(decision) = event {
-                let states: Vec<(State, u16)> = decision.places.iter().map(|p| (p.state, p.kept)).collect();
+            if let NodeEvent::Decided(decision) = event {
+                let states: Vec<(ZoneState, u16)> =
+                    decision.zones.iter().map(|p| (p.state, p.retained)).collect();
                 let known = self.states.entry(decision.number).or_insert((now, states.clone()));
                 self.two_under_one += u64::from(known.1 != states);
             }
         }
-        let known = (instance.number(), instance.standing());
+        let known = (instance.decision_number(), instance.decision_status());
         if known != held.known {
             self.older += u64::from(known.0 < held.known.0);
             if known.0 != held.known.0 {
@@ -220,14 +242,14 @@
                     acted.2 = Some(now);
                 }
             }
-            (held.known, held.plan) = (known, instance.plan(now));
+            (held.known, held.plan) = (known, instance.routing_plan(now));
         }
         let zone = held.zone as u16;
-        for (to, bytes) in instance.take_out() {
+        for OutgoingDatagram { to, bytes } in instance.take_datagrams() {
             let to = self.addresses.get(&to).map(|&n| (n, (n % self.replicas.len()) as u16));
             self.net.send(now, zone, to, bytes);
         }
-        let due = instance.due().max(now + TimeSpan::from_millis(1));
+        let due = instance.next_deadline().max(now + TimeSpan::from_millis(1));
         if due < held.due || held.due <= now {
             held.due = due;
             self.net.at(due, Next::Due(copy));
@@ -246,10 +268,10 @@
 
     /// What the cover of each copy does by itself, whatever the shares: what is meant for a zone that it sees silent goes
     /// to the others, evenly.
-    fn by_own_sight(&self, now: Timestamp, copy: usize, shares: &[(u16, u16)]) -> Vec<(u16, f64)> {
+    fn by_own_sight(&self, now: Timestamp, copy: usize, fractions: &[ZoneFraction]) -> Vec<(u16, f64)> {
         let zones = self.replicas.len();
         let mut of: Vec<f64> = vec![0.0; zones];
-        shares.iter().for_each(|&(z, s)| of[usize::from(z)] += f64::from(s));
+        fractions.iter().for_each(|f| of[usize::from(f.zone)] += f64::from(f.permille));
         if let Some(silent) = (0..zones).find(|&z| of[z] > 0.0 && self.sees_silent(now, copy, z)) {
             let moved = std::mem::take(&mut of[silent]) / (zones - 1) as f64;
             (0..zones).filter(|z| *z != silent).for_each(|z| of[z] += moved);
@@ -282,7 +304,7 @@
             let (shares, lack): (Vec<(u16, f64)>, u16) = match self.way {
                 Way::Common => {
                     let plan = self.copies[copy].plan.clone();
-                    (self.by_own_sight(now, copy, &plan.shares), plan.lack)
+                    (self.by_own_sight(now, copy, &plan.fractions), plan.shed)
                 }
                 Way::Alone if sends_home => (vec![(home, 1.0)], 0),
                 Way::Alone => {
@@ -290,7 +312,8 @@
                     (others.map(|z| (z, 1.0)).collect(), 0)
                 }
                 Way::None => {
-                    let even: Vec<(u16, u16)> = (0..zones as u16).map(|z| (z, 100)).collect();
+                    let even: Vec<ZoneFraction> =
+                        (0..zones as u16).map(|zone| ZoneFraction { zone, permille: 100 }).collect();
                     (self.by_own_sight(now, copy, &even), 0)
                 }
             };
@@ -380,7 +403,7 @@
     }
     let pushed_over = world.replicas.iter().map(|l| l.pushed_over).sum();
     let busiest =
-        world.copies.iter().filter_map(|c| c.instance.as_ref()).map(|i| i.sent.0).max().unwrap_or(0);
+        world.copies.iter().filter_map(|c| c.instance.as_ref()).map(|i| i.sent.bytes).max().unwrap_or(0);
     Run { service, load, lost, all, peak, pushed_over, world, calm, home, busiest }
 }
 
@@ -391,7 +414,7 @@
     let none = run(copies, zones, seed, Way::None);
     let zone = (seed as usize) % zones;
     let world = &common.world;
-    let first = |what: &dyn Fn(&(State, u16)) -> bool| {
+    let first = |what: &dyn Fn(&(ZoneState, u16)) -> bool| {
         let found =
             world.states.values().filter(|(at, states)| at.as_secs_f64() >= LOST && what(&states[zone]));
         found.map(|(at, _)| at.as_secs_f64() - LOST).min_by(f64::total_cmp)
@@ -399,7 +422,7 @@
     let out = world
         .states
         .iter()
-        .find(|(_, (at, states))| at.as_secs_f64() >= LOST && states[zone].0 == State::Out);
+        .find(|(_, (at, states))| at.as_secs_f64() >= LOST && states[zone].0 == ZoneState::OutOfService);
     let moved = out.and_then(|(number, _)| world.acted.get(number)?.2).map(|at| at.as_secs_f64() - LOST);
     let mut spread: Vec<f64> =
         world.acted.values().filter_map(|a| Some((a.2? - a.0).as_secs_f64())).collect();
@@ -413,8 +436,8 @@
         copies,
         zones,
         seed,
-        suspected_s: first(&|p| p.0 == State::Suspected),
-        out_s: first(&|p| p.0 == State::Out),
+        suspected_s: first(&|p| p.0 == ZoneState::Suspected),
+        out_s: first(&|p| p.0 == ZoneState::OutOfService),
         moved_s: moved,
         home_s: common.home,
         spread_s: (
--- a/crates/pipitcrank-testkit/src/trial/returns.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Result, ensure};
-use pipitcrank_failover::decision::{Decision, Order, State};
-use pipitcrank_failover::node::Answer;
-use pipitcrank_failover::routing_table::Nearness;
+use pipitcrank_failover::decision::{Decision, OperatorOrder, ZoneState};
+use pipitcrank_failover::node::OperatorAnswer;
+use pipitcrank_failover::routing_table::Proximity;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -150,7 +150,7 @@
         }
         let scene =
             Scene { zoned, _net: net, members, seen: Rc::default(), stores, kept, program: program.into() };
-        let near = Nearness::new(&ZONES.map(|(_, region)| region.to_string()));
+        let near = Proximity::new(&ZONES.map(|(_, region)| region.to_string()));
         let addresses = scene.members.iter().map(|m| (m.known_as, m.up.clone())).collect();
         watch(scene.seen.clone(), addresses, near).await?;
         ensure!(
@@ -170,7 +170,7 @@
         (0..COPIES).filter(|&n| self.members[n].up.get()).all(|n| {
             seen.last.get(&n).is_some_and(|(at, shown)| {
                 at.elapsed() < Duration::from_secs(1)
-                    && shown.decision.as_ref().is_some_and(|d| what(&shown.standing, d))
+                    && shown.decision.as_ref().is_some_and(|d| what(&shown.status, d))
             })
         })
     }
@@ -239,7 +239,7 @@
     }
 
     fn drained(&self, decision: &Decision) -> bool {
-        decision.places[DRAINED].state == State::Out && decision.places[DRAINED].drained
+        decision.zones[DRAINED].state == ZoneState::OutOfService && decision.zones[DRAINED].drained
     }
 }
 
@@ -280,8 +280,8 @@
                 std::fs::copy(store, old)?;
             }
         }
-        match tell(&self.voters(), Order::Drain(DRAINED as u16)).await? {
-            Answer::Done(_) => {}
+        match tell(&self.voters(), OperatorOrder::Drain(DRAINED as u16)).await? {
+            OperatorAnswer::Decided(_) => {}
             answer => shows.missing.push(format!("the zone was not drained: {answer:?}")),
         }
         let out = self.until(|s| s.all(|_, d| s.drained(d)), 15.0).await;
@@ -426,11 +426,11 @@
             shows.missing.push("what was decided before did not outlive the processes".to_string());
         }
         if case == Case::Stores {
-            let told = tell(&self.voters(), Order::Return(DRAINED as u16)).await?;
+            let told = tell(&self.voters(), OperatorOrder::Return(DRAINED as u16)).await?;
             let home = |s: &Scene| {
-                s.all(|_, d| d.places.iter().all(|p| p.state == State::Serving && p.kept == 1000))
+                s.all(|_, d| d.zones.iter().all(|p| p.state == ZoneState::Serving && p.retained == 1000))
             };
-            if !matches!(told, Answer::Done(_)) || self.until(home, 15.0).await.is_none() {
+            if !matches!(told, OperatorAnswer::Decided(_)) || self.until(home, 15.0).await.is_none() {
                 shows.missing.push(format!("the drained zone did not return: {told:?}"));
             }
             let (planned, said) = self.command(1, &["restart-plan", "--share", "0.25"]).await?;
--- a/crates/pipitcrank-testkit/src/trial/zones.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result, ensure};
-use pipitcrank_failover::decision::{Decision, Order, Place, State, UNKNOWN};
-use pipitcrank_failover::node::{Answer, Command, Shown};
-use pipitcrank_failover::routing_table::{Nearness, table};
-use pipitcrank_membership::envelope::{Kind, Sealer, key};
+use pipitcrank_failover::decision::{Decision, OperatorOrder, UNKNOWN_CAPACITY, ZoneDecision, ZoneState};
+use pipitcrank_failover::node::{OperatorAnswer, OperatorClient, ReceivedAnswer, StatusReport};
+use pipitcrank_failover::routing_table::{Proximity, RoutingTable};
+use pipitcrank_membership::envelope::{DatagramKind, Sealer, derive_key};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -144,7 +144,7 @@
     over_capacity: u64,
     pub newest: BTreeMap<usize, u64>,
     /// What each copy said last.
-    pub last: BTreeMap<usize, (Instant, Shown)>,
+    pub last: BTreeMap<usize, (Instant, StatusReport)>,
 }
 
 struct Scene {
@@ -241,7 +241,7 @@
         let scene = Scene { zoned, net, members, seen: Rc::default(), way, seed };
         if way == Way::Common {
             scene.watch().await?;
-            let all = |s: &Scene| s.copies().all(|n| s.shows(n, |shown| shown.standing == "following"));
+            let all = |s: &Scene| s.copies().all(|n| s.shows(n, |shown| shown.status == "following"));
             ensure!(scene.until(all, 15.0).await.is_some(), "copies do not find together: {}", scene.logs());
         }
         Ok(scene)
@@ -251,7 +251,7 @@
     async fn watch(&self) -> Result<()> {
         let addresses =
             self.members.iter().filter(|m| m.file.is_some()).map(|m| (m.known_as, m.up.clone())).collect();
-        let near = Nearness::new(&ALL_ZONES.map(|(_, region)| region.to_string()));
+        let near = Proximity::new(&ALL_ZONES.map(|(_, region)| region.to_string()));
         watch(self.seen.clone(), addresses, near).await
     }
 
@@ -260,28 +260,28 @@
         (0..self.members.len()).filter(|&n| self.members[n].file.is_some() && self.members[n].up.get())
     }
 
-    fn shows(&self, copy: usize, what: impl Fn(&Shown) -> bool) -> bool {
+    fn shows(&self, copy: usize, what: impl Fn(&StatusReport) -> bool) -> bool {
         let seen = self.seen.borrow();
         let fresh = |at: &Instant| at.elapsed() < LOOK * 10;
         seen.last.get(&copy).is_some_and(|(at, shown)| fresh(at) && what(shown))
     }
 
     /// All copies that are there but those of that zone know the zone to be so.
-    fn all_know(&self, zone: usize, what: impl Fn(State, u16) -> bool) -> bool {
+    fn all_know(&self, zone: usize, what: impl Fn(ZoneState, u16) -> bool) -> bool {
         self.copies().all(|n| {
             self.shows(n, |shown| {
-                shown.decision.as_ref().is_some_and(|d| what(d.places[zone].state, d.places[zone].kept))
+                shown.decision.as_ref().is_some_and(|d| what(d.zones[zone].state, d.zones[zone].retained))
             })
         })
     }
 
     fn is_out(&self, zone: usize) -> bool {
-        self.all_know(zone, |state, _| state == State::Out)
+        self.all_know(zone, |state, _| state == ZoneState::OutOfService)
     }
 
     fn all_home(&self) -> bool {
-        let home = |zone| self.all_know(zone, |state, kept| state == State::Serving && kept == 1000);
-        (0..ALL_ZONES.len()).all(home) && self.copies().all(|n| self.shows(n, |s| s.standing == "following"))
+        let home = |zone| self.all_know(zone, |state, kept| state == ZoneState::Serving && kept == 1000);
+        (0..ALL_ZONES.len()).all(home) && self.copies().all(|n| self.shows(n, |s| s.status == "following"))
     }
 
     /// Waits for it; the seconds that it took, none where it did not come.
@@ -325,58 +325,60 @@
         self.members.iter().map(last).collect::<Vec<_>>().join("\n--\n")
     }
 
-    async fn order(&self, order: Order) -> Result<Answer> {
+    async fn order(&self, order: OperatorOrder) -> Result<OperatorAnswer> {
         let voters: Vec<SocketAddr> = self.members[..ZONES.len()].iter().map(|m| m.known_as).collect();
         tell(&voters, order).await
     }
 }
 
 /// An operator's order, as the program's `zones` gives it.
-pub(super) async fn tell(voters: &[SocketAddr], order: Order) -> Result<Answer> {
+pub(super) async fn tell(voters: &[SocketAddr], order: OperatorOrder) -> Result<OperatorAnswer> {
     let socket = UdpSocket::bind("127.0.0.1:0").await?;
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-    let mut command = Command::new(key(SECRET), socket.local_addr()?, since);
+    let mut command = OperatorClient::new(derive_key(SECRET), socket.local_addr()?, since);
     let mut bytes = vec![0; 2048];
     let until = Instant::now() + Duration::from_secs(6);
     while Instant::now() < until {
         for voter in voters {
-            if let Some(asked) = command.ask(*voter, Some(order)) {
+            if let Some(asked) = command.request(*voter, Some(order)) {
                 let _ = socket.send_to(&asked, voter).await;
             }
         }
         let again = tokio::time::Instant::now() + Duration::from_millis(300);
         while let Ok(came) = tokio::time::timeout_at(again, socket.recv_from(&mut bytes)).await {
             let Ok((length, _)) = came else { continue };
-            match command.answer(&bytes[..length]) {
-                Some((_, Answer::NotLeading(_))) | None => {}
-                Some((_, answer)) => return Ok(answer),
+            match command.open_answer(&bytes[..length]) {
+                Some(ReceivedAnswer { answer: OperatorAnswer::NotLeader(_), .. }) | None => {}
+                Some(ReceivedAnswer { answer, .. }) => return Ok(answer),
             }
         }
     }
-    Ok(Answer::Refused("no answer".to_string()))
+    Ok(OperatorAnswer::Rejected("no answer".to_string()))
 }
 
 /// Asks each copy what stands, ten times a second, and enters it in `seen`; of such as are meant to be there.
 pub(super) async fn watch(
     seen: Rc<RefCell<Seen>>,
     addresses: Vec<(SocketAddr, Rc<Cell<bool>>)>,
-    near: Nearness,
+    near: Proximity,
 ) -> Result<()> {
     let socket = UdpSocket::bind("127.0.0.1:0").await?;
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-    let mut command = Command::new(key(SECRET), socket.local_addr()?, since);
+    let mut command = OperatorClient::new(derive_key(SECRET), socket.local_addr()?, since);
     tokio::task::spawn_local(async move {
         let mut bytes = vec![0; 2048];
         loop {
             for (address, _) in &addresses {
-                if let Some(asked) = command.ask(*address, None) {
+                if let Some(asked) = command.request(*address, None) {
                     let _ = socket.send_to(&asked, address).await;
                 }
             }
             let again = tokio::time::Instant::now() + LOOK;
             while let Ok(came) = tokio::time::timeout_at(again, socket.recv_from(&mut bytes)).await {
                 let Ok((length, _)) = came else { continue };
-                let Some((from, Answer::Shown(shown))) = command.answer(&bytes[..length]) else {
+                let Some(ReceivedAnswer { from, answer: OperatorAnswer::Status(shown) }) =
+                    command.open_answer(&bytes[..length])
+                else {
                     continue;
                 };
                 let Some(copy) = addresses.iter().position(|a| a.0 == from) else { continue };
@@ -391,16 +393,17 @@
 }
 
 impl Seen {
-    fn take(&mut self, copy: usize, shown: Shown, near: &Nearness) {
+    fn take(&mut self, copy: usize, shown: StatusReport, near: &Proximity) {
         if let Some(decision) = &shown.decision {
             match self.decisions.get(&decision.number) {
                 Some(known) => self.two_under_one += u64::from(known != decision),
                 None => {
                     // More planned for a zone than it carries, by the figures all go by.
-                    let over =
-                        table(decision, near).load.iter().zip(&decision.places).any(|(load, place)| {
-                            place.carries != UNKNOWN && *load > u64::from(place.carries) + 1
-                        });
+                    let over = RoutingTable::new(decision, near).load.iter().zip(&decision.zones).any(
+                        |(load, place)| {
+                            place.capacity != UNKNOWN_CAPACITY && *load > u64::from(place.capacity) + 1
+                        },
+                    );
                     self.over_capacity += u64::from(over);
                     self.at.insert(decision.number, Instant::now());
                     self.decisions.insert(decision.number, decision.clone());
@@ -461,7 +464,7 @@
         if shows.back.is_none() {
             let decision = self.seen.borrow().decisions.last_key_value().map(|(_, d)| format!("{d:?}"));
             let standings: Vec<String> =
-                self.seen.borrow().last.values().map(|(_, s)| s.standing.clone()).collect();
+                self.seen.borrow().last.values().map(|(_, s)| s.status.clone()).collect();
             shows.missing.push(format!("not all is home: {decision:?} {standings:?}"));
         }
     }
@@ -509,7 +512,7 @@
             Trouble::Half => {
                 self.zoned.vanish(zone, 3, true);
                 tokio::time::sleep(secs(5)).await;
-                let left = self.since(begun).iter().any(|d| d.places[zone].kept < 1000);
+                let left = self.since(begun).iter().any(|d| d.zones[zone].retained < 1000);
                 if left {
                     shows.missing.push("a zone with half of its leaves was left whole".to_string());
                 }
@@ -524,8 +527,9 @@
                     tokio::time::sleep(ms(1500)).await;
                 }
                 let history = self.since(begun);
-                let returns =
-                    history.windows(2).filter(|w| w[0].places[zone].kept == 0 && w[1].places[zone].kept > 0);
+                let returns = history
+                    .windows(2)
+                    .filter(|w| w[0].zones[zone].retained == 0 && w[1].zones[zone].retained > 0);
                 if returns.count() > 3 {
                     shows.missing.push("it was let in again at each flap".to_string());
                 }
@@ -535,11 +539,11 @@
                 let copies: Vec<usize> = self.copies().filter(|&n| self.members[n].zone == zone).collect();
                 self.net.part(&copies);
                 tokio::time::sleep(secs(4)).await;
-                let held = copies.iter().all(|&n| self.shows(n, |s| s.standing == "holding"));
+                let held = copies.iter().all(|&n| self.shows(n, |s| s.status == "holding"));
                 if !held {
                     shows.missing.push("copies that hear nobody do not hold what stands".to_string());
                 }
-                let left = self.since(begun).iter().any(|d| d.places.iter().any(|p| p.kept < 1000));
+                let left = self.since(begun).iter().any(|d| d.zones.iter().any(|p| p.retained < 1000));
                 if left {
                     shows.missing.push("a zone that is well for all was left".to_string());
                 }
@@ -549,7 +553,7 @@
             Trouble::Cut => {
                 self.zoned.cut(zone, other, true);
                 tokio::time::sleep(secs(4)).await;
-                let left = self.since(begun).iter().any(|d| d.places.iter().any(|p| p.kept < 1000));
+                let left = self.since(begun).iter().any(|d| d.zones.iter().any(|p| p.retained < 1000));
                 if left {
                     shows.missing.push("a zone that the third reaches was left".to_string());
                 }
@@ -650,28 +654,32 @@
             Trouble::Drain => {
                 self.zoned.vanish(zone, 6, true);
                 self.until(|s| s.all_know(zone, |_, kept| kept < 1000), 8.0).await;
-                match self.order(Order::Drain(other as u16)).await? {
-                    Answer::Done(_) => {
+                match self.order(OperatorOrder::Drain(other as u16)).await? {
+                    OperatorAnswer::Decided(_) => {
                         if self.until(|s| s.is_out(other), 10.0).await.is_none() {
                             shows.missing.push("a drained zone was not left".to_string());
                         }
                     }
-                    Answer::Refused(why) if why.contains("carry") => {}
+                    OperatorAnswer::Rejected(why) if why.contains("carry") => {}
                     answer => {
                         shows.missing.push(format!("a drain during a failover was answered {answer:?}"))
                     }
                 }
                 let third = 3 - zone - other;
-                if let Answer::Done(_) = self.order(Order::Drain(third as u16)).await? {
+                if let OperatorAnswer::Decided(_) = self.order(OperatorOrder::Drain(third as u16)).await? {
                     shows.missing.push("the last zone was let be drained".to_string());
                 }
                 self.heal(zone);
-                let back = self.until(|s| s.all_know(zone, |state, _| state == State::Serving), 25.0).await;
+                let back =
+                    self.until(|s| s.all_know(zone, |state, _| state == ZoneState::Serving), 25.0).await;
                 if back.is_none() {
                     shows.missing.push("the lost zone did not come home".to_string());
                 }
-                if self.all_know(other, |state, _| state == State::Out)
-                    && !matches!(self.order(Order::Return(other as u16)).await?, Answer::Done(_))
+                if self.all_know(other, |state, _| state == ZoneState::OutOfService)
+                    && !matches!(
+                        self.order(OperatorOrder::Return(other as u16)).await?,
+                        OperatorAnswer::Decided(_)
+                    )
                 {
                     shows.missing.push("a drained zone that is well was not let return".to_string());
                 }
@@ -680,7 +688,7 @@
             Trouble::Sick => {
                 self.zoned.sicken(true);
                 tokio::time::sleep(secs(5)).await;
-                let touched = |d: &Decision| d.places.iter().any(|p| p.kept < 1000 || p.cut != 0);
+                let touched = |d: &Decision| d.zones.iter().any(|p| p.retained < 1000 || p.cut_paths != 0);
                 if self.since(begun).iter().any(touched) {
                     shows.missing.push(format!("one sick copy moved something: {}", self.history()));
                 }
@@ -725,16 +733,16 @@
         let (own, to) = (socket.local_addr()?, self.members[0].known_as);
         // Straight to where it listens: the relay is the faults' own.
         let at = self.members[0].listen;
-        let mut others = Sealer::new(key("another secret altogether"), own, 1);
-        let mut ours = Sealer::new(key(SECRET), own, 1);
+        let mut others = Sealer::new(derive_key("another secret altogether"), own, 1);
+        let mut ours = Sealer::new(derive_key(SECRET), own, 1);
         let mut sent = 0;
         for _ in 0..40 {
             let body: Vec<u8> = (0..chance.random_range(1..300)).map(|_| chance.random()).collect();
-            let sound = ours.seal(to, Kind::Word, &[0xff; 9]).context("it is short")?;
+            let sound = ours.seal(to, DatagramKind::Message, &[0xff; 9]).context("it is short")?;
             let mut version = sound.clone();
             version[2] = 9;
             let cut = &sound[..chance.random_range(1..12)];
-            let forged = others.seal(to, Kind::Agree, &body).context("it is short")?;
+            let forged = others.seal(to, DatagramKind::Consensus, &body).context("it is short")?;
             for bytes in [&sound[..], &sound[..], &version[..], cut, &forged[..], &body[..], &[7; 1500][..]] {
                 socket.send_to(bytes, at).await?;
                 sent += 1;
@@ -747,9 +755,10 @@
     /// The last decisions in short, and what the voters make of the evidence.
     fn history(&self) -> String {
         let seen = self.seen.borrow();
-        let place = |p: &Place| format!("{} {} of {}/{}", p.state.name(), p.kept, p.asked, p.carries);
+        let place =
+            |p: &ZoneDecision| format!("{} {} of {}/{}", p.state.name(), p.retained, p.demand, p.capacity);
         let line = |d: &Decision| {
-            let places: Vec<String> = d.places.iter().map(place).collect();
+            let places: Vec<String> = d.zones.iter().map(place).collect();
             let ago = seen.at.get(&d.number).map_or(0.0, |at| at.elapsed().as_secs_f64());
             format!("{ago:.2} s ago {} {}: {}", d.number as u32, d.cause.name(), places.join(", "))
         };
