--- a/crates/pipitcrank-cli/src/keeper.rs
+++ b/crates/pipitcrank-cli/src/keeper.rs
@@ -10,9 +10,9 @@
 use anyhow::{Context, Result};
 use pipitcrank_config::{Operators, Upgrade};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_handover::book::{Book, Event, Times, Wish, Worker};
-use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing};
-use pipitcrank_handover::words::{ToSupervisor, ToWorker, VERSION};
+use pipitcrank_handover::descriptor_passing::{self, Broken, Incoming, Outgoing};
+use pipitcrank_handover::messages::{ToSupervisor, ToWorker, VERSION};
+use pipitcrank_handover::upgrade_state::{Book, Event, Times, Wish, Worker};
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
@@ -162,7 +162,7 @@
                     }
                     None => {}
                 },
-                Wish::Join(old, new) => match passing::pair() {
+                Wish::Join(old, new) => match descriptor_passing::pair() {
                     Ok((a, b)) => {
                         tracing::info!(old = old.0, new = new.0, "hands over");
                         self.tell(old, ToWorker::HandOver, Some(a.into()));
@@ -201,14 +201,14 @@
     }
 
     fn start_worker(&mut self, who: Worker) -> Result<()> {
-        let (ours, theirs) = passing::pair()?;
+        let (ours, theirs) = descriptor_passing::pair()?;
         let mut command = Command::new(&self.program);
         command.arg("work").stdin(Stdio::from(OwnedFd::from(theirs)));
         if let Some(path) = &self.operators {
             command.arg("--operators").arg(path);
         }
         let child = command.spawn()?;
-        let (to, from) = passing::join(ours)?;
+        let (to, from) = descriptor_passing::join(ours)?;
         to.send(&ToWorker::Hello { version: VERSION }, None);
         let (signals, wanted) = unbounded_channel();
         tracing::info!(worker = who.0, pid = child.id(), "started");
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -19,7 +19,7 @@
 use pipitcrank_membership::evidence::Row;
 use pipitcrank_membership::members::{Gone, News};
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::turns::{self, Copy};
+use pipitcrank_recovery::restart_waves::{self, Copy};
 use pipitcrank_server::counters::Counters;
 use pipitcrank_server::discovery::SharedRevision;
 use pipitcrank_server::serve::ServerContext;
@@ -609,7 +609,7 @@
     let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.0));
     let home: Vec<bool> =
         decision.places.iter().map(|p| p.state == State::Serving && p.kept == WHOLE).collect();
-    let waves = turns::plan(&copies, zones.voters.len(), leader, &home, share)?;
+    let waves = restart_waves::plan(&copies, zones.voters.len(), leader, &home, share)?;
     for (n, wave) in waves.iter().enumerate() {
         let named = |c: &Copy| {
             let zone = zones.zones.get(usize::from(c.zone)).map_or("?", |z| z.0.as_str());
--- a/crates/pipitcrank-core/src/coordinator/learned_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state.rs
@@ -158,7 +158,7 @@
     /// The same start as told to two clocks: they are set by the wall clock, which may be moved between.
     const SAME_START: TimeSpan = TimeSpan::from_millis(500);
 
-    // Two processes as one co-ordinator: what each may spend is divided by `pipitcrank_handover::division`.
+    // Two processes as one co-ordinator: what each may spend is divided by `pipitcrank_handover::resource_split`.
 
     /// What the budget of further calls is: so many free, a share of what is taken, over a span; none is no
     /// budget.
--- a/crates/pipitcrank-handover/src/lib.rs
+++ b/crates/pipitcrank-handover/src/lib.rs
@@ -1,8 +1,8 @@
-//! Upgrade under load. `book` decides who serves when, `division` what each of two processes may spend, `snapshot`
-//! is the form in which what is known passes; `passing` carries messages with descriptors. Only `passing` does I/O.
+//! Upgrade under load. `upgrade_state` decides who serves when, `resource_split` what each of two processes may spend, `snapshot`
+//! is the form in which what is known passes; `descriptor_passing` carries messages with descriptors. Only `descriptor_passing` does I/O.
 
-pub mod book;
-pub mod division;
-pub mod passing;
+pub mod descriptor_passing;
+pub mod messages;
+pub mod resource_split;
 pub mod snapshot;
-pub mod words;
+pub mod upgrade_state;
--- a/crates/pipitcrank-handover/tests/passing.rs
+++ b/crates/pipitcrank-handover/tests/descriptor_passing.rs
@@ -5,8 +5,8 @@
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 
-use pipitcrank_handover::passing::{Broken, Incoming, Outgoing, join, pair};
-use pipitcrank_handover::words::{ToPredecessor, ToSuccessor, ToSupervisor, VERSION};
+use pipitcrank_handover::descriptor_passing::{Broken, Incoming, Outgoing, join, pair};
+use pipitcrank_handover::messages::{ToPredecessor, ToSuccessor, ToSupervisor, VERSION};
 use proptest::prelude::*;
 
 fn play<T>(scene: impl AsyncFnOnce() -> T) -> T {
--- a/crates/pipitcrank-handover/tests/stored_forms.rs
+++ b/crates/pipitcrank-handover/tests/stored_forms.rs
@@ -3,10 +3,10 @@
 use std::fmt::Debug;
 
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
-use pipitcrank_handover::words::{
+use pipitcrank_handover::messages::{
     RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker,
 };
+use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/pipitcrank-handover/tests/book.rs
+++ b/crates/pipitcrank-handover/tests/upgrade_state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_handover::book::{Book, Event, Times, Undone, Wish, Worker};
+use pipitcrank_handover::upgrade_state::{Book, Event, Times, Undone, Wish, Worker};
 use proptest::prelude::*;
 
 const TIMES: Times = Times {
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -6,7 +6,7 @@
 use pipitcrank_failover::decision::Decision;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::beliefs::{Beliefs, Clocks};
+use pipitcrank_recovery::last_known_state::{Beliefs, Clocks};
 use pipitcrank_recovery::store::Store;
 
 #[path = "../../../fixtures/mod.rs"]
--- a/crates/pipitcrank-server/src/event_loop.rs
+++ b/crates/pipitcrank-server/src/event_loop.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_handover::division;
+use pipitcrank_handover::resource_split;
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
@@ -107,7 +107,7 @@
     pub fn leave_to_other(&self, open: usize) {
         let before = self.elsewhere.replace(open);
         self.pool.elsewhere.set(self.pool.elsewhere.get() + open - before);
-        self.set_most(division::sockets_for_new(self.all, open));
+        self.set_most(resource_split::sockets_for_new(self.all, open));
     }
 
     /// There is no other process.
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -14,7 +14,7 @@
 use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_handover::division;
+use pipitcrank_handover::resource_split;
 use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
 
 use crate::audit::{self, Audit, Sent, Taken};
@@ -664,7 +664,7 @@
         self.take_lists();
         let mut known = self.coordinator.learned_state(now);
         let (free, share, span) = self.coordinator.retry_budget_terms();
-        let purse = division::divide(free, share, span, longest, &mut known);
+        let purse = resource_split::divide(free, share, span, longest, &mut known);
         self.coordinator.limit_to_delegated_retries(purse.further, now + purse.within);
         Snapshot {
             taken_us,
--- a/crates/pipitcrank-server/src/relay.rs
+++ b/crates/pipitcrank-server/src/relay.rs
@@ -7,8 +7,8 @@
 
 use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_handover::passing::Outgoing;
-use pipitcrank_handover::words::{RelayedQuery, RelayedResponse, ToSuccessor};
+use pipitcrank_handover::descriptor_passing::Outgoing;
+use pipitcrank_handover::messages::{RelayedQuery, RelayedResponse, ToSuccessor};
 use tokio::sync::oneshot;
 
 use crate::event_loop::EventLoop;
--- a/crates/pipitcrank-server/src/worker.rs
+++ b/crates/pipitcrank-server/src/worker.rs
@@ -1,5 +1,5 @@
 //! A co-ordinator under a keeper: does what it is told over its link, and says how far it is. All order and all limits
-//! are the keeper's (`pipitcrank_handover::book`); what each of two processes may spend is `division`'s.
+//! are the keeper's (`pipitcrank_handover::upgrade_state`); what each of two processes may spend is `resource_split`'s.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_handover::division;
-use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing, monotonic_micros};
-use pipitcrank_handover::snapshot::Snapshot;
-use pipitcrank_handover::words::{
+use pipitcrank_handover::descriptor_passing::{self, Broken, Incoming, Outgoing, monotonic_micros};
+use pipitcrank_handover::messages::{
     RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION,
 };
+use pipitcrank_handover::resource_split;
+use pipitcrank_handover::snapshot::Snapshot;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
@@ -92,7 +92,7 @@
 impl Worker {
     /// Obeys until the keeper is gone; then it ends in order, as nobody could upgrade or signal it any more.
     pub async fn obey(self: Rc<Worker>, keeper: StdStream) -> Result<(), Broken> {
-        let (to_keeper, mut from_keeper) = passing::join(keeper)?;
+        let (to_keeper, mut from_keeper) = descriptor_passing::join(keeper)?;
         to_keeper.send(&ToSupervisor::Hello { version: VERSION }, None);
         to_keeper.send(&ToSupervisor::Checked, None);
         let mut peer = Peer::Nobody;
@@ -126,13 +126,13 @@
                             let _ = self.acceptor.send(Order::Accept(TcpListener::from_std(listener)?));
                         }
                         ToWorker::TakeOver => {
-                            let (to, from) = passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
+                            let (to, from) = descriptor_passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
                             to.send(&ToPredecessor::Hello { version: VERSION }, None);
                             from_old = Some((from, std::marker::PhantomData));
                             peer = Peer::Old(Old { to, lent: None, tickets: Rc::default() });
                         }
                         ToWorker::HandOver => {
-                            let (to, from) = passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
+                            let (to, from) = descriptor_passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
                             to.send(&ToSuccessor::Hello { version: VERSION }, None);
                             from_new = Some((from, std::marker::PhantomData));
                             peer = Peer::New(New { to, kept: 0, trusted: false, passing: false, drained: false });
@@ -254,7 +254,7 @@
     /// What is held here is not the new one's; it only shrinks.
     fn tell_room(&self, new: &New) {
         let (replicas, clients) = (&self.event_loop.sockets, &self.clients);
-        replicas.set_most(division::sockets(replicas.most(), replicas.open()).0);
+        replicas.set_most(resource_split::sockets(replicas.most(), replicas.open()).0);
         let open = self.event_loop.ask(Exchange::open) as u32;
         let (replicas, clients) = (replicas.open() as u32, clients.open() as u32);
         new.to.send(&ToSuccessor::Room { replicas, clients, open }, None);
