--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -8,7 +8,7 @@
 use pipitcrank_core::time::Timestamp;
 use pipitcrank_failover::agreement::Memory;
 use pipitcrank_failover::decision::Decision;
-use pipitcrank_handover::descriptor_passing::monotonic_micros;
+use pipitcrank_handover::clock::monotonic_micros;
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::last_known_state::{Beliefs, Clocks, Recalled};
 use pipitcrank_recovery::store::{Fault, Store};
--- a/crates/pipitcrank-cli/src/keeper.rs
+++ b/crates/pipitcrank-cli/src/keeper.rs
@@ -1,5 +1,5 @@
 //! The process that operators start and signal where upgrades are on: it holds a copy of the listener, starts workers
-//! and carries out what the book wishes. It serves nobody itself and knows no query.
+//! and carries out what the upgrade state machine decides. It serves nobody itself and knows no query.
 
 use std::collections::BTreeMap;
 use std::os::fd::OwnedFd;
@@ -10,9 +10,10 @@
 use anyhow::{Context, Result};
 use pipitcrank_config::{Operators, Upgrade};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_handover::descriptor_passing::{self, Broken, Incoming, Outgoing};
+use pipitcrank_handover::descriptor_passing::{LinkError, LinkReceiver, LinkSender, open_link, socket_pair};
 use pipitcrank_handover::messages::{ToSupervisor, ToWorker, VERSION};
-use pipitcrank_handover::upgrade_state::{Book, Event, Times, Wish, Worker};
+use pipitcrank_handover::upgrade_event::{UpgradeAction, UpgradeEvent, UpgradeTimeouts, WorkerId};
+use pipitcrank_handover::upgrade_state::UpgradeStateMachine;
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
@@ -26,12 +27,12 @@
     start: Instant,
     /// None once the end was called: then only workers listen, and clients are refused when they cease to.
     listener: Option<std::net::TcpListener>,
-    workers: BTreeMap<Worker, Running>,
-    events: UnboundedSender<Event>,
+    workers: BTreeMap<WorkerId, Running>,
+    events: UnboundedSender<UpgradeEvent>,
 }
 
 struct Running {
-    to: Outgoing,
+    to: LinkSender,
     signals: UnboundedSender<Signal>,
 }
 
@@ -39,12 +40,12 @@
     TimeSpan::from_secs_f64(d.as_secs_f64())
 }
 
-fn times(upgrade: Upgrade) -> Times {
-    Times {
+fn times(upgrade: Upgrade) -> UpgradeTimeouts {
+    UpgradeTimeouts {
         start: span(upgrade.start),
-        settle: span(upgrade.settle),
-        silent: span(upgrade.silent),
-        finish: span(upgrade.finish),
+        trial: span(upgrade.settle),
+        heartbeat: span(upgrade.silent),
+        drain: span(upgrade.finish),
     }
 }
 
@@ -70,9 +71,9 @@
         workers: BTreeMap::new(),
         events,
     };
-    let (mut book, wishes) = Book::open(keeper.now(), times(upgrade));
+    let (mut book, actions) = UpgradeStateMachine::start(keeper.now(), times(upgrade));
     tracing::info!("keeping a listener at {listen}");
-    if let Some(code) = keeper.carry_out(&book, wishes) {
+    if let Some(code) = keeper.carry_out(&book, actions) {
         return Ok(code);
     }
     loop {
@@ -80,30 +81,32 @@
             Some(event) = happened.recv() => event,
             Some(()) = upgrades.recv() => {
                 tracing::info!("asked to upgrade");
-                Event::Asked
+                UpgradeEvent::UpgradeRequested
             }
-            Some(()) = term.recv() => Event::EndCalled,
-            Some(()) = int.recv() => Event::EndCalled,
+            Some(()) = term.recv() => UpgradeEvent::ShutdownRequested,
+            Some(()) = int.recv() => UpgradeEvent::ShutdownRequested,
             Some(()) = hangups.recv() => {
                 keeper.reload(&mut book);
                 continue;
             }
-            () = keeper.due(&book) => Event::Tick,
+            () = keeper.due(&book) => UpgradeEvent::Tick,
         };
         match event {
-            Event::EndCalled => {
+            UpgradeEvent::ShutdownRequested => {
                 tracing::info!("asked to end");
                 keeper.listener = None;
             }
-            Event::Gone(who, _) | Event::NotStarted(who) => drop(keeper.workers.remove(&who)),
+            UpgradeEvent::Exited(who, _) | UpgradeEvent::StartFailed(who) => {
+                drop(keeper.workers.remove(&who))
+            }
             _ => {}
         }
-        let undone = book.undone;
-        let wishes = book.on(keeper.now(), event);
-        if book.undone > undone && !book.upgrading() {
-            tracing::warn!("the upgrade is undone: {:?}", book.last_undone());
+        let rolled_back = book.counts().rolled_back;
+        let actions = book.handle(keeper.now(), event);
+        if book.counts().rolled_back > rolled_back && !book.is_upgrading() {
+            tracing::warn!("the upgrade is undone: {:?}", book.last_rollback());
         }
-        if let Some(code) = keeper.carry_out(&book, wishes) {
+        if let Some(code) = keeper.carry_out(&book, actions) {
             return Ok(code);
         }
     }
@@ -114,8 +117,8 @@
         Timestamp::from_micros(self.start.elapsed().as_micros() as i64)
     }
 
-    async fn due(&self, book: &Book) {
-        match book.due() {
+    async fn due(&self, book: &UpgradeStateMachine) {
+        match book.next_tick() {
             Some(due) => {
                 let left = (due - self.now()).as_micros().max(0) as u64;
                 tokio::time::sleep(std::time::Duration::from_micros(left)).await;
@@ -125,14 +128,14 @@
     }
 
     /// SIGHUP: workers read their node configuration again, the keeper the operators' file. A faulty one changes nothing.
-    fn reload(&self, book: &mut Book) {
+    fn reload(&self, book: &mut UpgradeStateMachine) {
         for worker in self.workers.values() {
             let _ = worker.signals.send(Signal::HUP);
         }
         let Some(path) = &self.operators else { return };
         match Operators::read(path) {
             Ok(Operators { upgrade: Some(upgrade), .. }) => {
-                book.set_times(times(upgrade));
+                book.set_timeouts(times(upgrade));
                 tracing::info!("the operators' file is read again");
             }
             Ok(_) => tracing::error!("/upgrade is off in the new operators' file: that takes a new start"),
@@ -140,17 +143,17 @@
         }
     }
 
-    fn carry_out(&mut self, book: &Book, wishes: Vec<Wish>) -> Option<i32> {
-        for wish in wishes {
-            tracing::debug!(?wish);
-            match wish {
-                Wish::Start(who) => {
+    fn carry_out(&mut self, book: &UpgradeStateMachine, actions: Vec<UpgradeAction>) -> Option<i32> {
+        for action in actions {
+            tracing::debug!(?action);
+            match action {
+                UpgradeAction::Start(who) => {
                     if let Err(wrong) = self.start_worker(who) {
                         tracing::error!("{} can't be started: {wrong:#}", self.program.display());
-                        let _ = self.events.send(Event::NotStarted(who));
+                        let _ = self.events.send(UpgradeEvent::StartFailed(who));
                     }
                 }
-                Wish::Serve(who) => match self.listener.as_ref().map(|l| l.try_clone()) {
+                UpgradeAction::Serve(who) => match self.listener.as_ref().map(|l| l.try_clone()) {
                     Some(Ok(listener)) => {
                         tracing::info!(worker = who.0, "serves");
                         self.tell(who, ToWorker::Serve, Some(listener.into()));
@@ -162,7 +165,7 @@
                     }
                     None => {}
                 },
-                Wish::Join(old, new) => match descriptor_passing::pair() {
+                UpgradeAction::Connect { predecessor: old, successor: new } => match socket_pair() {
                     Ok((a, b)) => {
                         tracing::info!(old = old.0, new = new.0, "hands over");
                         self.tell(old, ToWorker::HandOver, Some(a.into()));
@@ -171,44 +174,43 @@
                     // The limit of the step ends this try.
                     Err(e) => tracing::error!("no link between workers: {e}"),
                 },
-                Wish::Alone(who) => self.tell(who, ToWorker::Alone, None),
-                Wish::Pass(who) => {
+                UpgradeAction::ContinueAlone(who) => self.tell(who, ToWorker::ContinueAlone, None),
+                UpgradeAction::TransferConnections(who) => {
                     tracing::info!(worker = who.0, "passes listener and connections");
-                    self.tell(who, ToWorker::Pass, None);
+                    self.tell(who, ToWorker::TransferConnections, None);
                 }
-                Wish::Kill(who) => self.signal(who, Signal::KILL),
-                Wish::End(who) => self.signal(who, Signal::TERM),
-                Wish::Tell(who) => {
-                    let (asked, done, undone) = (book.asked, book.done, book.undone);
-                    self.tell(who, ToWorker::Upgrades { asked, done, undone }, None);
+                UpgradeAction::Kill(who) => self.signal(who, Signal::KILL),
+                UpgradeAction::Terminate(who) => self.signal(who, Signal::TERM),
+                UpgradeAction::ReportCounts(who) => {
+                    self.tell(who, ToWorker::UpgradeCounts(book.counts()), None);
                 }
-                Wish::Exit(code) => return Some(code),
+                UpgradeAction::Exit(code) => return Some(code),
             }
         }
         None
     }
 
-    fn tell(&self, who: Worker, what: ToWorker, fd: Option<OwnedFd>) {
+    fn tell(&self, who: WorkerId, what: ToWorker, fd: Option<OwnedFd>) {
         if let Some(worker) = self.workers.get(&who) {
             worker.to.send(&what, fd);
         }
     }
 
-    fn signal(&self, who: Worker, signal: Signal) {
+    fn signal(&self, who: WorkerId, signal: Signal) {
         if let Some(worker) = self.workers.get(&who) {
             let _ = worker.signals.send(signal);
         }
     }
 
-    fn start_worker(&mut self, who: Worker) -> Result<()> {
-        let (ours, theirs) = descriptor_passing::pair()?;
+    fn start_worker(&mut self, who: WorkerId) -> Result<()> {
+        let (ours, theirs) = socket_pair()?;
         let mut command = Command::new(&self.program);
         command.arg("work").stdin(Stdio::from(OwnedFd::from(theirs)));
         if let Some(path) = &self.operators {
             command.arg("--operators").arg(path);
         }
         let child = command.spawn()?;
-        let (to, from) = descriptor_passing::join(ours)?;
+        let (to, from) = open_link(ours)?;
         to.send(&ToWorker::Hello { version: VERSION }, None);
         let (signals, wanted) = unbounded_channel();
         tracing::info!(worker = who.0, pid = child.id(), "started");
@@ -220,23 +222,23 @@
 }
 
 /// Hands on what the worker says, until it says no more.
-async fn listen(who: Worker, mut from: Incoming, events: UnboundedSender<Event>) {
+async fn listen(who: WorkerId, mut from: LinkReceiver, events: UnboundedSender<UpgradeEvent>) {
     loop {
-        let event = match from.next::<ToSupervisor>().await {
-            Ok((ToSupervisor::Hello { version: VERSION }, _)) => continue,
-            Ok((ToSupervisor::Hello { version }, _)) => {
+        let event = match from.receive::<ToSupervisor>().await.map(|received| received.message) {
+            Ok(ToSupervisor::Hello { version: VERSION }) => continue,
+            Ok(ToSupervisor::Hello { version }) => {
                 tracing::error!(worker = who.0, "speaks version {version}, not {VERSION}");
-                Event::Garbled(who)
+                UpgradeEvent::ProtocolError(who)
             }
-            Ok((ToSupervisor::Checked, _)) => Event::Checked(who),
-            Ok((ToSupervisor::Learned, _)) => Event::Learned(who),
-            Ok((ToSupervisor::Beat, _)) => Event::Beat(who),
-            Ok((ToSupervisor::Drained, _)) => Event::Drained(who),
-            Ok((ToSupervisor::Passed, _)) => Event::Passed(who),
-            Err(Broken::Closed | Broken::Io(_)) => return,
+            Ok(ToSupervisor::Ready) => UpgradeEvent::Ready(who),
+            Ok(ToSupervisor::StateLoaded) => UpgradeEvent::StateLoaded(who),
+            Ok(ToSupervisor::Heartbeat) => UpgradeEvent::Heartbeat(who),
+            Ok(ToSupervisor::Drained) => UpgradeEvent::Drained(who),
+            Ok(ToSupervisor::HandedOver) => UpgradeEvent::HandedOver(who),
+            Err(LinkError::Closed | LinkError::Io(_)) => return,
             Err(wrong) => {
                 tracing::error!(worker = who.0, "{wrong}");
-                let _ = events.send(Event::Garbled(who));
+                let _ = events.send(UpgradeEvent::ProtocolError(who));
                 return;
             }
         };
@@ -246,10 +248,10 @@
 
 /// Waits for the process's end; it is signalled only before that, so that no other process ever is.
 async fn wait(
-    who: Worker,
+    who: WorkerId,
     mut child: Child,
     mut wanted: UnboundedReceiver<Signal>,
-    events: UnboundedSender<Event>,
+    events: UnboundedSender<UpgradeEvent>,
 ) {
     let status: Option<ExitStatus> = loop {
         tokio::select! {
@@ -262,7 +264,7 @@
         }
     };
     tracing::info!(worker = who.0, "ended: {}", status.map_or("unknown".to_string(), |s| s.to_string()));
-    let _ = events.send(Event::Gone(who, status.and_then(|s| s.code())));
+    let _ = events.send(UpgradeEvent::Exited(who, status.and_then(|s| s.code())));
 }
 
 /// The program's path as it was started, resolved now: what is put there later is what an upgrade starts.
--- a/crates/pipitcrank-handover/src/descriptor_passing.rs
+++ b/crates/pipitcrank-handover/src/descriptor_passing.rs
@@ -1,8 +1,8 @@
-//! Messages with descriptors over a private pair of Unix sockets, made by the keeper and inherited: no name in any
-//! file system stands for it, and the peer's user is checked all the same. A frame is four bytes of length and a
+//! Messages with descriptors over a private pair of Unix sockets, made by the supervisor and inherited by workers: no name
+//! in a file system stands for it, and the peer's user is checked all the same. A frame is four bytes of length and a
 //! message in postcard's form; a descriptor travels with the frame's first byte (SCM_RIGHTS, unix(7)).
 //!
-//! A message that is oversized, cut, of another form, or that lacks its descriptor ends the link with its reason.
+//! A message that is too long, truncated or malformed, or that lacks its descriptor, ends the link with its reason.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -21,156 +21,188 @@
 use tokio::net::UnixStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Longest message: an answer of 200 parts at the protocol's longest value.
-const LONGEST: usize = 16 << 20;
-/// Descriptors that have come before the messages that they go with.
-const MOST_WAITING: usize = 64;
-const PIECE: usize = 64 * 1024;
+use crate::exact_decode::decode_exact;
 
+/// Longest message, in bytes: an answer of 200 parts at the protocol's longest value.
+const MAX_MESSAGE_LENGTH: usize = 16 << 20;
+/// Most descriptors received ahead of the messages that they belong to.
+const MAX_PENDING_DESCRIPTORS: usize = 64;
+/// Most descriptors taken by one call of `recvmsg`.
+const MAX_DESCRIPTORS_PER_READ: usize = 8;
+/// Most bytes taken by one call of `recvmsg`.
+const READ_LENGTH: usize = 64 * 1024;
+const LENGTH_PREFIX: usize = 4;
+
+/// Why a link has ended.
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
-    #[error("the other side has closed it")]
+pub enum LinkError {
+    /// The peer closed it between two messages.
+    #[error("the peer closed the link")]
     Closed,
-    #[error("it ended within a message")]
-    Cut,
+    /// The peer closed it within a message.
+    #[error("the link ended within a message")]
+    Truncated,
+    /// A frame states a length over the limit, in bytes.
     #[error("a message of {0} bytes was announced")]
-    TooLong(usize),
-    #[error("a message can't be read")]
-    Garbled,
-    #[error("more descriptors came than belong to messages")]
-    Descriptors,
-    #[error("the other side runs as user {0}")]
-    Stranger(u32),
+    MessageTooLong(usize),
+    /// A message can't be decoded.
+    #[error("a message is malformed")]
+    Malformed,
+    /// A message lacks its descriptor, or descriptors came that belong to no message.
+    #[error("descriptors do not match the messages")]
+    DescriptorMismatch,
+    /// The peer is a process of another user, with this user id.
+    #[error("the peer runs as user {0}")]
+    ForeignUser(u32),
+    /// The operating system failed.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
 /// Both ends of a link as files, to be given to two processes.
-pub fn pair() -> io::Result<(StdStream, StdStream)> {
+pub fn socket_pair() -> io::Result<(StdStream, StdStream)> {
     StdStream::pair()
 }
 
-/// The sending side; messages go out in order. Dropped, it closes its direction once all is out. What waits is
-/// bounded by what the sender holds open: each message belongs to a connection, a query or a step.
+/// A message as received.
+#[derive(Debug)]
+pub struct Received<M> {
+    /// The message.
+    pub message: M,
+    /// The descriptor that it carried.
+    pub descriptor: Option<OwnedFd>,
+}
+
+struct Frame {
+    bytes: Vec<u8>,
+    descriptor: Option<OwnedFd>,
+}
+
+/// The sending side; messages go out in order. Dropped, it closes its direction once all is sent. The queue is bounded by
+/// what the sender holds open: each message belongs to a connection, a query or a step.
 #[derive(Clone)]
-pub struct Outgoing(UnboundedSender<(Vec<u8>, Option<OwnedFd>)>);
+pub struct LinkSender(UnboundedSender<Frame>);
 
-pub struct Incoming {
+/// The receiving side.
+pub struct LinkReceiver {
     stream: Rc<UnixStream>,
     buffer: Vec<u8>,
-    fds: VecDeque<OwnedFd>,
+    descriptors: VecDeque<OwnedFd>,
 }
 
-/// Joins this end; the peer has to be a process of our own user.
-pub fn join(stream: StdStream) -> Result<(Outgoing, Incoming), Broken> {
+/// Opens this end of a link, within a `LocalSet`. Fails where the peer is a process of another user.
+pub fn open_link(stream: StdStream) -> Result<(LinkSender, LinkReceiver), LinkError> {
     let peer = sockopt::socket_peercred(&stream).map_err(io::Error::from)?;
     if peer.uid != rustix::process::geteuid() {
-        return Err(Broken::Stranger(peer.uid.as_raw()));
+        return Err(LinkError::ForeignUser(peer.uid.as_raw()));
     }
     stream.set_nonblocking(true)?;
     let stream = Rc::new(UnixStream::from_std(stream)?);
-    let (queue, queued) = unbounded_channel();
-    tokio::task::spawn_local(write_out(stream.clone(), queued));
-    Ok((Outgoing(queue), Incoming { stream, buffer: Vec::new(), fds: VecDeque::new() }))
+    let (sender, queue) = unbounded_channel();
+    tokio::task::spawn_local(write_frames(stream.clone(), queue));
+    let receiver = LinkReceiver { stream, buffer: Vec::new(), descriptors: VecDeque::new() };
+    Ok((LinkSender(sender), receiver))
 }
 
-async fn write_out(stream: Rc<UnixStream>, mut queued: UnboundedReceiver<(Vec<u8>, Option<OwnedFd>)>) {
-    while let Some((bytes, mut fd)) = queued.recv().await {
+async fn write_frames(stream: Rc<UnixStream>, mut queue: UnboundedReceiver<Frame>) {
+    while let Some(Frame { bytes, mut descriptor }) = queue.recv().await {
         let mut rest = &bytes[..];
         while !rest.is_empty() {
-            let sent = stream.async_io(Interest::WRITABLE, || send(&stream, rest, fd.as_ref())).await;
-            match sent {
-                Ok(n) => rest = &rest[n..],
-                // The reader sees the end.
+            let send = || send_bytes(&stream, rest, descriptor.as_ref());
+            match stream.async_io(Interest::WRITABLE, send).await {
+                Ok(sent) => rest = &rest[sent..],
+                // The receiving side reports the end of the link.
                 Err(_) => return,
             }
-            fd = None;
+            descriptor = None;
         }
     }
     let _ = rustix::net::shutdown(&*stream, rustix::net::Shutdown::Write);
 }
 
-fn send(stream: &UnixStream, bytes: &[u8], fd: Option<&OwnedFd>) -> io::Result<usize> {
-    let fds: Vec<_> = fd.iter().map(|fd| fd.as_fd()).collect();
+fn send_bytes(stream: &UnixStream, bytes: &[u8], descriptor: Option<&OwnedFd>) -> io::Result<usize> {
+    let descriptors: Vec<_> = descriptor.iter().map(|descriptor| descriptor.as_fd()).collect();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut with = SendAncillaryBuffer::new(&mut space);
-    if !fds.is_empty() {
-        with.push(SendAncillaryMessage::ScmRights(&fds));
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
+    if !descriptors.is_empty() {
+        ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
     }
-    Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut with, SendFlags::NOSIGNAL)?)
+    Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL)?)
 }
 
-fn framed(body: Vec<u8>) -> Vec<u8> {
-    [&(body.len() as u32).to_be_bytes()[..], &body].concat()
-}
+impl LinkSender {
+    /// Queues a message. Whether the peer receives it is not known here; the end of the link shows at the receiver.
+    pub fn send(&self, message: &impl Serialize, descriptor: Option<OwnedFd>) {
+        self.send_frame(message, descriptor.is_some(), descriptor);
+    }
 
-impl Outgoing {
-    /// Whether the other side may still get it is not known here: its end shows at the incoming side.
-    pub fn send(&self, message: &impl Serialize, fd: Option<OwnedFd>) {
-        let Ok(body) = postcard::to_allocvec(&(fd.is_some(), message)) else { return };
-        let _ = self.0.send((framed(body), fd));
+    /// Sends a descriptor that its message does not announce: for tests of what the peer does then.
+    pub fn send_with_unannounced_descriptor(&self, message: &impl Serialize, descriptor: OwnedFd) {
+        self.send_frame(message, false, Some(descriptor));
     }
 
-    /// Sends a descriptor that its message does not speak of: for tests of what the other side does then.
-    pub fn send_with_stray(&self, message: &impl Serialize, fd: OwnedFd) {
-        let Ok(body) = postcard::to_allocvec(&(false, message)) else { return };
-        let _ = self.0.send((framed(body), Some(fd)));
+    fn send_frame(&self, message: &impl Serialize, announced: bool, descriptor: Option<OwnedFd>) {
+        let Ok(body) = postcard::to_allocvec(&(announced, message)) else { return };
+        let bytes = [&(body.len() as u32).to_be_bytes()[..], &body].concat();
+        let _ = self.0.send(Frame { bytes, descriptor });
     }
 }
 
-impl Incoming {
-    /// The next message, with its descriptor if it has one. May be dropped half way: nothing is lost.
-    pub async fn next<M: DeserializeOwned>(&mut self) -> Result<(M, Option<OwnedFd>), Broken> {
+impl LinkReceiver {
+    /// The next message. Cancel safe: a dropped call loses nothing.
+    pub async fn receive<M: DeserializeOwned>(&mut self) -> Result<Received<M>, LinkError> {
         loop {
-            if let Some(found) = self.take()? {
-                return Ok(found);
+            if let Some(received) = self.take_message()? {
+                return Ok(received);
             }
-            let stream = self.stream.clone();
-            let (buffer, fds) = (&mut self.buffer, &mut self.fds);
-            let came = stream.async_io(Interest::READABLE, || receive(&stream, buffer, fds)).await?;
-            if came == 0 {
-                return Err(if self.buffer.is_empty() { Broken::Closed } else { Broken::Cut });
+            if self.read_more().await? == 0 {
+                return Err(if self.buffer.is_empty() { LinkError::Closed } else { LinkError::Truncated });
             }
-            if self.fds.len() > MOST_WAITING {
-                return Err(Broken::Descriptors);
+            if self.descriptors.len() > MAX_PENDING_DESCRIPTORS {
+                return Err(LinkError::DescriptorMismatch);
             }
         }
     }
 
-    fn take<M: DeserializeOwned>(&mut self) -> Result<Option<(M, Option<OwnedFd>)>, Broken> {
-        let Some(head) = self.buffer.first_chunk::<4>() else { return Ok(None) };
-        let length = u32::from_be_bytes(*head) as usize;
-        if length > LONGEST {
-            return Err(Broken::TooLong(length));
-        }
-        let Some(body) = self.buffer.get(4..4 + length) else { return Ok(None) };
-        let ((with_fd, message), rest): ((bool, M), _) =
-            postcard::take_from_bytes(body).map_err(|_| Broken::Garbled)?;
-        if !rest.is_empty() {
-            return Err(Broken::Garbled);
+    async fn read_more(&mut self) -> io::Result<usize> {
+        let stream = self.stream.clone();
+        let (buffer, descriptors) = (&mut self.buffer, &mut self.descriptors);
+        stream.async_io(Interest::READABLE, || receive_bytes(&stream, buffer, descriptors)).await
+    }
+
+    fn take_message<M: DeserializeOwned>(&mut self) -> Result<Option<Received<M>>, LinkError> {
+        let Some(prefix) = self.buffer.first_chunk::<LENGTH_PREFIX>() else { return Ok(None) };
+        let length = u32::from_be_bytes(*prefix) as usize;
+        if length > MAX_MESSAGE_LENGTH {
+            return Err(LinkError::MessageTooLong(length));
         }
-        let fd = if with_fd { Some(self.fds.pop_front().ok_or(Broken::Descriptors)?) } else { None };
-        self.buffer.drain(..4 + length);
-        Ok(Some((message, fd)))
+        let frame_end = LENGTH_PREFIX + length;
+        let Some(body) = self.buffer.get(LENGTH_PREFIX..frame_end) else { return Ok(None) };
+        let (announced, message): (bool, M) = decode_exact(body).map_err(|_| LinkError::Malformed)?;
+        let descriptor = match announced {
+            true => Some(self.descriptors.pop_front().ok_or(LinkError::DescriptorMismatch)?),
+            false => None,
+        };
+        self.buffer.drain(..frame_end);
+        Ok(Some(Received { message, descriptor }))
     }
 }
 
-fn receive(stream: &UnixStream, buffer: &mut Vec<u8>, fds: &mut VecDeque<OwnedFd>) -> io::Result<usize> {
-    let mut piece = vec![0; PIECE];
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(8))];
-    let mut with = RecvAncillaryBuffer::new(&mut space);
-    let came = recvmsg(stream, &mut [IoSliceMut::new(&mut piece)], &mut with, RecvFlags::CMSG_CLOEXEC)?;
-    for message in with.drain() {
+fn receive_bytes(
+    stream: &UnixStream,
+    buffer: &mut Vec<u8>,
+    descriptors: &mut VecDeque<OwnedFd>,
+) -> io::Result<usize> {
+    let mut bytes = vec![0; READ_LENGTH];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+    let received =
+        recvmsg(stream, &mut [IoSliceMut::new(&mut bytes)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+    for message in ancillary.drain() {
         if let RecvAncillaryMessage::ScmRights(rights) = message {
-            fds.extend(rights);
+            descriptors.extend(rights);
         }
     }
-    buffer.extend_from_slice(&piece[..came.bytes]);
-    Ok(came.bytes)
-}
-
-/// The machine's monotonic clock in microseconds: the same for all its processes.
-pub fn monotonic_micros() -> i64 {
-    let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
-    now.tv_sec * 1_000_000 + now.tv_nsec / 1000
+    buffer.extend_from_slice(&bytes[..received.bytes]);
+    Ok(received.bytes)
 }
--- a/crates/pipitcrank-handover/src/messages.rs
+++ b/crates/pipitcrank-handover/src/messages.rs
@@ -1,108 +1,188 @@
-//! What is said: between the keeper and a worker, and between the old worker and the new one.
+//! Messages of an upgrade: between the supervisor and a worker, and between predecessor and successor.
+//!
+//! All travel in postcard's form, which encodes by position: variants and fields keep their order and types.
 
 use pipitcrank_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Raised with each change of what is said here; the first thing said is this.
+use crate::upgrade_event::UpgradeCounts;
+
+/// Protocol version, raised with each change of a message's form. Each side sends it first.
 pub const VERSION: u16 = 1;
 
-/// From the keeper to a worker.
+/// From the supervisor to a worker.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToWorker {
+    /// The first message.
     Hello {
+        /// The sender's [`VERSION`].
         version: u16,
     },
-    /// Serve; the listener comes with it.
+    /// Serve. Carries the listener's descriptor.
     Serve,
-    /// Take over from the process at the other end of the socket that comes with it.
+    /// Take over from the process at the other end of the socket whose descriptor this carries.
     TakeOver,
-    /// Hand over to the process at the other end of the socket that comes with it.
+    /// Hand over to the process at the other end of the socket whose descriptor this carries.
     HandOver,
-    /// The other is gone: go on alone.
-    Alone,
-    /// The trial is over: pass listener and connections, and end.
-    Pass,
-    /// How often an upgrade was asked for, done, undone.
-    Upgrades {
-        asked: u64,
-        done: u64,
-        undone: u64,
-    },
+    /// The other worker is out of the upgrade: continue alone.
+    ContinueAlone,
+    /// The trial has passed: transfer the listener and the connections, then exit.
+    TransferConnections,
+    /// How many upgrades were requested, and what became of them.
+    UpgradeCounts(UpgradeCounts),
 }
 
-/// From a worker to the keeper.
+/// From a worker to the supervisor.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToSupervisor {
+    /// The first message.
     Hello {
+        /// The sender's [`VERSION`].
         version: u16,
     },
-    /// It has read and checked all it is told by, and could serve.
-    Checked,
-    /// It has taken what is known (or goes by the list alone) and takes queries.
-    Learned,
-    /// A sign of life of one on trial.
-    Beat,
-    /// Of its own queries none is open.
+    /// The configuration is validated; the worker could serve.
+    Ready,
+    /// The predecessor's state is loaded, or found unusable; the worker accepts queries.
+    StateLoaded,
+    /// Sent regularly by a worker on trial.
+    Heartbeat,
+    /// None of the worker's own queries is open.
     Drained,
-    /// Nothing is left with it.
-    Passed,
+    /// All is transferred.
+    HandedOver,
 }
 
-/// From the old worker to the new one.
+/// From the predecessor to the successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToSuccessor {
+    /// The first message.
     Hello {
+        /// The sender's [`VERSION`].
         version: u16,
     },
-    /// A snapshot as encoded, or nothing where none could be made.
-    Known(Vec<u8>),
-    Ask(RelayedQuery),
-    Gone {
+    /// An encoded snapshot; empty where none could be made.
+    Snapshot(Vec<u8>),
+    /// A query to answer on the predecessor's behalf.
+    Query(RelayedQuery),
+    /// The client of this query has disconnected.
+    CancelQuery {
+        /// The predecessor's ticket.
         ticket: u64,
     },
-    /// What the old one still holds: connections to replicas, to clients, open queries and parts.
-    Room {
-        replicas: u32,
-        clients: u32,
-        open: u32,
+    /// What the predecessor still holds, to be counted against the common limits.
+    HeldResources {
+        /// Open connections to replicas.
+        replica_connections: u32,
+        /// Open connections of clients.
+        client_connections: u32,
+        /// Open queries and parts.
+        open_queries: u32,
     },
-    /// A client's connection comes with it, and bytes read from it already. A request begun on it has to be whole
-    /// within that.
-    Connection {
+    /// A client's connection. Carries its descriptor.
+    ClientConnection {
+        /// Bytes already read from it.
         read: Vec<u8>,
-        whole_within: Option<TimeSpan>,
+        /// Time left for the request that these bytes begin.
+        request_timeout: Option<TimeSpan>,
     },
-    /// The old one ends: further calls it made of those lent, and its counters.
-    Bye {
-        further: u32,
-        counters: Vec<(String, String, u64)>,
+    /// The predecessor's last message.
+    Finished {
+        /// How many of the delegated retries it has used.
+        delegated_retries_used: u32,
+        /// Its counters.
+        counters: Vec<CounterValue>,
+    },
+    /// A query with an idempotency key. The last variant, so that the older ones keep their form.
+    QueryWithKey {
+        /// The query.
+        query: RelayedQuery,
+        /// Its idempotency key.
+        idempotency_key: String,
     },
-    /// A query that came with a key by which leaves know a repeat. Last, so that the older messages keep their form.
-    AskWithKey(RelayedQuery, String),
 }
 
-/// From the new worker to the old one.
+/// From the successor to the predecessor.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToPredecessor {
-    Hello { version: u16 },
-    Answer { ticket: u64, last: RelayedResponse },
+    /// The first message.
+    Hello {
+        /// The sender's [`VERSION`].
+        version: u16,
+    },
+    /// The final answer to a relayed query.
+    Response {
+        /// The predecessor's ticket.
+        ticket: u64,
+        /// The answer.
+        response: RelayedResponse,
+    },
 }
 
+/// A counter as `/counters` shows it.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CounterValue {
+    /// What is counted.
+    pub group: String,
+    /// Which of the group.
+    pub name: String,
+    /// The count.
+    pub value: u64,
+}
+
+/// A query whose client is connected to the predecessor while the successor answers it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RelayedQuery {
+    /// The predecessor's number of it.
     pub ticket: u64,
+    /// The client's id of it.
     pub id: String,
+    /// Index of its request class.
     pub class: u16,
-    /// Time left.
-    pub left: TimeSpan,
-    pub parts: Vec<(u32, f64, Option<f64>)>,
+    /// Time left until its deadline.
+    pub time_left: TimeSpan,
+    /// Its parts, one for each shard.
+    pub parts: Vec<RelayedPart>,
+    /// The query's text.
     pub text: String,
 }
 
+/// A part of a relayed query.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct RelayedPart {
+    /// Index of the shard.
+    pub shard: u32,
+    /// The part's share of the answer.
+    pub weight: f64,
+    /// The work that the client expects, if stated.
+    pub work: Option<f64>,
+}
+
+/// The final answer to a relayed query.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RelayedResponse {
-    Merged { whole: bool, hits: Vec<(u32, String)> },
-    Rejected { stay_away: TimeSpan },
+    /// Answered.
+    Answered {
+        /// Whether all parts are answered.
+        complete: bool,
+        /// The answered parts.
+        hits: Vec<RelayedHit>,
+    },
+    /// Rejected before any work was done.
+    Rejected {
+        /// When the client may try again.
+        retry_after: TimeSpan,
+    },
+    /// Given up after work may have been done.
     Aborted,
-    Repeated,
+    /// A query with that id is open already.
+    DuplicateId,
+}
+
+/// One shard's answer.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RelayedHit {
+    /// Index of the shard.
+    pub shard: u32,
+    /// The replica's answer.
+    pub value: String,
 }
--- a/crates/pipitcrank-handover/src/resource_split.rs
+++ b/crates/pipitcrank-handover/src/resource_split.rs
@@ -1,59 +1,72 @@
-//! While two processes live they are one co-ordinator: what each may spend, divided here and nowhere else.
+//! What predecessor and successor may use while both live: together no more than one process could.
 //!
-//! **Further calls** (rule 6: over any window, calls beyond a part's first stay within `free + share * taken`). The old
-//! process keeps its open queries and takes no new ones; it gets a purse of so many further calls, to be used within
-//! a time. The new one gets the window with the purse counted as spent. Only arrivals that still count when the
-//! purse's time is over are passed on, so that the new one's own bound never falls while the old one may send, and what
-//! held at its last further call holds at each of the old one's.
+//! **Retries.** Within any window, attempts beyond a part's first stay within `free + ratio * queries`. The predecessor
+//! keeps its open queries and accepts no new ones; it gets a fixed number of retries, to be used within a time. The
+//! successor takes over the window with these counted as used. Only queries that still count when that time is over are
+//! passed on, so that the successor's own limit never falls while the predecessor may still retry.
 //!
-//! **Cold replicas** (rule 4): the new process has the allowance with all that was sent; the old one sends them nothing.
+//! **Slow start.** The successor has the whole allowance for warming replicas, with all that was sent counted; the
+//! predecessor sends them nothing.
 //!
-//! **Sockets and open queries**: the old one keeps what it has and tells the new one as that shrinks.
+//! **Connections and open queries.** The predecessor keeps what it has, and reports to the successor as that shrinks.
 
 use pipitcrank_core::coordinator::learned_state::LearnedState;
 use pipitcrank_core::time::TimeSpan;
+use serde::{Deserialize, Serialize};
 
-/// Of what is left in the window, the share that the old one keeps for the queries that it finishes: it has all open
-/// ones, and the new one has what comes.
-const OLD_SHARE: f64 = 0.5;
+/// The predecessor's share of the retries left in the window: it has all open queries, the successor the coming ones.
+const PREDECESSOR_FRACTION: f64 = 0.5;
 /// Two processes read the clock one after the other; a window's edge is not trusted to be finer than this.
-const CLOCKS_APART: TimeSpan = TimeSpan::from_millis(20);
+const CLOCK_TOLERANCE: TimeSpan = TimeSpan::from_millis(20);
 
-/// What the old process may still do.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Purse {
-    pub further: u32,
-    pub within: TimeSpan,
+/// Retries that one process may make on behalf of all.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct DelegatedRetries {
+    /// How many.
+    pub count: u32,
+    /// Until when, counted from the moment they were delegated.
+    pub valid_for: TimeSpan,
 }
 
-/// Divides the budget: what the old process keeps, while `known` becomes what the new one goes on with. `longest` is how
-/// long the old one may need for what it holds.
-pub fn divide(free: f64, share: f64, span: TimeSpan, longest: TimeSpan, known: &mut LearnedState) -> Purse {
-    // Without a budget neither process counts.
-    if span <= TimeSpan::ZERO {
-        return Purse { further: 0, within: longest };
-    }
-    // What is out at other sites may still be spent until its own time is over: arrivals have to last until then too.
-    let out = known.lent.iter().map(|(_, left)| *left).max().unwrap_or(TimeSpan::ZERO);
-    let within = longest.max(out).min(span);
-    known.taken.retain(|&age| age + within + CLOCKS_APART < span);
-    known.taken.iter_mut().for_each(|age| *age = *age + CLOCKS_APART);
-    known.further.iter_mut().for_each(|age| *age = (*age - CLOCKS_APART).max(TimeSpan::ZERO));
-    let elsewhere: u32 = known.lent.iter().map(|(n, _)| n).sum();
-    let left = free + share * known.taken.len() as f64 - known.further.len() as f64 - f64::from(elsewhere);
-    let further = (left * OLD_SHARE).floor().max(0.0) as u32;
-    Purse { further, within }
+/// Divides a limit of connections between two processes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionSplit {
+    /// Most connections of the predecessor from now on.
+    pub predecessor: usize,
+    /// Most connections of the successor.
+    pub successor: usize,
 }
 
-/// Sockets of one kind: what the old process may hold at most from now on, and what the new one may.
-pub fn sockets(most: usize, open_at_old: usize) -> (usize, usize) {
-    let old = open_at_old.min(most);
-    (old, most - old)
+/// Divides a retry budget of `free + ratio * queries` within `window`. Returns what the predecessor keeps, while `learned`
+/// becomes what the successor goes on with. `drain_limit` is how long the predecessor may need for its open queries.
+pub fn split_retry_budget(
+    free: f64,
+    ratio: f64,
+    window: TimeSpan,
+    drain_limit: TimeSpan,
+    learned: &mut LearnedState,
+) -> DelegatedRetries {
+    // Without a budget neither process counts.
+    if window <= TimeSpan::ZERO {
+        return DelegatedRetries { count: 0, valid_for: drain_limit };
+    }
+    // Retries delegated to other sites may be used until their own time is over: queries have to count until then too.
+    let delegated_for = learned.lent.iter().map(|(_, left)| *left).max().unwrap_or(TimeSpan::ZERO);
+    let valid_for = drain_limit.max(delegated_for).min(window);
+    learned.taken.retain(|&age| age + valid_for + CLOCK_TOLERANCE < window);
+    learned.taken.iter_mut().for_each(|age| *age = *age + CLOCK_TOLERANCE);
+    learned.further.iter_mut().for_each(|age| *age = (*age - CLOCK_TOLERANCE).max(TimeSpan::ZERO));
+    let delegated: u32 = learned.lent.iter().map(|(count, _)| count).sum();
+    let left =
+        free + ratio * learned.taken.len() as f64 - learned.further.len() as f64 - f64::from(delegated);
+    let count = (left * PREDECESSOR_FRACTION).floor().max(0.0) as u32;
+    DelegatedRetries { count, valid_for }
 }
 
-/// What the new one may hold once the old one told that it has `open` left.
-pub fn sockets_for_new(most: usize, open_at_old: usize) -> usize {
-    sockets(most, open_at_old).1
+/// Divides `limit` connections of one kind, of which the predecessor has `open_at_predecessor`.
+pub fn split_connections(limit: usize, open_at_predecessor: usize) -> ConnectionSplit {
+    let predecessor = open_at_predecessor.min(limit);
+    ConnectionSplit { predecessor, successor: limit - predecessor }
 }
 
 #[cfg(test)]
--- a/crates/pipitcrank-handover/src/resource_split/tests.rs
+++ b/crates/pipitcrank-handover/src/resource_split/tests.rs
@@ -7,26 +7,26 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wait(i64),
-    Taken,
-    OldSends,
-    NewSends,
+    Query,
+    PredecessorRetries,
+    SuccessorRetries,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (1i64..900).prop_map(Step::Wait),
-        Just(Step::Taken),
-        Just(Step::Taken),
-        Just(Step::OldSends),
-        Just(Step::NewSends),
-        Just(Step::NewSends),
+        Just(Step::Query),
+        Just(Step::Query),
+        Just(Step::PredecessorRetries),
+        Just(Step::SuccessorRetries),
+        Just(Step::SuccessorRetries),
     ]
 }
 
 /// The rule read off the page, for one co-ordinator: all arrivals and all further calls, whoever made them.
-fn kept(
+fn within_budget(
     free: f64,
-    share: f64,
+    ratio: f64,
     span: TimeSpan,
     now: Timestamp,
     taken: &[Timestamp],
@@ -34,7 +34,7 @@
 ) -> bool {
     let taken = taken.iter().filter(|&&t| now - t < span).count() as f64;
     let made = made.iter().filter(|&&t| now - t <= span).count() as f64;
-    made <= free + share * taken + 1e-9
+    made <= free + ratio * taken + 1e-9
 }
 
 proptest! {
@@ -46,52 +46,52 @@
     fn two_never_spend_more_than_one_might(
         before in proptest::collection::vec(step(), 0..120),
         after in proptest::collection::vec(step(), 0..200),
-        free in 0u32..5, share in 0.0f64..0.6, span_ms in 500i64..8000, longest_ms in 100i64..12_000,
-        skew_us in -5000i64..5000, old_gone_at in 0usize..200,
+        free in 0u32..5, ratio in 0.0f64..0.6, span_ms in 500i64..8000, drain_ms in 100i64..12_000,
+        skew_us in -5000i64..5000, predecessor_exits_at in 0usize..200,
     ) {
         let (free, span) = (f64::from(free), TimeSpan::from_millis(span_ms));
-        let mut one = RetryBudget::new(share, free, Some(span));
+        let mut single = RetryBudget::new(ratio, free, Some(span));
         let (mut now, mut taken, mut made) = (Timestamp::default(), Vec::new(), Vec::new());
         for step in before {
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Taken => { one.take(now); taken.push(now); }
-                Step::OldSends | Step::NewSends if one.left(now) >= 1.0 => { one.spend(now); made.push(now); }
+                Step::Query => { single.take(now); taken.push(now); }
+                Step::PredecessorRetries | Step::SuccessorRetries if single.left(now) >= 1.0 => { single.spend(now); made.push(now); }
                 _ => {}
             }
         }
-        one.left(now);
-        let mut known = LearnedState::default();
-        known.taken = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
-        known.further = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
-        let purse = divide(free, share, span, TimeSpan::from_millis(longest_ms), &mut known);
-        let (mut delegated_retries_left, until) = (purse.further, now + purse.within);
+        single.left(now);
+        let mut learned = LearnedState::default();
+        learned.taken = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
+        learned.further = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
+        let delegated = split_retry_budget(free, ratio, span, TimeSpan::from_millis(drain_ms), &mut learned);
+        let (mut retries_left, until) = (delegated.count, now + delegated.valid_for);
         // The new one's clock is a little off.
         let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
-        let mut new = RetryBudget::new(share, free, Some(span));
-        for (&age, further) in known.taken.iter().map(|a| (a, false)).chain(known.further.iter().map(|a| (a, true))) {
+        let mut successor = RetryBudget::new(ratio, free, Some(span));
+        for (&age, further) in learned.taken.iter().map(|a| (a, false)).chain(learned.further.iter().map(|a| (a, true))) {
             let at = now - age + skew;
-            if further { new.spend(at) } else { new.take(at) }
+            if further { successor.spend(at) } else { successor.take(at) }
         }
-        new.lend(1, purse.further, until + skew);
+        successor.lend(1, delegated.count, until + skew);
         let mut settled = false;
         for (n, step) in after.into_iter().enumerate() {
-            if n == old_gone_at && !settled {
+            if n == predecessor_exits_at && !settled {
                 settled = true;
-                new.settle(now + skew, 1, purse.further - delegated_retries_left);
+                successor.settle(now + skew, 1, delegated.count - retries_left);
             }
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Taken => { new.take(now + skew); taken.push(now); }
-                Step::OldSends if !settled && delegated_retries_left > 0 && now < until => {
-                    delegated_retries_left -= 1;
+                Step::Query => { successor.take(now + skew); taken.push(now); }
+                Step::PredecessorRetries if !settled && retries_left > 0 && now < until => {
+                    retries_left -= 1;
                     made.push(now);
-                    prop_assert!(kept(free, share, span, now, &taken, &made), "the old one's call");
+                    prop_assert!(within_budget(free, ratio, span, now, &taken, &made), "the predecessor's retry");
                 }
-                Step::NewSends if new.left(now + skew) >= 1.0 => {
-                    new.spend(now + skew);
+                Step::SuccessorRetries if successor.left(now + skew) >= 1.0 => {
+                    successor.spend(now + skew);
                     made.push(now);
-                    prop_assert!(kept(free, share, span, now, &taken, &made), "the new one's call");
+                    prop_assert!(within_budget(free, ratio, span, now, &taken, &made), "the successor's retry");
                 }
                 _ => {}
             }
@@ -99,25 +99,30 @@
     }
 
     #[test]
-    fn sockets_are_never_doubled(most in 0usize..500, open in 0usize..600) {
-        let (old, new) = sockets(most, open);
-        prop_assert!(old + new == most && old <= open);
+    fn sockets_are_never_doubled(limit in 0usize..500, open in 0usize..600) {
+        let split = split_connections(limit, open);
+        prop_assert!(split.predecessor + split.successor == limit && split.predecessor <= open);
     }
 }
 
 #[test]
 fn without_a_budget_or_room_nothing_is_lent() {
-    let mut known = LearnedState::default();
-    assert_eq!(divide(0.0, 0.0, TimeSpan::ZERO, TimeSpan::from_millis(5), &mut known).further, 0);
-    known.further = vec![TimeSpan::ZERO; 3];
-    known.further.clear();
-    known.lent = vec![(3, TimeSpan::from_millis(5))];
+    let mut learned = LearnedState::default();
+    assert_eq!(split_retry_budget(0.0, 0.0, TimeSpan::ZERO, TimeSpan::from_millis(5), &mut learned).count, 0);
+    learned.further = vec![TimeSpan::ZERO; 3];
+    learned.further.clear();
+    learned.lent = vec![(3, TimeSpan::from_millis(5))];
     assert_eq!(
-        divide(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut known).further,
+        split_retry_budget(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut learned)
+            .count,
         0,
         "it is out already"
     );
-    known.lent.clear();
-    known.further = vec![TimeSpan::ZERO; 3];
-    assert_eq!(divide(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut known).further, 0);
+    learned.lent.clear();
+    learned.further = vec![TimeSpan::ZERO; 3];
+    assert_eq!(
+        split_retry_budget(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut learned)
+            .count,
+        0
+    );
 }
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn some() -> Snapshot {
+fn sample() -> Snapshot {
     let replica = |n: u32| ReplicaRecord {
         index: n,
         uid: format!("s-{n}"),
@@ -10,11 +10,9 @@
         cell: n,
         zone: (n > 2).then(|| "a".to_string()),
         started: (n > 1).then(|| TimeSpan::from_millis(70)),
-        off: (n == 3).then(|| TimeSpan::from_millis(5)),
+        draining_for: (n == 3).then(|| TimeSpan::from_millis(5)),
     };
-    let mut known = LearnedState::default();
-    known.taken = vec![TimeSpan::from_millis(3); 9];
-    // The share of the time left that is filled starts between its bounds.
+    // A default state is not valid: the fill target starts between its bounds.
     let mut coordinator = pipitcrank_core::coordinator::Coordinator::new(
         pipitcrank_core::rng::Rng::new(1),
         Default::default(),
@@ -24,44 +22,44 @@
         false,
         TimeSpan::from_millis(5),
     );
-    let mut fresh = coordinator.learned_state(pipitcrank_core::time::Timestamp::default());
-    fresh.taken = known.taken;
+    let mut learned = coordinator.learned_state(pipitcrank_core::time::Timestamp::default());
+    learned.taken = vec![TimeSpan::from_millis(3); 9];
     Snapshot {
         taken_us: 5,
-        rev: Some(7),
+        revision: Some(7),
         replicas: (0..4).map(replica).collect(),
-        known: fresh,
-        lent: (2, TimeSpan::from_millis(9)),
+        learned,
+        delegated_retries: DelegatedRetries { count: 2, valid_for: TimeSpan::from_millis(9) },
     }
 }
 
 #[test]
 fn what_is_encoded_is_read_again_and_other_versions_are_not() {
-    let bytes = some().encode().unwrap();
-    assert_eq!(Snapshot::decode(&bytes), Ok(some()));
+    let bytes = sample().encode().unwrap();
+    assert_eq!(Snapshot::decode(&bytes), Ok(sample()));
     let mut other = bytes.clone();
     other[5] += 1;
-    assert_eq!(Snapshot::decode(&other), Err(Refused::Version(VERSION + 1)));
+    assert_eq!(Snapshot::decode(&other), Err(SnapshotError::UnsupportedVersion(VERSION + 1)));
     let mut foreign = bytes.clone();
     foreign[0] = b'x';
-    assert_eq!(Snapshot::decode(&foreign), Err(Refused::Foreign));
-    let mut unsound = some();
-    unsound.known.taken[0] = TimeSpan::from_millis(-1);
-    assert_eq!(Snapshot::decode(&unsound.encode().unwrap()), Err(Refused::Unsound));
+    assert_eq!(Snapshot::decode(&foreign), Err(SnapshotError::BadMagic));
+    let mut invalid = sample();
+    invalid.learned.taken[0] = TimeSpan::from_millis(-1);
+    assert_eq!(Snapshot::decode(&invalid.encode().unwrap()), Err(SnapshotError::Invalid));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Cut at any byte, longer by some, or with any byte spoilt: refused whole.
+    /// Cut at any byte, longer by some, or with any byte corrupted: refused whole.
     #[test]
-    fn torn_and_spoilt_ones_are_refused(cut in 0usize..10_000, at in 0usize..10_000, bit in 0u8..8, more in 1usize..9) {
-        let bytes = some().encode().unwrap();
+    fn torn_and_corrupted_ones_are_refused(cut in 0usize..10_000, at in 0usize..10_000, bit in 0u8..8, more in 1usize..9) {
+        let bytes = sample().encode().unwrap();
         prop_assert!(Snapshot::decode(&bytes[..cut % bytes.len()]).is_err());
-        let mut spoilt = bytes.clone();
+        let mut corrupted = bytes.clone();
         let at = at % bytes.len();
-        spoilt[at] ^= 1 << bit;
-        prop_assert!(Snapshot::decode(&spoilt).is_err());
+        corrupted[at] ^= 1 << bit;
+        prop_assert!(Snapshot::decode(&corrupted).is_err());
         prop_assert!(Snapshot::decode(&[&bytes[..], &vec![0; more][..]].concat()).is_err());
     }
 
--- a/crates/pipitcrank-handover/src/upgrade_state.rs
+++ b/crates/pipitcrank-handover/src/upgrade_state.rs
@@ -1,425 +1,453 @@
-//! Who serves, and when that changes: the keeper's state machine. Events and times come in, wishes go out; no I/O.
+//! Which worker serves, and when that changes: the upgrade supervisor's state machine. Events and times come in,
+//! actions go out; no I/O.
 //!
 //! ```text
-//!  Idle --asked--> Starting --checked--> Learning --learned--> Trial --drained, settled--> Passing --old gone--> Idle
-//!    ^                |  too long, gone     |  too long, gone    |  silent, gone               |  new gone
-//!    +---- undone ----+---------------------+--------------------+-----------------------------+
+//!  Idle --requested--> Starting --ready--> Loading --loaded--> Trial --drained, trial over--> Transferring
+//!   ^                     |                  |                  |                              |
+//!   +--- rolled back -----+-- timeout, exit -+-- timeout, exit -+-- no heartbeat, exit         |
+//!   +--- rolled back ---------------------------------------------- successor's exit ----------+
+//!   +--- completed ------------------------------------------------ predecessor's exit --------+
 //! ```
 //!
-//! | step | listener, clients' connections | new queries' work | what the old one holds | way back |
+//! | state | listener, clients' connections | new queries handled by | open queries | way back |
 //! | --- | --- | --- | --- | --- |
-//! | `Starting` | old | old | old | kill the new one |
-//! | `Learning` | old | old, from the snapshot on: new | old | kill the new one; the old one answers what it had handed on |
-//! | `Trial` | old | new, handed on by the old one | old | the same |
-//! | `Passing` | go over one by one | new | old | none for what has passed; the old one goes on with the rest |
-//! | `Idle` | the one that serves | the same | - | - |
+//! | `Starting` | predecessor | predecessor | predecessor | kill the successor |
+//! | `Loading` | predecessor | predecessor; successor once it has the snapshot | predecessor | kill the successor; the predecessor answers what it had forwarded |
+//! | `Trial` | predecessor | successor, forwarded by the predecessor | predecessor | the same |
+//! | `Transferring` | move one by one | successor | predecessor | none for what was transferred; the predecessor continues with the rest |
+//! | `Idle` | the worker that serves | the same | the same | - |
 //!
-//! The keeper holds a copy of the listener throughout, so a client never finds nobody listening while any process lives.
-
-use std::collections::VecDeque;
+//! The supervisor holds a duplicate of the listener throughout, so that a client always finds a listening socket while
+//! any process lives.
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-/// A worker, by the order in which they were started.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Worker(pub u32);
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
-    /// The operators ask for an upgrade.
-    Asked,
-    /// The operators ask for the end.
-    EndCalled,
-    /// It could not be started at all.
-    NotStarted(Worker),
-    Checked(Worker),
-    Learned(Worker),
-    /// A sign of life.
-    Beat(Worker),
-    /// Of its own queries none is open.
-    Drained(Worker),
-    /// It has nothing left.
-    Passed(Worker),
-    /// It said what can't be read, or speaks another version.
-    Garbled(Worker),
-    /// Its process has ended, with that exit code where it had one.
-    Gone(Worker, Option<i32>),
-    /// Time has passed.
-    Tick,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
-    Start(Worker),
-    /// It serves, with the listener; what was handed to it stays.
-    Serve(Worker),
-    /// Join them by a link over which the first hands over to the second.
-    Join(Worker, Worker),
-    /// The other is no more; it goes on alone.
-    Alone(Worker),
-    /// It passes listener and connections.
-    Pass(Worker),
-    Kill(Worker),
-    /// It is asked to end in order.
-    End(Worker),
-    /// The counts of upgrades are told to who serves.
-    Tell(Worker),
-    Exit(i32),
-}
+use crate::crash_history::CrashHistory;
+use crate::upgrade_event::{
+    RollbackReason, UpgradeAction, UpgradeCounts, UpgradeEvent, UpgradeTimeouts, WorkerId,
+};
 
-/// Why an upgrade did not come about.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Undone {
-    NotStarted,
-    TooLong,
-    Crashed,
-    Silent,
-    Garbled,
-    EndCalled,
-}
+/// Exit code of the supervisor where a worker's process could not be created.
+const START_FAILED_EXIT_CODE: i32 = 2;
+/// Exit code of the supervisor where a signal ended the worker.
+const KILLED_EXIT_CODE: i32 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Nobody else is about. Without anybody who serves one is started at `start_at`.
+    /// No upgrade. Where no worker serves, one is started at `restart_at`.
     Idle {
-        serving: Option<Worker>,
-        start_at: Option<Timestamp>,
+        serving: Option<WorkerId>,
+        restart_at: Option<Timestamp>,
     },
+    /// Without a predecessor this is the first start, or a restart after a crash.
     Starting {
-        old: Option<Worker>,
-        new: Worker,
+        predecessor: Option<WorkerId>,
+        successor: WorkerId,
         since: Timestamp,
     },
-    Learning {
-        old: Worker,
-        new: Worker,
+    Loading {
+        predecessor: WorkerId,
+        successor: WorkerId,
         since: Timestamp,
     },
     Trial {
-        old: Worker,
-        new: Worker,
+        predecessor: WorkerId,
+        successor: WorkerId,
         since: Timestamp,
-        heard: Timestamp,
+        last_heartbeat: Timestamp,
         drained: bool,
     },
-    Passing {
-        old: Worker,
-        new: Worker,
+    Transferring {
+        predecessor: WorkerId,
+        successor: WorkerId,
         since: Timestamp,
-        ended: bool,
+        termination_requested: bool,
     },
-    Ending {
-        code: i32,
+    ShuttingDown {
+        exit_code: i32,
     },
 }
 
-/// What the operators set; none is a decision of its own.
-#[derive(Clone, Copy, Debug)]
-pub struct Times {
-    /// For a new process to have read and checked all, and again to have taken what is known.
-    pub start: TimeSpan,
-    /// A new one is on trial for so long at least.
-    pub settle: TimeSpan,
-    /// One on trial is silent for so long at most.
-    pub silent: TimeSpan,
-    /// For the old one's own queries in a trial, and again for its last answers while it passes.
-    pub finish: TimeSpan,
+/// The two workers of an upgrade.
+#[derive(Clone, Copy)]
+struct Pair {
+    predecessor: WorkerId,
+    successor: WorkerId,
+}
+
+/// How a worker's process ended, or that it never began.
+#[derive(Clone, Copy)]
+struct WorkerExit {
+    worker: WorkerId,
+    code: Option<i32>,
+    reason: RollbackReason,
 }
 
-pub struct Book {
-    times: Times,
+/// Decides which worker serves; see the module's description.
+pub struct UpgradeStateMachine {
+    timeouts: UpgradeTimeouts,
     state: State,
-    /// Alive, as far as known; two at most. Each leaves with its `Gone`.
-    alive: Vec<Worker>,
-    next: u32,
-    /// When workers that served died of themselves; emptied as they leave the span.
-    crashes: VecDeque<Timestamp>,
-    last_undone: Option<Undone>,
-    pub asked: u64,
-    pub done: u64,
-    pub undone: u64,
+    /// Workers that were started and have not exited; two at most.
+    running: Vec<WorkerId>,
+    next_worker: u32,
+    crashes: CrashHistory,
+    last_rollback: Option<RollbackReason>,
+    counts: UpgradeCounts,
 }
 
-/// A worker that serves and dies is started anew so often within the span, then the keeper ends too, as the process
-/// alone would have: a program that can't live is no better for being started for ever.
-const MOST_CRASHES: usize = 3;
-const CRASH_SPAN: TimeSpan = TimeSpan::from_millis(60_000);
-/// The pause before a second start, doubled with each crash more; the first is made up for at once.
-const START_AGAIN: TimeSpan = TimeSpan::from_millis(100);
-
-impl Book {
-    /// The first worker is to be started.
-    pub fn open(now: Timestamp, times: Times) -> (Book, Vec<Wish>) {
-        let state = State::Idle { serving: None, start_at: None };
-        let (alive, crashes) = (Vec::new(), VecDeque::new());
-        let mut book =
-            Book { times, state, alive, next: 0, crashes, last_undone: None, asked: 0, done: 0, undone: 0 };
-        let mut wishes = Vec::new();
-        book.start(now, None, &mut wishes);
-        (book, wishes)
+impl UpgradeStateMachine {
+    /// A state machine that starts its first worker by the actions returned.
+    pub fn start(now: Timestamp, timeouts: UpgradeTimeouts) -> (UpgradeStateMachine, Vec<UpgradeAction>) {
+        let mut machine = UpgradeStateMachine {
+            timeouts,
+            state: State::Idle { serving: None, restart_at: None },
+            running: Vec::new(),
+            next_worker: 0,
+            crashes: CrashHistory::default(),
+            last_rollback: None,
+            counts: UpgradeCounts::default(),
+        };
+        let mut actions = Vec::new();
+        machine.start_worker(now, None, &mut actions);
+        (machine, actions)
     }
 
-    /// What of the file may change while all runs.
-    pub fn set_times(&mut self, times: Times) {
-        self.times = times;
+    /// Applies changed settings.
+    pub fn set_timeouts(&mut self, timeouts: UpgradeTimeouts) {
+        self.timeouts = timeouts;
     }
 
-    /// When `Tick` is due if nothing happens before.
-    pub fn due(&self) -> Option<Timestamp> {
+    /// When [`UpgradeEvent::Tick`] is due unless another event changes that.
+    pub fn next_tick(&self) -> Option<Timestamp> {
         match self.state {
-            State::Idle { start_at, .. } => start_at,
-            State::Starting { since, .. } | State::Learning { since, .. } => Some(since + self.times.start),
-            State::Trial { since, heard, drained, .. } => {
-                let settled = since
-                    + if drained { self.times.settle } else { self.times.settle.max(self.times.finish) };
-                // Guards against a process that stands still and is confirmed before its silence is seen: it has to be
-                // heard of after it settled.
-                Some(if heard >= settled { settled } else { heard + self.times.silent })
+            State::Idle { restart_at, .. } => restart_at,
+            State::Starting { since, .. } | State::Loading { since, .. } => Some(since + self.timeouts.start),
+            State::Trial { since, last_heartbeat, drained, .. } => {
+                let trial_over = since + self.trial_length(drained);
+                // A process that hangs must not pass the trial before its silence is noticed: a heartbeat has to follow
+                // the trial's end.
+                let confirmed = last_heartbeat >= trial_over;
+                Some(if confirmed { trial_over } else { last_heartbeat + self.timeouts.heartbeat })
             }
-            State::Passing { since, ended: false, .. } => Some(since + self.times.finish),
-            State::Passing { .. } | State::Ending { .. } => None,
+            State::Transferring { since, termination_requested: false, .. } => {
+                Some(since + self.timeouts.drain)
+            }
+            State::Transferring { .. } | State::ShuttingDown { .. } => None,
         }
     }
 
-    pub fn last_undone(&self) -> Option<Undone> {
-        self.last_undone
+    fn trial_length(&self, drained: bool) -> TimeSpan {
+        if drained { self.timeouts.trial } else { self.timeouts.trial.max(self.timeouts.drain) }
+    }
+
+    /// Why the last upgrade that did not complete was rolled back.
+    pub fn last_rollback(&self) -> Option<RollbackReason> {
+        self.last_rollback
     }
 
-    /// Who was last told to serve, or holds the listener for the one on trial.
-    pub fn serving(&self) -> Option<Worker> {
+    /// How many upgrades were requested, and what became of them.
+    pub fn counts(&self) -> UpgradeCounts {
+        self.counts
+    }
+
+    /// The worker that was last asked to serve, or holds the listener for the one on trial.
+    pub fn serving(&self) -> Option<WorkerId> {
         match self.state {
             State::Idle { serving, .. } => serving,
-            State::Starting { old, .. } => old,
-            State::Learning { old, .. } | State::Trial { old, .. } => Some(old),
-            State::Passing { new, .. } => Some(new),
-            State::Ending { .. } => None,
+            State::Starting { predecessor, .. } => predecessor,
+            State::Loading { predecessor, .. } | State::Trial { predecessor, .. } => Some(predecessor),
+            State::Transferring { successor, .. } => Some(successor),
+            State::ShuttingDown { .. } => None,
         }
     }
 
-    pub fn upgrading(&self) -> bool {
-        !matches!(self.state, State::Idle { .. } | State::Starting { old: None, .. } | State::Ending { .. })
+    /// Whether an upgrade is under way.
+    pub fn is_upgrading(&self) -> bool {
+        !matches!(
+            self.state,
+            State::Idle { .. } | State::Starting { predecessor: None, .. } | State::ShuttingDown { .. }
+        )
     }
 
-    pub fn alive(&self) -> &[Worker] {
-        &self.alive
+    /// Workers that were started and have not exited.
+    pub fn running(&self) -> &[WorkerId] {
+        &self.running
     }
 
-    pub fn on(&mut self, now: Timestamp, event: Event) -> Vec<Wish> {
-        let mut wishes = Vec::new();
-        if let Event::Gone(who, _) | Event::NotStarted(who) = event {
-            // Guards against a second end of the same process: only the first is one.
-            if !self.alive.contains(&who) {
-                return wishes;
-            }
-            self.alive.retain(|w| *w != who);
-        }
+    /// Takes an event at `now`, and returns what the supervisor is to do about it.
+    pub fn handle(&mut self, now: Timestamp, event: UpgradeEvent) -> Vec<UpgradeAction> {
+        let mut actions = Vec::new();
         match event {
-            Event::Asked => self.asked(now, &mut wishes),
-            Event::EndCalled => self.end_called(&mut wishes),
-            Event::Tick => self.tick(now, &mut wishes),
-            Event::NotStarted(who) => self.gone(now, who, Some(2), Undone::NotStarted, &mut wishes),
-            Event::Gone(who, code) => self.gone(now, who, code, Undone::Crashed, &mut wishes),
-            Event::Garbled(who) => self.garbled(who, &mut wishes),
-            Event::Checked(who) => self.checked(now, who, &mut wishes),
-            Event::Learned(who) => {
-                if let State::Learning { old, new, .. } = self.state
-                    && who == new
-                {
-                    self.state = State::Trial { old, new, since: now, heard: now, drained: false };
-                }
+            UpgradeEvent::UpgradeRequested => self.on_upgrade_requested(now, &mut actions),
+            UpgradeEvent::ShutdownRequested => self.on_shutdown_requested(&mut actions),
+            UpgradeEvent::Tick => self.on_tick(now, &mut actions),
+            UpgradeEvent::StartFailed(worker) => {
+                let (code, reason) = (Some(START_FAILED_EXIT_CODE), RollbackReason::StartFailed);
+                self.on_exit(now, WorkerExit { worker, code, reason }, &mut actions);
             }
-            Event::Beat(who) => {
-                if let State::Trial { new, ref mut heard, .. } = self.state
-                    && who == new
-                {
-                    *heard = now;
-                    self.tick(now, &mut wishes);
-                }
+            UpgradeEvent::Exited(worker, code) => {
+                let reason = RollbackReason::Crashed;
+                self.on_exit(now, WorkerExit { worker, code, reason }, &mut actions);
             }
-            Event::Drained(who) => {
-                if let State::Trial { old, ref mut drained, .. } = self.state
-                    && who == old
-                {
-                    *drained = true;
-                    self.tick(now, &mut wishes);
-                }
-            }
-            // It exits of itself; if not in time, it is asked to.
-            Event::Passed(_) => {}
+            UpgradeEvent::ProtocolError(worker) => self.on_protocol_error(worker, &mut actions),
+            UpgradeEvent::Ready(worker) => self.on_ready(now, worker, &mut actions),
+            UpgradeEvent::StateLoaded(worker) => self.on_state_loaded(now, worker),
+            UpgradeEvent::Heartbeat(worker) => self.on_heartbeat(now, worker, &mut actions),
+            UpgradeEvent::Drained(worker) => self.on_drained(now, worker, &mut actions),
+            // It exits by itself; otherwise it is terminated once the transfer takes too long.
+            UpgradeEvent::HandedOver(_) => {}
         }
-        wishes
+        actions
     }
 
-    fn start(&mut self, now: Timestamp, old: Option<Worker>, wishes: &mut Vec<Wish>) {
-        let new = Worker(self.next);
-        self.next += 1;
-        self.alive.push(new);
-        self.state = State::Starting { old, new, since: now };
-        wishes.push(Wish::Start(new));
+    fn start_worker(
+        &mut self,
+        now: Timestamp,
+        predecessor: Option<WorkerId>,
+        actions: &mut Vec<UpgradeAction>,
+    ) {
+        let successor = WorkerId(self.next_worker);
+        self.next_worker += 1;
+        self.running.push(successor);
+        self.state = State::Starting { predecessor, successor, since: now };
+        actions.push(UpgradeAction::Start(successor));
     }
 
-    fn asked(&mut self, now: Timestamp, wishes: &mut Vec<Wish>) {
-        self.asked += 1;
+    /// The workers of an upgrade that can still be rolled back as if it had never begun.
+    fn reversible_upgrade(&self) -> Option<Pair> {
         match self.state {
-            State::Idle { serving: Some(old), .. } if self.alive == [old] => {
-                self.start(now, Some(old), wishes)
+            State::Starting { predecessor: Some(predecessor), successor, .. }
+            | State::Loading { predecessor, successor, .. }
+            | State::Trial { predecessor, successor, .. } => Some(Pair { predecessor, successor }),
+            _ => None,
+        }
+    }
+
+    fn on_upgrade_requested(&mut self, now: Timestamp, actions: &mut Vec<UpgradeAction>) {
+        self.counts.requested += 1;
+        match self.state {
+            State::Idle { serving: Some(serving), .. } if self.running == [serving] => {
+                self.start_worker(now, Some(serving), actions);
             }
-            // One at a time: what is under way goes on, and this one is not kept for later, as it would then start a
-            // program that nobody watches any more.
-            _ => self.undone += 1,
+            // One upgrade at a time. A request during another one is refused rather than queued: run later, it would
+            // start a program that nobody watches any more.
+            _ => self.counts.rolled_back += 1,
         }
-        wishes.extend(self.serving().map(Wish::Tell));
+        actions.extend(self.serving().map(UpgradeAction::ReportCounts));
     }
 
-    fn checked(&mut self, now: Timestamp, who: Worker, wishes: &mut Vec<Wish>) {
+    fn on_ready(&mut self, now: Timestamp, worker: WorkerId, actions: &mut Vec<UpgradeAction>) {
         match self.state {
-            State::Starting { old: None, new, .. } if new == who => {
-                self.state = State::Idle { serving: Some(new), start_at: None };
-                wishes.extend([Wish::Serve(new), Wish::Tell(new)]);
+            State::Starting { predecessor: None, successor, .. } if successor == worker => {
+                self.state = State::Idle { serving: Some(successor), restart_at: None };
+                actions.extend([UpgradeAction::Serve(successor), UpgradeAction::ReportCounts(successor)]);
             }
-            State::Starting { old: Some(old), new, .. } if new == who => {
-                self.state = State::Learning { old, new, since: now };
-                wishes.push(Wish::Join(old, new));
+            State::Starting { predecessor: Some(predecessor), successor, .. } if successor == worker => {
+                self.state = State::Loading { predecessor, successor, since: now };
+                actions.push(UpgradeAction::Connect { predecessor, successor });
             }
             _ => {}
         }
     }
 
-    fn tick(&mut self, now: Timestamp, wishes: &mut Vec<Wish>) {
-        if self.due().is_none_or(|due| now < due) {
+    fn on_state_loaded(&mut self, now: Timestamp, worker: WorkerId) {
+        if let State::Loading { predecessor, successor, .. } = self.state
+            && worker == successor
+        {
+            self.state =
+                State::Trial { predecessor, successor, since: now, last_heartbeat: now, drained: false };
+        }
+    }
+
+    fn on_heartbeat(&mut self, now: Timestamp, worker: WorkerId, actions: &mut Vec<UpgradeAction>) {
+        if let State::Trial { successor, ref mut last_heartbeat, .. } = self.state
+            && worker == successor
+        {
+            *last_heartbeat = now;
+            self.on_tick(now, actions);
+        }
+    }
+
+    fn on_drained(&mut self, now: Timestamp, worker: WorkerId, actions: &mut Vec<UpgradeAction>) {
+        if let State::Trial { predecessor, ref mut drained, .. } = self.state
+            && worker == predecessor
+        {
+            *drained = true;
+            self.on_tick(now, actions);
+        }
+    }
+
+    fn on_tick(&mut self, now: Timestamp, actions: &mut Vec<UpgradeAction>) {
+        if self.next_tick().is_none_or(|due| now < due) {
             return;
         }
         match self.state {
-            State::Idle { serving: None, .. } => self.start(now, None, wishes),
-            // The first of all, or one that makes up for a crash: there is nobody to go back to.
-            State::Starting { old: None, new, .. } => wishes.push(Wish::Kill(new)),
-            State::Starting { old: Some(old), new, .. } | State::Learning { old, new, .. } => {
-                self.undo(old, new, Undone::TooLong, wishes);
+            State::Idle { serving: None, .. } => self.start_worker(now, None, actions),
+            // There is no predecessor to roll back to; the exit that follows decides on a restart.
+            State::Starting { predecessor: None, successor, .. } => {
+                actions.push(UpgradeAction::Kill(successor));
+            }
+            State::Starting { predecessor: Some(predecessor), successor, .. }
+            | State::Loading { predecessor, successor, .. } => {
+                self.roll_back(Pair { predecessor, successor }, RollbackReason::TimedOut, actions);
             }
-            State::Trial { old, new, heard, .. } if now >= heard + self.times.silent => {
-                self.undo(old, new, Undone::Silent, wishes);
+            State::Trial { predecessor, successor, last_heartbeat, .. }
+                if now >= last_heartbeat + self.timeouts.heartbeat =>
+            {
+                self.roll_back(Pair { predecessor, successor }, RollbackReason::HeartbeatLost, actions);
             }
-            State::Trial { old, new, .. } => {
-                self.state = State::Passing { old, new, since: now, ended: false };
-                wishes.extend([Wish::Pass(old), Wish::Serve(new)]);
+            State::Trial { predecessor, successor, .. } => {
+                self.state =
+                    State::Transferring { predecessor, successor, since: now, termination_requested: false };
+                actions.extend([
+                    UpgradeAction::TransferConnections(predecessor),
+                    UpgradeAction::Serve(successor),
+                ]);
             }
-            State::Passing { old, new, since, .. } => {
-                self.state = State::Passing { old, new, since, ended: true };
-                wishes.push(Wish::End(old));
+            State::Transferring { predecessor, ref mut termination_requested, .. } => {
+                *termination_requested = true;
+                actions.push(UpgradeAction::Terminate(predecessor));
             }
-            State::Idle { .. } | State::Ending { .. } => {}
+            State::Idle { .. } | State::ShuttingDown { .. } => {}
         }
     }
 
-    /// Back to the old one, which has the listener and all clients still.
-    fn undo(&mut self, old: Worker, new: Worker, why: Undone, wishes: &mut Vec<Wish>) {
-        self.undone += 1;
-        self.last_undone = Some(why);
-        self.state = State::Idle { serving: Some(old), start_at: None };
-        if self.alive.contains(&new) {
-            wishes.push(Wish::Kill(new));
+    /// Back to the predecessor, which still has the listener and all clients.
+    fn roll_back(&mut self, upgrade: Pair, reason: RollbackReason, actions: &mut Vec<UpgradeAction>) {
+        let Pair { predecessor, successor } = upgrade;
+        self.counts.rolled_back += 1;
+        self.last_rollback = Some(reason);
+        self.state = State::Idle { serving: Some(predecessor), restart_at: None };
+        if self.running.contains(&successor) {
+            actions.push(UpgradeAction::Kill(successor));
         }
-        wishes.extend([Wish::Alone(old), Wish::Tell(old)]);
+        actions.extend([UpgradeAction::ContinueAlone(predecessor), UpgradeAction::ReportCounts(predecessor)]);
     }
 
-    fn garbled(&mut self, who: Worker, wishes: &mut Vec<Wish>) {
-        match self.state {
-            State::Starting { old: Some(old), new, .. }
-            | State::Learning { old, new, .. }
-            | State::Trial { old, new, .. }
-                if who == new =>
-            {
-                self.undo(old, new, Undone::Garbled, wishes);
+    fn on_protocol_error(&mut self, worker: WorkerId, actions: &mut Vec<UpgradeAction>) {
+        match self.reversible_upgrade() {
+            Some(upgrade) if worker == upgrade.successor => {
+                self.roll_back(upgrade, RollbackReason::ProtocolError, actions);
             }
-            // Whoever else can't be understood can't be led either; its end is dealt with as it comes.
-            _ if self.alive.contains(&who) => wishes.push(Wish::Kill(who)),
+            // Any other worker that can't be understood can't be controlled either; its exit is handled as it comes.
+            _ if self.running.contains(&worker) => actions.push(UpgradeAction::Kill(worker)),
             _ => {}
         }
     }
 
-    fn gone(&mut self, now: Timestamp, who: Worker, code: Option<i32>, why: Undone, wishes: &mut Vec<Wish>) {
+    fn on_exit(&mut self, now: Timestamp, exit: WorkerExit, actions: &mut Vec<UpgradeAction>) {
+        // An exit may be reported twice; only the first report counts.
+        if !self.running.contains(&exit.worker) {
+            return;
+        }
+        self.running.retain(|&worker| worker != exit.worker);
+        if let Some(upgrade) = self.reversible_upgrade()
+            && exit.worker == upgrade.successor
+        {
+            return self.roll_back(upgrade, exit.reason, actions);
+        }
         match self.state {
-            State::Starting { old: Some(old), new, .. }
-            | State::Learning { old, new, .. }
-            | State::Trial { old, new, .. }
-                if who == new =>
+            State::Starting { predecessor: Some(predecessor), successor, since }
+                if exit.worker == predecessor =>
+            {
+                // The successor knows nothing yet: what remains is a plain start, under way already.
+                self.crashes.record(now);
+                self.counts.completed += 1;
+                self.state = State::Starting { predecessor: None, successor, since };
+            }
+            State::Loading { predecessor, successor, .. } | State::Trial { predecessor, successor, .. }
+                if exit.worker == predecessor =>
             {
-                self.undo(old, new, why, wishes);
+                self.crashes.record(now);
+                actions.push(UpgradeAction::Serve(successor));
+                self.complete(successor, actions);
             }
-            // The old one died before the new one knew anything: what is left is a new start, under way already.
-            State::Starting { old: Some(old), new, since } if who == old => {
-                self.crashes.push_back(now);
-                self.done += 1;
-                self.state = State::Starting { old: None, new, since };
+            State::Transferring { predecessor, successor, .. } if exit.worker == predecessor => {
+                self.complete(successor, actions);
             }
-            // The old one died under the new one's eyes; that goes on with what it has.
-            State::Learning { old, new, .. } | State::Trial { old, new, .. } if who == old => {
-                self.crashes.push_back(now);
-                self.done += 1;
-                self.state = State::Idle { serving: Some(new), start_at: None };
-                wishes.extend([Wish::Serve(new), Wish::Alone(new), Wish::Tell(new)]);
+            State::Transferring { predecessor, successor, .. } if exit.worker == successor => {
+                self.on_successor_lost_in_transfer(predecessor, exit.reason, actions);
             }
-            State::Passing { old, new, .. } if who == old => {
-                self.done += 1;
-                self.state = State::Idle { serving: Some(new), start_at: None };
-                wishes.extend([Wish::Alone(new), Wish::Tell(new)]);
+            State::Starting { predecessor: None, successor, .. } if exit.worker == successor => {
+                self.on_last_worker_lost(now, exit.code, true, actions);
             }
-            // What had passed is lost with it; the old one takes up the listener again, with all it still holds.
-            State::Passing { old, new, .. } if who == new => {
-                self.undone += 1;
-                self.last_undone = Some(why);
-                self.state = State::Idle { serving: Some(old), start_at: None };
-                wishes.extend([Wish::Alone(old), Wish::Serve(old), Wish::Tell(old)]);
+            State::Idle { serving: Some(serving), .. } if exit.worker == serving => {
+                self.on_last_worker_lost(now, exit.code, false, actions);
             }
-            State::Starting { old: None, new, .. } if who == new => self.died(now, code, true, wishes),
-            State::Idle { serving: Some(serving), .. } if who == serving => {
-                self.died(now, code, false, wishes)
+            State::ShuttingDown { exit_code } if self.running.is_empty() => {
+                actions.push(UpgradeAction::Exit(exit_code));
             }
-            State::Ending { code } if self.alive.is_empty() => wishes.push(Wish::Exit(code)),
             _ => {}
         }
     }
 
-    /// Nobody serves any more. `fresh`: it had not begun to.
-    fn died(&mut self, now: Timestamp, code: Option<i32>, fresh: bool, wishes: &mut Vec<Wish>) {
-        self.crashes.retain(|&t| now - t < CRASH_SPAN);
-        // The very first start says by its code what is wrong, and one that ends well was asked to by its signal.
-        let told = fresh && self.crashes.is_empty() || code == Some(0);
-        if told || self.crashes.len() >= MOST_CRASHES {
-            self.state = State::Ending { code: code.unwrap_or(1) };
-            if self.alive.is_empty() {
-                wishes.push(Wish::Exit(code.unwrap_or(1)));
-            } else {
-                wishes.extend(self.alive.iter().map(|&w| Wish::Kill(w)));
-            }
-            return;
+    /// The predecessor has exited; the successor continues with what it has.
+    fn complete(&mut self, successor: WorkerId, actions: &mut Vec<UpgradeAction>) {
+        self.counts.completed += 1;
+        self.state = State::Idle { serving: Some(successor), restart_at: None };
+        actions.extend([UpgradeAction::ContinueAlone(successor), UpgradeAction::ReportCounts(successor)]);
+    }
+
+    /// What was transferred is lost; the predecessor takes the listener again, with all it still holds.
+    fn on_successor_lost_in_transfer(
+        &mut self,
+        predecessor: WorkerId,
+        reason: RollbackReason,
+        actions: &mut Vec<UpgradeAction>,
+    ) {
+        self.counts.rolled_back += 1;
+        self.last_rollback = Some(reason);
+        self.state = State::Idle { serving: Some(predecessor), restart_at: None };
+        actions.extend([
+            UpgradeAction::ContinueAlone(predecessor),
+            UpgradeAction::Serve(predecessor),
+            UpgradeAction::ReportCounts(predecessor),
+        ]);
+    }
+
+    /// No worker serves any more: restarts one, or shuts down. `during_start`: it had not begun to serve.
+    fn on_last_worker_lost(
+        &mut self,
+        now: Timestamp,
+        code: Option<i32>,
+        during_start: bool,
+        actions: &mut Vec<UpgradeAction>,
+    ) {
+        self.crashes.expire(now);
+        // The exit code of the very first start says what is wrong, and a worker that exits with 0 was asked to.
+        let deliberate = during_start && self.crashes.is_empty() || code == Some(0);
+        if deliberate || self.crashes.limit_reached() {
+            return self.shut_down(code.unwrap_or(KILLED_EXIT_CODE), actions);
         }
-        let earlier = self.crashes.len() as u32;
-        self.crashes.push_back(now);
-        let pause = if earlier == 0 { TimeSpan::ZERO } else { START_AGAIN * f64::from(1 << (earlier - 1)) };
-        self.state = State::Idle { serving: None, start_at: Some(now + pause) };
-        if pause == TimeSpan::ZERO {
-            self.tick(now, wishes);
+        let delay = self.crashes.next_restart_delay();
+        self.crashes.record(now);
+        self.state = State::Idle { serving: None, restart_at: Some(now + delay) };
+        if delay == TimeSpan::ZERO {
+            self.on_tick(now, actions);
         }
     }
 
-    fn end_called(&mut self, wishes: &mut Vec<Wish>) {
-        match self.state {
-            // Before the confirmation the old one has all there is: it ends as if there had been no upgrade.
-            State::Starting { old: Some(old), new, .. }
-            | State::Learning { old, new, .. }
-            | State::Trial { old, new, .. } => {
-                self.undo(old, new, Undone::EndCalled, wishes);
-            }
-            _ => {}
+    fn shut_down(&mut self, exit_code: i32, actions: &mut Vec<UpgradeAction>) {
+        self.state = State::ShuttingDown { exit_code };
+        if self.running.is_empty() {
+            actions.push(UpgradeAction::Exit(exit_code));
+        } else {
+            actions.extend(self.running.iter().map(|&worker| UpgradeAction::Kill(worker)));
+        }
+    }
+
+    fn on_shutdown_requested(&mut self, actions: &mut Vec<UpgradeAction>) {
+        // Before the transfer the predecessor has everything: it shuts down as if there had been no upgrade.
+        if let Some(upgrade) = self.reversible_upgrade() {
+            self.roll_back(upgrade, RollbackReason::ShutdownRequested, actions);
         }
-        // Both end where connections are passing: each answers what it has.
-        let killed = wishes.clone();
-        let others = self.alive.iter().filter(|&&w| !killed.contains(&Wish::Kill(w)));
-        wishes.extend(others.map(|&w| Wish::End(w)));
-        self.state = State::Ending { code: 0 };
-        if self.alive.is_empty() {
-            wishes.push(Wish::Exit(0));
+        // During the transfer both shut down gracefully: each answers what it holds.
+        let killed = actions.clone();
+        let others = self.running.iter().filter(|&&worker| !killed.contains(&UpgradeAction::Kill(worker)));
+        actions.extend(others.map(|&worker| UpgradeAction::Terminate(worker)));
+        self.state = State::ShuttingDown { exit_code: 0 };
+        if self.running.is_empty() {
+            actions.push(UpgradeAction::Exit(0));
         }
     }
 }
--- a/crates/pipitcrank-handover/tests/descriptor_passing.rs
+++ b/crates/pipitcrank-handover/tests/descriptor_passing.rs
@@ -5,40 +5,42 @@
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 
-use pipitcrank_handover::descriptor_passing::{Broken, Incoming, Outgoing, join, pair};
+use pipitcrank_handover::descriptor_passing::{
+    LinkError, LinkReceiver, LinkSender, Received, open_link, socket_pair,
+};
 use pipitcrank_handover::messages::{ToPredecessor, ToSuccessor, ToSupervisor, VERSION};
 use proptest::prelude::*;
 
-fn play<T>(scene: impl AsyncFnOnce() -> T) -> T {
+fn run_local<T>(scenario: impl AsyncFnOnce() -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, scene())
+    tokio::task::LocalSet::new().block_on(&runtime, scenario())
 }
 
-fn ends() -> ((Outgoing, Incoming), (Outgoing, Incoming)) {
-    let (a, b) = pair().unwrap();
-    (join(a).unwrap(), join(b).unwrap())
+fn linked_pair() -> ((LinkSender, LinkReceiver), (LinkSender, LinkReceiver)) {
+    let (a, b) = socket_pair().unwrap();
+    (open_link(a).unwrap(), open_link(b).unwrap())
 }
 
 /// What the other side makes of these bytes, and of the end behind them.
-fn fed(bytes: &[u8]) -> Broken {
-    play(async || {
-        let (a, mut b) = pair().unwrap();
-        let (_to, mut from) = join(a).unwrap();
+fn error_after(bytes: &[u8]) -> LinkError {
+    run_local(async || {
+        let (a, mut b) = socket_pair().unwrap();
+        let (_to, mut from) = open_link(a).unwrap();
         b.write_all(bytes).unwrap();
         drop(b);
         loop {
-            match from.next::<ToSupervisor>().await {
+            match from.receive::<ToSupervisor>().await {
                 Ok(_) => {}
-                Err(broken) => return broken,
+                Err(error) => return error,
             }
         }
     })
 }
 
 fn encoded(message: &ToSupervisor) -> Vec<u8> {
-    play(async || {
-        let (a, mut b) = pair().unwrap();
-        let (to, _from) = join(a).unwrap();
+    run_local(async || {
+        let (a, mut b) = socket_pair().unwrap();
+        let (to, _from) = open_link(a).unwrap();
         to.send(message, None);
         drop(to);
         tokio::task::yield_now().await;
@@ -59,24 +61,27 @@
 
 #[test]
 fn descriptors_arrive_with_their_own_messages_however_large_these_are() {
-    play(async || {
-        let ((to, _a), (_b, mut from)) = ends();
+    run_local(async || {
+        let ((to, _a), (_b, mut from)) = linked_pair();
         for n in 0..40u32 {
             let (ours, mut theirs) = UnixStream::pair().unwrap();
             theirs.write_all(&n.to_be_bytes()).unwrap();
             let with = n % 3 != 1;
             let read = vec![n as u8; (n as usize * 7919) % 300_000];
-            to.send(&ToSuccessor::Connection { read, whole_within: None }, with.then(|| OwnedFd::from(ours)));
+            to.send(
+                &ToSuccessor::ClientConnection { read, request_timeout: None },
+                with.then(|| OwnedFd::from(ours)),
+            );
         }
         for n in 0..40u32 {
-            let (message, fd) = from.next::<ToSuccessor>().await.unwrap();
-            let ToSuccessor::Connection { read, .. } = message else { panic!("another message") };
+            let Received { message, descriptor } = from.receive::<ToSuccessor>().await.unwrap();
+            let ToSuccessor::ClientConnection { read, .. } = message else { panic!("another message") };
             assert!(read.len() == (n as usize * 7919) % 300_000 && read.iter().all(|b| *b == n as u8));
-            assert_eq!(fd.is_some(), n % 3 != 1);
-            if let Some(fd) = fd {
-                let mut said = [0; 4];
-                File::from(fd).read_exact(&mut said).unwrap();
-                assert_eq!(u32::from_be_bytes(said), n, "each message has its own");
+            assert_eq!(descriptor.is_some(), n % 3 != 1);
+            if let Some(descriptor) = descriptor {
+                let mut content = [0; 4];
+                File::from(descriptor).read_exact(&mut content).unwrap();
+                assert_eq!(u32::from_be_bytes(content), n, "each message has its own");
             }
         }
     });
@@ -84,46 +89,46 @@
 
 #[test]
 fn a_closed_link_and_one_cut_within_a_message_are_told_apart() {
-    assert!(matches!(fed(b""), Broken::Closed));
+    assert!(matches!(error_after(b""), LinkError::Closed));
     let hello = encoded(&ToSupervisor::Hello { version: VERSION });
-    assert!(matches!(fed(&hello), Broken::Closed));
+    assert!(matches!(error_after(&hello), LinkError::Closed));
     for cut in 1..hello.len() {
-        assert!(matches!(fed(&hello[..cut]), Broken::Cut), "cut at {cut}");
+        assert!(matches!(error_after(&hello[..cut]), LinkError::Truncated), "cut at {cut}");
     }
 }
 
 #[test]
 fn messages_that_are_too_long_or_lack_their_descriptor_or_have_more_behind_end_it() {
-    assert!(matches!(fed(&u32::MAX.to_be_bytes()), Broken::TooLong(_)));
-    let hello = encoded(&ToSupervisor::Checked);
-    let mut with_fd = hello.clone();
-    with_fd[4] = 1;
-    assert!(matches!(fed(&with_fd), Broken::Descriptors));
+    assert!(matches!(error_after(&u32::MAX.to_be_bytes()), LinkError::MessageTooLong(_)));
+    let hello = encoded(&ToSupervisor::Ready);
+    let mut with_descriptor = hello.clone();
+    with_descriptor[4] = 1;
+    assert!(matches!(error_after(&with_descriptor), LinkError::DescriptorMismatch));
     let mut longer = hello.clone();
     longer.push(0);
     longer[3] += 1;
-    assert!(matches!(fed(&longer), Broken::Garbled));
+    assert!(matches!(error_after(&longer), LinkError::Malformed));
     let mut unknown = hello;
     unknown[5] = 99;
-    assert!(matches!(fed(&unknown), Broken::Garbled));
+    assert!(matches!(error_after(&unknown), LinkError::Malformed));
 }
 
 #[test]
 fn descriptors_that_no_message_asks_for_do_not_pile_up() {
-    play(async || {
-        let ((to, _a), (_b, mut from)) = ends();
+    run_local(async || {
+        let ((to, _a), (_b, mut from)) = linked_pair();
         for _ in 0..70 {
             let (ours, _) = UnixStream::pair().unwrap();
             // A message that says it has none: its descriptor stays in the queue.
-            to.send_with_stray(&ToPredecessor::Hello { version: VERSION }, ours.into());
+            to.send_with_unannounced_descriptor(&ToPredecessor::Hello { version: VERSION }, ours.into());
         }
-        let broken = loop {
-            match from.next::<ToPredecessor>().await {
-                Ok((_, fd)) => assert!(fd.is_none()),
-                Err(broken) => break broken,
+        let error = loop {
+            match from.receive::<ToPredecessor>().await {
+                Ok(received) => assert!(received.descriptor.is_none()),
+                Err(error) => break error,
             }
         };
-        assert!(matches!(broken, Broken::Descriptors), "{broken}");
+        assert!(matches!(error, LinkError::DescriptorMismatch), "{error}");
     });
 }
 
@@ -133,6 +138,6 @@
     #[test]
     fn noise_ends_it_and_nothing_else(noise in proptest::collection::vec(any::<u8>(), 1..200)) {
         // Whatever came, the link ends with one of its own reasons.
-        let _ = fed(&noise);
+        let _ = error_after(&noise);
     }
 }
--- a/crates/pipitcrank-handover/tests/stored_forms.rs
+++ b/crates/pipitcrank-handover/tests/stored_forms.rs
@@ -4,9 +4,12 @@
 
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_handover::messages::{
-    RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker,
+    CounterValue, RelayedHit, RelayedPart, RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor,
+    ToSupervisor, ToWorker,
 };
+use pipitcrank_handover::resource_split::DelegatedRetries;
 use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
+use pipitcrank_handover::upgrade_event::UpgradeCounts;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -19,10 +22,10 @@
 }
 
 fn snapshot() -> Snapshot {
-    let known = &fixtures::read("learned_state.hex")["learned_state"];
+    let learned = &fixtures::read("learned_state.hex")["learned_state"];
     Snapshot {
         taken_us: 1_700_000_123,
-        rev: Some(77),
+        revision: Some(77),
         replicas: vec![
             ReplicaRecord {
                 index: 3,
@@ -31,7 +34,7 @@
                 cell: 5,
                 zone: Some("a".into()),
                 started: Some(TimeSpan::from_millis(70)),
-                off: Some(TimeSpan::from_millis(6)),
+                draining_for: Some(TimeSpan::from_millis(6)),
             },
             ReplicaRecord {
                 index: 9,
@@ -40,11 +43,11 @@
                 cell: 1,
                 zone: None,
                 started: None,
-                off: None,
+                draining_for: None,
             },
         ],
-        known: postcard::from_bytes(known).unwrap(),
-        lent: (2, TimeSpan::from_millis(9)),
+        learned: postcard::from_bytes(learned).unwrap(),
+        delegated_retries: DelegatedRetries { count: 2, valid_for: TimeSpan::from_millis(9) },
     }
 }
 
@@ -54,13 +57,16 @@
     fixtures::check("snapshot.hex", &[("snapshot", snapshot())], encode, |b| Snapshot::decode(b).unwrap());
 }
 
-fn ask() -> RelayedQuery {
+fn query() -> RelayedQuery {
     RelayedQuery {
         ticket: 21,
         id: "9b1f".into(),
         class: 2,
-        left: TimeSpan::from_millis(850),
-        parts: vec![(3, 0.75, None), (4, 0.25, Some(0.01))],
+        time_left: TimeSpan::from_millis(850),
+        parts: vec![
+            RelayedPart { shard: 3, weight: 0.75, work: None },
+            RelayedPart { shard: 4, weight: 0.25, work: Some(0.01) },
+        ],
         text: "c41e77d0".into(),
     }
 }
@@ -74,51 +80,76 @@
             ("serve", ToWorker::Serve),
             ("take_over", ToWorker::TakeOver),
             ("hand_over", ToWorker::HandOver),
-            ("alone", ToWorker::Alone),
-            ("pass", ToWorker::Pass),
-            ("upgrades", ToWorker::Upgrades { asked: 7, done: 5, undone: 2 }),
+            ("alone", ToWorker::ContinueAlone),
+            ("pass", ToWorker::TransferConnections),
+            (
+                "upgrades",
+                ToWorker::UpgradeCounts(UpgradeCounts { requested: 7, completed: 5, rolled_back: 2 }),
+            ),
         ],
     );
     check(
         "upgrade_to_supervisor.hex",
         &[
             ("hello", ToSupervisor::Hello { version: 1 }),
-            ("checked", ToSupervisor::Checked),
-            ("learned", ToSupervisor::Learned),
-            ("beat", ToSupervisor::Beat),
+            ("checked", ToSupervisor::Ready),
+            ("learned", ToSupervisor::StateLoaded),
+            ("beat", ToSupervisor::Heartbeat),
             ("drained", ToSupervisor::Drained),
-            ("passed", ToSupervisor::Passed),
+            ("passed", ToSupervisor::HandedOver),
         ],
     );
     check(
         "upgrade_to_new.hex",
         &[
             ("hello", ToSuccessor::Hello { version: 1 }),
-            ("known", ToSuccessor::Known(vec![1, 2, 255])),
-            ("ask", ToSuccessor::Ask(ask())),
-            ("gone", ToSuccessor::Gone { ticket: 21 }),
-            ("room", ToSuccessor::Room { replicas: 11, clients: 12, open: 13 }),
+            ("known", ToSuccessor::Snapshot(vec![1, 2, 255])),
+            ("ask", ToSuccessor::Query(query())),
+            ("gone", ToSuccessor::CancelQuery { ticket: 21 }),
+            (
+                "room",
+                ToSuccessor::HeldResources {
+                    replica_connections: 11,
+                    client_connections: 12,
+                    open_queries: 13,
+                },
+            ),
             (
                 "connection",
-                ToSuccessor::Connection {
+                ToSuccessor::ClientConnection {
                     read: b"POST".to_vec(),
-                    whole_within: Some(TimeSpan::from_millis(2500)),
+                    request_timeout: Some(TimeSpan::from_millis(2500)),
                 },
             ),
-            ("idle_connection", ToSuccessor::Connection { read: Vec::new(), whole_within: None }),
-            ("bye", ToSuccessor::Bye { further: 3, counters: vec![("queries".into(), "taken".into(), 9)] }),
-            ("ask_with_key", ToSuccessor::AskWithKey(ask(), "19dd61b8".into())),
+            ("idle_connection", ToSuccessor::ClientConnection { read: Vec::new(), request_timeout: None }),
+            (
+                "bye",
+                ToSuccessor::Finished {
+                    delegated_retries_used: 3,
+                    counters: vec![CounterValue { group: "queries".into(), name: "taken".into(), value: 9 }],
+                },
+            ),
+            (
+                "ask_with_key",
+                ToSuccessor::QueryWithKey { query: query(), idempotency_key: "19dd61b8".into() },
+            ),
         ],
     );
-    let answer = |last| ToPredecessor::Answer { ticket: 21, last };
+    let response = |response| ToPredecessor::Response { ticket: 21, response };
     check(
         "upgrade_to_old.hex",
         &[
             ("hello", ToPredecessor::Hello { version: 1 }),
-            ("merged", answer(RelayedResponse::Merged { whole: true, hits: vec![(3, "5be2".into())] })),
-            ("rejected", answer(RelayedResponse::Rejected { stay_away: TimeSpan::from_millis(50) })),
-            ("aborted", answer(RelayedResponse::Aborted)),
-            ("repeated", answer(RelayedResponse::Repeated)),
+            (
+                "merged",
+                response(RelayedResponse::Answered {
+                    complete: true,
+                    hits: vec![RelayedHit { shard: 3, value: "5be2".into() }],
+                }),
+            ),
+            ("rejected", response(RelayedResponse::Rejected { retry_after: TimeSpan::from_millis(50) })),
+            ("aborted", response(RelayedResponse::Aborted)),
+            ("repeated", response(RelayedResponse::DuplicateId)),
         ],
     );
 }
--- a/crates/pipitcrank-recovery/src/last_known_state/tests.rs
+++ b/crates/pipitcrank-recovery/src/last_known_state/tests.rs
@@ -20,7 +20,7 @@
         TimeSpan::from_millis(5),
     )
     .learned_state(pipitcrank_core::time::Timestamp::default());
-    let snapshot = Snapshot { known, ..Snapshot::default() };
+    let snapshot = Snapshot { learned: known, ..Snapshot::default() };
     Beliefs::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MOST_MEMBERS + 80])
 }
 
--- a/crates/pipitcrank-server/src/event_loop.rs
+++ b/crates/pipitcrank-server/src/event_loop.rs
@@ -107,7 +107,7 @@
     pub fn leave_to_other(&self, open: usize) {
         let before = self.elsewhere.replace(open);
         self.pool.elsewhere.set(self.pool.elsewhere.get() + open - before);
-        self.set_most(resource_split::sockets_for_new(self.all, open));
+        self.set_most(resource_split::split_connections(self.all, open).successor);
     }
 
     /// There is no other process.
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -14,7 +14,7 @@
 use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_handover::resource_split;
+use pipitcrank_handover::resource_split::{self, DelegatedRetries};
 use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
 
 use crate::audit::{self, Audit, Sent, Taken};
@@ -664,14 +664,15 @@
         self.take_lists();
         let mut known = self.coordinator.learned_state(now);
         let (free, share, span) = self.coordinator.retry_budget_terms();
-        let purse = resource_split::divide(free, share, span, longest, &mut known);
-        self.coordinator.limit_to_delegated_retries(purse.further, now + purse.within);
+        let delegated_retries = resource_split::split_retry_budget(free, share, span, longest, &mut known);
+        let until = now + delegated_retries.valid_for;
+        self.coordinator.limit_to_delegated_retries(delegated_retries.count, until);
         Snapshot {
             taken_us,
-            rev,
+            revision: rev,
             replicas: self.seen_replicas(now),
-            known,
-            lent: (purse.further, purse.within),
+            learned: known,
+            delegated_retries,
         }
     }
 
@@ -679,7 +680,13 @@
     pub fn remembered(&mut self, now: Timestamp, taken_us: i64, rev: Option<u64>) -> Snapshot {
         self.take_lists();
         let known = self.coordinator.learned_state(now);
-        Snapshot { taken_us, rev, replicas: self.seen_replicas(now), known, lent: (0, TimeSpan::ZERO) }
+        Snapshot {
+            taken_us,
+            revision: rev,
+            replicas: self.seen_replicas(now),
+            learned: known,
+            delegated_retries: DelegatedRetries::default(),
+        }
     }
 
     fn seen_replicas(&self, now: Timestamp) -> Vec<ReplicaRecord> {
@@ -691,14 +698,14 @@
             cell: held.cell,
             zone: held.zone.clone(),
             started: held.started.map(|t| now - t),
-            off: held.off.map(|t| now - t),
+            draining_for: held.off.map(|t| now - t),
         })
         .collect()
     }
 
     /// Goes on from what another process knew `passed` ago.
     pub fn go_on_from(&mut self, now: Timestamp, passed: TimeSpan, snapshot: Snapshot) {
-        let (further, within) = snapshot.lent;
+        let DelegatedRetries { count: further, valid_for: within } = snapshot.delegated_retries;
         self.take_over(now, passed, true, snapshot);
         self.coordinator.delegate_to_predecessor(further, now - passed + within);
     }
@@ -716,7 +723,8 @@
         let mut indices = BTreeMap::new();
         let mut rows = Vec::new();
         let mut offs = Vec::new();
-        for ReplicaRecord { index, uid, address, cell, zone, started, off } in snapshot.replicas {
+        for ReplicaRecord { index, uid, address, cell, zone, started, draining_for: off } in snapshot.replicas
+        {
             // What is not listed any more gets no index: nobody would let it go.
             let ours =
                 if its_list { Some(self.desk.replicas.intern(&uid)) } else { self.desk.replicas.find(&uid) };
@@ -733,7 +741,7 @@
                 }
             }
         }
-        let mut known = snapshot.known;
+        let mut known = snapshot.learned;
         let replicas = std::mem::take(&mut known.replicas);
         known.replicas = replicas.into_iter().filter_map(|(i, l)| Some((*indices.get(&i)?, l))).collect();
         self.coordinator.restore_learned_state(now, passed, known);
--- a/crates/pipitcrank-server/src/relay.rs
+++ b/crates/pipitcrank-server/src/relay.rs
@@ -7,8 +7,8 @@
 
 use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_handover::descriptor_passing::Outgoing;
-use pipitcrank_handover::messages::{RelayedQuery, RelayedResponse, ToSuccessor};
+use pipitcrank_handover::descriptor_passing::LinkSender;
+use pipitcrank_handover::messages::{RelayedHit, RelayedPart, RelayedQuery, RelayedResponse, ToSuccessor};
 use tokio::sync::oneshot;
 
 use crate::event_loop::EventLoop;
@@ -28,7 +28,7 @@
 pub struct Relay {
     event_loop: Rc<EventLoop>,
     /// To the process that works on queries, while there is one.
-    to: Rc<RefCell<Option<Outgoing>>>,
+    to: Rc<RefCell<Option<LinkSender>>>,
     /// By the front's ticket; each leaves with its answer, or its client.
     out: Rc<RefCell<BTreeMap<u64, Out>>>,
 }
@@ -39,7 +39,7 @@
     }
 
     /// From now on queries go there.
-    pub fn begin(&self, to: Outgoing) {
+    pub fn begin(&self, to: LinkSender) {
         *self.to.borrow_mut() = Some(to);
     }
 
@@ -71,8 +71,8 @@
         let key = asked.idempotency_key.clone();
         let words = to_words(ticket, left - BEFORE_TIME, asked);
         let ask = match key {
-            None => ToSuccessor::Ask(words),
-            Some(key) => ToSuccessor::AskWithKey(words, key.to_string()),
+            None => ToSuccessor::Query(words),
+            Some(key) => ToSuccessor::QueryWithKey { query: words, idempotency_key: key.to_string() },
         };
         to.send(&ask, None);
         Ok(())
@@ -82,7 +82,7 @@
     pub fn gone(&self, ticket: u64) -> bool {
         let held = self.out.borrow_mut().remove(&ticket).is_some();
         if let Some(to) = self.to.borrow().as_ref().filter(|_| held) {
-            to.send(&ToSuccessor::Gone { ticket }, None);
+            to.send(&ToSuccessor::CancelQuery { ticket }, None);
         }
         held
     }
@@ -113,9 +113,10 @@
 }
 
 fn to_words(ticket: u64, left: TimeSpan, asked: QueryRequest) -> RelayedQuery {
-    let parts = asked.parts.iter().map(|p| (p.shard, p.weight, p.work)).collect();
+    let part = |p: &QueryPart| RelayedPart { shard: p.shard, weight: p.weight, work: p.work };
+    let parts = asked.parts.iter().map(part).collect();
     let (id, class, text) = (asked.id, asked.class.0, asked.text.to_string());
-    RelayedQuery { ticket, id, class, left, parts, text }
+    RelayedQuery { ticket, id, class, time_left: left, parts, text }
 }
 
 /// A query as handed on; none if its request class or a shard is not known here.
@@ -126,9 +127,9 @@
     ask: RelayedQuery,
     idempotency_key: Option<String>,
 ) -> Option<QueryRequest> {
-    let RelayedQuery { id, class, left, parts, text, .. } = ask;
-    let known = usize::from(class) < classes && !parts.is_empty() && parts.iter().all(|(s, ..)| *s < shards);
-    let part = |(shard, weight, work)| QueryPart { shard, weight, work };
+    let RelayedQuery { id, class, time_left: left, parts, text, .. } = ask;
+    let known = usize::from(class) < classes && !parts.is_empty() && parts.iter().all(|p| p.shard < shards);
+    let part = |p: RelayedPart| QueryPart { shard: p.shard, weight: p.weight, work: p.work };
     known.then(|| QueryRequest {
         id,
         class: RequestClassId(class),
@@ -141,18 +142,24 @@
 
 pub fn to_final_words(last: QueryResponse) -> RelayedResponse {
     match last {
-        QueryResponse::Answered { whole, hits } => RelayedResponse::Merged { whole, hits },
-        QueryResponse::Rejected { stay_away } => RelayedResponse::Rejected { stay_away },
+        QueryResponse::Answered { whole, hits } => {
+            let hits = hits.into_iter().map(|(shard, value)| RelayedHit { shard, value }).collect();
+            RelayedResponse::Answered { complete: whole, hits }
+        }
+        QueryResponse::Rejected { stay_away } => RelayedResponse::Rejected { retry_after: stay_away },
         QueryResponse::Aborted => RelayedResponse::Aborted,
-        QueryResponse::DuplicateId => RelayedResponse::Repeated,
+        QueryResponse::DuplicateId => RelayedResponse::DuplicateId,
     }
 }
 
 fn from_words(last: RelayedResponse) -> QueryResponse {
     match last {
-        RelayedResponse::Merged { whole, hits } => QueryResponse::Answered { whole, hits },
-        RelayedResponse::Rejected { stay_away } => QueryResponse::Rejected { stay_away },
+        RelayedResponse::Answered { complete: whole, hits } => {
+            let hits = hits.into_iter().map(|hit| (hit.shard, hit.value)).collect();
+            QueryResponse::Answered { whole, hits }
+        }
+        RelayedResponse::Rejected { retry_after: stay_away } => QueryResponse::Rejected { stay_away },
         RelayedResponse::Aborted => QueryResponse::Aborted,
-        RelayedResponse::Repeated => QueryResponse::DuplicateId,
+        RelayedResponse::DuplicateId => QueryResponse::DuplicateId,
     }
 }
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -147,7 +147,7 @@
             rev_held.set(Some(rev));
             event_loop.tell(|e| e.list(clock.now(), true, rows));
             if let Some((passed, snapshot)) = recalled {
-                let later = snapshot.rev.filter(|&theirs| theirs > rev);
+                let later = snapshot.revision.filter(|&theirs| theirs > rev);
                 rev_held.set(Some(later.unwrap_or(rev)));
                 let replicas = snapshot.replicas.len();
                 tracing::info!(
--- a/crates/pipitcrank-server/src/worker.rs
+++ b/crates/pipitcrank-server/src/worker.rs
@@ -11,12 +11,14 @@
 use std::time::Duration;
 
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_handover::descriptor_passing::{self, Broken, Incoming, Outgoing, monotonic_micros};
+use pipitcrank_handover::clock::monotonic_micros;
+use pipitcrank_handover::descriptor_passing::{LinkError, LinkReceiver, LinkSender, Received, open_link};
 use pipitcrank_handover::messages::{
-    RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION,
+    CounterValue, RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION,
 };
 use pipitcrank_handover::resource_split;
 use pipitcrank_handover::snapshot::Snapshot;
+use pipitcrank_handover::upgrade_event::UpgradeCounts;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
@@ -58,7 +60,7 @@
 
 /// The process that hands over, and what goes to it.
 struct Old {
-    to: Outgoing,
+    to: LinkSender,
     /// Further calls that stayed with it; none once it is settled.
     lent: Option<u32>,
     /// Our tickets by theirs.
@@ -67,7 +69,7 @@
 
 /// The process that takes over.
 struct New {
-    to: Outgoing,
+    to: LinkSender,
     kept: u32,
     trusted: bool,
     passing: bool,
@@ -80,21 +82,21 @@
     New(New),
 }
 
-type Link<M> = Option<(Incoming, std::marker::PhantomData<M>)>;
+type Link<M> = Option<(LinkReceiver, std::marker::PhantomData<M>)>;
 
-async fn heard<M: serde::de::DeserializeOwned>(link: &mut Link<M>) -> Result<(M, Option<OwnedFd>), Broken> {
+async fn heard<M: serde::de::DeserializeOwned>(link: &mut Link<M>) -> Result<Received<M>, LinkError> {
     match link {
-        Some((from, _)) => from.next().await,
+        Some((from, _)) => from.receive().await,
         None => std::future::pending().await,
     }
 }
 
 impl Worker {
     /// Obeys until the keeper is gone; then it ends in order, as nobody could upgrade or signal it any more.
-    pub async fn obey(self: Rc<Worker>, keeper: StdStream) -> Result<(), Broken> {
-        let (to_keeper, mut from_keeper) = descriptor_passing::join(keeper)?;
+    pub async fn obey(self: Rc<Worker>, keeper: StdStream) -> Result<(), LinkError> {
+        let (to_keeper, mut from_keeper) = open_link(keeper)?;
         to_keeper.send(&ToSupervisor::Hello { version: VERSION }, None);
-        to_keeper.send(&ToSupervisor::Checked, None);
+        to_keeper.send(&ToSupervisor::Ready, None);
         let mut peer = Peer::Nobody;
         let mut from_old: Link<ToSuccessor> = None;
         let mut from_new: Link<ToPredecessor> = None;
@@ -103,8 +105,8 @@
         let (pass_on, mut passed_on) = unbounded_channel::<Adopted>();
         loop {
             tokio::select! {
-                said = from_keeper.next::<ToWorker>() => {
-                    let Ok((said, fd)) = said else {
+                said = from_keeper.receive::<ToWorker>() => {
+                    let Ok(Received { message: said, descriptor: fd }) = said else {
                         tracing::warn!("the keeper is gone");
                         self.list_as_first_known();
                         self.end_called.send_if_modified(|e| {
@@ -116,9 +118,9 @@
                     };
                     match said {
                         ToWorker::Hello { version: VERSION } => {}
-                        ToWorker::Hello { .. } => return Err(Broken::Garbled),
+                        ToWorker::Hello { .. } => return Err(LinkError::Malformed),
                         ToWorker::Serve => {
-                            let listener = std::net::TcpListener::from(fd.ok_or(Broken::Descriptors)?);
+                            let listener = std::net::TcpListener::from(fd.ok_or(LinkError::DescriptorMismatch)?);
                             listener.set_nonblocking(true)?;
                             if matches!(peer, Peer::Nobody) {
                                 self.list_as_first_known();
@@ -126,24 +128,24 @@
                             let _ = self.acceptor.send(Order::Accept(TcpListener::from_std(listener)?));
                         }
                         ToWorker::TakeOver => {
-                            let (to, from) = descriptor_passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
+                            let (to, from) = open_link(StdStream::from(fd.ok_or(LinkError::DescriptorMismatch)?))?;
                             to.send(&ToPredecessor::Hello { version: VERSION }, None);
                             from_old = Some((from, std::marker::PhantomData));
                             peer = Peer::Old(Old { to, lent: None, tickets: Rc::default() });
                         }
                         ToWorker::HandOver => {
-                            let (to, from) = descriptor_passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
+                            let (to, from) = open_link(StdStream::from(fd.ok_or(LinkError::DescriptorMismatch)?))?;
                             to.send(&ToSuccessor::Hello { version: VERSION }, None);
                             from_new = Some((from, std::marker::PhantomData));
                             peer = Peer::New(New { to, kept: 0, trusted: false, passing: false, drained: false });
                         }
-                        ToWorker::Pass => {
+                        ToWorker::TransferConnections => {
                             if let Peer::New(new) = &mut peer {
                                 new.passing = true;
                                 let _ = self.acceptor.send(Order::Pass(pass_on.clone()));
                             }
                         }
-                        ToWorker::Alone => {
+                        ToWorker::ContinueAlone => {
                             match std::mem::replace(&mut peer, Peer::Nobody) {
                                 Peer::New(new) => self.go_back(new),
                                 Peer::Old(old) => self.without_old(old),
@@ -151,15 +153,15 @@
                             }
                             (from_old, from_new) = (None, None);
                         }
-                        ToWorker::Upgrades { asked, done, undone } => {
-                            for (which, n) in [("asked", asked), ("done", done), ("undone", undone)] {
+                        ToWorker::UpgradeCounts(UpgradeCounts { requested, completed, rolled_back }) => {
+                            for (which, n) in [("asked", requested), ("done", completed), ("undone", rolled_back)] {
                                 self.event_loop.counters.set("upgrades", which, n);
                             }
                         }
                     }
                 }
                 said = heard(&mut from_old) => match said {
-                    Ok((said, fd)) => {
+                    Ok(Received { message: said, descriptor: fd }) => {
                         if let Peer::Old(old) = &mut peer {
                             self.said_by_old(old, said, fd, &to_keeper);
                         }
@@ -174,11 +176,13 @@
                     }
                 },
                 said = heard(&mut from_new) => match (said, &mut peer) {
-                    (Ok((ToPredecessor::Hello { version: VERSION }, _)), Peer::New(new)) => {
+                    (Ok(Received { message: ToPredecessor::Hello { version: VERSION }, .. }), Peer::New(new)) => {
                         new.trusted = true;
                         self.hand_over(new);
                     }
-                    (Ok((ToPredecessor::Answer { ticket, last }, _)), _) => self.relay.answered(ticket, last),
+                    (Ok(Received { message: ToPredecessor::Response { ticket, response }, .. }), _) => {
+                        self.relay.answered(ticket, response);
+                    },
                     (Ok(_), _) => {
                         tracing::warn!("the new process speaks another version");
                         from_new = None;
@@ -194,11 +198,11 @@
                 Some(Adopted { stream, read, whole_within }) = passed_on.recv() => {
                     if let (Peer::New(new), Ok(stream)) = (&peer, stream.into_std()) {
                         let whole_within = whole_within.map(|d| TimeSpan::from_secs_f64(d.as_secs_f64()));
-                        new.to.send(&ToSuccessor::Connection { read: read.to_vec(), whole_within }, Some(stream.into()));
+                        new.to.send(&ToSuccessor::ClientConnection { read: read.to_vec(), request_timeout: whole_within }, Some(stream.into()));
                     }
                 }
                 _ = looks.tick() => match &mut peer {
-                    Peer::Old(old) if old.lent.is_some() => to_keeper.send(&ToSupervisor::Beat, None),
+                    Peer::Old(old) if old.lent.is_some() => to_keeper.send(&ToSupervisor::Heartbeat, None),
                     Peer::New(new) if new.trusted => {
                         self.tell_room(new);
                         let own = self.event_loop.ask(Exchange::quiet);
@@ -208,9 +212,10 @@
                         }
                         if from_new.is_some() && new.passing && own && self.relay.quiet() && self.clients.open() == 0 && passed_on.is_empty() {
                             let further = self.event_loop.ask(|e| e.made_of(new.kept));
-                            let counters = self.event_loop.counters.all();
-                            new.to.send(&ToSuccessor::Bye { further, counters }, None);
-                            to_keeper.send(&ToSupervisor::Passed, None);
+                            let counters = self.event_loop.counters.all().into_iter();
+                            let counters = counters.map(|(group, name, value)| CounterValue { group, name, value });
+                            new.to.send(&ToSuccessor::Finished { delegated_retries_used: further, counters: counters.collect() }, None);
+                            to_keeper.send(&ToSupervisor::HandedOver, None);
                             peer = Peer::Nobody;
                             // What is queued is written before the tasks that write it end.
                             tokio::time::sleep(LOOK).await;
@@ -239,13 +244,13 @@
         let now = self.event_loop.clock.now();
         let snapshot =
             self.event_loop.tell(|e| e.hand_over(now, monotonic_micros(), self.rev.get(), self.longest));
-        new.kept = snapshot.lent.0;
+        new.kept = snapshot.delegated_retries.count;
         let bytes = snapshot.encode().unwrap_or_else(|e| {
             tracing::error!("what is known can't be handed over: {e}");
             Vec::new()
         });
         tracing::info!("{} bytes of what is known are handed over", bytes.len());
-        new.to.send(&ToSuccessor::Known(bytes), None);
+        new.to.send(&ToSuccessor::Snapshot(bytes), None);
         self.tell_room(new);
         self.relay.begin(new.to.clone());
         self.leave.send_replace(true);
@@ -254,10 +259,15 @@
     /// What is held here is not the new one's; it only shrinks.
     fn tell_room(&self, new: &New) {
         let (replicas, clients) = (&self.event_loop.sockets, &self.clients);
-        replicas.set_most(resource_split::sockets(replicas.most(), replicas.open()).0);
+        replicas.set_most(resource_split::split_connections(replicas.most(), replicas.open()).predecessor);
         let open = self.event_loop.ask(Exchange::open) as u32;
         let (replicas, clients) = (replicas.open() as u32, clients.open() as u32);
-        new.to.send(&ToSuccessor::Room { replicas, clients, open }, None);
+        let held = ToSuccessor::HeldResources {
+            replica_connections: replicas,
+            client_connections: clients,
+            open_queries: open,
+        };
+        new.to.send(&held, None);
     }
 
     fn go_back(&self, new: New) {
@@ -275,7 +285,7 @@
 
     // As the new one.
 
-    fn said_by_old(&self, old: &mut Old, said: ToSuccessor, fd: Option<OwnedFd>, to_keeper: &Outgoing) {
+    fn said_by_old(&self, old: &mut Old, said: ToSuccessor, fd: Option<OwnedFd>, to_keeper: &LinkSender) {
         match said {
             ToSuccessor::Hello { version: VERSION } => {}
             ToSuccessor::Hello { version } => {
@@ -283,23 +293,27 @@
                 // Not a word more: the keeper's limit ends this try.
                 old.lent = None;
             }
-            ToSuccessor::Known(bytes) => {
+            ToSuccessor::Snapshot(bytes) => {
                 old.lent = Some(self.learn(&bytes));
-                to_keeper.send(&ToSupervisor::Learned, None);
+                to_keeper.send(&ToSupervisor::StateLoaded, None);
             }
-            ToSuccessor::Ask(ask) => self.asked(old, ask, None),
-            ToSuccessor::AskWithKey(ask, key) => self.asked(old, ask, Some(key)),
-            ToSuccessor::Gone { ticket } => {
+            ToSuccessor::Query(ask) => self.asked(old, ask, None),
+            ToSuccessor::QueryWithKey { query: ask, idempotency_key: key } => self.asked(old, ask, Some(key)),
+            ToSuccessor::CancelQuery { ticket } => {
                 if let Some(ours) = old.tickets.borrow_mut().remove(&ticket) {
                     self.event_loop.tell(|e| e.client_gone(ours));
                 }
             }
-            ToSuccessor::Room { replicas, clients, open } => {
+            ToSuccessor::HeldResources {
+                replica_connections: replicas,
+                client_connections: clients,
+                open_queries: open,
+            } => {
                 self.event_loop.sockets.leave_to_other(replicas as usize);
                 self.clients.leave_to_other(clients as usize);
                 self.event_loop.tell(|e| e.set_open_elsewhere(open as usize));
             }
-            ToSuccessor::Connection { read, whole_within } => {
+            ToSuccessor::ClientConnection { read, request_timeout: whole_within } => {
                 let stream = fd.map(std::net::TcpStream::from).ok_or(()).and_then(|s| {
                     s.set_nonblocking(true).map_err(drop)?;
                     TcpStream::from_std(s).map_err(drop)
@@ -310,8 +324,10 @@
                         self.acceptor.send(Order::Adopt(Adopted { stream, read: read.into(), whole_within }));
                 }
             }
-            ToSuccessor::Bye { further, counters } => {
-                self.event_loop.counters.go_on_from(counters);
+            ToSuccessor::Finished { delegated_retries_used: further, counters } => {
+                let counters =
+                    counters.into_iter().map(|counter| (counter.group, counter.name, counter.value));
+                self.event_loop.counters.go_on_from(counters.collect());
                 self.settle(old, Some(further));
             }
         }
@@ -330,8 +346,8 @@
                     passed.as_secs_f64()
                 );
                 self.first_list.take();
-                self.rev.set(snapshot.rev);
-                let lent = snapshot.lent.0;
+                self.rev.set(snapshot.revision);
+                let lent = snapshot.delegated_retries.count;
                 self.event_loop.tell(|e| e.go_on_from(now, passed, snapshot));
                 (self.list_known)();
                 lent
@@ -349,10 +365,11 @@
 
     fn asked(&self, old: &Old, ask: RelayedQuery, key: Option<String>) {
         let (theirs, to) = (ask.ticket, old.to.clone());
-        let answer =
-            move |last: RelayedResponse| to.send(&ToPredecessor::Answer { ticket: theirs, last }, None);
+        let answer = move |response: RelayedResponse| {
+            to.send(&ToPredecessor::Response { ticket: theirs, response }, None)
+        };
         let Some(asked) = relay::asked(&self.event_loop, self.classes, self.shards, ask, key) else {
-            return answer(RelayedResponse::Rejected { stay_away: TimeSpan::ZERO });
+            return answer(RelayedResponse::Rejected { retry_after: TimeSpan::ZERO });
         };
         let ours = self.tickets.fetch_add(1, Ordering::Relaxed);
         old.tickets.borrow_mut().insert(theirs, ours);
