--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipitcrank_config::Store as Told;
+use pipitcrank_config::StoreConfig;
 use pipitcrank_core::time::Timestamp;
 use pipitcrank_failover::agreement::Memory;
 use pipitcrank_failover::decision::Decision;
@@ -35,7 +35,7 @@
 
 pub struct Disk {
     store: Store,
-    told: Told,
+    told: StoreConfig,
     bell: std::sync::Arc<Notify>,
     written: Option<Timestamp>,
     wanted: u64,
@@ -51,7 +51,7 @@
 impl Disk {
     /// Opens the store of the copy `owner`, and reads what it holds. What is wrong with it is said by name and held against
     /// nobody: the copy serves as one without a store.
-    pub fn open(told: &Told, owner: &str) -> (Disk, Past) {
+    pub fn open(told: &StoreConfig, owner: &str) -> (Disk, Past) {
         let bell = std::sync::Arc::new(Notify::new());
         let rings = bell.clone();
         let store = Store::open(told.path.clone(), owner.to_string(), move || rings.notify_one());
@@ -70,7 +70,11 @@
     }
 
     /// The same once no other process of this copy has the file, as in an upgrade; until `gone` says that this one ends too.
-    pub async fn open_when_free(told: &Told, owner: &str, mut gone: impl FnMut() -> bool) -> (Disk, Past) {
+    pub async fn open_when_free(
+        told: &StoreConfig,
+        owner: &str,
+        mut gone: impl FnMut() -> bool,
+    ) -> (Disk, Past) {
         loop {
             let (disk, past) = Disk::open(told, owner);
             if disk.said != Some(Fault::InUse) || gone() {
@@ -97,7 +101,7 @@
             tracing::warn!("/store/path {at}: what was known can't be read, and is left");
             return Past { memory, ..Past::default() };
         };
-        let recalled = beliefs.recall(clocks(), span(self.told.oldest));
+        let recalled = beliefs.recall(clocks(), span(self.told.max_age));
         if recalled.known.is_none() {
             tracing::info!(
                 "/store/path {at}: what was known of leaves is too old, or a clock was set; it is left"
@@ -129,7 +133,7 @@
         agreed: impl FnOnce() -> (Option<Decision>, Vec<Peer>),
     ) {
         self.say(&event_loop.counters);
-        if self.written.is_some_and(|at| now - at < span(self.told.every)) {
+        if self.written.is_some_and(|at| now - at < span(self.told.write_interval)) {
             return;
         }
         self.written = Some(now);
@@ -141,7 +145,7 @@
 
     /// When `look` is due.
     pub fn due(&self) -> Timestamp {
-        self.written.map_or(Timestamp::default(), |at| at + span(self.told.every))
+        self.written.map_or(Timestamp::default(), |at| at + span(self.told.write_interval))
     }
 
     fn say(&mut self, counters: &Counters) {
--- a/crates/pipitcrank-cli/src/keeper.rs
+++ b/crates/pipitcrank-cli/src/keeper.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use anyhow::{Context, Result};
-use pipitcrank_config::{Operators, Upgrade};
+use pipitcrank_config::{OperatorsConfig, UpgradeConfig};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::book::{Book, Event, Times, Wish, Worker};
 use pipitcrank_handover::passing::{self, Broken, Incoming, Outgoing};
@@ -39,12 +39,12 @@
     TimeSpan::from_secs_f64(d.as_secs_f64())
 }
 
-fn times(upgrade: Upgrade) -> Times {
+fn times(upgrade: UpgradeConfig) -> Times {
     Times {
-        start: span(upgrade.start),
-        settle: span(upgrade.settle),
-        silent: span(upgrade.silent),
-        finish: span(upgrade.finish),
+        start: span(upgrade.start_timeout),
+        settle: span(upgrade.trial_time),
+        silent: span(upgrade.heartbeat_timeout),
+        finish: span(upgrade.drain_timeout),
     }
 }
 
@@ -53,7 +53,7 @@
     program: PathBuf,
     operators: Option<PathBuf>,
     listen: std::net::SocketAddr,
-    upgrade: Upgrade,
+    upgrade: UpgradeConfig,
 ) -> Result<i32> {
     let mut upgrades = signal(SignalKind::user_defined2())?;
     let mut hangups = signal(SignalKind::hangup())?;
@@ -130,8 +130,8 @@
             let _ = worker.signals.send(Signal::HUP);
         }
         let Some(path) = &self.operators else { return };
-        match Operators::read(path) {
-            Ok(Operators { upgrade: Some(upgrade), .. }) => {
+        match OperatorsConfig::read(path) {
+            Ok(OperatorsConfig { upgrade: Some(upgrade), .. }) => {
                 book.set_times(times(upgrade));
                 tracing::info!("the operators' file is read again");
             }
--- a/crates/pipitcrank-cli/src/logs.rs
+++ b/crates/pipitcrank-cli/src/logs.rs
@@ -1,6 +1,6 @@
 //! Log lines to standard error from a thread of their own: whoever logs never waits, and what is dropped is counted.
 
-use pipitcrank_config::Logs;
+use pipitcrank_config::LogsConfig;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::time::SystemTime;
@@ -14,7 +14,7 @@
 }
 
 /// Takes all log lines from now on. Levels that can't be read stand for `info`, and are said.
-pub fn start(logs: &Logs) -> Writing {
+pub fn start(logs: &LogsConfig) -> Writing {
     let (out, guard) =
         NonBlockingBuilder::default().buffered_lines_limit(WAITING).lossy(true).finish(std::io::stderr());
     let dropped = out.error_counter();
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -16,7 +16,7 @@
 use anyhow::{Context, Result, anyhow};
 use clap::{Parser, Subcommand};
 use disk::{Disk, Past};
-use pipitcrank_config::{Gateway, Operators};
+use pipitcrank_config::{GatewayConfig, OperatorsConfig};
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_gateway::far::Far;
 use pipitcrank_gateway::near::{Near, Peer};
@@ -182,9 +182,9 @@
 /// What an operator asks of the copies that a file joins.
 fn asked_of(
     path: &std::path::Path,
-    ask: impl FnOnce(Option<pipitcrank_config::Zones>) -> Result<i32>,
+    ask: impl FnOnce(Option<pipitcrank_config::ZonesConfig>) -> Result<i32>,
 ) -> i32 {
-    match Operators::read(path) {
+    match OperatorsConfig::read(path) {
         Ok(operators) => said(ask(operators.zones)),
         Err(wrong) => {
             eprintln!("ERROR {wrong}");
@@ -201,8 +201,8 @@
     })
 }
 
-fn logged(path: Option<PathBuf>, run: impl FnOnce(Option<PathBuf>, Operators) -> Result<i32>) -> i32 {
-    let read = path.as_deref().map(Operators::read).transpose();
+fn logged(path: Option<PathBuf>, run: impl FnOnce(Option<PathBuf>, OperatorsConfig) -> Result<i32>) -> i32 {
+    let read = path.as_deref().map(OperatorsConfig::read).transpose();
     let logs = logs::start(&read.as_ref().ok().cloned().flatten().unwrap_or_default().logs);
     let ended = read.map_err(Into::into).and_then(|operators| run(path, operators.unwrap_or_default()));
     let code = ended.unwrap_or_else(|wrong| {
@@ -218,7 +218,7 @@
     Ok(tokio::task::LocalSet::new().block_on(&runtime, run))
 }
 
-fn serve_or_keep(path: Option<PathBuf>, operators: Operators) -> Result<i32> {
+fn serve_or_keep(path: Option<PathBuf>, operators: OperatorsConfig) -> Result<i32> {
     let clock = Clock::start();
     let Some(upgrade) = operators.upgrade else {
         let stored = operators
@@ -254,8 +254,8 @@
 
 /// Other copies, other sites beside the near replicas, and the store, where the operators' file has them. `opened`: the store
 /// and what a process before this one left in it; none while such a process may still have it.
-fn beside(operators: Operators, opened: Option<(Option<Disk>, Past)>) -> Option<Beside> {
-    let Operators { gateway, zones, store, .. } = operators;
+fn beside(operators: OperatorsConfig, opened: Option<(Option<Disk>, Past)>) -> Option<Beside> {
+    let OperatorsConfig { gateway, zones, store, .. } = operators;
     if gateway.is_none() && zones.is_none() && store.is_none() {
         return None;
     }
@@ -284,21 +284,21 @@
                 }
             });
         }
-        let Some(Gateway { site, listen, sites, connections, prefer_near }) = gateway else {
+        let Some(GatewayConfig { site, listen, sites, connections, local_preference }) = gateway else {
             return ground.replicas as Rc<RefCell<dyn ReplicaTransport>>;
         };
         // Told apart from any process before or beside this one: by its number and its start.
         let instance = peers::since_1970_us() << 22 ^ u64::from(std::process::id());
-        let names = sites.iter().map(|(name, _)| name.clone()).collect();
+        let names = sites.iter().map(|site| site.name.clone()).collect();
         tokio::task::spawn_local(Far::new(&ground, &site, instance, names).listen(listen));
-        let peers = sites.into_iter().map(|(name, address)| Peer { name, address }).collect();
-        let prefer_near = TimeSpan::from_secs_f64(prefer_near.as_secs_f64());
+        let peers = sites.into_iter().map(|site| Peer { name: site.name, address: site.address }).collect();
+        let prefer_near = TimeSpan::from_secs_f64(local_preference.as_secs_f64());
         let near = Near::start(ground, &site, instance, peers, connections, prefer_near);
         Rc::new(RefCell::new(near)) as Rc<RefCell<dyn ReplicaTransport>>
     }))
 }
 
-fn work(operators: Operators) -> Result<i32> {
+fn work(operators: OperatorsConfig) -> Result<i32> {
     let keeper = std::io::stdin().as_fd().try_clone_to_owned().context("standard input")?;
     let keeper = UnixStream::from(keeper);
     keeper.peer_addr().context("standard input is not a keeper's link")?;
@@ -354,10 +354,10 @@
         look("the charter", faults.unwrap_or_else(|wrong| vec![wrong]));
     }
     if let Some(path) = operators {
-        let read = Operators::read(&path);
+        let read = OperatorsConfig::read(&path);
         let mut faults: Vec<String> = read.as_ref().err().map(ToString::to_string).into_iter().collect();
         // What both files say of zones has to agree; without the node configuration only the file itself is looked at.
-        if let (Ok(Operators { zones: Some(zones), .. }), false) = (&read, no_node_config)
+        if let (Ok(OperatorsConfig { zones: Some(zones), .. }), false) = (&read, no_node_config)
             && let Ok((_, text)) = serve::node_config_text()
             && let Ok(node_config) = NodeConfig::read(&text, |name| std::env::var(name).ok())
             && let Ok(platform) = node_config.zones()
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result, bail};
-use pipitcrank_config::Zones;
+use pipitcrank_config::ZonesConfig;
 use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::book::{Book, Pace};
@@ -53,8 +53,8 @@
 
 /// This copy's zone by its place in the operators' list: from the operators' file, else from the platform. Contradictions
 /// are named by their key.
-pub fn own_zone(zones: &Zones, platform: Option<&(ZoneId, Vec<String>)>) -> Result<usize> {
-    let names: Vec<&str> = zones.zones.iter().map(|(name, _)| name.as_str()).collect();
+pub fn own_zone(zones: &ZonesConfig, platform: Option<&(ZoneId, Vec<String>)>) -> Result<usize> {
+    let names: Vec<&str> = zones.zone_names();
     let place = |name: &str| names.iter().position(|n| *n == name);
     if let Some((own, told)) = platform {
         if let Some(unknown) = told.iter().find(|name| place(name).is_none()) {
@@ -68,24 +68,28 @@
             );
         }
         let own = &told[usize::from(own.0)];
-        if let Some(said) = zones.zone.as_ref().filter(|said| *said != own) {
+        if let Some(said) = zones.own_zone.as_ref().filter(|said| *said != own) {
             bail!("/zones/zone is '{said}', and the charter's /settings/zone is '{own}'");
         }
         return Ok(place(own).unwrap_or(0));
     }
-    match zones.zone.as_deref().and_then(place) {
+    match zones.own_zone.as_deref().and_then(place) {
         Some(own) => Ok(own),
         None => bail!("/zones/zone is missing, and the charter names none; accepted: {}", names.join(", ")),
     }
 }
 
-fn regions(zones: &Zones) -> Vec<String> {
-    zones.zones.iter().map(|(_, region)| region.clone()).collect()
+fn regions(zones: &ZonesConfig) -> Vec<String> {
+    zones.zones.iter().map(|zone| zone.region.clone()).collect()
 }
 
 /// What a copy is that stands there with others; or a fault by its key. `opens` gives its store, and what a process before
 /// it left there; asked once no process of this copy has its address any more.
-pub fn stand<O>(ground: &ServerContext, zones: Zones, opens: O) -> Result<impl Future<Output = ()> + use<O>>
+pub fn stand<O>(
+    ground: &ServerContext,
+    zones: ZonesConfig,
+    opens: O,
+) -> Result<impl Future<Output = ()> + use<O>>
 where
     O: AsyncFnOnce(tokio::sync::watch::Receiver<bool>) -> (Option<Disk>, Past) + 'static,
 {
@@ -93,7 +97,7 @@
     let (event_loop, utilities, rev) =
         (ground.event_loop.clone(), ground.utilities.clone(), ground.rev.clone());
     let (mut leaving, end_called) = (ground.leaving.clone(), ground.end_called.clone());
-    let names: Vec<String> = zones.zones.iter().map(|(name, _)| name.clone()).collect();
+    let names: Vec<String> = zones.zones.iter().map(|zone| zone.name.clone()).collect();
     let regions = regions(&zones);
     let region: Vec<bool> = regions.iter().map(|r| *r == regions[own]).collect();
     // A site is a region: its replicas stand for all of its zones.
@@ -140,7 +144,7 @@
             }
             instance.recall(now, recalled.decision, recalled.members, memory);
         }
-        tracing::info!(zone = names[own], known_as = %zones.known_as, voter = votes(&zones), "stands with other copies");
+        tracing::info!(zone = names[own], known_as = %zones.advertised, voter = votes(&zones), "stands with other copies");
         let (watch, rates) = (Watch::new(&names), Rates::new(now));
         let mut hands = Hands {
             socket,
@@ -174,24 +178,24 @@
     }
 }
 
-fn votes(zones: &Zones) -> bool {
-    zones.voters.iter().any(|v| v.0 == zones.known_as)
+fn votes(zones: &ZonesConfig) -> bool {
+    zones.voter_slot(zones.advertised).is_some()
 }
 
-fn instance(now: Timestamp, zones: &Zones, own: usize) -> Instance {
+fn instance(now: Timestamp, zones: &ZonesConfig, own: usize) -> Instance {
     let near = Nearness::new(&regions(zones));
     let pace = Pace {
-        suspect: span(zones.suspect),
+        suspect: span(zones.suspect_time),
         hold_down: span(zones.hold_down),
-        hold_down_most: span(zones.hold_down_most),
-        calm: span(zones.calm),
+        hold_down_most: span(zones.hold_down_max),
+        calm: span(zones.hold_down_reset),
     };
     let count = zones.zones.len();
-    let book = Book::new(pace, near.clone(), count, zones.replica_bears);
-    let follow = Follow::new(own as u16, count, near, span(zones.hold), zones.dry_run);
-    let peer = Peer { address: zones.known_as, instance: since_1970_us(), zone: own as u16 };
-    let seats: Vec<SocketAddr> = zones.voters.iter().map(|v| v.0).collect();
-    Instance::new(now, peer, key(&zones.secret), &zones.peers, &seats, count, book, follow)
+    let book = Book::new(pace, near.clone(), count, zones.replica_capacity);
+    let follow = Follow::new(own as u16, count, near, span(zones.decision_lease), zones.dry_run);
+    let peer = Peer { address: zones.advertised, instance: since_1970_us(), zone: own as u16 };
+    let seats: Vec<SocketAddr> = zones.voters.iter().map(|v| v.address).collect();
+    Instance::new(now, peer, key(&zones.secret), &zones.seeds, &seats, count, book, follow)
 }
 
 struct Hands {
@@ -508,7 +512,7 @@
 
 /// Carries out `pipitcrank zones WHAT [ZONE]`; the exit code.
 pub fn command(
-    zones: Option<Zones>,
+    zones: Option<ZonesConfig>,
     what: &str,
     zone: Option<&str>,
     at: Option<SocketAddr>,
@@ -520,7 +524,7 @@
     }
     let place = || -> Result<u16> {
         let name = zone.context("it takes a zone's name")?;
-        let names: Vec<&str> = zones.zones.iter().map(|(name, _)| name.as_str()).collect();
+        let names: Vec<&str> = zones.zone_names();
         let found = names.iter().position(|n| *n == name);
         Ok(found.with_context(|| format!("'{name}' is none of {}", names.join(", ")))? as u16)
     };
@@ -534,8 +538,8 @@
     // An order is for whoever leads the voters; each of them says whether it does.
     let to: Vec<SocketAddr> = match (at, order) {
         (Some(at), _) => vec![at],
-        (None, None) => vec![zones.known_as],
-        (None, Some(_)) => zones.voters.iter().map(|v| v.0).collect(),
+        (None, None) => vec![zones.advertised],
+        (None, Some(_)) => zones.voters.iter().map(|v| v.address).collect(),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let answer = runtime.block_on(ask(&zones, &to, Asks::Order(order), wait))?;
@@ -553,18 +557,18 @@
 }
 
 /// Has each voter but those named begin anew without them; the exit code.
-fn begin_without(zones: &Zones, named: &str, wait: Duration) -> Result<i32> {
+fn begin_without(zones: &ZonesConfig, named: &str, wait: Duration) -> Result<i32> {
     let mut away = Vec::new();
     for address in named.split(',').filter(|a| !a.is_empty()) {
-        let seat = zones.voters.iter().position(|v| v.0.to_string() == address);
-        let voters: Vec<String> = zones.voters.iter().map(|v| v.0.to_string()).collect();
+        let seat = zones.voters.iter().position(|v| v.address.to_string() == address);
+        let voters: Vec<String> = zones.voters.iter().map(|v| v.address.to_string()).collect();
         away.push(
             seat.with_context(|| format!("'{address}' is none of /zones/voters: {}", voters.join(", ")))?
                 as u8,
         );
     }
     let there: Vec<SocketAddr> =
-        (0..).zip(&zones.voters).filter(|(seat, _)| !away.contains(seat)).map(|(_, v)| v.0).collect();
+        (0..).zip(&zones.voters).filter(|(seat, _)| !away.contains(seat)).map(|(_, v)| v.address).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut faults = Vec::new();
     for &voter in &there {
@@ -579,10 +583,15 @@
 }
 
 /// Prints in which waves the copies can be restarted, each with at most `share` of them and of each zone's; the exit code.
-pub fn restart_plan(zones: Option<Zones>, share: f64, at: Option<SocketAddr>, wait: Duration) -> Result<i32> {
+pub fn restart_plan(
+    zones: Option<ZonesConfig>,
+    share: f64,
+    at: Option<SocketAddr>,
+    wait: Duration,
+) -> Result<i32> {
     let zones = zones.context("/zones is off in that operators' file")?;
     anyhow::ensure!((0.0..=1.0).contains(&share), "--share is {share}, not from 0 to 1");
-    let to = [at.unwrap_or(zones.known_as)];
+    let to = [at.unwrap_or(zones.advertised)];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let silent = || format!("no answer of {} within {wait:?}", to[0]);
     let Some(Answer::Shown(shown)) = runtime.block_on(ask(&zones, &to, Asks::Order(None), wait))? else {
@@ -598,7 +607,7 @@
         };
         after = some.last().map(|p| p.address);
         copies.extend(some.into_iter().map(|p| Copy {
-            votes: zones.voters.iter().any(|v| v.0 == p.address),
+            votes: zones.voter_slot(p.address).is_some(),
             address: p.address,
             zone: p.zone,
         }));
@@ -606,13 +615,13 @@
             break;
         }
     }
-    let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.0));
+    let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.address));
     let home: Vec<bool> =
         decision.places.iter().map(|p| p.state == State::Serving && p.kept == WHOLE).collect();
     let waves = turns::plan(&copies, zones.voters.len(), leader, &home, share)?;
     for (n, wave) in waves.iter().enumerate() {
         let named = |c: &Copy| {
-            let zone = zones.zones.get(usize::from(c.zone)).map_or("?", |z| z.0.as_str());
+            let zone = zones.zones.get(usize::from(c.zone)).map_or("?", |z| z.name.as_str());
             format!("{} ({zone}{})", c.address, if c.votes { ", voter" } else { "" })
         };
         println!("{}: {}", n + 1, wave.iter().map(named).collect::<Vec<_>>().join(", "));
@@ -626,7 +635,7 @@
     StayAway(Vec<u8>),
 }
 
-async fn ask(zones: &Zones, to: &[SocketAddr], asks: Asks, wait: Duration) -> Result<Option<Answer>> {
+async fn ask(zones: &ZonesConfig, to: &[SocketAddr], asks: Asks, wait: Duration) -> Result<Option<Answer>> {
     let socket = UdpSocket::bind((zones.listen.ip(), 0)).await.context("an address to ask from")?;
     let mut command = Command::new(key(&zones.secret), socket.local_addr()?, since_1970_us());
     let (until, mut last) = (Instant::now() + wait, None);
@@ -656,11 +665,11 @@
     Ok(last)
 }
 
-fn show(zones: &Zones, shown: &Shown) {
+fn show(zones: &ZonesConfig, shown: &Shown) {
     let share = |n: u16| format!("{:.1} %", f64::from(n) / 10.0);
     println!("this copy is {}; {} copies are there", shown.standing, shown.members);
     if let Some(leader) = shown.leader {
-        let at = zones.voters.get(usize::from(leader)).map_or("?".to_string(), |v| v.0.to_string());
+        let at = zones.voters.get(usize::from(leader)).map_or("?".to_string(), |v| v.address.to_string());
         println!("{} of {} voters are heard, {at} leads", shown.voters_heard, zones.voters.len());
     }
     let Some(decision) = &shown.decision else {
@@ -674,7 +683,7 @@
         "{:<16} {:<10} {:>8} {:>8} {:>10} {:>10}  evidence",
         "zone", "state", "kept", "share", "carries/s", "asked/s"
     );
-    for (n, (name, _)) in zones.zones.iter().enumerate() {
+    for (n, zone) in zones.zones.iter().enumerate() {
         let Some(place) = decision.places.get(n) else { continue };
         let meant = shown.shares.iter().find(|s| usize::from(s.0) == n).map_or(0, |s| s.1);
         let carries = if place.carries == UNKNOWN { "?".to_string() } else { place.carries.to_string() };
@@ -684,12 +693,13 @@
             });
         let cut: Vec<&str> = (0..zones.zones.len())
             .filter(|to| place.cut & (1 << to) != 0)
-            .map(|to| zones.zones[to].0.as_str())
+            .map(|to| zones.zones[to].name.as_str())
             .collect();
         let cut = if cut.is_empty() { String::new() } else { format!("; way cut to {}", cut.join(", ")) };
         let drained = if place.drained { "; drained" } else { "" };
         println!(
-            "{name:<16} {:<10} {:>8} {:>8} {carries:>10} {:>10}  {evidence}{drained}{cut}",
+            "{:<16} {:<10} {:>8} {:>8} {carries:>10} {:>10}  {evidence}{drained}{cut}",
+            zone.name,
             place.state.name(),
             share(place.kept),
             share(meant),
--- a/crates/pipitcrank-config/src/tests.rs
+++ b/crates/pipitcrank-config/src/tests.rs
@@ -5,14 +5,14 @@
 
 #[test]
 fn a_whole_file_is_read_and_an_empty_one_turns_all_off() {
-    let read = Operators::parse(GOOD).unwrap();
-    assert_eq!(read.upgrade.unwrap().settle, Duration::from_secs(5));
-    assert_eq!(read.logs, Logs { json: true, levels: "info".to_string() });
+    let read = OperatorsConfig::parse(GOOD).unwrap();
+    assert_eq!(read.upgrade.unwrap().trial_time, Duration::from_secs(5));
+    assert_eq!(read.logs, LogsConfig { json: true, levels: "info".to_string() });
     let none =
         "{ upgrade = None { start_s : Double, settle_s : Double, silent_s : Double, finish_s : Double }
         , logs = None { json : Bool, levels : Text } }";
-    assert_eq!(Operators::parse(none).unwrap(), Operators::default());
-    assert_eq!(Operators::parse("{=}").unwrap(), Operators::default());
+    assert_eq!(OperatorsConfig::parse(none).unwrap(), OperatorsConfig::default());
+    assert_eq!(OperatorsConfig::parse("{=}").unwrap(), OperatorsConfig::default());
 }
 
 #[test]
@@ -25,23 +25,23 @@
         ("settle_s", "settel_s", "/settel_s"),
         ("logs =", "log =", "/log"),
     ] {
-        let wrong = Operators::parse(&GOOD.replace(from, to)).unwrap_err();
+        let wrong = OperatorsConfig::parse(&GOOD.replace(from, to)).unwrap_err();
         assert_eq!(wrong.key, key, "{wrong}");
     }
     for text in [GOOD.replace("5.0", "\"5\""), GOOD.replace("5.0", "+"), String::new()] {
-        assert!(Operators::parse(&text).is_err(), "{text}");
+        assert!(OperatorsConfig::parse(&text).is_err(), "{text}");
     }
 }
 
 #[test]
-fn a_thousand_peers_are_taken_and_too_many_are_named() {
+fn a_thousand_peers_are_accepted_and_too_many_are_named() {
     let with = |count: usize| {
         let peers: Vec<String> =
             (0..count).map(|n| format!("\"127.0.{}.{}:7000\"", n / 250, n % 250 + 1)).collect();
         ZONES.replace("[ \"127.0.0.1:7202\" ]", &format!("[ {} ]", peers.join(", ")))
     };
-    assert_eq!(Operators::parse(&with(1024)).unwrap().zones.unwrap().peers.len(), 1024);
-    let wrong = Operators::parse(&with(MOST_PEERS + 1)).unwrap_err();
+    assert_eq!(OperatorsConfig::parse(&with(1024)).unwrap().zones.unwrap().seeds.len(), 1024);
+    let wrong = OperatorsConfig::parse(&with(MAX_SEEDS + 1)).unwrap_err();
     assert_eq!(wrong.key, "/zones/peers", "{wrong}");
 }
 
@@ -49,9 +49,9 @@
     , prefer_near_s = 0.02, sites = [ { name = \"south\", address = \"127.0.0.1:7002\" } ] } }";
 
 #[test]
-fn a_gateway_stays_on_loopback_and_each_site_has_a_name_of_its_own() {
-    let read = Operators::parse(GATEWAY).unwrap().gateway.unwrap();
-    assert_eq!(read.sites, [("south".to_string(), "127.0.0.1:7002".parse().unwrap())]);
+fn gateway_addresses_are_on_loopback_and_site_names_are_unique() {
+    let read = OperatorsConfig::parse(GATEWAY).unwrap().gateway.unwrap();
+    assert_eq!(read.sites, [Site { name: "south".to_string(), address: "127.0.0.1:7002".parse().unwrap() }]);
     for (from, to, key) in [
         ("127.0.0.1:7002", "192.0.2.1:7002", "/gateway/sites/0/address"),
         ("127.0.0.1:7001", "0.0.0.0:7001", "/gateway/listen"),
@@ -62,7 +62,7 @@
         ("connections = 2", "connections = 0", "/gateway/connections"),
         ("0.02", "-0.02", "/gateway/prefer_near_s"),
     ] {
-        let wrong = Operators::parse(&GATEWAY.replace(from, to)).unwrap_err();
+        let wrong = OperatorsConfig::parse(&GATEWAY.replace(from, to)).unwrap_err();
         assert_eq!(wrong.key, key, "{wrong}");
     }
 }
@@ -76,8 +76,8 @@
 
 #[test]
 fn zones_are_checked_by_key_and_no_zone_holds_the_majority() {
-    let read = Operators::parse(ZONES).unwrap().zones.unwrap();
-    assert_eq!((read.known_as, read.voters[2].1), (read.listen, 2));
+    let read = OperatorsConfig::parse(ZONES).unwrap().zones.unwrap();
+    assert_eq!((read.advertised, read.voters[2].zone), (read.listen, 2));
     for (from, to, key) in [
         ("zone = \"a\", listen", "zone = \"d\", listen", "/zones/zone"),
         ("listen = \"127.0.0.1", "listen = \"192.0.2.1", "/zones/listen"),
@@ -96,11 +96,11 @@
         ("hold_s = 10.0", "hold_s = 1.0", "/zones/hold_s"),
         ("leaf_bears = 50.0", "leaf_bears = -1.0", "/zones/leaf_bears"),
     ] {
-        let wrong = Operators::parse(&ZONES.replacen(from, to, 1)).unwrap_err();
+        let wrong = OperatorsConfig::parse(&ZONES.replacen(from, to, 1)).unwrap_err();
         assert_eq!(wrong.key, key, "{wrong}");
     }
     let even = ZONES.replace(", { address = \"127.0.0.1:7203\", zone = \"c\" }", "");
-    let even = Operators::parse(&even.replace("                    ]", "]")).unwrap_err();
+    let even = OperatorsConfig::parse(&even.replace("                    ]", "]")).unwrap_err();
     assert_eq!(even.key, "/zones/voters", "{even}");
 }
 
@@ -108,8 +108,8 @@
 fn a_store_is_a_file_with_bounds() {
     const STORE: &str =
         "{ store = Some { path = \"/var/lib/pipitcrank/n1\", every_s = 2.0, oldest_s = 60.0 } }";
-    let read = Operators::parse(STORE).unwrap().store.unwrap();
-    assert_eq!((read.path.to_str(), read.oldest), (Some("/var/lib/pipitcrank/n1"), Duration::from_secs(60)));
+    let read = OperatorsConfig::parse(STORE).unwrap().store.unwrap();
+    assert_eq!((read.path.to_str(), read.max_age), (Some("/var/lib/pipitcrank/n1"), Duration::from_secs(60)));
     for (from, to, key) in [
         ("/var/lib/pipitcrank/n1", "", "/store/path"),
         ("/var/lib/pipitcrank/n1", "/", "/store/path"),
@@ -118,13 +118,13 @@
         ("oldest_s = 60.0", "oldest_s = 1.0e6", "/store/oldest_s"),
         ("oldest_s", "older_s", "/older_s"),
     ] {
-        let wrong = Operators::parse(&STORE.replace(from, to)).unwrap_err();
+        let wrong = OperatorsConfig::parse(&STORE.replace(from, to)).unwrap_err();
         assert_eq!(wrong.key, key, "{wrong}");
     }
 }
 
 #[test]
 fn a_file_that_is_not_there_is_named() {
-    let wrong = Operators::read(Path::new("/nowhere/operators.dhall")).unwrap_err();
+    let wrong = OperatorsConfig::read(Path::new("/nowhere/operators.dhall")).unwrap_err();
     assert_eq!(wrong.key, "/nowhere/operators.dhall");
 }
