--- a/crates/pipitcrank-config/src/tests.rs
+++ b/crates/pipitcrank-config/src/tests.rs
@@ -1,4 +1,7 @@
+use std::time::Duration;
+
 use super::*;
+use crate::zones::MAX_SEEDS;
 
 const GOOD: &str = "{ upgrade = Some { start_s = 10.0, settle_s = 5.0, silent_s = 2.0, finish_s = 30.0 }
     , logs = Some { json = True, levels = \"info\" } }";
