--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -12,9 +12,9 @@
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::beliefs::{Beliefs, Clocks, Recalled};
 use pipitcrank_recovery::store::{Fault, Store};
-use pipitcrank_server::counters::Counters;
-use pipitcrank_server::discovery::SharedRevision;
-use pipitcrank_server::event_loop::EventLoop;
+use pipitcrank_server::discovery::client::SharedRevision;
+use pipitcrank_server::runtime::counters::Counters;
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use tokio::sync::Notify;
 
 use crate::peers::{since_1970_us, span};
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -20,9 +20,9 @@
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_gateway::far::Far;
 use pipitcrank_gateway::near::{Near, Peer};
-use pipitcrank_server::clock::Clock;
 use pipitcrank_server::exchange::ReplicaTransport;
 use pipitcrank_server::node_config::NodeConfig;
+use pipitcrank_server::runtime::clock::Clock;
 use pipitcrank_server::serve::{self, Beside, ServerContext};
 use pipitcrank_testkit::trial::{self, Terms};
 
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -20,8 +20,8 @@
 use pipitcrank_membership::members::{Gone, News};
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::turns::{self, Copy};
-use pipitcrank_server::counters::Counters;
-use pipitcrank_server::discovery::SharedRevision;
+use pipitcrank_server::discovery::client::SharedRevision;
+use pipitcrank_server::runtime::counters::Counters;
 use pipitcrank_server::serve::ServerContext;
 use tokio::net::UdpSocket;
 
@@ -199,7 +199,7 @@
     instance: Instance,
     disk: Option<Disk>,
     rev: SharedRevision,
-    event_loop: std::rc::Rc<pipitcrank_server::event_loop::EventLoop>,
+    event_loop: std::rc::Rc<pipitcrank_server::runtime::event_loop::EventLoop>,
     names: Vec<String>,
     own: usize,
     /// By zone: the one whose replicas stand for it here. Its own for those of this region, the region's first for others.
--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -14,7 +14,7 @@
 use clap::{Parser, Subcommand};
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::frames;
+use pipitcrank_server::replicas::frames;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use stage::Stage;
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -9,10 +9,10 @@
 use pipitcrank_core::config::SettingsReader;
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_server::counters::Counters;
 use pipitcrank_server::exchange::{
     AttemptId, Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
 };
+use pipitcrank_server::runtime::counters::Counters;
 use serde_json::json;
 
 /// What the exchange asked for, in order.
--- a/crates/pipitcrank-gateway/src/far.rs
+++ b/crates/pipitcrank-gateway/src/far.rs
@@ -11,8 +11,8 @@
 
 use bytes::BytesMut;
 use pipitcrank_core::ids::RequestClassId;
-use pipitcrank_server::event_loop::EventLoop;
 use pipitcrank_server::exchange::{Lent, QueryPart, QueryRequest, QueryResponse};
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use pipitcrank_server::serve::ServerContext;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Buf, BytesMut};
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::front::is_idempotency_key;
+use pipitcrank_server::clients::http::is_idempotency_key;
 use serde::{Deserialize, Serialize};
 
 /// Raised with each change of a message's form.
--- a/crates/pipitcrank-server/src/audit.rs
+++ b/crates/pipitcrank-server/src/audit/mod.rs
@@ -8,7 +8,7 @@
 use pipitcrank_core::ids::{AttemptOutcome, Idempotency, PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use crate::counters::Counters;
+use crate::runtime::counters::Counters;
 
 /// A final answer counts for so long after the client's time; later it is as good as none.
 const ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
--- a/crates/pipitcrank-server/src/accept_queue.rs
+++ b/crates/pipitcrank-server/src/clients/accept_queue.rs
@@ -7,8 +7,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-use crate::counters::Counters;
-use crate::system_errors::{PAUSE, Policy, of_accept};
+use crate::runtime::counters::Counters;
+use crate::runtime::system_errors::{PAUSE, Policy, of_accept};
 
 /// Accepts that failed in a row after which others get a turn.
 const IN_A_ROW: u32 = 256;
--- a/crates/pipitcrank-server/src/acceptor.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor.rs
@@ -1,4 +1,4 @@
-//! Client connections: accepting them, and ending them in order after SIGTERM. What happens on one is in `client_task.rs`.
+//! Client connections: accepting them, and ending them in order after SIGTERM. What happens on one is in `connection.rs`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::accept_queue::{AcceptQueue, Accepted, ClosingQueue, Next};
 use crate::audit::{Rule, violated};
-use crate::client_connections::{ClientConnections, Doing};
-pub use crate::client_task::Adopted;
-use crate::client_task::{Mood, serve, turn_away};
-use crate::clock::duration;
-use crate::counters::Counters;
-use crate::event_loop::{ConnectionLimiter, ConnectionPermit};
+use crate::clients::accept_queue::{AcceptQueue, Accepted, ClosingQueue, Next};
+use crate::clients::client_connections::{ClientConnections, Doing};
+pub use crate::clients::connection::Adopted;
+use crate::clients::connection::{Mood, serve, turn_away};
+use crate::clients::http::EndCalled;
 use crate::exchange::REQUESTS;
-use crate::front::EndCalled;
-use crate::shutdown::ShutdownSchedule;
+use crate::runtime::clock::duration;
+use crate::runtime::counters::Counters;
+use crate::runtime::event_loop::{ConnectionLimiter, ConnectionPermit};
+use crate::runtime::shutdown::ShutdownSchedule;
 
 /// How often connections are looked over: a tenth of the second that is to spare where one has to end by a time.
 const LOOK: Duration = Duration::from_millis(50);
--- a/crates/pipitcrank-server/src/client_connections.rs
+++ b/crates/pipitcrank-server/src/clients/client_connections.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::front::BodyWhole;
+use crate::clients::http::BodyWhole;
 
 /// A request has to be whole this long after it began, the first on a connection after connecting: who does not
 /// get so far is owed an error or a close within 3 s, and half a second of that may pass waiting for the processor.
--- a/crates/pipitcrank-server/src/client_task.rs
+++ b/crates/pipitcrank-server/src/clients/connection.rs
@@ -21,11 +21,11 @@
 use tokio::time::Instant;
 use tower_service::Service;
 
-use crate::client_connections::{ClientConnection, Doing};
-use crate::ends::ConnectionEnd;
-use crate::front::Arrival;
-use crate::request_reader::{BEHIND_PAUSE, BEHIND_PIECE, Framing, Heads, RequestReader};
-use crate::stream::{Expects, Stream};
+use crate::clients::client_connections::{ClientConnection, Doing};
+use crate::clients::http::Arrival;
+use crate::clients::request_reader::{BEHIND_PAUSE, BEHIND_PIECE, Framing, Heads, RequestReader};
+use crate::replicas::connection_end::ConnectionEnd;
+use crate::runtime::stream::{Expects, Stream};
 
 /// Longest request head taken: with all places for clients in use, heads and bodies stay under a quarter of the
 /// memory told.
--- a/crates/pipitcrank-server/src/front.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -21,10 +21,10 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::Instant;
 
-use crate::awake::Awake;
-use crate::clock::{Clock, duration};
-use crate::counters::Counters;
 use crate::exchange::{QueryPart, QueryRequest, QueryResponse};
+use crate::runtime::clock::{Clock, duration};
+use crate::runtime::counters::Counters;
+use crate::runtime::stall_detector::Awake;
 
 /// Largest body taken, as the protocol says.
 const MOST_BODY: usize = 64 * 1024;
--- a/crates/pipitcrank-server/src/request_reader.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader.rs
@@ -11,8 +11,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::client_connections::{ClientConnection, Doing};
-use crate::stream::{Expects, Stream};
+use crate::clients::client_connections::{ClientConnection, Doing};
+use crate::runtime::stream::{Expects, Stream};
 
 /// How a request says where it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/pipitcrank-server/src/discovery.rs
+++ b/crates/pipitcrank-server/src/discovery/client.rs
@@ -22,12 +22,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use crate::clock::Clock;
-use crate::dial::Connector;
-use crate::ends::ConnectionEnd;
-use crate::event_loop::EventLoop;
+use crate::discovery::json_objects::{Objects, Spoilt};
 use crate::exchange::Endpoint;
-use crate::objects::{Objects, Spoilt};
+use crate::replicas::connection_end::ConnectionEnd;
+use crate::runtime::clock::Clock;
+use crate::runtime::dial::Connector;
+use crate::runtime::event_loop::EventLoop;
 
 /// A watch that brings nothing whole for so long has died unnoticed, or never ends an object: an empty line is due every
 /// 2 s.
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -12,8 +12,8 @@
 
 use super::{AttemptId, Lent, QueryResponse, REQUESTS, Then};
 use crate::audit::Audit;
-use crate::counters::Counters;
 use crate::reasons::Again;
+use crate::runtime::counters::Counters;
 
 pub(super) struct HeldQuery {
     pub(super) ticket: u64,
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -18,10 +18,10 @@
 use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
 
 use crate::audit::{self, Audit, Sent, Taken};
-use crate::counters::Counters;
-use crate::ends::outcome_name;
-use crate::frames::{CallPart, Report};
 use crate::reasons::NotSent;
+use crate::replicas::connection_end::outcome_name;
+use crate::replicas::frames::{CallPart, Report};
+use crate::runtime::counters::Counters;
 
 mod desk;
 
--- a/crates/pipitcrank-server/src/lib.rs
+++ b/crates/pipitcrank-server/src/lib.rs
@@ -1,30 +1,17 @@
-//! What the co-ordinator on sockets is made of, one job a file.
+//! The coordinator on sockets, as a library.
+//!
+//! A request passes through the modules in this order: `clients` reads it, `exchange` hands it to the decision module of
+//! `pipitcrank-core`, `replicas` sends the attempts; the answers come back the same way. `discovery` keeps the endpoint
+//! list, `upgrade` replaces the process, `audit` checks the rules while it runs, `runtime` is what all of them stand on.
 
-pub mod accept_queue;
-pub mod acceptor;
 pub mod audit;
-pub mod awake;
-pub mod client_connections;
-pub mod client_task;
-pub mod clock;
-pub mod counters;
-pub mod dial;
+pub mod clients;
 pub mod discovery;
-pub mod ends;
-pub mod event_loop;
 pub mod exchange;
-pub mod frames;
-pub mod front;
 pub mod node_config;
-pub mod objects;
 pub mod reasons;
-pub mod relay;
 pub mod reload;
-pub mod replica_pool;
-pub mod request_reader;
+pub mod replicas;
+pub mod runtime;
 pub mod serve;
-pub mod shutdown;
-pub mod stream;
-pub mod system_errors;
-pub mod wire;
-pub mod worker;
+pub mod upgrade;
--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -13,10 +13,10 @@
 use serde_json::Value;
 
 use crate::audit;
-use crate::clock::{Clock, duration};
-use crate::counters::Counters;
-use crate::discovery::News;
+use crate::discovery::client::News;
 use crate::exchange::{Endpoint, Exchange};
+use crate::runtime::clock::{Clock, duration};
+use crate::runtime::counters::Counters;
 
 /// Descriptors that are neither a client's nor a replica's: standard ones, the runtime's, listener, discovery.
 const OWN_SOCKETS: u32 = 24;
--- a/crates/pipitcrank-server/src/reasons.rs
+++ b/crates/pipitcrank-server/src/reasons.rs
@@ -1,5 +1,5 @@
 //! Typed reasons for what is not a plain success: why a call was not sent, why a part goes again. Why a connection ended
-//! is in `ends.rs`, why a query was refused in the core (`ids::RejectReason`).
+//! is in `replicas/connection_end.rs`, why a query was refused in the core (`ids::RejectReason`).
 
 use pipitcrank_core::ids::{AttemptDenied, AttemptOutcome};
 
--- a/crates/pipitcrank-server/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -7,10 +7,10 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::clock::Clock;
-use crate::counters::Counters;
 use crate::node_config::NodeConfig;
-use crate::system_errors::waited_for;
+use crate::runtime::clock::Clock;
+use crate::runtime::counters::Counters;
+use crate::runtime::system_errors::waited_for;
 
 /// A file that can't be opened or read for a while is waited for so long: folders may fail for 30 s.
 const READ_LIMIT: Duration = Duration::from_secs(40);
--- a/crates/pipitcrank-server/src/wire.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -10,13 +10,13 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::Instant;
 
-use crate::dial::dial;
-use crate::ends::ConnectionEnd;
-use crate::event_loop::EventLoop;
 use crate::exchange::AttemptId;
-use crate::frames::{self, ReplicaFrame};
-use crate::replica_pool::{Job, Wire};
-use crate::stream::{Expects, Stream};
+use crate::replicas::connection_end::ConnectionEnd;
+use crate::replicas::frames::{self, ReplicaFrame};
+use crate::replicas::pool::{Job, Wire};
+use crate::runtime::dial::dial;
+use crate::runtime::event_loop::EventLoop;
+use crate::runtime::stream::{Expects, Stream};
 
 /// What is being written: nothing, a job whose first byte has not gone, or the rest of a frame.
 enum Writing {
--- a/crates/pipitcrank-server/src/wire/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -7,11 +7,11 @@
 use tokio::sync::mpsc::unbounded_channel;
 
 use super::*;
-use crate::clock::Clock;
-use crate::counters::Counters;
-use crate::event_loop::ConnectionLimiter;
 use crate::exchange::{Endpoint, Exchange, QueryPart, QueryRequest, ReplicaTransport};
-use crate::replica_pool::Carried;
+use crate::replicas::pool::Carried;
+use crate::runtime::clock::Clock;
+use crate::runtime::counters::Counters;
+use crate::runtime::event_loop::ConnectionLimiter;
 
 const TOLD: &str = r#"{"allowed":{"cancel":true,"probing":false,"may_duplicate":true,"retry_after":false,
   "try_limit":1},"classes":[{"aim_s":50.0,"hard_limit_s":60.0,"idempotency":"safe","name":"view"}],
--- a/crates/pipitcrank-server/src/frames.rs
+++ b/crates/pipitcrank-server/src/replicas/frames.rs
@@ -9,7 +9,7 @@
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
 
-use crate::ends::outcome_from_wire;
+use crate::replicas::connection_end::outcome_from_wire;
 
 /// Longest frame taken from a replica: as much as any message body of the protocol may hold.
 const MOST: usize = 64 * 1024;
--- /dev/null
+++ b/crates/pipitcrank-server/src/replicas/mod.rs
@@ -0,0 +1,6 @@
+//! Connections to replicas: the pool, one connection, the frames on it and how it ends.
+
+pub mod connection;
+pub mod connection_end;
+pub mod frames;
+pub mod pool;
--- a/crates/pipitcrank-server/src/replica_pool.rs
+++ b/crates/pipitcrank-server/src/replicas/pool.rs
@@ -11,10 +11,10 @@
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
-use crate::ends::ConnectionEnd;
-use crate::event_loop::EventLoop;
 use crate::exchange::{AttemptId, ReplicaTransport};
-use crate::wire;
+use crate::replicas::connection;
+use crate::replicas::connection_end::ConnectionEnd;
+use crate::runtime::event_loop::EventLoop;
 
 /// What a connection is given to do, in order.
 pub enum Job {
@@ -199,8 +199,10 @@
             let place =
                 async { if place.is_some() { place } else { Some(event_loop.sockets.next_place().await) } };
             let (end, left) = match tokio::time::timeout(way_limit, place).await {
-                Ok(_place) => wire::run(&event_loop, &ours, queue, address, way_limit, idle_limit).await,
-                Err(_) => (ConnectionEnd::NoSocket, wire::left(queue)),
+                Ok(_place) => {
+                    connection::run(&event_loop, &ours, queue, address, way_limit, idle_limit).await
+                }
+                Err(_) => (ConnectionEnd::NoSocket, connection::left(queue)),
             };
             if let Some(replicas) = this.upgrade() {
                 replicas.borrow_mut().ended(&ours, end, left);
--- a/crates/pipitcrank-server/src/dial.rs
+++ b/crates/pipitcrank-server/src/runtime/dial.rs
@@ -11,8 +11,8 @@
 use tokio::net::TcpStream;
 use tower_service::Service;
 
-use crate::stream::Stream;
-use crate::system_errors::retried;
+use crate::runtime::stream::Stream;
+use crate::runtime::system_errors::retried;
 
 pub async fn dial(address: SocketAddr) -> io::Result<Stream> {
     Ok(Stream::new(retried(|| TcpStream::connect(address)).await?))
--- a/crates/pipitcrank-server/src/event_loop.rs
+++ b/crates/pipitcrank-server/src/runtime/event_loop.rs
@@ -7,9 +7,9 @@
 use pipitcrank_handover::division;
 use tokio::sync::Notify;
 
-use crate::clock::Clock;
-use crate::counters::Counters;
 use crate::exchange::{Exchange, ReplicaTransport};
+use crate::runtime::clock::Clock;
+use crate::runtime::counters::Counters;
 
 pub struct EventLoop {
     pub clock: Clock,
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -16,21 +16,21 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::sync::watch;
 
-use crate::acceptor::{self, Order};
-use crate::awake::Awake;
-use crate::clock::Clock;
-use crate::counters::Counters;
-use crate::discovery::{self, Paid, SharedRevision};
-use crate::event_loop::{ConnectionLimiter, EventLoop};
+use crate::clients::acceptor::{self, Order};
+use crate::clients::http::{self, Door, Knock};
+use crate::discovery::client::{self, Paid, SharedRevision};
 use crate::exchange::{Exchange, ReplicaTransport};
-use crate::front::{self, Door, Knock};
 use crate::node_config::NodeConfig;
-use crate::relay::Relay;
 use crate::reload;
-use crate::replica_pool::ReplicaPool;
-use crate::shutdown::ShutdownSchedule;
-use crate::system_errors::{PAUSE, passes, waited_for};
-use crate::worker::{FirstList, Worker};
+use crate::replicas::pool::ReplicaPool;
+use crate::runtime::clock::Clock;
+use crate::runtime::counters::Counters;
+use crate::runtime::event_loop::{ConnectionLimiter, EventLoop};
+use crate::runtime::shutdown::ShutdownSchedule;
+use crate::runtime::stall_detector::Awake;
+use crate::runtime::system_errors::{PAUSE, passes, waited_for};
+use crate::upgrade::relay::Relay;
+use crate::upgrade::worker::{FirstList, Worker};
 
 /// How often it looks whether it stood still.
 const LOOK: std::time::Duration = std::time::Duration::from_millis(50);
@@ -113,7 +113,7 @@
     let worker_classes = classes.len();
     let schedule = ShutdownSchedule::of(node_config.longest()?);
     let awake = Arc::new(Awake::new(clock.now()));
-    let router = front::router(Door {
+    let router = http::router(Door {
         clock: clock.clone(),
         counters: counters.clone(),
         classes: classes.into(),
@@ -132,7 +132,7 @@
     let paid = node_config.lists_are_asked_for()?.then_some((node_config.seed()?, node_config.copies()?));
     let list_known = move || {
         let paid = paid.map(|(seed, copies)| Paid::new(seed, copies));
-        let watch = discovery::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
+        let watch = client::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
         tokio::task::spawn_local(watch);
     };
     tokio::task::spawn_local(reload::heed(hangups, path.into(), clock.clone(), counters.clone(), move_watch));
--- a/crates/pipitcrank-server/src/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -11,8 +11,8 @@
 use pipitcrank_handover::words::{RelayedQuery, RelayedResponse, ToSuccessor};
 use tokio::sync::oneshot;
 
-use crate::event_loop::EventLoop;
 use crate::exchange::{QueryPart, QueryRequest, QueryResponse};
+use crate::runtime::event_loop::EventLoop;
 
 /// How long before the client's time an answer has to be back: what the link and this thread may take. Guards against
 /// a query lost because the other process hangs.
--- a/crates/pipitcrank-server/src/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -21,11 +21,11 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
 
-use crate::acceptor::{Adopted, Order};
-use crate::discovery::SharedRevision;
-use crate::event_loop::{ConnectionLimiter, EventLoop};
+use crate::clients::acceptor::{Adopted, Order};
+use crate::discovery::client::SharedRevision;
 use crate::exchange::{Endpoint, Exchange, QueryResponse};
-use crate::relay::{self, Relay};
+use crate::runtime::event_loop::{ConnectionLimiter, EventLoop};
+use crate::upgrade::relay::{self, Relay};
 
 /// How often it looks whether a step is done, and gives a sign of life: a small part of any limit that the operators
 /// may set.
@@ -305,7 +305,7 @@
                     TcpStream::from_std(s).map_err(drop)
                 });
                 if let Ok(stream) = stream {
-                    let whole_within = whole_within.map(crate::clock::duration);
+                    let whole_within = whole_within.map(crate::runtime::clock::duration);
                     let _ =
                         self.acceptor.send(Order::Adopt(Adopted { stream, read: read.into(), whole_within }));
                 }
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -10,11 +10,11 @@
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_server::audit;
-use pipitcrank_server::counters::Counters;
 use pipitcrank_server::exchange::{
     AttemptId, Endpoint, Exchange, Lent, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
 };
-use pipitcrank_server::frames::Report;
+use pipitcrank_server::replicas::frames::Report;
+use pipitcrank_server::runtime::counters::Counters;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -9,13 +9,13 @@
 use pipitcrank_core::config::SettingsReader;
 use pipitcrank_core::ids::{ReplicaId, RequestClassId};
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::clock::Clock;
-use pipitcrank_server::counters::Counters;
-use pipitcrank_server::event_loop::{ConnectionLimiter, EventLoop};
 use pipitcrank_server::exchange::{
     Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
 };
-use pipitcrank_server::replica_pool::ReplicaPool;
+use pipitcrank_server::replicas::pool::ReplicaPool;
+use pipitcrank_server::runtime::clock::Clock;
+use pipitcrank_server::runtime::counters::Counters;
+use pipitcrank_server::runtime::event_loop::{ConnectionLimiter, EventLoop};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -5,9 +5,9 @@
 
 use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::clock::Clock;
-use pipitcrank_server::counters::Counters;
 use pipitcrank_server::node_config::NodeConfig;
+use pipitcrank_server::runtime::clock::Clock;
+use pipitcrank_server::runtime::counters::Counters;
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fixtures/node_config.json");
 
