--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -133,7 +133,7 @@
             return;
         }
         self.written = Some(now);
-        let snapshot = event_loop.tell(|e| e.remembered(now, monotonic_micros(), rev.get()));
+        let snapshot = event_loop.update(|e| e.snapshot(now, monotonic_micros(), rev.get()));
         let (decision, members) = agreed();
         self.store.believe(Beliefs::new(clocks(), &snapshot, decision, members).encode());
         event_loop.counters.add("store", "written");
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -23,7 +23,7 @@
 use pipitcrank_server::exchange::ReplicaTransport;
 use pipitcrank_server::node_config::NodeConfig;
 use pipitcrank_server::runtime::clock::Clock;
-use pipitcrank_server::serve::{self, Beside, ServerContext};
+use pipitcrank_server::serve::{self, ServerContext, TransportFactory};
 use pipitcrank_testkit::trial::{self, Terms};
 
 /// A scatter-gather co-ordinator: it reads many shards for one query and gives one answer.
@@ -254,7 +254,7 @@
 
 /// Other copies, other sites beside the near replicas, and the store, where the operators' file has them. `opened`: the store
 /// and what a process before this one left in it; none while such a process may still have it.
-fn beside(operators: Operators, opened: Option<(Option<Disk>, Past)>) -> Option<Beside> {
+fn beside(operators: Operators, opened: Option<(Option<Disk>, Past)>) -> Option<TransportFactory> {
     let Operators { gateway, zones, store, .. } = operators;
     if gateway.is_none() && zones.is_none() && store.is_none() {
         return None;
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -105,9 +105,9 @@
         .collect();
     let sites = (0..regions.len()).filter(|&zone| !region[zone] && stands_for[zone] == zone);
     let site_zones = sites.map(|zone| (regions[zone].clone(), names[zone].clone())).collect();
-    event_loop.tell(|e| {
-        e.name_zones(names.clone());
-        e.name_site_zones(site_zones);
+    event_loop.update(|e| {
+        e.set_zone_names(names.clone());
+        e.set_site_zones(site_zones);
         if !zones.dry_run {
             e.set_zone_routing(ZoneRouting {
                 fractions: vec![(ZoneId(own as u16), 1.0)],
@@ -243,7 +243,7 @@
     }
 
     fn see(&mut self, now: Timestamp) {
-        let (seen, tally) = self.event_loop.ask(|e| e.zones_seen(now));
+        let (seen, tally) = self.event_loop.read(|e| e.observe_zones(now));
         self.rates.take(now, &tally);
         // Of another region only its site is met here, which tells nothing of one of its zones.
         let of = |(zone, seen): (usize, &ZoneObservation)| match self.region[zone] {
@@ -259,7 +259,7 @@
             // Of many copies those look that speak for their zone: probes have their price.
             if self.instance.speaks() && (shut || unseen || doubted) {
                 let most = if shut || doubted { LOOKS } else { GLANCES };
-                self.event_loop.tell(|e| e.probe_zone(ZoneId(zone as u16), most));
+                self.event_loop.update(|e| e.probe_zone(ZoneId(zone as u16), most));
             }
         }
         let counters = &self.event_loop.counters;
@@ -321,7 +321,7 @@
         let shut =
             zones.filter(|&z| self.stands_for[z] == z && all_shut(z)).map(|z| ZoneId(z as u16)).collect();
         if !self.dry {
-            self.event_loop.tell(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
+            self.event_loop.update(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
         }
         let shares: Vec<String> = plan
             .shares
--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -225,7 +225,7 @@
             }
             8 if !tickets.is_empty() && chance.random_bool(0.2) => {
                 let ticket = tickets.swap_remove(chance.random_range(0..tickets.len()));
-                stage.exchange.client_gone(ticket);
+                stage.exchange.client_disconnected(ticket);
             }
             9 if chance.random_bool(0.1) => {
                 stage.replica_changes(chance.random_range(0..24), chance.random_bool(0.7))
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -24,15 +24,15 @@
 }
 
 impl ReplicaTransport for Noted {
-    fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
-    fn let_go(&mut self, _: ReplicaId) {}
-    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+    fn set_address(&mut self, _: ReplicaId, _: SocketAddr) {}
+    fn remove_replica(&mut self, _: ReplicaId) {}
+    fn send_attempts(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
         self.calls.push((replica, parts));
     }
-    fn give_up(&mut self, replica: ReplicaId, call: AttemptId) {
+    fn cancel_attempt(&mut self, replica: ReplicaId, call: AttemptId) {
         self.given_up.push((replica, call));
     }
-    fn probe(&mut self, replica: ReplicaId) {
+    fn send_load_probe(&mut self, replica: ReplicaId) {
         self.probes.push(replica);
     }
 }
@@ -61,7 +61,11 @@
         });
         let coordinator = SettingsReader::new(&told).coordinator(11).expect("a charter of our own is good");
         let mut exchange = Exchange::new(coordinator, most_open, 8, Counters::default());
-        exchange.list(Timestamp::default(), true, (0..replicas).map(|n| row(n, cells, true)).collect());
+        exchange.update_endpoints(
+            Timestamp::default(),
+            true,
+            (0..replicas).map(|n| row(n, cells, true)).collect(),
+        );
         let (noted, finals) = (Noted::default(), Rc::default());
         let mut stage = Stage { exchange, noted, now: Timestamp::default(), finals, cells, shards, asked: 0 };
         stage.turn(5);
@@ -71,16 +75,20 @@
     /// Time passes, and a turn is taken.
     pub fn turn(&mut self, ms: i64) {
         self.now = self.now + TimeSpan::from_millis(ms);
-        self.exchange.turn(self.now, &mut self.noted);
+        self.exchange.run_batch(self.now, &mut self.noted);
     }
 
     pub fn replica_changes(&mut self, n: u32, up: bool) {
         let row = row(n, self.cells, up);
-        self.exchange.list(self.now, false, vec![row]);
+        self.exchange.update_endpoints(self.now, false, vec![row]);
     }
 
     pub fn whole_list(&mut self, replicas: u32) {
-        self.exchange.list(self.now, true, (0..replicas).map(|n| row(n, self.cells, true)).collect());
+        self.exchange.update_endpoints(
+            self.now,
+            true,
+            (0..replicas).map(|n| row(n, self.cells, true)).collect(),
+        );
     }
 
     pub fn ask(&mut self, class: u16, first: u32, parts: u32, wait_ms: i64) -> u64 {
@@ -106,7 +114,7 @@
             };
             *finals.borrow_mut().entry(word).or_default() += 1;
         });
-        self.exchange.asked(self.asked, asked, then);
+        self.exchange.submit(self.asked, asked, then);
         self.asked
     }
 
@@ -114,7 +122,7 @@
     pub fn release(&mut self) -> Vec<AttemptId> {
         let mut out = Vec::new();
         for (replica, mut parts) in std::mem::take(&mut self.noted.calls) {
-            self.exchange.release(self.now, replica, &mut parts);
+            self.exchange.authorize_send(self.now, replica, &mut parts);
             out.extend(parts);
         }
         out
@@ -122,7 +130,7 @@
 
     pub fn ended(&mut self, call: AttemptId, outcome: AttemptOutcome) {
         let value = (outcome == AttemptOutcome::Success).then(|| "value".to_string());
-        self.exchange.ended(call, outcome, value, None);
+        self.exchange.attempt_ended(call, outcome, value, None);
     }
 
     /// One query from its arrival to its answer, with replicas that answer within two turns.
@@ -133,7 +141,7 @@
             for call in self.release() {
                 self.ended(call, AttemptOutcome::Success);
             }
-            if self.exchange.quiet() {
+            if self.exchange.is_drained() {
                 return;
             }
         }
--- a/crates/pipitcrank-gateway/src/far.rs
+++ b/crates/pipitcrank-gateway/src/far.rs
@@ -11,7 +11,7 @@
 
 use bytes::BytesMut;
 use pipitcrank_core::ids::RequestClassId;
-use pipitcrank_server::exchange::{Lent, QueryPart, QueryRequest, QueryResponse};
+use pipitcrank_server::exchange::{DelegatedRequest, QueryPart, QueryRequest, QueryResponse};
 use pipitcrank_server::runtime::event_loop::EventLoop;
 use pipitcrank_server::serve::ServerContext;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -124,7 +124,7 @@
             };
             // Until links are encrypted nobody from elsewhere is heard. Peers' connections are of the sockets told, as replicas'
             // are: however many copies a site has, what is told holds.
-            let place = self.event_loop.sockets.place().filter(|_| from.ip().is_loopback());
+            let place = self.event_loop.replica_connections.try_acquire().filter(|_| from.ip().is_loopback());
             let Some(place) = place else {
                 self.event_loop.counters.add("peers", "turned_away");
                 continue;
@@ -331,8 +331,8 @@
         });
         let (far, parts) = (self.clone(), forward.parts.len());
         let then = Box::new(move |last: QueryResponse| far.ended(mark, last, parts));
-        let lent = Lent { further: forward.further, made, as_in };
-        self.event_loop.tell(|e| e.asked_by_site(ticket, asked, lent, then));
+        let lent = DelegatedRequest { further: forward.further, made, as_in };
+        self.event_loop.update(|e| e.submit_forwarded(ticket, asked, lent, then));
     }
 
     fn ended(&self, mark: u64, last: QueryResponse, parts: usize) {
@@ -369,7 +369,7 @@
         let Some(mark) = self.ledger.borrow_mut().given_up(lane, number) else { return };
         if let Some(InHand { ticket, made }) = self.in_hand.borrow_mut().remove(&mark) {
             self.event_loop.counters.add("forwarded", "given_up");
-            self.event_loop.tell(|e| e.client_gone(ticket));
+            self.event_loop.update(|e| e.client_disconnected(ticket));
             let made = made.get();
             self.ledger.borrow_mut().ended(mark, How::Aborted, made);
             say.send(Said::End { number, how: How::Aborted, made });
--- a/crates/pipitcrank-gateway/src/near.rs
+++ b/crates/pipitcrank-gateway/src/near.rs
@@ -107,7 +107,7 @@
                 })
             });
             let lanes: Vec<Rc<Lane>> = lanes.collect();
-            let cells = side.event_loop.tell(|e| e.add_site(number, &name, cells));
+            let cells = side.event_loop.update(|e| e.add_remote_site(number, &name, cells));
             let route = RefCell::new(Route::new(prefer_near));
             let site = Rc::new(Site { number, name, address, route, lanes, told: Cell::default() });
             far.extend(cells.into_iter().map(|replica| (replica, site.clone())));
@@ -122,17 +122,17 @@
 }
 
 impl ReplicaTransport for Near {
-    fn meet(&mut self, replica: ReplicaId, address: SocketAddr) {
-        self.replicas.borrow_mut().meet(replica, address);
+    fn set_address(&mut self, replica: ReplicaId, address: SocketAddr) {
+        self.replicas.borrow_mut().set_address(replica, address);
     }
 
-    fn let_go(&mut self, replica: ReplicaId) {
-        self.replicas.borrow_mut().let_go(replica);
+    fn remove_replica(&mut self, replica: ReplicaId) {
+        self.replicas.borrow_mut().remove_replica(replica);
     }
 
-    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+    fn send_attempts(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
         let Some(site) = self.far.get(&replica) else {
-            return self.replicas.borrow_mut().call(replica, parts);
+            return self.replicas.borrow_mut().send_attempts(replica, parts);
         };
         let up = site.lanes.iter().filter(|l| l.up.get());
         match up.min_by_key(|l| l.queued.get() + l.book.borrow().out()) {
@@ -149,9 +149,9 @@
         }
     }
 
-    fn give_up(&mut self, replica: ReplicaId, call: AttemptId) {
+    fn cancel_attempt(&mut self, replica: ReplicaId, call: AttemptId) {
         let Some(site) = self.far.get(&replica) else {
-            return self.replicas.borrow_mut().give_up(replica, call);
+            return self.replicas.borrow_mut().cancel_attempt(replica, call);
         };
         for lane in &site.lanes {
             let gave_up = lane.book.borrow_mut().give_up(call);
@@ -164,9 +164,9 @@
         }
     }
 
-    fn probe(&mut self, replica: ReplicaId) {
+    fn send_load_probe(&mut self, replica: ReplicaId) {
         match self.far.get(&replica) {
-            None => self.replicas.borrow_mut().probe(replica),
+            None => self.replicas.borrow_mut().send_load_probe(replica),
             // The module asks for none; heartbeats tell more.
             Some(site) => debug_assert!(self.sites.iter().any(|s| Rc::ptr_eq(s, site))),
         }
@@ -174,7 +174,7 @@
 }
 
 fn never_began(event_loop: &EventLoop, replica: ReplicaId, parts: Vec<AttemptId>) {
-    event_loop.tell(|e| parts.into_iter().for_each(|call| e.never_began(replica, call)));
+    event_loop.update(|e| parts.into_iter().for_each(|call| e.attempt_never_started(replica, call)));
 }
 
 /// Tells the exchange what the route says, as often as heartbeats come.
@@ -210,7 +210,7 @@
             side.event_loop.counters.add("sites", if hop.is_some() { "opened" } else { "closed" });
         }
         site.told.set(hop);
-        side.event_loop.tell(|e| e.set_hop(site.number, hop));
+        side.event_loop.update(|e| e.set_remote_delay(site.number, hop));
     }
 }
 
@@ -227,11 +227,11 @@
             crate::route::Ended::Failed => "failed",
         },
     );
-    side.event_loop.tell(|e| {
+    side.event_loop.update(|e| {
         if let Some(made) = over.made {
-            e.came_back(now, over.who, made);
+            e.delegation_returned(now, over.who, made);
         }
-        over.calls.into_iter().for_each(|(call, outcome)| e.ended(call, outcome, None, None));
+        over.calls.into_iter().for_each(|(call, outcome)| e.attempt_ended(call, outcome, None, None));
     });
     tell_hop(side, site);
 }
@@ -445,7 +445,7 @@
                 self.lane.queued.set(self.lane.queued.get() - 1);
                 let now = self.side.event_loop.clock.now();
                 let way = self.site.route.borrow().trip().unwrap_or(TimeSpan::ZERO);
-                for going in self.side.event_loop.tell(|e| e.forward(now, replica, &mut parts)) {
+                for going in self.side.event_loop.update(|e| e.authorize_forward(now, replica, &mut parts)) {
                     let mark = self.site.route.borrow_mut().sent(now);
                     let number = self.lane.book.borrow_mut().begin(
                         going.calls,
@@ -506,7 +506,7 @@
                         self.side.event_loop.counters.add("forwards", "parts");
                         self.side
                             .event_loop
-                            .tell(|e| e.ended(call, AttemptOutcome::Success, Some(value), None));
+                            .update(|e| e.attempt_ended(call, AttemptOutcome::Success, Some(value), None));
                     }
                     None => self.side.event_loop.counters.add("forwards", "late_parts"),
                 }
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -40,19 +40,19 @@
 }
 
 impl ReplicaTransport for Runs {
-    fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
-    fn let_go(&mut self, _: ReplicaId) {}
-    fn call(&mut self, _: ReplicaId, parts: Vec<AttemptId>) {
+    fn set_address(&mut self, _: ReplicaId, _: SocketAddr) {}
+    fn remove_replica(&mut self, _: ReplicaId) {}
+    fn send_attempts(&mut self, _: ReplicaId, parts: Vec<AttemptId>) {
         self.ran.borrow_mut().extend(&parts);
         let (event_loop, answers) = (self.event_loop.clone(), self.answers);
         tokio::task::spawn_local(async move {
             for call in parts.into_iter().filter(|_| answers) {
-                event_loop.tell(|e| e.ended(call, AttemptOutcome::Success, Some("v".into()), None));
+                event_loop.update(|e| e.attempt_ended(call, AttemptOutcome::Success, Some("v".into()), None));
             }
         });
     }
-    fn give_up(&mut self, _: ReplicaId, _: AttemptId) {}
-    fn probe(&mut self, _: ReplicaId) {}
+    fn cancel_attempt(&mut self, _: ReplicaId, _: AttemptId) {}
+    fn send_load_probe(&mut self, _: ReplicaId) {}
 }
 
 struct Scene {
@@ -79,7 +79,7 @@
             up: true,
             started: None,
         };
-        exchange.list(clock.now(), true, vec![row]);
+        exchange.update_endpoints(clock.now(), true, vec![row]);
         let event_loop = Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange));
         let (second, ran) = (Duration::from_secs(1), Rc::default());
         let (leave, left) = watch::channel(false);
@@ -102,7 +102,7 @@
         let side: Rc<RefCell<dyn ReplicaTransport>> =
             Rc::new(RefCell::new(Runs { event_loop: event_loop.clone(), ran: Rc::clone(&ran), answers }));
         let turns = event_loop.clone();
-        tokio::task::spawn_local(async move { turns.take_turns(TimeSpan::from_millis(1), &*side).await });
+        tokio::task::spawn_local(async move { turns.run(TimeSpan::from_millis(1), &*side).await });
         tokio::time::timeout(Duration::from_secs(30), scene(Scene { address, event_loop, ran, leave }))
             .await
             .unwrap();
@@ -288,7 +288,7 @@
         peer.say(&Said::GiveUp { number: 1 }).await;
         assert_eq!(peer.told().await, (vec![], How::Aborted));
         tokio::time::sleep(Duration::from_millis(20)).await;
-        assert!(scene.event_loop.ask(Exchange::quiet), "nothing is held for it");
+        assert!(scene.event_loop.read(Exchange::is_drained), "nothing is held for it");
     });
 }
 
--- a/crates/pipitcrank-server/src/audit/mod.rs
+++ b/crates/pipitcrank-server/src/audit/mod.rs
@@ -78,7 +78,7 @@
 
 /// What the settings say of attempts.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct AuditRules {
     pub classes: Vec<ClassRules>,
     pub may_duplicate: bool,
     pub try_limit: u32,
@@ -90,7 +90,7 @@
 }
 
 /// A query as it was taken.
-pub struct Taken<'a> {
+pub struct AdmittedQuery<'a> {
     pub ticket: u64,
     pub id: &'a str,
     pub class: RequestClassId,
@@ -102,7 +102,7 @@
 }
 
 /// An attempt whose first byte is about to be written.
-pub struct Sent {
+pub struct SentAttempt {
     pub part: PartId,
     pub attempt: u32,
     pub replica: ReplicaId,
@@ -133,7 +133,7 @@
     state: State,
 }
 
-struct PartBook {
+struct PartRecord {
     ticket: u64,
     /// Attempts whose first byte was written; at most the tries the settings allow.
     attempts: Vec<Attempt>,
@@ -141,10 +141,10 @@
 
 /// The books. A query's and a part's entry end as the exchange lets go of them, a replica's with the replica.
 pub struct Audit {
-    terms: Terms,
+    terms: AuditRules,
     counters: Counters,
     queries: BTreeMap<u64, Query>,
-    parts: BTreeMap<PartId, PartBook>,
+    parts: BTreeMap<PartId, PartRecord>,
     /// Since when replicas count as draining or gone.
     drained: BTreeMap<ReplicaId, Timestamp>,
     /// Times of requests taken and of further attempts; emptied as they leave the budget's span.
@@ -153,7 +153,7 @@
 }
 
 impl Audit {
-    pub fn new(terms: Terms, counters: Counters) -> Audit {
+    pub fn new(terms: AuditRules, counters: Counters) -> Audit {
         Audit {
             terms,
             counters,
@@ -165,8 +165,8 @@
         }
     }
 
-    pub fn taken(&mut self, now: Timestamp, taken: Taken) {
-        let Taken { ticket, id, class, client_ends, lent, parts } = taken;
+    pub fn taken(&mut self, now: Timestamp, taken: AdmittedQuery) {
+        let AdmittedQuery { ticket, id, class, client_ends, lent, parts } = taken;
         let query = Query {
             id: id.into(),
             class,
@@ -178,7 +178,7 @@
         };
         self.queries.insert(ticket, query);
         for &part in parts {
-            self.parts.insert(part, PartBook { ticket, attempts: Vec::new() });
+            self.parts.insert(part, PartRecord { ticket, attempts: Vec::new() });
         }
         if let Some(span) = self.terms.budget_span.filter(|_| !lent) {
             self.taken.extend(std::iter::repeat_n(now, 1 + parts.len()));
@@ -189,8 +189,8 @@
     }
 
     /// The last look has passed it: its first byte is written next.
-    pub fn sent(&mut self, now: Timestamp, sent: Sent) {
-        let Sent { part, attempt, replica, told } = sent;
+    pub fn sent(&mut self, now: Timestamp, sent: SentAttempt) {
+        let SentAttempt { part, attempt, replica, told } = sent;
         let Some(book) = self.parts.get(&part) else {
             return violated(&self.counters, Rule::SentAfterAnswer, "unknown", "the part is not held");
         };
@@ -215,7 +215,7 @@
         &self,
         now: Timestamp,
         query: &Query,
-        book: &PartBook,
+        book: &PartRecord,
         replica: ReplicaId,
         told: TimeSpan,
     ) -> Vec<(Rule, &'static str)> {
--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -12,14 +12,14 @@
     Timestamp::from_micros(ms * 1000)
 }
 
-fn terms() -> Terms {
+fn terms() -> AuditRules {
     let class = |idempotency, floor| ClassRules {
         idempotency,
         dedup_window: TimeSpan::from_millis(1000),
         floor,
         whole_from: 1.0,
     };
-    Terms {
+    AuditRules {
         classes: vec![
             class(Idempotency::Idempotent, 0.5),
             class(Idempotency::NonIdempotent, 1.0),
@@ -45,7 +45,7 @@
         Books::told(terms(), class)
     }
 
-    fn told(terms: Terms, class: RequestClassId) -> Books {
+    fn told(terms: AuditRules, class: RequestClassId) -> Books {
         let counters = Counters::default();
         let mut books = Books { audit: Audit::new(terms, counters.clone()), counters };
         books.takes(1, class, &[PartId(0), PartId(1)]);
@@ -54,13 +54,13 @@
 
     fn takes(&mut self, ticket: u64, class: RequestClassId, parts: &[PartId]) {
         let client_ends = at(4000);
-        let taken = Taken { ticket, id: "q", class, client_ends, lent: false, parts };
+        let taken = AdmittedQuery { ticket, id: "q", class, client_ends, lent: false, parts };
         self.audit.taken(at(0), taken);
     }
 
     fn sends(&mut self, ms: i64, part: u32, attempt: u32) {
         let told = at(4000) - at(ms);
-        self.audit.sent(at(ms), Sent { part: PartId(part), attempt, replica: REPLICA, told });
+        self.audit.sent(at(ms), SentAttempt { part: PartId(part), attempt, replica: REPLICA, told });
     }
 
     fn ends(&mut self, part: u32, attempt: u32, outcome: AttemptOutcome) {
@@ -110,7 +110,7 @@
 fn more_time_told_than_the_client_has_is_counted() {
     let mut books = Books::with(VIEW);
     let told = TimeSpan::from_millis(3151);
-    books.audit.sent(at(1000), Sent { part: PartId(0), attempt: 0, replica: REPLICA, told });
+    books.audit.sent(at(1000), SentAttempt { part: PartId(0), attempt: 0, replica: REPLICA, told });
     assert_eq!(books.broken(), ["deadline_told"]);
 }
 
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_second_copy_and_too_many_tries_are_counted() {
-    let mut books = Books::told(Terms { budget_span: None, ..terms() }, VIEW);
+    let mut books = Books::told(AuditRules { budget_span: None, ..terms() }, VIEW);
     books.sends(10, 0, 0);
     books.sends(20, 0, 1);
     assert_eq!(books.broken(), ["second_copy"]);
--- a/crates/pipitcrank-server/src/clients/acceptor.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor.rs
@@ -12,9 +12,9 @@
 
 use crate::audit::{Rule, violated};
 use crate::clients::accept_queue::{AcceptQueue, Accepted, ClosingQueue, Next};
-use crate::clients::client_connections::{ClientConnections, Doing};
-pub use crate::clients::connection::Adopted;
-use crate::clients::connection::{Mood, serve, turn_away};
+use crate::clients::client_connections::{ClientConnections, ConnectionPhase};
+pub use crate::clients::connection::AdoptedConnection;
+use crate::clients::connection::{ConnectionMode, serve, turn_away};
 use crate::clients::http::EndCalled;
 use crate::exchange::REQUESTS;
 use crate::runtime::clock::duration;
@@ -31,13 +31,13 @@
 const NO_PLACE_AT_ONCE: usize = 12;
 
 /// What the acceptor is told from outside.
-pub enum Order {
+pub enum AcceptorCommand {
     /// Accept there.
     Accept(TcpListener),
     /// Serve a connection that another process had.
-    Adopt(Adopted),
+    Adopt(AdoptedConnection),
     /// Accept no more, and pass on each connection as soon as it rests.
-    Pass(UnboundedSender<Adopted>),
+    Pass(UnboundedSender<AdoptedConnection>),
     /// Pass on no more.
     Stay,
     /// All has been passed on.
@@ -45,18 +45,18 @@
 }
 
 /// What each connection's task is given.
-struct Rounds {
+struct ConnectionServer {
     router: Router,
     counters: Counters,
     connections: Rc<ClientConnections>,
-    mood: watch::Receiver<Mood>,
+    mood: watch::Receiver<ConnectionMode>,
     /// At the end a connection leaves when nothing came on it for so long.
     idle: Duration,
 }
 
-impl Rounds {
+impl ConnectionServer {
     /// `waited`: how long a new one may have waited to be accepted.
-    fn receive(&self, place: Option<ConnectionPermit>, come: Adopted, waited: Option<Duration>) {
+    fn receive(&self, place: Option<ConnectionPermit>, come: AdoptedConnection, waited: Option<Duration>) {
         let new = waited.is_some();
         self.counters.add("clients", if new { "accepted" } else { "adopted" });
         let (router, counters, mood) = (self.router.clone(), self.counters.clone(), self.mood.clone());
@@ -70,7 +70,7 @@
             let end = serve(come, router, &connection, mood, idle).await;
             counters.add("clients", end.name());
             tracing::debug!(target: REQUESTS, why = end.name(), at = ?connection.doing(), "client's connection ended");
-            if end.is_ours() && connection.doing() == Doing::Open {
+            if end.is_ours() && connection.doing() == ConnectionPhase::Open {
                 violated(&counters, Rule::ClosedUnanswered, "of a connection", end.name());
             }
             connections.leave(&connection);
@@ -80,7 +80,7 @@
 
     fn accepted(&self, place: Option<ConnectionPermit>, accepted: Accepted) {
         let Accepted { stream, waited } = accepted;
-        let come = Adopted { stream, read: Bytes::new(), whole_within: None };
+        let come = AdoptedConnection { stream, read: Bytes::new(), whole_within: None };
         self.receive(place, come, Some(waited));
     }
 
@@ -93,7 +93,7 @@
         turned_away: &Rc<()>,
     ) -> Option<ClosingQueue> {
         loop {
-            let place = clients.place();
+            let place = clients.try_acquire();
             if place.is_none() && Rc::strong_count(turned_away) > NO_PLACE_AT_ONCE {
                 return Some(queue);
             }
@@ -121,7 +121,7 @@
 /// listener, so that clients are refused and not dropped, answers what has come, and returns when all is quiet:
 /// connections that are at nothing by the time of the last answer, the others with their answer.
 pub async fn keep(
-    mut orders: UnboundedReceiver<Order>,
+    mut orders: UnboundedReceiver<AcceptorCommand>,
     router: Router,
     clients: ConnectionLimiter,
     counters: Counters,
@@ -129,12 +129,12 @@
     mut end_called: EndCalled,
     quiet: impl Fn() -> bool,
 ) {
-    let (moods, mood) = watch::channel(Mood::Stay);
+    let (moods, mood) = watch::channel(ConnectionMode::Stay);
     let (stay, idle, last) = (schedule.stay, schedule.idle, schedule.last_answer);
     let (stay, idle, last) = (duration(stay), duration(idle), duration(last));
     let queue_until = duration(schedule.queue_until);
     let connections = Rc::new(ClientConnections::default());
-    let rounds = Rounds { router, counters, connections: connections.clone(), mood, idle };
+    let rounds = ConnectionServer { router, counters, connections: connections.clone(), mood, idle };
     let mut listener: Option<AcceptQueue> = None;
     // At the end, until its queue is empty.
     let mut rest: Option<ClosingQueue> = None;
@@ -145,7 +145,7 @@
     looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         // Without a place the rest waits in the accept queue.
-        let place = if listener.is_some() { clients.place() } else { None };
+        let place = if listener.is_some() { clients.try_acquire() } else { None };
         tokio::select! {
             accepted = accept(&listener), if place.is_some() => match accepted {
                 Ok(accepted) => rounds.accepted(place, accepted),
@@ -155,29 +155,29 @@
                 }
             },
             Some(order) = orders.recv() => match order {
-                Order::Accept(new) => {
+                AcceptorCommand::Accept(new) => {
                     listener = (!leaving).then(|| AcceptQueue::new(new, rounds.counters.clone()));
                     moods.send_if_modified(|m| {
-                        let passing = matches!(m, Mood::Pass(_));
+                        let passing = matches!(m, ConnectionMode::Pass(_));
                         if passing {
-                            *m = Mood::Stay;
+                            *m = ConnectionMode::Stay;
                         }
                         passing
                     });
                 }
-                Order::Adopt(come) => {
+                AcceptorCommand::Adopt(come) => {
                     drop(place);
-                    rounds.receive(Some(clients.place_taken_over()), come, None);
+                    rounds.receive(Some(clients.acquire_adopted()), come, None);
                 }
-                Order::Pass(to) => {
+                AcceptorCommand::Pass(to) => {
                     listener = None;
                     moods.send_if_modified(|m| {
-                        *m = Mood::Pass(to);
+                        *m = ConnectionMode::Pass(to);
                         true
                     });
                 }
-                Order::Stay => { moods.send_replace(Mood::Stay); }
-                Order::Done => return,
+                AcceptorCommand::Stay => { moods.send_replace(ConnectionMode::Stay); }
+                AcceptorCommand::Done => return,
             },
             Ok(()) = end_called.changed(), if since.is_none() => {
                 tracing::info!("asked to end");
@@ -187,7 +187,7 @@
             _ = looks.tick() => {
                 drop(place);
                 // At the end all that is at nothing gives way.
-                let short = if leaving { usize::MAX } else { (clients.most().div_ceil(SPARE)).saturating_sub(clients.free()) };
+                let short = if leaving { usize::MAX } else { (clients.limit().div_ceil(SPARE)).saturating_sub(clients.available()) };
                 connections.look(Instant::now(), short);
                 if since.is_none_or(|s| s.elapsed() < stay) {
                     continue;
@@ -196,7 +196,7 @@
                     leaving = true;
                     rest = listener.take().and_then(AcceptQueue::close);
                     // Idle connections end now, busy ones with their answer.
-                    moods.send_replace(Mood::Leave);
+                    moods.send_replace(ConnectionMode::Leave);
                 }
                 let over = since.is_some_and(|s| s.elapsed() >= last);
                 let too_late = since.is_some_and(|s| s.elapsed() >= queue_until);
@@ -220,8 +220,8 @@
 
 /// Ends when there may be a place again, after asking for one that the replica side does not need.
 async fn more(clients: &ConnectionLimiter) {
-    let freed = clients.freed();
-    clients.want();
+    let freed = clients.released();
+    clients.request_release();
     freed.await;
 }
 
--- a/crates/pipitcrank-server/src/clients/acceptor/tests.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor/tests.rs
@@ -32,7 +32,7 @@
         let (call, called) = watch::channel(None);
         let ended = Rc::new(Cell::new(false));
         let (order, ordered) = unbounded_channel();
-        assert!(order.send(Order::Accept(listener)).is_ok());
+        assert!(order.send(AcceptorCommand::Accept(listener)).is_ok());
         let (gate_ended, counters) = (ended.clone(), Counters::default());
         let idle = TimeSpan::from_millis(250);
         let schedule = ShutdownSchedule { stay, idle, last_answer: stay + idle, queue_until: stay + idle };
@@ -112,11 +112,11 @@
             tokio::time::sleep(A_QUERY).await;
             "served"
         };
-        let rounds = Rounds {
+        let rounds = ConnectionServer {
             router: Router::new().route("/", get(served)),
             counters: Counters::default(),
             connections: connections.clone(),
-            mood: watch::channel(Mood::Stay).1,
+            mood: watch::channel(ConnectionMode::Stay).1,
             idle: Duration::from_secs(9),
         };
         rounds.accepted(None, Accepted { stream: accepted, waited: Duration::ZERO });
@@ -169,7 +169,7 @@
         };
         let (call, called) = watch::channel(None);
         let (order, ordered) = unbounded_channel();
-        assert!(order.send(Order::Accept(listener)).is_ok());
+        assert!(order.send(AcceptorCommand::Accept(listener)).is_ok());
         let end = TimeSpan::from_secs_f64(9.0);
         let schedule =
             ShutdownSchedule { stay: TimeSpan::ZERO, idle: end, last_answer: end, queue_until: end };
@@ -182,7 +182,7 @@
             stream
         };
         let mut placed = [ask().await, ask().await];
-        while sockets.free() > 0 {
+        while sockets.available() > 0 {
             tokio::time::sleep(LOOK).await;
         }
         let mut waiting = Vec::new();
--- a/crates/pipitcrank-server/src/clients/client_connections.rs
+++ b/crates/pipitcrank-server/src/clients/client_connections.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::clients::http::BodyWhole;
+use crate::clients::http::BodyCompletion;
 
 /// A request has to be whole this long after it began, the first on a connection after connecting: who does not
 /// get so far is owed an error or a close within 3 s, and half a second of that may pass waiting for the processor.
@@ -31,7 +31,7 @@
 
 /// What a connection is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doing {
+pub enum ConnectionPhase {
     /// Nothing has come on it yet.
     Silent,
     /// Some of a request's head has come.
@@ -46,20 +46,20 @@
 
 pub struct ClientConnection {
     came: Instant,
-    doing: Cell<(Doing, Instant)>,
+    doing: Cell<(ConnectionPhase, Instant)>,
     /// Until when a request begun has to be whole.
     whole_by: Cell<Instant>,
     leaving: Cell<bool>,
     leave: Notify,
     /// What it was at, and since when, as it was called to leave.
-    called_from: Cell<(Doing, Instant)>,
+    called_from: Cell<(ConnectionPhase, Instant)>,
     /// The last answer has been handed to the system whole.
     flushed: Cell<bool>,
     /// Its last answer says that the connection ends with it.
     last: Cell<bool>,
     moved_on: Notify,
     /// Of a request whose body comes in chunks: whether that is whole.
-    body: RefCell<Option<Arc<BodyWhole>>>,
+    body: RefCell<Option<Arc<BodyCompletion>>>,
     body_begun: Notify,
     /// How long what is read first may have waited for the connection to be accepted.
     waited: Cell<Duration>,
@@ -67,7 +67,7 @@
 
 impl ClientConnection {
     fn new(now: Instant) -> ClientConnection {
-        let (doing, whole_by) = (Cell::new((Doing::Silent, now)), Cell::new(now + WHOLE_WITHIN));
+        let (doing, whole_by) = (Cell::new((ConnectionPhase::Silent, now)), Cell::new(now + WHOLE_WITHIN));
         let called_from = doing.clone();
         let (leaving, flushed) = (Cell::default(), Cell::new(true));
         let (leave, last, moved_on) = (Notify::new(), Cell::default(), Notify::new());
@@ -91,7 +91,7 @@
     /// Goes on from where another process had it: between two requests, or with some of one read, which has to be
     /// whole within that.
     pub fn goes_on(&self, now: Instant, whole_within: Option<Duration>) {
-        let doing = if whole_within.is_some() { Doing::Begun } else { Doing::Idle };
+        let doing = if whole_within.is_some() { ConnectionPhase::Begun } else { ConnectionPhase::Idle };
         self.doing.set((doing, now));
         self.whole_by.set(now + whole_within.unwrap_or(WHOLE_WITHIN).min(WHOLE_WITHIN));
     }
@@ -109,8 +109,8 @@
     }
 
     /// A request's body comes in chunks; whoever reads it says when it is whole.
-    pub fn body_comes(&self) -> Arc<BodyWhole> {
-        let body = Arc::<BodyWhole>::default();
+    pub fn body_comes(&self) -> Arc<BodyCompletion> {
+        let body = Arc::<BodyCompletion>::default();
         *self.body.borrow_mut() = Some(body.clone());
         self.body_begun.notify_one();
         body
@@ -134,12 +134,13 @@
 
     /// Until when a request begun has to be whole, from now on.
     pub fn whole_within(&self, now: Instant) -> Option<Duration> {
-        matches!(self.doing(), Doing::Silent | Doing::Begun).then(|| self.whole_by() - now)
+        matches!(self.doing(), ConnectionPhase::Silent | ConnectionPhase::Begun)
+            .then(|| self.whole_by() - now)
     }
 
     /// All of the answer is with the system.
     pub fn flushed(&self) {
-        if self.doing() == Doing::Idle && !self.flushed.replace(true) {
+        if self.doing() == ConnectionPhase::Idle && !self.flushed.replace(true) {
             self.moved_on.notify_one();
         }
     }
@@ -155,19 +156,19 @@
         loop {
             match self.doing() {
                 _ if self.last.get() => self.moved_on.notified().await,
-                Doing::Idle if self.flushed.get() && begun => return,
+                ConnectionPhase::Idle if self.flushed.get() && begun => return,
                 // Guards against a request that is on its way when the connection closes: one in use is ended with its
                 // next answer.
-                Doing::Idle if self.flushed.get() => {
+                ConnectionPhase::Idle if self.flushed.get() => {
                     let (_, since) = self.doing.get();
                     tokio::select! {
                         () = self.moved_on.notified() => {}
                         () = tokio::time::sleep_until(since + idle) => return,
                     }
                 }
-                Doing::Silent | Doing::Begun if begun => return,
+                ConnectionPhase::Silent | ConnectionPhase::Begun if begun => return,
                 // Guards against a request lost on its way: who has just connected has one to send.
-                Doing::Silent => {
+                ConnectionPhase::Silent => {
                     let (_, since) = self.doing.get();
                     tokio::select! {
                         () = self.moved_on.notified() => {}
@@ -179,19 +180,19 @@
         }
     }
 
-    pub fn doing(&self) -> Doing {
+    pub fn doing(&self) -> ConnectionPhase {
         self.doing.get().0
     }
 
     /// From now on it is at something else.
-    pub fn turns_to(&self, doing: Doing, now: Instant) {
-        if self.doing() == Doing::Silent && now - self.came > LAY_UNREAD {
+    pub fn turns_to(&self, doing: ConnectionPhase, now: Instant) {
+        if self.doing() == ConnectionPhase::Silent && now - self.came > LAY_UNREAD {
             self.waited.set(Duration::ZERO);
         }
-        if self.doing() == Doing::Idle {
+        if self.doing() == ConnectionPhase::Idle {
             self.whole_by.set(now + WHOLE_WITHIN);
         }
-        if self.doing() == Doing::Open {
+        if self.doing() == ConnectionPhase::Open {
             self.flushed.set(false);
         }
         self.doing.set((doing, now));
@@ -216,10 +217,10 @@
 
     fn overdue(&self, now: Instant) -> bool {
         match self.doing.get() {
-            (Doing::Silent | Doing::Begun, _) => now >= self.whole_by(),
-            (Doing::Idle, since) => now >= since + LONGEST_IDLE,
+            (ConnectionPhase::Silent | ConnectionPhase::Begun, _) => now >= self.whole_by(),
+            (ConnectionPhase::Idle, since) => now >= since + LONGEST_IDLE,
             // The front and whoever sees it off have limits of their own.
-            (Doing::Open | Doing::Parting, _) => false,
+            (ConnectionPhase::Open | ConnectionPhase::Parting, _) => false,
         }
     }
 
@@ -227,13 +228,13 @@
     fn gives_way(&self) -> Option<Instant> {
         let (doing, since) = self.doing.get();
         let wait = match doing {
-            Doing::Silent => SILENT_GIVES_WAY,
-            Doing::Begun => BEGUN_GIVES_WAY,
+            ConnectionPhase::Silent => SILENT_GIVES_WAY,
+            ConnectionPhase::Begun => BEGUN_GIVES_WAY,
             // Guards against an answer cut by us that a slow client still reads.
-            Doing::Idle if !self.flushed.get() => return None,
-            Doing::Idle => IDLE_GIVES_WAY,
-            Doing::Parting => PARTING_GIVES_WAY,
-            Doing::Open => return None,
+            ConnectionPhase::Idle if !self.flushed.get() => return None,
+            ConnectionPhase::Idle => IDLE_GIVES_WAY,
+            ConnectionPhase::Parting => PARTING_GIVES_WAY,
+            ConnectionPhase::Open => return None,
         };
         Some(since + wait)
     }
@@ -268,8 +269,9 @@
     /// left to the kill.
     pub fn end(&self) {
         let connections = self.0.borrow();
-        let reads =
-            |v: &ClientConnection| v.doing() == Doing::Open || v.doing() == Doing::Idle && !v.is_flushed();
+        let reads = |v: &ClientConnection| {
+            v.doing() == ConnectionPhase::Open || v.doing() == ConnectionPhase::Idle && !v.is_flushed()
+        };
         connections.iter().filter(|v| !v.leaving.get() && !reads(v)).for_each(|v| v.call_to_leave());
     }
 
--- a/crates/pipitcrank-server/src/clients/client_connections/tests.rs
+++ b/crates/pipitcrank-server/src/clients/client_connections/tests.rs
@@ -6,10 +6,10 @@
 fn the_longest_quiet_give_way_and_open_requests_never_do() {
     let (connections, start) = (ClientConnections::default(), Instant::now());
     let [open, idle, fresh_idle, silent, begun] = [0, 1, 2, 3, 4].map(|n| connections.enter(start + MS * n));
-    open.turns_to(Doing::Open, start);
-    idle.turns_to(Doing::Idle, start);
-    fresh_idle.turns_to(Doing::Idle, start + MS * 900);
-    begun.turns_to(Doing::Begun, start + MS * 500);
+    open.turns_to(ConnectionPhase::Open, start);
+    idle.turns_to(ConnectionPhase::Idle, start);
+    fresh_idle.turns_to(ConnectionPhase::Idle, start + MS * 900);
+    begun.turns_to(ConnectionPhase::Begun, start + MS * 500);
     let left = || [&open, &idle, &fresh_idle, &silent, &begun].map(|v| v.leaving.get());
     connections.look(start + MS * 50, 5);
     assert_eq!(left(), [false; 5], "each has some time");
@@ -30,12 +30,12 @@
     let (connections, start) = (ClientConnections::default(), Instant::now());
     let [open, idle, unread, silent, begun] = [0; 5].map(|_| connections.enter(start));
     for asked in [&open, &idle, &unread] {
-        asked.turns_to(Doing::Open, start);
+        asked.turns_to(ConnectionPhase::Open, start);
     }
-    idle.turns_to(Doing::Idle, start);
+    idle.turns_to(ConnectionPhase::Idle, start);
     idle.flushed();
-    unread.turns_to(Doing::Idle, start);
-    begun.turns_to(Doing::Begun, start);
+    unread.turns_to(ConnectionPhase::Idle, start);
+    begun.turns_to(ConnectionPhase::Begun, start);
     connections.end();
     let left = [&open, &idle, &unread, &silent, &begun].map(|v| v.leaving.get());
     assert_eq!(left, [false, true, false, true, true]);
@@ -45,10 +45,10 @@
 fn a_request_is_whole_in_time_from_connecting_or_from_its_first_byte() {
     let (connections, start) = (ClientConnections::default(), Instant::now());
     let [silent, slow, again] = [0, 0, 0].map(|_| connections.enter(start));
-    slow.turns_to(Doing::Begun, start + MS * 2400);
-    again.turns_to(Doing::Open, start + MS * 10);
-    again.turns_to(Doing::Idle, start + MS * 20);
-    again.turns_to(Doing::Begun, start + MS * 2400);
+    slow.turns_to(ConnectionPhase::Begun, start + MS * 2400);
+    again.turns_to(ConnectionPhase::Open, start + MS * 10);
+    again.turns_to(ConnectionPhase::Idle, start + MS * 20);
+    again.turns_to(ConnectionPhase::Begun, start + MS * 2400);
     connections.look(start + WHOLE_WITHIN, 0);
     assert!(silent.leaving.get() && slow.leaving.get() && !again.leaving.get());
     connections.look(start + MS * 2400 + WHOLE_WITHIN, 0);
@@ -59,8 +59,8 @@
 fn who_still_reads_an_answer_does_not_give_way_and_does_once_it_is_read() {
     let (connections, start) = (ClientConnections::default(), Instant::now());
     let reads = connections.enter(start);
-    reads.turns_to(Doing::Open, start);
-    reads.turns_to(Doing::Idle, start);
+    reads.turns_to(ConnectionPhase::Open, start);
+    reads.turns_to(ConnectionPhase::Idle, start);
     connections.look(start + MS * 5000, 9);
     assert!(!reads.leaving.get(), "its answer would be cut");
     reads.flushed();
@@ -75,7 +75,7 @@
     let now = Instant::now();
     let connection = connections.enter(now);
     connection.waited(Duration::from_millis(2000));
-    connection.turns_to(Doing::Begun, now);
+    connection.turns_to(ConnectionPhase::Begun, now);
     connections.look(now + Duration::from_millis(450), 0);
     assert!(!connection.leaving.get(), "some time is left to it");
     connections.look(now + Duration::from_millis(550), 0);
--- a/crates/pipitcrank-server/src/clients/connection.rs
+++ b/crates/pipitcrank-server/src/clients/connection.rs
@@ -21,9 +21,9 @@
 use tokio::time::Instant;
 use tower_service::Service;
 
-use crate::clients::client_connections::{ClientConnection, Doing};
+use crate::clients::client_connections::{ClientConnection, ConnectionPhase};
 use crate::clients::http::Arrival;
-use crate::clients::request_reader::{BEHIND_PAUSE, BEHIND_PIECE, Framing, Heads, RequestReader};
+use crate::clients::request_reader::{BEHIND_PAUSE, BEHIND_PIECE, Framing, HeadTracker, RequestReader};
 use crate::replicas::connection_end::ConnectionEnd;
 use crate::runtime::stream::{Expects, Stream};
 
@@ -50,7 +50,7 @@
 const NO_PLACE_WAIT: Duration = Duration::from_millis(50);
 
 /// A connection on its way between processes: what had been read of a request, which has to be whole within that.
-pub struct Adopted {
+pub struct AdoptedConnection {
     pub stream: TcpStream,
     pub read: Bytes,
     pub whole_within: Option<Duration>,
@@ -58,10 +58,10 @@
 
 /// What connections do as soon as they rest.
 #[derive(Clone)]
-pub enum Mood {
+pub enum ConnectionMode {
     Stay,
     Leave,
-    Pass(UnboundedSender<Adopted>),
+    Pass(UnboundedSender<AdoptedConnection>),
 }
 
 /// A client for whom there is no place is told so at once, and not left to a reset.
@@ -84,15 +84,15 @@
 
 /// Serves one connection until its end; says how it ended.
 pub async fn serve(
-    come: Adopted,
+    come: AdoptedConnection,
     router: Router,
     connection: &Rc<ClientConnection>,
-    mut mood: watch::Receiver<Mood>,
+    mut mood: watch::Receiver<ConnectionMode>,
     idle: Duration,
 ) -> ConnectionEnd {
-    let Adopted { stream, read, .. } = come;
+    let AdoptedConnection { stream, read, .. } = come;
     let stream = Rc::new(Stream::new(stream));
-    let heads = Rc::new(RefCell::new(Heads::new(LONGEST_HEAD)));
+    let heads = Rc::new(RefCell::new(HeadTracker::new(LONGEST_HEAD)));
     let reader = RequestReader {
         stream: stream.clone(),
         connection: connection.clone(),
@@ -118,14 +118,14 @@
             // Guards against a connection closed for its silence with a request of the client's unread.
             biased;
             served = std::future::poll_fn(|cx| serving.poll_without_shutdown(cx)) => break match served {
-                Ok(()) if matches!(now, Mood::Leave) => ConnectionEnd::LetGo,
+                Ok(()) if matches!(now, ConnectionMode::Leave) => ConnectionEnd::LetGo,
                 Ok(()) => ConnectionEnd::Closed,
                 Err(e) if e.is_parse() => ConnectionEnd::BadBytes,
                 Err(_) => ConnectionEnd::Reset,
             },
             () = connection.called_to_leave() => match connection.doing() {
-                Doing::Idle => return ConnectionEnd::Idle,
-                Doing::Begun if connection.is_flushed() => {
+                ConnectionPhase::Idle => return ConnectionEnd::Idle,
+                ConnectionPhase::Begun if connection.is_flushed() => {
                     last_word(&stream, TOO_SLOW).await;
                     return ConnectionEnd::Silent;
                 }
@@ -134,8 +134,8 @@
             // Guards against a close that is not seen behind bytes which the library does not read on from.
             () = closes_behind_body(&stream, connection) => return ConnectionEnd::Closed,
             Ok(()) = mood.changed() => now = mood.borrow_and_update().clone(),
-            () = connection.rests(matches!(now, Mood::Pass(_)), idle), if !matches!(now, Mood::Stay) => {
-                let Mood::Pass(to) = now else { break ConnectionEnd::LetGo };
+            () = connection.rests(matches!(now, ConnectionMode::Pass(_)), idle), if !matches!(now, ConnectionMode::Stay) => {
+                let ConnectionMode::Pass(to) = now else { break ConnectionEnd::LetGo };
                 let whole_within = connection.whole_within(Instant::now());
                 let parts = serving.into_parts();
                 let RequestReader { stream: ours, before, .. } = parts.io.into_inner();
@@ -143,14 +143,14 @@
                 // What the library has read and not used, and what had come before and was not read by it.
                 let read = [&parts.read_buf[..], &before[..]].concat().into();
                 let Some(stream) = Rc::into_inner(stream) else { return ConnectionEnd::Reset };
-                let _ = to.send(Adopted { stream: stream.into_tcp(), read, whole_within });
+                let _ = to.send(AdoptedConnection { stream: stream.into_tcp(), read, whole_within });
                 return ConnectionEnd::Passed;
             }
         }
     };
     let reader = serving.into_parts().io.into_inner();
     if !reader.ended && end != ConnectionEnd::Reset {
-        connection.turns_to(Doing::Parting, Instant::now());
+        connection.turns_to(ConnectionPhase::Parting, Instant::now());
         tokio::select! {
             () = see_off(&stream) => {}
             () = connection.called_to_leave() => {}
@@ -181,11 +181,11 @@
 async fn answer(
     router: Router,
     connection: Rc<ClientConnection>,
-    heads: Rc<RefCell<Heads>>,
-    mood: watch::Receiver<Mood>,
+    heads: Rc<RefCell<HeadTracker>>,
+    mood: watch::Receiver<ConnectionMode>,
     mut request: Request<Incoming>,
 ) -> Result<axum::response::Response, std::convert::Infallible> {
-    connection.turns_to(Doing::Open, Instant::now());
+    connection.turns_to(ConnectionPhase::Open, Instant::now());
     // Seen by the reader alone: of a request framed both ways the library shows one only.
     let framing = heads.borrow().framing();
     let whole = match framing {
@@ -197,9 +197,9 @@
     request.extensions_mut().insert(Arrival { whole_by, mixed, whole, unread });
     let answered = { router }.call(request.map(Body::new)).await;
     let mut heads = heads.borrow_mut();
-    let follows = heads.may_follow() && !matches!(*mood.borrow(), Mood::Leave);
+    let follows = heads.may_follow() && !matches!(*mood.borrow(), ConnectionMode::Leave);
     heads.next();
-    connection.turns_to(Doing::Idle, Instant::now());
+    connection.turns_to(ConnectionPhase::Idle, Instant::now());
     answered.map(|mut response| {
         if !follows {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/pipitcrank-server/src/clients/http.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -24,7 +24,7 @@
 use crate::exchange::{QueryPart, QueryRequest, QueryResponse};
 use crate::runtime::clock::{Clock, duration};
 use crate::runtime::counters::Counters;
-use crate::runtime::stall_detector::Awake;
+use crate::runtime::stall_detector::StallDetector;
 
 /// Largest body taken, as the protocol says.
 const MOST_BODY: usize = 64 * 1024;
@@ -36,12 +36,12 @@
 
 /// Says when a request's body has been read whole.
 #[derive(Default)]
-pub struct BodyWhole {
+pub struct BodyCompletion {
     is: AtomicBool,
     became: Notify,
 }
 
-impl BodyWhole {
+impl BodyCompletion {
     fn set(&self) {
         self.is.store(true, Ordering::Relaxed);
         self.became.notify_one();
@@ -62,7 +62,7 @@
     pub whole_by: Instant,
     /// It says in two ways at once where it ends.
     pub mixed: bool,
-    pub whole: Arc<BodyWhole>,
+    pub whole: Arc<BodyCompletion>,
     /// It may have waited so long for its connection to be accepted.
     pub unread: Duration,
 }
@@ -75,7 +75,7 @@
 const WEIGHTS_OFF: f64 = 0.01;
 
 /// What the front has for the exchange.
-pub enum Knock {
+pub enum HttpEvent {
     Ask(u64, QueryRequest, oneshot::Sender<QueryResponse>),
     Gone(u64),
     /// Is it able to serve?
@@ -83,31 +83,31 @@
 }
 
 #[derive(Clone)]
-pub struct Door {
+pub struct HttpState {
     pub clock: Clock,
     pub counters: Counters,
     pub classes: Arc<[String]>,
     /// Whether a repeat of the request class's is known by the client's key.
     pub deduplicated: Arc<[bool]>,
     pub shards: u32,
-    pub knocks: UnboundedSender<Knock>,
+    pub knocks: UnboundedSender<HttpEvent>,
     pub end_called: EndCalled,
     /// A query that comes after the end was called is answered within this of that at the latest.
     pub last_answer: TimeSpan,
     pub tickets: Arc<AtomicU64>,
-    pub awake: Arc<Awake>,
+    pub awake: Arc<StallDetector>,
 }
 
 /// What a client asks.
 #[derive(Deserialize)]
-struct Question<'a> {
+struct QueryBody<'a> {
     #[serde(borrow)]
-    shards: Vec<Piece<'a>>,
+    shards: Vec<ShardBody<'a>>,
     q: String,
 }
 
 #[derive(Deserialize)]
-struct Piece<'a> {
+struct ShardBody<'a> {
     shard: u32,
     weight: f64,
     /// Microseconds.
@@ -129,7 +129,7 @@
     doc: &'a str,
 }
 
-pub fn router(door: Door) -> Router {
+pub fn router(door: HttpState) -> Router {
     Router::new().route("/up", get(up)).route("/counters", get(counters)).fallback(query).with_state(door)
 }
 
@@ -140,34 +140,34 @@
     response
 }
 
-async fn up(State(door): State<Door>) -> Response {
+async fn up(State(door): State<HttpState>) -> Response {
     let (tell, told) = oneshot::channel();
-    let asked = door.knocks.send(Knock::Able(tell)).is_ok();
+    let asked = door.knocks.send(HttpEvent::Able(tell)).is_ok();
     let able = asked && told.await.unwrap_or(false) && door.end_called.borrow().is_none();
     let status = if able { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     last_on_connection(status.into_response())
 }
 
-async fn counters(State(door): State<Door>) -> Response {
+async fn counters(State(door): State<HttpState>) -> Response {
     last_on_connection(door.counters.show().into_response())
 }
 
 /// Says to the exchange that the client is gone, unless the answer came first.
-struct Waiting {
+struct DisconnectGuard {
     ticket: u64,
-    knocks: UnboundedSender<Knock>,
+    knocks: UnboundedSender<HttpEvent>,
     answered: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.knocks.send(Knock::Gone(self.ticket));
+            let _ = self.knocks.send(HttpEvent::Gone(self.ticket));
         }
     }
 }
 
-async fn query(State(door): State<Door>, request: Request) -> Response {
+async fn query(State(door): State<HttpState>, request: Request) -> Response {
     let (parts, body) = request.into_parts();
     let word = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or("");
     let Some(class) = door.classes.iter().position(|v| v == word) else {
@@ -195,10 +195,10 @@
     }
     let ticket = door.tickets.fetch_add(1, Ordering::Relaxed);
     let (answer, answered) = oneshot::channel();
-    if door.knocks.send(Knock::Ask(ticket, asked, answer)).is_err() {
+    if door.knocks.send(HttpEvent::Ask(ticket, asked, answer)).is_err() {
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
     }
-    let mut waiting = Waiting { ticket, knocks: door.knocks.clone(), answered: false };
+    let mut waiting = DisconnectGuard { ticket, knocks: door.knocks.clone(), answered: false };
     let last = answered.await;
     waiting.answered = true;
     match last {
@@ -207,7 +207,7 @@
     }
 }
 
-fn bad(door: &Door, kind: &'static str, status: StatusCode, what: &'static str) -> Response {
+fn bad(door: &HttpState, kind: &'static str, status: StatusCode, what: &'static str) -> Response {
     door.counters.add("bad_requests", kind);
     last_on_connection((status, what).into_response())
 }
@@ -216,7 +216,7 @@
 
 /// One request, read whole.
 async fn read(
-    door: &Door,
+    door: &HttpState,
     class: RequestClassId,
     headers: &HeaderMap,
     arrival: Option<Arrival>,
@@ -281,7 +281,7 @@
 }
 
 /// Ends when a request that is not whole has to be answered without more of it: then, or before this process ends.
-async fn overdue(door: &Door, whole_by: Instant) {
+async fn overdue(door: &HttpState, whole_by: Instant) {
     let mut end_called = door.end_called.clone();
     loop {
         let last = end_called.borrow_and_update().map(|at| door.clock.instant(at + door.last_answer));
@@ -310,7 +310,7 @@
     ends: Timestamp,
     shards: u32,
 ) -> Result<QueryRequest, &'static str> {
-    let Question { shards: pieces, q } =
+    let QueryBody { shards: pieces, q } =
         serde_json::from_slice(body).map_err(|_| "the body is not the JSON expected")?;
     if pieces.is_empty() {
         return Err("it asks for no shard");
--- a/crates/pipitcrank-server/src/clients/request_reader.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::clients::client_connections::{ClientConnection, Doing};
+use crate::clients::client_connections::{ClientConnection, ConnectionPhase};
 use crate::runtime::stream::{Expects, Stream};
 
 /// How a request says where it ends.
@@ -25,7 +25,7 @@
 }
 
 /// Reads the bytes of a connection beside the HTTP library.
-pub struct Heads {
+pub struct HeadTracker {
     longest: usize,
     /// The head as far as it has come; emptied once whole.
     head: Vec<u8>,
@@ -36,9 +36,9 @@
     more: bool,
 }
 
-impl Heads {
-    pub fn new(longest: usize) -> Heads {
-        Heads { longest, head: Vec::new(), framing: None, left: 0, more: false }
+impl HeadTracker {
+    pub fn new(longest: usize) -> HeadTracker {
+        HeadTracker { longest, head: Vec::new(), framing: None, left: 0, more: false }
     }
 
     /// How many of the bytes that came are of the request at hand; what stands behind it is never used.
@@ -86,7 +86,7 @@
 
     /// The request was answered; what comes now is the next one.
     pub fn next(&mut self) {
-        *self = Heads::new(self.longest);
+        *self = HeadTracker::new(self.longest);
     }
 }
 
@@ -125,7 +125,7 @@
 pub struct RequestReader {
     pub stream: Rc<Stream>,
     pub connection: Rc<ClientConnection>,
-    pub heads: Rc<std::cell::RefCell<Heads>>,
+    pub heads: Rc<std::cell::RefCell<HeadTracker>>,
     /// The client has closed its side.
     pub ended: bool,
     /// What another process had read from it: comes before all else.
@@ -170,8 +170,8 @@
             if came.is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            if matches!(self.connection.doing(), Doing::Silent | Doing::Idle) {
-                self.connection.turns_to(Doing::Begun, Instant::now());
+            if matches!(self.connection.doing(), ConnectionPhase::Silent | ConnectionPhase::Idle) {
+                self.connection.turns_to(ConnectionPhase::Begun, Instant::now());
             }
             let (all, own) = (came.len(), self.heads.borrow_mut().see(came));
             buf.set_filled(before + own);
--- a/crates/pipitcrank-server/src/clients/request_reader/tests.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader/tests.rs
@@ -6,7 +6,7 @@
 
 /// However the bytes are cut into reads: the framing, and whether another request may follow.
 fn seen(request: &str, cuts: &[usize]) -> (Option<Framing>, bool) {
-    let mut heads = Heads::new(LONGEST);
+    let mut heads = HeadTracker::new(LONGEST);
     let mut rest = request.as_bytes();
     for &cut in cuts {
         let (piece, after) = rest.split_at(cut.min(rest.len()));
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_head_that_does_not_end_is_not_kept() {
-    let mut heads = Heads::new(LONGEST);
+    let mut heads = HeadTracker::new(LONGEST);
     for _ in 0..1000 {
         heads.see(&[b'x'; 100]);
     }
--- a/crates/pipitcrank-server/src/discovery/client.rs
+++ b/crates/pipitcrank-server/src/discovery/client.rs
@@ -22,7 +22,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use crate::discovery::json_objects::{Objects, Spoilt};
+use crate::discovery::json_objects::{JsonObjectStream, JsonStreamError};
 use crate::exchange::Endpoint;
 use crate::replicas::connection_end::ConnectionEnd;
 use crate::runtime::clock::Clock;
@@ -60,7 +60,7 @@
 
 /// A list, or the changes of one.
 #[derive(Deserialize)]
-pub struct News {
+pub struct EndpointUpdate {
     pub rev: u64,
     all: bool,
     targets: Vec<Target>,
@@ -86,7 +86,7 @@
     Left,
 }
 
-impl News {
+impl EndpointUpdate {
     /// Whether it is the whole list, and its rows; or what is wrong with it.
     pub fn rows(self, clock: &Clock) -> Result<(bool, Vec<Endpoint>), String> {
         let rows = self.targets.into_iter().map(|t| {
@@ -109,16 +109,16 @@
 }
 
 /// Calls are paid for, and refused when there are too many: how this copy spreads its own.
-pub struct Paid {
+pub struct PollPacing {
     rng: RefCell<Rng>,
     /// The copies in all, as so many times the number that may call often; 1 at least.
     crowd: f64,
 }
 
-impl Paid {
-    pub fn new(seed: u64, copies: u32) -> Paid {
+impl PollPacing {
+    pub fn new(seed: u64, copies: u32) -> PollPacing {
         let crowd = (f64::from(copies) / f64::from(PAID_COPIES)).max(1.0);
-        Paid { rng: RefCell::new(Rng::new(seed)), crowd }
+        PollPacing { rng: RefCell::new(Rng::new(seed)), crowd }
     }
 
     /// The pause after so many calls in a row that failed.
@@ -142,7 +142,7 @@
     }
 }
 
-type Asker = Client<Connector, Empty<Bytes>>;
+type HttpClient = Client<Connector, Empty<Bytes>>;
 
 /// Version of the list that is held; none asks for the whole list.
 pub type SharedRevision = Rc<Cell<Option<u64>>>;
@@ -153,15 +153,15 @@
     event_loop: Rc<EventLoop>,
     mut address: watch::Receiver<String>,
     rev: SharedRevision,
-    paid: Option<Paid>,
+    paid: Option<PollPacing>,
 ) {
     // Each call has a connection of its own. Guards against one kept that has died: it would swallow call after call.
-    let client: Asker = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(Connector);
+    let client: HttpClient = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(Connector);
     loop {
         let at = address.borrow_and_update().clone();
         let (again, had, doubted) = (Notify::new(), Notify::new(), Cell::new(false));
         let paid = paid.as_ref();
-        let source = Source {
+        let source = DiscoverySource {
             event_loop: &event_loop,
             client: &client,
             at: &at,
@@ -195,12 +195,12 @@
 }
 
 /// Discovery at one address.
-struct Source<'a> {
+struct DiscoverySource<'a> {
     event_loop: &'a EventLoop,
-    client: &'a Asker,
+    client: &'a HttpClient,
     at: &'a str,
     rev: &'a SharedRevision,
-    paid: Option<&'a Paid>,
+    paid: Option<&'a PollPacing>,
     /// Calls for a look before its time.
     again: Notify,
     /// A list has come where none was held.
@@ -209,7 +209,7 @@
     doubted: Cell<bool>,
 }
 
-impl Source<'_> {
+impl DiscoverySource<'_> {
     async fn look_for_ever(&self) -> Infallible {
         if let Some(paid) = self.paid {
             return self.look_rarely(paid).await;
@@ -226,7 +226,7 @@
 
     /// Beside the watch, each call paid for: at once where none is held or a SIGHUP came, else rarely, and more rarely while
     /// calls are refused. Guards against a fleet that keeps discovery from answering anybody by asking it again and again.
-    async fn look_rarely(&self, paid: &Paid) -> Infallible {
+    async fn look_rarely(&self, paid: &PollPacing) -> Infallible {
         let mut failed = 0;
         loop {
             if self.rev.get().is_some() {
@@ -307,14 +307,14 @@
         }
         self.doubted.set(false);
         // Guards against a restart of discovery after which its versions come to the number held, with another list.
-        if self.rev.get() != Some(rev) || !self.event_loop.ask(|e| e.holds_list(&rows)) {
+        if self.rev.get() != Some(rev) || !self.event_loop.read(|e| e.matches_endpoints(&rows)) {
             self.tell(rev, whole, rows);
         }
         Ok(true)
     }
 
     fn tell(&self, rev: u64, whole: bool, rows: Vec<Endpoint>) {
-        self.event_loop.tell(|e| e.list(self.event_loop.clock.now(), whole, rows));
+        self.event_loop.update(|e| e.update_endpoints(self.event_loop.clock.now(), whole, rows));
         if self.rev.replace(Some(rev)).is_none() {
             self.had.notify_one();
         }
@@ -354,7 +354,7 @@
         let head = if self.paid.is_some() { PAID_CALL } else { HEAD };
         let mut body = ask(self.client, self.at, &query, Instant::now() + head).await?;
         // A list may come indented: a line is no object.
-        let mut objects = Objects::new(LONGEST);
+        let mut objects = JsonObjectStream::new(LONGEST);
         let (mut stands_at, mut whole_since) = (known, Instant::now());
         loop {
             match timeout_at(whole_since + QUIET, body.frame()).await {
@@ -395,7 +395,12 @@
     }
 }
 
-async fn ask(client: &Asker, address: &str, query: &str, by: Instant) -> Result<Incoming, ConnectionEnd> {
+async fn ask(
+    client: &HttpClient,
+    address: &str,
+    query: &str,
+    by: Instant,
+) -> Result<Incoming, ConnectionEnd> {
     let uri = format!("http://{address}/discovery/hosts{query}");
     let Ok(request) = Request::get(uri).body(Empty::new()) else { return Err(ConnectionEnd::Refused) };
     match timeout_at(by, client.request(request)).await {
@@ -408,7 +413,7 @@
 
 /// What discovery sent: its version, whether it is the whole list, its rows.
 fn read(event_loop: &EventLoop, news: &[u8]) -> Result<(u64, bool, Vec<Endpoint>), ConnectionEnd> {
-    let news: Result<News, String> = serde_json::from_slice(news).map_err(|e| e.to_string());
+    let news: Result<EndpointUpdate, String> = serde_json::from_slice(news).map_err(|e| e.to_string());
     let read = news.and_then(|n| {
         let rev = n.rev;
         let (whole, rows) = n.rows(&event_loop.clock)?;
@@ -420,19 +425,21 @@
     })
 }
 
-fn spoilt(what: Spoilt) -> ConnectionEnd {
+fn spoilt(what: JsonStreamError) -> ConnectionEnd {
     match what {
-        Spoilt::Between => tracing::warn!("discovery sent what is no list"),
-        Spoilt::TooLong => tracing::warn!("discovery sent a list of over {LONGEST} bytes: it is left"),
+        JsonStreamError::Between => tracing::warn!("discovery sent what is no list"),
+        JsonStreamError::TooLong => {
+            tracing::warn!("discovery sent a list of over {LONGEST} bytes: it is left")
+        }
     }
     ConnectionEnd::BadBytes
 }
 
-async fn whole_list(client: &Asker, address: &str, by: Instant) -> Result<Bytes, ConnectionEnd> {
+async fn whole_list(client: &HttpClient, address: &str, by: Instant) -> Result<Bytes, ConnectionEnd> {
     let body = Limited::new(ask(client, address, "", by).await?, LONGEST).collect();
     match timeout_at(by, body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(spoilt(Spoilt::TooLong)),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(spoilt(JsonStreamError::TooLong)),
         Ok(Err(_)) => Err(ConnectionEnd::Reset),
         Err(_) => Err(ConnectionEnd::Silent),
     }
--- a/crates/pipitcrank-server/src/discovery/json_objects.rs
+++ b/crates/pipitcrank-server/src/discovery/json_objects.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BytesMut};
 
 #[derive(Debug, PartialEq)]
-pub enum Spoilt {
+pub enum JsonStreamError {
     /// Something that is no object stands between two.
     Between,
     /// An object of more bytes than are taken.
@@ -12,7 +12,7 @@
 }
 
 /// Holds what of the next object has come.
-pub struct Objects {
+pub struct JsonObjectStream {
     longest: usize,
     buffer: BytesMut,
     /// Bytes of it looked at: each is looked at once.
@@ -23,10 +23,10 @@
     escaped: bool,
 }
 
-impl Objects {
+impl JsonObjectStream {
     /// None is longer than so many bytes.
-    pub fn new(longest: usize) -> Objects {
-        Objects { longest, buffer: BytesMut::new(), seen: 0, depth: 0, text: false, escaped: false }
+    pub fn new(longest: usize) -> JsonObjectStream {
+        JsonObjectStream { longest, buffer: BytesMut::new(), seen: 0, depth: 0, text: false, escaped: false }
     }
 
     pub fn came(&mut self, bytes: &[u8]) {
@@ -39,7 +39,7 @@
     }
 
     /// The next one that has come whole.
-    pub fn take(&mut self) -> Result<Option<BytesMut>, Spoilt> {
+    pub fn take(&mut self) -> Result<Option<BytesMut>, JsonStreamError> {
         if self.depth == 0 {
             let blank = self.buffer.iter().take_while(|b| b.is_ascii_whitespace()).count();
             self.buffer.advance(blank);
@@ -47,7 +47,7 @@
         while let Some(&byte) = self.buffer.get(self.seen) {
             self.seen += 1;
             if self.seen > self.longest {
-                return Err(Spoilt::TooLong);
+                return Err(JsonStreamError::TooLong);
             }
             if self.text {
                 let ends = byte == b'"' && !self.escaped;
@@ -57,7 +57,7 @@
             }
             match byte {
                 b'{' => self.depth += 1,
-                _ if self.depth == 0 => return Err(Spoilt::Between),
+                _ if self.depth == 0 => return Err(JsonStreamError::Between),
                 b'"' => self.text = true,
                 b'}' if self.depth == 1 => {
                     self.depth = 0;
--- a/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
+++ b/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
@@ -23,7 +23,7 @@
             bytes.extend_from_slice(text.unwrap().as_bytes());
             bytes.extend_from_slice(between.as_bytes());
         }
-        let (mut objects, mut found, mut rest) = (Objects::new(1 << 20), Vec::new(), &bytes[..]);
+        let (mut objects, mut found, mut rest) = (JsonObjectStream::new(1 << 20), Vec::new(), &bytes[..]);
         for cut in cuts.into_iter().chain([usize::MAX]) {
             let (piece, after) = rest.split_at(cut.min(rest.len()));
             objects.came(piece);
@@ -39,15 +39,19 @@
 
 #[test]
 fn what_is_no_object_or_never_ends_is_not_waited_for() {
-    for (bytes, what) in [("{} x{}", Spoilt::Between), ("}", Spoilt::Between), ("\"{}\"", Spoilt::Between)] {
-        let mut objects = Objects::new(100);
+    for (bytes, what) in [
+        ("{} x{}", JsonStreamError::Between),
+        ("}", JsonStreamError::Between),
+        ("\"{}\"", JsonStreamError::Between),
+    ] {
+        let mut objects = JsonObjectStream::new(100);
         objects.came(bytes.as_bytes());
         let first_bad = std::iter::from_fn(|| objects.take().transpose()).find_map(Result::err);
         assert_eq!(first_bad, Some(what), "{bytes}");
     }
-    let mut objects = Objects::new(100);
+    let mut objects = JsonObjectStream::new(100);
     objects.came(b"{\"targets\": [");
     assert_eq!(objects.take(), Ok(None));
     objects.came(&[b' '; 100]);
-    assert_eq!(objects.take(), Err(Spoilt::TooLong));
+    assert_eq!(objects.take(), Err(JsonStreamError::TooLong));
 }
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/request_table.rs
@@ -10,19 +10,19 @@
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use super::{AttemptId, Lent, QueryResponse, REQUESTS, Then};
+use super::{AttemptId, DelegatedRequest, QueryResponse, REQUESTS, ResponseCallback};
 use crate::audit::Audit;
-use crate::reasons::Again;
+use crate::reasons::ResendReason;
 use crate::runtime::counters::Counters;
 
 pub(super) struct HeldQuery {
     pub(super) ticket: u64,
-    pub(super) then: Option<Then>,
+    pub(super) then: Option<ResponseCallback>,
     /// In the order asked.
     pub(super) parts: Vec<u32>,
     pub(super) class: RequestClassId,
     pub(super) idempotency_key: Option<Arc<str>>,
-    pub(super) lent: Option<Lent>,
+    pub(super) lent: Option<DelegatedRequest>,
 }
 
 pub(super) struct HeldPart {
@@ -58,7 +58,7 @@
 }
 
 /// What the module asked for, until the turn is over.
-pub(super) enum Wish {
+pub(super) enum Command {
     Call(ReplicaId, AttemptId),
     GiveUp(ReplicaId, AttemptId),
     Probe(ReplicaId),
@@ -67,7 +67,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Desk {
+pub(super) struct RequestTable {
     pub(super) queries: Interner,
     pub(super) parts: Interner,
     pub(super) replicas: Interner,
@@ -83,7 +83,7 @@
     /// Alarms; emptied as they ring.
     pub(super) alarms: BTreeSet<(Timestamp, u64)>,
     /// Emptied at each turn's end.
-    pub(super) wishes: Vec<Wish>,
+    pub(super) wishes: Vec<Command>,
     pub(super) counters: Counters,
     /// The run-time check, where it is on.
     pub(super) audit: Option<Audit>,
@@ -91,7 +91,7 @@
     pub(super) now: Timestamp,
 }
 
-impl Desk {
+impl RequestTable {
     /// Ends a call for the outside, and says at which replica it was out; none if it has ended before.
     pub(super) fn close(&mut self, call: AttemptId, outcome: AttemptOutcome) -> Option<ReplicaId> {
         let Out { replica, until, .. } = self.out.remove(&call)?;
@@ -103,7 +103,7 @@
     }
 
     /// Queries and parts open: a part that is in is not.
-    pub(super) fn open(&self) -> usize {
+    pub(super) fn open_count(&self) -> usize {
         let open = self.held_parts.values().filter(|p| p.value.is_none() && p.query.is_some());
         self.held_queries.len() + open.count()
     }
@@ -149,16 +149,16 @@
     }
 
     /// Why the part goes once more.
-    fn again(&self, part: PartId) -> Option<Again> {
+    fn again(&self, part: PartId) -> Option<ResendReason> {
         let held = self.held_parts.get(&part.0).filter(|held| held.calls > 0)?;
         if self.out.range((part, 0)..=(part, u32::MAX)).next().is_some() {
-            return Some(Again::Hedge);
+            return Some(ResendReason::Hedge);
         }
-        held.last_outcome.map(Again::After)
+        held.last_outcome.map(ResendReason::After)
     }
 }
 
-impl CoordinatorOutput for Desk {
+impl CoordinatorOutput for RequestTable {
     fn send_attempt(&mut self, part: PartId, replica: ReplicaId, until: Timestamp) {
         if let Some(again) = self.again(part) {
             self.counters.add("again", again.name());
@@ -174,12 +174,12 @@
         }
         self.out.insert(call, Out { replica, until, released: false });
         self.untils.insert((until, call));
-        self.wishes.push(Wish::Call(replica, call));
+        self.wishes.push(Command::Call(replica, call));
     }
 
     fn cancel_attempt(&mut self, part: PartId, nth: u32) {
         if let Some(replica) = self.out.get(&(part, nth)).map(|out| out.replica) {
-            self.wishes.push(Wish::GiveUp(replica, (part, nth)));
+            self.wishes.push(Command::GiveUp(replica, (part, nth)));
         }
     }
 
@@ -210,7 +210,7 @@
     }
 
     fn send_load_probe(&mut self, replica: ReplicaId) {
-        self.wishes.push(Wish::Probe(replica));
+        self.wishes.push(Command::Probe(replica));
     }
 
     fn watch_endpoints(&mut self) {} // Discovery is always watched.
@@ -249,6 +249,6 @@
         if let Some(audit) = &mut self.audit {
             audit.release_replica(replica);
         }
-        self.wishes.push(Wish::LetGo(replica));
+        self.wishes.push(Command::LetGo(replica));
     }
 }
--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 
 use crate::audit;
-use crate::discovery::client::News;
+use crate::discovery::client::EndpointUpdate;
 use crate::exchange::{Endpoint, Exchange};
 use crate::runtime::clock::{Clock, duration};
 use crate::runtime::counters::Counters;
@@ -101,7 +101,7 @@
     pub fn known(&self, clock: &Clock) -> Result<(u64, Vec<Endpoint>), ConfigError> {
         let wrong = |reason: String| self.told().error("/known", &format!("is no list: {reason}"));
         let known = self.all.get("known").ok_or_else(|| wrong("it is missing".to_string()))?;
-        let known = News::deserialize(known).map_err(|e| wrong(e.to_string()))?;
+        let known = EndpointUpdate::deserialize(known).map_err(|e| wrong(e.to_string()))?;
         let (rev, (_, rows)) = (known.rev, known.rows(clock).map_err(wrong)?);
         // Guards against two parts of the platform that name zones otherwise: near would be nowhere.
         let names = self.zones()?.map(|(_, names)| names);
@@ -193,13 +193,13 @@
             call_size as usize,
             counters,
         );
-        exchange.name_zones(zones);
-        exchange.audit(self.audit_terms()?);
+        exchange.set_zone_names(zones);
+        exchange.enable_audit(self.audit_terms()?);
         Ok(exchange)
     }
 
     /// What the run-time check of the rules goes by.
-    fn audit_terms(&self) -> Result<audit::Terms, ConfigError> {
+    fn audit_terms(&self) -> Result<audit::AuditRules, ConfigError> {
         let settings = self.settings()?;
         let class = |n: usize| {
             let window = settings.number_or(&format!("/classes/{n}/dedup_window_s"), 0.0)?;
@@ -211,7 +211,7 @@
             })
         };
         let span = TimeSpan::from_secs_f64(settings.number_or("/rules/budget_span_s", 0.0)?);
-        Ok(audit::Terms {
+        Ok(audit::AuditRules {
             classes: (0..settings.classes()?.len()).map(class).collect::<Result<_, _>>()?,
             may_duplicate: settings.flag("/allowed/may_duplicate")?,
             try_limit: settings.count("/allowed/try_limit")?,
--- a/crates/pipitcrank-server/src/reasons.rs
+++ b/crates/pipitcrank-server/src/reasons.rs
@@ -5,7 +5,7 @@
 
 /// Why a call was dropped at the last look before its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotSent {
+pub enum SendDenied {
     /// Its query has ended.
     QueryEnded,
     /// Its client has closed.
@@ -20,49 +20,49 @@
     BudgetSpent,
 }
 
-impl From<AttemptDenied> for NotSent {
-    fn from(barred: AttemptDenied) -> NotSent {
+impl From<AttemptDenied> for SendDenied {
+    fn from(barred: AttemptDenied) -> SendDenied {
         match barred {
-            AttemptDenied::RepeatForbidden => NotSent::RepeatForbidden,
-            AttemptDenied::RetryBudgetSpent => NotSent::BudgetSpent,
+            AttemptDenied::RepeatForbidden => SendDenied::RepeatForbidden,
+            AttemptDenied::RetryBudgetSpent => SendDenied::BudgetSpent,
         }
     }
 }
 
-impl NotSent {
+impl SendDenied {
     pub fn name(self) -> &'static str {
         match self {
-            NotSent::QueryEnded => "query_ended",
-            NotSent::ClientClosed => "client_closed",
-            NotSent::ReplicaDrained => "replica_drained",
-            NotSent::TimeOver => "time_over",
-            NotSent::RepeatForbidden => "repeat_forbidden",
-            NotSent::BudgetSpent => "budget_spent",
+            SendDenied::QueryEnded => "query_ended",
+            SendDenied::ClientClosed => "client_closed",
+            SendDenied::ReplicaDrained => "replica_drained",
+            SendDenied::TimeOver => "time_over",
+            SendDenied::RepeatForbidden => "repeat_forbidden",
+            SendDenied::BudgetSpent => "budget_spent",
         }
     }
 }
 
 /// Why a part is sent once more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum ResendReason {
     /// An earlier attempt is out and overdue.
     Hedge,
     /// The last attempt ended so.
     After(AttemptOutcome),
 }
 
-impl Again {
+impl ResendReason {
     pub fn name(self) -> &'static str {
         match self {
-            Again::Hedge => "hedge",
-            Again::After(AttemptOutcome::Fault) => "after_fault",
-            Again::After(AttemptOutcome::NoCapacity) => "after_no_room",
-            Again::After(AttemptOutcome::TimedOut) => "after_too_slow",
-            Again::After(AttemptOutcome::Unreachable) => "after_no_route",
-            Again::After(AttemptOutcome::Disconnected) => "after_cut",
-            Again::After(AttemptOutcome::Cancelled) => "after_undone",
-            Again::After(AttemptOutcome::NeverSent) => "after_stale",
-            Again::After(AttemptOutcome::Success) => "after_pass",
+            ResendReason::Hedge => "hedge",
+            ResendReason::After(AttemptOutcome::Fault) => "after_fault",
+            ResendReason::After(AttemptOutcome::NoCapacity) => "after_no_room",
+            ResendReason::After(AttemptOutcome::TimedOut) => "after_too_slow",
+            ResendReason::After(AttemptOutcome::Unreachable) => "after_no_route",
+            ResendReason::After(AttemptOutcome::Disconnected) => "after_cut",
+            ResendReason::After(AttemptOutcome::Cancelled) => "after_undone",
+            ResendReason::After(AttemptOutcome::NeverSent) => "after_stale",
+            ResendReason::After(AttemptOutcome::Success) => "after_pass",
         }
     }
 }
--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -13,7 +13,7 @@
 use crate::exchange::AttemptId;
 use crate::replicas::connection_end::ConnectionEnd;
 use crate::replicas::frames::{self, ReplicaFrame};
-use crate::replicas::pool::{Job, Wire};
+use crate::replicas::pool::{ConnectionCommand, ConnectionState};
 use crate::runtime::dial::dial;
 use crate::runtime::event_loop::EventLoop;
 use crate::runtime::stream::{Expects, Stream};
@@ -21,7 +21,7 @@
 /// What is being written: nothing, a job whose first byte has not gone, or the rest of a frame.
 enum Writing {
     Nothing,
-    Next(Job),
+    Next(ConnectionCommand),
     Rest(Bytes, Vec<AttemptId>),
 }
 
@@ -30,8 +30,8 @@
 /// then held to be silent. How the connection ended, and the calls that were still to be begun on it.
 pub async fn run(
     event_loop: &Rc<EventLoop>,
-    wire: &Wire,
-    mut jobs: UnboundedReceiver<Job>,
+    wire: &ConnectionState,
+    mut jobs: UnboundedReceiver<ConnectionCommand>,
     address: SocketAddr,
     way_limit: Duration,
     idle_limit: Duration,
@@ -47,9 +47,9 @@
 }
 
 /// The calls that were still to be begun.
-pub fn left(mut jobs: UnboundedReceiver<Job>) -> Vec<Vec<AttemptId>> {
+pub fn left(mut jobs: UnboundedReceiver<ConnectionCommand>) -> Vec<Vec<AttemptId>> {
     let left = std::iter::from_fn(|| jobs.try_recv().ok());
-    left.filter_map(|job| if let Job::Call(parts) = job { Some(parts) } else { None }).collect()
+    left.filter_map(|job| if let ConnectionCommand::Call(parts) = job { Some(parts) } else { None }).collect()
 }
 
 async fn open(address: SocketAddr, limit: Duration) -> Result<Stream, ConnectionEnd> {
@@ -65,8 +65,8 @@
 
 async fn serve(
     event_loop: &Rc<EventLoop>,
-    wire: &Wire,
-    jobs: &mut UnboundedReceiver<Job>,
+    wire: &ConnectionState,
+    jobs: &mut UnboundedReceiver<ConnectionCommand>,
     stream: Stream,
     way_limit: Duration,
     idle_limit: Duration,
@@ -131,7 +131,7 @@
                 if ready.is_err() {
                     return ConnectionEnd::Reset;
                 }
-                if matches!(writing, Writing::Next(Job::Call(_))) {
+                if matches!(writing, Writing::Next(ConnectionCommand::Call(_))) {
                     event_loop.catch_up().await;
                 }
                 writing = match write(event_loop, wire, &stream, writing) {
@@ -145,7 +145,7 @@
             // what was out on it made the replica look jammed. A replica answers this however much it has to do.
             () = tokio::time::sleep_until(quiet_since + way_limit), if quiet.is_some() && !wire.doubted.get() => {
                 wire.doubted.set(true);
-                let _ = wire.jobs.send(Job::Ping);
+                let _ = wire.jobs.send(ConnectionCommand::Ping);
             }
             () = tokio::time::sleep_until(quiet_since + 2 * way_limit), if quiet.is_some() && wire.doubted.get() => {
                 return ConnectionEnd::Silent;
@@ -159,46 +159,54 @@
 }
 
 /// Something written on it is unanswered.
-fn waiting(wire: &Wire) -> bool {
+fn waiting(wire: &ConnectionState) -> bool {
     wire.probes.get() > 0 || wire.pings.get() > 0 || wire.carried.borrow().iter().any(|c| c.id.is_some())
 }
 
 /// Nothing begun on it is out: parts that wait for their first byte don't count, they can go on another. Nor do
 /// probes: one that was not answered for so long will not be, and would keep a silent connection for ever.
-fn idle(wire: &Wire) -> bool {
+fn idle(wire: &ConnectionState) -> bool {
     wire.carried.borrow().iter().all(|c| c.id.is_none())
 }
 
 /// One step of writing.
-fn write(event_loop: &Rc<EventLoop>, wire: &Wire, to: &Stream, writing: Writing) -> io::Result<Writing> {
+fn write(
+    event_loop: &Rc<EventLoop>,
+    wire: &ConnectionState,
+    to: &Stream,
+    writing: Writing,
+) -> io::Result<Writing> {
     let begins = matches!(writing, Writing::Next(_));
     let (mut rest, parts) = match writing {
         Writing::Nothing => return Ok(Writing::Nothing),
         Writing::Rest(rest, parts) => (rest, parts),
-        Writing::Next(Job::GiveUp(id)) => (frames::give_up(&id), Vec::new()),
+        Writing::Next(ConnectionCommand::GiveUp(id)) => (frames::give_up(&id), Vec::new()),
         // Guards against a probe that waited for its connection while its replica was told to drain or went.
-        Writing::Next(Job::Probe) if wire.let_go.get() || event_loop.ask(|e| e.drains(wire.replica)) => {
+        Writing::Next(ConnectionCommand::Probe)
+            if wire.let_go.get() || event_loop.read(|e| e.is_draining(wire.replica)) =>
+        {
             wire.probes.set(wire.probes.get().saturating_sub(1));
             if !wire.let_go.get() {
-                event_loop.tell(|e| e.probed(wire.replica, AttemptOutcome::NeverSent, None));
+                event_loop.update(|e| e.load_probe_ended(wire.replica, AttemptOutcome::NeverSent, None));
             }
             return Ok(Writing::Nothing);
         }
-        Writing::Next(Job::Probe) => (frames::load_probe(), Vec::new()),
-        Writing::Next(Job::Ping) => {
+        Writing::Next(ConnectionCommand::Probe) => (frames::load_probe(), Vec::new()),
+        Writing::Next(ConnectionCommand::Ping) => {
             wire.pings.set(wire.pings.get() + 1);
             (frames::ping(), Vec::new())
         }
-        Writing::Next(Job::Call(mut parts)) => {
+        Writing::Next(ConnectionCommand::Call(mut parts)) => {
             // Guards against a call given up while it was queued here, whose number is by now that of another part's call on
             // another connection to the replica: it went out here, and its answer was taken for one that nobody asked for.
             let waits =
                 |call: &AttemptId| wire.carried.borrow().iter().any(|c| c.call == *call && c.id.is_none());
             parts.retain(waits);
-            let going = event_loop.tell(|e| e.release(event_loop.clock.now(), wire.replica, &mut parts));
+            let going =
+                event_loop.update(|e| e.authorize_send(event_loop.clock.now(), wire.replica, &mut parts));
             let mut carried = wire.carried.borrow_mut();
             // What was not released has ended.
-            carried.retain(|c| c.id.is_some() || event_loop.ask(|e| e.is_out(c.call)));
+            carried.retain(|c| c.id.is_some() || event_loop.read(|e| e.is_in_flight(c.call)));
             if going.is_empty() {
                 return Ok(Writing::Nothing);
             }
@@ -218,8 +226,8 @@
             for c in wire.carried.borrow_mut().iter_mut().filter(|c| parts.contains(&c.call)) {
                 c.id = None;
             }
-            event_loop.tell(|e| e.take_back(&parts));
-            return Ok(Writing::Next(Job::Call(parts)));
+            event_loop.update(|e| e.return_unwritten(&parts));
+            return Ok(Writing::Next(ConnectionCommand::Call(parts)));
         }
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
         Err(e) => return Err(e),
@@ -235,7 +243,11 @@
 }
 
 /// Deals with one frame of the replica's.
-fn took(event_loop: &Rc<EventLoop>, wire: &Wire, frame: ReplicaFrame) -> Result<(), ConnectionEnd> {
+fn took(
+    event_loop: &Rc<EventLoop>,
+    wire: &ConnectionState,
+    frame: ReplicaFrame,
+) -> Result<(), ConnectionEnd> {
     match frame {
         ReplicaFrame::Answer { id, outcome, report, value } => {
             let mut carried = wire.carried.borrow_mut();
@@ -253,7 +265,7 @@
             wire.given_up.borrow_mut().add(&id);
             event_loop.counters.add("frames", "answers");
             let value = (outcome == AttemptOutcome::Success).then_some(value);
-            event_loop.tell(|e| e.ended(call, outcome, value, report));
+            event_loop.update(|e| e.attempt_ended(call, outcome, value, report));
         }
         ReplicaFrame::Load(outcome, report) => {
             let Some(before) = wire.probes.get().checked_sub(1) else {
@@ -262,7 +274,7 @@
             };
             wire.probes.set(before);
             if !wire.let_go.get() {
-                event_loop.tell(|e| e.probed(wire.replica, outcome, report));
+                event_loop.update(|e| e.load_probe_ended(wire.replica, outcome, report));
             }
         }
         ReplicaFrame::Alive(_) => {
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 use crate::exchange::{Endpoint, Exchange, QueryPart, QueryRequest, ReplicaTransport};
-use crate::replicas::pool::Carried;
+use crate::replicas::pool::AssignedAttempt;
 use crate::runtime::clock::Clock;
 use crate::runtime::counters::Counters;
 use crate::runtime::event_loop::ConnectionLimiter;
@@ -22,11 +22,11 @@
 struct Nobody;
 
 impl ReplicaTransport for Nobody {
-    fn meet(&mut self, _: ReplicaId, _: SocketAddr) {}
-    fn let_go(&mut self, _: ReplicaId) {}
-    fn call(&mut self, _: ReplicaId, _: Vec<AttemptId>) {}
-    fn give_up(&mut self, _: ReplicaId, _: AttemptId) {}
-    fn probe(&mut self, _: ReplicaId) {}
+    fn set_address(&mut self, _: ReplicaId, _: SocketAddr) {}
+    fn remove_replica(&mut self, _: ReplicaId) {}
+    fn send_attempts(&mut self, _: ReplicaId, _: Vec<AttemptId>) {}
+    fn cancel_attempt(&mut self, _: ReplicaId, _: AttemptId) {}
+    fn send_load_probe(&mut self, _: ReplicaId) {}
 }
 
 fn exchange(counters: &Counters) -> Exchange {
@@ -44,7 +44,7 @@
         exchange(&counters),
     ));
     let (jobs, _queue) = unbounded_channel();
-    let wire = Wire::new(ReplicaId(0), jobs);
+    let wire = ConnectionState::new(ReplicaId(0), jobs);
     wire.pings.set(1);
     let alive = || took(&event_loop, &wire, ReplicaFrame::Alive(AttemptOutcome::Fault));
     assert_eq!(alive(), Ok(()), "busy with probes, but alive");
@@ -69,7 +69,7 @@
     let mut exchange = exchange(&counters);
     let row =
         Endpoint { uid: "l".into(), address: Some(address), cell: 0, zone: None, up: true, started: None };
-    exchange.list(clock.now(), true, vec![row]);
+    exchange.update_endpoints(clock.now(), true, vec![row]);
     let parts = vec![QueryPart { shard: 0, weight: 1.0, work: None }];
     let ends = clock.now() + TimeSpan::from_millis(50_000);
     let asked = QueryRequest {
@@ -80,10 +80,10 @@
         idempotency_key: None,
         text: "t".into(),
     };
-    exchange.asked(1, asked, Box::new(|_| ()));
-    exchange.turn(clock.now(), &mut Nobody);
+    exchange.submit(1, asked, Box::new(|_| ()));
+    exchange.run_batch(clock.now(), &mut Nobody);
     let call = (PartId(0), 0);
-    assert!(exchange.is_out(call));
+    assert!(exchange.is_in_flight(call));
     (Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange)), call)
 }
 
@@ -97,7 +97,10 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (event_loop, call) = one_query(listener.local_addr().unwrap());
             let (jobs, mut queue) = unbounded_channel();
-            let wire = Rc::new(Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs.clone()) });
+            let wire = Rc::new(ConnectionState {
+                carried: carries(call),
+                ..ConnectionState::new(ReplicaId(0), jobs.clone())
+            });
             let (ours, at) = (event_loop.clone(), listener.local_addr().unwrap());
             let running = wire.clone();
             let limit = Duration::from_secs(9);
@@ -108,15 +111,15 @@
             let _replica_end = listener.accept().await.unwrap();
             std::thread::sleep(Duration::from_millis(100));
             // Something is told, as late as that: all that follows waits.
-            event_loop.tell(|e| e.probed(ReplicaId(0), AttemptOutcome::Success, None));
+            event_loop.update(|e| e.load_probe_ended(ReplicaId(0), AttemptOutcome::Success, None));
             let first = event_loop.clone();
             tokio::task::spawn_local(async move { first.catch_up().await });
             let gone = event_loop.clone();
             tokio::task::spawn_local(async move {
                 tokio::task::yield_now().await;
-                jobs.send(Job::Call(vec![call])).unwrap();
+                jobs.send(ConnectionCommand::Call(vec![call])).unwrap();
                 tokio::task::yield_now().await;
-                gone.tell(|e| e.client_gone(1));
+                gone.update(|e| e.client_disconnected(1));
             });
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "a call for a client that left");
@@ -130,9 +133,9 @@
 async fn a_call_that_another_connection_carries_does_not_go_out_here() {
     let (_replica_end, to, event_loop, call) = one_call_out().await;
     let (jobs, _) = unbounded_channel();
-    let here = Wire::new(ReplicaId(0), jobs.clone());
-    let there = Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs) };
-    let queued = || Writing::Next(Job::Call(vec![call]));
+    let here = ConnectionState::new(ReplicaId(0), jobs.clone());
+    let there = ConnectionState { carried: carries(call), ..ConnectionState::new(ReplicaId(0), jobs) };
+    let queued = || Writing::Next(ConnectionCommand::Call(vec![call]));
     assert!(matches!(write(&event_loop, &here, &to, queued()).unwrap(), Writing::Nothing));
     assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "not here");
     assert!(matches!(write(&event_loop, &there, &to, queued()).unwrap(), Writing::Nothing));
@@ -140,8 +143,8 @@
     assert!(there.carried.borrow()[0].written);
 }
 
-fn carries(call: AttemptId) -> RefCell<Vec<Carried>> {
-    RefCell::new(vec![Carried { call, id: None, written: false }])
+fn carries(call: AttemptId) -> RefCell<Vec<AssignedAttempt>> {
+    RefCell::new(vec![AssignedAttempt { call, id: None, written: false }])
 }
 
 #[tokio::test]
@@ -149,12 +152,12 @@
     let (_unread, to, event_loop, call) = one_call_out().await;
     while to.try_write(&[0; 1 << 16]).is_ok() {}
     let (jobs, _) = unbounded_channel();
-    let wire = Wire { carried: carries(call), ..Wire::new(ReplicaId(0), jobs) };
+    let wire = ConnectionState { carried: carries(call), ..ConnectionState::new(ReplicaId(0), jobs) };
 
-    let next = write(&event_loop, &wire, &to, Writing::Next(Job::Call(vec![call]))).unwrap();
-    assert!(matches!(next, Writing::Next(Job::Call(_))), "nothing of it has gone");
+    let next = write(&event_loop, &wire, &to, Writing::Next(ConnectionCommand::Call(vec![call]))).unwrap();
+    assert!(matches!(next, Writing::Next(ConnectionCommand::Call(_))), "nothing of it has gone");
     assert!(wire.carried.borrow()[0].id.is_none());
-    event_loop.tell(|e| e.ended(call, AttemptOutcome::Cancelled, None, None));
+    event_loop.update(|e| e.attempt_ended(call, AttemptOutcome::Cancelled, None, None));
     assert!(matches!(write(&event_loop, &wire, &to, next).unwrap(), Writing::Nothing), "dropped: it is over");
 }
 
@@ -164,16 +167,15 @@
     for drains in [false, true] {
         let (replica_end, to, event_loop, _call) = one_call_out().await;
         let (jobs, _queue) = unbounded_channel();
-        let wire = Wire::new(ReplicaId(0), jobs);
+        let wire = ConnectionState::new(ReplicaId(0), jobs);
         wire.probes.set(1);
         let row =
             Endpoint { uid: "l".into(), address: None, cell: 0, zone: None, up: !drains, started: None };
-        event_loop.tell(|e| e.list(event_loop.clock.now(), false, vec![row]));
-        let take_turn =
-            async { event_loop.take_turns(TimeSpan::from_millis(1), &RefCell::new(Nobody)).await };
+        event_loop.update(|e| e.update_endpoints(event_loop.clock.now(), false, vec![row]));
+        let take_turn = async { event_loop.run(TimeSpan::from_millis(1), &RefCell::new(Nobody)).await };
         assert!(tokio::time::timeout(Duration::from_millis(50), take_turn).await.is_err());
         assert!(matches!(
-            write(&event_loop, &wire, &to, Writing::Next(Job::Probe)).unwrap(),
+            write(&event_loop, &wire, &to, Writing::Next(ConnectionCommand::Probe)).unwrap(),
             Writing::Nothing
         ));
         let mut came = [0; 9];
--- a/crates/pipitcrank-server/src/replicas/frames.rs
+++ b/crates/pipitcrank-server/src/replicas/frames.rs
@@ -27,7 +27,7 @@
 
 /// A load report: what the decisions read of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub waiting: Option<f64>,
     pub in_hand: Option<f64>,
 }
@@ -35,16 +35,16 @@
 /// What a replica sends.
 #[derive(Debug, PartialEq)]
 pub enum ReplicaFrame {
-    Answer { id: String, outcome: AttemptOutcome, report: Option<Report>, value: String },
+    Answer { id: String, outcome: AttemptOutcome, report: Option<LoadReport>, value: String },
     Alive(AttemptOutcome),
-    Load(AttemptOutcome, Option<Report>),
+    Load(AttemptOutcome, Option<LoadReport>),
     Complaint(String),
 }
 
 #[derive(Debug, PartialEq)]
-pub struct BadFrame(&'static str);
+pub struct FrameError(&'static str);
 
-impl fmt::Display for BadFrame {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(self.0)
     }
@@ -84,11 +84,11 @@
 }
 
 /// Takes the first whole frame from the buffer, if there is one.
-pub fn take(buffer: &mut BytesMut) -> Result<Option<ReplicaFrame>, BadFrame> {
+pub fn take(buffer: &mut BytesMut) -> Result<Option<ReplicaFrame>, FrameError> {
     let Some(head) = buffer.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
     if length == 0 || length > MOST {
-        return Err(BadFrame("its length is none or too much"));
+        return Err(FrameError("its length is none or too much"));
     }
     if buffer.len() < 4 + length {
         return Ok(None);
@@ -96,36 +96,36 @@
     buffer.advance(4);
     let letter = buffer.get_u8();
     let rest = buffer.split_to(length - 1);
-    let rest = std::str::from_utf8(&rest).map_err(|_| BadFrame("it is not UTF-8"))?;
+    let rest = std::str::from_utf8(&rest).map_err(|_| FrameError("it is not UTF-8"))?;
     match letter {
         b'A' => answer(rest).map(Some),
         b'P' => match outcome_from_wire(rest) {
             Some(outcome @ (AttemptOutcome::Success | AttemptOutcome::Fault)) => {
                 Ok(Some(ReplicaFrame::Alive(outcome)))
             }
-            _ => Err(BadFrame("a probe's answer is neither ok nor err")),
+            _ => Err(FrameError("a probe's answer is neither ok nor err")),
         },
         b'L' if rest == "err" => Ok(Some(ReplicaFrame::Load(AttemptOutcome::Fault, None))),
         b'L' => Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report(rest)))),
         b'E' => Ok(Some(ReplicaFrame::Complaint(rest.to_string()))),
-        _ => Err(BadFrame("its letter is not known")),
+        _ => Err(FrameError("its letter is not known")),
     }
 }
 
-fn answer(rest: &str) -> Result<ReplicaFrame, BadFrame> {
-    let (line, value) = rest.split_once('\n').ok_or(BadFrame("an answer has no line"))?;
+fn answer(rest: &str) -> Result<ReplicaFrame, FrameError> {
+    let (line, value) = rest.split_once('\n').ok_or(FrameError("an answer has no line"))?;
     let words: Vec<&str> = line.split(' ').collect();
     let [id, word, score, load] = words[..] else {
-        return Err(BadFrame("an answer's line has not four words"));
+        return Err(FrameError("an answer's line has not four words"));
     };
-    let outcome = outcome_from_wire(word).ok_or(BadFrame("an answer ends in no known way"))?;
+    let outcome = outcome_from_wire(word).ok_or(FrameError("an answer ends in no known way"))?;
     if id.is_empty() || !score.parse().is_ok_and(f64::is_finite) {
-        return Err(BadFrame("an answer lacks its id or score"));
+        return Err(FrameError("an answer lacks its id or score"));
     }
     // Guards against a length that does not fit: a value with the next frame's head in it, or nothing at all, is not
     // what a part was asked for.
     if outcome == AttemptOutcome::Success && (value.is_empty() || value.contains('\0')) {
-        return Err(BadFrame("an answer has no value, or another frame in it"));
+        return Err(FrameError("an answer has no value, or another frame in it"));
     }
     Ok(ReplicaFrame::Answer { id: id.to_string(), outcome, report: report(load), value: value.to_string() })
 }
@@ -134,11 +134,11 @@
 /// name of each, replicas use the second, that of the settings: read under one alone, reports told nothing. A report
 /// that can't be read tells nothing, but the answer it comes with is good: it was thrown away once, with all else
 /// out on the connection.
-fn report(text: &str) -> Option<Report> {
+fn report(text: &str) -> Option<LoadReport> {
     if text == "-" || text.is_empty() {
         return None;
     }
-    let mut found = Report::default();
+    let mut found = LoadReport::default();
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
         let place = match name {
--- a/crates/pipitcrank-server/src/replicas/pool.rs
+++ b/crates/pipitcrank-server/src/replicas/pool.rs
@@ -17,7 +17,7 @@
 use crate::runtime::event_loop::EventLoop;
 
 /// What a connection is given to do, in order.
-pub enum Job {
+pub enum ConnectionCommand {
     Call(Vec<AttemptId>),
     GiveUp(Rc<str>),
     Probe,
@@ -26,7 +26,7 @@
 }
 
 /// A part on a connection, from when it is queued for it until its call has ended.
-pub struct Carried {
+pub struct AssignedAttempt {
     pub call: AttemptId,
     /// Its id on the wire, once its frame has been begun.
     pub id: Option<Rc<str>>,
@@ -35,11 +35,11 @@
 }
 
 /// What the replica side and the connection's own task both know of it.
-pub struct Wire {
+pub struct ConnectionState {
     pub replica: ReplicaId,
-    pub jobs: UnboundedSender<Job>,
+    pub jobs: UnboundedSender<ConnectionCommand>,
     /// Within the streams told.
-    pub carried: RefCell<Vec<Carried>>,
+    pub carried: RefCell<Vec<AssignedAttempt>>,
     /// Probes unanswered.
     pub probes: Cell<u32>,
     /// A frame could not be written at once: the other side does not read.
@@ -51,14 +51,14 @@
     /// Pings unanswered.
     pub pings: Cell<u32>,
     /// Parts given up or answered, of those begun on it.
-    pub given_up: RefCell<GivenUp>,
+    pub given_up: RefCell<FinishedIds>,
     /// The replica is not needed any more, or the socket is: it closes when nothing is out on it.
     pub let_go: Cell<bool>,
     /// When it was last given something, by count.
     pub used: Cell<u64>,
 }
 
-impl Wire {
+impl ConnectionState {
     /// Whether it may be given more. Not one that does not take what is written to it or brings nothing: it must not
     /// hold up what another could carry. Nor one with half a frame: if that never ends, it swallows the answers
     /// behind it.
@@ -71,8 +71,8 @@
         self.carried.borrow().is_empty() && self.probes.get() == 0 && !self.let_go.get()
     }
 
-    pub fn new(replica: ReplicaId, jobs: UnboundedSender<Job>) -> Wire {
-        Wire {
+    pub fn new(replica: ReplicaId, jobs: UnboundedSender<ConnectionCommand>) -> ConnectionState {
+        ConnectionState {
             replica,
             jobs,
             carried: RefCell::default(),
@@ -91,9 +91,9 @@
 /// Marks of the last ids that are not waited for any more: what comes for them is late, while an answer for an id
 /// never sent is spoilt.
 #[derive(Default)]
-pub struct GivenUp(VecDeque<u64>);
+pub struct FinishedIds(VecDeque<u64>);
 
-impl GivenUp {
+impl FinishedIds {
     /// So many, the oldest leave first: some seconds' worth on a busy connection, 4 kB.
     const MOST: usize = 512;
 
@@ -115,10 +115,10 @@
     }
 }
 
-struct Line {
+struct ReplicaConnections {
     address: SocketAddr,
     /// A connection leaves when it ends.
-    wires: Vec<Rc<Wire>>,
+    wires: Vec<Rc<ConnectionState>>,
 }
 
 pub struct ReplicaPool {
@@ -128,7 +128,7 @@
     way_limit: Duration,
     idle_limit: Duration,
     /// One per replica met; ends when the exchange lets go of it.
-    lines: BTreeMap<ReplicaId, Line>,
+    lines: BTreeMap<ReplicaId, ReplicaConnections>,
     /// How often a connection was given something.
     uses: u64,
 }
@@ -155,7 +155,7 @@
         let ours = Rc::downgrade(&replicas);
         tokio::task::spawn_local(async move {
             loop {
-                event_loop.sockets.wanted_back().await;
+                event_loop.replica_connections.release_requested().await;
                 let Some(replicas) = ours.upgrade() else { return };
                 replicas.borrow_mut().give_back();
             }
@@ -175,29 +175,30 @@
     }
 
     /// A sound connection with room for so many more parts, opened if need be.
-    fn wire(&mut self, replica: ReplicaId, parts: usize) -> Result<Rc<Wire>, ConnectionEnd> {
+    fn wire(&mut self, replica: ReplicaId, parts: usize) -> Result<Rc<ConnectionState>, ConnectionEnd> {
         self.uses += 1;
         let line = self.lines.get(&replica).ok_or(ConnectionEnd::LetGo)?;
-        let room = |w: &&Rc<Wire>| w.sound() && w.carried.borrow().len() + parts <= self.streams;
+        let room = |w: &&Rc<ConnectionState>| w.sound() && w.carried.borrow().len() + parts <= self.streams;
         if let Some(wire) = line.wires.iter().find(room) {
             wire.used.set(self.uses);
             return Ok(wire.clone());
         }
-        let place = self.event_loop.sockets.place();
+        let place = self.event_loop.replica_connections.try_acquire();
         // Guards against a replica held to be out of reach while sockets to others stand unused.
         if place.is_none() && !self.give_back() {
             return Err(ConnectionEnd::NoSocket);
         }
         let (jobs, queue) = unbounded_channel();
-        let wire = Rc::new(Wire::new(replica, jobs));
+        let wire = Rc::new(ConnectionState::new(replica, jobs));
         wire.used.set(self.uses);
         let line = self.lines.get_mut(&replica).ok_or(ConnectionEnd::LetGo)?;
         line.wires.push(wire.clone());
         let (event_loop, this, address) = (self.event_loop.clone(), self.this.clone(), line.address);
         let (way_limit, idle_limit, ours) = (self.way_limit, self.idle_limit, wire.clone());
         tokio::task::spawn_local(async move {
-            let place =
-                async { if place.is_some() { place } else { Some(event_loop.sockets.next_place().await) } };
+            let place = async {
+                if place.is_some() { place } else { Some(event_loop.replica_connections.acquire().await) }
+            };
             let (end, left) = match tokio::time::timeout(way_limit, place).await {
                 Ok(_place) => {
                     connection::run(&event_loop, &ours, queue, address, way_limit, idle_limit).await
@@ -218,7 +219,7 @@
 
     /// A connection has ended: so have all calls on it. But those `left`, not begun when it was closed by
     /// ourselves, go out on another.
-    fn ended(&mut self, wire: &Rc<Wire>, end: ConnectionEnd, left: Vec<Vec<AttemptId>>) {
+    fn ended(&mut self, wire: &Rc<ConnectionState>, end: ConnectionEnd, left: Vec<Vec<AttemptId>>) {
         tracing::debug!("connection to leaf {} ended: {}", wire.replica.0, end.name());
         self.event_loop.counters.add("leaf_connections", end.name());
         if let Some(line) = self.lines.get_mut(&wire.replica) {
@@ -229,41 +230,41 @@
             for mut parts in left {
                 parts.retain(|call| carried.iter().any(|c| c.call == *call));
                 carried.retain(|c| !parts.contains(&c.call));
-                self.call(wire.replica, parts);
+                self.send_attempts(wire.replica, parts);
             }
         }
-        for Carried { call, written, .. } in carried {
-            self.event_loop.tell(|e| e.ended(call, end.outcome(written), None, None));
+        for AssignedAttempt { call, written, .. } in carried {
+            self.event_loop.update(|e| e.attempt_ended(call, end.outcome(written), None, None));
         }
         // Of a replica let go nothing is told: its index may stand for another by now.
         if wire.probes.get() > 0 && !wire.let_go.get() {
-            self.event_loop.tell(|e| e.probed(wire.replica, end.of_probe(), None));
+            self.event_loop.update(|e| e.load_probe_ended(wire.replica, end.of_probe(), None));
         }
     }
 }
 
 impl ReplicaTransport for ReplicaPool {
-    fn meet(&mut self, replica: ReplicaId, address: SocketAddr) {
-        let line = self.lines.entry(replica).or_insert(Line { address, wires: Vec::new() });
+    fn set_address(&mut self, replica: ReplicaId, address: SocketAddr) {
+        let line = self.lines.entry(replica).or_insert(ReplicaConnections { address, wires: Vec::new() });
         if line.address != address {
             line.address = address;
             retire(std::mem::take(&mut line.wires));
         }
     }
 
-    fn let_go(&mut self, replica: ReplicaId) {
+    fn remove_replica(&mut self, replica: ReplicaId) {
         if let Some(line) = self.lines.remove(&replica) {
             retire(line.wires);
         }
     }
 
-    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+    fn send_attempts(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
         match self.wire(replica, parts.len()) {
             Ok(wire) => {
-                let carried = parts.iter().map(|&call| Carried { call, id: None, written: false });
+                let carried = parts.iter().map(|&call| AssignedAttempt { call, id: None, written: false });
                 wire.carried.borrow_mut().extend(carried);
                 // The task takes all jobs until it ends, and then ends what is carried.
-                let _ = wire.jobs.send(Job::Call(parts));
+                let _ = wire.jobs.send(ConnectionCommand::Call(parts));
             }
             Err(end) => {
                 self.event_loop.counters.add("leaf_connections", end.name());
@@ -271,43 +272,43 @@
                 // Not at once: the exchange is in its turn.
                 tokio::task::spawn_local(async move {
                     for call in parts {
-                        event_loop.tell(|e| e.ended(call, end.outcome(false), None, None));
+                        event_loop.update(|e| e.attempt_ended(call, end.outcome(false), None, None));
                     }
                 });
             }
         }
     }
 
-    fn give_up(&mut self, replica: ReplicaId, call: AttemptId) {
+    fn cancel_attempt(&mut self, replica: ReplicaId, call: AttemptId) {
         let Some(line) = self.lines.get(&replica) else { return };
         for wire in &line.wires {
             let mut carried = wire.carried.borrow_mut();
             let Some(nth) = carried.iter().position(|c| c.call == call) else { continue };
             if let Some(id) = carried.swap_remove(nth).id {
                 wire.given_up.borrow_mut().add(&id);
-                let _ = wire.jobs.send(Job::GiveUp(id));
+                let _ = wire.jobs.send(ConnectionCommand::GiveUp(id));
             }
             return;
         }
     }
 
-    fn probe(&mut self, replica: ReplicaId) {
+    fn send_load_probe(&mut self, replica: ReplicaId) {
         if let Ok(wire) = self.wire(replica, 0) {
             wire.probes.set(wire.probes.get() + 1);
-            let _ = wire.jobs.send(Job::Probe);
+            let _ = wire.jobs.send(ConnectionCommand::Probe);
         } else {
             let event_loop = self.event_loop.clone();
             tokio::task::spawn_local(async move {
-                event_loop.tell(|e| e.probed(replica, AttemptOutcome::Unreachable, None))
+                event_loop.update(|e| e.load_probe_ended(replica, AttemptOutcome::Unreachable, None))
             });
         }
     }
 }
 
-fn retire(wires: impl IntoIterator<Item = Rc<Wire>>) {
+fn retire(wires: impl IntoIterator<Item = Rc<ConnectionState>>) {
     for wire in wires {
         wire.let_go.set(true);
         // Wakes the task, which then sees it; an empty call sends nothing.
-        let _ = wire.jobs.send(Job::Call(Vec::new()));
+        let _ = wire.jobs.send(ConnectionCommand::Call(Vec::new()));
     }
 }
--- a/crates/pipitcrank-server/src/runtime/clock.rs
+++ b/crates/pipitcrank-server/src/runtime/clock.rs
@@ -11,11 +11,11 @@
 #[derive(Clone)]
 pub struct Clock {
     start: Instant,
-    wall: Arc<Mutex<Wall>>,
+    wall: Arc<Mutex<WallClock>>,
 }
 
 /// What the wall clock was seen to show, against the monotonic one.
-struct Wall {
+struct WallClock {
     /// Unix time less this clock's, in microseconds: the newest last, an older one where the wall clock was stepped.
     offsets: Vec<i64>,
     /// Starts as they were placed first, by Unix time in milliseconds.
@@ -28,9 +28,9 @@
 const MOST_OFFSETS: usize = 16;
 const MOST_PLACED: usize = 8192;
 
-impl Wall {
-    fn new(offset: i64) -> Wall {
-        Wall { offsets: vec![offset], placed: BTreeMap::new() }
+impl WallClock {
+    fn new(offset: i64) -> WallClock {
+        WallClock { offsets: vec![offset], placed: BTreeMap::new() }
     }
 
     fn first(&self) -> i64 {
@@ -74,7 +74,7 @@
 impl Clock {
     pub fn start() -> Clock {
         let start = Instant::now();
-        Clock { start, wall: Arc::new(Mutex::new(Wall::new(wall_us()))) }
+        Clock { start, wall: Arc::new(Mutex::new(WallClock::new(wall_us()))) }
     }
 
     pub fn now(&self) -> Timestamp {
--- a/crates/pipitcrank-server/src/runtime/clock/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/clock/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_start_told_by_a_stepped_clock_is_placed_where_it_was() {
     for step in [-HOUR_US, -2_000_000, 2_000_000, HOUR_US] {
-        let mut wall = Wall::new(UNIX_US);
+        let mut wall = WallClock::new(UNIX_US);
         wall.saw(UNIX_US + step);
         assert_eq!(wall.place(at(10.2), shown(step, at(10.0))), at(10.0), "told by the new time, {step}");
     }
@@ -26,7 +26,7 @@
 #[test]
 fn a_start_told_before_a_step_keeps_its_place() {
     for step in [-HOUR_US, -2_000_000, 2_000_000, HOUR_US] {
-        let mut wall = Wall::new(UNIX_US);
+        let mut wall = WallClock::new(UNIX_US);
         let told = shown(0, at(10.0));
         assert_eq!(wall.place(at(10.2), told), at(10.0));
         wall.saw(UNIX_US + step);
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_start_in_the_future_is_now_and_a_slow_drift_is_no_step() {
-    let mut wall = Wall::new(UNIX_US);
+    let mut wall = WallClock::new(UNIX_US);
     assert_eq!(wall.place(at(5.0), shown(HOUR_US, at(5.0))), at(5.0));
     for n in 1..=200 {
         wall.saw(UNIX_US + n * 50_000);
@@ -54,7 +54,7 @@
         by in 0usize..10,
         age in 0.0f64..30.0,
     ) {
-        let mut wall = Wall::new(UNIX_US);
+        let mut wall = WallClock::new(UNIX_US);
         steps.iter().for_each(|step| wall.saw(UNIX_US + step));
         let step = steps.get(by).copied().unwrap_or(steps.last().copied().unwrap_or(0));
         let (now, started) = (at(9000.0), at(9000.0 - age));
--- a/crates/pipitcrank-server/src/runtime/counters.rs
+++ b/crates/pipitcrank-server/src/runtime/counters.rs
@@ -35,7 +35,7 @@
     }
 
     /// Adds what a process before this one had counted; most lines taken are far more than there are words.
-    pub fn go_on_from(&self, counted: Vec<(String, String, u64)>) {
+    pub fn add_all(&self, counted: Vec<(String, String, u64)>) {
         for (what, which, n) in counted.into_iter().take(1000).filter(|(what, ..)| what != "upgrades") {
             self.add_many(what.into(), which.into(), n);
         }
--- a/crates/pipitcrank-server/src/runtime/event_loop/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/event_loop/tests.rs
@@ -20,8 +20,8 @@
             };
             match what {
                 0 | 1 => {
-                    let room = held.len() + others + elsewhere < all && held.len() < side.most();
-                    let place = side.place();
+                    let room = held.len() + others + elsewhere < all && held.len() < side.limit();
+                    let place = side.try_acquire();
                     prop_assert_eq!(place.is_some(), room);
                     held.extend(place);
                 }
@@ -29,14 +29,14 @@
                 // Another process holds so many clients' ones of what is not held here.
                 4 => {
                     elsewhere = n.min(all - of_replicas.len() - of_clients.len());
-                    clients.leave_to_other(elsewhere);
+                    clients.reserve_for_peer(elsewhere);
                 }
                 _ => {}
             }
             prop_assert_eq!((replicas.open(), clients.open()), (of_replicas.len(), of_clients.len()));
             prop_assert!(replicas.open() + clients.open() + elsewhere <= all);
         }
-        let least = replicas.most().min(clients.most().max(elsewhere));
+        let least = replicas.limit().min(clients.limit().max(elsewhere));
         prop_assert!(least >= all / 3 || elsewhere > 0, "a third is each one's own");
     }
 }
--- a/crates/pipitcrank-server/src/runtime/stall_detector.rs
+++ b/crates/pipitcrank-server/src/runtime/stall_detector.rs
@@ -11,15 +11,15 @@
 const BACKLOG: TimeSpan = TimeSpan::from_millis(250);
 
 /// Microseconds of the process's clock; one thread writes.
-pub struct Awake {
+pub struct StallDetector {
     looked: AtomicI64,
     woke: AtomicI64,
     slept: AtomicI64,
 }
 
-impl Awake {
-    pub fn new(now: Timestamp) -> Awake {
-        Awake {
+impl StallDetector {
+    pub fn new(now: Timestamp) -> StallDetector {
+        StallDetector {
             looked: AtomicI64::new(now.as_micros()),
             woke: AtomicI64::new(i64::MIN / 2),
             slept: AtomicI64::new(0),
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -16,9 +16,9 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::sync::watch;
 
-use crate::clients::acceptor::{self, Order};
-use crate::clients::http::{self, Door, Knock};
-use crate::discovery::client::{self, Paid, SharedRevision};
+use crate::clients::acceptor::{self, AcceptorCommand};
+use crate::clients::http::{self, HttpEvent, HttpState};
+use crate::discovery::client::{self, PollPacing, SharedRevision};
 use crate::exchange::{Exchange, ReplicaTransport};
 use crate::node_config::NodeConfig;
 use crate::reload;
@@ -27,7 +27,7 @@
 use crate::runtime::counters::Counters;
 use crate::runtime::event_loop::{ConnectionLimiter, EventLoop};
 use crate::runtime::shutdown::ShutdownSchedule;
-use crate::runtime::stall_detector::Awake;
+use crate::runtime::stall_detector::StallDetector;
 use crate::runtime::system_errors::{PAUSE, passes, waited_for};
 use crate::upgrade::relay::Relay;
 use crate::upgrade::worker::{FirstList, Worker};
@@ -77,14 +77,14 @@
 pub type Recalled = Option<(TimeSpan, Snapshot)>;
 
 /// Makes a replica side that also reaches what near replicas are not, such as other sites.
-pub type Beside = Box<dyn FnOnce(ServerContext) -> Rc<RefCell<dyn ReplicaTransport>>>;
+pub type TransportFactory = Box<dyn FnOnce(ServerContext) -> Rc<RefCell<dyn ReplicaTransport>>>;
 
 /// Serves until asked to end, or until all has passed to another process. Under a keeper its link comes along; the
 /// listener then is the keeper's.
 pub async fn serve(
     clock: Clock,
     keeper: Option<StdStream>,
-    beside: Option<Beside>,
+    beside: Option<TransportFactory>,
     recalled: Recalled,
 ) -> Result<(), Box<dyn Error>> {
     // Before all else: unheeded, a signal ends the process, and what has connected meanwhile gets no answer.
@@ -112,8 +112,8 @@
     let classes = node_config.classes()?;
     let worker_classes = classes.len();
     let schedule = ShutdownSchedule::of(node_config.longest()?);
-    let awake = Arc::new(Awake::new(clock.now()));
-    let router = http::router(Door {
+    let awake = Arc::new(StallDetector::new(clock.now()));
+    let router = http::router(HttpState {
         clock: clock.clone(),
         counters: counters.clone(),
         classes: classes.into(),
@@ -131,7 +131,7 @@
     let (watch_event_loop, watch_rev) = (event_loop.clone(), rev_held.clone());
     let paid = node_config.lists_are_asked_for()?.then_some((node_config.seed()?, node_config.copies()?));
     let list_known = move || {
-        let paid = paid.map(|(seed, copies)| Paid::new(seed, copies));
+        let paid = paid.map(|(seed, copies)| PollPacing::new(seed, copies));
         let watch = client::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
         tokio::task::spawn_local(watch);
     };
@@ -145,7 +145,7 @@
     match keeper {
         None => {
             rev_held.set(Some(rev));
-            event_loop.tell(|e| e.list(clock.now(), true, rows));
+            event_loop.update(|e| e.update_endpoints(clock.now(), true, rows));
             if let Some((passed, snapshot)) = recalled {
                 let later = snapshot.rev.filter(|&theirs| theirs > rev);
                 rev_held.set(Some(later.unwrap_or(rev)));
@@ -156,12 +156,12 @@
                     age_s = passed.as_secs_f64(),
                     "goes on from what is stored"
                 );
-                event_loop.tell(|e| e.recall(clock.now(), passed, later.is_some(), snapshot));
+                event_loop.update(|e| e.restore(clock.now(), passed, later.is_some(), snapshot));
             }
             list_known();
             let listener = waited_for(START_LIMIT, || TcpListener::bind(listen)).await;
             let listener = listener.map_err(|e| format!("/listen: {e}"))?;
-            let _ = acceptor.send(Order::Accept(listener));
+            let _ = acceptor.send(AcceptorCommand::Accept(listener));
             tracing::info!("{name} serves at {listen}");
         }
         Some(keeper) => {
@@ -228,9 +228,9 @@
             tokio::time::sleep(LOOK).await;
         }
     });
-    let quiet = || event_loop.ask(Exchange::quiet) && relay.quiet();
+    let quiet = || event_loop.read(Exchange::is_drained) && relay.quiet();
     tokio::select! {
-        () = event_loop.take_turns(tick, &transport) => {}
+        () = event_loop.run(tick, &transport) => {}
         () = acceptor::keep(ordered, router, for_clients, counters.clone(), schedule, end_called, quiet) => {}
     }
     tracing::info!("counters at exit:\n{}", counters.show());
@@ -244,31 +244,31 @@
     last_answer: TimeSpan,
 ) {
     if let Ok(called) = end_called.wait_for(Option::is_some).await.map(|at| *at) {
-        called.into_iter().for_each(|at| event_loop.tell(|e| e.end_by(at + last_answer)));
+        called.into_iter().for_each(|at| event_loop.update(|e| e.cap_deadlines(at + last_answer)));
     }
 }
 
 /// Hands what the front has to the exchange, or to the process that takes over.
-async fn hear(event_loop: Rc<EventLoop>, relay: Relay, mut knocked: UnboundedReceiver<Knock>) {
+async fn hear(event_loop: Rc<EventLoop>, relay: Relay, mut knocked: UnboundedReceiver<HttpEvent>) {
     while let Some(knock) = knocked.recv().await {
         match knock {
-            Knock::Ask(ticket, asked, answer) => {
+            HttpEvent::Ask(ticket, asked, answer) => {
                 let Err((asked, answer)) = relay.ask(ticket, asked, answer) else { continue };
-                event_loop.tell(|e| {
+                event_loop.update(|e| {
                     let then = Box::new(move |last| {
                         // Nobody listens where the client left in this very moment.
                         let _ = answer.send(last);
                     });
-                    e.asked(ticket, asked, then);
+                    e.submit(ticket, asked, then);
                 });
             }
-            Knock::Gone(ticket) => {
+            HttpEvent::Gone(ticket) => {
                 if !relay.gone(ticket) {
-                    event_loop.tell(|e| e.client_gone(ticket));
+                    event_loop.update(|e| e.client_disconnected(ticket));
                 }
             }
-            Knock::Able(answer) => {
-                let _ = answer.send(event_loop.ask(Exchange::able));
+            HttpEvent::Able(answer) => {
+                let _ = answer.send(event_loop.read(Exchange::can_serve));
             }
         }
     }
--- a/crates/pipitcrank-server/src/upgrade/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -55,7 +55,7 @@
         answer: oneshot::Sender<QueryResponse>,
     ) -> Result<(), (QueryRequest, oneshot::Sender<QueryResponse>)> {
         let to = self.to.borrow();
-        let Some(to) = to.as_ref().filter(|_| !self.event_loop.ask(|e| e.holds(&asked.id))) else {
+        let Some(to) = to.as_ref().filter(|_| !self.event_loop.read(|e| e.has_query(&asked.id))) else {
             return Err((asked, answer));
         };
         let left = asked.ends - self.event_loop.clock.now();
@@ -96,7 +96,7 @@
     /// Answers a query of which the other process is not known to have done anything, nor not to have.
     fn strand(&self, ticket: u64) -> bool {
         let Some(out) = self.out.borrow_mut().remove(&ticket) else { return false };
-        let last = self.event_loop.ask(|e| e.stranded(out.class));
+        let last = self.event_loop.read(|e| e.response_if_lost(out.class));
         self.event_loop
             .counters
             .add("queries", if last == QueryResponse::Aborted { "aborted" } else { "rejected" });
--- a/crates/pipitcrank-server/src/upgrade/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -21,7 +21,7 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
 
-use crate::clients::acceptor::{Adopted, Order};
+use crate::clients::acceptor::{AcceptorCommand, AdoptedConnection};
 use crate::discovery::client::SharedRevision;
 use crate::exchange::{Endpoint, Exchange, QueryResponse};
 use crate::runtime::event_loop::{ConnectionLimiter, EventLoop};
@@ -40,7 +40,7 @@
 pub struct Worker {
     pub event_loop: Rc<EventLoop>,
     pub relay: Relay,
-    pub acceptor: UnboundedSender<Order>,
+    pub acceptor: UnboundedSender<AcceptorCommand>,
     pub clients: ConnectionLimiter,
     pub rev: SharedRevision,
     /// Called once the list is there, from wherever it came.
@@ -100,7 +100,7 @@
         let mut from_new: Link<ToPredecessor> = None;
         let mut looks = tokio::time::interval(LOOK);
         looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let (pass_on, mut passed_on) = unbounded_channel::<Adopted>();
+        let (pass_on, mut passed_on) = unbounded_channel::<AdoptedConnection>();
         loop {
             tokio::select! {
                 said = from_keeper.next::<ToWorker>() => {
@@ -123,7 +123,7 @@
                             if matches!(peer, Peer::Nobody) {
                                 self.list_as_first_known();
                             }
-                            let _ = self.acceptor.send(Order::Accept(TcpListener::from_std(listener)?));
+                            let _ = self.acceptor.send(AcceptorCommand::Accept(TcpListener::from_std(listener)?));
                         }
                         ToWorker::TakeOver => {
                             let (to, from) = passing::join(StdStream::from(fd.ok_or(Broken::Descriptors)?))?;
@@ -140,7 +140,7 @@
                         ToWorker::Pass => {
                             if let Peer::New(new) = &mut peer {
                                 new.passing = true;
-                                let _ = self.acceptor.send(Order::Pass(pass_on.clone()));
+                                let _ = self.acceptor.send(AcceptorCommand::Pass(pass_on.clone()));
                             }
                         }
                         ToWorker::Alone => {
@@ -191,7 +191,7 @@
                         tracing::warn!("{stranded} queries were with it");
                     }
                 },
-                Some(Adopted { stream, read, whole_within }) = passed_on.recv() => {
+                Some(AdoptedConnection { stream, read, whole_within }) = passed_on.recv() => {
                     if let (Peer::New(new), Ok(stream)) = (&peer, stream.into_std()) {
                         let whole_within = whole_within.map(|d| TimeSpan::from_secs_f64(d.as_secs_f64()));
                         new.to.send(&ToSuccessor::Connection { read: read.to_vec(), whole_within }, Some(stream.into()));
@@ -201,20 +201,20 @@
                     Peer::Old(old) if old.lent.is_some() => to_keeper.send(&ToSupervisor::Beat, None),
                     Peer::New(new) if new.trusted => {
                         self.tell_room(new);
-                        let own = self.event_loop.ask(Exchange::quiet);
+                        let own = self.event_loop.read(Exchange::is_drained);
                         if own && !new.drained {
                             new.drained = true;
                             to_keeper.send(&ToSupervisor::Drained, None);
                         }
                         if from_new.is_some() && new.passing && own && self.relay.quiet() && self.clients.open() == 0 && passed_on.is_empty() {
-                            let further = self.event_loop.ask(|e| e.made_of(new.kept));
+                            let further = self.event_loop.read(|e| e.delegated_retries_used(new.kept));
                             let counters = self.event_loop.counters.all();
                             new.to.send(&ToSuccessor::Bye { further, counters }, None);
                             to_keeper.send(&ToSupervisor::Passed, None);
                             peer = Peer::Nobody;
                             // What is queued is written before the tasks that write it end.
                             tokio::time::sleep(LOOK).await;
-                            let _ = self.acceptor.send(Order::Done);
+                            let _ = self.acceptor.send(AcceptorCommand::Done);
                         }
                     }
                     _ => {}
@@ -228,7 +228,7 @@
         if let Some(FirstList { rev, rows }) = self.first_list.take() {
             self.rev.set(Some(rev));
             let now = self.event_loop.clock.now();
-            self.event_loop.tell(|e| e.list(now, true, rows));
+            self.event_loop.update(|e| e.update_endpoints(now, true, rows));
             (self.list_known)();
         }
     }
@@ -237,8 +237,9 @@
 
     fn hand_over(&self, new: &mut New) {
         let now = self.event_loop.clock.now();
-        let snapshot =
-            self.event_loop.tell(|e| e.hand_over(now, monotonic_micros(), self.rev.get(), self.longest));
+        let snapshot = self
+            .event_loop
+            .update(|e| e.begin_handover(now, monotonic_micros(), self.rev.get(), self.longest));
         new.kept = snapshot.lent.0;
         let bytes = snapshot.encode().unwrap_or_else(|e| {
             tracing::error!("what is known can't be handed over: {e}");
@@ -253,9 +254,9 @@
 
     /// What is held here is not the new one's; it only shrinks.
     fn tell_room(&self, new: &New) {
-        let (replicas, clients) = (&self.event_loop.sockets, &self.clients);
-        replicas.set_most(division::sockets(replicas.most(), replicas.open()).0);
-        let open = self.event_loop.ask(Exchange::open) as u32;
+        let (replicas, clients) = (&self.event_loop.replica_connections, &self.clients);
+        replicas.set_limit(division::sockets(replicas.limit(), replicas.open()).0);
+        let open = self.event_loop.read(Exchange::open_count) as u32;
         let (replicas, clients) = (replicas.open() as u32, clients.open() as u32);
         new.to.send(&ToSuccessor::Room { replicas, clients, open }, None);
     }
@@ -264,12 +265,12 @@
         let stranded = self.relay.end();
         if new.trusted {
             tracing::warn!("going on alone; {stranded} queries were with the new process");
-            self.event_loop.tell(|e| e.alone_again(self.event_loop.clock.now()));
-            self.event_loop.sockets.set_all();
+            self.event_loop.update(|e| e.resume_alone(self.event_loop.clock.now()));
+            self.event_loop.replica_connections.clear_peer_reservation();
             self.leave.send_replace(false);
         }
         if new.passing {
-            let _ = self.acceptor.send(Order::Stay);
+            let _ = self.acceptor.send(AcceptorCommand::Stay);
         }
     }
 
@@ -291,13 +292,13 @@
             ToSuccessor::AskWithKey(ask, key) => self.asked(old, ask, Some(key)),
             ToSuccessor::Gone { ticket } => {
                 if let Some(ours) = old.tickets.borrow_mut().remove(&ticket) {
-                    self.event_loop.tell(|e| e.client_gone(ours));
+                    self.event_loop.update(|e| e.client_disconnected(ours));
                 }
             }
             ToSuccessor::Room { replicas, clients, open } => {
-                self.event_loop.sockets.leave_to_other(replicas as usize);
-                self.clients.leave_to_other(clients as usize);
-                self.event_loop.tell(|e| e.set_open_elsewhere(open as usize));
+                self.event_loop.replica_connections.reserve_for_peer(replicas as usize);
+                self.clients.reserve_for_peer(clients as usize);
+                self.event_loop.update(|e| e.set_open_in_peer(open as usize));
             }
             ToSuccessor::Connection { read, whole_within } => {
                 let stream = fd.map(std::net::TcpStream::from).ok_or(()).and_then(|s| {
@@ -306,12 +307,15 @@
                 });
                 if let Ok(stream) = stream {
                     let whole_within = whole_within.map(crate::runtime::clock::duration);
-                    let _ =
-                        self.acceptor.send(Order::Adopt(Adopted { stream, read: read.into(), whole_within }));
+                    let _ = self.acceptor.send(AcceptorCommand::Adopt(AdoptedConnection {
+                        stream,
+                        read: read.into(),
+                        whole_within,
+                    }));
                 }
             }
             ToSuccessor::Bye { further, counters } => {
-                self.event_loop.counters.go_on_from(counters);
+                self.event_loop.counters.add_all(counters);
                 self.settle(old, Some(further));
             }
         }
@@ -332,7 +336,7 @@
                 self.first_list.take();
                 self.rev.set(snapshot.rev);
                 let lent = snapshot.lent.0;
-                self.event_loop.tell(|e| e.go_on_from(now, passed, snapshot));
+                self.event_loop.update(|e| e.resume_from_predecessor(now, passed, snapshot));
                 (self.list_known)();
                 lent
             }
@@ -341,7 +345,7 @@
                 self.event_loop.counters.add("upgrades", "snapshots_refused");
                 self.list_as_first_known();
                 // What the other process spent, or may spend, is not known.
-                self.event_loop.tell(|e| e.alone_again(now));
+                self.event_loop.update(|e| e.resume_alone(now));
                 0
             }
         }
@@ -361,24 +365,24 @@
             tickets.borrow_mut().remove(&theirs);
             answer(relay::to_final_words(last));
         });
-        self.event_loop.tell(|e| e.asked(ours, asked, then));
+        self.event_loop.update(|e| e.submit(ours, asked, then));
     }
 
     /// The old one has said all it had to, or is gone without a word.
     fn settle(&self, old: &mut Old, further: Option<u32>) {
         if let Some(lent) = old.lent.take() {
             let further = further.unwrap_or(lent).min(lent);
-            self.event_loop.tell(|e| e.settle(self.event_loop.clock.now(), further));
+            self.event_loop.update(|e| e.settle_with_predecessor(self.event_loop.clock.now(), further));
         }
-        self.event_loop.sockets.set_all();
-        self.clients.set_all();
+        self.event_loop.replica_connections.clear_peer_reservation();
+        self.clients.clear_peer_reservation();
     }
 
     fn without_old(&self, mut old: Old) {
         // Guards against an old one that died before it told anything: then the list is all there is.
         if self.first_list.take().map(|f| self.first_list.set(Some(f))).is_some() {
             self.list_as_first_known();
-            self.event_loop.tell(|e| e.alone_again(self.event_loop.clock.now()));
+            self.event_loop.update(|e| e.resume_alone(self.event_loop.clock.now()));
         }
         self.settle(&mut old, None);
     }
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -11,9 +11,9 @@
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_server::audit;
 use pipitcrank_server::exchange::{
-    AttemptId, Endpoint, Exchange, Lent, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
+    AttemptId, DelegatedRequest, Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
 };
-use pipitcrank_server::replicas::frames::Report;
+use pipitcrank_server::replicas::frames::LoadReport;
 use pipitcrank_server::runtime::counters::Counters;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -42,19 +42,19 @@
 }
 
 impl ReplicaTransport for Ledger {
-    fn meet(&mut self, replica: ReplicaId, address: SocketAddr) {
+    fn set_address(&mut self, replica: ReplicaId, address: SocketAddr) {
         self.met.insert(replica, address);
     }
-    fn let_go(&mut self, replica: ReplicaId) {
+    fn remove_replica(&mut self, replica: ReplicaId) {
         self.met.remove(&replica);
     }
-    fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+    fn send_attempts(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
         self.calls.push((replica, parts));
     }
-    fn give_up(&mut self, _replica: ReplicaId, call: AttemptId) {
+    fn cancel_attempt(&mut self, _replica: ReplicaId, call: AttemptId) {
         self.given_up.push(call);
     }
-    fn probe(&mut self, replica: ReplicaId) {
+    fn send_load_probe(&mut self, replica: ReplicaId) {
         self.probed.push(replica);
     }
 }
@@ -65,7 +65,7 @@
 }
 
 /// The rules that the run-time check goes by, of those settings.
-fn audit_terms(told: &serde_json::Value) -> audit::Terms {
+fn audit_terms(told: &serde_json::Value) -> audit::AuditRules {
     let number = |key: &str| told.pointer(key).and_then(serde_json::Value::as_f64);
     let class = |n: usize| audit::ClassRules {
         idempotency: SettingsReader::new(told).idempotency(n).unwrap(),
@@ -73,7 +73,7 @@
         floor: number(&format!("/domain/floor_by_class/{n}")).unwrap(),
         whole_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
     };
-    audit::Terms {
+    audit::AuditRules {
         classes: (0..told["classes"].as_array().unwrap().len()).map(class).collect(),
         may_duplicate: told["allowed"]["may_duplicate"].as_bool().unwrap(),
         try_limit: number("/allowed/try_limit").unwrap() as u32,
@@ -115,8 +115,8 @@
         let counters = Counters::default();
         let coordinator = SettingsReader::new(&told).coordinator(7).unwrap();
         let mut exchange = Exchange::new(coordinator, MOST_OPEN, 4, counters.clone());
-        exchange.audit(audit_terms(&told));
-        exchange.list(at(0), true, (0..3).map(|n| listed(n, true)).collect());
+        exchange.enable_audit(audit_terms(&told));
+        exchange.update_endpoints(at(0), true, (0..3).map(|n| listed(n, true)).collect());
         let mut stage =
             Stage { exchange, ledger: Ledger::default(), counters, answers: Answers::default(), tickets: 0 };
         stage.turn(0);
@@ -124,7 +124,7 @@
     }
 
     fn turn(&mut self, ms: i64) {
-        self.exchange.turn(at(ms), &mut self.ledger);
+        self.exchange.run_batch(at(ms), &mut self.ledger);
     }
 
     fn ask(&mut self, id: &str, class: u16, shards: std::ops::Range<u32>, ends: i64) -> u64 {
@@ -140,7 +140,7 @@
         };
         let (answers, name) = (self.answers.clone(), id.to_string());
         self.tickets += 1;
-        self.exchange.asked(
+        self.exchange.submit(
             self.tickets,
             asked,
             Box::new(move |last| answers.borrow_mut().push((name, last))),
@@ -152,7 +152,7 @@
     fn release(&mut self, ms: i64) -> Vec<(ReplicaId, AttemptId, String, u32)> {
         let mut out = Vec::new();
         for (replica, mut parts) in std::mem::take(&mut self.ledger.calls) {
-            let going = self.exchange.release(at(ms), replica, &mut parts);
+            let going = self.exchange.authorize_send(at(ms), replica, &mut parts);
             assert_eq!(going.len(), parts.len());
             for (part, call) in going.into_iter().zip(parts) {
                 assert_eq!(&*part.text, "text");
@@ -163,13 +163,13 @@
     }
 
     fn pass(&mut self, call: AttemptId, value: &str) {
-        self.exchange.ended(call, AttemptOutcome::Success, Some(value.into()), None);
+        self.exchange.attempt_ended(call, AttemptOutcome::Success, Some(value.into()), None);
     }
 
     /// Turns at their times until `ms`.
     fn run_to(&mut self, ms: i64) {
-        while let Some(next) = self.exchange.next_turn().filter(|&t| t <= at(ms)) {
-            self.exchange.turn(next, &mut self.ledger);
+        while let Some(next) = self.exchange.next_due().filter(|&t| t <= at(ms)) {
+            self.exchange.run_batch(next, &mut self.ledger);
         }
         self.turn(ms);
     }
@@ -206,7 +206,7 @@
     let hits = (0..6).map(|n| (n, format!("doc of q.{n}"))).collect();
     let wanted = QueryResponse::Answered { whole: true, hits };
     assert_eq!(stage.final_of("q"), Some(format!("{wanted:?}")));
-    assert!(stage.exchange.quiet());
+    assert!(stage.exchange.is_drained());
     assert_eq!(stage.counters.get("leaf_calls", "pass"), 6);
 }
 
@@ -270,14 +270,14 @@
     let ticket = stage.ask("q", 2, 0..2, 4000);
     stage.turn(10);
     let held_up = stage.ledger.calls.clone();
-    stage.exchange.client_gone(ticket);
+    stage.exchange.client_disconnected(ticket);
     stage.turn(20);
     assert!(stage.release(21).is_empty());
     assert_eq!(stage.final_of("q"), None, "a client that left gets no answer");
     stage.turn(30);
     let calls = held_up.iter().map(|(_, parts)| parts.len() as u64).sum::<u64>();
     assert_eq!(stage.counters.get("leaf_calls", "undone"), calls);
-    assert!(stage.exchange.quiet() && stage.exchange.next_turn().is_none_or(|t| t > at(30)));
+    assert!(stage.exchange.is_drained() && stage.exchange.next_due().is_none_or(|t| t > at(30)));
 }
 
 #[test]
@@ -309,7 +309,7 @@
         } else {
             vec![listed(n, false)]
         };
-        stage.exchange.list(at(20), whole, rows);
+        stage.exchange.update_endpoints(at(20), whole, rows);
         stage.turn(25);
         let (on, off): (Vec<_>, Vec<_>) =
             stage.ledger.calls.clone().into_iter().partition(|c| c.0 == replica);
@@ -317,7 +317,7 @@
         let dropped = queued.len();
         assert!(dropped > 0);
         assert_eq!(
-            stage.exchange.release(at(26), replica, &mut queued).len(),
+            stage.exchange.authorize_send(at(26), replica, &mut queued).len(),
             0,
             "not within the grace either"
         );
@@ -358,9 +358,9 @@
             "holders are probed before anything is sent"
         );
         let chosen =
-            |n: usize| Report { waiting: Some(if busy && n == 1 { 40.0 } else { 0.0 }), in_hand: None };
+            |n: usize| LoadReport { waiting: Some(if busy && n == 1 { 40.0 } else { 0.0 }), in_hand: None };
         for (n, replica) in holders.iter().enumerate() {
-            stage.exchange.probed(*replica, AttemptOutcome::Success, Some(chosen(n)));
+            stage.exchange.load_probe_ended(*replica, AttemptOutcome::Success, Some(chosen(n)));
         }
         stage.turn(5015);
         assert_eq!(stage.ledger.calls.len(), 1);
@@ -378,7 +378,7 @@
     stage.turn(10);
     let (_, call, _, _) = stage.release(10)[0].clone();
     stage.pass(call, "first");
-    stage.exchange.ended(call, AttemptOutcome::Disconnected, None, None);
+    stage.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
     stage.pass(call, "second");
     stage.turn(20);
     assert!(stage.final_of("q").unwrap().contains("first"));
@@ -388,14 +388,14 @@
 #[test]
 fn it_is_able_to_serve_only_with_a_replica_that_is_up() {
     let mut stage = Stage::set();
-    assert!(stage.exchange.able());
-    stage.exchange.list(at(10), true, vec![listed(1, false)]);
+    assert!(stage.exchange.can_serve());
+    stage.exchange.update_endpoints(at(10), true, vec![listed(1, false)]);
     stage.turn(10);
-    assert!(!stage.exchange.able());
+    assert!(!stage.exchange.can_serve());
     assert_eq!(stage.ledger.met.len(), 0, "leaves that are off the list are let go");
-    stage.exchange.list(at(20), false, vec![listed(2, true)]);
+    stage.exchange.update_endpoints(at(20), false, vec![listed(2, true)]);
     stage.turn(20);
-    assert!(stage.exchange.able());
+    assert!(stage.exchange.can_serve());
 }
 
 #[derive(Clone, Debug)]
@@ -442,7 +442,7 @@
                     let value = (HOW[how] == AttemptOutcome::Success).then(|| format!("v{n}"));
                     let query = id.split('.').next().unwrap().to_string();
                     given.entry((query, shard)).or_default().extend(value.clone());
-                    stage.exchange.ended(call, HOW[how], value, None);
+                    stage.exchange.attempt_ended(call, HOW[how], value, None);
                 }
                 Op::End(..) => {}
                 Op::Wait(ms) => {
@@ -452,10 +452,10 @@
                 Op::Gone(ticket) => {
                     if let Some(entry) = asked.get_mut(&format!("q{ticket}")) {
                         entry.1 = true;
-                        stage.exchange.client_gone(ticket);
+                        stage.exchange.client_disconnected(ticket);
                     }
                 }
-                Op::List(replica, up, whole) => stage.exchange.list(at(now), whole, vec![listed(replica, up)]),
+                Op::List(replica, up, whole) => stage.exchange.update_endpoints(at(now), whole, vec![listed(replica, up)]),
             }
             stage.turn(now);
             // Of calls given up the replica side tells nothing more.
@@ -479,7 +479,7 @@
             }
         }
         stage.run_to(now + 4000);
-        prop_assert!(stage.exchange.quiet());
+        prop_assert!(stage.exchange.is_drained());
     }
 }
 
@@ -490,36 +490,43 @@
     stage.turn(10);
     let (replica, queued) = stage.ledger.calls.remove(0);
     // Its client leaves while it waits for its first byte; the next query's part gets its number.
-    stage.exchange.client_gone(ticket);
+    stage.exchange.client_disconnected(ticket);
     stage.turn(20);
     stage.ask("second", 2, 0..1, 4000);
     stage.turn(30);
     let (now_at, calls) = stage.ledger.calls.remove(0);
     assert_eq!(calls, queued, "the number is used again");
-    assert_eq!(stage.exchange.release(at(31), now_at, &mut calls.clone()).len(), 1);
-    assert!(stage.exchange.release(at(32), replica, &mut queued.clone()).is_empty(), "once, to its own leaf");
-    stage.exchange.never_began(replica, queued[0]);
+    assert_eq!(stage.exchange.authorize_send(at(31), now_at, &mut calls.clone()).len(), 1);
+    assert!(
+        stage.exchange.authorize_send(at(32), replica, &mut queued.clone()).is_empty(),
+        "once, to its own leaf"
+    );
+    stage.exchange.attempt_never_started(replica, queued[0]);
     stage.turn(33);
     assert!(stage.ledger.calls.is_empty(), "a sale that is out is not sent again");
-    stage.exchange.ended(calls[0], AttemptOutcome::Success, Some("v".into()), None);
+    stage.exchange.attempt_ended(calls[0], AttemptOutcome::Success, Some("v".into()), None);
     stage.turn(34);
     assert_eq!(stage.answers.borrow().len(), 1);
 }
 
 /// What is known goes from one exchange to another, as it passes between processes.
 fn handed_over(stage: &mut Stage, ms: i64, longest: TimeSpan) -> Stage {
-    let snapshot = stage.exchange.hand_over(at(ms), 0, Some(9), longest);
+    let snapshot = stage.exchange.begin_handover(at(ms), 0, Some(9), longest);
     let bytes = snapshot.encode().unwrap();
     let mut new = Stage::set();
     // The new one's clock began half a second ago.
-    new.exchange.go_on_from(at(500), TimeSpan::from_millis(100), Snapshot::decode(&bytes).unwrap());
+    new.exchange.resume_from_predecessor(
+        at(500),
+        TimeSpan::from_millis(100),
+        Snapshot::decode(&bytes).unwrap(),
+    );
     new
 }
 
 #[test]
 fn a_drain_told_just_before_is_kept_by_who_goes_on() {
     let mut stage = Stage::set();
-    stage.exchange.list(at(900), false, vec![listed(1, false)]);
+    stage.exchange.update_endpoints(at(900), false, vec![listed(1, false)]);
     // Not looked at yet when it hands over.
     let mut new = handed_over(&mut stage, 1000, TimeSpan::from_millis(4000));
     for n in 0..9 {
@@ -542,7 +549,7 @@
         for (replica, calls) in std::mem::take(&mut stage.ledger.calls) {
             let outcome = if replica == shunned { AttemptOutcome::Fault } else { AttemptOutcome::Success };
             calls.into_iter().for_each(|c| {
-                stage.exchange.ended(
+                stage.exchange.attempt_ended(
                     c,
                     outcome,
                     (outcome == AttemptOutcome::Success).then(|| "v".into()),
@@ -574,13 +581,13 @@
 fn who_hands_over_sends_nothing_to_a_cold_replica_any_more() {
     let mut stage = Stage::set();
     let cold = |n| Endpoint { started: Some(at(990)), ..listed(n, true) };
-    stage.exchange.list(at(1000), true, (0..3).map(cold).collect());
+    stage.exchange.update_endpoints(at(1000), true, (0..3).map(cold).collect());
     stage.turn(1000);
-    stage.exchange.hand_over(at(1001), 0, None, TimeSpan::from_millis(4000));
+    stage.exchange.begin_handover(at(1001), 0, None, TimeSpan::from_millis(4000));
     stage.ask("q", 0, 0..1, 4000);
     (1002..1050).step_by(5).for_each(|ms| stage.turn(ms));
     assert!(stage.ledger.calls.is_empty(), "the allowance is the new one's");
-    stage.exchange.alone_again(at(1050));
+    stage.exchange.resume_alone(at(1050));
     (1055..2500).step_by(5).for_each(|ms| stage.turn(ms));
     assert!(stage.ledger.calls.is_empty(), "what the other sent is not known for a window");
     stage.ask("r", 0, 0..1, 5000);
@@ -591,7 +598,7 @@
 #[test]
 fn a_far_site_gets_parts_only_at_a_known_cost_and_near_replicas_go_first() {
     let mut stage = Stage::set();
-    let far = stage.exchange.add_site(0, "south", 3);
+    let far = stage.exchange.add_remote_site(0, "south", 3);
     let asked_of = |stage: &mut Stage, name: &str, ms: i64| {
         stage.ask(name, 0, 0..1, ms + 3000);
         stage.turn(ms);
@@ -602,29 +609,29 @@
     };
     let near_gone: Vec<Endpoint> = (0..3).map(|n| listed(n, false)).collect();
     assert!(asked_of(&mut stage, "a", 10).iter().all(|l| !far.contains(l)), "closed");
-    stage.exchange.set_hop(0, Some(TimeSpan::from_millis(100)));
+    stage.exchange.set_remote_delay(0, Some(TimeSpan::from_millis(100)));
     for n in 0..5 {
         assert!(
             asked_of(&mut stage, &format!("b{n}"), 20 + 2 * n).iter().all(|l| !far.contains(l)),
             "near ones are free"
         );
     }
-    stage.exchange.list(at(40), false, near_gone);
+    stage.exchange.update_endpoints(at(40), false, near_gone);
     stage.turn(41);
-    assert!(!stage.exchange.able(), "a far site alone is not ours to be up by");
+    assert!(!stage.exchange.can_serve(), "a far site alone is not ours to be up by");
     let (replica, mut calls) = {
         stage.ask("c", 0, 0..1, 3000);
         stage.turn(50);
         stage.ledger.calls.remove(0)
     };
     assert!(far.contains(&replica));
-    let going = stage.exchange.forward(at(51), replica, &mut calls);
+    let going = stage.exchange.authorize_forward(at(51), replica, &mut calls);
     assert_eq!((going.len(), &going[0].id[..], going[0].repeatable), (1, "c", true));
     // Discovery's next whole list does not name sites: they stay.
-    stage.exchange.list(at(60), true, (0..3).map(|n| listed(n, false)).collect());
+    stage.exchange.update_endpoints(at(60), true, (0..3).map(|n| listed(n, false)).collect());
     stage.turn(61);
     assert!(far.contains(&asked_of(&mut stage, "d", 70)[0]));
-    stage.exchange.set_hop(0, None);
+    stage.exchange.set_remote_delay(0, None);
     assert!(asked_of(&mut stage, "e", 80).is_empty(), "closed again, and nobody near");
 }
 
@@ -632,8 +639,8 @@
 fn another_sites_query_goes_to_no_third_and_makes_no_more_calls_than_lent() {
     for further in [0, 1, 2] {
         let mut stage = Stage::set();
-        let far = stage.exchange.add_site(0, "west", 3);
-        stage.exchange.set_hop(0, Some(TimeSpan::from_millis(1)));
+        let far = stage.exchange.add_remote_site(0, "west", 3);
+        stage.exchange.set_remote_delay(0, Some(TimeSpan::from_millis(1)));
         let parts = vec![QueryPart { shard: 0, weight: 1.0, work: None }];
         let asked = QueryRequest {
             id: "q@n".into(),
@@ -647,7 +654,12 @@
         let noted = seen.clone();
         let as_in =
             Box::new(move |shard: u32, value: &str| noted.borrow_mut().push((shard, value.to_string())));
-        stage.exchange.asked_by_site(1, asked, Lent { further, made: made.clone(), as_in }, Box::new(|_| ()));
+        stage.exchange.submit_forwarded(
+            1,
+            asked,
+            DelegatedRequest { further, made: made.clone(), as_in },
+            Box::new(|_| ()),
+        );
         let mut calls = 0;
         for ms in (0..2000).step_by(5) {
             stage.turn(ms);
@@ -656,7 +668,7 @@
                 calls += parts.len() as u32;
                 let outcome = if calls <= further { AttemptOutcome::Fault } else { AttemptOutcome::Success };
                 let value = (outcome == AttemptOutcome::Success).then(|| "v".to_string());
-                parts.into_iter().for_each(|c| stage.exchange.ended(c, outcome, value.clone(), None));
+                parts.into_iter().for_each(|c| stage.exchange.attempt_ended(c, outcome, value.clone(), None));
             }
         }
         assert_eq!((calls, made.get()), (1 + further, further));
@@ -676,7 +688,7 @@
     stage.ask("first", 0, 0..2, 4000);
     stage.turn(10);
     for (_, call, ..) in stage.release(10) {
-        stage.exchange.ended(call, AttemptOutcome::Disconnected, None, None);
+        stage.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
     }
     stage.turn(20);
     let waiting = std::mem::take(&mut stage.ledger.calls);
@@ -685,7 +697,7 @@
     stage.ask("second", 0, 4..6, 4000);
     stage.turn(130);
     for (_, call, ..) in stage.release(130) {
-        stage.exchange.ended(call, AttemptOutcome::Disconnected, None, None);
+        stage.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
     }
     stage.turn(140);
     assert_eq!(stage.counters.get("again", "after_cut"), 4, "those of the next window were decided");
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -4,10 +4,10 @@
 use pipitcrank_core::config::ConfigError;
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::discovery::client::News;
+use pipitcrank_server::discovery::client::EndpointUpdate;
 use pipitcrank_server::node_config::NodeConfig;
 use pipitcrank_server::replicas::connection_end::ConnectionEnd;
-use pipitcrank_server::replicas::frames::{self, CallPart, ReplicaFrame, Report};
+use pipitcrank_server::replicas::frames::{self, CallPart, LoadReport, ReplicaFrame};
 use pipitcrank_server::runtime::clock::Clock;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -50,7 +50,7 @@
     }
     buffer.extend_from_slice(&answer[answer.len() - 1..]);
     buffer.extend_from_slice(&load);
-    let report = Some(Report { waiting: None, in_hand: Some(7.0) });
+    let report = Some(LoadReport { waiting: None, in_hand: Some(7.0) });
     let wanted = ReplicaFrame::Answer {
         id: "9b1f.3".into(),
         outcome: AttemptOutcome::Success,
@@ -58,9 +58,9 @@
         value: "5be2a07c\n19".into(),
     };
     assert_eq!(frames::take(&mut buffer), Ok(Some(wanted)));
-    let report = Some(Report { waiting: Some(2.5), in_hand: None });
+    let report = Some(LoadReport { waiting: Some(2.5), in_hand: None });
     assert_eq!(frames::take(&mut buffer), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report))));
-    let report = Some(Report { waiting: Some(4.364), in_hand: Some(5.0) });
+    let report = Some(LoadReport { waiting: Some(4.364), in_hand: Some(5.0) });
     let wanted = ReplicaFrame::Load(AttemptOutcome::Success, report);
     assert_eq!(take(&framed(b"Lbacklog=4.364,eps=0,outstanding=5")), Ok(Some(wanted)));
     assert_eq!(take(&framed(b"L-")), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, None))));
@@ -150,7 +150,7 @@
 }
 
 fn rows(text: &str) -> Result<(bool, usize, usize), String> {
-    let news: News = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    let news: EndpointUpdate = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let (whole, rows) = news.rows(&Clock::start())?;
     Ok((whole, rows.len(), rows.iter().filter(|r| r.up).count()))
 }
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -74,11 +74,11 @@
             up: true,
             started: None,
         };
-        exchange.list(clock.now(), true, vec![row]);
+        exchange.update_endpoints(clock.now(), true, vec![row]);
         let event_loop = Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(sockets), exchange));
         let replicas = ReplicaPool::new(event_loop.clone(), streams, way, idle);
         let (turns, side) = (event_loop.clone(), replicas.clone());
-        tokio::task::spawn_local(async move { turns.take_turns(TICK, &*side).await });
+        tokio::task::spawn_local(async move { turns.run(TICK, &*side).await });
         Stage { event_loop, replicas, accepted, asked: 0 }
     }
 
@@ -93,7 +93,7 @@
         let then = Box::new(move |last| {
             let _ = tell.send(last);
         });
-        self.event_loop.tell(|e| e.asked(self.asked, asked, then));
+        self.event_loop.update(|e| e.submit(self.asked, asked, then));
         told
     }
 
@@ -239,9 +239,9 @@
         frame(&mut stream).await;
         answer(&mut stream, "q1.0").await;
         told.await.unwrap();
-        stage.replicas.borrow_mut().probe(ReplicaId(0));
+        stage.replicas.borrow_mut().send_load_probe(ReplicaId(0));
         assert_eq!(frame(&mut stream).await, "L");
-        stage.event_loop.tell(|e| e.list(stage.event_loop.clock.now(), true, Vec::new()));
+        stage.event_loop.update(|e| e.update_endpoints(stage.event_loop.clock.now(), true, Vec::new()));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
         stage.count("leaf_connections", "let_go", 1).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -284,7 +284,7 @@
         frame(&mut stream).await;
         let two = stage.ask(2, "t".into());
         frame(&mut stream).await;
-        stage.event_loop.tell(|e| e.client_gone(1));
+        stage.event_loop.update(|e| e.client_disconnected(1));
         stage.count("leaf_calls", "undone", 1).await;
         answer(&mut stream, "q1.0").await;
         answer(&mut stream, "q2.0").await;
@@ -328,17 +328,17 @@
         let mut first = stage.accepted.recv().await.unwrap();
         frame(&mut first).await;
         let other = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        stage.replicas.borrow_mut().meet(ReplicaId(9), other.local_addr().unwrap());
-        stage.replicas.borrow_mut().probe(ReplicaId(9));
+        stage.replicas.borrow_mut().set_address(ReplicaId(9), other.local_addr().unwrap());
+        stage.replicas.borrow_mut().send_load_probe(ReplicaId(9));
         stage.count("probes", "no_route", 1).await;
         answer(&mut first, "q1.0").await;
         assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
-        stage.replicas.borrow_mut().probe(ReplicaId(9));
+        stage.replicas.borrow_mut().send_load_probe(ReplicaId(9));
         let (mut stream, _) = other.accept().await.unwrap();
         assert_eq!(frame(&mut stream).await, "L");
         assert_eq!(first.read(&mut [0; 1]).await.unwrap(), 0, "the unused one was closed");
         stage.count("leaf_connections", "given_back", 1).await;
-        assert_eq!(stage.event_loop.sockets.open(), 1);
+        assert_eq!(stage.event_loop.replica_connections.open(), 1);
     });
 }
 
@@ -357,13 +357,11 @@
             answer(stream, &format!("q{}.0", n + 1)).await;
             assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
         }
-        let sockets = stage.event_loop.sockets.clone();
-        let _client = sockets.place().unwrap();
-        assert!(sockets.place().is_none(), "all are taken");
-        sockets.want();
-        drop(
-            tokio::time::timeout(Duration::from_secs(9), sockets.next_place()).await.expect("one comes back"),
-        );
+        let sockets = stage.event_loop.replica_connections.clone();
+        let _client = sockets.try_acquire().unwrap();
+        assert!(sockets.try_acquire().is_none(), "all are taken");
+        sockets.request_release();
+        drop(tokio::time::timeout(Duration::from_secs(9), sockets.acquire()).await.expect("one comes back"));
         stage.count("leaf_connections", "given_back", 1).await;
     });
 }
