--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -11,9 +11,9 @@
 use pipitcrank_handover::clock::monotonic_micros;
 use pipitcrank_recovery::last_known_state::{Beliefs, Clocks, Recalled};
 use pipitcrank_recovery::store::{Fault, Store};
-use pipitcrank_server::counters::Counters;
-use pipitcrank_server::discovery::SharedRevision;
-use pipitcrank_server::event_loop::EventLoop;
+use pipitcrank_server::discovery::client::SharedRevision;
+use pipitcrank_server::runtime::counters::Counters;
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use tokio::sync::Notify;
 
 use crate::peers::{since_1970_us, span};
@@ -136,7 +136,7 @@
             return;
         }
         self.written = Some(now);
-        let snapshot = event_loop.tell(|e| e.remembered(now, monotonic_micros(), rev.get()));
+        let snapshot = event_loop.update(|e| e.snapshot(now, monotonic_micros(), rev.get()));
         let RestartState { decision, members } = agreed();
         self.store.believe(Beliefs::new(clocks(), &snapshot, decision, members).encode());
         event_loop.counters.add("store", "written");
