--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -8,7 +8,9 @@
 
 use anyhow::{Context, Result, bail};
 use pipitcrank_config::Zones;
-use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
+use pipitcrank_core::coordinator::zones::{
+    RequestTraffic, ZoneFraction, ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic,
+};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::book::{Book, Pace};
 use pipitcrank_failover::decision::{Order, State, UNKNOWN, WHOLE};
@@ -110,7 +112,7 @@
         e.name_site_zones(site_zones);
         if !zones.dry_run {
             e.set_zone_routing(ZoneRouting {
-                fractions: vec![(ZoneId(own as u16), 1.0)],
+                fractions: vec![ZoneFraction { zone: ZoneId(own as u16), fraction: 1.0 }],
                 ..ZoneRouting::default()
             });
         }
@@ -254,8 +256,8 @@
         self.instance.sees(now, rows, self.rates.asked());
         for (zone, seen) in seen.iter().enumerate() {
             let shut = self.plan.as_ref().is_some_and(|p| p.shut.contains(&(zone as u16)));
-            let unseen = seen.fresh * 2 < seen.listed;
-            let doubted = seen.doubted * DOUBTED >= seen.listed && seen.doubted > 0;
+            let unseen = seen.recently_heard * 2 < seen.listed;
+            let doubted = seen.suspected * DOUBTED >= seen.listed && seen.suspected > 0;
             // Of many copies those look that speak for their zone: probes have their price.
             if self.instance.speaks() && (shut || unseen || doubted) {
                 let most = if shut || doubted { LOOKS } else { GLANCES };
@@ -263,8 +265,8 @@
             }
         }
         let counters = &self.event_loop.counters;
-        counters.set("zones", "parts_near", tally.near);
-        counters.set("zones", "parts_across", tally.across);
+        counters.set("zones", "parts_near", tally.same_zone_parts);
+        counters.set("zones", "parts_across", tally.cross_zone_parts);
     }
 
     async fn pass_on(&mut self, now: Timestamp) {
@@ -305,12 +307,12 @@
 
     fn apply(&self, plan: &Plan, turned_away: Vec<f64>) {
         let whole = f64::from(WHOLE);
-        let mut of: Vec<(ZoneId, f64)> = vec![(ZoneId(self.own as u16), 0.0)];
+        let mut fractions = vec![ZoneFraction { zone: ZoneId(self.own as u16), fraction: 0.0 }];
         for &(zone, share) in &plan.shares {
             let stands = ZoneId(self.stands_for[usize::from(zone)] as u16);
-            match of.iter_mut().find(|(known, _)| *known == stands) {
-                Some((_, sum)) => *sum += f64::from(share) / whole,
-                None => of.push((stands, f64::from(share) / whole)),
+            match fractions.iter_mut().find(|known| known.zone == stands) {
+                Some(known) => known.fraction += f64::from(share) / whole,
+                None => fractions.push(ZoneFraction { zone: stands, fraction: f64::from(share) / whole }),
             }
         }
         // A region is shut when all of its zones are.
@@ -321,7 +323,9 @@
         let shut =
             zones.filter(|&z| self.stands_for[z] == z && all_shut(z)).map(|z| ZoneId(z as u16)).collect();
         if !self.dry {
-            self.event_loop.tell(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
+            self.event_loop.tell(|e| {
+                e.set_zone_routing(ZoneRouting { fractions, closed: shut, shed_fractions: turned_away })
+            });
         }
         let shares: Vec<String> = plan
             .shares
@@ -341,8 +345,8 @@
         answering: small(seen.answering),
         silent: small(seen.silent),
         failing: small(seen.failing),
-        full: small(seen.full),
-        cold: small(seen.cold),
+        full: small(seen.overloaded),
+        cold: small(seen.in_slow_start),
         merged,
     }
 }
@@ -369,17 +373,17 @@
         let weight = (passed / RATE_OVER.as_secs_f64()).min(1.0);
         let old = std::mem::replace(&mut self.before, (now, tally.clone())).1;
         let blend = |rate: &mut f64, more: u64| *rate += weight * (more as f64 / passed - *rate);
-        let of = |list: &[(u64, u64)], n: usize| list.get(n).copied().unwrap_or((0, 0));
-        self.by_class.resize(tally.asked.len(), (0.0, 0.0));
+        let of = |list: &[RequestTraffic], n: usize| list.get(n).copied().unwrap_or_default();
+        self.by_class.resize(tally.requested.len(), (0.0, 0.0));
         for (n, rate) in self.by_class.iter_mut().enumerate() {
-            let (now, before) = (of(&tally.asked, n), of(&old.asked, n));
-            blend(&mut rate.0, now.0 - before.0);
-            blend(&mut rate.1, now.1 - before.1);
+            let (now, before) = (of(&tally.requested, n), of(&old.requested, n));
+            blend(&mut rate.0, now.queries - before.queries);
+            blend(&mut rate.1, now.parts - before.parts);
         }
         self.asked = self.by_class.iter().map(|r| r.1).sum();
-        self.merged.resize(tally.merged.len(), 0.0);
+        self.merged.resize(tally.answered_parts.len(), 0.0);
         for (n, rate) in self.merged.iter_mut().enumerate() {
-            blend(rate, tally.merged[n] - old.merged.get(n).copied().unwrap_or(0));
+            blend(rate, tally.answered_parts[n] - old.answered_parts.get(n).copied().unwrap_or(0));
         }
     }
 
--- a/crates/pipitcrank-core/src/config.rs
+++ b/crates/pipitcrank-core/src/config.rs
@@ -5,11 +5,14 @@
 
 use serde_json::Value;
 
-use crate::coordinator::zones::{ZoneId, ZoneRouting};
-use crate::coordinator::{Coordinator, RequestClassConfig, RetryBudget, RetryPolicy, SetCover, SlowStart};
+use crate::coordinator::zones::{ZoneFraction, ZoneId, ZoneRouting};
+use crate::coordinator::{
+    Coordinator, CoordinatorConfig, RequestClassConfig, RetryBudgetConfig, RetryPolicy, SetCoverConfig,
+    SlowStartConfig,
+};
 use crate::ids::Idempotency;
 use crate::rng::Rng;
-use crate::time::{TimeSpan, Timestamp};
+use crate::time::TimeSpan;
 
 /// A key whose value is missing or not what it has to be, as a JSON pointer.
 #[derive(Debug, PartialEq)]
@@ -34,6 +37,15 @@
 /// Most zones: each has a row and a column in what copies tell each other.
 pub const MOST_ZONES: usize = 16;
 
+/// The zones that are configured.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ZoneNames {
+    /// The zone of this co-ordinator.
+    pub own: ZoneId,
+    /// All zones, in their order.
+    pub names: Vec<String>,
+}
+
 /// Looks values up by their keys. All keys named in faults begin with where it stands itself.
 pub struct SettingsReader<'a> {
     all: &'a Value,
@@ -129,7 +141,7 @@
 
     /// The zones that there are and which is this co-ordinator's own, by its place among them; none where nothing is
     /// said of zones.
-    pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, ConfigError> {
+    pub fn zones(&self) -> Result<Option<ZoneNames>, ConfigError> {
         let said = |key: &str| self.all.pointer(key).is_some_and(|v| !v.is_null());
         if !said("/zones") && !said("/zone") {
             return Ok(None);
@@ -151,7 +163,7 @@
         }
         let own = self.text("/zone")?;
         match names.iter().position(|name| name == own) {
-            Some(place) => Ok(Some((ZoneId(place as u16), names))),
+            Some(place) => Ok(Some(ZoneNames { own: ZoneId(place as u16), names })),
             None => Err(self.error("/zone", &format!("is '{own}', none of its zones: {}", names.join(", ")))),
         }
     }
@@ -162,48 +174,65 @@
         if cells == 0 {
             return Err(self.error("/domain/sets", "names no cells"));
         }
-        let cover = SetCover::new(
+        let set_cover = SetCoverConfig {
             cells,
-            self.count_from_1("/domain/span")?,
-            self.count_from_1("/domain/parts_a_call")? as usize,
-            self.span("/domain/call_cost_s")?,
-        );
+            cells_per_shard: self.count_from_1("/domain/span")?,
+            call_size: self.count_from_1("/domain/parts_a_call")? as usize,
+            call_cost: self.span("/domain/call_cost_s")?,
+        };
         let window = self.within_or("/rules/budget_span_s", 0.0, 0.0, LONGEST_S)?;
-        let budget = RetryBudget::new(
-            self.within_or("/rules/repeat_ratio", 0.0, 0.0, MOST)?,
-            self.within_or("/rules/extra_free", 0.0, 0.0, MOST)?,
-            (window > 0.0).then(|| TimeSpan::from_secs_f64(window)),
-        );
-        let slow_start = SlowStart {
-            cold_from: self.within("/rules/cold_from", 0.0, 1.0)?,
-            cold: self.span("/rules/cold_s")?,
-            factor: self.within("/rules/overload_factor", 0.0, MOST)?,
+        let retry_budget = RetryBudgetConfig {
+            fraction: self.within_or("/rules/repeat_ratio", 0.0, 0.0, MOST)?,
+            free: self.within_or("/rules/extra_free", 0.0, 0.0, MOST)?,
+            window: TimeSpan::from_secs_f64(window),
+        };
+        let slow_start = SlowStartConfig {
+            initial_capacity: self.within("/rules/cold_from", 0.0, 1.0)?,
+            warm_up: self.span("/rules/cold_s")?,
+            overload_factor: self.within("/rules/overload_factor", 0.0, MOST)?,
             window: self.span("/rules/fall_s")?,
-            shut: Timestamp::from_micros(i64::MIN),
-            among: if self.all.pointer("/balancers").is_some() { self.count("/balancers")? } else { 1 },
+            coordinators: if self.all.pointer("/balancers").is_some() {
+                self.count("/balancers")?
+            } else {
+                1
+            },
         };
-        let tries = RetryPolicy {
-            limit: self.count("/allowed/try_limit")?,
-            may_duplicate: self.flag("/allowed/may_duplicate")?,
-            may_abandon: self.flag("/allowed/cancel")?,
+        let retry_policy = RetryPolicy {
+            max_attempts: self.count("/allowed/try_limit")?,
+            may_hedge: self.flag("/allowed/may_duplicate")?,
+            may_cancel: self.flag("/allowed/cancel")?,
             may_probe: self.flag("/allowed/probing")?,
-            longest_stay_away: self
+            max_retry_after: self
                 .flag("/allowed/retry_after")?
                 .then(|| self.span("/allowed/max_retry_after_s"))
                 .transpose()?,
             // The time told for a connection to come up is the longest way that anybody states.
-            way: TimeSpan::from_secs_f64(self.within_or("/allowed/dial_timeout_s", 0.0, 0.0, LONGEST_S)?),
+            max_network_delay: TimeSpan::from_secs_f64(self.within_or(
+                "/allowed/dial_timeout_s",
+                0.0,
+                0.0,
+                LONGEST_S,
+            )?),
         };
-        let asks_list = self.all.pointer("/registry_mode").and_then(Value::as_str) == Some("ask");
+        let watch_endpoints = self.all.pointer("/registry_mode").and_then(Value::as_str) == Some("ask");
         let tick = self.span("/tick_s")?;
-        let mut coordinator =
-            Coordinator::new(Rng::new(seed), cover, budget, slow_start, tries, asks_list, tick);
+        let mut coordinator = Coordinator::new(CoordinatorConfig {
+            rng: Rng::new(seed),
+            set_cover,
+            retry_budget,
+            slow_start,
+            retry_policy,
+            watch_endpoints,
+            tick,
+        });
         for n in 0..self.classes()?.len() {
             coordinator.add_request_class(self.terms(n)?);
         }
-        if let Some((own, _)) = self.zones()? {
-            coordinator
-                .set_zone_routing(ZoneRouting { fractions: vec![(own, 1.0)], ..ZoneRouting::default() });
+        if let Some(ZoneNames { own, .. }) = self.zones()? {
+            coordinator.set_zone_routing(ZoneRouting {
+                fractions: vec![ZoneFraction { zone: own, fraction: 1.0 }],
+                ..ZoneRouting::default()
+            });
         }
         Ok(coordinator)
     }
@@ -225,20 +254,20 @@
         Ok(RequestClassConfig {
             name: self.text(&of("name"))?.to_string(),
             idempotency: self.idempotency(n)?,
-            dedup_window: TimeSpan::from_secs_f64(self.within_or(
+            idempotency_window: TimeSpan::from_secs_f64(self.within_or(
                 &of("dedup_window_s"),
                 0.0,
                 0.0,
                 LONGEST_S,
             )?),
-            slo: self.span(&of("aim_s"))?,
-            slo_stretch: self.within_or(&of("aim_stretch"), 0.0, 0.0, MOST)?,
+            latency_objective: self.span(&of("aim_s"))?,
+            objective_stretch: self.within_or(&of("aim_stretch"), 0.0, 0.0, MOST)?,
             // Absent: some worth is left after the SLO time, as before the key was read.
-            late_worth: self.within_or(&of("late_worth"), 1.0, 0.0, 1.0)?,
+            late_weight: self.within_or(&of("late_worth"), 1.0, 0.0, 1.0)?,
             hard_limit: self.span(&of("hard_limit_s"))?,
-            whole_from: self.within(&domain("complete_from"), 0.0, 1.0)?,
-            floor: self.within(&domain("floor_by_class"), 0.0, 1.0)?,
-            second_step: self.number(&domain("follow_up"))? > 0.0,
+            complete_from: self.within(&domain("complete_from"), 0.0, 1.0)?,
+            partial_from: self.within(&domain("floor_by_class"), 0.0, 1.0)?,
+            has_second_step: self.number(&domain("follow_up"))? > 0.0,
         })
     }
 }
--- a/crates/pipitcrank-core/src/coordinator.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -20,11 +20,13 @@
 mod slow_start;
 pub mod zones;
 
-pub use budget::RetryBudget;
-pub use slow_start::SlowStart;
+pub use budget::{RetryBudget, RetryBudgetConfig};
+use slow_start::SlowStart;
+pub use slow_start::SlowStartConfig;
 
 use crate::ids::{
-    AttemptDenied, AttemptOutcome, Idempotency, PartId, QueryId, RejectReason, ReplicaId, RequestClassId,
+    AttemptDenied, AttemptId, AttemptOutcome, Idempotency, PartId, QueryId, RejectReason, ReplicaId,
+    RequestClassId,
 };
 use crate::output::CoordinatorOutput;
 use crate::rng::Rng;
@@ -43,15 +45,15 @@
     /// What the request class is called: what was learned of it is taken over under this name alone.
     pub name: String,
     pub idempotency: Idempotency,
-    pub dedup_window: TimeSpan,
-    pub slo: TimeSpan,
-    pub slo_stretch: f64,
+    pub idempotency_window: TimeSpan,
+    pub latency_objective: TimeSpan,
+    pub objective_stretch: f64,
     /// Share of the utility that an answer after the SLO time still earns; at 0 a query ends there.
-    pub late_worth: f64,
+    pub late_weight: f64,
     pub hard_limit: TimeSpan,
-    pub whole_from: f64,
-    pub floor: f64,
-    pub second_step: bool,
+    pub complete_from: f64,
+    pub partial_from: f64,
+    pub has_second_step: bool,
 }
 
 struct RequestClassState {
@@ -83,12 +85,16 @@
 
     /// Work of a part; before any answer a tenth of the SLO time stands for it.
     fn usual_work(&self) -> f64 {
-        self.work.0.unwrap_or(self.terms.slo.as_secs_f64() * 0.1)
+        self.work.0.unwrap_or(self.terms.latency_objective.as_secs_f64() * 0.1)
     }
 
     /// The time in which an answer counts: two clients of five leaving early are more than chance.
     fn counts(&self) -> TimeSpan {
-        if self.leaving < 0.35 { self.terms.slo } else { self.terms.slo.min(self.stay * 0.9) }
+        if self.leaving < 0.35 {
+            self.terms.latency_objective
+        } else {
+            self.terms.latency_objective.min(self.stay * 0.9)
+        }
     }
 }
 
@@ -112,8 +118,21 @@
 }
 
 /// Which replicas hold a shard, from cells in a ring, and how the cover is cut into calls.
+/// The ring of cells and the limits of one call.
+#[derive(Clone, Debug, Default)]
+pub struct SetCoverConfig {
+    /// Cells of the ring.
+    pub cells: u32,
+    /// Cells that hold one shard.
+    pub cells_per_shard: u32,
+    /// Most parts in one call.
+    pub call_size: usize,
+    /// Work of a call beside its parts'.
+    pub call_cost: TimeSpan,
+}
+
 #[derive(Default)]
-pub struct SetCover {
+struct SetCover {
     cells: u32,
     span: u32,
     call_size: usize,
@@ -126,7 +145,8 @@
     /// Most rounds of one query in a turn (the design's k): more than 200 parts need where two go together.
     const ROUNDS: usize = 128;
 
-    pub fn new(cells: u32, span: u32, call_size: usize, call_cost: TimeSpan) -> SetCover {
+    fn new(config: SetCoverConfig) -> SetCover {
+        let SetCoverConfig { cells, cells_per_shard: span, call_size, call_cost } = config;
         let by_cell = vec![Vec::new(); cells as usize];
         SetCover { cells, span, call_size: call_size.max(1), call_cost: call_cost.as_secs_f64(), by_cell }
     }
@@ -141,15 +161,70 @@
     }
 }
 
-#[derive(Default)]
+/// What attempts, hedged requests and probes are allowed.
+#[derive(Clone, Debug, Default)]
 pub struct RetryPolicy {
-    pub limit: u32,
-    pub may_duplicate: bool,
-    pub may_abandon: bool,
+    /// Most attempts of one part.
+    pub max_attempts: u32,
+    /// Whether a part may have several attempts out at a time.
+    pub may_hedge: bool,
+    /// Whether attempts out may be cancelled.
+    pub may_cancel: bool,
+    /// Whether load probes may be sent.
     pub may_probe: bool,
-    pub longest_stay_away: Option<TimeSpan>,
-    /// A call may be so long on its way to a replica.
-    pub way: TimeSpan,
+    /// Longest retry-after that may be stated; none where none may be.
+    pub max_retry_after: Option<TimeSpan>,
+    /// Longest time that an attempt may take to reach its replica.
+    pub max_network_delay: TimeSpan,
+}
+
+/// All that a `Coordinator` is configured with, its request classes aside.
+#[derive(Default)]
+pub struct CoordinatorConfig {
+    /// Source of all random choice.
+    pub rng: Rng,
+    /// The ring of cells and the limits of one call.
+    pub set_cover: SetCoverConfig,
+    /// Attempts beyond a part's first that are allowed.
+    pub retry_budget: RetryBudgetConfig,
+    /// Work that a replica just started may be sent.
+    pub slow_start: SlowStartConfig,
+    /// What attempts, hedged requests and probes are allowed.
+    pub retry_policy: RetryPolicy,
+    /// Whether the endpoint list is watched at start.
+    pub watch_endpoints: bool,
+    /// Longest time between an event and the `dispatch` after it.
+    pub tick: TimeSpan,
+}
+
+/// A query that has arrived.
+#[derive(Clone, Copy, Debug)]
+pub struct NewQuery {
+    /// Its index, free until now.
+    pub id: QueryId,
+    /// Its request class.
+    pub class: RequestClassId,
+    /// Time until its client's deadline.
+    pub time_left: TimeSpan,
+    /// Hint of the work of all its parts, in the unit of the hints.
+    pub work_hint: Option<f64>,
+    /// Number of its parts.
+    pub part_count: f64,
+}
+
+/// A part of a query that has arrived.
+#[derive(Clone, Copy, Debug)]
+pub struct NewPart {
+    /// Its index, free until now.
+    pub id: PartId,
+    /// The query that it belongs to.
+    pub query: QueryId,
+    /// The shard that it reads.
+    pub shard: u32,
+    /// Its fraction of the whole answer.
+    pub weight: f64,
+    /// Hint of its work, in the unit of the hints.
+    pub work_hint: Option<f64>,
 }
 
 /// A part out: its work, all own work ahead of its end as it went, and the call it shares.
@@ -333,24 +408,17 @@
 }
 
 impl Coordinator {
-    pub fn new(
-        rng: Rng,
-        cover: SetCover,
-        budget: RetryBudget,
-        slow_start: SlowStart,
-        retry_policy: RetryPolicy,
-        asks_list: bool,
-        tick: TimeSpan,
-    ) -> Coordinator {
+    /// A coordinator without request classes or replicas.
+    pub fn new(config: CoordinatorConfig) -> Coordinator {
         let (fill, overdue) = (Self::FIRST_FILL, QuantileEstimator(Some(Self::FIRST_OVERDUE)));
         Coordinator {
-            rng,
-            cover,
-            budget,
-            slow_start,
-            retry_policy,
-            asks_list,
-            tick,
+            rng: config.rng,
+            cover: SetCover::new(config.set_cover),
+            budget: RetryBudget::from_config(config.retry_budget),
+            slow_start: SlowStart::new(config.slow_start),
+            retry_policy: config.retry_policy,
+            asks_list: config.watch_endpoints,
+            tick: config.tick,
             overdue,
             fill,
             ..Coordinator::default()
@@ -406,7 +474,8 @@
             (state.faults, state.trial_at, state.mute, state.heard) = (0.0, None, 0, None);
         }
         (state.cell, state.listed, state.started) = (cell, up, started);
-        self.cold_until = started.map_or(self.cold_until, |t| self.cold_until.max(t + self.slow_start.cold));
+        self.cold_until =
+            started.map_or(self.cold_until, |t| self.cold_until.max(t + self.slow_start.config.warm_up));
     }
 
     pub fn finish_endpoint_list(&mut self, output: &mut dyn CoordinatorOutput) {
@@ -445,17 +514,9 @@
     const HINT_STEP: f64 = 0.05;
 
     /// A query of `count` parts, with a hint of all their work if there is one.
-    pub fn start_query(
-        &mut self,
-        output: &mut dyn CoordinatorOutput,
-        now: Timestamp,
-        id: QueryId,
-        v: RequestClassId,
-        left: TimeSpan,
-        work: Option<f64>,
-        count: f64,
-    ) {
-        self.budget.take(now);
+    pub fn start_query(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, query: NewQuery) {
+        let NewQuery { id, class: v, time_left: left, work_hint: work, part_count: count } = query;
+        self.budget.record_admission(now);
         let class = &mut self.classes[v.0 as usize];
         let a_part = work.map(|w| w / count.max(1.0)).filter(|&w| w > 0.0);
         if let Some(hint) = a_part {
@@ -464,7 +525,7 @@
         }
         let size = a_part.map_or(1.0, |h| ((h.ln() - class.hint.unwrap_or(h.ln())) * Self::HINT_TRUST).exp());
         let terms = &class.terms;
-        let stretch = TimeSpan::from_secs_f64(terms.slo_stretch * work.unwrap_or(0.0));
+        let stretch = TimeSpan::from_secs_f64(terms.objective_stretch * work.unwrap_or(0.0));
         let ends = now + left;
         // Clients that come with little time left count until then: all shares of the SLO time are of that.
         let slo = (now + (class.counts() + stretch).min(terms.hard_limit)).min(ends);
@@ -490,19 +551,12 @@
         self.tend(output, now, id, serial);
     }
 
-    pub fn add_part(
-        &mut self,
-        output: &mut dyn CoordinatorOutput,
-        now: Timestamp,
-        id: PartId,
-        query: QueryId,
-        shard: u32,
-        weight: f64,
-        work: Option<f64>,
-    ) {
+    /// One part of the query just started.
+    pub fn add_part(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, part: NewPart) {
+        let NewPart { id, query, shard, weight, work_hint: work } = part;
         let Some(open) = self.queries.get_mut(&query) else { return output.release_part(id) };
         if open.lent.is_none() {
-            self.budget.take(now);
+            self.budget.record_admission(now);
         }
         open.parts.push(id);
         // Hints compare parts well, but queries badly: work is the request class's usual, by the share of the query's hint.
@@ -528,8 +582,11 @@
     /// Weight needed for any answer and for a whole one, in the step the query is in.
     fn bounds(&self, open: &OpenQuery) -> (f64, f64) {
         let terms = self.terms(open);
-        let need = if open.step == 0 { terms.whole_from } else { 1.0 };
-        (if terms.floor < terms.whole_from { terms.floor } else { need } - SHORT, need - SHORT)
+        let need = if open.step == 0 { terms.complete_from } else { 1.0 };
+        (
+            if terms.partial_from < terms.complete_from { terms.partial_from } else { need } - SHORT,
+            need - SHORT,
+        )
     }
 
     /// Rule 5: whether the parts that are in allow an answer, and a whole one.
@@ -552,7 +609,7 @@
         let (class, age) = (self.queries[&id].class, now - self.queries[&id].arrived);
         self.classes[class.0 as usize].stayed(age);
         self.judge(now <= self.queries[&id].slo);
-        let second = self.terms(&self.queries[&id]).second_step;
+        let second = self.terms(&self.queries[&id]).has_second_step;
         let open = self.queries.get_mut(&id).expect("merged queries are open");
         if second && open.step == 0 {
             (open.step, open.first_whole, open.in_weight, open.in_parts) = (1, whole, 0.0, 0);
@@ -599,8 +656,8 @@
 
     /// When to come back: the patience for first calls, within what clients honour; none where not allowed.
     fn waited(&self, v: RequestClassId) -> TimeSpan {
-        let most = self.retry_policy.longest_stay_away.unwrap_or(TimeSpan::ZERO);
-        (self.classes[v.0 as usize].terms.slo * Self::WAIT_SHARE).min(most)
+        let most = self.retry_policy.max_retry_after.unwrap_or(TimeSpan::ZERO);
+        (self.classes[v.0 as usize].terms.latency_objective * Self::WAIT_SHARE).min(most)
     }
 
     /// What waits at a replica may fill this share of the time left: room for spread, and replicas kept busy. It settles
@@ -629,9 +686,9 @@
     }
 
     fn withdraw(&mut self, output: &mut dyn CoordinatorOutput, id: PartId) {
-        if self.retry_policy.may_abandon {
+        if self.retry_policy.may_cancel {
             for (nth, _) in self.parts[&id].sent.iter().enumerate().filter(|(_, s)| s.out) {
-                output.cancel_attempt(id, nth as u32);
+                output.cancel_attempt(AttemptId { part: id, number: nth as u32 });
             }
         }
     }
@@ -650,7 +707,7 @@
     pub fn cancel_query(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: QueryId) {
         if let Some(open) = self.queries.get(&id) {
             let (class, age) = (&mut self.classes[open.class.0 as usize], now - open.arrived);
-            if age < class.terms.slo {
+            if age < class.terms.latency_objective {
                 class.left(age);
             }
             self.end(output, id);
@@ -663,7 +720,7 @@
     fn may_go(&mut self, now: Timestamp, id: PartId) -> bool {
         let lent = self.queries.get(&self.parts[&id].query).and_then(|q| q.lent);
         let further = |coordinator: &mut Coordinator| {
-            lent.map_or_else(|| coordinator.budget.left(now), |(n, _)| f64::from(n)) >= 1.0
+            lent.map_or_else(|| coordinator.budget.remaining(now), |(n, _)| f64::from(n)) >= 1.0
         };
         self.could_go(now, id) && (self.parts[&id].sent.is_empty() || further(self))
     }
@@ -676,7 +733,7 @@
         match (terms.idempotency, risky) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::IdempotentByKey, Some(first)) => {
-                now - first + self.retry_policy.way < terms.dedup_window
+                now - first + self.retry_policy.max_network_delay < terms.idempotency_window
             }
             (Idempotency::NonIdempotent, Some(_)) => false,
         }
@@ -684,7 +741,8 @@
 
     /// The call's first byte is about to be written: rule 2 as it stands now, and rule 6 by what has gone out. To be asked once
     /// for each call, by hosts whose calls may wait before they go out; with others they begin as they are decided.
-    pub fn begin_attempt(&mut self, now: Timestamp, id: PartId, nth: u32) -> Result<(), AttemptDenied> {
+    pub fn begin_attempt(&mut self, now: Timestamp, attempt: AttemptId) -> Result<(), AttemptDenied> {
+        let AttemptId { part: id, number: nth } = attempt;
         if !self.may_begin(now, id, nth) {
             return Err(AttemptDenied::RepeatForbidden);
         }
@@ -709,8 +767,8 @@
         self.may_begin(now, id, part.sent.len() as u32)
             && !part.done
             && now < open.ends - self.tick
-            && part.tried() < self.retry_policy.limit
-            && (part.out() == 0 || self.retry_policy.may_duplicate)
+            && part.tried() < self.retry_policy.max_attempts
+            && (part.out() == 0 || self.retry_policy.may_hedge)
     }
 
     fn send_attempt(
@@ -740,7 +798,7 @@
         state.out.get_mut(&(id, nth)).expect("just sent").ahead = ahead;
         state.seen.take();
         if self.slow_start.is_cold(state.started, now) {
-            state.sent_cold.retain(|(t, _)| now - *t <= self.slow_start.window);
+            state.sent_cold.retain(|(t, _)| now - *t <= self.slow_start.config.window);
             state.sent_cold.push_back((now, work + self.cover.call_cost));
         }
         self.count_crossing(replica);
@@ -756,10 +814,10 @@
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
-        id: PartId,
-        nth: u32,
+        attempt: AttemptId,
         outcome: AttemptOutcome,
     ) {
+        let AttemptId { part: id, number: nth } = attempt;
         if let Some(after) = self.calls.remove(&(id, nth)) {
             after(self, output, now, outcome);
         }
@@ -984,7 +1042,8 @@
         parts: Vec<PartId>,
     ) {
         let mut uncovered: Vec<PartId> = parts.into_iter().filter(|&p| self.may_go(now, p)).collect();
-        let windows = (now - self.lot.0).as_secs_f64() / self.slow_start.window.as_secs_f64().max(1e-6);
+        let windows =
+            (now - self.lot.0).as_secs_f64() / self.slow_start.config.window.as_secs_f64().max(1e-6);
         if windows > 1.0 {
             self.lot = (now, -windows.min(SlowStart::SAVED));
         }
@@ -1175,7 +1234,7 @@
         let latest = (open.slo - open.arrived) * if few { Self::LATEST_SHARE } else { 1.0 };
         let unsent = |p: &PartId| self.parts[p].sent.is_empty();
         // Past the SLO time a request class that earns nothing late is only work and a client held.
-        let worthless = self.terms(open).late_worth <= 0.0 && now >= open.slo;
+        let worthless = self.terms(open).late_weight <= 0.0 && now >= open.slo;
         let (any, whole) = self.answer(open);
         if any && now >= answer_by {
             self.merge(output, now, id, whole, now >= end);
--- a/crates/pipitcrank-core/src/coordinator/config_form.rs
+++ b/crates/pipitcrank-core/src/coordinator/config_form.rs
@@ -13,17 +13,23 @@
     let cover = &coordinator.cover;
     assert_eq!((cover.cells, cover.span, cover.call_size, cover.call_cost), (12, 2, 8, 0.001));
     let budget = &coordinator.budget;
-    assert_eq!((budget.share, budget.free, budget.span), (0.1, 5.0, TimeSpan::from_millis(10_000)));
-    let start = &coordinator.slow_start;
-    assert_eq!((start.cold_from, start.cold, start.factor), (0.3, TimeSpan::from_millis(8000), 4.0));
-    assert_eq!((start.window, start.among), (TimeSpan::from_millis(1250), 20));
+    assert_eq!(
+        (budget.config.fraction, budget.config.free, budget.config.window),
+        (0.1, 5.0, TimeSpan::from_millis(10_000))
+    );
+    let start = &coordinator.slow_start.config;
+    assert_eq!(
+        (start.initial_capacity, start.warm_up, start.overload_factor),
+        (0.3, TimeSpan::from_millis(8000), 4.0)
+    );
+    assert_eq!((start.window, start.coordinators), (TimeSpan::from_millis(1250), 20));
     let retry_policy = &coordinator.retry_policy;
     assert_eq!(
-        (retry_policy.limit, retry_policy.may_duplicate, retry_policy.may_abandon, retry_policy.may_probe),
+        (retry_policy.max_attempts, retry_policy.may_hedge, retry_policy.may_cancel, retry_policy.may_probe),
         (4, true, true, false)
     );
     assert_eq!(
-        (retry_policy.longest_stay_away, retry_policy.way),
+        (retry_policy.max_retry_after, retry_policy.max_network_delay),
         (Some(TimeSpan::from_millis(2000)), TimeSpan::from_millis(500))
     );
     assert!(coordinator.asks_list);
@@ -36,14 +42,24 @@
     assert_eq!(coordinator.classes.len(), classes.len());
     for (class, expected) in coordinator.classes.iter().zip(classes) {
         let terms = &class.terms;
-        let (name, idempotency, window, slo, stretch, late_worth, hard_limit, whole_from, floor) = expected;
-        assert_eq!((&*terms.name, terms.idempotency, terms.second_step), (name, idempotency, false));
+        let (
+            name,
+            idempotency,
+            window,
+            objective,
+            stretch,
+            late_weight,
+            hard_limit,
+            complete_from,
+            partial_from,
+        ) = expected;
+        assert_eq!((&*terms.name, terms.idempotency, terms.has_second_step), (name, idempotency, false));
         assert_eq!(
-            (terms.dedup_window, terms.slo),
-            (TimeSpan::from_millis(window), TimeSpan::from_millis(slo))
+            (terms.idempotency_window, terms.latency_objective),
+            (TimeSpan::from_millis(window), TimeSpan::from_millis(objective))
         );
-        assert_eq!((terms.slo_stretch, terms.late_worth), (stretch, late_worth));
+        assert_eq!((terms.objective_stretch, terms.late_weight), (stretch, late_weight));
         assert_eq!(terms.hard_limit, TimeSpan::from_millis(hard_limit));
-        assert_eq!((terms.whole_from, terms.floor), (whole_from, floor));
+        assert_eq!((terms.complete_from, terms.partial_from), (complete_from, partial_from));
     }
 }
--- a/crates/pipitcrank-core/src/coordinator/learned_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Coordinator, QuantileEstimator, ReplicaState};
+use super::{Coordinator, QuantileEstimator, ReplicaState, RetryBudgetConfig};
 use crate::ids::ReplicaId;
 use crate::time::{TimeSpan, Timestamp};
 
@@ -14,11 +14,11 @@
     pub classes: Vec<LearnedClassState>,
     pub replicas: Vec<(u32, LearnedReplicaState)>,
     /// Ages of what counts against the budget of further calls, oldest first.
-    pub taken: Vec<TimeSpan>,
-    pub further: Vec<TimeSpan>,
+    pub admitted: Vec<TimeSpan>,
+    pub retries: Vec<TimeSpan>,
     /// Further calls lent with parts to other sites, and for how long yet: what comes back of them is not
     /// told here.
-    pub lent: Vec<(u32, TimeSpan)>,
+    pub delegated_retries: Vec<(u32, TimeSpan)>,
     overdue: Option<f64>,
     rate: Option<f64>,
     fill: f64,
@@ -44,7 +44,7 @@
     lag: (f64, TimeSpan),
     /// Left out as faulty for so long yet.
     trial_in: Option<TimeSpan>,
-    pub sent_cold: Vec<(TimeSpan, f64)>,
+    pub slow_start_sends: Vec<(TimeSpan, f64)>,
 }
 
 impl LearnedState {
@@ -64,9 +64,9 @@
             good(&l.faults)
                 && l.faults <= 1.0
                 && since(&l.lag)
-                && l.sent_cold.iter().all(|(s, w)| past(s) && good(w))
-        }) && self.lent.iter().all(|(_, s)| past(s))
-            && self.taken.iter().chain(&self.further).all(past)
+                && l.slow_start_sends.iter().all(|(s, w)| past(s) && good(w))
+        }) && self.delegated_retries.iter().all(|(_, s)| past(s))
+            && self.admitted.iter().chain(&self.retries).all(past)
             && [&self.overdue, &self.rate].into_iter().all(mark)
             && (Coordinator::FILL.0..=Coordinator::FILL.1).contains(&self.fill)
             && since(&self.carried)
@@ -77,7 +77,7 @@
 impl Coordinator {
     /// All that was learned, as of now. What has left its window is not in it.
     pub fn learned_state(&mut self, now: Timestamp) -> LearnedState {
-        self.budget.left(now);
+        self.budget.remaining(now);
         let ages = |times: &std::collections::VecDeque<Timestamp>| times.iter().map(|&t| now - t).collect();
         let classes = self.classes.iter();
         let classes = classes.map(|t| LearnedClassState {
@@ -87,20 +87,25 @@
             leaving: t.leaving,
             stay: t.stay,
         });
-        let window = self.slow_start.window;
+        let window = self.slow_start.config.window;
         let replica = |l: &ReplicaState| LearnedReplicaState {
             started: l.started.map(|t| now - t),
             faults: l.faults,
             lag: (l.lag.0, now - l.lag.1),
             trial_in: l.trial_at.map(|t| t - now).filter(|&s| s > TimeSpan::ZERO),
-            sent_cold: l.sent_cold.iter().map(|&(t, w)| (now - t, w)).filter(|(s, _)| *s <= window).collect(),
+            slow_start_sends: l
+                .sent_cold
+                .iter()
+                .map(|&(t, w)| (now - t, w))
+                .filter(|(s, _)| *s <= window)
+                .collect(),
         };
         LearnedState {
             classes: classes.collect(),
             replicas: self.replicas.iter().map(|(id, l)| (id.0, replica(l))).collect(),
-            taken: ages(&self.budget.taken),
-            further: ages(&self.budget.further),
-            lent: self.budget.lent.values().map(|&(n, until)| (n, until - now)).collect(),
+            admitted: ages(&self.budget.admitted),
+            retries: ages(&self.budget.retries),
+            delegated_retries: self.budget.lent.values().map(|&(n, until)| (n, until - now)).collect(),
             overdue: self.overdue.0,
             rate: self.rate.0,
             fill: self.fill,
@@ -141,12 +146,12 @@
             state.seen.take();
             (state.faults, state.lag) = (k.faults, (k.lag.0, at(k.lag.1)));
             state.trial_at = k.trial_in.map(|s| now + s - passed);
-            state.sent_cold = k.sent_cold.into_iter().map(|(s, w)| (at(s), w)).collect();
+            state.sent_cold = k.slow_start_sends.into_iter().map(|(s, w)| (at(s), w)).collect();
         }
-        self.budget.taken = known.taken.into_iter().map(at).collect();
-        self.budget.further = known.further.into_iter().map(at).collect();
-        for (n, (lent, left)) in known.lent.into_iter().enumerate() {
-            self.budget.lend(Self::OLD - 1 - n as u64, lent, now - passed + left);
+        self.budget.admitted = known.admitted.into_iter().map(at).collect();
+        self.budget.retries = known.retries.into_iter().map(at).collect();
+        for (n, (lent, left)) in known.delegated_retries.into_iter().enumerate() {
+            self.budget.delegate(Self::OLD - 1 - n as u64, lent, now - passed + left);
         }
         (self.overdue, self.rate) =
             (QuantileEstimator(known.overdue.or(self.overdue.0)), QuantileEstimator(known.rate));
@@ -160,10 +165,9 @@
 
     // Two processes as one co-ordinator: what each may spend is divided by `pipitcrank_handover::division`.
 
-    /// What the budget of further calls is: so many free, a share of what is taken, over a span; none is no
-    /// budget.
-    pub fn retry_budget_terms(&self) -> (f64, f64, TimeSpan) {
-        (self.budget.free, self.budget.share, self.budget.span)
+    /// What the retry budget is configured to be.
+    pub fn retry_budget_config(&self) -> RetryBudgetConfig {
+        self.budget.config
     }
 
     /// From now on at most so many further calls, none after `until`, and nothing to cold replicas: another
@@ -175,12 +179,12 @@
 
     /// The process that hands over may make so many further calls, until then.
     pub fn delegate_to_predecessor(&mut self, further: u32, until: Timestamp) {
-        self.budget.lend(Self::OLD, further, until);
+        self.budget.delegate(Self::OLD, further, until);
     }
 
     /// It is gone and made so many.
     pub fn settle_with_predecessor(&mut self, now: Timestamp, further: u32) {
-        self.budget.settle(now, Self::OLD, further);
+        self.budget.settle_delegation(now, Self::OLD, further);
     }
 
     /// The old process, among those that further calls are lent to.
@@ -196,8 +200,8 @@
     pub fn resume_alone(&mut self, now: Timestamp) {
         self.budget.purse = None;
         self.budget.lent.remove(&Self::OLD);
-        self.budget.shut = now + self.budget.span;
-        self.slow_start.shut = now + self.slow_start.window;
+        self.budget.shut = now + self.budget.config.window;
+        self.slow_start.shut = now + self.slow_start.config.window;
         self.moved = true;
     }
 }
--- a/crates/pipitcrank-core/src/coordinator/sites.rs
+++ b/crates/pipitcrank-core/src/coordinator/sites.rs
@@ -9,7 +9,7 @@
     /// The query just taken is another site's, which counts it and lends so many further calls for it: it gains
     /// nothing here, spends nothing here, and goes to no third site.
     pub fn mark_forwarded(&mut self, id: QueryId, further: u32) {
-        self.budget.taken.pop_back();
+        self.budget.admitted.pop_back();
         if let Some(open) = self.queries.get_mut(&id) {
             open.lent = Some((further, 0));
         }
@@ -24,10 +24,12 @@
     /// for the budget and for each part, until `came_back` says how many were.
     pub fn delegate_retries(&mut self, now: Timestamp, who: u64, parts: &[PartId], until: Timestamp) -> u32 {
         let room = |p: &PartId| {
-            self.parts.get(p).map_or(0, |p| self.retry_policy.limit - p.tried().min(self.retry_policy.limit))
+            self.parts
+                .get(p)
+                .map_or(0, |p| self.retry_policy.max_attempts - p.tried().min(self.retry_policy.max_attempts))
         };
         let most = parts.iter().map(room).min().unwrap_or(0).min(parts.len() as u32);
-        let n = self.budget.lend_some(now, who, most, until);
+        let n = self.budget.delegate_up_to(now, who, most, until);
         for id in parts {
             self.parts.get_mut(id).into_iter().for_each(|p| p.elsewhere += n);
         }
@@ -35,7 +37,7 @@
     }
 
     pub fn delegation_returned(&mut self, now: Timestamp, who: u64, parts: &[PartId], lent: u32, made: u32) {
-        self.budget.settle(now, who, made);
+        self.budget.settle_delegation(now, who, made);
         for id in parts {
             self.parts.get_mut(id).into_iter().for_each(|p| p.elsewhere -= lent - made.min(lent));
         }
--- a/crates/pipitcrank-core/src/coordinator/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -15,12 +15,21 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneRouting {
     /// Zones and the shares of queries meant for them, the nearest first. Empty: zones do not count.
-    pub fractions: Vec<(ZoneId, f64)>,
+    pub fractions: Vec<ZoneFraction>,
     /// Nothing goes there.
-    pub shut: Vec<ZoneId>,
+    pub closed: Vec<ZoneId>,
     /// Up to this share of queries, by chance, is rejected before anything is sent for it: what all zones left
     /// can't carry, by utility of the request class (0 to 1 each, in the request classes' order).
-    pub turned_away: Vec<f64>,
+    pub shed_fractions: Vec<f64>,
+}
+
+/// The fraction of queries that is meant for a zone.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ZoneFraction {
+    /// The zone.
+    pub zone: ZoneId,
+    /// From 0 to 1.
+    pub fraction: f64,
 }
 
 #[derive(Default)]
@@ -29,16 +38,26 @@
     tally: ZoneTraffic,
 }
 
+/// Queries and their parts, counted.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestTraffic {
+    /// Queries that arrived.
+    pub queries: u64,
+    /// Their parts.
+    pub parts: u64,
+}
+
 /// Counts since the start, for whoever makes rates of them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneTraffic {
     /// Queries and parts asked, by request class; what was turned away among them.
-    pub asked: Vec<(u64, u64)>,
-    /// Parts merged, by zone of the replica.
-    pub merged: Vec<u64>,
-    /// Parts sent to replicas of the nearest zone, and across.
-    pub near: u64,
-    pub across: u64,
+    pub requested: Vec<RequestTraffic>,
+    /// Parts answered, by zone of the replica.
+    pub answered_parts: Vec<u64>,
+    /// Parts sent to replicas of the nearest zone.
+    pub same_zone_parts: u64,
+    /// Parts sent to replicas of other zones.
+    pub cross_zone_parts: u64,
 }
 
 fn count<T: Clone + Default>(list: &mut Vec<T>, place: usize) -> &mut T {
@@ -69,18 +88,18 @@
     pub(super) fn meant_for(&mut self) -> Option<ZoneId> {
         let of = &self.zones.shares.fractions;
         if of.len() < 2 {
-            return of.first().map(|z| z.0);
+            return of.first().map(|z| z.zone);
         }
         let mut drawn = self.rng.below(Self::FINE) as f64 / Self::FINE as f64;
         let of = &self.zones.shares.fractions;
-        for &(zone, share) in of {
+        for &ZoneFraction { zone, fraction: share } in of {
             if drawn < share {
                 return Some(zone);
             }
             drawn -= share;
         }
         // Shares that fall short of one by rounding.
-        of.iter().max_by(|a, b| a.1.total_cmp(&b.1)).map(|z| z.0)
+        of.iter().max_by(|a, b| a.fraction.total_cmp(&b.fraction)).map(|z| z.zone)
     }
 
     /// Shares are drawn to a thousandth: finer than what any copy sends in a second.
@@ -88,12 +107,12 @@
 
     /// Whether a query of that request class is to be turned away before anything is sent for it.
     pub(super) fn turned_away(&mut self, class: usize) -> bool {
-        let share = self.zones.shares.turned_away.get(class).copied().unwrap_or(0.0);
+        let share = self.zones.shares.shed_fractions.get(class).copied().unwrap_or(0.0);
         share > 0.0 && (self.rng.below(Self::FINE) as f64) < share * Self::FINE as f64
     }
 
     pub(super) fn is_shut(&self, replica: ReplicaId) -> bool {
-        self.replicas[&replica].zone.is_some_and(|z| self.zones.shares.shut.contains(&z))
+        self.replicas[&replica].zone.is_some_and(|z| self.zones.shares.closed.contains(&z))
     }
 
     /// What a replica is held to cost that does not stand in the zone that the query is meant for.
@@ -106,22 +125,23 @@
     }
 
     pub(super) fn count_crossing(&mut self, replica: ReplicaId) {
-        let home = self.zones.shares.fractions.first().map(|z| z.0);
+        let home = self.zones.shares.fractions.first().map(|z| z.zone);
         if let (Some(at), Some(home)) = (self.replicas[&replica].zone, home) {
             let tally = &mut self.zones.tally;
-            *(if at == home { &mut tally.near } else { &mut tally.across }) += 1;
+            *(if at == home { &mut tally.same_zone_parts } else { &mut tally.cross_zone_parts }) += 1;
         }
     }
 
     pub(super) fn count_asked(&mut self, class: usize, parts: f64) {
-        let asked = count(&mut self.zones.tally.asked, class);
-        *asked = (asked.0 + 1, asked.1 + parts.max(0.0) as u64);
+        let asked = count(&mut self.zones.tally.requested, class);
+        asked.queries += 1;
+        asked.parts += parts.max(0.0) as u64;
     }
 
     /// How a attempt ended, for the replica's zone. Zones are few (`told::MOST_ZONES`).
     pub(super) fn count_ended(&mut self, replica: ReplicaId, outcome: AttemptOutcome) {
         if let (Some(zone), AttemptOutcome::Success) = (self.replicas[&replica].zone, outcome) {
-            *count(&mut self.zones.tally.merged, usize::from(zone.0)) += 1;
+            *count(&mut self.zones.tally.answered_parts, usize::from(zone.0)) += 1;
         }
     }
 
@@ -136,7 +156,7 @@
             / self.classes.len().max(1) as f64;
         for (_, state) in self.replicas.iter().filter(|(_, l)| l.zone == Some(zone) && l.listed) {
             seen.listed += 1;
-            seen.fresh += u32::from(state.heard.is_some_and(|h| now - h < Self::JUST));
+            seen.recently_heard += u32::from(state.heard.is_some_and(|h| now - h < Self::JUST));
             let usual = self.overdue.0.unwrap_or(1.0);
             let stuck = |o: &super::OutstandingAttempt| {
                 now - o.at
@@ -149,7 +169,7 @@
             let silent =
                 state.mute + u32::from(probe_lost) >= ReplicaState::MUTE || state.out.values().any(stuck);
             let late = state.out.values().any(|o| unheard(o.at, ReplicaState::LATE));
-            seen.doubted += u32::from(state.mute > 0 || probe_lost || late);
+            seen.suspected += u32::from(state.mute > 0 || probe_lost || late);
             let heard = state.heard.is_some_and(|h| now - h < Self::RECENT);
             // A site's replicas are out of reach while nothing may go there.
             if state.far == Some(None)
@@ -160,14 +180,14 @@
             } else if silent {
                 seen.silent += 1;
             } else if super::drained(state.lag, now) >= ReplicaState::FULL_LAG_S / 2.0 {
-                seen.full += 1;
+                seen.overloaded += 1;
             } else if heard {
                 seen.answering += 1;
             }
-            seen.cold += u32::from(self.slow_start.is_cold(state.started, now));
-            seen.out += state.out.len() as u32;
+            seen.in_slow_start += u32::from(self.slow_start.is_cold(state.started, now));
+            seen.outstanding += state.out.len() as u32;
         }
-        seen.a_part_ms = (a_part * 1000.0) as u32;
+        seen.part_work_ms = (a_part * 1000.0) as u32;
         seen
     }
 
@@ -240,19 +260,19 @@
 }
 
 /// Leaves of one zone by what this co-ordinator last saw of each. Leaves that it has not asked of late are in `listed`
-/// alone. Counts; `a_part_ms` in milliseconds of work.
+/// alone. Counts; `part_work_ms` in milliseconds of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneObservation {
     pub listed: u32,
     pub answering: u32,
     pub silent: u32,
     pub failing: u32,
-    pub full: u32,
-    pub cold: u32,
+    pub overloaded: u32,
+    pub in_slow_start: u32,
     /// Of those listed, such as gave a word within half a second.
-    pub fresh: u32,
+    pub recently_heard: u32,
     /// Of those listed, such as left something without a word of late, be it too little to call them silent.
-    pub doubted: u32,
-    pub out: u32,
-    pub a_part_ms: u32,
+    pub suspected: u32,
+    pub outstanding: u32,
+    pub part_work_ms: u32,
 }
--- a/crates/pipitcrank-core/src/ids.rs
+++ b/crates/pipitcrank-core/src/ids.rs
@@ -13,7 +13,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestClassId(pub u16);
 
-/// How a attempt ended, as told from outside.
+/// One attempt at a part: attempts of a part are numbered from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    /// The part that was sent.
+    pub part: PartId,
+    /// 0 for the first attempt of the part.
+    pub number: u32,
+}
+
+/// How an attempt ended, as reported by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     Success,
--- a/crates/pipitcrank-core/tests/cases.rs
+++ b/crates/pipitcrank-core/tests/cases.rs
@@ -5,15 +5,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use helper::{Act, Tape, at, coordinator, list, ms};
-use pipitcrank_core::coordinator::Coordinator;
-use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 
 /// A query of request class `v` with one part a shard; part ids follow from `base`.
 fn ask(coordinator: &mut Coordinator, tape: &mut Tape, t: i64, v: u16, base: u32, shards: &[u32]) {
     let n = shards.len() as f64;
-    coordinator.start_query(tape, at(t), QueryId(base), RequestClassId(v), ms(3000), None, n);
+    let query = NewQuery {
+        id: QueryId(base),
+        class: RequestClassId(v),
+        time_left: ms(3000),
+        work_hint: None,
+        part_count: n,
+    };
+    coordinator.start_query(tape, at(t), query);
     for (i, &shard) in shards.iter().enumerate() {
-        coordinator.add_part(tape, at(t), PartId(base + i as u32), QueryId(base), shard, 1.0 / n, None);
+        let part = NewPart {
+            id: PartId(base + i as u32),
+            query: QueryId(base),
+            shard,
+            weight: 1.0 / n,
+            work_hint: None,
+        };
+        coordinator.add_part(tape, at(t), part);
     }
 }
 
@@ -31,7 +45,7 @@
 
 fn end(coordinator: &mut Coordinator, t: i64, part: PartId, nth: u32, outcome: AttemptOutcome) -> Tape {
     let mut tape = Tape::default();
-    coordinator.attempt_ended(&mut tape, at(t), part, nth, outcome);
+    coordinator.attempt_ended(&mut tape, at(t), AttemptId { part, number: nth }, outcome);
     coordinator.dispatch(&mut tape, at(t));
     tape
 }
@@ -456,8 +470,16 @@
 fn a_client_with_little_time_left_is_told_soon() {
     // Shares of the SLO time are of the client's time where that is shorter (i9ec2ef).
     let (mut coordinator, mut tape) = (coordinator(1, 2, true), Tape::default());
-    coordinator.start_query(&mut tape, at(0), QueryId(0), RequestClassId(0), ms(300), None, 1.0);
-    coordinator.add_part(&mut tape, at(0), PartId(0), QueryId(0), 0, 1.0, None);
+    let query = NewQuery {
+        id: QueryId(0),
+        class: RequestClassId(0),
+        time_left: ms(300),
+        work_hint: None,
+        part_count: 1.0,
+    };
+    coordinator.start_query(&mut tape, at(0), query);
+    let part = NewPart { id: PartId(0), query: QueryId(0), shard: 0, weight: 1.0, work_hint: None };
+    coordinator.add_part(&mut tape, at(0), part);
     let seen = helper::pass(&mut coordinator, &tape.0, at(60));
     assert!(seen.0.contains(&Act::Reject(QueryId(0))), "no leaf is listed: {:?}", seen.0);
 }
--- a/crates/pipitcrank-core/tests/cold.rs
+++ b/crates/pipitcrank-core/tests/cold.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use helper::{Act, Tape, at, ms};
-use pipitcrank_core::coordinator::Coordinator;
-use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::rng::Rng;
 use pipitcrank_core::time::Timestamp;
 
@@ -69,7 +69,12 @@
                 helper::list(&mut copy.coordinator, &mut tape, &started);
             }
             for &(_, part, nth) in due.iter().filter(|d| d.0 == n) {
-                copy.coordinator.attempt_ended(&mut tape, now, part, nth, AttemptOutcome::Success);
+                copy.coordinator.attempt_ended(
+                    &mut tape,
+                    now,
+                    AttemptId { part, number: nth },
+                    AttemptOutcome::Success,
+                );
             }
             while copy.alarms.front().is_some_and(|a| a.0 <= now) {
                 let (_, label) = copy.alarms.pop_front().unwrap();
@@ -81,8 +86,16 @@
                 let (query, part) = (QueryId(copy.asked), PartId(copy.asked));
                 copy.asked += 1;
                 let shard = rng.below(helper::CELLS as usize) as u32;
-                copy.coordinator.start_query(&mut tape, now, query, RequestClassId(0), ms(4000), None, 1.0);
-                copy.coordinator.add_part(&mut tape, now, part, query, shard, 1.0, None);
+                let asked = NewQuery {
+                    id: query,
+                    class: RequestClassId(0),
+                    time_left: ms(4000),
+                    work_hint: None,
+                    part_count: 1.0,
+                };
+                copy.coordinator.start_query(&mut tape, now, asked);
+                let part = NewPart { id: part, query, shard, weight: 1.0, work_hint: None };
+                copy.coordinator.add_part(&mut tape, now, part);
             }
             copy.coordinator.dispatch(&mut tape, now);
             for act in tape.0 {
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -1,9 +1,10 @@
 //! A port that writes down what the module asks for, and a root over a small ring of replicas.
 
 use pipitcrank_core::coordinator::{
-    Coordinator, RequestClassConfig, RetryBudget, RetryPolicy, SetCover, SlowStart,
+    Coordinator, CoordinatorConfig, RequestClassConfig, RetryBudgetConfig, RetryPolicy, SetCoverConfig,
+    SlowStartConfig,
 };
-use pipitcrank_core::ids::{Idempotency, PartId, QueryId, RejectReason, ReplicaId};
+use pipitcrank_core::ids::{AttemptId, Idempotency, PartId, QueryId, RejectReason, ReplicaId};
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::rng::Rng;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -11,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     Call(PartId, ReplicaId),
-    Abandon(PartId, u32),
+    Cancel(AttemptId),
     Merge(QueryId, bool),
     Reject(QueryId),
     Abort(QueryId),
@@ -30,13 +31,13 @@
     fn send_attempt(&mut self, part: PartId, replica: ReplicaId, _until: Timestamp) {
         self.0.push(Act::Call(part, replica));
     }
-    fn cancel_attempt(&mut self, part: PartId, nth: u32) {
-        self.0.push(Act::Abandon(part, nth));
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        self.0.push(Act::Cancel(attempt));
     }
     fn answer(&mut self, query: QueryId, whole: bool) {
         self.0.push(Act::Merge(query, whole));
     }
-    fn reject(&mut self, query: QueryId, _stay_away: TimeSpan, _why: RejectReason) {
+    fn reject(&mut self, query: QueryId, _retry_after: TimeSpan, _why: RejectReason) {
         self.0.push(Act::Reject(query));
     }
     fn abort(&mut self, query: QueryId, _why: RejectReason) {
@@ -145,41 +146,48 @@
     may_probe: bool,
     among: u32,
 ) -> Coordinator {
-    let tries = RetryPolicy {
-        limit: TRY_LIMIT as u32,
-        may_duplicate,
-        may_abandon: true,
+    let retry_policy = RetryPolicy {
+        max_attempts: TRY_LIMIT as u32,
+        may_hedge: may_duplicate,
+        may_cancel: true,
         may_probe,
-        longest_stay_away: Some(ms(500)),
-        way: WAY,
+        max_retry_after: Some(ms(500)),
+        max_network_delay: WAY,
     };
-    let slow_start = SlowStart {
-        cold_from: 0.2,
-        cold: ms(10_000),
-        factor: 3.0,
+    let slow_start = SlowStartConfig {
+        initial_capacity: 0.2,
+        warm_up: ms(10_000),
+        overload_factor: 3.0,
         window: ms(2000),
-        shut: Timestamp::from_micros(i64::MIN),
-        among,
+        coordinators: among,
     };
-    let budget = RetryBudget::new(SHARE, FREE, Some(BUDGET_SPAN));
-    let cover = SetCover::new(cells, hold, call_size, ms(50));
-    Coordinator::new(Rng::new(seed), cover, budget, slow_start, tries, true, TICK)
+    let retry_budget = RetryBudgetConfig { fraction: SHARE, free: FREE, window: BUDGET_SPAN };
+    let set_cover = SetCoverConfig { cells, cells_per_shard: hold, call_size, call_cost: ms(50) };
+    Coordinator::new(CoordinatorConfig {
+        rng: Rng::new(seed),
+        set_cover,
+        retry_budget,
+        slow_start,
+        retry_policy,
+        watch_endpoints: true,
+        tick: TICK,
+    })
 }
 
 /// The request classes of the tests, named from `prefix` and their number.
 pub fn classes(coordinator: &mut Coordinator, prefix: &str) {
-    for (n, (floor, whole_from)) in FLOORS.into_iter().enumerate() {
+    for (n, (partial_from, complete_from)) in FLOORS.into_iter().enumerate() {
         coordinator.add_request_class(RequestClassConfig {
             name: format!("{prefix}{n}"),
             idempotency: EFFECTS[n],
-            dedup_window: DEDUP,
-            slo: ms(1500),
-            slo_stretch: 0.0,
-            late_worth: LATE_WORTH[n],
+            idempotency_window: DEDUP,
+            latency_objective: ms(1500),
+            objective_stretch: 0.0,
+            late_weight: LATE_WORTH[n],
             hard_limit: ms(4000),
-            whole_from,
-            floor,
-            second_step: n == 4,
+            complete_from,
+            partial_from,
+            has_second_step: n == 4,
         });
     }
 }
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -6,8 +6,10 @@
 use std::collections::BTreeMap;
 
 use helper::{Act, Tape, at, ms};
-use pipitcrank_core::coordinator::Coordinator;
-use pipitcrank_core::ids::{AttemptOutcome, Idempotency, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
+use pipitcrank_core::ids::{
+    AttemptId, AttemptOutcome, Idempotency, PartId, QueryId, ReplicaId, RequestClassId,
+};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -86,9 +88,9 @@
         for act in tape.0 {
             match act {
                 Act::Call(part, replica) => self.called(part, replica)?,
-                Act::Abandon(part, nth) => {
+                Act::Cancel(AttemptId { part, number }) => {
                     prop_assert!(
-                        (nth as usize) < self.pieces[&part].calls.len(),
+                        (number as usize) < self.pieces[&part].calls.len(),
                         "abandons what was never sent"
                     )
                 }
@@ -191,11 +193,7 @@
         self.coordinator.add_part(
             tape,
             self.now,
-            id,
-            query,
-            shard,
-            weight,
-            shard.is_multiple_of(2).then_some(0.1),
+            NewPart { id, query, shard, weight, work_hint: shard.is_multiple_of(2).then_some(0.1) },
         );
     }
 
@@ -221,11 +219,13 @@
             w.coordinator.start_query(
                 tape,
                 w.now,
-                query,
-                RequestClassId(class as u16),
-                left,
-                Some(0.5),
-                f64::from(count),
+                NewQuery {
+                    id: query,
+                    class: RequestClassId(class as u16),
+                    time_left: left,
+                    work_hint: Some(0.5),
+                    part_count: f64::from(count),
+                },
             );
             for n in 0..count {
                 w.piece(tape, query, first + n, 1.0 / f64::from(count), 0);
@@ -248,7 +248,9 @@
         let waited = self.asked.get(&piece.query).is_some_and(|a| a.step == piece.step);
         piece.passed |= outcome == AttemptOutcome::Success && waited;
         self.merged_any |= outcome == AttemptOutcome::Success;
-        self.event(|w, tape| w.coordinator.attempt_ended(tape, w.now, id, nth as u32, outcome))
+        self.event(|w, tape| {
+            w.coordinator.attempt_ended(tape, w.now, AttemptId { part: id, number: nth as u32 }, outcome)
+        })
     }
 
     fn pass(&mut self, span: TimeSpan) -> Result<(), TestCaseError> {
--- a/crates/pipitcrank-core/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -5,9 +5,9 @@
 
 use helper::{Act, Tape, at, coordinator_on, ms};
 use pipitcrank_core::config::SettingsReader;
-use pipitcrank_core::coordinator::Coordinator;
-use pipitcrank_core::coordinator::zones::{ZoneId, ZoneRouting};
-use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::coordinator::zones::{RequestTraffic, ZoneFraction, ZoneId, ZoneRouting};
+use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use serde_json::json;
 
 const HERE: ZoneId = ZoneId(0);
@@ -26,20 +26,34 @@
 }
 
 fn shares(of: &[(ZoneId, f64)], shut: &[ZoneId]) -> ZoneRouting {
-    ZoneRouting { fractions: of.to_vec(), shut: shut.to_vec(), ..ZoneRouting::default() }
+    let fractions = of.iter().map(|&(zone, fraction)| ZoneFraction { zone, fraction }).collect();
+    ZoneRouting { fractions, closed: shut.to_vec(), ..ZoneRouting::default() }
 }
 
 /// Asks one query of one shard; where it went.
 fn goes(coordinator: &mut Coordinator, n: u32, t: i64, class: u16) -> (Vec<ReplicaId>, Vec<Act>) {
     let mut tape = Tape::default();
-    coordinator.start_query(&mut tape, at(t), QueryId(n), RequestClassId(class), ms(3000), None, 1.0);
-    coordinator.add_part(&mut tape, at(t), PartId(n), QueryId(n), n % 6, 1.0, None);
+    let query = NewQuery {
+        id: QueryId(n),
+        class: RequestClassId(class),
+        time_left: ms(3000),
+        work_hint: None,
+        part_count: 1.0,
+    };
+    coordinator.start_query(&mut tape, at(t), query);
+    let part = NewPart { id: PartId(n), query: QueryId(n), shard: n % 6, weight: 1.0, work_hint: None };
+    coordinator.add_part(&mut tape, at(t), part);
     coordinator.dispatch(&mut tape, at(t));
     (tape.calls().into_iter().map(|c| c.1).collect(), tape.0)
 }
 
 fn answered(coordinator: &mut Coordinator, n: u32, t: i64) {
-    coordinator.attempt_ended(&mut Tape::default(), at(t), PartId(n), 0, AttemptOutcome::Success);
+    coordinator.attempt_ended(
+        &mut Tape::default(),
+        at(t),
+        AttemptId { part: PartId(n), number: 0 },
+        AttemptOutcome::Success,
+    );
 }
 
 #[test]
@@ -57,8 +71,11 @@
         }
         assert_eq!(across > 0, across_wanted, "{across} of 60 across, zones told: {told}");
         let tally = coordinator.zone_traffic();
-        assert_eq!((tally.near, tally.across), if told { (60, 0) } else { (0, 0) });
-        assert_eq!((tally.asked[0], tally.merged.iter().sum::<u64>()), ((60, 60), 60));
+        assert_eq!((tally.same_zone_parts, tally.cross_zone_parts), if told { (60, 0) } else { (0, 0) });
+        assert_eq!(
+            (tally.requested[0], tally.answered_parts.iter().sum::<u64>()),
+            (RequestTraffic { queries: 60, parts: 60 }, 60)
+        );
     }
 }
 
@@ -102,7 +119,7 @@
     }
     assert!((250..350).contains(&across), "{across} of 1000");
     assert_eq!(
-        (coordinator.zone_traffic().near, coordinator.zone_traffic().across),
+        (coordinator.zone_traffic().same_zone_parts, coordinator.zone_traffic().cross_zone_parts),
         (1000 - across as u64, across as u64)
     );
 }
@@ -110,10 +127,10 @@
 #[test]
 fn what_no_zone_can_carry_is_rejected_at_once_by_class() {
     let (mut coordinator, _) = two_zones(3, false);
-    let turned_away = vec![1.0, 0.0];
+    let shed_fractions = vec![1.0, 0.0];
     coordinator.set_zone_routing(ZoneRouting {
-        fractions: vec![(HERE, 1.0)],
-        turned_away,
+        fractions: vec![ZoneFraction { zone: HERE, fraction: 1.0 }],
+        shed_fractions,
         ..ZoneRouting::default()
     });
     let (replicas, acts) = goes(&mut coordinator, 1, 0, 0);
@@ -165,7 +182,7 @@
 #[test]
 fn zones_told_are_checked_by_key() {
     let zones = |value: serde_json::Value| {
-        SettingsReader::new(&value).zones().map(|z| z.map(|(own, names)| (own.0, names.len())))
+        SettingsReader::new(&value).zones().map(|z| z.map(|zones| (zones.own.0, zones.names.len())))
     };
     assert_eq!(zones(json!({})), Ok(None));
     assert_eq!(zones(json!({"zone": null, "zones": null})), Ok(None));
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -410,8 +410,8 @@
         for step in steps {
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Taken => { near.take(now); taken.push(now); }
-                Step::NearFurther => if near.left(now) >= 1.0 {
+                Step::Taken => { near.record_admission(now); taken.push(now); }
+                Step::NearFurther => if near.remaining(now) >= 1.0 {
                     near.spend(now);
                     made.push(now);
                     prop_assert!(kept(now, &taken, &made), "a near call");
@@ -419,7 +419,7 @@
                 Step::Lend(most, ms) => {
                     who += 1;
                     let until = now + TimeSpan::from_millis(ms);
-                    let n = near.lend_some(now, who, most, until);
+                    let n = near.delegate_up_to(now, who, most, until);
                     out.push((who, n, n, until, true));
                 }
                 Step::FarFurther(n) => if let Some((_, _, left, until, _)) = out.get_mut(n)
@@ -431,7 +431,7 @@
                 }
                 Step::ComesBack(n) => if n < out.len() {
                     let (who, lent, left, _, linked) = out.remove(n);
-                    if linked { near.settle(now, who, lent - left); } else { out.push((who, lent, left, now, linked)); }
+                    if linked { near.settle_delegation(now, who, lent - left); } else { out.push((who, lent, left, now, linked)); }
                 }
                 Step::LinkBreaks(n) => if let Some(o) = out.get_mut(n) { o.4 = false; },
             }
--- a/crates/pipitcrank-handover/src/division.rs
+++ b/crates/pipitcrank-handover/src/division.rs
@@ -34,13 +34,13 @@
         return Purse { further: 0, within: longest };
     }
     // What is out at other sites may still be spent until its own time is over: arrivals have to last until then too.
-    let out = known.lent.iter().map(|(_, left)| *left).max().unwrap_or(TimeSpan::ZERO);
+    let out = known.delegated_retries.iter().map(|(_, left)| *left).max().unwrap_or(TimeSpan::ZERO);
     let within = longest.max(out).min(span);
-    known.taken.retain(|&age| age + within + CLOCKS_APART < span);
-    known.taken.iter_mut().for_each(|age| *age = *age + CLOCKS_APART);
-    known.further.iter_mut().for_each(|age| *age = (*age - CLOCKS_APART).max(TimeSpan::ZERO));
-    let elsewhere: u32 = known.lent.iter().map(|(n, _)| n).sum();
-    let left = free + share * known.taken.len() as f64 - known.further.len() as f64 - f64::from(elsewhere);
+    known.admitted.retain(|&age| age + within + CLOCKS_APART < span);
+    known.admitted.iter_mut().for_each(|age| *age = *age + CLOCKS_APART);
+    known.retries.iter_mut().for_each(|age| *age = (*age - CLOCKS_APART).max(TimeSpan::ZERO));
+    let elsewhere: u32 = known.delegated_retries.iter().map(|(n, _)| n).sum();
+    let left = free + share * known.admitted.len() as f64 - known.retries.len() as f64 - f64::from(elsewhere);
     let further = (left * OLD_SHARE).floor().max(0.0) as u32;
     Purse { further, within }
 }
--- a/crates/pipitcrank-handover/src/division/tests.rs
+++ b/crates/pipitcrank-handover/src/division/tests.rs
@@ -55,40 +55,40 @@
         for step in before {
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Taken => { one.take(now); taken.push(now); }
-                Step::OldSends | Step::NewSends if one.left(now) >= 1.0 => { one.spend(now); made.push(now); }
+                Step::Taken => { one.record_admission(now); taken.push(now); }
+                Step::OldSends | Step::NewSends if one.remaining(now) >= 1.0 => { one.spend(now); made.push(now); }
                 _ => {}
             }
         }
-        one.left(now);
+        one.remaining(now);
         let mut known = LearnedState::default();
-        known.taken = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
-        known.further = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
+        known.admitted = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
+        known.retries = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
         let purse = divide(free, share, span, TimeSpan::from_millis(longest_ms), &mut known);
         let (mut delegated_retries_left, until) = (purse.further, now + purse.within);
         // The new one's clock is a little off.
         let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
         let mut new = RetryBudget::new(share, free, Some(span));
-        for (&age, further) in known.taken.iter().map(|a| (a, false)).chain(known.further.iter().map(|a| (a, true))) {
+        for (&age, further) in known.admitted.iter().map(|a| (a, false)).chain(known.retries.iter().map(|a| (a, true))) {
             let at = now - age + skew;
-            if further { new.spend(at) } else { new.take(at) }
+            if further { new.spend(at) } else { new.record_admission(at) }
         }
-        new.lend(1, purse.further, until + skew);
+        new.delegate(1, purse.further, until + skew);
         let mut settled = false;
         for (n, step) in after.into_iter().enumerate() {
             if n == old_gone_at && !settled {
                 settled = true;
-                new.settle(now + skew, 1, purse.further - delegated_retries_left);
+                new.settle_delegation(now + skew, 1, purse.further - delegated_retries_left);
             }
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Taken => { new.take(now + skew); taken.push(now); }
+                Step::Taken => { new.record_admission(now + skew); taken.push(now); }
                 Step::OldSends if !settled && delegated_retries_left > 0 && now < until => {
                     delegated_retries_left -= 1;
                     made.push(now);
                     prop_assert!(kept(free, share, span, now, &taken, &made), "the old one's call");
                 }
-                Step::NewSends if new.left(now + skew) >= 1.0 => {
+                Step::NewSends if new.remaining(now + skew) >= 1.0 => {
                     new.spend(now + skew);
                     made.push(now);
                     prop_assert!(kept(free, share, span, now, &taken, &made), "the new one's call");
@@ -109,15 +109,15 @@
 fn without_a_budget_or_room_nothing_is_lent() {
     let mut known = LearnedState::default();
     assert_eq!(divide(0.0, 0.0, TimeSpan::ZERO, TimeSpan::from_millis(5), &mut known).further, 0);
-    known.further = vec![TimeSpan::ZERO; 3];
-    known.further.clear();
-    known.lent = vec![(3, TimeSpan::from_millis(5))];
+    known.retries = vec![TimeSpan::ZERO; 3];
+    known.retries.clear();
+    known.delegated_retries = vec![(3, TimeSpan::from_millis(5))];
     assert_eq!(
         divide(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut known).further,
         0,
         "it is out already"
     );
-    known.lent.clear();
-    known.further = vec![TimeSpan::ZERO; 3];
+    known.delegated_retries.clear();
+    known.retries = vec![TimeSpan::ZERO; 3];
     assert_eq!(divide(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut known).further, 0);
 }
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -91,7 +91,8 @@
         }
         let (snapshot, rest): (Snapshot, _) = postcard::take_from_bytes(body).map_err(|_| Refused::Body)?;
         let few =
-            snapshot.replicas.len().max(snapshot.known.taken.len()).max(snapshot.known.further.len()) <= MOST;
+            snapshot.replicas.len().max(snapshot.known.admitted.len()).max(snapshot.known.retries.len())
+                <= MOST;
         let past = |s: &Option<TimeSpan>| s.is_none_or(|s| s >= TimeSpan::ZERO);
         let replicas = snapshot.replicas.iter().all(|l| past(&l.off) && !l.uid.is_empty());
         if rest.is_empty() && few && replicas && snapshot.known.sound() {
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -13,19 +13,16 @@
         off: (n == 3).then(|| TimeSpan::from_millis(5)),
     };
     let mut known = LearnedState::default();
-    known.taken = vec![TimeSpan::from_millis(3); 9];
+    known.admitted = vec![TimeSpan::from_millis(3); 9];
     // The share of the time left that is filled starts between its bounds.
-    let mut coordinator = pipitcrank_core::coordinator::Coordinator::new(
-        pipitcrank_core::rng::Rng::new(1),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        false,
-        TimeSpan::from_millis(5),
-    );
+    let mut coordinator =
+        pipitcrank_core::coordinator::Coordinator::new(pipitcrank_core::coordinator::CoordinatorConfig {
+            rng: pipitcrank_core::rng::Rng::new(1),
+            tick: TimeSpan::from_millis(5),
+            ..Default::default()
+        });
     let mut fresh = coordinator.learned_state(pipitcrank_core::time::Timestamp::default());
-    fresh.taken = known.taken;
+    fresh.admitted = known.admitted;
     Snapshot {
         taken_us: 5,
         rev: Some(7),
@@ -46,7 +43,7 @@
     foreign[0] = b'x';
     assert_eq!(Snapshot::decode(&foreign), Err(Refused::Foreign));
     let mut unsound = some();
-    unsound.known.taken[0] = TimeSpan::from_millis(-1);
+    unsound.known.admitted[0] = TimeSpan::from_millis(-1);
     assert_eq!(Snapshot::decode(&unsound.encode().unwrap()), Err(Refused::Unsound));
 }
 
--- a/crates/pipitcrank-recovery/src/beliefs/tests.rs
+++ b/crates/pipitcrank-recovery/src/beliefs/tests.rs
@@ -10,16 +10,13 @@
 
 fn some(now: Clocks) -> Beliefs {
     let peer = Peer { address: ([127, 0, 0, 1], 9).into(), instance: 5, zone: 0 };
-    let known = pipitcrank_core::coordinator::Coordinator::new(
-        pipitcrank_core::rng::Rng::new(1),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        false,
-        TimeSpan::from_millis(5),
-    )
-    .learned_state(pipitcrank_core::time::Timestamp::default());
+    let known =
+        pipitcrank_core::coordinator::Coordinator::new(pipitcrank_core::coordinator::CoordinatorConfig {
+            rng: pipitcrank_core::rng::Rng::new(1),
+            tick: TimeSpan::from_millis(5),
+            ..Default::default()
+        })
+        .learned_state(pipitcrank_core::time::Timestamp::default());
     let snapshot = Snapshot { known, ..Snapshot::default() };
     Beliefs::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MOST_MEMBERS + 80])
 }
--- a/crates/pipitcrank-server/src/exchange.rs
+++ b/crates/pipitcrank-server/src/exchange.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::coordinator::Coordinator;
 use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
-use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery, RetryBudgetConfig};
+use pipitcrank_core::ids::{self, AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::division;
 use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
@@ -352,7 +352,7 @@
             return Err(NotSent::TimeOver);
         }
         // Last: it counts the call as gone out.
-        self.coordinator.begin_attempt(now, call.0, call.1)?;
+        self.coordinator.begin_attempt(now, ids::AttemptId { part: call.0, number: call.1 })?;
         Ok(CallPart {
             id: part.id.clone(),
             shard: part.shard,
@@ -611,20 +611,26 @@
             };
             desk.held_parts.insert(index, held);
         }
-        self.coordinator.start_query(&mut self.desk, now, query, class, ends - now, work, parts.len() as f64);
+        let new_query = NewQuery {
+            id: query,
+            class,
+            time_left: ends - now,
+            work_hint: work,
+            part_count: parts.len() as f64,
+        };
+        self.coordinator.start_query(&mut self.desk, now, new_query);
         if let Some(further) = further {
             self.coordinator.mark_forwarded(query, further);
         }
         for (index, part) in indices.into_iter().zip(parts) {
-            self.coordinator.add_part(
-                &mut self.desk,
-                now,
-                PartId(index),
+            let new_part = NewPart {
+                id: PartId(index),
                 query,
-                part.shard,
-                part.weight,
-                part.work,
-            );
+                shard: part.shard,
+                weight: part.weight,
+                work_hint: part.work,
+            };
+            self.coordinator.add_part(&mut self.desk, now, new_part);
         }
     }
 
@@ -641,7 +647,8 @@
             }
             part.value = value;
         }
-        self.coordinator.attempt_ended(&mut self.desk, now, call.0, call.1, outcome);
+        let attempt = ids::AttemptId { part: call.0, number: call.1 };
+        self.coordinator.attempt_ended(&mut self.desk, now, attempt, outcome);
     }
 
     fn report(&mut self, now: Timestamp, replica: ReplicaId, report: Option<Report>) {
@@ -663,8 +670,8 @@
     ) -> Snapshot {
         self.take_lists();
         let mut known = self.coordinator.learned_state(now);
-        let (free, share, span) = self.coordinator.retry_budget_terms();
-        let purse = division::divide(free, share, span, longest, &mut known);
+        let RetryBudgetConfig { free, fraction, window } = self.coordinator.retry_budget_config();
+        let purse = division::divide(free, fraction, window, longest, &mut known);
         self.coordinator.limit_to_delegated_retries(purse.further, now + purse.within);
         Snapshot {
             taken_us,
--- a/crates/pipitcrank-server/src/exchange/desk.rs
+++ b/crates/pipitcrank-server/src/exchange/desk.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, RejectReason, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{self, AttemptOutcome, PartId, QueryId, RejectReason, ReplicaId, RequestClassId};
 use pipitcrank_core::interner::Interner;
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -177,7 +177,8 @@
         self.wishes.push(Wish::Call(replica, call));
     }
 
-    fn cancel_attempt(&mut self, part: PartId, nth: u32) {
+    fn cancel_attempt(&mut self, attempt: ids::AttemptId) {
+        let ids::AttemptId { part, number: nth } = attempt;
         if let Some(replica) = self.out.get(&(part, nth)).map(|out| out.replica) {
             self.wishes.push(Wish::GiveUp(replica, (part, nth)));
         }
--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -247,7 +247,7 @@
 
     /// This co-ordinator's zone, by its place, and the names of all; none where the platform says nothing.
     pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, ConfigError> {
-        self.settings()?.zones()
+        Ok(self.settings()?.zones()?.map(|zones| (zones.own, zones.names)))
     }
 
     /// Parts that a connection to a replica carries at once.
--- a/crates/pipitcrank-sim-adapter/src/door.rs
+++ b/crates/pipitcrank-sim-adapter/src/door.rs
@@ -4,9 +4,11 @@
 use std::io::{self, Write};
 
 use pipitcrank_core::config::{ConfigError, SettingsReader};
-use pipitcrank_core::coordinator::Coordinator;
 use pipitcrank_core::coordinator::zones::ZoneId;
-use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, RejectReason, ReplicaId, RequestClassId};
+use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
+use pipitcrank_core::ids::{
+    AttemptId, AttemptOutcome, PartId, QueryId, RejectReason, ReplicaId, RequestClassId,
+};
 use pipitcrank_core::interner::Interner;
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -68,8 +70,9 @@
         self.say(&line);
     }
 
-    fn cancel_attempt(&mut self, part: PartId, nth: u32) {
-        let line = format!("ABANDON i={} job={} trial={nth}", self.instance, self.parts.name(part.0));
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        let AttemptId { part, number } = attempt;
+        let line = format!("ABANDON i={} job={} trial={number}", self.instance, self.parts.name(part.0));
         self.say(&line);
     }
 
@@ -149,7 +152,7 @@
             asks: BTreeMap::new(),
             reply: String::new(),
         };
-        let zones = told.zones().map_err(faulty)?.map_or(Vec::new(), |(_, names)| names);
+        let zones = told.zones().map_err(faulty)?.map_or(Vec::new(), |zones| zones.names);
         Ok(Host { door, coordinator, classes, zones })
     }
 
@@ -198,7 +201,14 @@
                             return Err(line.wrong("job", "repeats an id that is held"));
                         }
                         let part = PartId(door.parts.intern(job));
-                        coordinator.add_part(door, now, part, QueryId(query), shard, amount, hint);
+                        let part = NewPart {
+                            id: part,
+                            query: QueryId(query),
+                            shard,
+                            weight: amount,
+                            work_hint: hint,
+                        };
+                        coordinator.add_part(door, now, part);
                     }
                     return Ok(());
                 }
@@ -211,14 +221,26 @@
                 let query = QueryId(door.queries.intern(job));
                 door.asks.insert(ask, query.0);
                 let left = TimeSpan::from_secs_f64(line.amount("remaining_s")?);
-                coordinator.start_query(door, now, query, RequestClassId(class as u16), left, hint, amount);
+                let query = NewQuery {
+                    id: query,
+                    class: RequestClassId(class as u16),
+                    time_left: left,
+                    work_hint: hint,
+                    part_count: amount,
+                };
+                coordinator.start_query(door, now, query);
             }
             "FINISHED" => {
                 let nth = line.number("trial")?;
                 let outcome = outcome(line)?;
                 report(coordinator, door, now, line)?;
                 if let Some(part) = door.parts.find(line.field("job")?) {
-                    coordinator.attempt_ended(door, now, PartId(part), nth, outcome);
+                    coordinator.attempt_ended(
+                        door,
+                        now,
+                        AttemptId { part: PartId(part), number: nth },
+                        outcome,
+                    );
                 }
             }
             "DROPPED" => {
