--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -10,8 +10,8 @@
 use pipitcrank_failover::decision::Decision;
 use pipitcrank_handover::clock::monotonic_micros;
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::last_known_state::{Beliefs, Clocks, Recalled};
-use pipitcrank_recovery::store::{Fault, Store};
+use pipitcrank_recovery::last_known_state::{ClockReading, LastKnownState, RecoveredState};
+use pipitcrank_recovery::store::{Store, StoreError, WriteStatus};
 use pipitcrank_server::counters::Counters;
 use pipitcrank_server::discovery::SharedRevision;
 use pipitcrank_server::event_loop::EventLoop;
@@ -29,7 +29,7 @@
 /// What was found of a process before this one.
 #[derive(Default)]
 pub struct Past {
-    pub recalled: Recalled,
+    pub recalled: RecoveredState,
     pub memory: Option<Memory>,
 }
 
@@ -40,12 +40,12 @@
     written: Option<Timestamp>,
     wanted: u64,
     /// What was last said of it.
-    said: Option<Fault>,
+    said: Option<StoreError>,
     slow: bool,
 }
 
-fn clocks() -> Clocks {
-    Clocks { day_us: since_1970_us() as i64, since_boot_us: monotonic_micros() }
+fn clocks() -> ClockReading {
+    ClockReading { wall_us: since_1970_us() as i64, monotonic_us: monotonic_micros() }
 }
 
 impl Disk {
@@ -55,11 +55,11 @@
         let bell = std::sync::Arc::new(Notify::new());
         let rings = bell.clone();
         let store = Store::open(told.path.clone(), owner.to_string(), move || rings.notify_one());
-        let found = store.found(OPENS_WITHIN);
+        let found = store.stored_values(OPENS_WITHIN);
         let mut disk =
             Disk { store, told: told.clone(), bell, written: None, wanted: 0, said: None, slow: false };
         let past = match found {
-            Ok(found) => disk.read(found.promises.as_deref(), found.beliefs.as_deref()),
+            Ok(found) => disk.read(found.voter_memory.as_deref(), found.learned_state.as_deref()),
             Err(fault) => {
                 tracing::warn!("/store/path {}: {fault}; nothing of it is gone by", told.path.display());
                 disk.said = Some(fault);
@@ -73,7 +73,7 @@
     pub async fn open_when_free(told: &Told, owner: &str, mut gone: impl FnMut() -> bool) -> (Disk, Past) {
         loop {
             let (disk, past) = Disk::open(told, owner);
-            if disk.said != Some(Fault::InUse) || gone() {
+            if disk.said != Some(StoreError::InUse) || gone() {
                 return (disk, past);
             }
             drop(disk);
@@ -93,12 +93,12 @@
             read
         });
         let Some(beliefs) = beliefs else { return Past { memory, ..Past::default() } };
-        let Some(beliefs) = Beliefs::decode(beliefs) else {
+        let Some(beliefs) = LastKnownState::decode(beliefs) else {
             tracing::warn!("/store/path {at}: what was known can't be read, and is left");
             return Past { memory, ..Past::default() };
         };
-        let recalled = beliefs.recall(clocks(), span(self.told.oldest));
-        if recalled.known.is_none() {
+        let recalled = beliefs.recover(clocks(), span(self.told.oldest));
+        if recalled.learned.is_none() {
             tracing::info!(
                 "/store/path {at}: what was known of leaves is too old, or a clock was set; it is left"
             );
@@ -112,12 +112,12 @@
     }
 
     pub fn keep(&mut self, memory: &Memory) {
-        self.wanted = self.store.keep(memory.encode());
+        self.wanted = self.store.save_voter_memory(memory.encode());
     }
 
     /// Whether all that was to be kept is.
     pub fn is_kept(&self) -> bool {
-        self.store.synced() >= self.wanted
+        self.store.synced_sequence() >= self.wanted
     }
 
     /// Has what is known written, where it is time for that; and says how the disk does.
@@ -135,7 +135,7 @@
         self.written = Some(now);
         let snapshot = event_loop.tell(|e| e.remembered(now, monotonic_micros(), rev.get()));
         let (decision, members) = agreed();
-        self.store.believe(Beliefs::new(clocks(), &snapshot, decision, members).encode());
+        self.store.save_learned_state(LastKnownState::new(clocks(), &snapshot, decision, members).encode());
         event_loop.counters.add("store", "written");
     }
 
@@ -145,7 +145,7 @@
     }
 
     fn say(&mut self, counters: &Counters) {
-        let (failing, waits) = self.store.failing();
+        let WriteStatus { error: failing, pending_for: waits } = self.store.write_status();
         let at = self.told.path.display();
         if failing != self.said {
             match &failing {
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -227,7 +227,7 @@
             .map(|told| Ok::<_, anyhow::Error>(Disk::open(told, &owner()?)))
             .transpose()?;
         let (disk, mut past) = stored.map_or((None, Past::default()), |(disk, past)| (Some(disk), past));
-        let known = past.recalled.known.take();
+        let known = past.recalled.learned.take().map(|learned| (learned.age, learned.snapshot));
         return on_one_thread(async {
             // Heeded without effect: left alone it would end the process.
             let _upgrades = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::user_defined2())?;
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -19,7 +19,7 @@
 use pipitcrank_membership::evidence::Row;
 use pipitcrank_membership::members::{Gone, News};
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::restart_waves::{self, Copy};
+use pipitcrank_recovery::restart_waves::{RestartNode, RestartRequest, plan_waves};
 use pipitcrank_server::counters::Counters;
 use pipitcrank_server::discovery::SharedRevision;
 use pipitcrank_server::serve::ServerContext;
@@ -597,8 +597,8 @@
             bail!(silent())
         };
         after = some.last().map(|p| p.address);
-        copies.extend(some.into_iter().map(|p| Copy {
-            votes: zones.voters.iter().any(|v| v.0 == p.address),
+        copies.extend(some.into_iter().map(|p| RestartNode {
+            is_voter: zones.voters.iter().any(|v| v.0 == p.address),
             address: p.address,
             zone: p.zone,
         }));
@@ -609,11 +609,17 @@
     let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.0));
     let home: Vec<bool> =
         decision.places.iter().map(|p| p.state == State::Serving && p.kept == WHOLE).collect();
-    let waves = restart_waves::plan(&copies, zones.voters.len(), leader, &home, share)?;
+    let waves = plan_waves(&RestartRequest {
+        nodes: &copies,
+        configured_voters: zones.voters.len(),
+        leader,
+        zone_serves: &home,
+        max_fraction: share,
+    })?;
     for (n, wave) in waves.iter().enumerate() {
-        let named = |c: &Copy| {
+        let named = |c: &RestartNode| {
             let zone = zones.zones.get(usize::from(c.zone)).map_or("?", |z| z.0.as_str());
-            format!("{} ({zone}{})", c.address, if c.votes { ", voter" } else { "" })
+            format!("{} ({zone}{})", c.address, if c.is_voter { ", voter" } else { "" })
         };
         println!("{}: {}", n + 1, wave.iter().map(named).collect::<Vec<_>>().join(", "));
     }
--- a/crates/pipitcrank-recovery/src/last_known_state/tests.rs
+++ b/crates/pipitcrank-recovery/src/last_known_state/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-const OLDEST: TimeSpan = TimeSpan::from_millis(60_000);
+const MAX_AGE: TimeSpan = TimeSpan::from_millis(60_000);
 
-fn clocks(day_s: i64, boot_s: i64) -> Clocks {
-    Clocks { day_us: day_s * 1_000_000, since_boot_us: boot_s * 1_000_000 }
+fn clocks(wall_s: i64, monotonic_s: i64) -> ClockReading {
+    ClockReading { wall_us: wall_s * 1_000_000, monotonic_us: monotonic_s * 1_000_000 }
 }
 
-fn some(now: Clocks) -> Beliefs {
+fn state(now: ClockReading) -> LastKnownState {
     let peer = Peer { address: ([127, 0, 0, 1], 9).into(), instance: 5, zone: 0 };
     let known = pipitcrank_core::coordinator::Coordinator::new(
         pipitcrank_core::rng::Rng::new(1),
@@ -21,7 +21,7 @@
     )
     .learned_state(pipitcrank_core::time::Timestamp::default());
     let snapshot = Snapshot { learned: known, ..Snapshot::default() };
-    Beliefs::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MOST_MEMBERS + 80])
+    LastKnownState::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MAX_MEMBERS + 80])
 }
 
 #[test]
@@ -38,12 +38,12 @@
         // It was set ahead: held to be as old as that.
         (clocks(2_000_000, 510), false, true),
     ] {
-        let kept = Beliefs::decode(&some(written).encode()).unwrap();
-        let recalled = kept.recall(now, OLDEST);
-        assert_eq!((recalled.known.is_some(), !recalled.members.is_empty()), (known, members), "{now:?}");
-        assert_eq!(recalled.decision.map(|d| d.number), Some(7 << 32));
+        let stored = LastKnownState::decode(&state(written).encode()).unwrap();
+        let recovered = stored.recover(now, MAX_AGE);
+        assert_eq!((recovered.learned.is_some(), !recovered.members.is_empty()), (known, members), "{now:?}");
+        assert_eq!(recovered.decision.map(|d| d.number), Some(7 << 32));
     }
-    assert_eq!(some(written).members.len(), MOST_MEMBERS);
+    assert_eq!(state(written).members.len(), MAX_MEMBERS);
 }
 
 proptest! {
@@ -54,7 +54,7 @@
     fn nothing_is_taken_for_younger_than_it_is(passed in 0i64..100_000, set in -50_000i64..50_000, booted in any::<bool>()) {
         let written = clocks(1_000_000, 5_000);
         let now = clocks(1_000_000 + passed + set, if booted { 1 } else { 5_000 + passed });
-        let age = age(written, now);
+        let age = elapsed(written, now);
         // With the machine started anew and its clock set back by less than has passed nothing tells.
         if let Some(age) = age.filter(|_| !booted || set >= 0) {
             prop_assert!(age.as_secs_f64() >= passed as f64 - 2.0, "{age:?} for {passed}");
@@ -63,15 +63,15 @@
 
     #[test]
     fn cut_or_longer_it_is_left(cut in 0usize..4000, more in 1usize..9) {
-        let bytes = some(clocks(9, 9)).encode();
-        prop_assert!(Beliefs::decode(&bytes[..cut % bytes.len()]).is_none());
-        prop_assert!(Beliefs::decode(&[&bytes[..], &vec![0; more][..]].concat()).is_none());
+        let bytes = state(clocks(9, 9)).encode();
+        prop_assert!(LastKnownState::decode(&bytes[..cut % bytes.len()]).is_none());
+        prop_assert!(LastKnownState::decode(&[&bytes[..], &vec![0; more][..]].concat()).is_none());
     }
 
     #[test]
     fn noise_does_no_harm(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
-        if let Some(beliefs) = Beliefs::decode(&noise) {
-            prop_assert!(beliefs.recall(clocks(9, 9), OLDEST).members.len() <= MOST_MEMBERS);
+        if let Some(state) = LastKnownState::decode(&noise) {
+            prop_assert!(state.recover(clocks(9, 9), MAX_AGE).members.len() <= MAX_MEMBERS);
         }
     }
 }
--- a/crates/pipitcrank-recovery/src/lib.rs
+++ b/crates/pipitcrank-recovery/src/lib.rs
@@ -1,6 +1,12 @@
-//! Coming back after a restart: what is kept on disk (`store.rs`, a thread of its own), what of it may be gone by
-//! (`last_known_state.rs`), and how many copies may be away at once when they are restarted on purpose (`restart_waves.rs`); the latter two
-//! are books without I/O and clock.
+//! Return to service after a restart.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `store` | what is kept on disk, written by a thread of its own |
+//! | `last_known_state` | which parts of the state kept on disk are recent enough to be used; no I/O, no clock |
+//! | `restart_waves` | which nodes may be restarted at once in a rolling restart; no I/O, no clock |
+
+#![warn(missing_docs)]
 
 pub mod last_known_state;
 pub mod restart_waves;
--- /dev/null
+++ b/crates/pipitcrank-recovery/src/store/database_file.rs
@@ -0,0 +1,183 @@
+//! The file's form: one table with a header and two values, each behind its checksum.
+
+use std::panic::AssertUnwindSafe;
+use std::path::PathBuf;
+
+use redb::{
+    Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition, TableError,
+};
+
+use super::DatabaseOpener;
+use super::error::{Corruption, StoreError};
+
+/// Version of the file's form, raised with each change of it.
+pub const FORMAT_VERSION: u16 = 1;
+/// Longest value read, in bytes: a snapshot of the most replicas configured, and its header.
+const MAX_VALUE_LENGTH: usize = 8 << 20;
+
+/// The names on disk are those of the first version.
+pub(super) const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
+pub(super) const HEADER_KEY: &str = "head";
+const VOTER_MEMORY_KEY: &str = "promises";
+const LEARNED_STATE_KEY: &str = "beliefs";
+
+/// What an earlier process has stored.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct StoredValues {
+    /// The voter's memory.
+    pub voter_memory: Option<Vec<u8>>,
+    /// The learned state.
+    pub learned_state: Option<Vec<u8>>,
+}
+
+/// The file of the node `owner`, open or not.
+pub struct DatabaseFile {
+    opener: DatabaseOpener,
+    path: PathBuf,
+    owner: String,
+    database: Option<Database>,
+}
+
+/// The value behind its checksum: the database verifies its own pages only after a crash.
+pub(super) fn with_checksum(value: &[u8]) -> Vec<u8> {
+    [&crc32fast::hash(value).to_be_bytes()[..], value].concat()
+}
+
+fn verified(bytes: &[u8]) -> Option<Vec<u8>> {
+    let (checksum, value) = bytes.split_first_chunk::<4>()?;
+    let matches = crc32fast::hash(value) == u32::from_be_bytes(*checksum);
+    (value.len() <= MAX_VALUE_LENGTH && matches).then(|| value.to_vec())
+}
+
+fn storage_error(error: &StorageError) -> StoreError {
+    match error {
+        StorageError::Corrupted(reason) => Corruption::Database(reason.clone()).into(),
+        error => StoreError::not_writable(error),
+    }
+}
+
+fn open_error(error: DatabaseError) -> StoreError {
+    use std::io::ErrorKind::{InvalidData, UnexpectedEof};
+    match error {
+        DatabaseError::DatabaseAlreadyOpen => StoreError::InUse,
+        DatabaseError::UpgradeRequired(_) | DatabaseError::RepairAborted => Corruption::DatabaseFormat.into(),
+        // A file that is no database at all.
+        DatabaseError::Storage(StorageError::Io(error))
+            if matches!(error.kind(), InvalidData | UnexpectedEof) =>
+        {
+            Corruption::Database(error.to_string()).into()
+        }
+        DatabaseError::Storage(StorageError::Io(error)) => StoreError::not_writable(error),
+        DatabaseError::Storage(error) => storage_error(&error),
+        error => StoreError::not_writable(error),
+    }
+}
+
+impl DatabaseFile {
+    /// A file that is not open yet.
+    pub fn new(opener: DatabaseOpener, path: PathBuf, owner: String) -> DatabaseFile {
+        DatabaseFile { opener, path, owner, database: None }
+    }
+
+    /// Opens the file, and reads its values. A corrupt one is renamed and a new one opened; the error tells of that.
+    pub fn open(&mut self) -> Result<StoredValues, StoreError> {
+        match self.open_existing() {
+            Err(StoreError::Corrupt { cause, .. }) => {
+                self.database = None;
+                let renamed = self.path.with_added_extension("torn");
+                std::fs::rename(&self.path, &renamed).map_err(StoreError::not_writable)?;
+                self.open_existing()?;
+                Err(StoreError::Corrupt { cause, moved_to: Some(renamed) })
+            }
+            opened => opened,
+        }
+    }
+
+    fn open_existing(&mut self) -> Result<StoredValues, StoreError> {
+        let opener = AssertUnwindSafe(&mut self.opener);
+        let path = self.path.clone();
+        // The database panics on some corrupt files.
+        let opened = std::panic::catch_unwind(move || {
+            let opener = opener;
+            (opener.0)(&path)
+        });
+        let database = opened.map_err(|_| Corruption::DatabasePanic)?.map_err(open_error)?;
+        let values = self.read_values(&database)?;
+        self.database = Some(database);
+        Ok(values)
+    }
+
+    fn read_values(&self, database: &Database) -> Result<StoredValues, StoreError> {
+        let transaction = database.begin_read().map_err(StoreError::not_writable)?;
+        let table = match transaction.open_table(TABLE) {
+            Ok(table) => table,
+            // A new file.
+            Err(TableError::TableDoesNotExist(_)) => return Ok(StoredValues::default()),
+            Err(error) => return Err(Corruption::Database(error.to_string()).into()),
+        };
+        let header = read_value(&table, HEADER_KEY)?.ok_or(Corruption::NoHeader)?;
+        self.check_header(&header)?;
+        Ok(StoredValues {
+            voter_memory: read_value(&table, VOTER_MEMORY_KEY)?,
+            learned_state: read_value(&table, LEARNED_STATE_KEY)?,
+        })
+    }
+
+    fn check_header(&self, header: &[u8]) -> Result<(), StoreError> {
+        let (version, owner) = header.split_first_chunk::<2>().ok_or(Corruption::TruncatedHeader)?;
+        let version = u16::from_be_bytes(*version);
+        if version != FORMAT_VERSION {
+            return Err(StoreError::UnsupportedVersion(version));
+        }
+        if owner != self.owner.as_bytes() {
+            return Err(StoreError::OtherOwner(String::from_utf8_lossy(owner).into_owned()));
+        }
+        Ok(())
+    }
+
+    /// Writes the values given, all or none; they are synced when it returns.
+    pub fn write(
+        &mut self,
+        voter_memory: Option<&[u8]>,
+        learned_state: Option<&[u8]>,
+    ) -> Result<(), StoreError> {
+        if self.database.is_none() {
+            // Another node's file may have been put in its place meanwhile: it is checked again before it is written.
+            self.open()?;
+        }
+        let Some(database) = &self.database else { return Err(StoreError::InUse) };
+        let header = [&FORMAT_VERSION.to_be_bytes()[..], self.owner.as_bytes()].concat();
+        let values = [
+            (HEADER_KEY, Some(&header[..])),
+            (VOTER_MEMORY_KEY, voter_memory),
+            (LEARNED_STATE_KEY, learned_state),
+        ];
+        let written = write_values(database, &values);
+        if written.is_err() {
+            // After a failed write the database accepts no other: the file is opened anew.
+            self.database = None;
+        }
+        written
+    }
+}
+
+fn read_value(
+    table: &impl ReadableTable<&'static str, &'static [u8]>,
+    key: &str,
+) -> Result<Option<Vec<u8>>, StoreError> {
+    let Some(stored) = table.get(key).map_err(|error| storage_error(&error))? else { return Ok(None) };
+    let value = verified(stored.value()).ok_or_else(|| Corruption::Checksum(key.to_string()))?;
+    Ok(Some(value))
+}
+
+fn write_values(database: &Database, values: &[(&str, Option<&[u8]>)]) -> Result<(), StoreError> {
+    let transaction = database.begin_write().map_err(StoreError::not_writable)?;
+    {
+        let mut table = transaction.open_table(TABLE).map_err(StoreError::not_writable)?;
+        for &(key, value) in values {
+            let Some(value) = value else { continue };
+            table.insert(key, &with_checksum(value)[..]).map_err(StoreError::not_writable)?;
+        }
+    }
+    transaction.commit().map_err(StoreError::not_writable)
+}
--- /dev/null
+++ b/crates/pipitcrank-recovery/src/store/shared.rs
@@ -0,0 +1,165 @@
+//! What the store's owner and its writer thread share.
+
+use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+
+use super::database_file::StoredValues;
+use super::error::StoreError;
+
+/// Whether writing fails, and for how long something has been pending.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WriteStatus {
+    /// Why the last write failed; `None` once one succeeded.
+    pub error: Option<StoreError>,
+    /// How long values have been pending; zero where none are.
+    pub pending_for: Duration,
+}
+
+/// A voter's memory and its sequence number.
+#[derive(Clone)]
+pub struct SequencedValue {
+    pub sequence: u64,
+    pub bytes: Vec<u8>,
+}
+
+/// Values to be written: only the newest of each, which bounds them.
+#[derive(Clone, Default)]
+pub struct PendingWrites {
+    pub voter_memory: Option<SequencedValue>,
+    pub learned_state: Option<Vec<u8>>,
+}
+
+impl PendingWrites {
+    pub fn is_empty(&self) -> bool {
+        self.voter_memory.is_none() && self.learned_state.is_none()
+    }
+
+    /// Removes what of `written` has not been replaced by a newer value since.
+    fn remove_written(&mut self, written: &PendingWrites) {
+        if let Some(synced) = &written.voter_memory {
+            self.voter_memory = self.voter_memory.take().filter(|newer| newer.sequence > synced.sequence);
+        }
+        self.learned_state =
+            self.learned_state.take().filter(|newer| Some(newer) != written.learned_state.as_ref());
+    }
+}
+
+#[derive(Default)]
+pub struct State {
+    pub pending: PendingWrites,
+    pub synced_sequence: u64,
+    pub error: Option<StoreError>,
+    pub pending_since: Option<Instant>,
+    /// What opening the file came to; `None` until then.
+    pub opened: Option<Result<StoredValues, StoreError>>,
+    pub shutting_down: bool,
+}
+
+impl State {
+    pub fn write_status(&self) -> WriteStatus {
+        let pending_for = self.pending_since.map_or(Duration::ZERO, |since| since.elapsed());
+        WriteStatus { error: self.error.clone(), pending_for }
+    }
+}
+
+/// The shared state, and a signal of its changes.
+#[derive(Default)]
+pub struct Shared {
+    state: Mutex<State>,
+    changed: Condvar,
+}
+
+impl Shared {
+    pub fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    // The owner's side.
+
+    pub fn queue_voter_memory(&self, sequence: u64, bytes: Vec<u8>) {
+        self.queue(|pending| pending.voter_memory = Some(SequencedValue { sequence, bytes }));
+    }
+
+    pub fn queue_learned_state(&self, bytes: Vec<u8>) {
+        self.queue(|pending| pending.learned_state = Some(bytes));
+    }
+
+    fn queue(&self, set: impl FnOnce(&mut PendingWrites)) {
+        let mut state = self.lock();
+        set(&mut state.pending);
+        state.pending_since.get_or_insert(Instant::now());
+        self.changed.notify_all();
+    }
+
+    /// What opening the file came to, waited for until `deadline`.
+    pub fn wait_until_opened(&self, deadline: Instant) -> Result<StoredValues, StoreError> {
+        let mut state = self.lock();
+        loop {
+            if let Some(opened) = state.opened.clone() {
+                return opened;
+            }
+            let left = deadline.saturating_duration_since(Instant::now());
+            if left.is_zero() {
+                return Err(StoreError::OpenTimeout);
+            }
+            state = match self.changed.wait_timeout(state, left) {
+                Ok((state, _)) => state,
+                Err(poisoned) => poisoned.into_inner().0,
+            };
+        }
+    }
+
+    pub fn shut_down(&self) {
+        self.lock().shutting_down = true;
+        self.changed.notify_all();
+    }
+
+    // The writer's side.
+
+    pub fn set_opened(&self, opened: Result<StoredValues, StoreError>) {
+        let mut state = self.lock();
+        state.error = opened.as_ref().err().cloned();
+        state.opened = Some(opened);
+        self.changed.notify_all();
+    }
+
+    /// Waits for pending values; `None` once the store shuts down and none are left.
+    pub fn wait_for_pending(&self) -> Option<PendingWrites> {
+        let mut state = self.lock();
+        while state.pending.is_empty() && !state.shutting_down {
+            state = self.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
+        }
+        (!state.pending.is_empty()).then(|| state.pending.clone())
+    }
+
+    /// Drops what is pending, so that it does not appear to wait. Whether the store goes on.
+    pub fn discard_pending(&self) -> bool {
+        let mut state = self.lock();
+        state.pending = PendingWrites::default();
+        !state.shutting_down
+    }
+
+    pub fn set_written(&self, written: &PendingWrites) {
+        let mut state = self.lock();
+        if let Some(synced) = &written.voter_memory {
+            state.synced_sequence = synced.sequence;
+        }
+        state.pending.remove_written(written);
+        state.error = None;
+        state.pending_since = (!state.pending.is_empty()).then(Instant::now);
+    }
+
+    pub fn set_error(&self, error: StoreError) {
+        self.lock().error = Some(error);
+    }
+
+    /// Waits for `delay`, or until the store shuts down. Whether it goes on.
+    pub fn wait_before_retry(&self, delay: Duration) -> bool {
+        let state = self.lock();
+        if state.shutting_down {
+            return false;
+        }
+        let _ = self.changed.wait_timeout_while(state, delay, |state| !state.shutting_down);
+        true
+    }
+}
--- a/crates/pipitcrank-recovery/src/store/tests.rs
+++ b/crates/pipitcrank-recovery/src/store/tests.rs
@@ -1,15 +1,16 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 
-use redb::StorageBackend;
 use redb::backends::FileBackend;
+use redb::{StorageBackend, StorageError};
 
+use super::database_file::{HEADER_KEY, TABLE, with_checksum};
 use super::*;
 
 const SOON: Duration = Duration::from_secs(10);
 
-fn open(path: &Path, owner: &str) -> (Store, Result<Found, Fault>) {
+fn open(path: &Path, owner: &str) -> (Store, Result<StoredValues, StoreError>) {
     let store = Store::open(path.to_path_buf(), owner.to_string(), || {});
-    let found = store.found(SOON);
+    let found = store.stored_values(SOON);
     (store, found)
 }
 
@@ -21,72 +22,75 @@
     }
 }
 
-fn kept(path: &Path, promises: &[u8]) {
+fn write_voter_memory(path: &Path, bytes: &[u8]) {
     let (mut store, _) = open(path, "n1");
-    let number = store.keep(promises.to_vec());
-    wait(|| store.synced() >= number);
+    let sequence = store.save_voter_memory(bytes.to_vec());
+    wait(|| store.synced_sequence() >= sequence);
 }
 
 #[test]
 fn what_is_kept_is_found_again_and_the_newest_of_it() {
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("store");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("store");
     let (mut store, found) = open(&path, "n1");
-    assert_eq!(found, Ok(Found::default()));
+    assert_eq!(found, Ok(StoredValues::default()));
     for n in 0..50u8 {
-        store.keep(vec![n; 100]);
-        store.believe(vec![n; 3]);
+        store.save_voter_memory(vec![n; 100]);
+        store.save_learned_state(vec![n; 3]);
     }
     drop(store);
     let (store, found) = open(&path, "n1");
-    assert_eq!(found, Ok(Found { promises: Some(vec![49; 100]), beliefs: Some(vec![49; 3]) }));
-    assert_eq!(store.failing().0, None);
+    assert_eq!(
+        found,
+        Ok(StoredValues { voter_memory: Some(vec![49; 100]), learned_state: Some(vec![49; 3]) })
+    );
+    assert_eq!(store.write_status().error, None);
 }
 
 #[test]
 fn of_two_processes_at_one_store_the_second_keeps_nothing_until_the_first_lets_go() {
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("store");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("store");
     let (first, _) = open(&path, "n1");
     let (mut second, found) = open(&path, "n1");
-    assert_eq!(found, Err(Fault::InUse));
-    let number = second.keep(vec![1]);
+    assert_eq!(found, Err(StoreError::InUse));
+    let sequence = second.save_voter_memory(vec![1]);
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!((second.synced(), second.failing().0), (0, Some(Fault::InUse)));
+    assert_eq!((second.synced_sequence(), second.write_status().error), (0, Some(StoreError::InUse)));
     drop(first);
-    wait(|| second.synced() >= number);
+    wait(|| second.synced_sequence() >= sequence);
 }
 
 #[test]
 fn another_copys_and_another_versions_are_left_as_they_are() {
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("store");
-    kept(&path, b"mine");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("store");
+    write_voter_memory(&path, b"mine");
     let before = std::fs::read(&path).unwrap();
     let (mut store, found) = open(&path, "n2");
-    assert_eq!(found, Err(Fault::OtherOwner("n1".into())));
-    store.keep(b"other".to_vec());
+    assert_eq!(found, Err(StoreError::OtherOwner("n1".into())));
+    store.save_voter_memory(b"other".to_vec());
     drop(store);
-    assert_eq!(open(&path, "n1").1.unwrap().promises, Some(b"mine".to_vec()));
+    assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(b"mine".to_vec()));
     assert_eq!(before.len(), std::fs::read(&path).unwrap().len());
     // As a later version would write it.
     let database = Database::create(&path).unwrap();
     let writing = database.begin_write().unwrap();
-    let head = [&(VERSION + 1).to_be_bytes()[..], b"n1"].concat();
-    writing.open_table(KEPT).unwrap().insert(HEAD, &summed(&head)[..]).unwrap();
+    let head = [&(FORMAT_VERSION + 1).to_be_bytes()[..], b"n1"].concat();
+    writing.open_table(TABLE).unwrap().insert(HEADER_KEY, &with_checksum(&head)[..]).unwrap();
     writing.commit().unwrap();
     drop(database);
-    assert_eq!(open(&path, "n1").1, Err(Fault::Version(VERSION + 1)));
+    assert_eq!(open(&path, "n1").1, Err(StoreError::UnsupportedVersion(FORMAT_VERSION + 1)));
 }
 
 #[test]
 fn torn_and_foreign_files_are_put_aside_and_never_half_used() {
-    let place = tempfile::tempdir().unwrap();
-    for (n, spoil) in [0usize, 1, 2, 3, 4].into_iter().enumerate() {
-        let path = place.path().join(format!("store{n}"));
-        kept(&path, &[7; 2000]);
+    let directory = tempfile::tempdir().unwrap();
+    for (n, damage) in [0usize, 1, 2, 3, 4].into_iter().enumerate() {
+        let path = directory.path().join(format!("store{n}"));
+        write_voter_memory(&path, &[7; 2000]);
         let mut bytes = std::fs::read(&path).unwrap();
-        match spoil {
+        match damage {
             0 => bytes.truncate(bytes.len() / 2),
             1 => bytes.truncate(100),
             2 => bytes = b"this is a text, and long enough to be read as something".repeat(200),
@@ -100,17 +104,17 @@
         std::fs::write(&path, &bytes).unwrap();
         let (mut store, found) = open(&path, "n1");
         match found {
-            Err(Fault::Torn(_)) => {
+            Err(StoreError::Corrupt { .. }) => {
                 assert!(path.with_added_extension("torn").exists(), "put aside");
             }
-            Err(Fault::NotWritable(_)) => {}
-            other => panic!("spoilt by {spoil}: {other:?}"),
+            Err(StoreError::NotWritable(_)) => {}
+            other => panic!("damaged by {damage}: {other:?}"),
         }
-        let number = store.keep(b"anew".to_vec());
-        if store.failing().0.is_none() || spoil != 1 {
-            wait(|| store.synced() >= number);
+        let sequence = store.save_voter_memory(b"anew".to_vec());
+        if store.write_status().error.is_none() || damage != 1 {
+            wait(|| store.synced_sequence() >= sequence);
             drop(store);
-            assert_eq!(open(&path, "n1").1.unwrap().promises, Some(b"anew".to_vec()));
+            assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(b"anew".to_vec()));
         }
     }
 }
@@ -161,59 +165,59 @@
 
 fn on_disk(path: &Path, state: &Arc<AtomicU8>) -> Store {
     let state = state.clone();
-    let opener: Opener = Box::new(move |path| {
+    let opener: DatabaseOpener = Box::new(move |path| {
         let options =
             std::fs::OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
         let file = FileBackend::new(options.map_err(StorageError::Io)?)?;
         Database::builder().create_with_backend(Disk { file, state: state.clone() })
     });
-    Store::open_by(opener, path.to_path_buf(), "n1".into(), || {})
+    Store::open_with(opener, path.to_path_buf(), "n1".into(), || {})
 }
 
 #[test]
 fn a_disk_that_fills_up_and_empties_again_loses_nothing_that_was_said_to_be_kept() {
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("store");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("store");
     let state = Arc::new(AtomicU8::new(0));
     let mut store = on_disk(&path, &state);
-    assert_eq!(store.found(SOON), Ok(Found::default()));
-    let first = store.keep(vec![1; 64]);
-    wait(|| store.synced() >= first);
+    assert_eq!(store.stored_values(SOON), Ok(StoredValues::default()));
+    let first = store.save_voter_memory(vec![1; 64]);
+    wait(|| store.synced_sequence() >= first);
     state.store(FULL, Ordering::Relaxed);
-    let second = store.keep(vec![2; 64]);
-    wait(|| matches!(store.failing().0, Some(Fault::NotWritable(_))));
-    assert_eq!(store.synced(), first, "what is not on the disk is not said to be");
-    assert!(store.failing().1 > Duration::ZERO);
+    let second = store.save_voter_memory(vec![2; 64]);
+    wait(|| matches!(store.write_status().error, Some(StoreError::NotWritable(_))));
+    assert_eq!(store.synced_sequence(), first, "what is not on the disk is not said to be");
+    assert!(store.write_status().pending_for > Duration::ZERO);
     state.store(0, Ordering::Relaxed);
-    wait(|| store.synced() >= second);
-    assert_eq!(store.failing(), (None, Duration::ZERO));
+    wait(|| store.synced_sequence() >= second);
+    assert_eq!(store.write_status(), WriteStatus { error: None, pending_for: Duration::ZERO });
     drop(store);
-    assert_eq!(open(&path, "n1").1.unwrap().promises, Some(vec![2; 64]));
+    assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(vec![2; 64]));
 }
 
 #[test]
 fn a_slow_disk_holds_up_nobody_but_what_waits_for_it() {
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("store");
-    kept(&path, &[1]);
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("store");
+    write_voter_memory(&path, &[1]);
     let state = Arc::new(AtomicU8::new(SLOW));
     let mut store = on_disk(&path, &state);
-    let _ = store.found(SOON);
+    let _ = store.stored_values(SOON);
     let began = Instant::now();
-    let last = (0..100).map(|n| store.keep(vec![n; 64])).last().unwrap();
+    let last = (0..100).map(|n| store.save_voter_memory(vec![n; 64])).last().unwrap();
     assert!(began.elapsed() < Duration::from_millis(100), "whoever keeps does not wait");
-    wait(|| store.failing().1 > Duration::from_millis(50));
+    wait(|| store.write_status().pending_for > Duration::from_millis(50));
     state.store(0, Ordering::Relaxed);
-    wait(|| store.synced() == last);
+    wait(|| store.synced_sequence() == last);
 }
 
 #[test]
 fn a_place_that_is_not_there_is_named_and_tried_again() {
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("not yet").join("store");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("not yet").join("store");
     let (mut store, found) = open(&path, "n1");
-    assert!(matches!(found, Err(Fault::NotWritable(_))), "{found:?}");
-    let number = store.keep(vec![1]);
+    assert!(matches!(found, Err(StoreError::NotWritable(_))), "{found:?}");
+    let sequence = store.save_voter_memory(vec![1]);
     std::fs::create_dir(path.parent().unwrap()).unwrap();
-    wait(|| store.synced() >= number);
+    wait(|| store.synced_sequence() >= sequence);
 }
--- /dev/null
+++ b/crates/pipitcrank-recovery/src/store/writer.rs
@@ -0,0 +1,37 @@
+//! The writer thread: opens the file, then writes what is pending until the store shuts down.
+
+use std::time::Duration;
+
+use super::database_file::DatabaseFile;
+use super::error::StoreError;
+use super::shared::Shared;
+
+/// Delay before a failed write is tried again: a disk that is full for a moment costs a voter a second.
+const RETRY_DELAY: Duration = Duration::from_millis(1000);
+
+/// Runs until the store shuts down. `notify` is called each time that something was synced, or failed.
+pub fn run(mut file: DatabaseFile, shared: &Shared, notify: &dyn Fn()) {
+    let opened = file.open();
+    let unusable = opened.as_ref().err().is_some_and(StoreError::is_permanent);
+    shared.set_opened(opened);
+    notify();
+    while let Some(pending) = shared.wait_for_pending() {
+        if unusable {
+            if shared.discard_pending() {
+                continue;
+            }
+            return;
+        }
+        let memory = pending.voter_memory.as_ref().map(|memory| &memory.bytes[..]);
+        let written = file.write(memory, pending.learned_state.as_deref());
+        let failed = written.is_err();
+        match written {
+            Ok(()) => shared.set_written(&pending),
+            Err(error) => shared.set_error(error),
+        }
+        notify();
+        if failed && !shared.wait_before_retry(RETRY_DELAY) {
+            return;
+        }
+    }
+}
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -6,7 +6,7 @@
 use pipitcrank_failover::decision::Decision;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::last_known_state::{Beliefs, Clocks};
+use pipitcrank_recovery::last_known_state::{ClockReading, LastKnownState};
 use pipitcrank_recovery::store::Store;
 
 #[path = "../../../fixtures/mod.rs"]
@@ -15,20 +15,20 @@
 const OWNER: &str = "n1";
 const SOON: Duration = Duration::from_secs(10);
 
-fn beliefs() -> Beliefs {
+fn state() -> LastKnownState {
     let snapshot = Snapshot::decode(&fixtures::read("snapshot.hex")["snapshot"]).unwrap();
     let member = Peer { address: ([127, 0, 0, 1], 7201).into(), instance: 1 << 50, zone: 2 };
-    let written = Clocks { day_us: 1_700_000_000_000_000, since_boot_us: 5_000_000 };
-    Beliefs::new(written, &snapshot, Some(Decision::first(2, 7 << 32)), vec![member])
+    let written = ClockReading { wall_us: 1_700_000_000_000_000, monotonic_us: 5_000_000 };
+    LastKnownState::new(written, &snapshot, Some(Decision::first(2, 7 << 32)), vec![member])
 }
 
 #[test]
 fn what_was_known_is_read_and_written_as_by_an_earlier_version() {
-    let decode = |bytes: &[u8]| Beliefs::decode(bytes).unwrap();
+    let decode = |bytes: &[u8]| LastKnownState::decode(bytes).unwrap();
     fixtures::check(
         "learned_state_stored.hex",
-        &[("learned_state_stored", beliefs())],
-        Beliefs::encode,
+        &[("learned_state_stored", state())],
+        LastKnownState::encode,
         decode,
     );
 }
@@ -40,19 +40,19 @@
     let file = fixtures::path("store.redb");
     if !file.exists() && std::env::var("FIXTURES").is_ok_and(|mode| mode == "write") {
         let mut store = Store::open(file.clone(), OWNER.into(), || {});
-        store.keep(memory.clone());
-        store.believe(beliefs().encode());
+        store.save_voter_memory(memory.clone());
+        store.save_learned_state(state().encode());
     }
-    let place = tempfile::tempdir().unwrap();
-    let path = place.path().join("store");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("store");
     std::fs::copy(&file, &path).unwrap();
     let mut store = Store::open(path.clone(), OWNER.into(), || {});
-    let found = store.found(SOON).unwrap();
-    assert_eq!(found.promises.as_ref(), Some(memory));
+    let stored = store.stored_values(SOON).unwrap();
+    assert_eq!(stored.voter_memory.as_ref(), Some(memory));
     assert_eq!(&Memory::decode(memory).unwrap().encode(), memory);
-    assert_eq!(found.beliefs, Some(beliefs().encode()));
-    store.keep(vec![1]);
+    assert_eq!(stored.learned_state, Some(state().encode()));
+    store.save_voter_memory(vec![1]);
     drop(store);
-    let found = Store::open(path, OWNER.into(), || {}).found(SOON).unwrap();
-    assert_eq!((found.promises, found.beliefs), (Some(vec![1]), Some(beliefs().encode())));
+    let stored = Store::open(path, OWNER.into(), || {}).stored_values(SOON).unwrap();
+    assert_eq!((stored.voter_memory, stored.learned_state), (Some(vec![1]), Some(state().encode())));
 }
