--- a/crates/pipitcrank-handover/src/resource_split/tests.rs
+++ b/crates/pipitcrank-handover/src/resource_split/tests.rs
@@ -23,7 +23,7 @@
     ]
 }
 
-/// The rule read off the page, for one co-ordinator: all arrivals and all further calls, whoever made them.
+/// The retry budget's definition for one coordinator: all queries and all retries of either process.
 fn within_budget(
     free: f64,
     ratio: f64,
@@ -40,10 +40,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 600, ..ProptestConfig::default() })]
 
-    /// Before the division one process spends as it may; then two do, on their own books alone. At each further
-    /// call of either the rule holds for both together.
+    /// Before the split one process retries as its budget allows; then two do, each by its own budget alone. At each
+    /// retry of either the budget holds for both together.
     #[test]
-    fn two_never_spend_more_than_one_might(
+    fn two_processes_never_retry_more_than_one_could(
         before in proptest::collection::vec(step(), 0..120),
         after in proptest::collection::vec(step(), 0..200),
         free in 0u32..5, ratio in 0.0f64..0.6, span_ms in 500i64..8000, drain_ms in 100i64..12_000,
@@ -66,7 +66,7 @@
         learned.further = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
         let delegated = split_retry_budget(free, ratio, span, TimeSpan::from_millis(drain_ms), &mut learned);
         let (mut retries_left, until) = (delegated.count, now + delegated.valid_for);
-        // The new one's clock is a little off.
+        // The successor's clock differs a little.
         let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
         let mut successor = RetryBudget::new(ratio, free, Some(span));
         for (&age, further) in learned.taken.iter().map(|a| (a, false)).chain(learned.further.iter().map(|a| (a, true))) {
@@ -99,14 +99,14 @@
     }
 
     #[test]
-    fn sockets_are_never_doubled(limit in 0usize..500, open in 0usize..600) {
+    fn split_connections_stay_within_the_limit(limit in 0usize..500, open in 0usize..600) {
         let split = split_connections(limit, open);
         prop_assert!(split.predecessor + split.successor == limit && split.predecessor <= open);
     }
 }
 
 #[test]
-fn without_a_budget_or_room_nothing_is_lent() {
+fn without_a_budget_or_capacity_no_retries_are_delegated() {
     let mut learned = LearnedState::default();
     assert_eq!(split_retry_budget(0.0, 0.0, TimeSpan::ZERO, TimeSpan::from_millis(5), &mut learned).count, 0);
     learned.further = vec![TimeSpan::ZERO; 3];
@@ -116,7 +116,7 @@
         split_retry_budget(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut learned)
             .count,
         0,
-        "it is out already"
+        "all is delegated already"
     );
     learned.lent.clear();
     learned.further = vec![TimeSpan::ZERO; 3];
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_is_encoded_is_read_again_and_other_versions_are_not() {
+fn snapshot_round_trips_and_other_versions_are_rejected() {
     let bytes = sample().encode().unwrap();
     assert_eq!(Snapshot::decode(&bytes), Ok(sample()));
     let mut other = bytes.clone();
@@ -51,9 +51,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Cut at any byte, longer by some, or with any byte corrupted: refused whole.
+    /// Truncated at any byte, longer by a few, or with any bit flipped.
     #[test]
-    fn torn_and_corrupted_ones_are_refused(cut in 0usize..10_000, at in 0usize..10_000, bit in 0u8..8, more in 1usize..9) {
+    fn truncated_and_corrupted_snapshots_are_rejected(cut in 0usize..10_000, at in 0usize..10_000, bit in 0u8..8, more in 1usize..9) {
         let bytes = sample().encode().unwrap();
         prop_assert!(Snapshot::decode(&bytes[..cut % bytes.len()]).is_err());
         let mut corrupted = bytes.clone();
@@ -64,7 +64,7 @@
     }
 
     #[test]
-    fn noise_is_refused(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn random_bytes_are_rejected(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(Snapshot::decode(&noise).is_err());
     }
 }
--- a/crates/pipitcrank-handover/src/upgrade_state.rs
+++ b/crates/pipitcrank-handover/src/upgrade_state.rs
@@ -230,7 +230,7 @@
                 self.start_worker(now, Some(serving), actions);
             }
             // One upgrade at a time. A request during another one is refused rather than queued: run later, it would
-            // start a program that nobody watches any more.
+            // start a program after its operators have stopped watching it.
             _ => self.counts.rolled_back += 1,
         }
         actions.extend(self.serving().map(UpgradeAction::ReportCounts));
--- a/crates/pipitcrank-handover/tests/descriptor_passing.rs
+++ b/crates/pipitcrank-handover/tests/descriptor_passing.rs
@@ -1,4 +1,4 @@
-//! The link between processes: whole messages with their descriptors, and every kind of bad input ends it with a reason.
+//! The link between processes: whole messages with their descriptors; any bad input ends it with a typed error.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -21,7 +21,7 @@
     (open_link(a).unwrap(), open_link(b).unwrap())
 }
 
-/// What the other side makes of these bytes, and of the end behind them.
+/// The error with which the receiver ends after these bytes and the end of the stream.
 fn error_after(bytes: &[u8]) -> LinkError {
     run_local(async || {
         let (a, mut b) = socket_pair().unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn descriptors_arrive_with_their_own_messages_however_large_these_are() {
+fn descriptors_arrive_with_their_messages_of_any_size() {
     run_local(async || {
         let ((to, _a), (_b, mut from)) = linked_pair();
         for n in 0..40u32 {
@@ -81,14 +81,14 @@
             if let Some(descriptor) = descriptor {
                 let mut content = [0; 4];
                 File::from(descriptor).read_exact(&mut content).unwrap();
-                assert_eq!(u32::from_be_bytes(content), n, "each message has its own");
+                assert_eq!(u32::from_be_bytes(content), n, "each message has its own descriptor");
             }
         }
     });
 }
 
 #[test]
-fn a_closed_link_and_one_cut_within_a_message_are_told_apart() {
+fn a_closed_link_is_distinguished_from_a_truncated_message() {
     assert!(matches!(error_after(b""), LinkError::Closed));
     let hello = encoded(&ToSupervisor::Hello { version: VERSION });
     assert!(matches!(error_after(&hello), LinkError::Closed));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn messages_that_are_too_long_or_lack_their_descriptor_or_have_more_behind_end_it() {
+fn too_long_malformed_and_descriptorless_messages_end_the_link() {
     assert!(matches!(error_after(&u32::MAX.to_be_bytes()), LinkError::MessageTooLong(_)));
     let hello = encoded(&ToSupervisor::Ready);
     let mut with_descriptor = hello.clone();
@@ -114,12 +114,12 @@
 }
 
 #[test]
-fn descriptors_that_no_message_asks_for_do_not_pile_up() {
+fn unannounced_descriptors_do_not_accumulate() {
     run_local(async || {
         let ((to, _a), (_b, mut from)) = linked_pair();
         for _ in 0..70 {
             let (ours, _) = UnixStream::pair().unwrap();
-            // A message that says it has none: its descriptor stays in the queue.
+            // A message that announces no descriptor: this one stays in the receiver's queue.
             to.send_with_unannounced_descriptor(&ToPredecessor::Hello { version: VERSION }, ours.into());
         }
         let error = loop {
@@ -136,8 +136,8 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn noise_ends_it_and_nothing_else(noise in proptest::collection::vec(any::<u8>(), 1..200)) {
-        // Whatever came, the link ends with one of its own reasons.
+    fn random_bytes_end_the_link_with_a_typed_error(noise in proptest::collection::vec(any::<u8>(), 1..200)) {
+        // Any input ends the link with one of its own errors, without a panic.
         let _ = error_after(&noise);
     }
 }
--- a/crates/pipitcrank-handover/tests/stored_forms.rs
+++ b/crates/pipitcrank-handover/tests/stored_forms.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_snapshot_of_an_earlier_version_is_read_and_written_alike() {
+fn snapshots_of_an_earlier_version_round_trip() {
     let encode = |snapshot: &Snapshot| snapshot.encode().unwrap();
     fixtures::check("snapshot.hex", &[("snapshot", snapshot())], encode, |b| Snapshot::decode(b).unwrap());
 }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn messages_of_an_upgrade_are_read_and_written_as_by_an_earlier_version() {
+fn upgrade_messages_of_an_earlier_version_round_trip() {
     check(
         "upgrade_to_worker.hex",
         &[
--- a/crates/pipitcrank-handover/tests/upgrade_state.rs
+++ b/crates/pipitcrank-handover/tests/upgrade_state.rs
@@ -1,4 +1,4 @@
-//! The machine on events of every kind and order, beside a plain record of who lives, who serves and who was told what.
+//! The upgrade state machine on events of any kind and order, checked against a plain model of the workers.
 
 use std::collections::BTreeSet;
 
@@ -19,10 +19,11 @@
 struct World {
     now: Timestamp,
     machine: UpgradeStateMachine,
+    /// Processes that were started and have not exited.
     alive: BTreeSet<WorkerId>,
-    /// Told to serve and not to pass since.
+    /// Asked to serve, and not to transfer since.
     serving: BTreeSet<WorkerId>,
-    /// Told to end or killed: their processes end sooner or later.
+    /// Terminated or killed: their processes exit sooner or later.
     terminating: BTreeSet<WorkerId>,
     state_loaded: Option<(WorkerId, Timestamp)>,
     exit: Option<i32>,
@@ -83,7 +84,7 @@
             match action {
                 UpgradeAction::Start(who) => {
                     assert!(self.alive.len() < 2, "never three at once");
-                    assert!(!self.shutdown_requested, "none starts after the end was called");
+                    assert!(!self.shutdown_requested, "no start after a shutdown request");
                     self.alive.insert(who);
                 }
                 UpgradeAction::Serve(who) => {
@@ -98,10 +99,10 @@
                     );
                 }
                 UpgradeAction::TransferConnections(predecessor) => {
-                    let (successor, at) = self.state_loaded.expect("somebody has learned");
+                    let (successor, at) = self.state_loaded.expect("a successor has loaded the state");
                     assert!(
                         successor != predecessor && self.alive.contains(&successor),
-                        "what passes has somebody to pass to"
+                        "a transfer needs a successor"
                     );
                     assert!(self.now - at >= TIMEOUTS.trial, "the trial was not cut short");
                     self.serving.remove(&predecessor);
@@ -114,7 +115,7 @@
                     assert!(self.alive.contains(&who))
                 }
                 UpgradeAction::Exit(code) => {
-                    assert!(self.alive.is_empty(), "nobody is left behind");
+                    assert!(self.alive.is_empty(), "no worker is left running");
                     self.exit = Some(code);
                 }
             }
@@ -126,18 +127,18 @@
         if self.exit.is_some() || self.shutdown_requested {
             return;
         }
-        // Somebody serves who is not on the way out, or a start is under way, or due.
+        // A worker serves that is not terminating, or a start is under way, or due.
         let serves = self.serving.iter().any(|w| !self.terminating.contains(w));
         let starting = self.machine.serving().is_none()
             && (!self.alive.is_empty() || self.machine.next_tick().is_some());
-        let leaving = self.serving.iter().any(|w| self.terminating.contains(w));
-        assert!(serves || starting || leaving, "{:?}", self.performed);
+        let draining = self.serving.iter().any(|w| self.terminating.contains(w));
+        assert!(serves || starting || draining, "{:?}", self.performed);
         let (requested, completed, rolled_back) = self.counts();
         let under_way = u64::from(self.machine.is_upgrading());
         assert!(requested <= completed + rolled_back + under_way, "an upgrade is forgotten");
     }
 
-    /// Processes that were told to end do, and time passes: all comes to rest.
+    /// Terminated processes exit and time passes, until nothing more is due.
     fn settle(&mut self) {
         for _ in 0..50 {
             if let Some(&who) = self.terminating.iter().next() {
@@ -149,7 +150,7 @@
                 return;
             }
         }
-        panic!("it does not come to rest: {:?}", self.performed);
+        panic!("it does not settle: {:?}", self.performed);
     }
 }
 
@@ -179,7 +180,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 3000, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_happens_somebody_serves_and_all_comes_to_rest(steps in proptest::collection::vec(
+    fn any_events_leave_a_serving_worker_and_settle(steps in proptest::collection::vec(
         prop_oneof![
             2 => (1i64..900).prop_map(Step::Wait),
             6 => (0u8..15, 0u32..3).prop_map(|(k, w)| Step::Happens(k, w)),
@@ -194,7 +195,7 @@
                     world.on(UpgradeEvent::Tick);
                 }
                 Step::Happens(15, _) if !with_shutdown => {}
-                // Mostly what those about do, by how long ago they were started; sometimes it is nobody's.
+                // Mostly of a running worker, counted back from the newest; sometimes of none.
                 Step::Happens(kind, back) => {
                     let newest = world.alive.iter().next_back().map_or(0, |w| w.0);
                     world.on(event(kind, WorkerId(newest.saturating_sub(back))));
@@ -203,7 +204,7 @@
         }
         world.settle();
         prop_assert!(world.exit.is_some() || world.shutdown_requested || !world.machine.is_upgrading());
-        prop_assert!(world.exit.is_some() || !world.shutdown_requested, "after the end is called the keeper ends");
+        prop_assert!(world.exit.is_some() || !world.shutdown_requested, "the supervisor exits after a shutdown request");
     }
 }
 
@@ -250,9 +251,9 @@
         wait(&mut world, 120);
         world.on(UpgradeEvent::Heartbeat(successor));
     }
-    assert_eq!(world.performed.len(), 3, "on trial still");
+    assert_eq!(world.performed.len(), 3, "still on trial");
     wait(&mut world, 20);
-    assert_eq!(world.performed.len(), 3, "settled, and not heard of since");
+    assert_eq!(world.performed.len(), 3, "trial over, but no heartbeat since");
     world.on(UpgradeEvent::Heartbeat(successor));
     assert_eq!(
         world.performed[3..],
@@ -269,7 +270,7 @@
 }
 
 #[test]
-fn each_fault_before_the_confirmation_leaves_the_old_one_as_it_was() {
+fn each_fault_before_the_transfer_rolls_back_to_the_predecessor() {
     type Fault = (fn(&mut World), RollbackReason);
     let faults: [Fault; 6] = [
         (|w| w.on(UpgradeEvent::Exited(WorkerId(1), None)), RollbackReason::Crashed),
@@ -303,13 +304,13 @@
         world.on(UpgradeEvent::UpgradeRequested);
         assert!(
             world.performed.contains(&UpgradeAction::Start(WorkerId(2))),
-            "the next one is as good as the first"
+            "a rolled back upgrade does not prevent the next"
         );
     }
 }
 
 #[test]
-fn one_at_a_time_and_the_second_is_said_to_be_undone() {
+fn a_second_request_during_an_upgrade_counts_as_rolled_back() {
     let mut world = in_trial();
     world.on(UpgradeEvent::UpgradeRequested);
     assert_eq!(world.performed, [UpgradeAction::ReportCounts(WorkerId(0))]);
@@ -317,7 +318,7 @@
 }
 
 #[test]
-fn the_end_called_in_a_trial_ends_the_old_one_in_order_and_the_new_one_at_once() {
+fn shutdown_during_a_trial_terminates_the_predecessor_and_kills_the_successor() {
     let mut world = in_trial();
     world.on(UpgradeEvent::ShutdownRequested);
     assert!(
@@ -329,7 +330,7 @@
 }
 
 #[test]
-fn an_old_one_that_dies_in_the_trial_leaves_the_listener_to_the_new_one() {
+fn a_predecessor_that_exits_in_the_trial_leaves_the_listener_to_the_successor() {
     let mut world = in_trial();
     world.on(UpgradeEvent::Exited(WorkerId(0), None));
     assert_eq!(
@@ -343,13 +344,13 @@
 }
 
 #[test]
-fn an_old_one_that_can_not_finish_is_passed_by_and_asked_to_end() {
+fn a_predecessor_that_does_not_drain_transfers_and_is_terminated_once() {
     let mut world = in_trial();
     for _ in 0..9 {
         wait(&mut world, 200);
         world.on(UpgradeEvent::Heartbeat(WorkerId(1)));
     }
-    assert_eq!(world.performed, [], "its own queries are open");
+    assert_eq!(world.performed, [], "the predecessor has open queries");
     wait(&mut world, 200);
     world.on(UpgradeEvent::Heartbeat(WorkerId(1)));
     assert_eq!(
@@ -359,11 +360,11 @@
     wait(&mut world, 2000);
     assert_eq!(world.performed[2..], [UpgradeAction::Terminate(WorkerId(0))]);
     wait(&mut world, 9000);
-    assert_eq!(world.performed.len(), 3, "asked once");
+    assert_eq!(world.performed.len(), 3, "terminated once");
 }
 
 #[test]
-fn one_that_serves_and_dies_is_started_again_but_not_for_ever() {
+fn a_crashing_worker_is_restarted_up_to_the_limit() {
     let mut world = served();
     for n in 0..3 {
         world.on(UpgradeEvent::Exited(WorkerId(n), None));
@@ -377,7 +378,7 @@
 }
 
 #[test]
-fn a_first_start_that_fails_says_why_by_its_code() {
+fn a_failed_first_start_exits_with_its_code() {
     let mut world = World::new();
     world.on(UpgradeEvent::Exited(WorkerId(0), Some(2)));
     assert_eq!(world.exit, Some(2));
--- a/crates/pipitcrank-recovery/src/last_known_state/tests.rs
+++ b/crates/pipitcrank-recovery/src/last_known_state/tests.rs
@@ -10,7 +10,7 @@
 
 fn state(now: ClockReading) -> LastKnownState {
     let peer = Peer { address: ([127, 0, 0, 1], 9).into(), instance: 5, zone: 0 };
-    let known = pipitcrank_core::coordinator::Coordinator::new(
+    let learned = pipitcrank_core::coordinator::Coordinator::new(
         pipitcrank_core::rng::Rng::new(1),
         Default::default(),
         Default::default(),
@@ -20,27 +20,31 @@
         TimeSpan::from_millis(5),
     )
     .learned_state(pipitcrank_core::time::Timestamp::default());
-    let snapshot = Snapshot { learned: known, ..Snapshot::default() };
+    let snapshot = Snapshot { learned, ..Snapshot::default() };
     LastKnownState::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MAX_MEMBERS + 80])
 }
 
 #[test]
-fn young_all_of_it_old_whom_to_ask_and_without_a_clock_the_number_alone() {
+fn recovered_parts_depend_on_age_and_clocks() {
     let written = clocks(1_000_000, 500);
-    for (now, known, members) in [
+    for (now, learned, members) in [
         (clocks(1_000_010, 510), true, true),
         (clocks(1_000_100, 600), false, true),
-        // Started anew ten seconds ago.
+        // The machine was restarted ten seconds ago.
         (clocks(1_000_020, 10), true, true),
-        // The day's clock was set back, with the machine up and after a start.
+        // The wall clock was set back, without and with a restart of the machine.
         (clocks(999_000, 510), false, false),
         (clocks(999_000, 10), false, false),
-        // It was set ahead: held to be as old as that.
+        // The wall clock was set ahead: the state is taken for that old.
         (clocks(2_000_000, 510), false, true),
     ] {
         let stored = LastKnownState::decode(&state(written).encode()).unwrap();
         let recovered = stored.recover(now, MAX_AGE);
-        assert_eq!((recovered.learned.is_some(), !recovered.members.is_empty()), (known, members), "{now:?}");
+        assert_eq!(
+            (recovered.learned.is_some(), !recovered.members.is_empty()),
+            (learned, members),
+            "{now:?}"
+        );
         assert_eq!(recovered.decision.map(|d| d.number), Some(7 << 32));
     }
     assert_eq!(state(written).members.len(), MAX_MEMBERS);
@@ -49,27 +53,27 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Never younger than it is by the clock that was not touched.
+    /// Never younger than by the clock that was not set.
     #[test]
-    fn nothing_is_taken_for_younger_than_it_is(passed in 0i64..100_000, set in -50_000i64..50_000, booted in any::<bool>()) {
+    fn age_is_never_underestimated(passed in 0i64..100_000, set in -50_000i64..50_000, booted in any::<bool>()) {
         let written = clocks(1_000_000, 5_000);
         let now = clocks(1_000_000 + passed + set, if booted { 1 } else { 5_000 + passed });
         let age = elapsed(written, now);
-        // With the machine started anew and its clock set back by less than has passed nothing tells.
+        // A restart together with a wall clock set back by less than has passed can't be noticed.
         if let Some(age) = age.filter(|_| !booted || set >= 0) {
             prop_assert!(age.as_secs_f64() >= passed as f64 - 2.0, "{age:?} for {passed}");
         }
     }
 
     #[test]
-    fn cut_or_longer_it_is_left(cut in 0usize..4000, more in 1usize..9) {
+    fn truncated_or_longer_states_are_rejected(cut in 0usize..4000, more in 1usize..9) {
         let bytes = state(clocks(9, 9)).encode();
         prop_assert!(LastKnownState::decode(&bytes[..cut % bytes.len()]).is_none());
         prop_assert!(LastKnownState::decode(&[&bytes[..], &vec![0; more][..]].concat()).is_none());
     }
 
     #[test]
-    fn noise_does_no_harm(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bytes_do_no_harm(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Some(state) = LastKnownState::decode(&noise) {
             prop_assert!(state.recover(clocks(9, 9), MAX_AGE).members.len() <= MAX_MEMBERS);
         }
--- a/crates/pipitcrank-recovery/src/restart_waves/tests.rs
+++ b/crates/pipitcrank-recovery/src/restart_waves/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn voters_go_last_one_by_one_and_the_leader_at_the_very_end() {
+fn voters_restart_last_one_by_one_and_the_leader_at_the_end() {
     let nodes = fleet(&[4, 4, 4], 3);
     let leader = nodes.iter().find(|c| c.is_voter).unwrap().address;
     let waves = plan(&nodes, 3, Some(leader), &[true; 3], 0.25).unwrap();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_would_end_all_deciding_or_serving_is_refused() {
+fn plans_that_would_stop_decisions_or_service_are_refused() {
     let nodes = fleet(&[2, 2, 2], 3);
     let one_dead: Vec<RestartNode> =
         nodes.iter().filter(|c| c.address != nodes[0].address).cloned().collect();
@@ -48,15 +48,15 @@
     );
     assert_eq!(plan(&nodes[..1], 1, None, &[true], 0.5), Err(RestartPlanError::SingleNode));
     assert_eq!(plan(&nodes, 3, None, &[true, false, true], 0.5), Err(RestartPlanError::ZoneNotServing(1)));
-    assert!(plan(&fleet(&[2], 1), 1, None, &[true], 0.5).is_ok(), "a single voter has nobody to wait for");
+    assert!(plan(&fleet(&[2], 1), 1, None, &[true], 0.5).is_ok(), "a single voter has no majority to keep");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Each copy once; never two voters; of no zone all, unless it has but one; of none more than its max_fraction.
+    /// Each node once; never two voters; never all of a zone, unless it has but one; never more than the fraction.
     #[test]
-    fn every_wave_keeps_to_its_bounds(zones in proptest::collection::vec(1usize..30, 1..6), max_fraction in 0.01f64..1.0) {
+    fn every_wave_keeps_its_limits(zones in proptest::collection::vec(1usize..30, 1..6), max_fraction in 0.01f64..1.0) {
         let nodes = fleet(&zones, if zones.len() >= 3 { 3 } else { 1 });
         prop_assume!(nodes.len() > 1);
         let configured = nodes.iter().filter(|c| c.is_voter).count();
--- a/crates/pipitcrank-recovery/src/store/tests.rs
+++ b/crates/pipitcrank-recovery/src/store/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_is_kept_is_found_again_and_the_newest_of_it() {
+fn newest_saved_values_are_read_back() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
     let (mut store, found) = open(&path, "n1");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn of_two_processes_at_one_store_the_second_keeps_nothing_until_the_first_lets_go() {
+fn second_process_writes_nothing_until_the_first_closes_the_file() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
     let (first, _) = open(&path, "n1");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn another_copys_and_another_versions_are_left_as_they_are() {
+fn files_of_another_owner_or_version_are_left_unchanged() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
     write_voter_memory(&path, b"mine");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn torn_and_foreign_files_are_put_aside_and_never_half_used() {
+fn corrupt_and_foreign_files_are_renamed_and_never_half_used() {
     let directory = tempfile::tempdir().unwrap();
     for (n, damage) in [0usize, 1, 2, 3, 4].into_iter().enumerate() {
         let path = directory.path().join(format!("store{n}"));
@@ -95,7 +95,7 @@
             1 => bytes.truncate(100),
             2 => bytes = b"this is a text, and long enough to be read as something".repeat(200),
             3 => bytes[..4096].fill(0),
-            // One bit of what was kept.
+            // One bit of the stored value.
             _ => {
                 let at = bytes.windows(64).position(|w| w == [7; 64]).unwrap();
                 bytes[at + 5] ^= 1;
@@ -105,7 +105,7 @@
         let (mut store, found) = open(&path, "n1");
         match found {
             Err(StoreError::Corrupt { .. }) => {
-                assert!(path.with_added_extension("torn").exists(), "put aside");
+                assert!(path.with_added_extension("torn").exists(), "renamed");
             }
             Err(StoreError::NotWritable(_)) => {}
             other => panic!("damaged by {damage}: {other:?}"),
@@ -119,7 +119,7 @@
     }
 }
 
-/// A file on a disk that is full, or very slow, when told.
+/// A file on a disk that can be made full, or very slow.
 #[derive(Debug)]
 struct Disk {
     file: FileBackend,
@@ -130,7 +130,7 @@
 const SLOW: u8 = 2;
 
 impl Disk {
-    fn at(&self) -> Result<(), std::io::Error> {
+    fn simulate(&self) -> Result<(), std::io::Error> {
         match self.state.load(Ordering::Relaxed) {
             FULL => Err(std::io::Error::from(std::io::ErrorKind::StorageFull)),
             SLOW => {
@@ -150,13 +150,13 @@
         self.file.read(offset, out)
     }
     fn set_len(&self, len: u64) -> Result<(), std::io::Error> {
-        self.at().and_then(|()| self.file.set_len(len))
+        self.simulate().and_then(|()| self.file.set_len(len))
     }
     fn sync_data(&self) -> Result<(), std::io::Error> {
-        self.at().and_then(|()| self.file.sync_data())
+        self.simulate().and_then(|()| self.file.sync_data())
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), std::io::Error> {
-        self.at().and_then(|()| self.file.write(offset, data))
+        self.simulate().and_then(|()| self.file.write(offset, data))
     }
     fn close(&self) -> Result<(), std::io::Error> {
         self.file.close()
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_disk_that_fills_up_and_empties_again_loses_nothing_that_was_said_to_be_kept() {
+fn full_disk_loses_nothing_that_was_reported_synced() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
     let state = Arc::new(AtomicU8::new(0));
@@ -186,7 +186,7 @@
     state.store(FULL, Ordering::Relaxed);
     let second = store.save_voter_memory(vec![2; 64]);
     wait(|| matches!(store.write_status().error, Some(StoreError::NotWritable(_))));
-    assert_eq!(store.synced_sequence(), first, "what is not on the disk is not said to be");
+    assert_eq!(store.synced_sequence(), first, "only what is on the disk is reported synced");
     assert!(store.write_status().pending_for > Duration::ZERO);
     state.store(0, Ordering::Relaxed);
     wait(|| store.synced_sequence() >= second);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_slow_disk_holds_up_nobody_but_what_waits_for_it() {
+fn slow_disk_does_not_block_the_caller() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
     write_voter_memory(&path, &[1]);
@@ -205,16 +205,16 @@
     let _ = store.stored_values(SOON);
     let began = Instant::now();
     let last = (0..100).map(|n| store.save_voter_memory(vec![n; 64])).last().unwrap();
-    assert!(began.elapsed() < Duration::from_millis(100), "whoever keeps does not wait");
+    assert!(began.elapsed() < Duration::from_millis(100), "saving does not wait for the disk");
     wait(|| store.write_status().pending_for > Duration::from_millis(50));
     state.store(0, Ordering::Relaxed);
     wait(|| store.synced_sequence() == last);
 }
 
 #[test]
-fn a_place_that_is_not_there_is_named_and_tried_again() {
+fn missing_directory_is_reported_and_retried() {
     let directory = tempfile::tempdir().unwrap();
-    let path = directory.path().join("not yet").join("store");
+    let path = directory.path().join("missing").join("store");
     let (mut store, found) = open(&path, "n1");
     assert!(matches!(found, Err(StoreError::NotWritable(_))), "{found:?}");
     let sequence = store.save_voter_memory(vec![1]);
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! The store on disk and what is kept in it, against files of an earlier version.
+//! The store on disk and the values in it, against files of an earlier version.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_was_known_is_read_and_written_as_by_an_earlier_version() {
+fn last_known_state_of_an_earlier_version_round_trips() {
     let decode = |bytes: &[u8]| LastKnownState::decode(bytes).unwrap();
     fixtures::check(
         "learned_state_stored.hex",
@@ -35,7 +35,7 @@
 
 /// A store with a voter's memory and learned state, as an earlier version left it on disk.
 #[test]
-fn a_store_of_an_earlier_version_is_opened_read_and_written_on() {
+fn store_of_an_earlier_version_is_read_and_written() {
     let memory = &fixtures::read("voter_memory.hex")["in_a_group"];
     let file = fixtures::path("store.redb");
     if !file.exists() && std::env::var("FIXTURES").is_ok_and(|mode| mode == "write") {
