--- a/crates/pipitcrank-cli/src/keeper.rs
+++ b/crates/pipitcrank-cli/src/keeper.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use anyhow::{Context, Result};
-use pipitcrank_config::{Operators, Upgrade};
+use pipitcrank_config::{OperatorsConfig, UpgradeConfig};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::descriptor_passing::{LinkError, LinkReceiver, LinkSender, open_link, socket_pair};
 use pipitcrank_handover::messages::{ToSupervisor, ToWorker, VERSION};
@@ -40,12 +40,12 @@
     TimeSpan::from_secs_f64(d.as_secs_f64())
 }
 
-fn times(upgrade: Upgrade) -> UpgradeTimeouts {
+fn times(upgrade: UpgradeConfig) -> UpgradeTimeouts {
     UpgradeTimeouts {
-        start: span(upgrade.start),
-        trial: span(upgrade.settle),
-        heartbeat: span(upgrade.silent),
-        drain: span(upgrade.finish),
+        start: span(upgrade.start_timeout),
+        trial: span(upgrade.trial_time),
+        heartbeat: span(upgrade.heartbeat_timeout),
+        drain: span(upgrade.drain_timeout),
     }
 }
 
@@ -54,7 +54,7 @@
     program: PathBuf,
     operators: Option<PathBuf>,
     listen: std::net::SocketAddr,
-    upgrade: Upgrade,
+    upgrade: UpgradeConfig,
 ) -> Result<i32> {
     let mut upgrades = signal(SignalKind::user_defined2())?;
     let mut hangups = signal(SignalKind::hangup())?;
@@ -133,8 +133,8 @@
             let _ = worker.signals.send(Signal::HUP);
         }
         let Some(path) = &self.operators else { return };
-        match Operators::read(path) {
-            Ok(Operators { upgrade: Some(upgrade), .. }) => {
+        match OperatorsConfig::read(path) {
+            Ok(OperatorsConfig { upgrade: Some(upgrade), .. }) => {
                 book.set_timeouts(times(upgrade));
                 tracing::info!("the operators' file is read again");
             }
--- a/crates/pipitcrank-recovery/src/last_known_state/tests.rs
+++ b/crates/pipitcrank-recovery/src/last_known_state/tests.rs
@@ -21,7 +21,7 @@
     )
     .learned_state(pipitcrank_core::time::Timestamp::default());
     let snapshot = Snapshot { learned, ..Snapshot::default() };
-    LastKnownState::new(now, &snapshot, Some(Decision::first(3, 7 << 32)), vec![peer; MAX_MEMBERS + 80])
+    LastKnownState::new(now, &snapshot, Some(Decision::initial(3, 7 << 32)), vec![peer; MAX_MEMBERS + 80])
 }
 
 #[test]
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use pipitcrank_failover::agreement::Memory;
 use pipitcrank_failover::decision::Decision;
+use pipitcrank_failover::voter::VoterMemory;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::last_known_state::{ClockReading, LastKnownState};
@@ -19,7 +19,7 @@
     let snapshot = Snapshot::decode(&fixtures::read("snapshot.hex")["snapshot"]).unwrap();
     let member = Peer { address: ([127, 0, 0, 1], 7201).into(), instance: 1 << 50, zone: 2 };
     let written = ClockReading { wall_us: 1_700_000_000_000_000, monotonic_us: 5_000_000 };
-    LastKnownState::new(written, &snapshot, Some(Decision::first(2, 7 << 32)), vec![member])
+    LastKnownState::new(written, &snapshot, Some(Decision::initial(2, 7 << 32)), vec![member])
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let mut store = Store::open(path.clone(), OWNER.into(), || {});
     let stored = store.stored_values(SOON).unwrap();
     assert_eq!(stored.voter_memory.as_ref(), Some(memory));
-    assert_eq!(&Memory::decode(memory).unwrap().encode(), memory);
+    assert_eq!(&VoterMemory::decode(memory).unwrap().encode(), memory);
     assert_eq!(stored.learned_state, Some(state().encode()));
     store.save_voter_memory(vec![1]);
     drop(store);
