--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -23,7 +23,7 @@
 use pipitcrank_membership::evidence::ReplicaCounts;
 use pipitcrank_membership::members::{Departure, MembershipEvent};
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::restart_waves::{self, Copy};
+use pipitcrank_recovery::restart_waves::{RestartNode, RestartRequest, plan_waves};
 use pipitcrank_server::discovery::client::SharedRevision;
 use pipitcrank_server::runtime::counters::Counters;
 use pipitcrank_server::serve::ServerContext;
@@ -626,8 +626,8 @@
             bail!(silent())
         };
         after = some.last().map(|p| p.address);
-        copies.extend(some.into_iter().map(|p| Copy {
-            votes: zones.voter_slot(p.address).is_some(),
+        copies.extend(some.into_iter().map(|p| RestartNode {
+            is_voter: zones.voter_slot(p.address).is_some(),
             address: p.address,
             zone: p.zone,
         }));
@@ -638,11 +638,17 @@
     let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.address));
     let home: Vec<bool> =
         decision.zones.iter().map(|p| p.state == ZoneState::Serving && p.retained == FULL_PERMILLE).collect();
-    let waves = restart_waves::plan(&copies, zones.voters.len(), leader, &home, share)?;
+    let waves = plan_waves(&RestartRequest {
+        nodes: &copies,
+        configured_voters: zones.voters.len(),
+        leader,
+        zone_serves: &home,
+        max_fraction: share,
+    })?;
     for (n, wave) in waves.iter().enumerate() {
-        let named = |c: &Copy| {
+        let named = |c: &RestartNode| {
             let zone = zones.zones.get(usize::from(c.zone)).map_or("?", |z| z.name.as_str());
-            format!("{} ({zone}{})", c.address, if c.votes { ", voter" } else { "" })
+            format!("{} ({zone}{})", c.address, if c.is_voter { ", voter" } else { "" })
         };
         println!("{}: {}", n + 1, wave.iter().map(named).collect::<Vec<_>>().join(", "));
     }
