--- a/crates/pipitcrank-failover/src/controller.rs
+++ b/crates/pipitcrank-failover/src/controller.rs
@@ -224,8 +224,8 @@
                 watch.serving = now;
             }
             // Guards against figures of operators that the replicas do not keep: what they carried when full counts.
-            let (replicas, answered_parts) = (matrix.well(zone), matrix.answered_parts(zone));
-            let saturated = matrix.cells[zone][zone].saturated;
+            let (replicas, answered_parts) = (matrix.healthy_replicas(zone), matrix.answered_parts(zone));
+            let saturated = matrix.cells[zone][zone].saturated_fraction;
             if self.told_bears > 0.0 && replicas > 0.0 {
                 let a_replica = answered_parts / replicas;
                 watch.bears = if saturated >= AT_ITS_MOST && a_replica < watch.bears {
@@ -236,8 +236,8 @@
             }
             for to in 0..self.watches.len() {
                 let (was, since) = self.ways[zone][to];
-                let seen = matrix.cells[zone][to].bad.is_some();
-                let cut_paths = matrix.is_cut(zone, to);
+                let seen = matrix.cells[zone][to].unhealthy_fraction.is_some();
+                let cut_paths = matrix.is_path_cut(zone, to);
                 if seen && cut_paths != was {
                     self.ways[zone][to] = (cut_paths, now);
                 } else if !seen {
@@ -256,9 +256,9 @@
             // A zone that is bad as a whole is left in steps, not by what it carries.
             let counts = matches!(matrix.finding(zone), Finding::Healthy | Finding::Degraded);
             if self.told_bears > 0.0 && counts {
-                let warm = 1.0 - matrix.warming_up(zone) * (1.0 - COLD_CARRIES);
-                let capacity = matrix.well(zone) * warm * self.watches[zone].bears;
-                let whole = matrix.listed(zone) * self.told_bears;
+                let warm = 1.0 - matrix.warming_up_fraction(zone) * (1.0 - COLD_CARRIES);
+                let capacity = matrix.healthy_replicas(zone) * warm * self.watches[zone].bears;
+                let whole = matrix.listed_replicas(zone) * self.told_bears;
                 let capacity = match place.capacity {
                     UNKNOWN_CAPACITY => capacity,
                     held => {
@@ -336,7 +336,7 @@
                 Some(cause)
             }
             ZoneState::Returning => {
-                let slower = if matrix.warming_up(zone) >= COLD { 2.0 } else { 1.0 };
+                let slower = if matrix.warming_up_fraction(zone) >= COLD { 2.0 } else { 1.0 };
                 if !due(RETURN_TIME * slower) || watch.well.is_none() {
                     return None;
                 }
--- a/crates/pipitcrank-failover/src/follower.rs
+++ b/crates/pipitcrank-failover/src/follower.rs
@@ -175,7 +175,7 @@
             (self.decision, self.fresh) = (Some(decision.clone()), now - FRESH - self.hold);
         }
         for (zone, row) in replica_counts.iter().enumerate().take(self.against.len()) {
-            let bad = row.bad();
+            let bad = row.unhealthy_fraction();
             let is = |holds: bool, since: Option<Timestamp>| holds.then(|| since.unwrap_or(now));
             self.against[zone] = is(bad.is_some_and(|b| b >= UNHEALTHY_FRACTION), self.against[zone]);
             self.well[zone] = is(bad.is_some_and(|b| b <= HEALTHY_FRACTION), self.well[zone]);
--- a/crates/pipitcrank-failover/src/node.rs
+++ b/crates/pipitcrank-failover/src/node.rs
@@ -9,7 +9,9 @@
 use pipitcrank_membership::evidence::{
     EvidenceReport as Evidence, EvidenceTable, Finding, REPORT_INTERVAL, ReplicaCounts, is_reporter,
 };
-use pipitcrank_membership::members::{Departure, Members, MembershipEvent};
+use pipitcrank_membership::members::{
+    BroadcastRank, Departure, Members, MembershipEvent, OutgoingGossip, TopicMessage,
+};
 use pipitcrank_membership::peer::Peer;
 use serde::{Deserialize, Serialize};
 
@@ -428,7 +430,7 @@
                 agreement.observe_decision(&decision);
             }
             if let Ok(body) = postcard::to_allocvec(&decision) {
-                self.members.broadcast(DECISION, (decision.number, 0), &body);
+                self.members.broadcast(DECISION, BroadcastRank { major: decision.number, minor: 0 }, &body);
                 self.members.gossip_now(now);
             }
             self.events.push(NodeEvent::Decided(decision));
@@ -558,7 +560,7 @@
             self.beats += 1;
             let rank = (term, self.beats);
             let body = postcard::to_allocvec(&(rank, current.number)).unwrap_or_default();
-            self.members.broadcast(BEATS, rank, &body);
+            self.members.broadcast(BEATS, BroadcastRank { major: rank.0, minor: rank.1 }, &body);
             self.heard_beat(now, rank, current.number);
         }
         // One proposal at a time: what follows from the evidence is made from what stands.
@@ -659,7 +661,7 @@
             ZoneEvidence {
                 finding,
                 reporters: matrix.reporters(zone) as u16,
-                healthy_replicas: matrix.well(zone).round() as u16,
+                healthy_replicas: matrix.healthy_replicas(zone).round() as u16,
             }
         };
         let agreement = self.agreement.as_ref();
@@ -667,7 +669,11 @@
             decision: self.follow.decision().cloned(),
             status: self.follow.status(now).name().to_string(),
             fractions: self.follow.plan(now).fractions,
-            evidence: if agreement.is_some() { (0..matrix.zones()).map(of).collect() } else { Vec::new() },
+            evidence: if agreement.is_some() {
+                (0..matrix.zone_count()).map(of).collect()
+            } else {
+                Vec::new()
+            },
             leader: agreement.and_then(Voter::leader).map(|s| s as u8),
             voters_heard: agreement.map_or(0, |a| a.voters_heard(now) as u8),
             members: self.members.live_members().count() as u16 + 1,
@@ -686,7 +692,7 @@
         for news in self.members.take_events() {
             self.events.push(NodeEvent::Membership(news));
         }
-        for (topic, body) in self.members.take_broadcasts() {
+        for TopicMessage { topic, body } in self.members.take_broadcasts() {
             match topic {
                 DECISION => match postcard::from_bytes::<Decision>(&body) {
                     Ok(decision) => self.takes(now, decision),
@@ -726,7 +732,7 @@
                 VoterOutput::Message(word) => self.say(to, &Message::Voter(word)),
             }
         }
-        for (to, body) in self.members.take_datagrams() {
+        for OutgoingGossip { to, body } in self.members.take_datagrams() {
             self.seal(to, DatagramKind::Gossip, &body);
         }
     }
@@ -748,7 +754,7 @@
     /// Says goodbye to the others.
     pub fn leave(&mut self, now: Timestamp, how: Departure) {
         self.members.leave(now, how);
-        for (to, body) in self.members.take_datagrams() {
+        for OutgoingGossip { to, body } in self.members.take_datagrams() {
             self.seal(to, DatagramKind::Gossip, &body);
         }
     }
--- a/crates/pipitcrank-membership/src/envelope.rs
+++ b/crates/pipitcrank-membership/src/envelope.rs
@@ -1,51 +1,70 @@
-//! How a datagram between copies is sealed: version, what it holds, who sent it to whom, a number, and a tag over all of
-//! it under the secret that the operators' file names (BLAKE3 keyed, cut to 16 bytes). What is forged, cut, replayed, too
-//! long or of another version is counted under its reason and changes nothing.
+//! How a datagram between nodes is sealed: version, kind, sender, sequence number, and an authentication tag over all of it
+//! and the receiver's address, under the secret of the operators' file (BLAKE3 keyed, cut to 16 bytes). A datagram that is
+//! forged, truncated, replayed, too long or of another version is rejected with its reason and changes nothing.
 //!
 //! ```text
 //! "pm" version:u8 kind:u8 | from: postcard(SocketAddr) | instance: varint | number: varint | body | tag: 16 bytes
 //! ```
-//! The tag also covers the address it is meant for, which does not travel.
+//! The receiver's address does not travel.
 
-use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Raised with each change of any message's form.
+use crate::replay_filter::ReplayFilter;
+
+/// Version of all message formats; raised with each change of any of them.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Longest datagram: it travels whole through any network met.
+/// Longest datagram in bytes: it passes through usual networks unfragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// What is left for the body, whatever the head takes.
-pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - 4 - 20 - 10 - 10 - TAG;
+/// Longest body in bytes, whatever the length of the header.
+pub const MAX_BODY_BYTES: usize =
+    MAX_DATAGRAM_BYTES - PREFIX_BYTES - MAX_ADDRESS_BYTES - 2 * MAX_VARINT_BYTES - TAG_BYTES;
 const MAGIC: [u8; 2] = *b"pm";
-const TAG: usize = 16;
-/// Senders remembered, and processes of one that are over: above any fleet's size; the longest silent goes first.
-const MOST_SENDERS: usize = 8192;
-const MOST_OVER: usize = 4;
-/// Numbers behind the newest that are told apart: datagrams overtake each other by a few.
-const WINDOW: u64 = 128;
-
-/// What the body is.
+/// Magic, version and kind.
+const PREFIX_BYTES: usize = 4;
+const MAX_ADDRESS_BYTES: usize = 20;
+const MAX_VARINT_BYTES: usize = 10;
+const TAG_BYTES: usize = 16;
+/// Separates these keys from any others that are derived from the same secret.
+const KEY_CONTEXT: &str = "pipitcrank 2026-12 between copies";
+
+/// What the body of a datagram is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum DatagramKind {
-    /// foca's own bytes.
+    /// Bytes of `foca`.
     Gossip = 1,
-    /// The agreement's library's own bytes.
+    /// Bytes of the consensus library.
     Consensus = 2,
-    /// A message of ours in postcard's form.
+    /// A message between nodes in postcard's form.
     Message = 3,
 }
 
+impl DatagramKind {
+    fn from_byte(byte: u8) -> Option<DatagramKind> {
+        match byte {
+            1 => Some(DatagramKind::Gossip),
+            2 => Some(DatagramKind::Consensus),
+            3 => Some(DatagramKind::Message),
+            _ => None,
+        }
+    }
+}
+
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.name())]
 pub enum DatagramRejection {
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
+    /// Shorter than its header and tag.
     Truncated,
+    /// Of another protocol version, or of an unknown kind.
     UnsupportedVersion,
+    /// Its tag does not match: another key, another receiver, or changed bytes.
     Forged,
+    /// Received before, too old to tell, or of an earlier process.
     Replayed,
 }
 
@@ -65,22 +84,27 @@
 /// A datagram that is ready to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Where it goes.
+    /// Its receiver.
     pub to: SocketAddr,
-    /// What it holds.
+    /// Its sealed bytes.
     pub bytes: Vec<u8>,
 }
 
-#[derive(Serialize, Deserialize)]
-struct Head {
-    from: SocketAddr,
-    instance: u64,
-    number: u64,
+/// The contents of a datagram that was opened.
+#[derive(Debug, PartialEq)]
+pub struct OpenedDatagram<'a> {
+    /// What the body is.
+    pub kind: DatagramKind,
+    /// Address of the sender, as others reach it.
+    pub from: SocketAddr,
+    /// The sender's process.
+    pub instance: u64,
+    /// What was sealed.
+    pub body: &'a [u8],
 }
 
-/// Seals what this process sends.
-pub struct Sealer {
-    key: [u8; 32],
+#[derive(Serialize, Deserialize)]
+struct Header {
     from: SocketAddr,
     instance: u64,
     number: u64,
@@ -88,150 +112,96 @@
 
 /// The key that a secret of the operators' file stands for.
 pub fn derive_key(secret: &str) -> [u8; 32] {
-    blake3::derive_key("pipitcrank 2026-12 between copies", secret.as_bytes())
+    blake3::derive_key(KEY_CONTEXT, secret.as_bytes())
 }
 
-fn tag(key: &[u8; 32], to: SocketAddr, sealed: &[u8]) -> [u8; TAG] {
+fn authentication_tag(key: &[u8; 32], to: SocketAddr, sealed: &[u8]) -> [u8; TAG_BYTES] {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(to.to_string().as_bytes());
     hasher.update(&[0]);
     hasher.update(sealed);
-    let mut tag = [0; TAG];
-    tag.copy_from_slice(&hasher.finalize().as_bytes()[..TAG]);
+    let mut tag = [0; TAG_BYTES];
+    tag.copy_from_slice(&hasher.finalize().as_bytes()[..TAG_BYTES]);
     tag
 }
 
+/// As BLAKE3's hash type, whose comparison takes the same time wherever two values differ.
+fn as_hash(tag: [u8; TAG_BYTES]) -> blake3::Hash {
+    let mut bytes = [0; 32];
+    bytes[..TAG_BYTES].copy_from_slice(&tag);
+    blake3::Hash::from_bytes(bytes)
+}
+
+/// Seals what this process sends.
+pub struct Sealer {
+    key: [u8; 32],
+    from: SocketAddr,
+    instance: u64,
+    number: u64,
+}
+
 impl Sealer {
+    /// `from`: this node's address as others reach it; `instance`: this process.
     pub fn new(key: [u8; 32], from: SocketAddr, instance: u64) -> Sealer {
         Sealer { key, from, instance, number: 0 }
     }
 
-    /// None where the body is too long to travel.
+    /// A datagram for `to`; none where the body is longer than [`MAX_BODY_BYTES`].
     pub fn seal(&mut self, to: SocketAddr, kind: DatagramKind, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > MAX_BODY_BYTES {
             return None;
         }
         self.number += 1;
-        let mut out = vec![MAGIC[0], MAGIC[1], PROTOCOL_VERSION, kind as u8];
-        let head = Head { from: self.from, instance: self.instance, number: self.number };
-        out.extend(postcard::to_allocvec(&head).ok()?);
-        out.extend_from_slice(body);
-        out.extend_from_slice(&tag(&self.key, to, &out));
-        Some(out)
+        let mut datagram = vec![MAGIC[0], MAGIC[1], PROTOCOL_VERSION, kind as u8];
+        let header = Header { from: self.from, instance: self.instance, number: self.number };
+        datagram.extend(postcard::to_allocvec(&header).ok()?);
+        datagram.extend_from_slice(body);
+        datagram.extend_from_slice(&authentication_tag(&self.key, to, &datagram));
+        Some(datagram)
     }
 }
 
-/// One sender's numbers.
-struct Numbers {
-    instance: u64,
-    newest: u64,
-    /// Bit `n`: the number `newest - n` has come.
-    seen: u128,
-    /// Processes of it that are over.
-    over: VecDeque<u64>,
-    /// When it was last heard, as a count of datagrams opened.
-    heard: u64,
-}
-
-/// Opens what comes to this process.
+/// Opens what this process receives.
 pub struct Opener {
     key: [u8; 32],
     own: SocketAddr,
-    senders: BTreeMap<SocketAddr, Numbers>,
-    opened: u64,
-}
-
-/// What was in a datagram.
-#[derive(Debug, PartialEq)]
-pub struct OpenedDatagram<'a> {
-    pub kind: DatagramKind,
-    pub from: SocketAddr,
-    pub instance: u64,
-    pub body: &'a [u8],
+    replay_filter: ReplayFilter,
 }
 
 impl Opener {
+    /// `own`: this node's address as others reach it.
     pub fn new(key: [u8; 32], own: SocketAddr) -> Opener {
-        Opener { key, own, senders: BTreeMap::new(), opened: 0 }
+        Opener { key, own, replay_filter: ReplayFilter::default() }
     }
 
+    /// The contents of a datagram, or why it is rejected.
+    ///
+    /// # Errors
+    /// See [`DatagramRejection`].
     pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramRejection> {
         if datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramRejection::TooLong);
         }
-        let (sealed, found) = datagram.split_last_chunk::<TAG>().ok_or(DatagramRejection::Truncated)?;
-        let (&[a, b, version, kind], rest) =
-            sealed.split_first_chunk::<4>().ok_or(DatagramRejection::Truncated)?;
-        if [a, b] != MAGIC {
+        let (sealed, tag) = datagram.split_last_chunk::<TAG_BYTES>().ok_or(DatagramRejection::Truncated)?;
+        let (&[first, second, version, kind], rest) =
+            sealed.split_first_chunk::<PREFIX_BYTES>().ok_or(DatagramRejection::Truncated)?;
+        if [first, second] != MAGIC {
             return Err(DatagramRejection::Forged);
         }
         if version != PROTOCOL_VERSION {
             return Err(DatagramRejection::UnsupportedVersion);
         }
-        // blake3's own comparison takes the same time whatever differs.
-        let (ours, theirs) = (tag(&self.key, self.own, sealed), *found);
-        if widened(ours) != widened(theirs) {
+        if as_hash(authentication_tag(&self.key, self.own, sealed)) != as_hash(*tag) {
             return Err(DatagramRejection::Forged);
         }
-        let kind = match kind {
-            1 => DatagramKind::Gossip,
-            2 => DatagramKind::Consensus,
-            3 => DatagramKind::Message,
-            _ => return Err(DatagramRejection::UnsupportedVersion),
-        };
-        let (head, body): (Head, _) =
+        let kind = DatagramKind::from_byte(kind).ok_or(DatagramRejection::UnsupportedVersion)?;
+        let (header, body): (Header, _) =
             postcard::take_from_bytes(rest).map_err(|_| DatagramRejection::Truncated)?;
-        self.opened += 1;
-        if !self.is_new(&head) {
+        if !self.replay_filter.accept(header.from, header.instance, header.number) {
             return Err(DatagramRejection::Replayed);
         }
-        Ok(OpenedDatagram { kind, from: head.from, instance: head.instance, body })
+        Ok(OpenedDatagram { kind, from: header.from, instance: header.instance, body })
     }
-
-    fn is_new(&mut self, head: &Head) -> bool {
-        let heard = self.opened;
-        if !self.senders.contains_key(&head.from) && self.senders.len() >= MOST_SENDERS {
-            let quietest = self.senders.iter().min_by_key(|(_, n)| n.heard).map(|(a, _)| *a);
-            quietest.map(|a| self.senders.remove(&a));
-        }
-        let numbers = self.senders.entry(head.from).or_insert_with(|| Numbers {
-            instance: head.instance,
-            newest: 0,
-            seen: 0,
-            over: VecDeque::new(),
-            heard,
-        });
-        if numbers.instance != head.instance {
-            // Guards against what a process said that is over: it comes late, or again.
-            if numbers.over.contains(&head.instance) {
-                return false;
-            }
-            numbers.over.push_back(numbers.instance);
-            if numbers.over.len() > MOST_OVER {
-                numbers.over.pop_front();
-            }
-            (numbers.instance, numbers.newest, numbers.seen) = (head.instance, 0, 0);
-        }
-        numbers.heard = heard;
-        if head.number > numbers.newest {
-            let by = head.number - numbers.newest;
-            numbers.seen = if by < WINDOW { numbers.seen << by | 1 } else { 1 };
-            numbers.newest = head.number;
-            return true;
-        }
-        let behind = numbers.newest - head.number;
-        let bit = 1u128.checked_shl(behind as u32).unwrap_or(0);
-        let new = behind < WINDOW && numbers.seen & bit == 0;
-        numbers.seen |= bit;
-        new
-    }
-}
-
-/// As blake3's hash type, whose comparison is in constant time.
-fn widened(tag: [u8; TAG]) -> blake3::Hash {
-    let mut wide = [0; 32];
-    wide[..TAG].copy_from_slice(&tag);
-    blake3::Hash::from_bytes(wide)
 }
 
 #[cfg(test)]
--- a/crates/pipitcrank-membership/src/envelope/tests.rs
+++ b/crates/pipitcrank-membership/src/envelope/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn what_was_sealed_is_opened_once_by_whom_it_is_meant_for() {
+fn a_sealed_datagram_is_opened_once_by_its_receiver() {
     let (mut ours, mut theirs) = pair();
     let sent = ours.seal(at(2), DatagramKind::Message, b"hello").unwrap();
     let opened = theirs.open(&sent).unwrap();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_kind_of_bad_datagram_has_its_reason() {
+fn each_kind_of_invalid_datagram_has_its_reason() {
     let (mut ours, mut theirs) = pair();
     assert_eq!(theirs.open(&[0; 1401]), Err(DatagramRejection::TooLong));
     assert_eq!(theirs.open(b"pm"), Err(DatagramRejection::Truncated));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_new_process_is_heard_and_the_one_before_it_no_more() {
+fn a_new_process_is_accepted_and_its_predecessor_no_longer() {
     let (mut old, mut theirs) = pair();
     let (first, late) = (
         old.seal(at(2), DatagramKind::Message, b"1").unwrap(),
@@ -57,20 +57,20 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any change of any byte, and any cut, is left.
+    /// A datagram with any byte changed, or truncated anywhere, is rejected.
     #[test]
-    fn nothing_changed_is_opened(body in proptest::collection::vec(any::<u8>(), 0..200), at_byte in 0usize..300,
-                                 by in 1u8..=255, cut in any::<bool>()) {
+    fn no_altered_datagram_is_opened(body in proptest::collection::vec(any::<u8>(), 0..200), at_byte in 0usize..300,
+                                 xor in 1u8..=255, cut in any::<bool>()) {
         let (mut ours, mut theirs) = pair();
         let mut sent = ours.seal(at(2), DatagramKind::Gossip, &body).unwrap();
-        let place = at_byte % sent.len();
-        if cut { sent.truncate(place) } else { sent[place] ^= by }
+        let position = at_byte % sent.len();
+        if cut { sent.truncate(position) } else { sent[position] ^= xor }
         prop_assert!(theirs.open(&sent).is_err());
     }
 
     /// Against a plain set of all numbers seen: in any order, each within the window is taken once.
     #[test]
-    fn each_number_once(order in proptest::collection::vec(0usize..60, 0..200)) {
+    fn each_number_is_accepted_once(order in proptest::collection::vec(0usize..60, 0..200)) {
         let (mut ours, mut theirs) = pair();
         let sent: Vec<_> = (0..60).map(|_| ours.seal(at(2), DatagramKind::Message, b"").unwrap()).collect();
         let mut seen = std::collections::BTreeSet::new();
--- /dev/null
+++ b/crates/pipitcrank-membership/src/evidence/table.rs
@@ -0,0 +1,128 @@
+//! The newest report of each reporter.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+
+use super::matrix::{EvidenceCell, EvidenceMatrix, median};
+use super::report::{EvidenceReport, ReplicaCounts};
+use super::reporters::REPORTERS_PER_ZONE;
+
+/// For how long a report counts: several report intervals, since some are lost.
+pub const REPORT_LIFETIME: TimeSpan = TimeSpan::from_millis(1000);
+/// A reporter that finds this fraction of every zone unhealthy, while others of its zone do not, is itself isolated.
+const ISOLATED_FRACTION: f64 = 0.99;
+/// Reporters remembered, as a multiple of those expected: nodes change, and a forger of addresses must not fill the memory.
+const REPORTERS_KEPT_PER_EXPECTED: usize = 4;
+
+struct ReceivedReport {
+    at: Timestamp,
+    instance: u64,
+    report: EvidenceReport,
+}
+
+/// The newest report of each reporter; dropped when it is too old.
+pub struct EvidenceTable {
+    zone_count: usize,
+    reports: BTreeMap<SocketAddr, ReceivedReport>,
+}
+
+impl EvidenceTable {
+    /// An empty table for that many zones.
+    pub fn new(zone_count: usize) -> EvidenceTable {
+        EvidenceTable { zone_count, reports: BTreeMap::new() }
+    }
+
+    /// Records a node's report; whether it could be used.
+    pub fn record(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddr,
+        instance: u64,
+        report: EvidenceReport,
+    ) -> bool {
+        if !report.is_valid(self.zone_count) {
+            return false;
+        }
+        let known = self.reports.get(&from);
+        // Reports overtake each other.
+        if known.is_some_and(|known| known.instance == instance && known.report.sequence >= report.sequence) {
+            return true;
+        }
+        let max_reports = self.zone_count * REPORTERS_PER_ZONE * REPORTERS_KEPT_PER_EXPECTED;
+        if known.is_none() && self.reports.len() >= max_reports {
+            return false;
+        }
+        self.reports.insert(from, ReceivedReport { at: now, instance, report });
+        true
+    }
+
+    /// Drops reports that are too old, and combines the others.
+    pub fn matrix(&mut self, now: Timestamp) -> EvidenceMatrix {
+        self.reports.retain(|_, received| now - received.at <= REPORT_LIFETIME);
+        let mut matrix = EvidenceMatrix {
+            cells: vec![vec![EvidenceCell::default(); self.zone_count]; self.zone_count],
+            demand: vec![0.0; self.zone_count],
+            isolated_reporters: Vec::new(),
+        };
+        for from in 0..self.zone_count {
+            let mut of_zone: Vec<(SocketAddr, &EvidenceReport)> = self
+                .reports
+                .iter()
+                .map(|(address, received)| (*address, &received.report))
+                .filter(|(_, report)| usize::from(report.zone) == from)
+                .collect();
+            matrix.isolated_reporters.extend(remove_isolated(&mut of_zone));
+            let reports: Vec<&EvidenceReport> = of_zone.into_iter().map(|(_, report)| report).collect();
+            matrix.demand[from] = zone_total(&reports, |report| f64::from(report.demand));
+            for to in 0..self.zone_count {
+                matrix.cells[from][to] = combine(&reports, to);
+            }
+        }
+        matrix
+    }
+}
+
+/// Removes reporters that reach nobody, if most of their zone reach somebody; their addresses.
+fn remove_isolated(of_zone: &mut Vec<(SocketAddr, &EvidenceReport)>) -> Vec<SocketAddr> {
+    let reaching = of_zone.iter().filter(|(_, report)| !reaches_nobody(report)).count();
+    if reaching * 2 <= of_zone.len() {
+        return Vec::new();
+    }
+    let isolated = of_zone.iter().filter(|(_, report)| reaches_nobody(report)).map(|(a, _)| *a).collect();
+    of_zone.retain(|(_, report)| !reaches_nobody(report));
+    isolated
+}
+
+/// Whether a reporter gets no usable answer from any zone, its own included.
+fn reaches_nobody(report: &EvidenceReport) -> bool {
+    let mut fractions = report.replica_counts.iter().filter_map(ReplicaCounts::unhealthy_fraction).peekable();
+    fractions.peek().is_some() && fractions.all(|fraction| fraction >= ISOLATED_FRACTION)
+}
+
+/// A figure of all nodes of a zone, from that of its reporters.
+fn zone_total(reports: &[&EvidenceReport], figure: impl Fn(&EvidenceReport) -> f64) -> f64 {
+    if reports.is_empty() {
+        return 0.0;
+    }
+    let nodes = median(reports.iter().map(|report| f64::from(report.nodes))).unwrap_or(0.0);
+    let sum: f64 = reports.iter().map(|report| figure(report)).sum();
+    sum / reports.len() as f64 * nodes
+}
+
+/// What the reporters of one zone observe of zone `to`.
+fn combine(reports: &[&EvidenceReport], to: usize) -> EvidenceCell {
+    let counts = || reports.iter().map(|report| report.replica_counts[to]);
+    let observing = || counts().filter(|counts| counts.observed() > 0);
+    let answering = |counts: ReplicaCounts| f64::from(counts.answering) + f64::from(counts.saturated);
+    EvidenceCell {
+        reporters: reports.len(),
+        unhealthy_fraction: median(observing().filter_map(|c| c.unhealthy_fraction())),
+        saturated_fraction: median(observing().map(|c| c.fraction_of_observed(c.saturated))).unwrap_or(0.0),
+        warming_up_fraction: median(observing().map(|c| c.fraction_of_observed(c.warming_up))).unwrap_or(0.0),
+        listed: median(counts().map(|c| f64::from(c.listed))).unwrap_or(0.0),
+        answering: median(counts().map(answering)).unwrap_or(0.0),
+        answered_parts: zone_total(reports, |report| f64::from(report.replica_counts[to].answered_parts)),
+    }
+}
--- a/crates/pipitcrank-membership/src/lib.rs
+++ b/crates/pipitcrank-membership/src/lib.rs
@@ -1,9 +1,12 @@
-//! Copies of the co-ordinator that know of each other: who is there (`members.rs`, SWIM by `foca`), what each sees of
-//! every zone (`evidence.rs`), and how a datagram between them is sealed (`envelope.rs`). No sockets, no clock.
+//! Membership of the co-ordinator's nodes: which nodes are live ([`members`], SWIM by `foca`), what each observes of every
+//! zone ([`evidence`]), and how a datagram between them is sealed ([`envelope`]). No sockets and no clock.
 //!
-//! All of it is belief: soft, aged, perhaps wrong. What all have agreed on is `pipitcrank-failover`'s.
+//! All of it is soft state: aged, and possibly wrong. What the nodes have agreed on belongs to `pipitcrank-failover`.
+
+#![warn(missing_docs)]
 
 pub mod envelope;
 pub mod evidence;
 pub mod members;
 pub mod peer;
+mod replay_filter;
--- /dev/null
+++ b/crates/pipitcrank-membership/src/members/broadcasts.rs
@@ -0,0 +1,152 @@
+//! What gossip carries beside membership itself: departures, and the newest message of each topic.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use foca::{BroadcastHandler, Invalidates};
+use serde::{Deserialize, Serialize};
+
+use crate::peer::Peer;
+
+/// Departures remembered.
+const MAX_DEPARTURES: usize = 4096;
+/// Number of topics: a higher one is refused.
+const MAX_TOPICS: u8 = 4;
+
+/// How a member departed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Departure {
+    /// It shut down.
+    Left,
+    /// It handed over to another process of the same node.
+    Upgraded,
+    /// It died without notice.
+    Died,
+}
+
+/// Of one topic the message of highest rank replaces all others.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct BroadcastRank {
+    /// Compared first.
+    pub major: u64,
+    /// Compared where the first is equal.
+    pub minor: u64,
+}
+
+/// A message that came by gossip.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TopicMessage {
+    /// Its topic.
+    pub topic: u8,
+    /// What was broadcast.
+    pub body: Vec<u8>,
+}
+
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(super) enum Broadcast {
+    Departed { peer: Peer, departure: Departure },
+    Topic { topic: u8, rank: BroadcastRank, body: Vec<u8> },
+}
+
+pub(super) enum BroadcastKey {
+    Departed(Peer),
+    Topic { topic: u8, rank: BroadcastRank },
+}
+
+impl Invalidates for BroadcastKey {
+    fn invalidates(&self, other: &BroadcastKey) -> bool {
+        match (self, other) {
+            (BroadcastKey::Departed(peer), BroadcastKey::Departed(other)) => peer == other,
+            (
+                BroadcastKey::Topic { topic, rank },
+                BroadcastKey::Topic { topic: other_topic, rank: other_rank },
+            ) => topic == other_topic && rank >= other_rank,
+            _ => false,
+        }
+    }
+}
+
+/// A broadcast that could not be decoded, or of a topic that there is not.
+#[derive(Debug, thiserror::Error)]
+#[error("a broadcast could not be decoded")]
+pub(super) struct UndecodableBroadcast;
+
+/// The departure of one process of an address.
+struct DepartedInstance {
+    instance: u64,
+    departure: Departure,
+}
+
+#[derive(Default)]
+struct BroadcastLog {
+    departures: BTreeMap<SocketAddr, DepartedInstance>,
+    topics: BTreeMap<u8, BroadcastRank>,
+    received: VecDeque<TopicMessage>,
+}
+
+impl BroadcastLog {
+    fn record(
+        &mut self,
+        data: &[u8],
+        from_others: bool,
+    ) -> Result<Option<BroadcastKey>, UndecodableBroadcast> {
+        match postcard::from_bytes(data).map_err(|_| UndecodableBroadcast)? {
+            Broadcast::Departed { peer, departure } => Ok(self.record_departure(peer, departure)),
+            Broadcast::Topic { topic, .. } if topic >= MAX_TOPICS => Err(UndecodableBroadcast),
+            Broadcast::Topic { topic, rank, body } => {
+                if self.topics.get(&topic).is_some_and(|known| *known >= rank) {
+                    return Ok(None);
+                }
+                self.topics.insert(topic, rank);
+                if from_others {
+                    self.received.push_back(TopicMessage { topic, body });
+                }
+                Ok(Some(BroadcastKey::Topic { topic, rank }))
+            }
+        }
+    }
+
+    fn record_departure(&mut self, peer: Peer, departure: Departure) -> Option<BroadcastKey> {
+        if self.departures.get(&peer.address).is_some_and(|known| known.instance >= peer.instance) {
+            return None;
+        }
+        if self.departures.len() >= MAX_DEPARTURES {
+            self.departures.pop_first();
+        }
+        self.departures.insert(peer.address, DepartedInstance { instance: peer.instance, departure });
+        Some(BroadcastKey::Departed(peer))
+    }
+}
+
+/// Foca owns its broadcast handler, so the log is shared with it.
+#[derive(Clone, Default)]
+pub(super) struct SharedBroadcastLog(Rc<RefCell<BroadcastLog>>);
+
+impl SharedBroadcastLog {
+    /// Messages received since the last call, in their order.
+    pub(super) fn take_received(&self) -> Vec<TopicMessage> {
+        self.0.borrow_mut().received.drain(..).collect()
+    }
+
+    /// How this peer departed: without notice, unless it gave one.
+    pub(super) fn departure_of(&self, peer: &Peer) -> Departure {
+        let log = self.0.borrow();
+        let known = log.departures.get(&peer.address).filter(|known| known.instance >= peer.instance);
+        known.map_or(Departure::Died, |known| known.departure)
+    }
+}
+
+impl BroadcastHandler<Peer> for SharedBroadcastLog {
+    type Key = BroadcastKey;
+    type Error = UndecodableBroadcast;
+
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        sender: Option<&Peer>,
+    ) -> Result<Option<BroadcastKey>, UndecodableBroadcast> {
+        self.0.borrow_mut().record(data, sender.is_some())
+    }
+}
--- a/crates/pipitcrank-membership/src/members/stored_forms.rs
+++ b/crates/pipitcrank-membership/src/members/stored_forms.rs
@@ -2,6 +2,7 @@
 
 use std::fmt::Debug;
 
+use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use super::*;
@@ -22,20 +23,23 @@
 
 #[test]
 fn gossip_is_read_and_written_as_by_an_earlier_version() {
+    let departed = |departure| Broadcast::Departed { peer: peer(), departure };
+    let rank = BroadcastRank { major: 7, minor: 9 };
+    let topic = Broadcast::Topic { topic: 1, rank, body: vec![1, 2, 255] };
     check(
         "gossip.hex",
         &[
-            ("goodbye_left", Rumour::Goodbye(peer(), Departure::Left)),
-            ("goodbye_upgraded", Rumour::Goodbye(peer(), Departure::Upgraded)),
-            ("goodbye_died", Rumour::Goodbye(peer(), Departure::Died)),
-            ("topic", Rumour::Topic(1, (7, 9), vec![1, 2, 255])),
+            ("goodbye_left", departed(Departure::Left)),
+            ("goodbye_upgraded", departed(Departure::Upgraded)),
+            ("goodbye_died", departed(Departure::Died)),
+            ("topic", topic),
         ],
     );
 }
 
 #[test]
 fn evidence_is_read_and_written_as_by_an_earlier_version() {
-    let row = ReplicaCounts {
+    let counts = ReplicaCounts {
         listed: 9,
         answering: 1,
         silent: 2,
@@ -44,14 +48,14 @@
         warming_up: 5,
         answered_parts: 60_000,
     };
-    let word = EvidenceReport {
+    let report = EvidenceReport {
         zone: 1,
         sequence: 300,
-        replica_counts: vec![row, ReplicaCounts::default()],
+        replica_counts: vec![counts, ReplicaCounts::default()],
         demand: 7000,
         nodes: 12,
     };
-    check("evidence.hex", &[("evidence", word)]);
+    check("evidence.hex", &[("evidence", report)]);
 }
 
 #[test]
