--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -4,16 +4,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipitcrank_config::Store as Told;
+use pipitcrank_config::StoreConfig;
 use pipitcrank_core::time::Timestamp;
 use pipitcrank_failover::node::RestartState;
 use pipitcrank_failover::voter::VoterMemory;
-use pipitcrank_handover::passing::monotonic_micros;
-use pipitcrank_recovery::beliefs::{Beliefs, Clocks, Recalled};
+use pipitcrank_handover::clock::monotonic_micros;
+use pipitcrank_recovery::last_known_state::{Beliefs, Clocks, Recalled};
 use pipitcrank_recovery::store::{Fault, Store};
-use pipitcrank_server::counters::Counters;
-use pipitcrank_server::discovery::SharedRevision;
-use pipitcrank_server::event_loop::EventLoop;
+use pipitcrank_server::discovery::client::SharedRevision;
+use pipitcrank_server::runtime::counters::Counters;
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use tokio::sync::Notify;
 
 use crate::peers::{since_1970_us, span};
@@ -34,7 +34,7 @@
 
 pub struct Disk {
     store: Store,
-    told: Told,
+    told: StoreConfig,
     bell: std::sync::Arc<Notify>,
     written: Option<Timestamp>,
     wanted: u64,
@@ -50,7 +50,7 @@
 impl Disk {
     /// Opens the store of the copy `owner`, and reads what it holds. What is wrong with it is said by name and held against
     /// nobody: the copy serves as one without a store.
-    pub fn open(told: &Told, owner: &str) -> (Disk, Past) {
+    pub fn open(told: &StoreConfig, owner: &str) -> (Disk, Past) {
         let bell = std::sync::Arc::new(Notify::new());
         let rings = bell.clone();
         let store = Store::open(told.path.clone(), owner.to_string(), move || rings.notify_one());
@@ -69,7 +69,11 @@
     }
 
     /// The same once no other process of this copy has the file, as in an upgrade; until `gone` says that this one ends too.
-    pub async fn open_when_free(told: &Told, owner: &str, mut gone: impl FnMut() -> bool) -> (Disk, Past) {
+    pub async fn open_when_free(
+        told: &StoreConfig,
+        owner: &str,
+        mut gone: impl FnMut() -> bool,
+    ) -> (Disk, Past) {
         loop {
             let (disk, past) = Disk::open(told, owner);
             if disk.said != Some(Fault::InUse) || gone() {
@@ -96,7 +100,7 @@
             tracing::warn!("/store/path {at}: what was known can't be read, and is left");
             return Past { memory, ..Past::default() };
         };
-        let recalled = beliefs.recall(clocks(), span(self.told.oldest));
+        let recalled = beliefs.recall(clocks(), span(self.told.max_age));
         if recalled.known.is_none() {
             tracing::info!(
                 "/store/path {at}: what was known of leaves is too old, or a clock was set; it is left"
@@ -128,11 +132,11 @@
         agreed: impl FnOnce() -> RestartState,
     ) {
         self.say(&event_loop.counters);
-        if self.written.is_some_and(|at| now - at < span(self.told.every)) {
+        if self.written.is_some_and(|at| now - at < span(self.told.write_interval)) {
             return;
         }
         self.written = Some(now);
-        let snapshot = event_loop.tell(|e| e.remembered(now, monotonic_micros(), rev.get()));
+        let snapshot = event_loop.update(|e| e.snapshot(now, monotonic_micros(), rev.get()));
         let RestartState { decision, members } = agreed();
         self.store.believe(Beliefs::new(clocks(), &snapshot, decision, members).encode());
         event_loop.counters.add("store", "written");
@@ -140,7 +144,7 @@
 
     /// When `look` is due.
     pub fn due(&self) -> Timestamp {
-        self.written.map_or(Timestamp::default(), |at| at + span(self.told.every))
+        self.written.map_or(Timestamp::default(), |at| at + span(self.told.write_interval))
     }
 
     fn say(&mut self, counters: &Counters) {
