--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -18,8 +18,8 @@
 use disk::{Disk, Past};
 use pipitcrank_config::{GatewayConfig, OperatorsConfig};
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_gateway::far::Far;
-use pipitcrank_gateway::near::{Near, Peer};
+use pipitcrank_gateway::link_client::{LinkClient, LinkClientConfig, PeerSite};
+use pipitcrank_gateway::link_server::LinkServer;
 use pipitcrank_server::clock::Clock;
 use pipitcrank_server::exchange::ReplicaTransport;
 use pipitcrank_server::node_config::NodeConfig;
@@ -288,13 +288,21 @@
             return ground.replicas as Rc<RefCell<dyn ReplicaTransport>>;
         };
         // Told apart from any process before or beside this one: by its number and its start.
-        let instance = peers::since_1970_us() << 22 ^ u64::from(std::process::id());
+        let incarnation = peers::since_1970_us() << 22 ^ u64::from(std::process::id());
         let names = sites.iter().map(|site| site.name.clone()).collect();
-        tokio::task::spawn_local(Far::new(&ground, &site, instance, names).listen(listen));
-        let peers = sites.into_iter().map(|site| Peer { name: site.name, address: site.address }).collect();
-        let prefer_near = TimeSpan::from_secs_f64(local_preference.as_secs_f64());
-        let near = Near::start(ground, &site, instance, peers, connections, prefer_near);
-        Rc::new(RefCell::new(near)) as Rc<RefCell<dyn ReplicaTransport>>
+        tokio::task::spawn_local(LinkServer::new(&ground, &site, incarnation, names).listen(listen));
+        let config = LinkClientConfig {
+            own_site: site,
+            incarnation,
+            peers: sites
+                .into_iter()
+                .map(|site| PeerSite { name: site.name, address: site.address })
+                .collect(),
+            streams_per_site: connections,
+            local_preference: TimeSpan::from_secs_f64(local_preference.as_secs_f64()),
+        };
+        let client = LinkClient::start(ground, config);
+        Rc::new(RefCell::new(client)) as Rc<RefCell<dyn ReplicaTransport>>
     }))
 }
 
--- /dev/null
+++ b/crates/pipitcrank-gateway/src/forward_service.rs
@@ -0,0 +1,249 @@
+//! Forwards of other sites as queries of our own exchange; their answers go back part by part. What is begun, repeated or
+//! refused is decided by [`ReceivedForwards`].
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+use pipitcrank_core::ids::RequestClassId;
+use pipitcrank_core::time::Timestamp;
+use pipitcrank_server::event_loop::EventLoop;
+use pipitcrank_server::exchange::{Lent, QueryPart, QueryRequest, QueryResponse};
+use pipitcrank_server::serve::ServerContext;
+use tokio::sync::watch;
+
+use crate::frames::{Forward, ForwardOutcome, ForwardPart, LinkMessage};
+use crate::message_sender::MessageSender;
+use crate::received_forwards::{Admission, ForwardEnd, ReceivedForwards, StreamId};
+
+/// A query that runs for another site.
+struct RunningForward {
+    ticket: u64,
+    retries_made: Rc<Cell<u32>>,
+}
+
+/// The newest connection of a stream.
+struct Connection {
+    generation: u64,
+    sender: MessageSender,
+}
+
+/// Runs forwards of other sites.
+pub(crate) struct ForwardService {
+    event_loop: Rc<EventLoop>,
+    classes: Vec<String>,
+    shards: u32,
+    tickets: Arc<AtomicU64>,
+    received: RefCell<ReceivedForwards>,
+    /// By the forward's id; each is removed at its end.
+    running: RefCell<BTreeMap<u64, RunningForward>>,
+    connections: RefCell<BTreeMap<StreamId, Connection>>,
+    last_generation: Cell<u64>,
+    draining: watch::Receiver<bool>,
+}
+
+impl ForwardService {
+    pub(crate) fn new(context: &ServerContext, own_site: &str) -> ForwardService {
+        ForwardService {
+            event_loop: context.event_loop.clone(),
+            classes: context.classes.clone(),
+            shards: context.shards,
+            tickets: context.tickets.clone(),
+            received: RefCell::new(ReceivedForwards::new(own_site, context.longest)),
+            running: RefCell::default(),
+            connections: RefCell::default(),
+            last_generation: Cell::default(),
+            draining: context.leaving.clone(),
+        }
+    }
+
+    /// A new connection of a stream; its generation. From here on nothing of an older one is handled, so that what was
+    /// reported as unknown can't arrive after all.
+    pub(crate) fn connect(&self, stream: &StreamId, sender: MessageSender) -> u64 {
+        let generation = self.last_generation.get() + 1;
+        self.last_generation.set(generation);
+        self.connections.borrow_mut().insert(stream.clone(), Connection { generation, sender });
+        generation
+    }
+
+    pub(crate) fn is_newest(&self, stream: &StreamId, generation: u64) -> bool {
+        self.connections.borrow().get(stream).is_some_and(|newest| newest.generation == generation)
+    }
+
+    pub(crate) fn disconnect(&self, stream: &StreamId, generation: u64) {
+        if self.is_newest(stream, generation) {
+            self.connections.borrow_mut().remove(stream);
+        }
+    }
+
+    /// Whether a forward of that stream runs.
+    pub(crate) fn has_running(&self, stream: &StreamId) -> bool {
+        let received = self.received.borrow();
+        let is_of_stream = |id: &u64| received.key(*id).is_some_and(|key| key.stream == *stream);
+        self.running.borrow().keys().any(is_of_stream)
+    }
+
+    pub(crate) fn handle_forward(
+        self: &Rc<Self>,
+        stream: &StreamId,
+        forward: Forward,
+        idempotency_key: Option<Arc<str>>,
+        sender: &MessageSender,
+    ) {
+        let class = self.classes.iter().position(|name| *name == forward.class);
+        let is_known = class.is_some() && forward.parts.iter().all(|part| part.shard < self.shards);
+        let now = self.event_loop.clock.now();
+        if *self.draining.borrow() && self.refuse_while_draining(now, stream, forward.number, sender) {
+            return;
+        }
+        let admission = self.received.borrow_mut().admit(now, stream, &forward, is_known);
+        match admission {
+            Admission::Begin(id) => {
+                self.event_loop.counters.add("forwarded", "begun");
+                let class = RequestClassId(class.unwrap_or(0) as u16);
+                self.begin(id, stream, class, forward, idempotency_key);
+            }
+            Admission::Repeat => {
+                self.event_loop.counters.add("forwarded", "again");
+                self.send_status(stream, forward.number, sender);
+            }
+            Admission::Refuse(outcome) => {
+                let is_late = outcome == ForwardOutcome::TooLate;
+                self.event_loop.counters.add("forwarded", if is_late { "late" } else { "refused" });
+                sender.send(LinkMessage::End { number: forward.number, outcome, retries_made: 0 });
+            }
+        }
+    }
+
+    /// Refuses a forward that is new: nothing of it was begun, and it may go elsewhere at once. A repeat is not refused.
+    fn refuse_while_draining(
+        &self,
+        now: Timestamp,
+        stream: &StreamId,
+        number: u64,
+        sender: &MessageSender,
+    ) -> bool {
+        if self.received.borrow_mut().status_or_bar(now, stream, number).is_some() {
+            return false;
+        }
+        self.event_loop.counters.add("forwarded", "leaving");
+        sender.send(LinkMessage::End { number, outcome: ForwardOutcome::TooLate, retries_made: 0 });
+        true
+    }
+
+    fn begin(
+        self: &Rc<Self>,
+        id: u64,
+        stream: &StreamId,
+        class: RequestClassId,
+        forward: Forward,
+        idempotency_key: Option<Arc<str>>,
+    ) {
+        let part_count = forward.parts.len();
+        let request = QueryRequest {
+            // Unique among all that is held here; the origin's name stays readable.
+            id: format!(
+                "{}@{}.{:x}.{}.{}",
+                forward.query_id, stream.site, stream.incarnation, stream.stream, forward.number
+            ),
+            class,
+            ends: self.event_loop.clock.now() + forward.time_left,
+            parts: query_parts(&forward.parts),
+            idempotency_key,
+            text: forward.text.into(),
+        };
+        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
+        let retries_made = Rc::new(Cell::new(0));
+        let running = RunningForward { ticket, retries_made: retries_made.clone() };
+        self.running.borrow_mut().insert(id, running);
+        let service = self.clone();
+        let on_answer = Box::new(move |shard: u32, value: &str| service.part_answered(id, shard, value));
+        let service = self.clone();
+        let on_end = Box::new(move |response: QueryResponse| service.query_ended(id, response, part_count));
+        let lent = Lent { further: forward.delegated_retries, made: retries_made, as_in: on_answer };
+        self.event_loop.tell(|exchange| exchange.asked_by_site(ticket, request, lent, on_end));
+    }
+
+    fn part_answered(&self, id: u64, shard: u32, value: &str) {
+        if self.received.borrow_mut().record_answer(id, shard, value) {
+            let value = value.to_string();
+            self.send(id, |number| LinkMessage::PartAnswer { number, shard, value });
+        }
+    }
+
+    fn query_ended(&self, id: u64, response: QueryResponse, part_count: usize) {
+        let running = self.running.borrow_mut().remove(&id);
+        let retries_made = running.map_or(0, |running| running.retries_made.get());
+        let outcome = outcome_of(&response, part_count);
+        let counted = match outcome {
+            ForwardOutcome::Complete => "done",
+            ForwardOutcome::Rejected { .. } => "rejected",
+            _ => "aborted",
+        };
+        self.event_loop.counters.add("forwarded", counted);
+        if self.received.borrow_mut().record_end(id, ForwardEnd { outcome, retries_made }) {
+            self.send(id, |number| LinkMessage::End { number, outcome, retries_made });
+        }
+    }
+
+    /// Sends over the newest connection of the forward's stream; without one the record keeps it to be asked for.
+    fn send(&self, id: u64, message: impl FnOnce(u64) -> LinkMessage) {
+        let Some(key) = self.received.borrow().key(id) else { return };
+        if let Some(connection) = self.connections.borrow().get(&key.stream) {
+            connection.sender.send(message(key.number));
+        }
+    }
+
+    /// The peer waits for the forward no more.
+    pub(crate) fn handle_cancel(&self, stream: &StreamId, number: u64, sender: &MessageSender) {
+        let Some(id) = self.received.borrow_mut().cancel(stream, number) else { return };
+        let running = self.running.borrow_mut().remove(&id);
+        if let Some(RunningForward { ticket, retries_made }) = running {
+            self.event_loop.counters.add("forwarded", "given_up");
+            self.event_loop.tell(|exchange| exchange.client_gone(ticket));
+            let (outcome, retries_made) = (ForwardOutcome::Aborted, retries_made.get());
+            self.received.borrow_mut().record_end(id, ForwardEnd { outcome, retries_made });
+            sender.send(LinkMessage::End { number, outcome, retries_made });
+        }
+    }
+
+    /// Sends what is known of a forward.
+    pub(crate) fn send_status(&self, stream: &StreamId, number: u64, sender: &MessageSender) {
+        let now = self.event_loop.clock.now();
+        let status = self.received.borrow_mut().status_or_bar(now, stream, number);
+        let Some(status) = status else {
+            sender.send(LinkMessage::End { number, outcome: ForwardOutcome::Unknown, retries_made: 0 });
+            return;
+        };
+        for answer in status.answers {
+            sender.send(LinkMessage::PartAnswer { number, shard: answer.shard, value: answer.value });
+        }
+        if let Some(ForwardEnd { outcome, retries_made }) = status.end {
+            sender.send(LinkMessage::End { number, outcome, retries_made });
+        }
+    }
+}
+
+/// The parts as those of a query: their weights become fractions of the forward.
+fn query_parts(parts: &[ForwardPart]) -> Vec<QueryPart> {
+    let total: f64 = parts.iter().map(|part| part.weight).sum();
+    let even = 1.0 / parts.len() as f64;
+    let query_part = |part: &ForwardPart| QueryPart {
+        shard: part.shard,
+        weight: if total > 0.0 { part.weight / total } else { even },
+        work: part.estimated_work,
+    };
+    parts.iter().map(query_part).collect()
+}
+
+fn outcome_of(response: &QueryResponse, part_count: usize) -> ForwardOutcome {
+    match response {
+        QueryResponse::Answered { hits, .. } if hits.len() == part_count => ForwardOutcome::Complete,
+        // Of a partial answer the parts that are missing may have run.
+        QueryResponse::Answered { .. } | QueryResponse::Aborted => ForwardOutcome::Aborted,
+        QueryResponse::Rejected { stay_away } => ForwardOutcome::Rejected { retry_after: *stay_away },
+        QueryResponse::DuplicateId => ForwardOutcome::NotServed,
+    }
+}
--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -1,6 +1,7 @@
 //! The link's protocol, version 1. A frame is four bytes of length, most significant first, and a message in postcard's
 //! wire format (postcard.jamesmunns.com/wire-format: varints, strings with their length, an enum's variant by number).
-//! `docs/gateway.md` has each message field by field.
+//! Fields are encoded by position, so their names here are free and their order and types are not. `docs/gateway.md` has
+//! each message field by field.
 
 use bytes::{Buf, BytesMut};
 use pipitcrank_core::time::TimeSpan;
@@ -9,164 +10,233 @@
 
 /// Raised with each change of a message's form.
 pub const VERSION: u16 = 1;
-/// Longest frame: the longest value of a part with what goes round it, or a query of 200 parts with the longest body.
-pub const LONGEST: usize = 160 * 1024;
-/// Longest name of a site.
-pub const LONGEST_NAME: usize = 64;
+/// Bytes of the length in front of each message.
+const LENGTH_BYTES: usize = 4;
+/// Longest message, in bytes: the longest value of a part with what goes round it, or a query of 200 parts with the
+/// longest body.
+pub const MAX_MESSAGE_LENGTH: usize = 160 * 1024;
+/// Longest name of a site, in bytes.
+pub const MAX_SITE_NAME_LENGTH: usize = 64;
+/// Most numbers in one status request.
+const MAX_STATUS_NUMBERS: usize = 10_000;
+/// Longest time that a forward can have left.
+const MAX_TIME_LEFT: TimeSpan = TimeSpan::from_millis(24 * 3600 * 1000);
+/// Largest weight or estimated work of a part.
+const MAX_PART_NUMBER: f64 = 1e6;
 
-/// What one side can do beyond the messages of its version; none yet.
-pub const CAN: u32 = 0;
+/// What one side can do beyond the messages of its version, as bits; none yet.
+pub const CAPABILITIES: u32 = 0;
 
+/// A message on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Said {
+pub enum LinkMessage {
     /// First on each connection, from both sides.
     Hello {
+        /// [`VERSION`] of the sender.
         version: u16,
+        /// The sender's site.
         site: String,
-        instance: u64,
-        lane: u16,
+        /// Tells the sending process from any other of its site.
+        incarnation: u64,
+        /// Number of the stream among those between the two sites.
+        stream: u16,
+        /// Credit given to the receiver, in bytes.
         credit: u32,
-        can: u32,
+        /// What the sender can do beyond the version's messages.
+        capabilities: u32,
     },
     /// Parts of one query.
     Forward(Forward),
-    /// Nobody waits for it any more.
-    GiveUp {
+    /// Nobody waits for the forward any more.
+    Cancel {
+        /// The forward's number.
         number: u64,
     },
-    /// One part's answer.
-    Part {
+    /// The answer to one part.
+    PartAnswer {
+        /// The forward's number.
         number: u64,
+        /// The part's shard.
         shard: u32,
+        /// The answer.
         value: String,
     },
-    /// The last word on a forward: what becomes of parts that were not answered, and further calls made for it.
+    /// The last message on a forward.
     End {
+        /// The forward's number.
         number: u64,
-        how: How,
-        made: u32,
+        /// What becomes of the parts that were not answered.
+        outcome: ForwardOutcome,
+        /// Retries made of those delegated with the forward.
+        retries_made: u32,
     },
-    /// After a new connection: what became of these?
-    Ask {
+    /// After a new connection: asks what became of these forwards.
+    StatusRequest {
+        /// The forwards' numbers.
         numbers: Vec<u64>,
     },
+    /// Credit returned.
     Credit {
+        /// Bytes that may be sent in addition.
         bytes: u32,
     },
-    /// A heartbeat; times are each side's own, in microseconds.
+    /// A heartbeat.
     Ping {
+        /// The sender's own time, in microseconds.
         sent_us: i64,
     },
+    /// The answer to a heartbeat.
     Pong {
+        /// The time of the ping, as sent.
         sent_us: i64,
-        mine_us: i64,
+        /// The answering side's own time, in microseconds.
+        answered_us: i64,
     },
-    /// A forward whose query came with a key by which leaves know a repeat. Last, so that the older messages keep their
-    /// form; a peer that does not know it ends the link.
+    /// A forward whose query came with an idempotency key. Last, so that the older messages keep their form; a peer that
+    /// does not know it ends the link.
     ForwardWithKey(Forward, String),
 }
 
-impl Said {
+impl LinkMessage {
     /// What carries queries and answers is sent on credit; the rest is small, and bounded by that.
     pub fn costs_credit(&self) -> bool {
-        matches!(self, Said::Forward(_) | Said::ForwardWithKey(..) | Said::Part { .. } | Said::End { .. })
+        matches!(
+            self,
+            LinkMessage::Forward(_)
+                | LinkMessage::ForwardWithKey(..)
+                | LinkMessage::PartAnswer { .. }
+                | LinkMessage::End { .. }
+        )
     }
 }
 
+/// Parts of one query that another site is to answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Forward {
-    /// Counts from 1 on each lane of an instance, and is never used again.
+    /// Counts from 1 on each stream of an incarnation, and is never used again.
     pub number: u64,
     /// The query's name at its origin.
-    pub id: String,
+    pub query_id: String,
+    /// Name of the request class.
     pub class: String,
-    /// Time left when it was written, less the way there and back.
-    pub left: TimeSpan,
-    /// Further calls that may be made for it.
-    pub further: u32,
+    /// Time left when it was written, less the round trip.
+    pub time_left: TimeSpan,
+    /// Retries that may be made for it.
+    pub delegated_retries: u32,
     /// Sites crossed, the origin first.
-    pub crossed: Vec<String>,
-    /// Shard, weight in the query, the client's guess at the work in seconds.
-    pub parts: Vec<(u32, f64, Option<f64>)>,
+    pub sites_crossed: Vec<String>,
+    /// Its parts.
+    pub parts: Vec<ForwardPart>,
+    /// The query's text.
     pub text: String,
 }
 
+/// One part of a forward.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct ForwardPart {
+    /// Its shard.
+    pub shard: u32,
+    /// Its weight in the query.
+    pub weight: f64,
+    /// The client's estimate of the work, in seconds.
+    pub estimated_work: Option<f64>,
+}
+
+/// How a forward ended at the site that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
+pub enum ForwardOutcome {
     /// All its parts were answered.
-    Done,
-    /// Those not answered never ran, or may run again; stay away for so long.
-    Rejected { stay_away: TimeSpan },
+    Complete,
+    /// Those not answered never ran, or may run again.
+    Rejected {
+        /// How long to send nothing more.
+        retry_after: TimeSpan,
+    },
     /// Those not answered may have run.
     Aborted,
     /// Nothing of it was begun: it could not be back in time.
-    Late,
+    TooLate,
     /// Nothing of it was begun: it crossed this site, or too many, or names what is not known here.
-    NotHere,
-    /// Never came here, in answer to `Ask`; it will not be begun either.
+    NotServed,
+    /// Never received, in answer to a status request; it will not be begun either.
     Unknown,
 }
 
+/// Why bytes are no frame.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
+pub enum FrameError {
+    /// The message is empty or longer than [`MAX_MESSAGE_LENGTH`].
     #[error("a frame of {0} bytes")]
     Length(usize),
+    /// The bytes are no message.
     #[error("a frame that can't be read")]
-    Garbled,
-    #[error("a message with what can't be in it")]
-    Unsound,
+    Malformed,
+    /// A message with a value that is out of bounds.
+    #[error("a message with an invalid value")]
+    Invalid,
 }
 
-pub fn encode(said: &Said) -> Vec<u8> {
-    let mut out = vec![0; 4];
-    out.extend(postcard::to_allocvec(said).unwrap_or_default());
-    let length = (out.len() - 4) as u32;
-    out[..4].copy_from_slice(&length.to_be_bytes());
-    out
+/// The message as a frame.
+pub fn encode(message: &LinkMessage) -> Vec<u8> {
+    let mut frame = vec![0; LENGTH_BYTES];
+    frame.extend(postcard::to_allocvec(message).unwrap_or_default());
+    let length = (frame.len() - LENGTH_BYTES) as u32;
+    frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+    frame
 }
 
-/// Takes the first whole frame, with its length.
-pub fn take(buffer: &mut BytesMut) -> Result<Option<(Said, usize)>, Bad> {
-    let Some(head) = buffer.first_chunk::<4>() else { return Ok(None) };
+/// Takes the first whole frame out of the buffer: its message and its length in bytes.
+///
+/// # Errors
+/// The bytes are no frame; the link can't be read any further.
+pub fn take_frame(buffer: &mut BytesMut) -> Result<Option<(LinkMessage, usize)>, FrameError> {
+    let Some(head) = buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if length == 0 || length > LONGEST {
-        return Err(Bad::Length(length));
+    if length == 0 || length > MAX_MESSAGE_LENGTH {
+        return Err(FrameError::Length(length));
     }
-    if buffer.len() < 4 + length {
+    if buffer.len() < LENGTH_BYTES + length {
         return Ok(None);
     }
-    buffer.advance(4);
+    buffer.advance(LENGTH_BYTES);
     let body = buffer.split_to(length);
-    let (said, rest): (Said, _) = postcard::take_from_bytes(&body).map_err(|_| Bad::Garbled)?;
+    let (message, rest): (LinkMessage, _) =
+        postcard::take_from_bytes(&body).map_err(|_| FrameError::Malformed)?;
     if !rest.is_empty() {
-        return Err(Bad::Garbled);
+        return Err(FrameError::Malformed);
     }
-    if sound(&said) { Ok(Some((said, 4 + length))) } else { Err(Bad::Unsound) }
+    if is_valid(&message) { Ok(Some((message, LENGTH_BYTES + length))) } else { Err(FrameError::Invalid) }
 }
 
-/// Guards against numbers that are none: they would go into the decisions.
-fn sound(said: &Said) -> bool {
-    match said {
-        Said::Hello { site, .. } => !site.is_empty() && site.len() <= LONGEST_NAME,
-        // It goes into a list that replicas read.
-        Said::ForwardWithKey(_, key) if !is_idempotency_key(key) => false,
-        Said::Forward(f) | Said::ForwardWithKey(f, _) => {
-            let good = |x: f64| x.is_finite() && (0.0..=1e6).contains(&x);
-            let mut shards: Vec<u32> = f.parts.iter().map(|p| p.0).collect();
-            shards.sort_unstable();
-            shards.dedup();
-            f.number > 0
-                && !f.parts.is_empty()
-                && shards.len() == f.parts.len()
-                && f.parts.iter().all(|(_, weight, work)| good(*weight) && work.is_none_or(good))
-                && f.left <= TimeSpan::from_millis(24 * 3600 * 1000)
-                && f.crossed.iter().all(|s| s.len() <= LONGEST_NAME)
+/// Whether all values are within bounds: numbers such as NaN would go into the decisions.
+fn is_valid(message: &LinkMessage) -> bool {
+    match message {
+        LinkMessage::Hello { site, .. } => !site.is_empty() && site.len() <= MAX_SITE_NAME_LENGTH,
+        // The key goes into a list that replicas read.
+        LinkMessage::ForwardWithKey(_, key) if !is_idempotency_key(key) => false,
+        LinkMessage::Forward(forward) | LinkMessage::ForwardWithKey(forward, _) => is_valid_forward(forward),
+        LinkMessage::End { outcome: ForwardOutcome::Rejected { retry_after }, .. } => {
+            *retry_after >= TimeSpan::ZERO
         }
-        Said::End { how: How::Rejected { stay_away }, .. } => *stay_away >= TimeSpan::ZERO,
-        Said::Ask { numbers } => numbers.len() <= 10_000,
+        LinkMessage::StatusRequest { numbers } => numbers.len() <= MAX_STATUS_NUMBERS,
         _ => true,
     }
 }
 
+fn is_valid_forward(forward: &Forward) -> bool {
+    let in_bounds = |x: f64| x.is_finite() && (0.0..=MAX_PART_NUMBER).contains(&x);
+    let part_is_valid =
+        |part: &ForwardPart| in_bounds(part.weight) && part.estimated_work.is_none_or(in_bounds);
+    let mut shards: Vec<u32> = forward.parts.iter().map(|part| part.shard).collect();
+    shards.sort_unstable();
+    shards.dedup();
+    forward.number > 0
+        && !forward.parts.is_empty()
+        && shards.len() == forward.parts.len()
+        && forward.parts.iter().all(part_is_valid)
+        && forward.time_left <= MAX_TIME_LEFT
+        && forward.sites_crossed.iter().all(|site| site.len() <= MAX_SITE_NAME_LENGTH)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/pipitcrank-gateway/src/frames/tests.rs
+++ b/crates/pipitcrank-gateway/src/frames/tests.rs
@@ -2,15 +2,19 @@
 
 use super::*;
 
+fn part(shard: u32, weight: f64, estimated_work: Option<f64>) -> ForwardPart {
+    ForwardPart { shard, weight, estimated_work }
+}
+
 fn forward() -> Forward {
     Forward {
         number: 7,
-        id: "q1".into(),
+        query_id: "q1".into(),
         class: "view".into(),
-        left: TimeSpan::from_millis(800),
-        further: 1,
-        crossed: vec!["north".into()],
-        parts: vec![(3, 0.5, None), (4, 0.5, Some(0.01))],
+        time_left: TimeSpan::from_millis(800),
+        delegated_retries: 1,
+        sites_crossed: vec!["north".into()],
+        parts: vec![part(3, 0.5, None), part(4, 0.5, Some(0.01))],
         text: "c41e".into(),
     }
 }
@@ -19,15 +23,15 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn frames_are_read_however_they_are_cut(cuts in proptest::collection::vec(1usize..30, 0..20), value in ".{0,300}") {
+    fn frames_are_decoded_however_they_are_split(cuts in proptest::collection::vec(1usize..30, 0..20), value in ".{0,300}") {
         let all = [
-            Said::Hello { version: 1, site: "north".into(), instance: u64::MAX, lane: 1, credit: 9, can: 0 },
-            Said::Forward(forward()),
-            Said::ForwardWithKey(forward(), "19dd61b8".into()),
-            Said::Part { number: 7, shard: 3, value },
-            Said::End { number: 7, how: How::Rejected { stay_away: TimeSpan::from_millis(50) }, made: 2 },
-            Said::Ask { numbers: vec![1, 2, 3] },
-            Said::Pong { sent_us: -5, mine_us: i64::MAX },
+            LinkMessage::Hello { version: 1, site: "north".into(), incarnation: u64::MAX, stream: 1, credit: 9, capabilities: 0 },
+            LinkMessage::Forward(forward()),
+            LinkMessage::ForwardWithKey(forward(), "19dd61b8".into()),
+            LinkMessage::PartAnswer { number: 7, shard: 3, value },
+            LinkMessage::End { number: 7, outcome: ForwardOutcome::Rejected { retry_after: TimeSpan::from_millis(50) }, retries_made: 2 },
+            LinkMessage::StatusRequest { numbers: vec![1, 2, 3] },
+            LinkMessage::Pong { sent_us: -5, answered_us: i64::MAX },
         ];
         let bytes: Vec<u8> = all.iter().flat_map(encode).collect();
         let (mut buffer, mut found, mut rest) = (BytesMut::new(), Vec::new(), &bytes[..]);
@@ -35,42 +39,43 @@
             let (piece, after) = rest.split_at(cut.min(rest.len()));
             buffer.extend_from_slice(piece);
             rest = after;
-            while let Some((said, _)) = take(&mut buffer).unwrap() { found.push(said); }
+            while let Some((message, _)) = take_frame(&mut buffer).unwrap() { found.push(message); }
         }
         prop_assert_eq!(found, all);
     }
 
     #[test]
-    fn noise_is_no_frame_or_a_sound_one(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn random_bytes_are_no_frame_or_a_valid_one(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut buffer = BytesMut::from(&noise[..]);
-        while let Ok(Some((said, _))) = take(&mut buffer) { prop_assert!(sound(&said)); }
+        while let Ok(Some((message, _))) = take_frame(&mut buffer) { prop_assert!(is_valid(&message)); }
     }
 }
 
 #[test]
-fn what_can_not_be_is_refused() {
+fn values_out_of_bounds_are_rejected() {
     let bad = |change: fn(&mut Forward)| {
         let mut f = forward();
         change(&mut f);
-        take(&mut BytesMut::from(&encode(&Said::Forward(f))[..]))
+        take_frame(&mut BytesMut::from(&encode(&LinkMessage::Forward(f))[..]))
     };
-    assert_eq!(bad(|f| f.number = 0), Err(Bad::Unsound));
-    assert_eq!(bad(|f| f.parts.clear()), Err(Bad::Unsound));
-    assert_eq!(bad(|f| f.parts[1].0 = 3), Err(Bad::Unsound), "a shard twice");
-    assert_eq!(bad(|f| f.parts[0].1 = f64::NAN), Err(Bad::Unsound));
-    assert_eq!(bad(|f| f.parts[0].2 = Some(-1.0)), Err(Bad::Unsound));
-    assert_eq!(bad(|f| f.left = TimeSpan::from_millis(i64::MAX / 2000)), Err(Bad::Unsound));
-    assert_eq!(take(&mut BytesMut::from(&[0u8; 4][..])), Err(Bad::Length(0)));
-    assert!(matches!(take(&mut BytesMut::from(&[255u8; 4][..])), Err(Bad::Length(_))));
+    assert_eq!(bad(|f| f.number = 0), Err(FrameError::Invalid));
+    assert_eq!(bad(|f| f.parts.clear()), Err(FrameError::Invalid));
+    assert_eq!(bad(|f| f.parts[1].shard = 3), Err(FrameError::Invalid), "a shard twice");
+    assert_eq!(bad(|f| f.parts[0].weight = f64::NAN), Err(FrameError::Invalid));
+    assert_eq!(bad(|f| f.parts[0].estimated_work = Some(-1.0)), Err(FrameError::Invalid));
+    assert_eq!(bad(|f| f.time_left = TimeSpan::from_millis(i64::MAX / 2000)), Err(FrameError::Invalid));
+    assert_eq!(take_frame(&mut BytesMut::from(&[0u8; 4][..])), Err(FrameError::Length(0)));
+    assert!(matches!(take_frame(&mut BytesMut::from(&[255u8; 4][..])), Err(FrameError::Length(_))));
 }
 
 #[test]
-fn a_key_that_would_be_read_as_something_else_is_refused() {
-    let read =
-        |key: &str| take(&mut BytesMut::from(&encode(&Said::ForwardWithKey(forward(), key.into()))[..]));
+fn an_idempotency_key_with_list_syntax_is_rejected() {
+    let read = |key: &str| {
+        take_frame(&mut BytesMut::from(&encode(&LinkMessage::ForwardWithKey(forward(), key.into()))[..]))
+    };
     assert!(read("\"19dd-61b8\"").is_ok());
     let long = "k".repeat(257);
     for key in ["", "a,d=9", "a b", "a\nb", &long] {
-        assert_eq!(read(key), Err(Bad::Unsound), "{key}");
+        assert_eq!(read(key), Err(FrameError::Invalid), "{key}");
     }
 }
--- a/crates/pipitcrank-gateway/src/lib.rs
+++ b/crates/pipitcrank-gateway/src/lib.rs
@@ -1,11 +1,22 @@
-//! The gateway between sites. Books, without I/O: `route` (may parts go there, and what does the hop cost), `forwards`
-//! (what of ours is out on a lane, and what became of it when the link broke), `ledger` (what others sent us, so that
-//! nothing runs twice), `credit`. `frames` is the link's protocol. Hands: `near` sends parts, `far` answers them.
+//! The gateway between sites: parts of a query go over a link to another site and are answered there.
+//!
+//! State machines, without I/O: [`site_health`] (may parts be sent there, and what does the detour cost),
+//! [`sent_forwards`] (what of ours is outstanding on a stream, and what becomes of it when the link breaks),
+//! [`received_forwards`] (what others sent us, so that nothing runs twice), [`flow_control`]. [`frames`] is the link's
+//! protocol. Drivers: [`link_client`] sends parts, [`link_server`] answers them.
 
-pub mod credit;
-pub mod far;
-pub mod forwards;
+#![warn(missing_docs)]
+
+pub mod flow_control;
+mod forward_service;
 pub mod frames;
-pub mod ledger;
-pub mod near;
-pub mod route;
+pub mod link_client;
+mod link_connection;
+mod link_end;
+pub mod link_server;
+mod link_session;
+mod message_sender;
+pub mod received_forwards;
+mod remote_site;
+pub mod sent_forwards;
+pub mod site_health;
--- /dev/null
+++ b/crates/pipitcrank-gateway/src/link_client.rs
@@ -0,0 +1,240 @@
+//! Sends parts to other sites over lasting connections. What may be sent is decided by the exchange's last check before
+//! the first byte, where it may go by [`SiteHealth`], and what a broken link means by
+//! [`crate::sent_forwards::SentForwards`].
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use pipitcrank_core::ids::ReplicaId;
+use pipitcrank_core::time::TimeSpan;
+use pipitcrank_server::clock::duration;
+use pipitcrank_server::exchange::{AttemptId, ReplicaTransport};
+use pipitcrank_server::replica_pool::ReplicaPool;
+use pipitcrank_server::serve::ServerContext;
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+use tokio::time::MissedTickBehavior;
+
+use crate::link_connection::{Connection, Established};
+use crate::link_end::LinkEnd;
+use crate::remote_site::{LinkStream, LocalSite, RemoteSite, StreamCommand};
+use crate::site_health::{HEARTBEAT, SiteHealth};
+
+/// Time for a connection to be up, with its handshake: many round trips of any link that is of use.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Pause between the first two attempts to connect; doubled with each failure, and spread by up to a half by the stream's
+/// number, so that streams and sites do not reconnect in step.
+const MIN_RECONNECT_PAUSE: Duration = Duration::from_millis(50);
+/// Longest pause between two attempts to connect.
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(1600);
+/// Different spreads of the pause.
+const RECONNECT_SPREADS: u16 = 4;
+
+/// Sends to local replicas as ever, and to cells of other sites over their links.
+pub struct LinkClient {
+    replicas: Rc<RefCell<ReplicaPool>>,
+    /// The site of each replica that stands for a cell of another site.
+    remote: BTreeMap<ReplicaId, Rc<RemoteSite>>,
+    local: Rc<LocalSite>,
+}
+
+/// Another site: its name and where it accepts links.
+pub struct PeerSite {
+    /// Its name.
+    pub name: String,
+    /// Where it accepts links.
+    pub address: SocketAddr,
+}
+
+/// Settings of the links to other sites.
+pub struct LinkClientConfig {
+    /// This site's name.
+    pub own_site: String,
+    /// Tells this process from any other of its site.
+    pub incarnation: u64,
+    /// The other sites.
+    pub peers: Vec<PeerSite>,
+    /// Connections kept to each.
+    pub streams_per_site: u16,
+    /// Added to the round trip of remote replicas, so that local ones are preferred.
+    pub local_preference: TimeSpan,
+}
+
+impl LinkClient {
+    /// Starts the tasks that keep links to all peers.
+    pub fn start(context: ServerContext, config: LinkClientConfig) -> LinkClient {
+        let ServerContext { event_loop, replicas, classes, cells, .. } = context;
+        let LinkClientConfig { own_site, incarnation, peers, streams_per_site, local_preference } = config;
+        let local = Rc::new(LocalSite { event_loop, name: own_site, incarnation, classes });
+        let mut remote = BTreeMap::new();
+        for (number, peer) in (0u16..).zip(peers) {
+            let health = SiteHealth::new(local_preference);
+            let cells = local.event_loop.tell(|exchange| exchange.add_site(number, &peer.name, cells));
+            let site = start_site(&local, number, peer, health, streams_per_site);
+            remote.extend(cells.into_iter().map(|replica| (replica, site.clone())));
+        }
+        LinkClient { replicas, remote, local }
+    }
+}
+
+fn start_site(
+    local: &Rc<LocalSite>,
+    number: u16,
+    peer: PeerSite,
+    health: SiteHealth,
+    stream_count: u16,
+) -> Rc<RemoteSite> {
+    let (streams, queues): (Vec<_>, Vec<_>) = (0..stream_count).map(new_stream).unzip();
+    let site = Rc::new(RemoteSite {
+        number,
+        name: peer.name,
+        address: peer.address,
+        health: RefCell::new(health),
+        streams,
+        published_delay: Cell::default(),
+    });
+    for (stream, commands) in site.streams.iter().zip(queues) {
+        tokio::task::spawn_local(keep_connected(local.clone(), site.clone(), stream.clone(), commands));
+    }
+    tokio::task::spawn_local(monitor(local.clone(), site.clone()));
+    site
+}
+
+fn new_stream(number: u16) -> (Rc<LinkStream>, UnboundedReceiver<StreamCommand>) {
+    let (commands, queue) = unbounded_channel();
+    let stream = LinkStream {
+        number,
+        commands,
+        sent: RefCell::default(),
+        queued: Cell::default(),
+        is_up: Cell::default(),
+    };
+    (Rc::new(stream), queue)
+}
+
+impl ReplicaTransport for LinkClient {
+    fn meet(&mut self, replica: ReplicaId, address: SocketAddr) {
+        self.replicas.borrow_mut().meet(replica, address);
+    }
+
+    fn let_go(&mut self, replica: ReplicaId) {
+        self.replicas.borrow_mut().let_go(replica);
+    }
+
+    fn call(&mut self, replica: ReplicaId, attempts: Vec<AttemptId>) {
+        let Some(site) = self.remote.get(&replica) else {
+            return self.replicas.borrow_mut().call(replica, attempts);
+        };
+        let up = site.streams.iter().filter(|stream| stream.is_up.get());
+        match up.min_by_key(|stream| stream.queued.get() + stream.sent.borrow().outstanding()) {
+            Some(stream) => {
+                stream.queued.set(stream.queued.get() + 1);
+                // The stream's task takes all commands, also while its link is down.
+                let _ = stream.commands.send(StreamCommand::Forward { replica, attempts });
+            }
+            None => {
+                let local = self.local.clone();
+                // Not at once: the exchange is running this call.
+                tokio::task::spawn_local(async move { local.never_began(replica, attempts) });
+            }
+        }
+    }
+
+    fn give_up(&mut self, replica: ReplicaId, attempt: AttemptId) {
+        let Some(site) = self.remote.get(&replica) else {
+            return self.replicas.borrow_mut().give_up(replica, attempt);
+        };
+        for stream in &site.streams {
+            let cancelled = stream.sent.borrow_mut().cancel(attempt);
+            if let Some(cancelled) = cancelled {
+                if cancelled.last {
+                    let _ = stream.commands.send(StreamCommand::Cancel { number: cancelled.number });
+                }
+                return;
+            }
+        }
+    }
+
+    fn probe(&mut self, replica: ReplicaId) {
+        // The decision module asks for no probe of a site; heartbeats tell more.
+        if !self.remote.contains_key(&replica) {
+            self.replicas.borrow_mut().probe(replica);
+        }
+    }
+}
+
+/// Ends expired forwards and passes the site's delay on, at the interval of heartbeats.
+async fn monitor(local: Rc<LocalSite>, site: Rc<RemoteSite>) {
+    let mut heartbeats = tokio::time::interval(duration(HEARTBEAT));
+    heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        heartbeats.tick().await;
+        site.expire_forwards(&local);
+        site.publish_delay(&local);
+    }
+}
+
+/// Keeps a stream connected, for ever.
+async fn keep_connected(
+    local: Rc<LocalSite>,
+    site: Rc<RemoteSite>,
+    stream: Rc<LinkStream>,
+    mut commands: UnboundedReceiver<StreamCommand>,
+) {
+    let mut pause = MIN_RECONNECT_PAUSE;
+    let mut last_incarnation: Option<u64> = None;
+    loop {
+        let connect = tokio::time::timeout(CONNECT_TIMEOUT, Established::connect(&local, &site, &stream));
+        // What is queued meanwhile never ran.
+        let connected = tokio::select! {
+            connected = connect => connected.unwrap_or(Err(LinkEnd::ConnectTimeout)),
+            () = stream.reject_all(&local, &mut commands) => Err(LinkEnd::CommandsClosed),
+        };
+        match connected {
+            Ok(established) => {
+                pause = MIN_RECONNECT_PAUSE;
+                let incarnation = established.incarnation;
+                let same_process = last_incarnation == Some(incarnation);
+                last_incarnation = Some(incarnation);
+                run_connection(&local, &site, &stream, established, same_process, &mut commands).await;
+            }
+            Err(end) => {
+                local.event_loop.counters.add("links", end.name());
+                tracing::debug!(site = site.name, stream = stream.number, "no link: {end}");
+            }
+        }
+        let spread = pause / 2 * u32::from(stream.number % RECONNECT_SPREADS) / u32::from(RECONNECT_SPREADS);
+        tokio::select! {
+            () = tokio::time::sleep(pause + spread) => {}
+            () = stream.reject_all(&local, &mut commands) => {}
+        }
+        pause = (pause * 2).min(MAX_RECONNECT_PAUSE);
+    }
+}
+
+/// Runs a connection until its end, and ends what was outstanding on it.
+async fn run_connection(
+    local: &LocalSite,
+    site: &RemoteSite,
+    stream: &LinkStream,
+    established: Established,
+    same_process: bool,
+    commands: &mut UnboundedReceiver<StreamCommand>,
+) {
+    local.event_loop.counters.add("links", "opened");
+    site.health.borrow_mut().link_up(local.event_loop.clock.now());
+    stream.is_up.set(true);
+    let end = Connection::new(local, site, stream, established).run(same_process, commands).await;
+    stream.is_up.set(false);
+    site.health.borrow_mut().link_down();
+    tracing::warn!(site = site.name, stream = stream.number, "link ended: {end}");
+    local.event_loop.counters.add("links", end.name());
+    while let Ok(command) = commands.try_recv() {
+        stream.reject(local, command);
+    }
+    let lost = stream.sent.borrow_mut().connection_lost();
+    lost.into_iter().for_each(|closed| site.close(local, closed));
+    site.publish_delay(local);
+}
