--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -20,10 +20,10 @@
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_gateway::link_client::{LinkClient, LinkClientConfig, PeerSite};
 use pipitcrank_gateway::link_server::LinkServer;
-use pipitcrank_server::clock::Clock;
 use pipitcrank_server::exchange::ReplicaTransport;
 use pipitcrank_server::node_config::NodeConfig;
-use pipitcrank_server::serve::{self, Beside, ServerContext};
+use pipitcrank_server::runtime::clock::Clock;
+use pipitcrank_server::serve::{self, ServerContext, TransportFactory};
 use pipitcrank_testkit::trial::{self, Terms};
 
 /// A scatter-gather co-ordinator: it reads many shards for one query and gives one answer.
@@ -254,7 +254,7 @@
 
 /// Other copies, other sites beside the near replicas, and the store, where the operators' file has them. `opened`: the store
 /// and what a process before this one left in it; none while such a process may still have it.
-fn beside(operators: OperatorsConfig, opened: Option<(Option<Disk>, Past)>) -> Option<Beside> {
+fn beside(operators: OperatorsConfig, opened: Option<(Option<Disk>, Past)>) -> Option<TransportFactory> {
     let OperatorsConfig { gateway, zones, store, .. } = operators;
     if gateway.is_none() && zones.is_none() && store.is_none() {
         return None;
--- a/crates/pipitcrank-gateway/src/forward_service.rs
+++ b/crates/pipitcrank-gateway/src/forward_service.rs
@@ -9,8 +9,8 @@
 
 use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::Timestamp;
-use pipitcrank_server::event_loop::EventLoop;
-use pipitcrank_server::exchange::{Lent, QueryPart, QueryRequest, QueryResponse};
+use pipitcrank_server::exchange::{DelegatedRequest, QueryPart, QueryRequest, QueryResponse};
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use pipitcrank_server::serve::ServerContext;
 use tokio::sync::watch;
 
@@ -162,8 +162,9 @@
         let on_answer = Box::new(move |shard: u32, value: &str| service.part_answered(id, shard, value));
         let service = self.clone();
         let on_end = Box::new(move |response: QueryResponse| service.query_ended(id, response, part_count));
-        let lent = Lent { further: forward.delegated_retries, made: retries_made, as_in: on_answer };
-        self.event_loop.tell(|exchange| exchange.asked_by_site(ticket, request, lent, on_end));
+        let delegated =
+            DelegatedRequest { further: forward.delegated_retries, made: retries_made, as_in: on_answer };
+        self.event_loop.update(|exchange| exchange.submit_forwarded(ticket, request, delegated, on_end));
     }
 
     fn part_answered(&self, id: u64, shard: u32, value: &str) {
@@ -202,7 +203,7 @@
         let running = self.running.borrow_mut().remove(&id);
         if let Some(RunningForward { ticket, retries_made }) = running {
             self.event_loop.counters.add("forwarded", "given_up");
-            self.event_loop.tell(|exchange| exchange.client_gone(ticket));
+            self.event_loop.update(|exchange| exchange.client_disconnected(ticket));
             let (outcome, retries_made) = (ForwardOutcome::Aborted, retries_made.get());
             self.received.borrow_mut().record_end(id, ForwardEnd { outcome, retries_made });
             sender.send(LinkMessage::End { number, outcome, retries_made });
--- a/crates/pipitcrank-gateway/src/link_client.rs
+++ b/crates/pipitcrank-gateway/src/link_client.rs
@@ -10,9 +10,9 @@
 
 use pipitcrank_core::ids::ReplicaId;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::clock::duration;
 use pipitcrank_server::exchange::{AttemptId, ReplicaTransport};
-use pipitcrank_server::replica_pool::ReplicaPool;
+use pipitcrank_server::replicas::pool::ReplicaPool;
+use pipitcrank_server::runtime::clock::duration;
 use pipitcrank_server::serve::ServerContext;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::time::MissedTickBehavior;
@@ -71,7 +71,8 @@
         let mut remote = BTreeMap::new();
         for (number, peer) in (0u16..).zip(peers) {
             let health = SiteHealth::new(local_preference);
-            let cells = local.event_loop.tell(|exchange| exchange.add_site(number, &peer.name, cells));
+            let cells =
+                local.event_loop.update(|exchange| exchange.add_remote_site(number, &peer.name, cells));
             let site = start_site(&local, number, peer, health, streams_per_site);
             remote.extend(cells.into_iter().map(|replica| (replica, site.clone())));
         }
@@ -115,17 +116,17 @@
 }
 
 impl ReplicaTransport for LinkClient {
-    fn meet(&mut self, replica: ReplicaId, address: SocketAddr) {
-        self.replicas.borrow_mut().meet(replica, address);
+    fn set_address(&mut self, replica: ReplicaId, address: SocketAddr) {
+        self.replicas.borrow_mut().set_address(replica, address);
     }
 
-    fn let_go(&mut self, replica: ReplicaId) {
-        self.replicas.borrow_mut().let_go(replica);
+    fn remove_replica(&mut self, replica: ReplicaId) {
+        self.replicas.borrow_mut().remove_replica(replica);
     }
 
-    fn call(&mut self, replica: ReplicaId, attempts: Vec<AttemptId>) {
+    fn send_attempts(&mut self, replica: ReplicaId, attempts: Vec<AttemptId>) {
         let Some(site) = self.remote.get(&replica) else {
-            return self.replicas.borrow_mut().call(replica, attempts);
+            return self.replicas.borrow_mut().send_attempts(replica, attempts);
         };
         let up = site.streams.iter().filter(|stream| stream.is_up.get());
         match up.min_by_key(|stream| stream.queued.get() + stream.sent.borrow().outstanding()) {
@@ -142,9 +143,9 @@
         }
     }
 
-    fn give_up(&mut self, replica: ReplicaId, attempt: AttemptId) {
+    fn cancel_attempt(&mut self, replica: ReplicaId, attempt: AttemptId) {
         let Some(site) = self.remote.get(&replica) else {
-            return self.replicas.borrow_mut().give_up(replica, attempt);
+            return self.replicas.borrow_mut().cancel_attempt(replica, attempt);
         };
         for stream in &site.streams {
             let cancelled = stream.sent.borrow_mut().cancel(attempt);
@@ -157,10 +158,10 @@
         }
     }
 
-    fn probe(&mut self, replica: ReplicaId) {
+    fn send_load_probe(&mut self, replica: ReplicaId) {
         // The decision module asks for no probe of a site; heartbeats tell more.
         if !self.remote.contains_key(&replica) {
-            self.replicas.borrow_mut().probe(replica);
+            self.replicas.borrow_mut().send_load_probe(replica);
         }
     }
 }
--- a/crates/pipitcrank-gateway/src/link_connection.rs
+++ b/crates/pipitcrank-gateway/src/link_connection.rs
@@ -8,8 +8,8 @@
 use bytes::{Buf, Bytes, BytesMut};
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_server::clock::duration;
 use pipitcrank_server::exchange::{AttemptId, OutgoingForward};
+use pipitcrank_server::runtime::clock::duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -262,7 +262,8 @@
         self.link_stream.queued.set(self.link_stream.queued.get() - 1);
         let now = self.local.event_loop.clock.now();
         let round_trip = self.site.health.borrow().round_trip_bound().unwrap_or(TimeSpan::ZERO);
-        let outgoing = self.local.event_loop.tell(|exchange| exchange.forward(now, replica, &mut attempts));
+        let outgoing =
+            self.local.event_loop.update(|exchange| exchange.authorize_forward(now, replica, &mut attempts));
         for forward in outgoing {
             self.queue_forward(now, round_trip, forward);
         }
@@ -353,7 +354,8 @@
         };
         self.site.health.borrow_mut().part_answered(now);
         event_loop.counters.add("forwards", "parts");
-        event_loop.tell(|exchange| exchange.ended(attempt, AttemptOutcome::Success, Some(value), None));
+        event_loop
+            .update(|exchange| exchange.attempt_ended(attempt, AttemptOutcome::Success, Some(value), None));
     }
 
     fn handle_end(&self, number: u64, outcome: ForwardOutcome, retries_made: u32) {
--- a/crates/pipitcrank-gateway/src/link_server.rs
+++ b/crates/pipitcrank-gateway/src/link_server.rs
@@ -72,7 +72,7 @@
             let event_loop = &self.sessions.event_loop;
             // Links are not encrypted yet, so they stay on the machine. Peers' connections count against the limit of
             // connections, as replicas' do: it holds however many co-ordinators a site has.
-            let permit = event_loop.sockets.place().filter(|_| from.ip().is_loopback());
+            let permit = event_loop.replica_connections.try_acquire().filter(|_| from.ip().is_loopback());
             let Some(permit) = permit else {
                 event_loop.counters.add("peers", "turned_away");
                 continue;
--- a/crates/pipitcrank-gateway/src/link_session.rs
+++ b/crates/pipitcrank-gateway/src/link_session.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use pipitcrank_server::event_loop::EventLoop;
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 use tokio::net::tcp::OwnedReadHalf;
--- a/crates/pipitcrank-gateway/src/remote_site.rs
+++ b/crates/pipitcrank-gateway/src/remote_site.rs
@@ -6,8 +6,8 @@
 
 use pipitcrank_core::ids::ReplicaId;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::event_loop::EventLoop;
 use pipitcrank_server::exchange::AttemptId;
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
 use crate::sent_forwards::{ClosedForward, SentForwards};
@@ -68,8 +68,9 @@
 impl LocalSite {
     /// Nothing of these attempts was sent.
     pub(crate) fn never_began(&self, replica: ReplicaId, attempts: Vec<AttemptId>) {
-        self.event_loop
-            .tell(|exchange| attempts.into_iter().for_each(|attempt| exchange.never_began(replica, attempt)));
+        self.event_loop.update(|exchange| {
+            attempts.into_iter().for_each(|attempt| exchange.attempt_never_started(replica, attempt))
+        });
     }
 }
 
@@ -100,7 +101,7 @@
             local.event_loop.counters.add("sites", counted);
         }
         self.published_delay.set(delay);
-        local.event_loop.tell(|exchange| exchange.set_hop(self.number, delay));
+        local.event_loop.update(|exchange| exchange.set_remote_delay(self.number, delay));
     }
 
     /// A forward has ended: for the site's health, the retry budget and the attempts.
@@ -114,12 +115,12 @@
             ForwardResult::Failed => "failed",
         };
         local.event_loop.counters.add("forwards", counted);
-        local.event_loop.tell(|exchange| {
+        local.event_loop.update(|exchange| {
             if let Some(retries_made) = closed.retries_made {
-                exchange.came_back(now, closed.delegation, retries_made);
+                exchange.delegation_returned(now, closed.delegation, retries_made);
             }
             for attempt in closed.attempts {
-                exchange.ended(attempt, closed.outcome, None, None);
+                exchange.attempt_ended(attempt, closed.outcome, None, None);
             }
         });
         self.publish_delay(local);
