--- /dev/null
+++ b/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
@@ -0,0 +1,67 @@
+//! Whether one more attempt of a part may be made: within its query's time (rule 1), without a forbidden repeat (rule 2),
+//! and within the retry budget (rule 6).
+
+use super::state::State;
+use crate::ids::{AttemptDenied, AttemptId, Idempotency, PartId};
+use crate::time::Timestamp;
+
+impl State {
+    /// Rules 1, 2 and 6 for one more attempt.
+    pub(super) fn may_attempt(&mut self, now: Timestamp, id: PartId) -> bool {
+        if !self.could_attempt(now, id) {
+            return false;
+        }
+        let part = &self.parts[&id];
+        if part.attempts.is_empty() {
+            return true;
+        }
+        let delegated = self.queries.get(&part.query).and_then(|q| q.delegated_retries);
+        delegated.map_or_else(|| self.retry_budget.remaining(now), f64::from) >= 1.0
+    }
+
+    /// Rules 1 and 2 alone: a retry budget that is spent refills.
+    pub(super) fn could_attempt(&self, now: Timestamp, id: PartId) -> bool {
+        let part = &self.parts[&id];
+        let Some(open) = self.queries.get(&part.query) else { return false };
+        self.may_repeat(now, id, part.attempts.len())
+            && !part.is_done
+            && now < open.deadline - self.tick
+            && part.attempt_count() < self.retry_policy.max_attempts
+            && (part.outstanding_count() == 0 || self.retry_policy.may_hedge)
+    }
+
+    /// Rule 2 for the attempt after `earlier` others. A repeat counts as it reaches the replica, and may reach none that
+    /// no longer knows the key.
+    fn may_repeat(&self, now: Timestamp, id: PartId, earlier: usize) -> bool {
+        let part = &self.parts[&id];
+        let may_have_run = part.attempts.iter().take(earlier).find(|a| !a.never_ran);
+        let class = &self.classes[usize::from(part.class.0)].config;
+        match (class.idempotency, may_have_run) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::IdempotentByKey, Some(first)) => {
+                now - first.sent_at + self.retry_policy.max_network_delay < class.idempotency_window
+            }
+            (Idempotency::NonIdempotent, Some(_)) => false,
+        }
+    }
+
+    /// Rules 2 and 6 as they stand when the attempt goes out.
+    pub(super) fn begin_attempt(&mut self, now: Timestamp, attempt: AttemptId) -> Result<(), AttemptDenied> {
+        let index = attempt.number as usize;
+        if !self.may_repeat(now, attempt.part, index) {
+            return Err(AttemptDenied::RepeatForbidden);
+        }
+        let part = &self.parts[&attempt.part];
+        let is_forwarded = self.queries.get(&part.query).is_some_and(|q| q.delegated_retries.is_some());
+        if attempt.number == 0 || is_forwarded {
+            return Ok(());
+        }
+        if !self.retry_budget.begins(part.attempts[index].counted_at, now) {
+            return Err(AttemptDenied::RetryBudgetSpent);
+        }
+        let part = self.parts.get_mut(&attempt.part).expect("attempts that begin have their parts");
+        // The caller may take the attempt back and begin it once more.
+        part.attempts[index].counted_at = now;
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-core/src/coordinator/delegated_retries.rs
@@ -0,0 +1,47 @@
+//! Retries that others may make for this co-ordinator: the process that hands over in an upgrade, or another site for the
+//! parts forwarded to it. A borrower may make them at any time until they expire.
+
+use std::collections::BTreeMap;
+
+use crate::time::Timestamp;
+
+/// Retries that one borrower may make.
+#[derive(Clone, Copy)]
+pub(super) struct Delegation {
+    pub(super) count: u32,
+    pub(super) expires_at: Timestamp,
+}
+
+/// All delegations, by borrower. An entry ends when it is settled or expires.
+#[derive(Default)]
+pub(super) struct DelegatedRetries {
+    by_borrower: BTreeMap<u64, Delegation>,
+}
+
+impl DelegatedRetries {
+    pub(super) fn insert(&mut self, borrower: u64, delegation: Delegation) {
+        self.by_borrower.insert(borrower, delegation);
+    }
+
+    pub(super) fn remove(&mut self, borrower: u64) -> Option<Delegation> {
+        self.by_borrower.remove(&borrower)
+    }
+
+    /// Removes what has expired and was not settled.
+    pub(super) fn take_expired(&mut self, now: Timestamp) -> impl Iterator<Item = Delegation> + '_ {
+        self.by_borrower.extract_if(.., move |_, d| d.expires_at <= now).map(|(_, d)| d)
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = Delegation> + '_ {
+        self.by_borrower.values().copied()
+    }
+
+    /// Retries delegated at present.
+    pub(super) fn total(&self) -> u32 {
+        self.iter().map(|d| d.count).sum()
+    }
+
+    pub(super) fn last_expiry(&self) -> Option<Timestamp> {
+        self.iter().map(|d| d.expires_at).max()
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-core/src/coordinator/forwarding.rs
@@ -0,0 +1,71 @@
+//! Other sites: replicas that stand for a cell elsewhere, queries forwarded by another site, and retries delegated with the
+//! parts forwarded to one. Which remote replicas a part may go to is decided beside the other candidates.
+
+use super::replica_state::Site;
+use super::state::State;
+use crate::ids::{Idempotency, PartId, QueryId, ReplicaId, RequestClassId};
+use crate::time::{TimeSpan, Timestamp};
+
+impl State {
+    /// The query just started is counted by the site that forwarded it: it adds nothing to the retry budget here, and
+    /// has the delegated retries in its place.
+    pub(super) fn mark_forwarded(&mut self, id: QueryId, delegated_retries: u32) {
+        self.retry_budget.undo_admission();
+        if let Some(open) = self.queries.get_mut(&id) {
+            open.delegated_retries = Some(delegated_retries);
+        }
+    }
+
+    pub(super) fn may_retry(&self, class: RequestClassId) -> bool {
+        self.classes[usize::from(class.0)].config.idempotency != Idempotency::NonIdempotent
+    }
+
+    /// The parts are forwarded: returns how many retries the other site may make for them until they expire. They count
+    /// as made, for the budget and for each part, until `delegation_returned`.
+    pub(super) fn delegate_retries(
+        &mut self,
+        now: Timestamp,
+        borrower: u64,
+        parts: &[PartId],
+        expires_at: Timestamp,
+    ) -> u32 {
+        let max_attempts = self.retry_policy.max_attempts;
+        let attempts_left =
+            |p: &PartId| self.parts.get(p).map_or(0, |p| max_attempts.saturating_sub(p.attempt_count()));
+        let most = parts.iter().map(attempts_left).min().unwrap_or(0).min(parts.len() as u32);
+        let count = self.retry_budget.delegate_up_to(now, borrower, most, expires_at);
+        for id in parts {
+            if let Some(part) = self.parts.get_mut(id) {
+                part.remote_attempts += count;
+            }
+        }
+        count
+    }
+
+    /// Of the retries delegated with the parts so many were made.
+    pub(super) fn delegation_returned(
+        &mut self,
+        now: Timestamp,
+        borrower: u64,
+        parts: &[PartId],
+        delegated: u32,
+        made: u32,
+    ) {
+        self.retry_budget.settle_delegation(now, borrower, made);
+        for id in parts {
+            if let Some(part) = self.parts.get_mut(id) {
+                part.remote_attempts -= delegated - made.min(delegated);
+            }
+        }
+    }
+
+    /// The replica stands for a cell of another site, at that delay; none while nothing may go there.
+    pub(super) fn set_remote_delay(&mut self, replica: ReplicaId, delay: Option<TimeSpan>) {
+        let site = delay.map_or(Site::RemoteClosed, |network_delay| Site::Remote { network_delay });
+        if let Some(state) = self.replicas.get_mut(&replica) {
+            self.needs_dispatch |= state.site != site;
+            state.load.invalidate();
+            state.site = site;
+        }
+    }
+}
