--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -24,6 +24,8 @@
 use pipitcrank_server::node_config::NodeConfig;
 use pipitcrank_server::runtime::clock::Clock;
 use pipitcrank_server::serve::{self, ServerContext, TransportFactory};
+use pipitcrank_simulation::plot::{self, Chart};
+use pipitcrank_simulation::zones::{ZonesExperiment, run_experiment};
 use pipitcrank_testkit::trial::{self, Terms};
 
 /// A scatter-gather co-ordinator: it reads many shards for one query and gives one answer.
@@ -320,16 +322,17 @@
 ) -> Result<i32> {
     anyhow::ensure!(name == "zones", "no experiment is named '{name}'; there is: zones");
     anyhow::ensure!((zones..=MOST_COPIES).contains(&copies), "{copies} copies, not {zones} to {MOST_COPIES}");
-    let (figures, lines) = pipitcrank_simulation::zones::play(copies, zones, seed);
-    let text = serde_json::to_string_pretty(&figures)?;
+    let ZonesExperiment { report, service, load } = run_experiment(copies, zones, seed);
+    let text = serde_json::to_string_pretty(&report)?;
     println!("{text}");
     if let Some(path) = json {
         std::fs::write(path, &text).with_context(|| path.display().to_string())?;
     }
     if let Some(path) = plot {
-        let service = ("share of what was asked that was answered in time", &lines.service[..]);
-        let load = ("load of each zone against what it bears, by the common decision", &lines.load[..]);
-        pipitcrank_simulation::plot::draw(path, service, load)?;
+        let service = Chart { title: "share of what was asked that was answered in time", series: &service };
+        let load =
+            Chart { title: "load of each zone against what it bears, by the common decision", series: &load };
+        plot::draw(path, service, load)?;
     }
     Ok(0)
 }
--- a/crates/pipitcrank-recovery/src/store.rs
+++ b/crates/pipitcrank-recovery/src/store.rs
@@ -15,30 +15,29 @@
 //! tell a truncated file from a whole one, and does not keep two processes apart; `fjall` is made for a high rate of
 //! writes, and needs a directory and threads.
 
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use redb::{Database, DatabaseError};
+use redb::Database;
 
 mod database_file;
 mod error;
+mod format;
 mod shared;
 mod writer;
 
 use database_file::DatabaseFile;
-pub use database_file::{FORMAT_VERSION, StoredValues};
+pub use database_file::{DatabaseOpener, StoredValues};
 pub use error::{Corruption, StoreError};
+pub use format::FORMAT_VERSION;
 use shared::Shared;
 pub use shared::WriteStatus;
 
 /// The database's cache, in bytes: all values take some ten thousand.
 const CACHE_SIZE: usize = 512 * 1024;
 
-/// Opens or creates the database; replaced in tests by one that fails.
-pub type DatabaseOpener = Box<dyn FnMut(&Path) -> Result<Database, DatabaseError> + Send>;
-
 /// One node's store. Dropped, it writes what is pending and closes the file.
 pub struct Store {
     shared: Arc<Shared>,
--- a/crates/pipitcrank-recovery/src/store/database_file.rs
+++ b/crates/pipitcrank-recovery/src/store/database_file.rs
@@ -1,25 +1,17 @@
-//! The file's form: one table with a header and two values, each behind its checksum.
+//! The database file: opening, checking, reading and writing it.
 
 use std::panic::AssertUnwindSafe;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
-use redb::{
-    Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition, TableError,
-};
+use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableError};
 
-use super::DatabaseOpener;
 use super::error::{Corruption, StoreError};
+use super::format::{
+    FORMAT_VERSION, HEADER_KEY, LEARNED_STATE_KEY, TABLE, VOTER_MEMORY_KEY, verified, with_checksum,
+};
 
-/// Version of the file's form, raised with each change of it.
-pub const FORMAT_VERSION: u16 = 1;
-/// Longest value read, in bytes: a snapshot of the most replicas configured, and its header.
-const MAX_VALUE_LENGTH: usize = 8 << 20;
-
-/// The names on disk are those of the first version.
-pub(super) const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
-pub(super) const HEADER_KEY: &str = "head";
-const VOTER_MEMORY_KEY: &str = "promises";
-const LEARNED_STATE_KEY: &str = "beliefs";
+/// Opens or creates the database; replaced in tests by one that fails.
+pub type DatabaseOpener = Box<dyn FnMut(&Path) -> Result<Database, DatabaseError> + Send>;
 
 /// What an earlier process has stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -38,17 +30,6 @@
     database: Option<Database>,
 }
 
-/// The value behind its checksum: the database verifies its own pages only after a crash.
-pub(super) fn with_checksum(value: &[u8]) -> Vec<u8> {
-    [&crc32fast::hash(value).to_be_bytes()[..], value].concat()
-}
-
-fn verified(bytes: &[u8]) -> Option<Vec<u8>> {
-    let (checksum, value) = bytes.split_first_chunk::<4>()?;
-    let matches = crc32fast::hash(value) == u32::from_be_bytes(*checksum);
-    (value.len() <= MAX_VALUE_LENGTH && matches).then(|| value.to_vec())
-}
-
 fn storage_error(error: &StorageError) -> StoreError {
     match error {
         StorageError::Corrupted(reason) => Corruption::Database(reason.clone()).into(),
--- a/crates/pipitcrank-recovery/src/store/error.rs
+++ b/crates/pipitcrank-recovery/src/store/error.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use super::database_file::FORMAT_VERSION;
+use super::format::FORMAT_VERSION;
 
 /// Why a store is not used, or not written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/pipitcrank-recovery/src/store/tests.rs
+++ b/crates/pipitcrank-recovery/src/store/tests.rs
@@ -1,9 +1,10 @@
+use std::path::Path;
 use std::sync::atomic::{AtomicU8, Ordering};
 
 use redb::backends::FileBackend;
 use redb::{StorageBackend, StorageError};
 
-use super::database_file::{HEADER_KEY, TABLE, with_checksum};
+use super::format::{HEADER_KEY, TABLE, with_checksum};
 use super::*;
 
 const SOON: Duration = Duration::from_secs(10);
--- a/crates/pipitcrank-simulation/src/lib.rs
+++ b/crates/pipitcrank-simulation/src/lib.rs
@@ -1,14 +1,17 @@
-//! The emulator: many copies in simulated time, in zones, on a net with faults, before leaves with queues. It drives the
-//! books that the program drives, and has no rules of its own. The same seed gives the same bytes.
+//! The emulator: many nodes in simulated time, in zones, on a network with faults, in front of replicas with queues. It
+//! drives the state machines that the program drives, and has no rules of its own. The same seed gives the same bytes.
 //!
-//! | file | what |
+//! | module | job |
 //! | --- | --- |
-//! | `net.rs` | datagrams on their way: delay, loss, zones that do not hear each other |
-//! | `leaves.rs` | a zone's leaves as one queue, that can be lost, slow or cold |
-//! | `zones.rs` | the experiment `zones` |
-//! | `plot.rs` | figures over time as a picture |
+//! | `event_queue`, `network` | what happens next; datagrams in transit, with delay, loss and partitions |
+//! | `zone_replicas` | a zone's replicas as one queue, which can fail, be slow or warm up |
+//! | `zones` | the experiment `zones` |
+//! | `plot` | time series as an SVG image |
 
-pub mod net;
+#![warn(missing_docs)]
+
+pub mod event_queue;
+pub mod network;
 pub mod plot;
-pub mod replicas;
+pub mod zone_replicas;
 pub mod zones;
--- a/crates/pipitcrank-simulation/src/plot.rs
+++ b/crates/pipitcrank-simulation/src/plot.rs
@@ -1,43 +1,90 @@
-//! Figures over time as a picture (SVG).
+//! Time series as an SVG image.
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-use anyhow::{Result, anyhow};
+use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// A line: its name and its points, by seconds.
-pub type Line = (String, Vec<(f64, f64)>);
-
 const SIZE: (u32, u32) = (960, 640);
-const COLOURS: [RGBColor; 6] = [BLUE, RED, GREEN, MAGENTA, CYAN, BLACK];
+const COLORS: [RGBColor; 6] = [BLUE, RED, GREEN, MAGENTA, CYAN, BLACK];
+const MARGIN: u32 = 10;
+const X_LABEL_HEIGHT: u32 = 28;
+const Y_LABEL_WIDTH: u32 = 52;
+const LEGEND_LINE_LENGTH: i32 = 16;
+
+/// A value at a point in time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Point {
+    /// Seconds since the start.
+    pub seconds: f64,
+    /// The value then.
+    pub value: f64,
+}
+
+/// A line of a chart.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Series {
+    /// Its name in the legend.
+    pub name: String,
+    /// Its points, by time.
+    pub points: Vec<Point>,
+}
+
+/// A chart of several series.
+#[derive(Clone, Copy, Debug)]
+pub struct Chart<'a> {
+    /// Its caption.
+    pub title: &'a str,
+    /// Its lines.
+    pub series: &'a [Series],
+}
 
-/// Two pictures one over the other, each with its title and lines.
-pub fn draw(path: &Path, upper: (&str, &[Line]), lower: (&str, &[Line])) -> Result<()> {
+/// The image could not be drawn or written.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {reason}", .path.display())]
+pub struct PlotError {
+    /// The image's path.
+    pub path: PathBuf,
+    /// The reason of the drawing library or the operating system.
+    pub reason: String,
+}
+
+/// Draws two charts, one above the other.
+pub fn draw(path: &Path, upper: Chart, lower: Chart) -> Result<(), PlotError> {
+    draw_charts(path, upper, lower)
+        .map_err(|error| PlotError { path: path.to_path_buf(), reason: error.to_string() })
+}
+
+type SvgArea<'a> = DrawingArea<SVGBackend<'a>, Shift>;
+type SvgError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
+
+fn draw_charts<'a>(path: &'a Path, upper: Chart, lower: Chart) -> Result<(), SvgError<'a>> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
-    let wrong = |e: &dyn std::fmt::Display| anyhow!("{}: {e}", path.display());
-    area.fill(&WHITE).map_err(|e| wrong(&e))?;
+    area.fill(&WHITE)?;
     let (above, below) = area.split_vertically(SIZE.1 / 2);
-    for (area, (title, lines)) in [(above, upper), (below, lower)] {
-        let points = || lines.iter().flat_map(|l| &l.1);
-        let end = points().map(|p| p.0).fold(0.0, f64::max);
-        let top = points().map(|p| p.1).fold(0.0, f64::max) * 1.05 + 1e-9;
-        let mut chart = ChartBuilder::on(&area)
-            .caption(title, ("sans-serif", 18))
-            .margin(10)
-            .x_label_area_size(28)
-            .y_label_area_size(52)
-            .build_cartesian_2d(0.0..end, 0.0..top)
-            .map_err(|e| wrong(&e))?;
-        chart.configure_mesh().x_desc("seconds").draw().map_err(|e| wrong(&e))?;
-        for ((name, points), colour) in lines.iter().zip(COLOURS.iter().cycle()) {
-            chart
-                .draw_series(LineSeries::new(points.iter().copied(), colour))
-                .map_err(|e| wrong(&e))?
-                .label(name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
-        }
-        let mut legend = chart.configure_series_labels();
-        legend.background_style(WHITE).border_style(BLACK).draw().map_err(|e| wrong(&e))?;
+    draw_chart(&above, upper)?;
+    draw_chart(&below, lower)?;
+    area.present()
+}
+
+fn draw_chart<'a>(area: &SvgArea<'a>, chart: Chart) -> Result<(), SvgError<'a>> {
+    let points = || chart.series.iter().flat_map(|series| &series.points);
+    let end = points().map(|point| point.seconds).fold(0.0, f64::max);
+    let top = points().map(|point| point.value).fold(0.0, f64::max) * 1.05 + 1e-9;
+    let mut context = ChartBuilder::on(area)
+        .caption(chart.title, ("sans-serif", 18))
+        .margin(MARGIN)
+        .x_label_area_size(X_LABEL_HEIGHT)
+        .y_label_area_size(Y_LABEL_WIDTH)
+        .build_cartesian_2d(0.0..end, 0.0..top)?;
+    context.configure_mesh().x_desc("seconds").draw()?;
+    for (series, color) in chart.series.iter().zip(COLORS.iter().cycle()) {
+        let line = series.points.iter().map(|point| (point.seconds, point.value));
+        context
+            .draw_series(LineSeries::new(line, color))?
+            .label(&series.name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], color));
     }
-    area.present().map_err(|e| wrong(&e))
+    let mut legend = context.configure_series_labels();
+    legend.background_style(WHITE).border_style(BLACK).draw()
 }
--- /dev/null
+++ b/crates/pipitcrank-simulation/src/zones/report.rs
@@ -0,0 +1,166 @@
+//! The figures of the experiment. Their names in JSON are a contract, and stay.
+
+use std::collections::BTreeMap;
+
+use pipitcrank_failover::decision::ZoneState;
+use serde::Serialize;
+
+use super::parameters::{END_S, OUTAGE};
+use super::run::{Run, Runs};
+use super::world::World;
+
+/// From the first node to act on a decision until nearly all do, over all decisions; in JSON a list of both.
+#[derive(Clone, Copy, Debug, Serialize)]
+#[serde(into = "(f64, f64)")]
+pub struct SpreadTimes {
+    /// The median, in seconds.
+    pub median_s: f64,
+    /// The longest, in seconds.
+    pub max_s: f64,
+}
+
+impl From<SpreadTimes> for (f64, f64) {
+    fn from(times: SpreadTimes) -> (f64, f64) {
+        (times.median_s, times.max_s)
+    }
+}
+
+/// Fractions of the demand that were answered in time; in JSON a list of both.
+#[derive(Clone, Copy, Debug, Serialize)]
+#[serde(into = "(f64, f64)")]
+pub struct ServiceFractions {
+    /// During the outage.
+    pub in_outage: f64,
+    /// From the outage's beginning to the end.
+    pub to_end: f64,
+}
+
+impl From<ServiceFractions> for (f64, f64) {
+    fn from(service: ServiceFractions) -> (f64, f64) {
+        (service.in_outage, service.to_end)
+    }
+}
+
+/// What was measured, in the order shown. Where nothing else is said, in the mode of the common decision.
+#[derive(Clone, Debug, Serialize)]
+pub struct ZonesReport {
+    /// Number of nodes.
+    #[serde(rename = "copies")]
+    pub nodes: usize,
+    /// Number of zones.
+    pub zones: usize,
+    /// The seed.
+    pub seed: u64,
+    /// Seconds from the outage to the first decision that suspects the zone.
+    #[serde(rename = "suspected_s")]
+    pub time_to_suspect_s: Option<f64>,
+    /// Seconds from the outage to the first decision that takes the zone out of service.
+    #[serde(rename = "out_s")]
+    pub time_to_remove_s: Option<f64>,
+    /// Seconds from the outage until nearly all nodes act on that decision.
+    #[serde(rename = "moved_s")]
+    pub time_to_move_s: Option<f64>,
+    /// Seconds from the return of the replicas until the zone gets its load again.
+    #[serde(rename = "home_s")]
+    pub time_to_return_s: Option<f64>,
+    /// Time for a decision to spread.
+    #[serde(rename = "spread_s")]
+    pub spread: SpreadTimes,
+    /// Number of decisions.
+    pub decisions: usize,
+    /// Datagrams a second and node before the outage.
+    #[serde(rename = "datagrams_calm")]
+    pub calm_datagrams: f64,
+    /// Bytes a second and node before the outage.
+    #[serde(rename = "bytes_calm")]
+    pub calm_bytes: f64,
+    /// Datagrams a second and node over the whole run.
+    pub datagrams: f64,
+    /// Bytes a second and node over the whole run.
+    pub bytes: f64,
+    /// Bytes a second of the busiest node over the whole run.
+    #[serde(rename = "bytes_busiest")]
+    pub busiest_node_bytes: f64,
+    /// Service in each mode.
+    pub service: BTreeMap<&'static str, ServiceFractions>,
+    /// Highest load of a zone that serves as a fraction of its capacity, in each mode.
+    #[serde(rename = "peak")]
+    pub peak_load: BTreeMap<&'static str, f64>,
+    /// Parts sent to warming replicas beyond their allowance, in each mode.
+    #[serde(rename = "cold_pushed_over")]
+    pub slow_start_excess: BTreeMap<&'static str, f64>,
+    /// How often two decisions had one number.
+    #[serde(rename = "two_under_one_number")]
+    pub conflicting_decisions: u64,
+    /// How often a node went from a decision to an older one.
+    #[serde(rename = "older_acted_on")]
+    pub decision_regressions: u64,
+}
+
+impl ZonesReport {
+    pub(super) fn new(nodes: usize, zones: usize, seed: u64, runs: &Runs) -> ZonesReport {
+        let common = &runs.common;
+        let world = &common.world;
+        let zone = common.failing_zone;
+        let per_node = nodes as f64;
+        let sent = world.network.sent;
+        ZonesReport {
+            nodes,
+            zones,
+            seed,
+            time_to_suspect_s: first_decision(world, zone, ZoneState::Suspected),
+            time_to_remove_s: first_decision(world, zone, ZoneState::OutOfService),
+            time_to_move_s: time_to_move(world, zone),
+            time_to_return_s: common.time_to_return_s,
+            spread: spread_times(world),
+            decisions: world.decisions.decisions.len(),
+            calm_datagrams: common.calm_traffic.datagrams as f64 / per_node / OUTAGE.start,
+            calm_bytes: common.calm_traffic.bytes as f64 / per_node / OUTAGE.start,
+            datagrams: sent.datagrams as f64 / per_node / END_S,
+            bytes: sent.bytes as f64 / per_node / END_S,
+            busiest_node_bytes: common.busiest_node_bytes() as f64 / END_S,
+            service: by_mode(runs, |run| ServiceFractions {
+                in_outage: run.service_in_outage.fraction(),
+                to_end: run.service_to_end.fraction(),
+            }),
+            peak_load: by_mode(runs, |run| run.peak_load),
+            slow_start_excess: by_mode(runs, Run::slow_start_excess),
+            conflicting_decisions: world.decisions.conflicts,
+            decision_regressions: world.decisions.regressions,
+        }
+    }
+}
+
+fn by_mode<T>(runs: &Runs, figure: impl Fn(&Run) -> T) -> BTreeMap<&'static str, T> {
+    runs.by_mode().into_iter().map(|(name, run)| (name, figure(run))).collect()
+}
+
+/// Seconds from the outage to the earliest decision that puts the zone into this state.
+fn first_decision(world: &World, zone: usize, state: ZoneState) -> Option<f64> {
+    let times = world.decisions.decisions.values();
+    let in_outage = times
+        .filter(|decision| decision.at.as_secs_f64() >= OUTAGE.start && decision.zones[zone].state == state);
+    in_outage.map(|decision| decision.at.as_secs_f64() - OUTAGE.start).min_by(f64::total_cmp)
+}
+
+/// Seconds from the outage until nearly all nodes act on the lowest-numbered decision without the zone.
+fn time_to_move(world: &World, zone: usize) -> Option<f64> {
+    let log = &world.decisions;
+    let (number, _) = log.decisions.iter().find(|(_, decision)| {
+        let state = decision.zones[zone].state;
+        decision.at.as_secs_f64() >= OUTAGE.start && state == ZoneState::OutOfService
+    })?;
+    let spread = log.applications.get(number)?.spread?;
+    Some(spread.as_secs_f64() - OUTAGE.start)
+}
+
+fn spread_times(world: &World) -> SpreadTimes {
+    let applications = world.decisions.applications.values();
+    let mut times: Vec<f64> =
+        applications.filter_map(|it| Some((it.spread? - it.first).as_secs_f64())).collect();
+    times.sort_by(f64::total_cmp);
+    SpreadTimes {
+        median_s: times.get(times.len() / 2).copied().unwrap_or(0.0),
+        max_s: times.last().copied().unwrap_or(0.0),
+    }
+}
