--- a/crates/pipitcrank-handover/src/resource_split.rs
+++ b/crates/pipitcrank-handover/src/resource_split.rs
@@ -51,14 +51,15 @@
         return DelegatedRetries { count: 0, valid_for: drain_limit };
     }
     // Retries delegated to other sites may be used until their own time is over: queries have to count until then too.
-    let delegated_for = learned.lent.iter().map(|(_, left)| *left).max().unwrap_or(TimeSpan::ZERO);
+    let delegated_for =
+        learned.delegated_retries.iter().map(|(_, left)| *left).max().unwrap_or(TimeSpan::ZERO);
     let valid_for = drain_limit.max(delegated_for).min(window);
-    learned.taken.retain(|&age| age + valid_for + CLOCK_TOLERANCE < window);
-    learned.taken.iter_mut().for_each(|age| *age = *age + CLOCK_TOLERANCE);
-    learned.further.iter_mut().for_each(|age| *age = (*age - CLOCK_TOLERANCE).max(TimeSpan::ZERO));
-    let delegated: u32 = learned.lent.iter().map(|(count, _)| count).sum();
+    learned.admitted.retain(|&age| age + valid_for + CLOCK_TOLERANCE < window);
+    learned.admitted.iter_mut().for_each(|age| *age = *age + CLOCK_TOLERANCE);
+    learned.retries.iter_mut().for_each(|age| *age = (*age - CLOCK_TOLERANCE).max(TimeSpan::ZERO));
+    let delegated: u32 = learned.delegated_retries.iter().map(|(count, _)| count).sum();
     let left =
-        free + ratio * learned.taken.len() as f64 - learned.further.len() as f64 - f64::from(delegated);
+        free + ratio * learned.admitted.len() as f64 - learned.retries.len() as f64 - f64::from(delegated);
     let count = (left * PREDECESSOR_FRACTION).floor().max(0.0) as u32;
     DelegatedRetries { count, valid_for }
 }
--- a/crates/pipitcrank-handover/src/resource_split/tests.rs
+++ b/crates/pipitcrank-handover/src/resource_split/tests.rs
@@ -55,40 +55,40 @@
         for step in before {
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Query => { single.take(now); taken.push(now); }
-                Step::PredecessorRetries | Step::SuccessorRetries if single.left(now) >= 1.0 => { single.spend(now); made.push(now); }
+                Step::Query => { single.record_admission(now); taken.push(now); }
+                Step::PredecessorRetries | Step::SuccessorRetries if single.remaining(now) >= 1.0 => { single.spend(now); made.push(now); }
                 _ => {}
             }
         }
-        single.left(now);
+        single.remaining(now);
         let mut learned = LearnedState::default();
-        learned.taken = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
-        learned.further = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
+        learned.admitted = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
+        learned.retries = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
         let delegated = split_retry_budget(free, ratio, span, TimeSpan::from_millis(drain_ms), &mut learned);
         let (mut retries_left, until) = (delegated.count, now + delegated.valid_for);
         // The successor's clock differs a little.
         let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
         let mut successor = RetryBudget::new(ratio, free, Some(span));
-        for (&age, further) in learned.taken.iter().map(|a| (a, false)).chain(learned.further.iter().map(|a| (a, true))) {
+        for (&age, further) in learned.admitted.iter().map(|a| (a, false)).chain(learned.retries.iter().map(|a| (a, true))) {
             let at = now - age + skew;
-            if further { successor.spend(at) } else { successor.take(at) }
+            if further { successor.spend(at) } else { successor.record_admission(at) }
         }
-        successor.lend(1, delegated.count, until + skew);
+        successor.delegate(1, delegated.count, until + skew);
         let mut settled = false;
         for (n, step) in after.into_iter().enumerate() {
             if n == predecessor_exits_at && !settled {
                 settled = true;
-                successor.settle(now + skew, 1, delegated.count - retries_left);
+                successor.settle_delegation(now + skew, 1, delegated.count - retries_left);
             }
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Query => { successor.take(now + skew); taken.push(now); }
+                Step::Query => { successor.record_admission(now + skew); taken.push(now); }
                 Step::PredecessorRetries if !settled && retries_left > 0 && now < until => {
                     retries_left -= 1;
                     made.push(now);
                     prop_assert!(within_budget(free, ratio, span, now, &taken, &made), "the predecessor's retry");
                 }
-                Step::SuccessorRetries if successor.left(now + skew) >= 1.0 => {
+                Step::SuccessorRetries if successor.remaining(now + skew) >= 1.0 => {
                     successor.spend(now + skew);
                     made.push(now);
                     prop_assert!(within_budget(free, ratio, span, now, &taken, &made), "the successor's retry");
@@ -109,17 +109,17 @@
 fn without_a_budget_or_capacity_no_retries_are_delegated() {
     let mut learned = LearnedState::default();
     assert_eq!(split_retry_budget(0.0, 0.0, TimeSpan::ZERO, TimeSpan::from_millis(5), &mut learned).count, 0);
-    learned.further = vec![TimeSpan::ZERO; 3];
-    learned.further.clear();
-    learned.lent = vec![(3, TimeSpan::from_millis(5))];
+    learned.retries = vec![TimeSpan::ZERO; 3];
+    learned.retries.clear();
+    learned.delegated_retries = vec![(3, TimeSpan::from_millis(5))];
     assert_eq!(
         split_retry_budget(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut learned)
             .count,
         0,
         "all is delegated already"
     );
-    learned.lent.clear();
-    learned.further = vec![TimeSpan::ZERO; 3];
+    learned.delegated_retries.clear();
+    learned.retries = vec![TimeSpan::ZERO; 3];
     assert_eq!(
         split_retry_budget(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut learned)
             .count,
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -13,17 +13,14 @@
         draining_for: (n == 3).then(|| TimeSpan::from_millis(5)),
     };
     // A default state is not valid: the fill target starts between its bounds.
-    let mut coordinator = pipitcrank_core::coordinator::Coordinator::new(
-        pipitcrank_core::rng::Rng::new(1),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        false,
-        TimeSpan::from_millis(5),
-    );
+    let mut coordinator =
+        pipitcrank_core::coordinator::Coordinator::new(pipitcrank_core::coordinator::CoordinatorConfig {
+            rng: pipitcrank_core::rng::Rng::new(1),
+            tick: TimeSpan::from_millis(5),
+            ..Default::default()
+        });
     let mut learned = coordinator.learned_state(pipitcrank_core::time::Timestamp::default());
-    learned.taken = vec![TimeSpan::from_millis(3); 9];
+    learned.admitted = vec![TimeSpan::from_millis(3); 9];
     Snapshot {
         taken_us: 5,
         revision: Some(7),
@@ -44,7 +41,7 @@
     foreign[0] = b'x';
     assert_eq!(Snapshot::decode(&foreign), Err(SnapshotError::BadMagic));
     let mut invalid = sample();
-    invalid.learned.taken[0] = TimeSpan::from_millis(-1);
+    invalid.learned.admitted[0] = TimeSpan::from_millis(-1);
     assert_eq!(Snapshot::decode(&invalid.encode().unwrap()), Err(SnapshotError::Invalid));
 }
 
--- a/crates/pipitcrank-recovery/src/last_known_state/tests.rs
+++ b/crates/pipitcrank-recovery/src/last_known_state/tests.rs
@@ -10,16 +10,13 @@
 
 fn state(now: ClockReading) -> LastKnownState {
     let peer = Peer { address: ([127, 0, 0, 1], 9).into(), instance: 5, zone: 0 };
-    let learned = pipitcrank_core::coordinator::Coordinator::new(
-        pipitcrank_core::rng::Rng::new(1),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        false,
-        TimeSpan::from_millis(5),
-    )
-    .learned_state(pipitcrank_core::time::Timestamp::default());
+    let learned =
+        pipitcrank_core::coordinator::Coordinator::new(pipitcrank_core::coordinator::CoordinatorConfig {
+            rng: pipitcrank_core::rng::Rng::new(1),
+            tick: TimeSpan::from_millis(5),
+            ..Default::default()
+        })
+        .learned_state(pipitcrank_core::time::Timestamp::default());
     let snapshot = Snapshot { learned, ..Snapshot::default() };
     LastKnownState::new(now, &snapshot, Some(Decision::initial(3, 7 << 32)), vec![peer; MAX_MEMBERS + 80])
 }
--- a/crates/pipitcrank-server/src/exchange/mod.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::coordinator::Coordinator;
 use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
-use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
+use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery, RetryBudgetConfig};
+use pipitcrank_core::ids::{self, AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::resource_split::{self, DelegatedRetries};
 use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
@@ -363,7 +363,7 @@
             return Err(SendDenied::TimeOver);
         }
         // Last: it counts the call as gone out.
-        self.coordinator.begin_attempt(now, call.0, call.1)?;
+        self.coordinator.begin_attempt(now, ids::AttemptId { part: call.0, number: call.1 })?;
         Ok(CallPart {
             id: part.id.clone(),
             shard: part.shard,
@@ -630,28 +630,26 @@
             };
             table.held_parts.insert(index, held);
         }
-        self.coordinator.start_query(
-            &mut self.table,
-            now,
-            query,
+        let new_query = NewQuery {
+            id: query,
             class,
-            ends - now,
-            work,
-            parts.len() as f64,
-        );
+            time_left: ends - now,
+            work_hint: work,
+            part_count: parts.len() as f64,
+        };
+        self.coordinator.start_query(&mut self.table, now, new_query);
         if let Some(further) = further {
             self.coordinator.mark_forwarded(query, further);
         }
         for (index, part) in indices.into_iter().zip(parts) {
-            self.coordinator.add_part(
-                &mut self.table,
-                now,
-                PartId(index),
+            let new_part = NewPart {
+                id: PartId(index),
                 query,
-                part.shard,
-                part.weight,
-                part.work,
-            );
+                shard: part.shard,
+                weight: part.weight,
+                work_hint: part.work,
+            };
+            self.coordinator.add_part(&mut self.table, now, new_part);
         }
     }
 
@@ -668,7 +666,8 @@
             }
             part.value = value;
         }
-        self.coordinator.attempt_ended(&mut self.table, now, call.0, call.1, outcome);
+        let attempt = ids::AttemptId { part: call.0, number: call.1 };
+        self.coordinator.attempt_ended(&mut self.table, now, attempt, outcome);
     }
 
     fn report(&mut self, now: Timestamp, replica: ReplicaId, report: Option<LoadReport>) {
@@ -690,8 +689,9 @@
     ) -> Snapshot {
         self.take_lists();
         let mut known = self.coordinator.learned_state(now);
-        let (free, share, span) = self.coordinator.retry_budget_terms();
-        let delegated_retries = resource_split::split_retry_budget(free, share, span, longest, &mut known);
+        let RetryBudgetConfig { free, fraction, window } = self.coordinator.retry_budget_config();
+        let delegated_retries =
+            resource_split::split_retry_budget(free, fraction, window, longest, &mut known);
         let until = now + delegated_retries.valid_for;
         self.coordinator.limit_to_delegated_retries(delegated_retries.count, until);
         Snapshot {
