--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -237,7 +237,7 @@
         .map(|()| 0);
     };
     let (_, text) = serve::node_config_text().map_err(|e| anyhow!(e))?;
-    let node_config = NodeConfig::read(&text, |name| std::env::var(name).ok())?;
+    let node_config = NodeConfig::parse(&text, |name| std::env::var(name).ok())?;
     node_config.check(&clock)?;
     if let Some(zones) = &operators.zones {
         peers::own_zone(zones, node_config.zones()?.as_ref())?;
@@ -249,7 +249,7 @@
 /// Whose store it is: the co-ordinator's name.
 fn owner() -> Result<String> {
     let (_, text) = serve::node_config_text().map_err(|e| anyhow!(e))?;
-    Ok(NodeConfig::read(&text, |name| std::env::var(name).ok())?.name()?)
+    Ok(NodeConfig::parse(&text, |name| std::env::var(name).ok())?.name()?)
 }
 
 /// Other copies, other sites beside the near replicas, and the store, where the operators' file has them. `opened`: the store
@@ -261,7 +261,7 @@
     }
     Some(Box::new(move |ground: ServerContext| {
         let (event_loop, rev, leaving) =
-            (ground.event_loop.clone(), ground.rev.clone(), ground.leaving.clone());
+            (ground.event_loop.clone(), ground.revision.clone(), ground.draining.clone());
         let opens = async move |gone: tokio::sync::watch::Receiver<bool>| match (opened, store) {
             (Some(opened), _) => opened,
             (None, Some(told)) => {
@@ -348,7 +348,7 @@
     };
     if !no_node_config {
         let read = serve::node_config_text().and_then(|(_, text)| {
-            NodeConfig::read(&text, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
+            NodeConfig::parse(&text, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
         });
         let faults = read.map(|c| c.faults(&Clock::start()).iter().map(ToString::to_string).collect());
         look("the charter", faults.unwrap_or_else(|wrong| vec![wrong]));
@@ -359,7 +359,7 @@
         // What both files say of zones has to agree; without the node configuration only the file itself is looked at.
         if let (Ok(Operators { zones: Some(zones), .. }), false) = (&read, no_node_config)
             && let Ok((_, text)) = serve::node_config_text()
-            && let Ok(node_config) = NodeConfig::read(&text, |name| std::env::var(name).ok())
+            && let Ok(node_config) = NodeConfig::parse(&text, |name| std::env::var(name).ok())
             && let Ok(platform) = node_config.zones()
         {
             faults.extend(peers::own_zone(zones, platform.as_ref()).err().map(|wrong| wrong.to_string()));
--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -91,8 +91,8 @@
 {
     let own = own_zone(&zones, ground.zones.as_ref())?;
     let (event_loop, utilities, rev) =
-        (ground.event_loop.clone(), ground.utilities.clone(), ground.rev.clone());
-    let (mut leaving, end_called) = (ground.leaving.clone(), ground.end_called.clone());
+        (ground.event_loop.clone(), ground.priority_weights.clone(), ground.revision.clone());
+    let (mut leaving, end_called) = (ground.draining.clone(), ground.shutdown_requested.clone());
     let names: Vec<String> = zones.zones.iter().map(|(name, _)| name.clone()).collect();
     let regions = regions(&zones);
     let region: Vec<bool> = regions.iter().map(|r| *r == regions[own]).collect();
--- a/crates/pipitcrank-cost/src/stage.rs
+++ b/crates/pipitcrank-cost/src/stage.rs
@@ -98,7 +98,7 @@
         let asked = QueryRequest {
             id: format!("q{}", self.asked),
             class: RequestClassId(class),
-            ends: self.now + TimeSpan::from_millis(wait_ms),
+            deadline: self.now + TimeSpan::from_millis(wait_ms),
             parts: (0..parts).map(part).collect(),
             idempotency_key: None,
             text: "c41e".into(),
@@ -106,8 +106,8 @@
         let finals = self.finals.clone();
         let then = Box::new(move |last: QueryResponse| {
             let word = match last {
-                QueryResponse::Answered { whole: true, .. } => "merged",
-                QueryResponse::Answered { whole: false, .. } => "merged in part",
+                QueryResponse::Answered { complete: true, .. } => "merged",
+                QueryResponse::Answered { complete: false, .. } => "merged in part",
                 QueryResponse::Rejected { .. } => "rejected",
                 QueryResponse::Aborted => "aborted",
                 QueryResponse::DuplicateId => "repeated",
--- a/crates/pipitcrank-gateway/src/far.rs
+++ b/crates/pipitcrank-gateway/src/far.rs
@@ -82,11 +82,11 @@
             classes: ground.classes.clone(),
             shards: ground.shards,
             tickets: ground.tickets.clone(),
-            ledger: RefCell::new(Ledger::new(own, ground.longest)),
+            ledger: RefCell::new(Ledger::new(own, ground.max_deadline)),
             in_hand: RefCell::default(),
             connections: RefCell::default(),
             generation: Cell::default(),
-            leaving: ground.leaving.clone(),
+            leaving: ground.draining.clone(),
         })
     }
 
@@ -315,7 +315,7 @@
             // Of all that is held here its name is its own; the origin's stays readable.
             id: format!("{}@{}.{:x}.{}.{}", forward.id, lane.site, lane.instance, lane.lane, forward.number),
             class,
-            ends: self.event_loop.clock.now() + forward.left,
+            deadline: self.event_loop.clock.now() + forward.left,
             parts: forward.parts.iter().map(part).collect(),
             idempotency_key,
             text: forward.text.into(),
@@ -331,7 +331,7 @@
         });
         let (far, parts) = (self.clone(), forward.parts.len());
         let then = Box::new(move |last: QueryResponse| far.ended(mark, last, parts));
-        let lent = DelegatedRequest { further: forward.further, made, as_in };
+        let lent = DelegatedRequest { retries: forward.further, retries_used: made, on_part: as_in };
         self.event_loop.update(|e| e.submit_forwarded(ticket, asked, lent, then));
     }
 
@@ -341,7 +341,7 @@
             QueryResponse::Answered { hits, .. } if hits.len() == parts => How::Done,
             // In part: those not in may have run.
             QueryResponse::Answered { .. } | QueryResponse::Aborted => How::Aborted,
-            QueryResponse::Rejected { stay_away } => How::Rejected { stay_away },
+            QueryResponse::Rejected { retry_after } => How::Rejected { stay_away: retry_after },
             QueryResponse::DuplicateId => How::NotHere,
         };
         self.event_loop.counters.add(
--- a/crates/pipitcrank-gateway/src/near.rs
+++ b/crates/pipitcrank-gateway/src/near.rs
@@ -448,18 +448,18 @@
                 for going in self.side.event_loop.update(|e| e.authorize_forward(now, replica, &mut parts)) {
                     let mark = self.site.route.borrow_mut().sent(now);
                     let number = self.lane.book.borrow_mut().begin(
-                        going.calls,
-                        going.repeatable,
-                        going.who,
+                        going.attempts,
+                        going.idempotent,
+                        going.delegation,
                         mark,
-                        going.until,
+                        going.deadline,
                     );
                     let forward = Forward {
                         number,
                         id: going.id,
                         class: self.side.classes[going.class.0 as usize].clone(),
-                        left: going.until - now - way,
-                        further: going.further,
+                        left: going.deadline - now - way,
+                        further: going.retries,
                         crossed: vec![self.side.own.clone()],
                         parts: going.parts,
                         text: going.text.to_string(),
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -89,13 +89,13 @@
             classes: vec!["view".into(), "sale".into()],
             shards: 4,
             cells: 1,
-            longest: TimeSpan::from_millis(6000),
+            max_deadline: TimeSpan::from_millis(6000),
             tickets: Arc::new(AtomicU64::new(0)),
-            leaving: left.clone(),
-            end_called: watch::channel(None).1,
+            draining: left.clone(),
+            shutdown_requested: watch::channel(None).1,
             zones: None,
-            utilities: vec![1.0; 2],
-            rev: Rc::default(),
+            priority_weights: vec![1.0; 2],
+            revision: Rc::default(),
         };
         let far = Far::new(&ground, "south", 77, vec!["north".into()]);
         tokio::task::spawn_local(far.listen(address));
--- a/crates/pipitcrank-server/src/clients/http.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -189,9 +189,9 @@
     // Guards against a wave of queries whose clients have long gone, after this process stood still: all replicas were
     // asked for them at once, and nobody was served for ten seconds.
     let now = door.clock.now();
-    if asked.ends <= now && door.awake.unread_for(now) > TimeSpan::ZERO {
+    if asked.deadline <= now && door.awake.unread_for(now) > TimeSpan::ZERO {
         door.counters.add("queries", "unread_too_long");
-        return encode(QueryResponse::Rejected { stay_away: TimeSpan::ZERO });
+        return encode(QueryResponse::Rejected { retry_after: TimeSpan::ZERO });
     }
     let ticket = door.tickets.fetch_add(1, Ordering::Relaxed);
     let (answer, answered) = oneshot::channel();
@@ -336,7 +336,7 @@
         work: p.cost.map(|us| us / 1e6),
     });
     let (id, parts) = (id.to_string(), parts.collect());
-    Ok(QueryRequest { id, class, ends, parts, idempotency_key: None, text: q.into() })
+    Ok(QueryRequest { id, class, deadline: ends, parts, idempotency_key: None, text: q.into() })
 }
 
 /// Leaves read it behind `k=` in a list that commas and blanks divide.
@@ -350,14 +350,14 @@
 
 fn encode(last: QueryResponse) -> Response {
     match last {
-        QueryResponse::Answered { whole, hits } => {
+        QueryResponse::Answered { complete, hits } => {
             let hits = hits.iter().map(|(shard, doc)| Hit { shard: *shard, doc }).collect();
-            axum::Json(Answer { complete: whole, hits }).into_response()
+            axum::Json(Answer { complete, hits }).into_response()
         }
-        QueryResponse::Rejected { stay_away } => {
+        QueryResponse::Rejected { retry_after } => {
             let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
-            if stay_away > TimeSpan::ZERO
-                && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", stay_away.as_secs_f64()))
+            if retry_after > TimeSpan::ZERO
+                && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64()))
             {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
--- a/crates/pipitcrank-server/src/exchange/mod.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -31,7 +31,7 @@
 pub struct QueryRequest {
     pub id: String,
     pub class: RequestClassId,
-    pub ends: Timestamp,
+    pub deadline: Timestamp,
     pub parts: Vec<QueryPart>,
     /// By which leaves know a repeat of a deduplicated request class's.
     pub idempotency_key: Option<Arc<str>>,
@@ -49,11 +49,11 @@
 #[derive(Debug, PartialEq)]
 pub enum QueryResponse {
     Answered {
-        whole: bool,
+        complete: bool,
         hits: Vec<(u32, String)>,
     },
     Rejected {
-        stay_away: TimeSpan,
+        retry_after: TimeSpan,
     },
     Aborted,
     /// It repeats the id of one that is held.
@@ -69,25 +69,25 @@
 
 /// What comes with a query of another site's: further calls lent, how many were made, where answers go as they are in.
 pub struct DelegatedRequest {
-    pub further: u32,
-    pub made: Rc<Cell<u32>>,
-    pub as_in: PartCallback,
+    pub retries: u32,
+    pub retries_used: Rc<Cell<u32>>,
+    pub on_part: PartCallback,
 }
 
 /// Parts of one query on their way to another site.
 pub struct OutgoingForward {
-    pub calls: Vec<(u32, AttemptId)>,
+    pub attempts: Vec<(u32, AttemptId)>,
     pub id: String,
     pub class: RequestClassId,
-    pub until: Timestamp,
+    pub deadline: Timestamp,
     /// Shard, weight, work in seconds.
     pub parts: Vec<(u32, f64, Option<f64>)>,
     pub idempotency_key: Option<Arc<str>>,
     pub text: Arc<str>,
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Further calls lent with it, under that number.
-    pub who: u64,
-    pub further: u32,
+    pub delegation: u64,
+    pub retries: u32,
 }
 
 /// One entry of discovery's list.
@@ -462,14 +462,14 @@
             all.push(OutgoingForward {
                 id: self.table.queries.name(query).to_string(),
                 class: held.class,
-                until,
+                deadline: until,
                 parts: calls.iter().map(|c| (part(c).shard, part(c).weight, part(c).work)).collect(),
                 idempotency_key: held.idempotency_key.clone(),
                 text: calls.first().map_or_else(|| "".into(), |c| part(c).text.clone()),
-                repeatable: self.coordinator.may_retry(held.class),
-                who: self.next_lent,
-                further,
-                calls: calls.iter().map(|c| (part(c).shard, *c)).collect(),
+                idempotent: self.coordinator.may_retry(held.class),
+                delegation: self.next_lent,
+                retries: further,
+                attempts: calls.iter().map(|c| (part(c).shard, *c)).collect(),
             });
         }
         all
@@ -586,7 +586,7 @@
         then: ResponseCallback,
         lent: Option<DelegatedRequest>,
     ) {
-        let QueryRequest { id, class, ends, parts, idempotency_key, text } = asked;
+        let QueryRequest { id, class, deadline, parts, idempotency_key, text } = asked;
         let ids: Vec<Rc<str>> = parts.iter().map(|p| format!("{id}.{}", p.shard).into()).collect();
         let table = &mut self.table;
         if table.queries.find(&id).is_some() || ids.iter().any(|p| table.parts.find(p).is_some()) {
@@ -597,19 +597,21 @@
         // while there is room: a part that is in is not open any more, and the last query taken may pass the number.
         if table.open_count() + self.open_elsewhere >= self.most_open {
             table.counters.add("queries", "turned_away_over_most_open");
-            return then(QueryResponse::Rejected { stay_away: TimeSpan::ZERO });
+            return then(QueryResponse::Rejected { retry_after: TimeSpan::ZERO });
         }
         table.counters.add("queries", "taken");
-        let further = lent.as_ref().map(|l| l.further);
+        let further = lent.as_ref().map(|l| l.retries);
         let query = QueryId(table.queries.intern(&id));
         let indices: Vec<u32> = ids.iter().map(|p| table.parts.intern(p)).collect();
         table.tickets.insert(ticket, query.0);
-        tracing::debug!(target: REQUESTS, request = id, parts = parts.len(), left_s = (ends - now).as_secs_f64(), "taken");
+        tracing::debug!(target: REQUESTS, request = id, parts = parts.len(), left_s = (deadline - now).as_secs_f64(), "taken");
         if let Some(audit) = &mut table.audit {
             let parts: Vec<PartId> = indices.iter().map(|&p| PartId(p)).collect();
             let lent = lent.is_some();
-            audit
-                .taken(now, AdmittedQuery { ticket, id: &id, class, client_ends: ends, lent, parts: &parts });
+            audit.taken(
+                now,
+                AdmittedQuery { ticket, id: &id, class, client_ends: deadline, lent, parts: &parts },
+            );
         }
         let (then, held_parts) = (Some(then), indices.clone());
         let held = HeldQuery { ticket, then, parts: held_parts, class, idempotency_key, lent };
@@ -635,7 +637,7 @@
             now,
             query,
             class,
-            ends - now,
+            deadline - now,
             work,
             parts.len() as f64,
         );
@@ -664,7 +666,7 @@
             let held = part.query.and_then(|q| self.table.held_queries.get_mut(&q));
             let lent = held.and_then(|q| q.lent.as_mut());
             if let (Some(lent), Some(value)) = (lent, &value) {
-                (lent.as_in)(part.shard, value);
+                (lent.on_part)(part.shard, value);
             }
             part.value = value;
         }
@@ -793,7 +795,7 @@
     /// How a query ends that the other process had when it died.
     pub fn response_if_lost(&self, class: RequestClassId) -> QueryResponse {
         match self.coordinator.retry_after_if_lost(class) {
-            Some(stay_away) => QueryResponse::Rejected { stay_away },
+            Some(retry_after) => QueryResponse::Rejected { retry_after },
             None => QueryResponse::Aborted,
         }
     }
--- a/crates/pipitcrank-server/src/exchange/request_table.rs
+++ b/crates/pipitcrank-server/src/exchange/request_table.rs
@@ -132,8 +132,8 @@
             parts.find(|p| p.shard == *shard).map_or(0.0, |p| p.weight)
         };
         let (weight, whole) = match last {
-            QueryResponse::Answered { whole, hits } => {
-                (Some(hits.iter().map(|(s, _)| weight_of(s)).sum()), *whole)
+            QueryResponse::Answered { complete, hits } => {
+                (Some(hits.iter().map(|(s, _)| weight_of(s)).sum()), *complete)
             }
             _ => (None, false),
         };
@@ -170,7 +170,7 @@
         held.calls += 1;
         let lent = held.query.and_then(|q| self.held_queries.get(&q)).and_then(|q| q.lent.as_ref());
         if let Some(lent) = lent.filter(|_| call.1 > 0) {
-            lent.made.set(lent.made.get() + 1);
+            lent.retries_used.set(lent.retries_used.get() + 1);
         }
         self.out.insert(call, Out { replica, until, released: false });
         self.untils.insert((until, call));
@@ -192,13 +192,13 @@
         let hits = hits.collect();
         self.finish(
             query,
-            QueryResponse::Answered { whole, hits },
+            QueryResponse::Answered { complete: whole, hits },
             if whole { "merged" } else { "merged_in_part" },
         );
     }
 
-    fn reject(&mut self, query: QueryId, stay_away: TimeSpan, why: RejectReason) {
-        self.refuse(query, QueryResponse::Rejected { stay_away }, "rejected", why);
+    fn reject(&mut self, query: QueryId, retry_after: TimeSpan, why: RejectReason) {
+        self.refuse(query, QueryResponse::Rejected { retry_after }, "rejected", why);
     }
 
     fn abort(&mut self, query: QueryId, why: RejectReason) {
--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -28,7 +28,7 @@
 
 impl<V: Fn(&str) -> Option<String>> NodeConfig<V> {
     /// From the file's text and the variables, which go before it.
-    pub fn read(text: &str, variable: V) -> Result<NodeConfig<V>, ConfigError> {
+    pub fn parse(text: &str, variable: V) -> Result<NodeConfig<V>, ConfigError> {
         let not_json =
             |e| ConfigError { key: "NODE_CONFIG".to_string(), reason: format!("is not JSON: {e}") };
         Ok(NodeConfig { all: serde_json::from_str(text).map_err(not_json)?, variable })
@@ -72,16 +72,16 @@
             self.name().err(),
             self.listen().err(),
             self.discovery().err(),
-            self.known(clock).err(),
-            self.sockets().err(),
+            self.initial_endpoints(clock).err(),
+            self.connection_limit().err(),
             self.exchange(Counters::default()).err(),
             self.shards().err(),
             self.cells().err(),
-            self.tick().err(),
-            self.streams().err(),
-            self.idle_limit().err(),
-            self.longest().err(),
-            self.lists_are_asked_for().err(),
+            self.tick_interval().err(),
+            self.streams_per_connection().err(),
+            self.idle_timeout().err(),
+            self.max_deadline().err(),
+            self.polls_discovery().err(),
         ];
         let mut faults: Vec<ConfigError> = Vec::new();
         for fault in parts.into_iter().flatten() {
@@ -98,7 +98,7 @@
     }
 
     /// The list of leaves as last held, and its version.
-    pub fn known(&self, clock: &Clock) -> Result<(u64, Vec<Endpoint>), ConfigError> {
+    pub fn initial_endpoints(&self, clock: &Clock) -> Result<(u64, Vec<Endpoint>), ConfigError> {
         let wrong = |reason: String| self.told().error("/known", &format!("is no list: {reason}"));
         let known = self.all.get("known").ok_or_else(|| wrong("it is missing".to_string()))?;
         let known = EndpointUpdate::deserialize(known).map_err(|e| wrong(e.to_string()))?;
@@ -117,7 +117,7 @@
     }
 
     /// Sockets for replicas and clients together, at most.
-    pub fn sockets(&self) -> Result<usize, ConfigError> {
+    pub fn connection_limit(&self) -> Result<usize, ConfigError> {
         match self.told().count("/limits/sockets")? {
             most if most >= 2 * OWN_SOCKETS => Ok((most - OWN_SOCKETS) as usize),
             few => Err(self.told().error("/limits/sockets", &format!("is {few}, under {}", 2 * OWN_SOCKETS))),
@@ -130,14 +130,14 @@
     }
 
     /// Whether replicas know a repeat by the client's key, by request class.
-    pub fn deduplicated(&self) -> Result<Vec<bool>, ConfigError> {
+    pub fn keyed_idempotency(&self) -> Result<Vec<bool>, ConfigError> {
         let settings = self.settings()?;
         let keyed = |n| Ok(settings.text(&format!("/classes/{n}/idempotency"))? == "keyed");
         (0..settings.classes()?.len()).map(keyed).collect()
     }
 
     /// Utility of a request class's whole answer, in the module's order; 1 where nothing is said.
-    pub fn utilities(&self) -> Result<Vec<f64>, ConfigError> {
+    pub fn priority_weights(&self) -> Result<Vec<f64>, ConfigError> {
         let settings = self.settings()?;
         (0..settings.classes()?.len())
             .map(|n| settings.number_or(&format!("/classes/{n}/worth"), 1.0))
@@ -145,7 +145,7 @@
     }
 
     /// What passes in a time without any promise: the longest that a client is waited for.
-    pub fn longest(&self) -> Result<TimeSpan, ConfigError> {
+    pub fn max_deadline(&self) -> Result<TimeSpan, ConfigError> {
         let settings = self.settings()?;
         let mut limits = (0..settings.classes()?.len()).map(|n| {
             let key = format!("/classes/{n}/hard_limit_s");
@@ -166,7 +166,7 @@
         self.settings()?.count("/domain/shards")
     }
 
-    pub fn tick(&self) -> Result<TimeSpan, ConfigError> {
+    pub fn tick_interval(&self) -> Result<TimeSpan, ConfigError> {
         self.settings()?.span("/tick_s")
     }
 
@@ -181,7 +181,7 @@
         let zones = self.zones()?.map_or(Vec::new(), |(_, names)| names);
         // Nothing goes to a replica that was told to drain, so its grace is not needed; it has to be told all the same.
         settings.span("/rules/drain_grace_s")?;
-        let (seed, call_size) = (self.seed()?, self.call_size()?);
+        let (seed, call_size) = (self.seed()?, self.parts_per_call()?);
         // The decision module counts in the same calls.
         let mut all = self.all.clone();
         if let Some(told) = all.pointer_mut("/settings/domain/parts_a_call") {
@@ -230,7 +230,7 @@
     }
 
     /// Lists are told to who asks alone, and each call is paid for.
-    pub fn lists_are_asked_for(&self) -> Result<bool, ConfigError> {
+    pub fn polls_discovery(&self) -> Result<bool, ConfigError> {
         let settings = self.settings()?;
         match settings.text_or("/registry_mode", "push")? {
             "push" => Ok(false),
@@ -240,7 +240,7 @@
     }
 
     /// How many co-ordinators there are, this one counted; 1 where nobody says.
-    pub fn copies(&self) -> Result<u32, ConfigError> {
+    pub fn coordinator_count(&self) -> Result<u32, ConfigError> {
         let settings = self.settings()?;
         Ok(settings.number_or("/balancers", 1.0)?.clamp(1.0, f64::from(u32::MAX)) as u32)
     }
@@ -251,26 +251,26 @@
     }
 
     /// Parts that a connection to a replica carries at once.
-    pub fn streams(&self) -> Result<usize, ConfigError> {
+    pub fn streams_per_connection(&self) -> Result<usize, ConfigError> {
         Ok(self.settings()?.count_from_1("/allowed/streams_per_conn")? as usize)
     }
 
     /// Parts that one call carries. Guards against a call that no connection takes: settings may allow larger ones.
-    pub fn call_size(&self) -> Result<u32, ConfigError> {
+    pub fn parts_per_call(&self) -> Result<u32, ConfigError> {
         let a_call = self.settings()?.count_from_1("/domain/parts_a_call")?;
-        Ok(a_call.min(self.streams()? as u32))
+        Ok(a_call.min(self.streams_per_connection()? as u32))
     }
 
     /// Time for a connection to a replica to come up.
-    pub fn dial_limit(&self) -> Result<Duration, ConfigError> {
+    pub fn connect_timeout(&self) -> Result<Duration, ConfigError> {
         Ok(duration(self.settings()?.span("/allowed/dial_timeout_s")?))
     }
 
     /// How long a connection to a replica may stand idle: closed before the replica would, earlier by as long as a way
     /// there may take at most, or by half of it. Guards against connections closed as they come up, for ever, where they may
     /// take as long to come up as they may stand idle.
-    pub fn idle_limit(&self) -> Result<Duration, ConfigError> {
+    pub fn idle_timeout(&self) -> Result<Duration, ConfigError> {
         let idle = duration(self.settings()?.span("/allowed/conn_idle_s")?);
-        Ok(idle - self.dial_limit()?.min(idle / 2))
+        Ok(idle - self.connect_timeout()?.min(idle / 2))
     }
 }
--- a/crates/pipitcrank-server/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -48,7 +48,7 @@
 
 /// Where discovery is from now on.
 fn read(text: &str, clock: &Clock) -> Result<String, ConfigError> {
-    let node_config = NodeConfig::read(text, |_| None)?;
+    let node_config = NodeConfig::parse(text, |_| None)?;
     node_config.check(clock)?;
     node_config.discovery()
 }
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -75,7 +75,7 @@
     let asked = QueryRequest {
         id: "q".into(),
         class: RequestClassId(0),
-        ends,
+        deadline: ends,
         parts,
         idempotency_key: None,
         text: "t".into(),
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -59,18 +59,18 @@
     pub shards: u32,
     pub cells: u32,
     /// How long a query may be held.
-    pub longest: TimeSpan,
+    pub max_deadline: TimeSpan,
     pub tickets: Arc<AtomicU64>,
     /// Whether no new work of others is to be taken: another process takes over, or the end was called.
-    pub leaving: watch::Receiver<bool>,
+    pub draining: watch::Receiver<bool>,
     /// When the end was called.
-    pub end_called: watch::Receiver<Option<Timestamp>>,
+    pub shutdown_requested: watch::Receiver<Option<Timestamp>>,
     /// What the platform says of zones: the own one's place, and all names.
     pub zones: Option<(ZoneId, Vec<String>)>,
     /// Utility of a whole answer, by request class.
-    pub utilities: Vec<f64>,
+    pub priority_weights: Vec<f64>,
     /// Version of discovery's list, where one is held.
-    pub rev: SharedRevision,
+    pub revision: SharedRevision,
 }
 
 /// What a process before this one knew, and how long ago.
@@ -92,18 +92,18 @@
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let (path, text) = node_config_text()?;
-    let node_config = NodeConfig::read(&text, |name| std::env::var(name).ok())?;
+    let node_config = NodeConfig::parse(&text, |name| std::env::var(name).ok())?;
 
     let counters = Counters::default();
     let exchange = node_config.exchange(counters.clone())?;
-    let (rev, rows) = node_config.known(&clock)?;
-    let (for_replicas, for_clients) = ConnectionLimiter::shared(node_config.sockets()?);
+    let (rev, rows) = node_config.initial_endpoints(&clock)?;
+    let (for_replicas, for_clients) = ConnectionLimiter::shared(node_config.connection_limit()?);
     let event_loop = Rc::new(EventLoop::new(clock.clone(), counters.clone(), for_replicas, exchange));
     let replicas = ReplicaPool::new(
         event_loop.clone(),
-        node_config.streams()?,
-        node_config.dial_limit()?,
-        node_config.idle_limit()?,
+        node_config.streams_per_connection()?,
+        node_config.connect_timeout()?,
+        node_config.idle_timeout()?,
     );
     let (knocks, knocked) = unbounded_channel();
     let (call_end, end_called) = watch::channel(None);
@@ -111,13 +111,13 @@
     let door_tickets = tickets.clone();
     let classes = node_config.classes()?;
     let worker_classes = classes.len();
-    let schedule = ShutdownSchedule::of(node_config.longest()?);
+    let schedule = ShutdownSchedule::of(node_config.max_deadline()?);
     let awake = Arc::new(StallDetector::new(clock.now()));
     let router = http::router(HttpState {
         clock: clock.clone(),
         counters: counters.clone(),
         classes: classes.into(),
-        deduplicated: node_config.deduplicated()?.into(),
+        deduplicated: node_config.keyed_idempotency()?.into(),
         shards: node_config.shards()?,
         knocks,
         end_called: end_called.clone(),
@@ -126,10 +126,11 @@
         awake: awake.clone(),
     });
     let (move_watch, watched) = watch::channel(node_config.discovery()?);
-    let (tick, name, listen) = (node_config.tick()?, node_config.name()?, node_config.listen()?);
+    let (tick, name, listen) = (node_config.tick_interval()?, node_config.name()?, node_config.listen()?);
     let rev_held = Rc::new(Cell::new(None));
     let (watch_event_loop, watch_rev) = (event_loop.clone(), rev_held.clone());
-    let paid = node_config.lists_are_asked_for()?.then_some((node_config.seed()?, node_config.copies()?));
+    let paid =
+        node_config.polls_discovery()?.then_some((node_config.seed()?, node_config.coordinator_count()?));
     let list_known = move || {
         let paid = paid.map(|(seed, copies)| PollPacing::new(seed, copies));
         let watch = client::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
@@ -176,7 +177,7 @@
                 tickets,
                 classes: worker_classes,
                 shards: node_config.shards()?,
-                longest: node_config.longest()?,
+                longest: node_config.max_deadline()?,
                 end_called: call_end.clone(),
                 leave: leave.clone(),
             });
@@ -212,13 +213,13 @@
             classes: node_config.classes()?,
             shards: node_config.shards()?,
             cells: node_config.cells()?,
-            longest: node_config.longest()?,
+            max_deadline: node_config.max_deadline()?,
             tickets: door_tickets,
-            leaving,
-            end_called: end_called.clone(),
+            draining: leaving,
+            shutdown_requested: end_called.clone(),
             zones: node_config.zones()?,
-            utilities: node_config.utilities()?,
-            rev: ground_rev,
+            priority_weights: node_config.priority_weights()?,
+            revision: ground_rev,
         }),
     };
     tokio::task::spawn_local(async move {
--- a/crates/pipitcrank-server/src/upgrade/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -58,10 +58,10 @@
         let Some(to) = to.as_ref().filter(|_| !self.event_loop.read(|e| e.has_query(&asked.id))) else {
             return Err((asked, answer));
         };
-        let left = asked.ends - self.event_loop.clock.now();
+        let left = asked.deadline - self.event_loop.clock.now();
         self.out.borrow_mut().insert(ticket, Out { class: asked.class, answer });
         let relay = self.clone();
-        let by = self.event_loop.clock.instant(asked.ends - BEFORE_TIME);
+        let by = self.event_loop.clock.instant(asked.deadline - BEFORE_TIME);
         tokio::task::spawn_local(async move {
             tokio::time::sleep_until(by).await;
             if relay.strand(ticket) {
@@ -132,7 +132,7 @@
     known.then(|| QueryRequest {
         id,
         class: RequestClassId(class),
-        ends: event_loop.clock.now() + left,
+        deadline: event_loop.clock.now() + left,
         parts: parts.into_iter().map(part).collect(),
         idempotency_key: idempotency_key.map(Into::into),
         text: text.into(),
@@ -141,8 +141,8 @@
 
 pub fn to_final_words(last: QueryResponse) -> RelayedResponse {
     match last {
-        QueryResponse::Answered { whole, hits } => RelayedResponse::Merged { whole, hits },
-        QueryResponse::Rejected { stay_away } => RelayedResponse::Rejected { stay_away },
+        QueryResponse::Answered { complete, hits } => RelayedResponse::Merged { whole: complete, hits },
+        QueryResponse::Rejected { retry_after } => RelayedResponse::Rejected { stay_away: retry_after },
         QueryResponse::Aborted => RelayedResponse::Aborted,
         QueryResponse::DuplicateId => RelayedResponse::Repeated,
     }
@@ -150,8 +150,8 @@
 
 fn from_words(last: RelayedResponse) -> QueryResponse {
     match last {
-        RelayedResponse::Merged { whole, hits } => QueryResponse::Answered { whole, hits },
-        RelayedResponse::Rejected { stay_away } => QueryResponse::Rejected { stay_away },
+        RelayedResponse::Merged { whole, hits } => QueryResponse::Answered { complete: whole, hits },
+        RelayedResponse::Rejected { stay_away } => QueryResponse::Rejected { retry_after: stay_away },
         RelayedResponse::Aborted => QueryResponse::Aborted,
         RelayedResponse::Repeated => QueryResponse::DuplicateId,
     }
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -133,7 +133,7 @@
         let asked = QueryRequest {
             id: id.into(),
             class: RequestClassId(class),
-            ends: at(ends),
+            deadline: at(ends),
             parts,
             idempotency_key: None,
             text: "text".into(),
@@ -204,7 +204,7 @@
     assert_eq!(stage.final_of("q"), None, "answered in the turn, not between");
     stage.turn(60);
     let hits = (0..6).map(|n| (n, format!("doc of q.{n}"))).collect();
-    let wanted = QueryResponse::Answered { whole: true, hits };
+    let wanted = QueryResponse::Answered { complete: true, hits };
     assert_eq!(stage.final_of("q"), Some(format!("{wanted:?}")));
     assert!(stage.exchange.is_drained());
     assert_eq!(stage.counters.get("leaf_calls", "pass"), 6);
@@ -219,7 +219,7 @@
     let (_, call, _, shard) = out[0].clone();
     stage.pass(call, "in");
     stage.run_to(1100);
-    let wanted = QueryResponse::Answered { whole: false, hits: vec![(shard, "in".into())] };
+    let wanted = QueryResponse::Answered { complete: false, hits: vec![(shard, "in".into())] };
     assert_eq!(stage.final_of("q"), Some(format!("{wanted:?}")));
     assert!(stage.ledger.given_up.contains(&out[1].1), "nobody waits for the other part");
 }
@@ -233,7 +233,7 @@
     stage.ask("over", 0, 0..1, 4000);
     stage.turn(10);
     assert_eq!((stage.final_of("five"), stage.final_of("long")), (None, None));
-    let over = QueryResponse::Rejected { stay_away: TimeSpan::ZERO };
+    let over = QueryResponse::Rejected { retry_after: TimeSpan::ZERO };
     assert_eq!(stage.final_of("over"), Some(format!("{over:?}")));
     assert_eq!(stage.counters.get("queries", "turned_away_over_most_open"), 1);
     // Nine are open again but for the parts that are in: those are not, though their query is.
@@ -261,7 +261,7 @@
     assert_eq!(answers, [("q".to_string(), QueryResponse::DuplicateId)]);
     stage.release(10).iter().for_each(|o| stage.pass(o.1, "x"));
     stage.turn(20);
-    assert!(stage.final_of("q").unwrap().contains("whole: true"), "the first is served all the same");
+    assert!(stage.final_of("q").unwrap().contains("complete: true"), "the first is served all the same");
 }
 
 #[test]
@@ -289,7 +289,7 @@
     stage.turn(300);
     assert_eq!(stage.counters.get("leaf_calls", "stale"), 1);
     // A tenth of its SLO time: given up on, it is told at once when to come back (the move, 2026-12-01).
-    let rejected = QueryResponse::Rejected { stay_away: TimeSpan::from_millis(100) };
+    let rejected = QueryResponse::Rejected { retry_after: TimeSpan::from_millis(100) };
     // It never ran, so even a side-effecting query may be rejected.
     assert_eq!(stage.final_of("q"), Some(format!("{rejected:?}")));
 }
@@ -626,7 +626,7 @@
     };
     assert!(far.contains(&replica));
     let going = stage.exchange.authorize_forward(at(51), replica, &mut calls);
-    assert_eq!((going.len(), &going[0].id[..], going[0].repeatable), (1, "c", true));
+    assert_eq!((going.len(), &going[0].id[..], going[0].idempotent), (1, "c", true));
     // Discovery's next whole list does not name sites: they stay.
     stage.exchange.update_endpoints(at(60), true, (0..3).map(|n| listed(n, false)).collect());
     stage.turn(61);
@@ -645,7 +645,7 @@
         let asked = QueryRequest {
             id: "q@n".into(),
             class: RequestClassId(0),
-            ends: at(3000),
+            deadline: at(3000),
             parts,
             idempotency_key: None,
             text: "t".into(),
@@ -657,7 +657,7 @@
         stage.exchange.submit_forwarded(
             1,
             asked,
-            DelegatedRequest { further, made: made.clone(), as_in },
+            DelegatedRequest { retries: further, retries_used: made.clone(), on_part: as_in },
             Box::new(|_| ()),
         );
         let mut calls = 0;
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -203,23 +203,23 @@
 
 /// Everything that the program reads at start.
 fn read_all(text: &str) -> Result<(), ConfigError> {
-    NodeConfig::read(text, |_| None)?.check(&Clock::start())
+    NodeConfig::parse(text, |_| None)?.check(&Clock::start())
 }
 
 #[test]
 fn what_is_told_at_start_is_read_and_variables_go_before_the_file() {
-    let node_config = NodeConfig::read(&told().to_string(), |_| None).unwrap();
+    let node_config = NodeConfig::parse(&told().to_string(), |_| None).unwrap();
     assert_eq!(
-        (node_config.name(), node_config.streams(), node_config.shards()),
+        (node_config.name(), node_config.streams_per_connection(), node_config.shards()),
         (Ok("n1".into()), Ok(32), Ok(12))
     );
     assert!(
-        node_config.idle_limit().unwrap() < std::time::Duration::from_secs(15),
+        node_config.idle_timeout().unwrap() < std::time::Duration::from_secs(15),
         "closed before the leaf would"
     );
-    assert_eq!(node_config.sockets(), Ok(1000), "of 1,024 some are neither a client's nor a leaf's");
+    assert_eq!(node_config.connection_limit(), Ok(1000), "of 1,024 some are neither a client's nor a leaf's");
     let named = |name: &str| (name == "NODE_NAME").then(|| "other".to_string());
-    assert_eq!(NodeConfig::read(&told().to_string(), named).unwrap().name(), Ok("other".into()));
+    assert_eq!(NodeConfig::parse(&told().to_string(), named).unwrap().name(), Ok("other".into()));
     assert_eq!(read_all(&told().to_string()), Ok(()));
 }
 
@@ -231,7 +231,7 @@
         all["settings"]["allowed"]["streams_per_conn"] = streams.into();
         assert_eq!(read_all(&all.to_string()), Ok(()), "{streams}");
         assert_eq!(
-            NodeConfig::read(&all.to_string(), |_| None).unwrap().call_size(),
+            NodeConfig::parse(&all.to_string(), |_| None).unwrap().parts_per_call(),
             Ok(a_call),
             "{streams}"
         );
@@ -245,7 +245,8 @@
     for (idle, dial) in [(1.0, 1.0), (1.0, 2.0), (2.0, 1.5), (30.0, 0.25)] {
         all["settings"]["allowed"]["conn_idle_s"] = idle.into();
         all["settings"]["allowed"]["dial_timeout_s"] = dial.into();
-        let kept = NodeConfig::read(&all.to_string(), |_| None).unwrap().idle_limit().unwrap().as_secs_f64();
+        let kept =
+            NodeConfig::parse(&all.to_string(), |_| None).unwrap().idle_timeout().unwrap().as_secs_f64();
         assert!((idle / 2.0..idle).contains(&kept), "{kept} of {idle}, {dial}");
     }
 }
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -89,7 +89,8 @@
         let weight = 1.0 / f64::from(parts);
         let parts = (0..parts).map(|shard| QueryPart { shard, weight, work: None }).collect();
         let id = format!("q{}", self.asked);
-        let asked = QueryRequest { id, class: RequestClassId(0), ends, parts, idempotency_key: None, text };
+        let asked =
+            QueryRequest { id, class: RequestClassId(0), deadline: ends, parts, idempotency_key: None, text };
         let then = Box::new(move |last| {
             let _ = tell.send(last);
         });
@@ -139,7 +140,7 @@
             answer(&mut wires[nth], id).await;
         }
         for last in told {
-            assert!(matches!(last.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+            assert!(matches!(last.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         }
         let again = stage.ask(1, "t".into());
         assert!(frame(&mut wires[0]).await.starts_with("Qq4.0 "), "the first one again");
@@ -160,7 +161,7 @@
             // Idle is when nothing is out: however long this takes, the connection stays.
             tokio::time::sleep(Duration::from_millis(60)).await;
             answer(&mut stream, &format!("q{n}.0")).await;
-            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
             assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "closed in order");
             stage.count("leaf_connections", "idle", n).await;
         }
@@ -182,7 +183,7 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "));
         answer(&mut second, "q2.0").await;
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         drop(first);
         assert!(matches!(stuck.await.unwrap(), QueryResponse::Rejected { .. }), "its one call never ran");
         stage.count("leaf_calls", "no_route", 1).await;
@@ -215,7 +216,7 @@
         assert!(matches!(told.await.unwrap(), QueryResponse::Rejected { .. }));
         stage.count("leaf_connections", "no_socket", 1).await;
         answer(&mut stream, "q1.0").await;
-        assert!(matches!(first.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(first.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
     });
 }
 
@@ -268,7 +269,7 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "), "no more is given to the first");
         answer(&mut second, "q2.0").await;
-        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         stage.count("leaf_connections", "bad_bytes", 1).await;
         told.await.unwrap();
         stage.count("leaf_calls", "cut", 1).await;
@@ -311,7 +312,7 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "));
         answer(&mut second, "q2.0").await;
-        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         assert_eq!(silent.read(&mut [0]).await.unwrap(), 0, "closed, with nothing sent on it since");
         told.await.unwrap();
         stage.count("leaf_connections", "silent", 1).await;
@@ -332,7 +333,7 @@
         stage.replicas.borrow_mut().send_load_probe(ReplicaId(9));
         stage.count("probes", "no_route", 1).await;
         answer(&mut first, "q1.0").await;
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         stage.replicas.borrow_mut().send_load_probe(ReplicaId(9));
         let (mut stream, _) = other.accept().await.unwrap();
         assert_eq!(frame(&mut stream).await, "L");
@@ -355,7 +356,7 @@
         }
         for (n, (told, stream)) in asked.iter_mut().enumerate() {
             answer(stream, &format!("q{}.0", n + 1)).await;
-            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         }
         let sockets = stage.event_loop.replica_connections.clone();
         let _client = sockets.try_acquire().unwrap();
@@ -386,7 +387,7 @@
         stream.write_all(&rest[7..]).await.unwrap();
         // Everything here runs on this thread.
         std::thread::sleep(way * 2);
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         assert_eq!(stage.event_loop.counters.get("leaf_connections", "bad_bytes"), 0);
     });
 }
