--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -14,6 +14,7 @@
 use clap::{Parser, Subcommand};
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
+use pipitcrank_server::exchange::AttemptId;
 use pipitcrank_server::replicas::frames;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -175,7 +176,7 @@
     let part = |n: u32| frames::CallPart {
         id: format!("q1.{n}").into(),
         shard: n,
-        wait: TimeSpan::from_millis(900),
+        time_left: TimeSpan::from_millis(900),
         idempotency_key: None,
         text: "c41e".into(),
     };
@@ -235,16 +236,17 @@
         stage.turn(chance.random_range(1..12));
         for (replica, parts) in &stage.noted.calls {
             sum.update(&replica.0.to_le_bytes());
-            parts.iter().for_each(|(part, nth)| {
+            parts.iter().for_each(|AttemptId { part, number }| {
                 sum.update(&part.0.to_le_bytes());
-                sum.update(&nth.to_le_bytes());
+                sum.update(&number.to_le_bytes());
             });
         }
-        for (replica, (part, nth)) in stage.noted.given_up.drain(..) {
+        for (replica, attempt) in stage.noted.given_up.drain(..) {
+            let AttemptId { part, number } = attempt;
             sum.update(
-                &[&replica.0.to_le_bytes()[..], &part.0.to_le_bytes(), &nth.to_le_bytes(), b"x"].concat(),
+                &[&replica.0.to_le_bytes()[..], &part.0.to_le_bytes(), &number.to_le_bytes(), b"x"].concat(),
             );
-            out.retain(|call| *call != (part, nth));
+            out.retain(|call| *call != attempt);
         }
         out.extend(stage.release());
     }
--- a/crates/pipitcrank-gateway/src/near.rs
+++ b/crates/pipitcrank-gateway/src/near.rs
@@ -447,8 +447,11 @@
                 let way = self.site.route.borrow().trip().unwrap_or(TimeSpan::ZERO);
                 for going in self.side.event_loop.update(|e| e.authorize_forward(now, replica, &mut parts)) {
                     let mark = self.site.route.borrow_mut().sent(now);
+                    let calls = going.parts.iter().map(|p| (p.part.shard, p.attempt)).collect();
+                    let parts =
+                        going.parts.iter().map(|p| (p.part.shard, p.part.weight, p.part.work)).collect();
                     let number = self.lane.book.borrow_mut().begin(
-                        going.attempts,
+                        calls,
                         going.idempotent,
                         going.delegation,
                         mark,
@@ -461,7 +464,7 @@
                         left: going.deadline - now - way,
                         further: going.retries,
                         crossed: vec![self.side.own.clone()],
-                        parts: going.parts,
+                        parts,
                         text: going.text.to_string(),
                     };
                     let said = match going.idempotency_key {
--- a/crates/pipitcrank-server/src/audit/mod.rs
+++ b/crates/pipitcrank-server/src/audit/mod.rs
@@ -1,4 +1,4 @@
-//! Run-time check of the rules. It is told what the co-ordinator does, at the moment it does it, keeps books of its own
+//! Run-time check of the rules. It is time_left what the co-ordinator does, at the moment it does it, keeps books of its own
 //! and counts each violation (`/counters`, lines `violations RULE`), with a log event that names request and reason. It
 //! decides nothing and shares no state with the guards it checks; `docs/rules.md` lists both for each rule.
 
@@ -14,7 +14,7 @@
 const ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
 /// An attempt may begin for so long after its client has closed.
 const CLOSE_SLACK: TimeSpan = TimeSpan::from_millis(100);
-/// The time told to a replica may be so much more than the client has left.
+/// The time time_left to a replica may be so much more than the client has left.
 const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(150);
 /// Time limits on sockets are longer by this (protocol page).
 const SOCKET_SLACK: TimeSpan = TimeSpan::from_millis(50);
@@ -95,9 +95,9 @@
     pub id: &'a str,
     pub class: RequestClassId,
     /// When the client's own time is over.
-    pub client_ends: Timestamp,
+    pub deadline: Timestamp,
     /// Another site's: that one counts it in its budget.
-    pub lent: bool,
+    pub forwarded: bool,
     pub parts: &'a [PartId],
 }
 
@@ -106,15 +106,15 @@
     pub part: PartId,
     pub attempt: u32,
     pub replica: ReplicaId,
-    /// The time told to the replica.
-    pub told: TimeSpan,
+    /// The time time_left to the replica.
+    pub time_left: TimeSpan,
 }
 
 struct Query {
     id: Rc<str>,
     class: RequestClassId,
-    client_ends: Timestamp,
-    lent: bool,
+    deadline: Timestamp,
+    forwarded: bool,
     answered: bool,
     closed: Option<Timestamp>,
     /// Parts of it that are held.
@@ -165,13 +165,13 @@
         }
     }
 
-    pub fn taken(&mut self, now: Timestamp, taken: AdmittedQuery) {
-        let AdmittedQuery { ticket, id, class, client_ends, lent, parts } = taken;
+    pub fn admitted(&mut self, now: Timestamp, query: AdmittedQuery) {
+        let AdmittedQuery { ticket, id, class, deadline, forwarded, parts } = query;
         let query = Query {
             id: id.into(),
             class,
-            client_ends,
-            lent,
+            deadline,
+            forwarded,
             answered: false,
             closed: None,
             parts: parts.len(),
@@ -180,7 +180,7 @@
         for &part in parts {
             self.parts.insert(part, PartRecord { ticket, attempts: Vec::new() });
         }
-        if let Some(span) = self.terms.budget_span.filter(|_| !lent) {
+        if let Some(span) = self.terms.budget_span.filter(|_| !forwarded) {
             self.taken.extend(std::iter::repeat_n(now, 1 + parts.len()));
             while self.taken.front().is_some_and(|&t| now - t > span) {
                 self.taken.pop_front();
@@ -190,22 +190,22 @@
 
     /// The last look has passed it: its first byte is written next.
     pub fn sent(&mut self, now: Timestamp, sent: SentAttempt) {
-        let SentAttempt { part, attempt, replica, told } = sent;
+        let SentAttempt { part, attempt, replica, time_left } = sent;
         let Some(book) = self.parts.get(&part) else {
             return violated(&self.counters, Rule::SentAfterAnswer, "unknown", "the part is not held");
         };
         let Some(query) = self.queries.get(&book.ticket) else {
             return violated(&self.counters, Rule::SentAfterAnswer, "unknown", "the query is not held");
         };
-        let (further, lent) = (!book.attempts.is_empty(), query.lent);
-        for (rule, reason) in self.broken_by(now, query, book, replica, told) {
+        let (further, forwarded) = (!book.attempts.is_empty(), query.forwarded);
+        for (rule, reason) in self.broken_by(now, query, book, replica, time_left) {
             violated(&self.counters, rule, &query.id, reason);
         }
         let id = query.id.clone();
         if let Some(book) = self.parts.get_mut(&part) {
             book.attempts.push(Attempt { number: attempt, at: now, state: State::Out });
         }
-        if further && !lent {
+        if further && !forwarded {
             self.spent(now, &id);
         }
     }
@@ -217,7 +217,7 @@
         query: &Query,
         book: &PartRecord,
         replica: ReplicaId,
-        told: TimeSpan,
+        time_left: TimeSpan,
     ) -> Vec<(Rule, &'static str)> {
         let terms = &self.terms;
         let class = &terms.classes[query.class.0 as usize];
@@ -231,12 +231,16 @@
         let all = [
             (query.answered, Rule::SentAfterAnswer, "its query was answered"),
             (closed, Rule::SentAfterClose, "its client had closed"),
-            (told > query.client_ends - now + DEADLINE_SLACK, Rule::DeadlineTold, "more than the client has"),
+            (
+                time_left > query.deadline - now + DEADLINE_SLACK,
+                Rule::DeadlineTold,
+                "more than the client has",
+            ),
             (unsafe_again, Rule::RepeatedUnsafe, "an earlier attempt may have run"),
             (late_again, Rule::RepeatedLate, "beyond the window from the first attempt"),
             (out && !terms.may_duplicate, Rule::SecondCopy, "an earlier attempt is out"),
             (book.attempts.len() as u32 >= terms.try_limit, Rule::TooManyTries, "over the tries allowed"),
-            (drained, Rule::SentToDrained, "its replica was told draining or gone"),
+            (drained, Rule::SentToDrained, "its replica was time_left draining or gone"),
         ];
         all.into_iter().filter(|(broken, ..)| *broken).map(|(_, rule, reason)| (rule, reason)).collect()
     }
@@ -256,7 +260,7 @@
     }
 
     /// Nothing of the attempt was written after all.
-    pub fn taken_back(&mut self, part: PartId, attempt: u32) {
+    pub fn unsent(&mut self, part: PartId, attempt: u32) {
         let Some(book) = self.parts.get_mut(&part) else { return };
         book.attempts.retain(|a| a.number != attempt);
         if !book.attempts.is_empty() {
@@ -264,7 +268,7 @@
         }
     }
 
-    pub fn ended(&mut self, part: PartId, attempt: u32, outcome: AttemptOutcome) {
+    pub fn attempt_ended(&mut self, part: PartId, attempt: u32, outcome: AttemptOutcome) {
         let book = self.parts.get_mut(&part);
         if let Some(attempt) = book.and_then(|b| b.attempts.iter_mut().find(|a| a.number == attempt)) {
             let never = matches!(
@@ -282,7 +286,7 @@
         if std::mem::replace(&mut query.answered, true) {
             violated(&self.counters, Rule::SecondAnswer, &query.id, "it has had its final answer");
         }
-        if now - query.client_ends > ANSWER_SLACK && query.closed.is_none() {
+        if now - query.deadline > ANSWER_SLACK && query.closed.is_none() {
             violated(&self.counters, Rule::LateAnswer, &query.id, "after the client's time");
         }
         let class = &self.terms.classes[query.class.0 as usize];
@@ -293,16 +297,16 @@
     }
 
     /// The client closed, or its own connection ended.
-    pub fn closed(&mut self, now: Timestamp, ticket: u64) {
+    pub fn client_closed(&mut self, now: Timestamp, ticket: u64) {
         let Some(query) = self.queries.get_mut(&ticket) else { return };
         query.closed = query.closed.or(Some(now));
-        if !query.answered && now - query.client_ends > ANSWER_SLACK {
+        if !query.answered && now - query.deadline > ANSWER_SLACK {
             violated(&self.counters, Rule::LateAnswer, &query.id, "the client left, after its time");
         }
     }
 
     /// A replica counts as draining or gone since then, or is up.
-    pub fn listed(&mut self, replica: ReplicaId, off_since: Option<Timestamp>) {
+    pub fn replica_listed(&mut self, replica: ReplicaId, off_since: Option<Timestamp>) {
         match off_since {
             Some(since) => {
                 self.drained.entry(replica).or_insert(since);
--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -53,18 +53,18 @@
     }
 
     fn takes(&mut self, ticket: u64, class: RequestClassId, parts: &[PartId]) {
-        let client_ends = at(4000);
-        let taken = AdmittedQuery { ticket, id: "q", class, client_ends, lent: false, parts };
-        self.audit.taken(at(0), taken);
+        let deadline = at(4000);
+        let taken = AdmittedQuery { ticket, id: "q", class, deadline, forwarded: false, parts };
+        self.audit.admitted(at(0), taken);
     }
 
     fn sends(&mut self, ms: i64, part: u32, attempt: u32) {
-        let told = at(4000) - at(ms);
-        self.audit.sent(at(ms), SentAttempt { part: PartId(part), attempt, replica: REPLICA, told });
+        let time_left = at(4000) - at(ms);
+        self.audit.sent(at(ms), SentAttempt { part: PartId(part), attempt, replica: REPLICA, time_left });
     }
 
     fn ends(&mut self, part: u32, attempt: u32, outcome: AttemptOutcome) {
-        self.audit.ended(PartId(part), attempt, outcome);
+        self.audit.attempt_ended(PartId(part), attempt, outcome);
     }
 
     fn broken(&self) -> Vec<String> {
@@ -99,7 +99,7 @@
 #[test]
 fn a_part_sent_long_after_its_client_closed_is_counted() {
     let mut books = Books::with(VIEW);
-    books.audit.closed(at(50), 1);
+    books.audit.client_closed(at(50), 1);
     books.sends(149, 0, 0);
     assert!(books.broken().is_empty(), "within 0.1 s");
     books.sends(151, 1, 0);
@@ -109,8 +109,8 @@
 #[test]
 fn more_time_told_than_the_client_has_is_counted() {
     let mut books = Books::with(VIEW);
-    let told = TimeSpan::from_millis(3151);
-    books.audit.sent(at(1000), SentAttempt { part: PartId(0), attempt: 0, replica: REPLICA, told });
+    let time_left = TimeSpan::from_millis(3151);
+    books.audit.sent(at(1000), SentAttempt { part: PartId(0), attempt: 0, replica: REPLICA, time_left });
     assert_eq!(books.broken(), ["deadline_told"]);
 }
 
@@ -157,12 +157,12 @@
 #[test]
 fn a_part_sent_to_a_drained_replica_beyond_the_grace_is_counted() {
     let mut books = Books::with(VIEW);
-    books.audit.listed(REPLICA, Some(at(100)));
-    books.audit.listed(REPLICA, Some(at(250)));
+    books.audit.replica_listed(REPLICA, Some(at(100)));
+    books.audit.replica_listed(REPLICA, Some(at(250)));
     books.sends(300, 0, 0);
     assert!(books.broken().is_empty(), "within the grace");
     books.sends(301, 1, 0);
-    assert_eq!(books.broken(), ["sent_to_drained"], "counted from when it was told first");
+    assert_eq!(books.broken(), ["sent_to_drained"], "counted from when it was time_left first");
 }
 
 #[test]
@@ -180,13 +180,13 @@
 }
 
 #[test]
-fn an_attempt_taken_back_spends_nothing() {
+fn an_attempt_unsent_spends_nothing() {
     let mut books = Books::with(VIEW);
     books.sends(10, 0, 0);
     books.ends(0, 0, AttemptOutcome::Disconnected);
     for _ in 0..5 {
         books.sends(30, 0, 1);
-        books.audit.taken_back(PartId(0), 1);
+        books.audit.unsent(PartId(0), 1);
     }
     books.sends(40, 0, 1);
     assert!(books.broken().is_empty());
@@ -207,6 +207,6 @@
 #[test]
 fn a_client_that_leaves_long_after_its_time_without_an_answer_is_counted() {
     let mut books = Books::with(VIEW);
-    books.audit.closed(at(4501), 1);
+    books.audit.client_closed(at(4501), 1);
     assert_eq!(books.broken(), ["late_answer"]);
 }
--- /dev/null
+++ b/crates/pipitcrank-server/src/exchange/admission.rs
@@ -0,0 +1,94 @@
+//! Admission of queries: duplicate ids and the limit of open queries are checked here, all else by the coordinator.
+
+use std::rc::Rc;
+use std::sync::Arc;
+
+use pipitcrank_core::ids::{PartId, QueryId};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+
+use super::event::Submission;
+use super::query::{QueryPart, QueryRequest, QueryResponse, REQUESTS};
+use super::request_table::{OpenPart, OpenQuery};
+use super::state::Exchange;
+use crate::audit::AdmittedQuery;
+
+impl Exchange {
+    /// Opens a query, or answers it at once with a refusal.
+    pub(super) fn admit(&mut self, now: Timestamp, submission: Submission) {
+        let Submission { ticket, request, response, delegated } = submission;
+        let part_ids: Vec<Rc<str>> =
+            request.parts.iter().map(|part| format!("{}.{}", request.id, part.shard).into()).collect();
+        if let Some(refusal) = self.refusal(&request.id, &part_ids) {
+            return response.respond(refusal);
+        }
+        let QueryRequest { id, class, deadline, parts, idempotency_key, text } = request;
+        let delegated_retries = delegated.as_ref().map(|delegated| delegated.retries);
+        let table = &mut self.table;
+        table.counters.add("queries", "taken");
+        let query = QueryId(table.query_ids.intern(&id));
+        let indices: Vec<u32> = part_ids.iter().map(|part| table.part_ids.intern(part)).collect();
+        table.tickets.insert(ticket, query.0);
+        tracing::debug!(target: REQUESTS, request = id, parts = parts.len(), left_s = (deadline - now).as_secs_f64(), "admitted");
+        if let Some(audit) = &mut table.audit {
+            let parts: Vec<PartId> = indices.iter().map(|&part| PartId(part)).collect();
+            let forwarded = delegated.is_some();
+            audit.admitted(now, AdmittedQuery { ticket, id: &id, class, deadline, forwarded, parts: &parts });
+        }
+        let response = Some(response);
+        let entry = OpenQuery { ticket, response, parts: indices.clone(), class, idempotency_key, delegated };
+        table.queries.insert(query.0, entry);
+        let works: Option<Vec<f64>> = parts.iter().map(|part| part.work).collect();
+        let work = works.map(|works| works.iter().sum());
+        for ((&index, id), part) in indices.iter().zip(part_ids).zip(&parts) {
+            table.parts.insert(index, OpenPart::new(id, query, part, text.clone()));
+        }
+        self.coordinator.start_query(
+            &mut self.table,
+            now,
+            query,
+            class,
+            deadline - now,
+            work,
+            parts.len() as f64,
+        );
+        if let Some(retries) = delegated_retries {
+            self.coordinator.mark_forwarded(query, retries);
+        }
+        for (index, QueryPart { shard, weight, work }) in indices.into_iter().zip(parts) {
+            self.coordinator.add_part(&mut self.table, now, PartId(index), query, shard, weight, work);
+        }
+    }
+
+    /// Why a query is not admitted. Over the limit, queries never reach the coordinator. An answered part is not open, and
+    /// the last query admitted may exceed the limit: no query is rejected while there is capacity.
+    fn refusal(&self, id: &str, part_ids: &[Rc<str>]) -> Option<QueryResponse> {
+        let table = &self.table;
+        let duplicate = table.query_ids.find(id).is_some()
+            || part_ids.iter().any(|part| table.part_ids.find(part).is_some());
+        if duplicate {
+            table.counters.add("queries", "repeated");
+            return Some(QueryResponse::DuplicateId);
+        }
+        if table.open_count() + self.open_in_peer >= self.max_open {
+            table.counters.add("queries", "turned_away_over_most_open");
+            return Some(QueryResponse::Rejected { retry_after: TimeSpan::ZERO });
+        }
+        None
+    }
+}
+
+impl OpenPart {
+    fn new(id: Rc<str>, query: QueryId, part: &QueryPart, text: Arc<str>) -> OpenPart {
+        OpenPart {
+            id,
+            query: Some(query.0),
+            shard: part.shard,
+            weight: part.weight,
+            work: part.work,
+            text,
+            value: None,
+            attempts: 0,
+            last_outcome: None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-server/src/exchange/batch.rs
@@ -0,0 +1,150 @@
+//! One batch: queued events, due timers and deadlines go to the coordinator, its commands to the transport.
+
+use std::collections::BTreeMap;
+
+use pipitcrank_core::ids::{AttemptOutcome, QueryId, ReplicaId};
+use pipitcrank_core::time::Timestamp;
+
+use super::event::{EndedAttempt, EndpointChange, Event};
+use super::query::{AttemptId, REQUESTS};
+use super::request_table::Command;
+use super::state::Exchange;
+use super::transport::ReplicaTransport;
+use crate::replicas::connection_end::outcome_name;
+use crate::replicas::frames::LoadReport;
+
+impl Exchange {
+    /// Runs one batch.
+    pub fn run_batch(&mut self, now: Timestamp, transport: &mut dyn ReplicaTransport) {
+        self.set_now(now);
+        self.handle_events(now);
+        self.fire_timers(now);
+        self.expire_attempts(now);
+        self.coordinator.dispatch(&mut self.table, now);
+        self.execute_commands(transport);
+    }
+
+    fn handle_events(&mut self, now: Timestamp) {
+        let mut events = std::mem::take(&mut self.events).into_iter().peekable();
+        while let Some(mut event) = events.next() {
+            // Each change makes the coordinator look at all replicas, so the changes of one moment are joined. Reported one by
+            // one they count from the first.
+            if let Event::EndpointsUpdated(EndpointChange { complete: false, endpoints, .. }) = &mut event {
+                let is_change = |event: &Event| {
+                    matches!(event, Event::EndpointsUpdated(EndpointChange { complete: false, .. }))
+                };
+                while let Some(Event::EndpointsUpdated(next)) = events.next_if(is_change) {
+                    endpoints.extend(next.endpoints);
+                }
+            }
+            self.handle_event(now, event);
+        }
+    }
+
+    fn handle_event(&mut self, now: Timestamp, event: Event) {
+        match event {
+            Event::Submitted(submission) => self.admit(now, submission),
+            Event::ClientDisconnected { ticket } => self.cancel_query(now, ticket),
+            Event::AttemptEnded(EndedAttempt { replica, attempt, outcome, value, report }) => {
+                self.apply_load_report(now, replica, report);
+                self.finish_attempt(now, attempt, outcome, value);
+            }
+            Event::LoadProbeEnded { replica, outcome, report } => {
+                self.table.counters.add("probes", outcome_name(outcome));
+                self.apply_load_report(now, replica, report);
+                self.coordinator.load_probe_ended(now, replica, outcome);
+            }
+            Event::EndpointsUpdated(change) => self.apply_endpoint_change(change),
+            Event::ZoneProbeRequested { zone, max_probes } => {
+                self.coordinator.probe_zone(&mut self.table, now, zone, max_probes);
+            }
+            Event::DeadlinesCapped { by } => self.coordinator.cap_deadlines(by),
+        }
+    }
+
+    fn cancel_query(&mut self, now: Timestamp, ticket: u64) {
+        self.disconnected.remove(&ticket);
+        if let Some(&query) = self.table.tickets.get(&ticket) {
+            self.table.counters.add("queries", "client_gone");
+            let request = self.table.query_ids.name(query);
+            tracing::debug!(target: REQUESTS, request, "client disconnected");
+            self.coordinator.cancel_query(&mut self.table, now, QueryId(query));
+        }
+    }
+
+    fn fire_timers(&mut self, now: Timestamp) {
+        while let Some((_, label)) = self.table.timers.first().copied().filter(|timer| timer.0 <= now) {
+            self.table.timers.pop_first();
+            self.coordinator.timer_fired(&mut self.table, now, label);
+        }
+    }
+
+    fn expire_attempts(&mut self, now: Timestamp) {
+        let is_due = |entry: &(Timestamp, AttemptId)| entry.0 <= now;
+        while let Some((_, attempt)) = self.table.attempt_deadlines.first().copied().filter(is_due) {
+            if let Some(replica) = self.table.close_attempt(attempt, AttemptOutcome::TimedOut) {
+                self.table.commands.push(Command::CancelAttempt(replica, attempt));
+                self.finish_attempt(now, attempt, AttemptOutcome::TimedOut, None);
+            }
+        }
+    }
+
+    fn finish_attempt(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+        value: Option<String>,
+    ) {
+        self.table.counters.add("leaf_calls", outcome_name(outcome));
+        let Some(part) = self.table.parts.get_mut(&attempt.part.0) else { return };
+        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, outcome = outcome_name(outcome), "ended");
+        part.last_outcome = Some(outcome);
+        if outcome == AttemptOutcome::Success && part.value.is_none() {
+            let query = part.query.and_then(|query| self.table.queries.get_mut(&query));
+            let delegated = query.and_then(|query| query.delegated.as_mut());
+            if let (Some(delegated), Some(value)) = (delegated, &value) {
+                delegated.on_part.part_answered(part.shard, value);
+            }
+            part.value = value;
+        }
+        self.coordinator.attempt_ended(&mut self.table, now, attempt.part, attempt.number, outcome);
+    }
+
+    fn apply_load_report(&mut self, now: Timestamp, replica: ReplicaId, report: Option<LoadReport>) {
+        if let Some(LoadReport { queued, in_flight }) = report {
+            self.coordinator.load_report(now, replica, queued, in_flight);
+        }
+    }
+
+    /// Executes what the coordinator asked for. Parts for one replica share calls, up to the limit of parts in one.
+    fn execute_commands(&mut self, transport: &mut dyn ReplicaTransport) {
+        let commands = std::mem::take(&mut self.table.commands);
+        // In the order of their first part.
+        let mut bundles: Vec<(ReplicaId, Vec<AttemptId>)> = Vec::new();
+        let mut positions: BTreeMap<ReplicaId, usize> = BTreeMap::new();
+        for command in commands {
+            match command {
+                Command::SendAttempt(replica, attempt) => {
+                    let position = *positions.entry(replica).or_insert(bundles.len());
+                    match bundles.get_mut(position) {
+                        Some((_, bundle)) => bundle.push(attempt),
+                        None => bundles.push((replica, vec![attempt])),
+                    }
+                }
+                Command::CancelAttempt(replica, attempt) => {
+                    transport.cancel_attempt(replica, attempt);
+                    self.attempt_ended(attempt, AttemptOutcome::Cancelled, None, None);
+                }
+                Command::SendLoadProbe(replica) => transport.send_load_probe(replica),
+                Command::SetAddress(replica, address) => transport.set_address(replica, address),
+                Command::RemoveReplica(replica) => transport.remove_replica(replica),
+            }
+        }
+        for (replica, bundle) in bundles {
+            for attempts in bundle.chunks(self.parts_per_call) {
+                transport.send_attempts(replica, attempts.to_vec());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -0,0 +1,146 @@
+//! What the coordinator calls: commands, responses and releases.
+
+use pipitcrank_core::ids::{PartId, QueryId, RejectReason, ReplicaId};
+use pipitcrank_core::output::CoordinatorOutput;
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+
+use super::query::{AttemptId, QueryResponse, REQUESTS};
+use super::request_table::{Command, InFlightAttempt, RequestTable};
+use crate::reasons::ResendReason;
+
+impl RequestTable {
+    /// Hands the final response to the query's sink. `kind`: its key in `/counters`.
+    fn finish(&mut self, query: QueryId, response: QueryResponse, kind: &'static str) {
+        self.counters.add("queries", kind);
+        tracing::debug!(target: REQUESTS, request = self.query_ids.name(query.0), outcome = kind, "answered");
+        self.audit_response(query, &response);
+        let entry = self.queries.get_mut(&query.0);
+        if let Some(sink) = entry.and_then(|entry| entry.response.take()) {
+            sink.respond(response);
+        }
+    }
+
+    fn refuse(&mut self, query: QueryId, response: QueryResponse, kind: &'static str, reason: RejectReason) {
+        self.counters.add("refusals", reason.name());
+        tracing::debug!(target: REQUESTS, request = self.query_ids.name(query.0), reason = reason.name(), "refused");
+        self.finish(query, response, kind);
+    }
+
+    fn audit_response(&mut self, query: QueryId, response: &QueryResponse) {
+        let (Some(audit), Some(entry)) = (&mut self.audit, self.queries.get(&query.0)) else { return };
+        let weight_of = |shard: &u32| {
+            let mut parts = entry.parts.iter().filter_map(|part| self.parts.get(part));
+            parts.find(|part| part.shard == *shard).map_or(0.0, |part| part.weight)
+        };
+        let (weight, complete) = match response {
+            QueryResponse::Answered { complete, hits } => {
+                (Some(hits.iter().map(|(shard, _)| weight_of(shard)).sum()), *complete)
+            }
+            _ => (None, false),
+        };
+        audit.answered(self.now, entry.ticket, weight, complete);
+    }
+
+    /// Why a part is sent once more; none for its first attempt.
+    fn resend_reason(&self, part: PartId) -> Option<ResendReason> {
+        let entry = self.parts.get(&part.0).filter(|entry| entry.attempts > 0)?;
+        let attempts = AttemptId { part, number: 0 }..=AttemptId { part, number: u32::MAX };
+        if self.in_flight.range(attempts).next().is_some() {
+            return Some(ResendReason::Hedge);
+        }
+        entry.last_outcome.map(ResendReason::After)
+    }
+}
+
+impl CoordinatorOutput for RequestTable {
+    fn send_attempt(&mut self, part: PartId, replica: ReplicaId, until: Timestamp) {
+        if let Some(reason) = self.resend_reason(part) {
+            self.counters.add("again", reason.name());
+            let part = self.part_ids.name(part.0);
+            tracing::debug!(target: REQUESTS, part, replica = replica.0, reason = reason.name(), "resending");
+        }
+        let entry = self.parts.get_mut(&part.0).expect("a part that is sent is open");
+        let attempt = AttemptId { part, number: entry.attempts };
+        entry.attempts += 1;
+        let query = entry.query.and_then(|query| self.queries.get(&query));
+        let delegated = query.and_then(|query| query.delegated.as_ref());
+        if let Some(delegated) = delegated.filter(|_| attempt.number > 0) {
+            delegated.retries_used.set(delegated.retries_used.get() + 1);
+        }
+        self.in_flight.insert(attempt, InFlightAttempt { replica, deadline: until, authorized: false });
+        self.attempt_deadlines.insert((until, attempt));
+        self.commands.push(Command::SendAttempt(replica, attempt));
+    }
+
+    fn cancel_attempt(&mut self, part: PartId, nth: u32) {
+        let attempt = AttemptId { part, number: nth };
+        if let Some(replica) = self.in_flight.get(&attempt).map(|entry| entry.replica) {
+            self.commands.push(Command::CancelAttempt(replica, attempt));
+        }
+    }
+
+    fn answer(&mut self, query: QueryId, whole: bool) {
+        let parts = self.queries.get(&query.0).map(|entry| &entry.parts[..]).unwrap_or_default();
+        let hits = parts.iter().filter_map(|part| {
+            let part = self.parts.get_mut(part)?;
+            Some((part.shard, part.value.take()?))
+        });
+        let hits = hits.collect();
+        let kind = if whole { "merged" } else { "merged_in_part" };
+        self.finish(query, QueryResponse::Answered { complete: whole, hits }, kind);
+    }
+
+    fn reject(&mut self, query: QueryId, retry_after: TimeSpan, why: RejectReason) {
+        self.refuse(query, QueryResponse::Rejected { retry_after }, "rejected", why);
+    }
+
+    fn abort(&mut self, query: QueryId, why: RejectReason) {
+        self.refuse(query, QueryResponse::Aborted, "aborted", why);
+    }
+
+    fn set_timer(&mut self, at: Timestamp, label: u64) {
+        self.timers.insert((at, label));
+    }
+
+    fn send_load_probe(&mut self, replica: ReplicaId) {
+        self.commands.push(Command::SendLoadProbe(replica));
+    }
+
+    fn watch_endpoints(&mut self) {} // Discovery is always watched.
+
+    fn log(&mut self, text: &str) {
+        tracing::info!("{text}");
+    }
+
+    fn release_query(&mut self, query: QueryId) {
+        self.query_ids.release(query.0);
+        let Some(entry) = self.queries.remove(&query.0) else { return };
+        self.tickets.remove(&entry.ticket);
+        if let Some(audit) = &mut self.audit {
+            audit.release_query(entry.ticket);
+        }
+        // An attempt may wait for its connection beyond its query's end; the next query gets the index, so the part must not
+        // go on naming it.
+        for part in entry.parts {
+            let own = self.parts.get_mut(&part).filter(|part| part.query == Some(query.0));
+            own.into_iter().for_each(|part| part.query = None);
+        }
+    }
+
+    fn release_part(&mut self, part: PartId) {
+        self.part_ids.release(part.0);
+        self.parts.remove(&part.0);
+        if let Some(audit) = &mut self.audit {
+            audit.release_part(part);
+        }
+    }
+
+    fn release_replica(&mut self, replica: ReplicaId) {
+        self.replica_uids.release(replica.0);
+        self.replicas.remove(&replica.0);
+        if let Some(audit) = &mut self.audit {
+            audit.release_replica(replica);
+        }
+        self.commands.push(Command::RemoveReplica(replica));
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-server/src/exchange/event.rs
@@ -0,0 +1,46 @@
+//! Events that wait for the next batch.
+
+use pipitcrank_core::coordinator::zones::ZoneId;
+use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
+use pipitcrank_core::time::Timestamp;
+
+use super::endpoint::Endpoint;
+use super::query::{AttemptId, DelegatedRequest, QueryRequest, ResponseSink};
+use crate::replicas::frames::LoadReport;
+
+/// A query on its way into the exchange.
+pub(super) struct Submission {
+    /// Stands for the query until its final response; never used again.
+    pub(super) ticket: u64,
+    pub(super) request: QueryRequest,
+    pub(super) response: Box<dyn ResponseSink>,
+    /// Present where another site forwards the query.
+    pub(super) delegated: Option<DelegatedRequest>,
+}
+
+/// An attempt that has ended.
+pub(super) struct EndedAttempt {
+    pub(super) replica: ReplicaId,
+    pub(super) attempt: AttemptId,
+    pub(super) outcome: AttemptOutcome,
+    pub(super) value: Option<String>,
+    pub(super) report: Option<LoadReport>,
+}
+
+/// The complete endpoint list, or changes of it.
+pub(super) struct EndpointChange {
+    pub(super) at: Timestamp,
+    /// Whether it names all replicas there are.
+    pub(super) complete: bool,
+    pub(super) endpoints: Vec<Endpoint>,
+}
+
+pub(super) enum Event {
+    Submitted(Submission),
+    ClientDisconnected { ticket: u64 },
+    AttemptEnded(EndedAttempt),
+    LoadProbeEnded { replica: ReplicaId, outcome: AttemptOutcome, report: Option<LoadReport> },
+    EndpointsUpdated(EndpointChange),
+    ZoneProbeRequested { zone: ZoneId, max_probes: usize },
+    DeadlinesCapped { by: Timestamp },
+}
--- /dev/null
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -0,0 +1,124 @@
+//! Handover of state between two processes of one coordinator, and from a process that has died.
+
+use std::collections::BTreeMap;
+
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+use pipitcrank_handover::division;
+use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
+
+use super::endpoint::Endpoint;
+use super::event::EndpointChange;
+use super::state::Exchange;
+
+impl Exchange {
+    /// Takes the state that a successor needs, at `now`; from then on this process only finishes its open queries, for
+    /// `longest` at most. `taken_us`: `now` on the machine's monotonic clock.
+    pub fn begin_handover(
+        &mut self,
+        now: Timestamp,
+        taken_us: i64,
+        revision: Option<u64>,
+        longest: TimeSpan,
+    ) -> Snapshot {
+        self.apply_pending_endpoint_changes();
+        let mut known = self.coordinator.learned_state(now);
+        let (free, share, span) = self.coordinator.retry_budget_terms();
+        let kept = division::divide(free, share, span, longest, &mut known);
+        self.coordinator.limit_to_delegated_retries(kept.further, now + kept.within);
+        Snapshot {
+            taken_us,
+            rev: revision,
+            replicas: self.replica_records(now),
+            known,
+            lent: (kept.further, kept.within),
+        }
+    }
+
+    /// Takes the state that a later process restores if this one ends without a handover. Nothing is given away.
+    pub fn snapshot(&mut self, now: Timestamp, taken_us: i64, revision: Option<u64>) -> Snapshot {
+        self.apply_pending_endpoint_changes();
+        let known = self.coordinator.learned_state(now);
+        let replicas = self.replica_records(now);
+        Snapshot { taken_us, rev: revision, replicas, known, lent: (0, TimeSpan::ZERO) }
+    }
+
+    fn replica_records(&self, now: Timestamp) -> Vec<ReplicaRecord> {
+        let records = self.table.local_replicas().map(|(index, entry)| ReplicaRecord {
+            index,
+            uid: self.table.replica_uids.name(index).to_string(),
+            address: entry.address,
+            cell: entry.cell,
+            zone: entry.zone.clone(),
+            started: entry.started.map(|at| now - at),
+            off: entry.down_since.map(|at| now - at),
+        });
+        records.collect()
+    }
+
+    /// Continues with the state that the predecessor took `age` ago.
+    pub fn resume_from_predecessor(&mut self, now: Timestamp, age: TimeSpan, snapshot: Snapshot) {
+        let (further, within) = snapshot.lent;
+        self.apply_snapshot(now, age, true, snapshot);
+        self.coordinator.delegate_to_predecessor(further, now - age + within);
+    }
+
+    /// Continues with the state that a process, now dead, took `age` ago. `use_list`: its endpoint list is later than the one
+    /// of the node configuration. What it sent last is not known: it counts as having used all that it might.
+    pub fn restore(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
+        self.apply_pending_endpoint_changes();
+        self.apply_snapshot(now, age, use_list, snapshot);
+        self.coordinator.resume_alone(now);
+    }
+
+    fn apply_snapshot(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
+        let moment = |span: TimeSpan| now - span - age;
+        let mut indices = BTreeMap::new();
+        let mut endpoints = Vec::new();
+        let mut down = Vec::new();
+        for ReplicaRecord { index, uid, address, cell, zone, started, off } in snapshot.replicas {
+            // A replica that is not listed any more gets no index: nobody would release it.
+            let uids = &mut self.table.replica_uids;
+            let own = if use_list { Some(uids.intern(&uid)) } else { uids.find(&uid) };
+            let Some(own) = own else { continue };
+            indices.insert(index, own);
+            down.extend(off.map(|span| (own, moment(span))));
+            let (up, started) = (off.is_none(), started.map(moment));
+            endpoints.push(Endpoint { uid, address, cell, zone, up, started });
+        }
+        if use_list {
+            self.apply_endpoint_change(EndpointChange { at: now, complete: true, endpoints });
+            for (replica, since) in down {
+                if let Some(entry) = self.table.replicas.get_mut(&replica) {
+                    entry.down_since = Some(since);
+                }
+            }
+        }
+        let mut known = snapshot.known;
+        let replicas = std::mem::take(&mut known.replicas);
+        known.replicas =
+            replicas.into_iter().filter_map(|(index, state)| Some((*indices.get(&index)?, state))).collect();
+        self.coordinator.restore_learned_state(now, age, known);
+    }
+
+    /// The predecessor has ended, having used so many of the retries that it kept.
+    pub fn settle_with_predecessor(&mut self, now: Timestamp, used: u32) {
+        self.coordinator.settle_with_predecessor(now, used);
+        self.open_in_peer = 0;
+    }
+
+    /// How many of the retries kept at the handover were used here.
+    pub fn delegated_retries_used(&self, kept: u32) -> u32 {
+        kept.saturating_sub(self.coordinator.delegated_retries_left())
+    }
+
+    /// The other process is gone, and what it sent is not known.
+    pub fn resume_alone(&mut self, now: Timestamp) {
+        self.coordinator.resume_alone(now);
+        self.open_in_peer = 0;
+    }
+
+    /// The other process has so many queries and parts open.
+    pub fn set_open_in_peer(&mut self, open: usize) {
+        self.open_in_peer = open;
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-server/src/exchange/remote_sites.rs
@@ -0,0 +1,134 @@
+//! Remote sites: their cells stand in the tables as replicas, and parts for them leave as forwards.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use pipitcrank_core::ids::{PartId, ReplicaId, RequestClassId};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+
+use super::query::{AttemptId, QueryPart};
+use super::request_table::ReplicaEntry;
+use super::state::{DelegatedRetries, Exchange};
+use super::zones::zone_id;
+
+/// Parts of one query that are forwarded to another site together.
+pub struct OutgoingForward {
+    /// The client's id of the query.
+    pub id: String,
+    /// Its request class.
+    pub class: RequestClassId,
+    /// When the earliest attempt among them expires.
+    pub deadline: Timestamp,
+    /// The parts, with the attempt that each is.
+    pub parts: Vec<OutgoingPart>,
+    /// The client's key, by which replicas recognize a repeat.
+    pub idempotency_key: Option<Arc<str>>,
+    /// What replicas are asked.
+    pub text: Arc<str>,
+    /// Whether the request class allows a retry after an attempt that may have run.
+    pub idempotent: bool,
+    /// Number under which retries are delegated with it.
+    pub delegation: u64,
+    /// How many retries and hedged requests are delegated.
+    pub retries: u32,
+}
+
+/// One part of a forward.
+pub struct OutgoingPart {
+    /// The attempt to end when the part's answer is known.
+    pub attempt: AttemptId,
+    /// What is asked.
+    pub part: QueryPart,
+}
+
+impl Exchange {
+    /// Adds a remote site's replicas, one for each cell. Nothing is sent there before a delay is known.
+    pub fn add_remote_site(&mut self, site: u16, name: &str, cells: u32) -> Vec<ReplicaId> {
+        self.coordinator.begin_endpoint_list(false);
+        let mut replicas = Vec::new();
+        for cell in 0..cells {
+            // No uid of the discovery service has a blank.
+            let replica = ReplicaId(self.table.replica_uids.intern(&format!("site {name} {cell}")));
+            let zone = self.site_zones.get(name).cloned();
+            let id = zone_id(&self.zones, &zone);
+            let entry =
+                ReplicaEntry { address: None, cell, zone, started: None, site: Some(site), down_since: None };
+            self.table.replicas.insert(replica.0, entry);
+            self.coordinator.list_replica(replica, cell, true, None);
+            self.coordinator.set_remote_delay(replica, None);
+            self.coordinator.set_replica_zone(replica, id);
+            replicas.push(replica);
+        }
+        self.coordinator.finish_endpoint_list(&mut self.table);
+        replicas
+    }
+
+    /// Sets the delay that a forward to the site costs; none closes the way there.
+    pub fn set_remote_delay(&mut self, site: u16, delay: Option<TimeSpan>) {
+        for (&replica, _) in self.table.replicas.iter().filter(|(_, entry)| entry.site == Some(site)) {
+            self.coordinator.set_remote_delay(ReplicaId(replica), delay);
+        }
+    }
+
+    /// The send guard of forwards, as `authorize_send` is of calls: what may still be sent, by query.
+    pub fn authorize_forward(
+        &mut self,
+        now: Timestamp,
+        replica: ReplicaId,
+        attempts: &mut Vec<AttemptId>,
+    ) -> Vec<OutgoingForward> {
+        self.authorize_send(now, replica, attempts);
+        self.delegations.retain(|_, delegation| delegation.expires > now);
+        let mut by_query: BTreeMap<u32, Vec<AttemptId>> = BTreeMap::new();
+        for &attempt in attempts.iter() {
+            let query = self.table.parts[&attempt.part.0].query;
+            by_query.entry(query.expect("an authorized part has its query")).or_default().push(attempt);
+        }
+        by_query.into_iter().map(|(query, attempts)| self.make_forward(now, query, &attempts)).collect()
+    }
+
+    fn make_forward(&mut self, now: Timestamp, query: u32, attempts: &[AttemptId]) -> OutgoingForward {
+        let deadlines = attempts.iter().map(|attempt| self.table.in_flight[attempt].deadline);
+        let deadline = deadlines.min().unwrap_or(now);
+        self.last_delegation += 1;
+        let delegation = self.last_delegation;
+        let own: Vec<PartId> = attempts.iter().map(|attempt| attempt.part).collect();
+        let retries = self.coordinator.delegate_retries(now, delegation, &own, deadline);
+        let named = own.iter().map(|part| (*part, self.table.parts[&part.0].id.clone()));
+        let delegated = DelegatedRetries { parts: named.collect(), retries, expires: deadline };
+        self.delegations.insert(delegation, delegated);
+        let entry = &self.table.queries[&query];
+        let parts = attempts.iter().map(|&attempt| {
+            let part = &self.table.parts[&attempt.part.0];
+            let part = QueryPart { shard: part.shard, weight: part.weight, work: part.work };
+            OutgoingPart { attempt, part }
+        });
+        let text = attempts.first().map(|attempt| self.table.parts[&attempt.part.0].text.clone());
+        OutgoingForward {
+            id: self.table.query_ids.name(query).to_string(),
+            class: entry.class,
+            deadline,
+            parts: parts.collect(),
+            idempotency_key: entry.idempotency_key.clone(),
+            text: text.unwrap_or_else(|| "".into()),
+            idempotent: self.coordinator.may_retry(entry.class),
+            delegation,
+            retries,
+        }
+    }
+
+    /// The other site has used so many of the retries delegated under that number.
+    pub fn delegation_returned(&mut self, now: Timestamp, delegation: u64, used: u32) {
+        if let Some(DelegatedRetries { parts, retries, expires }) = self.delegations.remove(&delegation)
+            && now < expires
+        {
+            // A part may be over and its index stand for another one.
+            let is_open = |(part, id): &(PartId, Rc<str>)| {
+                self.table.parts.get(&part.0).is_some_and(|entry| Rc::ptr_eq(&entry.id, id))
+            };
+            let parts: Vec<PartId> = parts.into_iter().filter(is_open).map(|(part, _)| part).collect();
+            self.coordinator.delegation_returned(now, delegation, &parts, retries, used);
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-server/src/exchange/send_guard.rs
@@ -0,0 +1,123 @@
+//! The send guard: whatever is sent passes here just before its first byte is written.
+//!
+//! An attempt may be held up on its way to the socket while its query ends, its deadline passes or its replica drains;
+//! it is then dropped and counts as never sent.
+
+use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+
+use super::query::{AttemptId, REQUESTS};
+use super::state::Exchange;
+use crate::audit::SentAttempt;
+use crate::reasons::SendDenied;
+use crate::replicas::frames::CallPart;
+
+impl Exchange {
+    /// Drops from `attempts` those that may not be sent any more; returns what to write for the others, in their order.
+    pub fn authorize_send(
+        &mut self,
+        now: Timestamp,
+        replica: ReplicaId,
+        attempts: &mut Vec<AttemptId>,
+    ) -> Vec<CallPart> {
+        let mut allowed = Vec::new();
+        attempts.retain(|&attempt| match self.authorize_attempt(now, replica, attempt) {
+            Some(part) => {
+                allowed.push(part);
+                true
+            }
+            None => false,
+        });
+        allowed
+    }
+
+    fn authorize_attempt(
+        &mut self,
+        now: Timestamp,
+        replica: ReplicaId,
+        attempt: AttemptId,
+    ) -> Option<CallPart> {
+        // An attempt cancelled while it was queued may share its number with a newer one of another part: that one goes to its
+        // own replica, and once.
+        let entry = self.table.in_flight.get_mut(&attempt);
+        let entry = entry.filter(|entry| entry.replica == replica && !entry.authorized)?;
+        entry.authorized = true;
+        let deadline = entry.deadline;
+        match self.check_send(now, replica, attempt, deadline) {
+            Ok(part) => {
+                self.record_sent(now, replica, attempt, part.time_left);
+                Some(part)
+            }
+            Err(reason) => {
+                self.record_denied(attempt, reason);
+                self.attempt_ended(attempt, AttemptOutcome::NeverSent, None, None);
+                None
+            }
+        }
+    }
+
+    /// The rules on ended queries, closed clients, drained replicas, deadlines, repeats and the retry budget.
+    fn check_send(
+        &mut self,
+        now: Timestamp,
+        replica: ReplicaId,
+        attempt: AttemptId,
+        deadline: Timestamp,
+    ) -> Result<CallPart, SendDenied> {
+        let part = &self.table.parts[&attempt.part.0];
+        let query = part.query.and_then(|query| self.table.queries.get(&query));
+        let query = query.ok_or(SendDenied::QueryEnded)?;
+        if self.disconnected.contains(&query.ticket) {
+            return Err(SendDenied::ClientClosed);
+        }
+        if self.is_draining(replica) || !self.table.replicas.contains_key(&replica.0) {
+            return Err(SendDenied::ReplicaDrained);
+        }
+        if now >= deadline {
+            return Err(SendDenied::TimeOver);
+        }
+        // Last, since it counts the attempt as sent.
+        self.coordinator.begin_attempt(now, attempt.part, attempt.number)?;
+        Ok(CallPart {
+            id: part.id.clone(),
+            shard: part.shard,
+            time_left: deadline - now,
+            idempotency_key: query.idempotency_key.clone(),
+            text: part.text.clone(),
+        })
+    }
+
+    fn record_sent(&mut self, now: Timestamp, replica: ReplicaId, attempt: AttemptId, time_left: TimeSpan) {
+        let part = &self.table.parts[&attempt.part.0];
+        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, replica = replica.0, left_s = time_left.as_secs_f64(), "sent");
+        if let Some(audit) = &mut self.table.audit {
+            let sent = SentAttempt { part: attempt.part, attempt: attempt.number, replica, time_left };
+            audit.sent(now, sent);
+        }
+    }
+
+    fn record_denied(&self, attempt: AttemptId, reason: SendDenied) {
+        self.table.counters.add("not_sent", reason.name());
+        let part = &self.table.parts[&attempt.part.0];
+        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, reason = reason.name(), "not sent");
+    }
+
+    /// An attempt queued for that replica will never be sent. One that another part's attempt shares its number with by now, and
+    /// that was sent, is left alone: it would go out a second time.
+    pub fn attempt_never_started(&mut self, replica: ReplicaId, attempt: AttemptId) {
+        let entry = self.table.in_flight.get(&attempt);
+        if entry.is_some_and(|entry| entry.replica == replica && !entry.authorized) {
+            self.attempt_ended(attempt, AttemptOutcome::Unreachable, None, None);
+        }
+    }
+
+    /// No byte of these attempts was written after all; they pass the guard again.
+    pub fn return_unwritten(&mut self, attempts: &[AttemptId]) {
+        for &attempt in attempts {
+            self.table.in_flight.get_mut(&attempt).into_iter().for_each(|entry| entry.authorized = false);
+            if let Some(audit) = &mut self.table.audit {
+                audit.unsent(attempt.part, attempt.number);
+            }
+        }
+    }
+}
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc::unbounded_channel;
 
 use super::*;
-use crate::exchange::{Endpoint, Exchange, QueryPart, QueryRequest, ReplicaTransport};
+use crate::exchange::{Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport};
 use crate::replicas::pool::AssignedAttempt;
 use crate::runtime::clock::Clock;
 use crate::runtime::counters::Counters;
@@ -80,9 +80,9 @@
         idempotency_key: None,
         text: "t".into(),
     };
-    exchange.submit(1, asked, Box::new(|_| ()));
+    exchange.submit(1, asked, Box::new(|_: QueryResponse| ()));
     exchange.run_batch(clock.now(), &mut Nobody);
-    let call = (PartId(0), 0);
+    let call = AttemptId { part: PartId(0), number: 0 };
     assert!(exchange.is_in_flight(call));
     (Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange)), call)
 }
--- a/crates/pipitcrank-server/src/replicas/frames.rs
+++ b/crates/pipitcrank-server/src/replicas/frames.rs
@@ -19,7 +19,7 @@
 pub struct CallPart {
     pub id: Rc<str>,
     pub shard: u32,
-    pub wait: TimeSpan,
+    pub time_left: TimeSpan,
     /// As the client gave it: replicas know a repeat by it.
     pub idempotency_key: Option<Arc<str>>,
     pub text: Arc<str>,
@@ -28,8 +28,8 @@
 /// A load report: what the decisions read of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    pub waiting: Option<f64>,
-    pub in_hand: Option<f64>,
+    pub queued: Option<f64>,
+    pub in_flight: Option<f64>,
 }
 
 /// What a replica sends.
@@ -63,7 +63,7 @@
     let mut rest = Vec::new();
     for part in parts {
         let key = part.idempotency_key.as_ref().map_or(String::new(), |key| format!(",k={key}"));
-        let wait_ms = part.wait.as_micros() / 1000;
+        let wait_ms = part.time_left.as_micros() / 1000;
         let head = format!("{} {} d={wait_ms}{key} {}\n", part.id, part.shard, part.text.len());
         rest.extend_from_slice(head.as_bytes());
         rest.extend_from_slice(part.text.as_bytes());
@@ -142,8 +142,8 @@
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
         let place = match name {
-            "queue" | "backlog" => &mut found.waiting,
-            "inflight" | "outstanding" => &mut found.in_hand,
+            "queue" | "backlog" => &mut found.queued,
+            "inflight" | "outstanding" => &mut found.in_flight,
             _ => continue,
         };
         *place = Some(value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)?);
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -256,11 +256,7 @@
             HttpEvent::Ask(ticket, asked, answer) => {
                 let Err((asked, answer)) = relay.ask(ticket, asked, answer) else { continue };
                 event_loop.update(|e| {
-                    let then = Box::new(move |last| {
-                        // Nobody listens where the client left in this very moment.
-                        let _ = answer.send(last);
-                    });
-                    e.submit(ticket, asked, then);
+                    e.submit(ticket, asked, Box::new(answer));
                 });
             }
             HttpEvent::Gone(ticket) => {
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -143,7 +143,7 @@
         self.exchange.submit(
             self.tickets,
             asked,
-            Box::new(move |last| answers.borrow_mut().push((name, last))),
+            Box::new(move |last: QueryResponse| answers.borrow_mut().push((name, last))),
         );
         self.tickets
     }
@@ -358,7 +358,7 @@
             "holders are probed before anything is sent"
         );
         let chosen =
-            |n: usize| LoadReport { waiting: Some(if busy && n == 1 { 40.0 } else { 0.0 }), in_hand: None };
+            |n: usize| LoadReport { queued: Some(if busy && n == 1 { 40.0 } else { 0.0 }), in_flight: None };
         for (n, replica) in holders.iter().enumerate() {
             stage.exchange.load_probe_ended(*replica, AttemptOutcome::Success, Some(chosen(n)));
         }
@@ -658,7 +658,7 @@
             1,
             asked,
             DelegatedRequest { retries: further, retries_used: made.clone(), on_part: as_in },
-            Box::new(|_| ()),
+            Box::new(|_: QueryResponse| ()),
         );
         let mut calls = 0;
         for ms in (0..2000).step_by(5) {
@@ -702,7 +702,7 @@
     stage.turn(140);
     assert_eq!(stage.counters.get("again", "after_cut"), 4, "those of the next window were decided");
     stage.ledger.calls.extend(waiting);
-    let further = stage.release(150).into_iter().filter(|(_, call, ..)| call.1 > 0).count();
+    let further = stage.release(150).into_iter().filter(|(_, call, ..)| call.number > 0).count();
     assert_eq!(further, 2, "in one window");
     assert_eq!(stage.counters.get("not_sent", "budget_spent"), 2);
 }
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -26,7 +26,7 @@
     let part = |shard| CallPart {
         id: format!("9b1f.{shard}").into(),
         shard,
-        wait: TimeSpan::from_secs_f64(0.2407),
+        time_left: TimeSpan::from_secs_f64(0.2407),
         idempotency_key: None,
         text: "c41e77d0".into(),
     };
@@ -50,7 +50,7 @@
     }
     buffer.extend_from_slice(&answer[answer.len() - 1..]);
     buffer.extend_from_slice(&load);
-    let report = Some(LoadReport { waiting: None, in_hand: Some(7.0) });
+    let report = Some(LoadReport { queued: None, in_flight: Some(7.0) });
     let wanted = ReplicaFrame::Answer {
         id: "9b1f.3".into(),
         outcome: AttemptOutcome::Success,
@@ -58,9 +58,9 @@
         value: "5be2a07c\n19".into(),
     };
     assert_eq!(frames::take(&mut buffer), Ok(Some(wanted)));
-    let report = Some(LoadReport { waiting: Some(2.5), in_hand: None });
+    let report = Some(LoadReport { queued: Some(2.5), in_flight: None });
     assert_eq!(frames::take(&mut buffer), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report))));
-    let report = Some(LoadReport { waiting: Some(4.364), in_hand: Some(5.0) });
+    let report = Some(LoadReport { queued: Some(4.364), in_flight: Some(5.0) });
     let wanted = ReplicaFrame::Load(AttemptOutcome::Success, report);
     assert_eq!(take(&framed(b"Lbacklog=4.364,eps=0,outstanding=5")), Ok(Some(wanted)));
     assert_eq!(take(&framed(b"L-")), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, None))));
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -91,10 +91,7 @@
         let id = format!("q{}", self.asked);
         let asked =
             QueryRequest { id, class: RequestClassId(0), deadline: ends, parts, idempotency_key: None, text };
-        let then = Box::new(move |last| {
-            let _ = tell.send(last);
-        });
-        self.event_loop.update(|e| e.submit(self.asked, asked, then));
+        self.event_loop.update(|e| e.submit(self.asked, asked, Box::new(tell)));
         told
     }
 
