--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -7,19 +7,21 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result, bail};
-use pipitcrank_config::Zones;
+use pipitcrank_config::ZonesConfig;
 use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_failover::book::{Book, Pace};
-use pipitcrank_failover::decision::{Order, State, UNKNOWN, WHOLE};
-use pipitcrank_failover::follow::{Follow, Plan};
-use pipitcrank_failover::instance::{Answer, Command, Event, Instance, Shown};
-use pipitcrank_failover::shares::{Nearness, turned_away};
-use pipitcrank_membership::envelope::{LONGEST, key};
-use pipitcrank_membership::evidence::Row;
-use pipitcrank_membership::members::{Gone, News};
+use pipitcrank_failover::controller::{FailoverController, FailoverTiming};
+use pipitcrank_failover::decision::{FULL_PERMILLE, OperatorOrder, UNKNOWN_CAPACITY, ZoneState};
+use pipitcrank_failover::follower::{DecisionFollower, RoutingPlan};
+use pipitcrank_failover::node::{
+    FailoverNode, FailoverNodeConfig, NodeEvent, OperatorAnswer, OperatorClient, ReceivedAnswer, StatusReport,
+};
+use pipitcrank_failover::routing_table::{ClassLoad, Proximity, shed_fractions};
+use pipitcrank_membership::envelope::{MAX_DATAGRAM_BYTES, OutgoingDatagram, derive_key};
+use pipitcrank_membership::evidence::ReplicaCounts;
+use pipitcrank_membership::members::{Departure, MembershipEvent};
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::turns::{self, Copy};
+use pipitcrank_recovery::restart_waves::{self, Copy};
 use pipitcrank_server::discovery::client::SharedRevision;
 use pipitcrank_server::runtime::counters::Counters;
 use pipitcrank_server::serve::ServerContext;
@@ -53,8 +55,8 @@
 
 /// This copy's zone by its place in the operators' list: from the operators' file, else from the platform. Contradictions
 /// are named by their key.
-pub fn own_zone(zones: &Zones, platform: Option<&(ZoneId, Vec<String>)>) -> Result<usize> {
-    let names: Vec<&str> = zones.zones.iter().map(|(name, _)| name.as_str()).collect();
+pub fn own_zone(zones: &ZonesConfig, platform: Option<&(ZoneId, Vec<String>)>) -> Result<usize> {
+    let names: Vec<&str> = zones.zone_names();
     let place = |name: &str| names.iter().position(|n| *n == name);
     if let Some((own, told)) = platform {
         if let Some(unknown) = told.iter().find(|name| place(name).is_none()) {
@@ -68,24 +70,28 @@
             );
         }
         let own = &told[usize::from(own.0)];
-        if let Some(said) = zones.zone.as_ref().filter(|said| *said != own) {
+        if let Some(said) = zones.own_zone.as_ref().filter(|said| *said != own) {
             bail!("/zones/zone is '{said}', and the charter's /settings/zone is '{own}'");
         }
         return Ok(place(own).unwrap_or(0));
     }
-    match zones.zone.as_deref().and_then(place) {
+    match zones.own_zone.as_deref().and_then(place) {
         Some(own) => Ok(own),
         None => bail!("/zones/zone is missing, and the charter names none; accepted: {}", names.join(", ")),
     }
 }
 
-fn regions(zones: &Zones) -> Vec<String> {
-    zones.zones.iter().map(|(_, region)| region.clone()).collect()
+fn regions(zones: &ZonesConfig) -> Vec<String> {
+    zones.zones.iter().map(|zone| zone.region.clone()).collect()
 }
 
 /// What a copy is that stands there with others; or a fault by its key. `opens` gives its store, and what a process before
 /// it left there; asked once no process of this copy has its address any more.
-pub fn stand<O>(ground: &ServerContext, zones: Zones, opens: O) -> Result<impl Future<Output = ()> + use<O>>
+pub fn stand<O>(
+    ground: &ServerContext,
+    zones: ZonesConfig,
+    opens: O,
+) -> Result<impl Future<Output = ()> + use<O>>
 where
     O: AsyncFnOnce(tokio::sync::watch::Receiver<bool>) -> (Option<Disk>, Past) + 'static,
 {
@@ -93,7 +99,7 @@
     let (event_loop, utilities, rev) =
         (ground.event_loop.clone(), ground.priority_weights.clone(), ground.revision.clone());
     let (mut leaving, end_called) = (ground.draining.clone(), ground.shutdown_requested.clone());
-    let names: Vec<String> = zones.zones.iter().map(|(name, _)| name.clone()).collect();
+    let names: Vec<String> = zones.zones.iter().map(|zone| zone.name.clone()).collect();
     let regions = regions(&zones);
     let region: Vec<bool> = regions.iter().map(|r| *r == regions[own]).collect();
     // A site is a region: its replicas stand for all of its zones.
@@ -130,7 +136,7 @@
         let now = event_loop.clock.now();
         let mut instance = instance(now, &zones, own);
         if disk.is_some() {
-            instance.keeps();
+            instance.require_durable_memory();
             if let Some(decision) = &recalled.decision {
                 let (generation, count) = (decision.number >> 32, decision.number as u32);
                 tracing::info!(
@@ -138,9 +144,9 @@
                     "recalls decision {generation}.{count}: none older is taken"
                 );
             }
-            instance.recall(now, recalled.decision, recalled.members, memory);
+            instance.restore(now, recalled.decision, recalled.members, memory);
         }
-        tracing::info!(zone = names[own], known_as = %zones.known_as, voter = votes(&zones), "stands with other copies");
+        tracing::info!(zone = names[own], known_as = %zones.advertised, voter = votes(&zones), "stands with other copies");
         let (watch, rates) = (Watch::new(&names), Rates::new(now));
         let mut hands = Hands {
             socket,
@@ -160,7 +166,7 @@
             turned_away: Vec::new(),
         };
         hands.run(&mut leaving).await;
-        let how = if end_called.borrow().is_some() { Gone::Left } else { Gone::Upgraded };
+        let how = if end_called.borrow().is_some() { Departure::Left } else { Departure::Upgraded };
         let now = hands.event_loop.clock.now();
         hands.instance.leave(now, how);
         hands.pass_on(now).await;
@@ -174,29 +180,37 @@
     }
 }
 
-fn votes(zones: &Zones) -> bool {
-    zones.voters.iter().any(|v| v.0 == zones.known_as)
+fn votes(zones: &ZonesConfig) -> bool {
+    zones.voter_slot(zones.advertised).is_some()
 }
 
-fn instance(now: Timestamp, zones: &Zones, own: usize) -> Instance {
-    let near = Nearness::new(&regions(zones));
-    let pace = Pace {
-        suspect: span(zones.suspect),
+fn instance(now: Timestamp, zones: &ZonesConfig, own: usize) -> FailoverNode {
+    let near = Proximity::new(&regions(zones));
+    let timing = FailoverTiming {
+        suspect_after: span(zones.suspect_time),
         hold_down: span(zones.hold_down),
-        hold_down_most: span(zones.hold_down_most),
-        calm: span(zones.calm),
+        max_hold_down: span(zones.hold_down_max),
+        calm_after: span(zones.hold_down_reset),
     };
     let count = zones.zones.len();
-    let book = Book::new(pace, near.clone(), count, zones.replica_bears);
-    let follow = Follow::new(own as u16, count, near, span(zones.hold), zones.dry_run);
-    let peer = Peer { address: zones.known_as, instance: since_1970_us(), zone: own as u16 };
-    let seats: Vec<SocketAddr> = zones.voters.iter().map(|v| v.0).collect();
-    Instance::new(now, peer, key(&zones.secret), &zones.peers, &seats, count, book, follow)
+    let controller = FailoverController::new(timing, near.clone(), count, zones.replica_capacity);
+    let follower = DecisionFollower::new(own as u16, count, near, span(zones.decision_lease), zones.dry_run);
+    let peer = Peer { address: zones.advertised, instance: since_1970_us(), zone: own as u16 };
+    let config = FailoverNodeConfig {
+        own: peer,
+        key: derive_key(&zones.secret),
+        known_nodes: zones.seeds.clone(),
+        voters: zones.voters.iter().map(|v| v.address).collect(),
+        zone_count: count,
+        controller,
+        follower,
+    };
+    FailoverNode::new(now, config)
 }
 
 struct Hands {
     socket: UdpSocket,
-    instance: Instance,
+    instance: FailoverNode,
     disk: Option<Disk>,
     rev: SharedRevision,
     event_loop: std::rc::Rc<pipitcrank_server::runtime::event_loop::EventLoop>,
@@ -211,15 +225,15 @@
     watch: Watch,
     rates: Rates,
     /// What the exchange goes by.
-    plan: Option<Plan>,
+    plan: Option<RoutingPlan>,
     turned_away: Vec<f64>,
 }
 
 impl Hands {
     async fn run(&mut self, leaving: &mut tokio::sync::watch::Receiver<bool>) {
-        let mut bytes = vec![0; LONGEST + 1];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.event_loop.clock.instant(self.instance.due());
+            let due = self.event_loop.clock.instant(self.instance.next_deadline());
             tokio::select! {
                 _ = leaving.wait_for(|left| *left) => return,
                 ready = self.socket.readable() => if ready.is_err() { tokio::time::sleep(ADDRESS_AGAIN).await },
@@ -229,13 +243,13 @@
             let now = self.event_loop.clock.now();
             for _ in 0..A_ROW {
                 match self.socket.try_recv_from(&mut bytes) {
-                    Ok((length, _)) => self.instance.datagram(now, &bytes[..length]),
+                    Ok((length, _)) => self.instance.handle_datagram(now, &bytes[..length]),
                     // Nothing there, or a word of the machine that somebody sent to is not there.
                     Err(_) => break,
                 }
             }
             self.instance.tick(now);
-            if self.instance.wants_to_see(now) {
+            if self.instance.take_report_due(now) {
                 self.see(now);
             }
             self.pass_on(now).await;
@@ -248,16 +262,16 @@
         // Of another region only its site is met here, which tells nothing of one of its zones.
         let of = |(zone, seen): (usize, &ZoneObservation)| match self.region[zone] {
             true => row(seen, self.rates.merged(zone)),
-            false => Row::default(),
+            false => ReplicaCounts::default(),
         };
         let rows = seen.iter().enumerate().map(of).collect();
-        self.instance.sees(now, rows, self.rates.asked());
+        self.instance.report_evidence(now, rows, self.rates.asked());
         for (zone, seen) in seen.iter().enumerate() {
-            let shut = self.plan.as_ref().is_some_and(|p| p.shut.contains(&(zone as u16)));
+            let shut = self.plan.as_ref().is_some_and(|p| p.closed_zones.contains(&(zone as u16)));
             let unseen = seen.fresh * 2 < seen.listed;
             let doubted = seen.doubted * DOUBTED >= seen.listed && seen.doubted > 0;
             // Of many copies those look that speak for their zone: probes have their price.
-            if self.instance.speaks() && (shut || unseen || doubted) {
+            if self.instance.is_reporter() && (shut || unseen || doubted) {
                 let most = if shut || doubted { LOOKS } else { GLANCES };
                 self.event_loop.update(|e| e.probe_zone(ZoneId(zone as u16), most));
             }
@@ -272,23 +286,23 @@
             if let Some(memory) = self.instance.take_memory() {
                 disk.keep(&memory);
             }
-            if self.instance.owes() && disk.is_kept() {
-                self.instance.kept(now);
+            if self.instance.awaits_persistence() && disk.is_kept() {
+                self.instance.memory_persisted(now);
             }
-            disk.look(now, &self.event_loop, &self.rev, || self.instance.beliefs());
+            disk.look(now, &self.event_loop, &self.rev, || self.instance.restart_state());
         }
         for event in self.instance.take_events() {
             self.watch.take(now, event, &self.event_loop.counters);
         }
         let counters = &self.event_loop.counters;
-        counters.set("zones", "older_decisions_left", self.instance.older_left());
-        counters.set("peers_sent", "bytes", self.instance.sent.0);
-        counters.set("peers_sent", "datagrams", self.instance.sent.1);
-        let plan = self.instance.plan(now);
-        counters.set("zones", "decision", plan.number);
-        let away = match plan.lack {
+        counters.set("zones", "older_decisions_left", self.instance.stale_decisions());
+        counters.set("peers_sent", "bytes", self.instance.sent.bytes);
+        counters.set("peers_sent", "datagrams", self.instance.sent.datagrams);
+        let plan = self.instance.routing_plan(now);
+        counters.set("zones", "decision", plan.decision_number);
+        let away = match plan.shed {
             0 => Vec::new(),
-            lack => turned_away(lack, &self.rates.mix(&self.utilities)),
+            shed => shed_fractions(shed, &self.rates.mix(&self.utilities)),
         };
         // What request classes ask changes from moment to moment: followed where it matters.
         let differs = away.len() != self.turned_away.len()
@@ -297,24 +311,24 @@
             self.apply(&plan, away.clone());
             (self.plan, self.turned_away) = (Some(plan), away);
         }
-        for (to, bytes) in self.instance.take_out() {
+        for OutgoingDatagram { to, bytes } in self.instance.take_datagrams() {
             // A datagram that can't go now is one that was lost.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
 
-    fn apply(&self, plan: &Plan, turned_away: Vec<f64>) {
-        let whole = f64::from(WHOLE);
+    fn apply(&self, plan: &RoutingPlan, turned_away: Vec<f64>) {
+        let whole = f64::from(FULL_PERMILLE);
         let mut of: Vec<(ZoneId, f64)> = vec![(ZoneId(self.own as u16), 0.0)];
-        for &(zone, share) in &plan.shares {
-            let stands = ZoneId(self.stands_for[usize::from(zone)] as u16);
+        for fraction in &plan.fractions {
+            let stands = ZoneId(self.stands_for[usize::from(fraction.zone)] as u16);
             match of.iter_mut().find(|(known, _)| *known == stands) {
-                Some((_, sum)) => *sum += f64::from(share) / whole,
-                None => of.push((stands, f64::from(share) / whole)),
+                Some((_, sum)) => *sum += f64::from(fraction.permille) / whole,
+                None => of.push((stands, f64::from(fraction.permille) / whole)),
             }
         }
         // A region is shut when all of its zones are.
-        let is_shut = |zone: usize| plan.shut.contains(&(zone as u16));
+        let is_shut = |zone: usize| plan.closed_zones.contains(&(zone as u16));
         let all_shut =
             |first: usize| (0..self.stands_for.len()).filter(|&z| self.stands_for[z] == first).all(is_shut);
         let zones = 0..self.names.len();
@@ -324,26 +338,29 @@
             self.event_loop.update(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
         }
         let shares: Vec<String> = plan
-            .shares
+            .fractions
             .iter()
-            .map(|&(zone, share)| {
-                format!("{} {:.1} %", self.names[usize::from(zone)], f64::from(share) / 10.0)
-            })
+            .map(|f| format!("{} {:.1} %", self.names[usize::from(f.zone)], f64::from(f.permille) / 10.0))
             .collect();
-        tracing::info!(number = plan.number, lack = plan.lack, "queries are meant for {}", shares.join(", "));
+        tracing::info!(
+            number = plan.decision_number,
+            lack = plan.shed,
+            "queries are meant for {}",
+            shares.join(", ")
+        );
     }
 }
 
-fn row(seen: &ZoneObservation, merged: u32) -> Row {
+fn row(seen: &ZoneObservation, merged: u32) -> ReplicaCounts {
     let small = |n: u32| n.min(u32::from(u16::MAX)) as u16;
-    Row {
+    ReplicaCounts {
         listed: small(seen.listed),
         answering: small(seen.answering),
         silent: small(seen.silent),
         failing: small(seen.failing),
-        full: small(seen.full),
-        cold: small(seen.cold),
-        merged,
+        saturated: small(seen.full),
+        warming_up: small(seen.cold),
+        answered_parts: merged,
     }
 }
 
@@ -393,11 +410,11 @@
     }
 
     /// Of each request class, its share of the parts and its utility a part.
-    fn mix(&self, utilities: &[f64]) -> Vec<(f64, f64)> {
+    fn mix(&self, utilities: &[f64]) -> Vec<ClassLoad> {
         let all = self.asked.max(1e-9);
         let of = |(n, &(queries, parts)): (usize, &(f64, f64))| {
             let utility = utilities.get(n).copied().unwrap_or(1.0);
-            (parts / all, utility * queries / parts.max(1e-9))
+            ClassLoad { work_fraction: parts / all, priority_weight: utility * queries / parts.max(1e-9) }
         };
         self.by_class.iter().enumerate().map(of).collect()
     }
@@ -417,13 +434,15 @@
         Watch { names: names.to_vec(), bad_said: None }
     }
 
-    fn take(&mut self, now: Timestamp, event: Event, counters: &Counters) {
+    fn take(&mut self, now: Timestamp, event: NodeEvent, counters: &Counters) {
         match event {
-            Event::Decided(decision) => {
+            NodeEvent::Decided(decision) => {
                 counters.add("zones", "decisions");
                 let zone = &self.names[usize::from(decision.zone)];
-                let states: Vec<String> = (self.names.iter().zip(&decision.places))
-                    .map(|(name, p)| format!("{name} {} {:.1} %", p.state.name(), f64::from(p.kept) / 10.0))
+                let states: Vec<String> = (self.names.iter().zip(&decision.zones))
+                    .map(|(name, p)| {
+                        format!("{name} {} {:.1} %", p.state.name(), f64::from(p.retained) / 10.0)
+                    })
                     .collect();
                 tracing::info!(
                     number = decision.number,
@@ -434,58 +453,52 @@
                     states.join(", ")
                 );
             }
-            Event::Proposed { cause, zone, finding, speakers, voters } => {
+            NodeEvent::Proposed { cause, zone, finding, reporters, voters } => {
                 counters.add("zones", "proposed");
                 tracing::info!(
                     cause = cause.name(),
                     zone = self.names[usize::from(zone)],
-                    evidence = ?finding,
-                    speakers,
+                    evidence = %finding.name(),
+                    speakers = reporters,
                     voters,
                     "asks the voters"
                 );
             }
-            Event::Member(News::Up(peer)) => {
+            NodeEvent::Membership(MembershipEvent::Up(peer)) => {
                 counters.add("members", "up");
                 tracing::info!(member = %peer.address, zone = self.zone(&peer), "a copy is there");
             }
-            Event::Member(News::Down(peer, how)) => {
+            NodeEvent::Membership(MembershipEvent::Down(peer, how)) => {
                 let how = match how {
-                    Gone::Left => "left",
-                    Gone::Upgraded => "upgraded",
-                    Gone::Died => "died",
+                    Departure::Left => "left",
+                    Departure::Upgraded => "upgraded",
+                    Departure::Died => "died",
                 };
                 counters.add("members", how);
                 tracing::info!(member = %peer.address, zone = self.zone(&peer), "a copy {how}");
             }
-            Event::Member(News::Refuted(_)) => {
+            NodeEvent::Membership(MembershipEvent::Refuted(_)) => {
                 counters.add("members", "refuted");
                 tracing::warn!("held to be dead by others, and refuted");
             }
-            Event::Standing(standing) => {
+            NodeEvent::StatusChanged(standing) => {
                 counters.add("zones_standing", standing.name());
                 tracing::info!("zones: this copy is {}", standing.name());
             }
-            Event::Leads(leads) => {
+            NodeEvent::LeadershipChanged(leads) => {
                 counters.add("zones", if leads { "leads" } else { "leads_no_more" });
                 tracing::info!("{}", if leads { "leads the voters" } else { "leads the voters no more" });
             }
-            Event::Left(left) => {
-                let reason = match left {
-                    pipitcrank_membership::envelope::Left::TooLong => "too_long",
-                    pipitcrank_membership::envelope::Left::Cut => "cut",
-                    pipitcrank_membership::envelope::Left::OtherVersion => "other_version",
-                    pipitcrank_membership::envelope::Left::Forged => "forged",
-                    pipitcrank_membership::envelope::Left::Replayed => "replayed",
-                };
+            NodeEvent::DatagramRejected(rejection) => {
+                let reason = rejection.name();
                 counters.add("peers_left", reason);
                 self.say_bad(now, reason);
             }
-            Event::Unread => {
+            NodeEvent::Undecodable => {
                 counters.add("peers_left", "unread");
                 self.say_bad(now, "unread");
             }
-            Event::Order(order, answer) => tracing::info!(?order, ?answer, "an operator's order"),
+            NodeEvent::OrderAnswered(order, answer) => tracing::info!(?order, ?answer, "an operator's order"),
         }
     }
 
@@ -508,7 +521,7 @@
 
 /// Carries out `pipitcrank zones WHAT [ZONE]`; the exit code.
 pub fn command(
-    zones: Option<Zones>,
+    zones: Option<ZonesConfig>,
     what: &str,
     zone: Option<&str>,
     at: Option<SocketAddr>,
@@ -520,30 +533,34 @@
     }
     let place = || -> Result<u16> {
         let name = zone.context("it takes a zone's name")?;
-        let names: Vec<&str> = zones.zones.iter().map(|(name, _)| name.as_str()).collect();
+        let names: Vec<&str> = zones.zone_names();
         let found = names.iter().position(|n| *n == name);
         Ok(found.with_context(|| format!("'{name}' is none of {}", names.join(", ")))? as u16)
     };
     let order = match what {
-        "drain" => Some(Order::Drain(place()?)),
-        "return" => Some(Order::Return(place()?)),
-        "freeze" => Some(Order::Freeze),
-        "thaw" => Some(Order::Thaw),
+        "drain" => Some(OperatorOrder::Drain(place()?)),
+        "return" => Some(OperatorOrder::Return(place()?)),
+        "freeze" => Some(OperatorOrder::Freeze),
+        "thaw" => Some(OperatorOrder::Thaw),
         _ => None,
     };
     // An order is for whoever leads the voters; each of them says whether it does.
     let to: Vec<SocketAddr> = match (at, order) {
         (Some(at), _) => vec![at],
-        (None, None) => vec![zones.known_as],
-        (None, Some(_)) => zones.voters.iter().map(|v| v.0).collect(),
+        (None, None) => vec![zones.advertised],
+        (None, Some(_)) => zones.voters.iter().map(|v| v.address).collect(),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let answer = runtime.block_on(ask(&zones, &to, Asks::Order(order), wait))?;
     match answer {
-        Some(Answer::Shown(shown)) => show(&zones, &shown),
-        Some(Answer::Done(number)) => println!("decided, number {}.{}", number >> 32, number as u32),
-        Some(Answer::Refused(why)) => bail!("refused: {why}"),
-        Some(Answer::NotLeading(_) | Answer::Who(..)) => bail!("no voter leads: {} asked", to.len()),
+        Some(OperatorAnswer::Status(shown)) => show(&zones, &shown),
+        Some(OperatorAnswer::Decided(number)) => {
+            println!("decided, number {}.{}", number >> 32, number as u32)
+        }
+        Some(OperatorAnswer::Rejected(why)) => bail!("refused: {why}"),
+        Some(OperatorAnswer::NotLeader(_) | OperatorAnswer::Members { .. }) => {
+            bail!("no voter leads: {} asked", to.len())
+        }
         None => bail!(
             "no answer of {} within {wait:?}",
             to.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
@@ -553,24 +570,24 @@
 }
 
 /// Has each voter but those named begin anew without them; the exit code.
-fn begin_without(zones: &Zones, named: &str, wait: Duration) -> Result<i32> {
+fn begin_without(zones: &ZonesConfig, named: &str, wait: Duration) -> Result<i32> {
     let mut away = Vec::new();
     for address in named.split(',').filter(|a| !a.is_empty()) {
-        let seat = zones.voters.iter().position(|v| v.0.to_string() == address);
-        let voters: Vec<String> = zones.voters.iter().map(|v| v.0.to_string()).collect();
+        let seat = zones.voters.iter().position(|v| v.address.to_string() == address);
+        let voters: Vec<String> = zones.voters.iter().map(|v| v.address.to_string()).collect();
         away.push(
             seat.with_context(|| format!("'{address}' is none of /zones/voters: {}", voters.join(", ")))?
                 as u8,
         );
     }
     let there: Vec<SocketAddr> =
-        (0..).zip(&zones.voters).filter(|(seat, _)| !away.contains(seat)).map(|(_, v)| v.0).collect();
+        (0..).zip(&zones.voters).filter(|(seat, _)| !away.contains(seat)).map(|(_, v)| v.address).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut faults = Vec::new();
     for &voter in &there {
         match runtime.block_on(ask(zones, &[voter], Asks::StayAway(away.clone()), wait))? {
-            Some(Answer::Done(_)) => println!("{voter} goes on without {} voters", away.len()),
-            Some(Answer::Refused(why)) => faults.push(format!("{voter} refused: {why}")),
+            Some(OperatorAnswer::Decided(_)) => println!("{voter} goes on without {} voters", away.len()),
+            Some(OperatorAnswer::Rejected(why)) => faults.push(format!("{voter} refused: {why}")),
             _ => faults.push(format!("{voter} did not answer")),
         }
     }
@@ -579,26 +596,33 @@
 }
 
 /// Prints in which waves the copies can be restarted, each with at most `share` of them and of each zone's; the exit code.
-pub fn restart_plan(zones: Option<Zones>, share: f64, at: Option<SocketAddr>, wait: Duration) -> Result<i32> {
+pub fn restart_plan(
+    zones: Option<ZonesConfig>,
+    share: f64,
+    at: Option<SocketAddr>,
+    wait: Duration,
+) -> Result<i32> {
     let zones = zones.context("/zones is off in that operators' file")?;
     anyhow::ensure!((0.0..=1.0).contains(&share), "--share is {share}, not from 0 to 1");
-    let to = [at.unwrap_or(zones.known_as)];
+    let to = [at.unwrap_or(zones.advertised)];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let silent = || format!("no answer of {} within {wait:?}", to[0]);
-    let Some(Answer::Shown(shown)) = runtime.block_on(ask(&zones, &to, Asks::Order(None), wait))? else {
+    let Some(OperatorAnswer::Status(shown)) = runtime.block_on(ask(&zones, &to, Asks::Order(None), wait))?
+    else {
         bail!(silent())
     };
     let decision = shown.decision.with_context(|| format!("{} knows of no decision", to[0]))?;
     let mut copies = Vec::new();
     let mut after = None;
     loop {
-        let Some(Answer::Who(some, more)) = runtime.block_on(ask(&zones, &to, Asks::Who(after), wait))?
+        let Some(OperatorAnswer::Members { members: some, more }) =
+            runtime.block_on(ask(&zones, &to, Asks::Who(after), wait))?
         else {
             bail!(silent())
         };
         after = some.last().map(|p| p.address);
         copies.extend(some.into_iter().map(|p| Copy {
-            votes: zones.voters.iter().any(|v| v.0 == p.address),
+            votes: zones.voter_slot(p.address).is_some(),
             address: p.address,
             zone: p.zone,
         }));
@@ -606,13 +630,13 @@
             break;
         }
     }
-    let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.0));
+    let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.address));
     let home: Vec<bool> =
-        decision.places.iter().map(|p| p.state == State::Serving && p.kept == WHOLE).collect();
-    let waves = turns::plan(&copies, zones.voters.len(), leader, &home, share)?;
+        decision.zones.iter().map(|p| p.state == ZoneState::Serving && p.retained == FULL_PERMILLE).collect();
+    let waves = restart_waves::plan(&copies, zones.voters.len(), leader, &home, share)?;
     for (n, wave) in waves.iter().enumerate() {
         let named = |c: &Copy| {
-            let zone = zones.zones.get(usize::from(c.zone)).map_or("?", |z| z.0.as_str());
+            let zone = zones.zones.get(usize::from(c.zone)).map_or("?", |z| z.name.as_str());
             format!("{} ({zone}{})", c.address, if c.votes { ", voter" } else { "" })
         };
         println!("{}: {}", n + 1, wave.iter().map(named).collect::<Vec<_>>().join(", "));
@@ -621,22 +645,27 @@
 }
 
 enum Asks {
-    Order(Option<Order>),
+    Order(Option<OperatorOrder>),
     Who(Option<SocketAddr>),
     StayAway(Vec<u8>),
 }
 
-async fn ask(zones: &Zones, to: &[SocketAddr], asks: Asks, wait: Duration) -> Result<Option<Answer>> {
+async fn ask(
+    zones: &ZonesConfig,
+    to: &[SocketAddr],
+    asks: Asks,
+    wait: Duration,
+) -> Result<Option<OperatorAnswer>> {
     let socket = UdpSocket::bind((zones.listen.ip(), 0)).await.context("an address to ask from")?;
-    let mut command = Command::new(key(&zones.secret), socket.local_addr()?, since_1970_us());
+    let mut command = OperatorClient::new(derive_key(&zones.secret), socket.local_addr()?, since_1970_us());
     let (until, mut last) = (Instant::now() + wait, None);
-    let mut bytes = vec![0; LONGEST + 1];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
     while Instant::now() < until {
         for &at in to {
             let asked = match &asks {
-                Asks::Order(order) => command.ask(at, *order),
-                Asks::Who(after) => command.who(at, *after),
-                Asks::StayAway(seats) => command.stay_away(at, seats.clone()),
+                Asks::Order(order) => command.request(at, *order),
+                Asks::Who(after) => command.request_members(at, *after),
+                Asks::StayAway(seats) => command.request_exclusion(at, seats.clone()),
             };
             if let Some(asked) = asked {
                 let _ = socket.send_to(&asked, at).await;
@@ -646,9 +675,11 @@
         while let Ok(came) = tokio::time::timeout_at(again.into(), socket.recv_from(&mut bytes)).await {
             // An error tells of one who is not there; the others may be.
             let Ok((length, _)) = came else { continue };
-            match command.answer(&bytes[..length]) {
-                Some((_, Answer::NotLeading(leader))) => last = Some(Answer::NotLeading(leader)),
-                Some((_, answer)) => return Ok(Some(answer)),
+            match command.open_answer(&bytes[..length]) {
+                Some(ReceivedAnswer { answer: OperatorAnswer::NotLeader(leader), .. }) => {
+                    last = Some(OperatorAnswer::NotLeader(leader))
+                }
+                Some(ReceivedAnswer { answer, .. }) => return Ok(Some(answer)),
                 None => {}
             }
         }
@@ -656,11 +687,11 @@
     Ok(last)
 }
 
-fn show(zones: &Zones, shown: &Shown) {
+fn show(zones: &ZonesConfig, shown: &StatusReport) {
     let share = |n: u16| format!("{:.1} %", f64::from(n) / 10.0);
-    println!("this copy is {}; {} copies are there", shown.standing, shown.members);
+    println!("this copy is {}; {} copies are there", shown.status, shown.members);
     if let Some(leader) = shown.leader {
-        let at = zones.voters.get(usize::from(leader)).map_or("?".to_string(), |v| v.0.to_string());
+        let at = zones.voters.get(usize::from(leader)).map_or("?".to_string(), |v| v.address.to_string());
         println!("{} of {} voters are heard, {at} leads", shown.voters_heard, zones.voters.len());
     }
     let Some(decision) = &shown.decision else {
@@ -674,26 +705,27 @@
         "{:<16} {:<10} {:>8} {:>8} {:>10} {:>10}  evidence",
         "zone", "state", "kept", "share", "carries/s", "asked/s"
     );
-    for (n, (name, _)) in zones.zones.iter().enumerate() {
-        let Some(place) = decision.places.get(n) else { continue };
-        let meant = shown.shares.iter().find(|s| usize::from(s.0) == n).map_or(0, |s| s.1);
-        let carries = if place.carries == UNKNOWN { "?".to_string() } else { place.carries.to_string() };
-        let evidence =
-            shown.evidence.get(n).map_or("this copy is no voter".to_string(), |(found, speak, well)| {
-                format!("{found}: {speak} copies speak, {well} leaves well")
-            });
+    for (n, zone) in zones.zones.iter().enumerate() {
+        let Some(place) = decision.zones.get(n) else { continue };
+        let meant = shown.fractions.iter().find(|f| usize::from(f.zone) == n).map_or(0, |f| f.permille);
+        let carries =
+            if place.capacity == UNKNOWN_CAPACITY { "?".to_string() } else { place.capacity.to_string() };
+        let evidence = shown.evidence.get(n).map_or("this copy is no voter".to_string(), |e| {
+            format!("{}: {} copies speak, {} leaves well", e.finding, e.reporters, e.healthy_replicas)
+        });
         let cut: Vec<&str> = (0..zones.zones.len())
-            .filter(|to| place.cut & (1 << to) != 0)
-            .map(|to| zones.zones[to].0.as_str())
+            .filter(|to| place.cut_paths & (1 << to) != 0)
+            .map(|to| zones.zones[to].name.as_str())
             .collect();
         let cut = if cut.is_empty() { String::new() } else { format!("; way cut to {}", cut.join(", ")) };
         let drained = if place.drained { "; drained" } else { "" };
         println!(
-            "{name:<16} {:<10} {:>8} {:>8} {carries:>10} {:>10}  {evidence}{drained}{cut}",
+            "{:<16} {:<10} {:>8} {:>8} {carries:>10} {:>10}  {evidence}{drained}{cut}",
+            zone.name,
             place.state.name(),
-            share(place.kept),
+            share(place.retained),
             share(meant),
-            place.asked
+            place.demand
         );
     }
 }
--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_handover::division;
+use pipitcrank_handover::resource_split::{self, DelegatedRetries};
 use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
 
 use super::endpoint::Endpoint;
@@ -21,25 +21,21 @@
         longest: TimeSpan,
     ) -> Snapshot {
         self.apply_pending_endpoint_changes();
-        let mut known = self.coordinator.learned_state(now);
-        let (free, share, span) = self.coordinator.retry_budget_terms();
-        let kept = division::divide(free, share, span, longest, &mut known);
-        self.coordinator.limit_to_delegated_retries(kept.further, now + kept.within);
-        Snapshot {
-            taken_us,
-            rev: revision,
-            replicas: self.replica_records(now),
-            known,
-            lent: (kept.further, kept.within),
-        }
+        let mut learned = self.coordinator.learned_state(now);
+        let (free, ratio, span) = self.coordinator.retry_budget_terms();
+        let delegated_retries = resource_split::split_retry_budget(free, ratio, span, longest, &mut learned);
+        let until = now + delegated_retries.valid_for;
+        self.coordinator.limit_to_delegated_retries(delegated_retries.count, until);
+        let replicas = self.replica_records(now);
+        Snapshot { taken_us, revision, replicas, learned, delegated_retries }
     }
 
     /// Takes the state that a later process restores if this one ends without a handover. Nothing is given away.
     pub fn snapshot(&mut self, now: Timestamp, taken_us: i64, revision: Option<u64>) -> Snapshot {
         self.apply_pending_endpoint_changes();
-        let known = self.coordinator.learned_state(now);
-        let replicas = self.replica_records(now);
-        Snapshot { taken_us, rev: revision, replicas, known, lent: (0, TimeSpan::ZERO) }
+        let learned = self.coordinator.learned_state(now);
+        let (replicas, delegated_retries) = (self.replica_records(now), DelegatedRetries::default());
+        Snapshot { taken_us, revision, replicas, learned, delegated_retries }
     }
 
     fn replica_records(&self, now: Timestamp) -> Vec<ReplicaRecord> {
@@ -50,16 +46,16 @@
             cell: entry.cell,
             zone: entry.zone.clone(),
             started: entry.started.map(|at| now - at),
-            off: entry.down_since.map(|at| now - at),
+            draining_for: entry.down_since.map(|at| now - at),
         });
         records.collect()
     }
 
     /// Continues with the state that the predecessor took `age` ago.
     pub fn resume_from_predecessor(&mut self, now: Timestamp, age: TimeSpan, snapshot: Snapshot) {
-        let (further, within) = snapshot.lent;
+        let DelegatedRetries { count, valid_for } = snapshot.delegated_retries;
         self.apply_snapshot(now, age, true, snapshot);
-        self.coordinator.delegate_to_predecessor(further, now - age + within);
+        self.coordinator.delegate_to_predecessor(count, now - age + valid_for);
     }
 
     /// Continues with the state that a process, now dead, took `age` ago. `use_list`: its endpoint list is later than the one
@@ -75,14 +71,14 @@
         let mut indices = BTreeMap::new();
         let mut endpoints = Vec::new();
         let mut down = Vec::new();
-        for ReplicaRecord { index, uid, address, cell, zone, started, off } in snapshot.replicas {
+        for ReplicaRecord { index, uid, address, cell, zone, started, draining_for } in snapshot.replicas {
             // A replica that is not listed any more gets no index: nobody would release it.
             let uids = &mut self.table.replica_uids;
             let own = if use_list { Some(uids.intern(&uid)) } else { uids.find(&uid) };
             let Some(own) = own else { continue };
             indices.insert(index, own);
-            down.extend(off.map(|span| (own, moment(span))));
-            let (up, started) = (off.is_none(), started.map(moment));
+            down.extend(draining_for.map(|span| (own, moment(span))));
+            let (up, started) = (draining_for.is_none(), started.map(moment));
             endpoints.push(Endpoint { uid, address, cell, zone, up, started });
         }
         if use_list {
@@ -93,11 +89,11 @@
                 }
             }
         }
-        let mut known = snapshot.known;
-        let replicas = std::mem::take(&mut known.replicas);
-        known.replicas =
+        let mut learned = snapshot.learned;
+        let replicas = std::mem::take(&mut learned.replicas);
+        learned.replicas =
             replicas.into_iter().filter_map(|(index, state)| Some((*indices.get(&index)?, state))).collect();
-        self.coordinator.restore_learned_state(now, age, known);
+        self.coordinator.restore_learned_state(now, age, learned);
     }
 
     /// The predecessor has ended, having used so many of the retries that it kept.
