--- a/crates/pipitcrank-gateway/src/forward_service.rs
+++ b/crates/pipitcrank-gateway/src/forward_service.rs
@@ -51,11 +51,11 @@
             classes: context.classes.clone(),
             shards: context.shards,
             tickets: context.tickets.clone(),
-            received: RefCell::new(ReceivedForwards::new(own_site, context.longest)),
+            received: RefCell::new(ReceivedForwards::new(own_site, context.max_deadline)),
             running: RefCell::default(),
             connections: RefCell::default(),
             last_generation: Cell::default(),
-            draining: context.leaving.clone(),
+            draining: context.draining.clone(),
         }
     }
 
@@ -149,7 +149,7 @@
                 forward.query_id, stream.site, stream.incarnation, stream.stream, forward.number
             ),
             class,
-            ends: self.event_loop.clock.now() + forward.time_left,
+            deadline: self.event_loop.clock.now() + forward.time_left,
             parts: query_parts(&forward.parts),
             idempotency_key,
             text: forward.text.into(),
@@ -162,8 +162,11 @@
         let on_answer = Box::new(move |shard: u32, value: &str| service.part_answered(id, shard, value));
         let service = self.clone();
         let on_end = Box::new(move |response: QueryResponse| service.query_ended(id, response, part_count));
-        let delegated =
-            DelegatedRequest { further: forward.delegated_retries, made: retries_made, as_in: on_answer };
+        let delegated = DelegatedRequest {
+            retries: forward.delegated_retries,
+            retries_used: retries_made,
+            on_part: on_answer,
+        };
         self.event_loop.update(|exchange| exchange.submit_forwarded(ticket, request, delegated, on_end));
     }
 
@@ -244,7 +247,7 @@
         QueryResponse::Answered { hits, .. } if hits.len() == part_count => ForwardOutcome::Complete,
         // Of a partial answer the parts that are missing may have run.
         QueryResponse::Answered { .. } | QueryResponse::Aborted => ForwardOutcome::Aborted,
-        QueryResponse::Rejected { stay_away } => ForwardOutcome::Rejected { retry_after: *stay_away },
+        QueryResponse::Rejected { retry_after } => ForwardOutcome::Rejected { retry_after: *retry_after },
         QueryResponse::DuplicateId => ForwardOutcome::NotServed,
     }
 }
--- a/crates/pipitcrank-gateway/src/link_server.rs
+++ b/crates/pipitcrank-gateway/src/link_server.rs
@@ -30,9 +30,9 @@
             incarnation,
             peers,
             service: Rc::new(ForwardService::new(context, own_site)),
-            draining: context.leaving.clone(),
+            draining: context.draining.clone(),
         };
-        LinkServer { sessions: Rc::new(sessions), draining: context.leaving.clone() }
+        LinkServer { sessions: Rc::new(sessions), draining: context.draining.clone() }
     }
 
     /// Accepts links, except while draining: then the address is free for the process that takes over, and links end as
