--- a/crates/pipitcrank-handover/src/resource_split.rs
+++ b/crates/pipitcrank-handover/src/resource_split.rs
@@ -1,6 +1,6 @@
 //! What predecessor and successor may use while both live: together no more than one process could.
 //!
-//! **Retries.** Within any window, attempts beyond a part's first stay within `free + ratio * queries`. The predecessor
+//! **Retries.** Within any window, attempts beyond a part's first stay within `free + fraction * queries`. The predecessor
 //! keeps its open queries and accepts no new ones; it gets a fixed number of retries, to be used within a time. The
 //! successor takes over the window with these counted as used. Only queries that still count when that time is over are
 //! passed on, so that the successor's own limit never falls while the predecessor may still retry.
@@ -10,6 +10,7 @@
 //!
 //! **Connections and open queries.** The predecessor keeps what it has, and reports to the successor as that shrinks.
 
+use pipitcrank_core::coordinator::RetryBudgetConfig;
 use pipitcrank_core::coordinator::learned_state::LearnedState;
 use pipitcrank_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
@@ -37,15 +38,14 @@
     pub successor: usize,
 }
 
-/// Divides a retry budget of `free + ratio * queries` within `window`. Returns what the predecessor keeps, while `learned`
-/// becomes what the successor goes on with. `drain_limit` is how long the predecessor may need for its open queries.
+/// Divides a retry budget. Returns what the predecessor keeps, while `learned` becomes what the successor goes on with.
+/// `drain_limit` is how long the predecessor may need for its open queries.
 pub fn split_retry_budget(
-    free: f64,
-    ratio: f64,
-    window: TimeSpan,
+    budget: RetryBudgetConfig,
     drain_limit: TimeSpan,
     learned: &mut LearnedState,
 ) -> DelegatedRetries {
+    let RetryBudgetConfig { fraction, free, window } = budget;
     // Without a budget neither process counts.
     if window <= TimeSpan::ZERO {
         return DelegatedRetries { count: 0, valid_for: drain_limit };
@@ -59,7 +59,7 @@
     learned.retries.iter_mut().for_each(|age| *age = (*age - CLOCK_TOLERANCE).max(TimeSpan::ZERO));
     let delegated: u32 = learned.delegated_retries.iter().map(|(count, _)| count).sum();
     let left =
-        free + ratio * learned.admitted.len() as f64 - learned.retries.len() as f64 - f64::from(delegated);
+        free + fraction * learned.admitted.len() as f64 - learned.retries.len() as f64 - f64::from(delegated);
     let count = (left * PREDECESSOR_FRACTION).floor().max(0.0) as u32;
     DelegatedRetries { count, valid_for }
 }
--- a/crates/pipitcrank-handover/src/resource_split/tests.rs
+++ b/crates/pipitcrank-handover/src/resource_split/tests.rs
@@ -1,4 +1,4 @@
-use pipitcrank_core::coordinator::RetryBudget;
+use pipitcrank_core::coordinator::{RetryBudget, RetryBudgetConfig};
 use pipitcrank_core::time::Timestamp;
 use proptest::prelude::*;
 
@@ -23,18 +23,22 @@
     ]
 }
 
+fn budget(free: f64, fraction: f64, window: TimeSpan) -> RetryBudgetConfig {
+    RetryBudgetConfig { fraction, free, window }
+}
+
 /// The retry budget's definition for one coordinator: all queries and all retries of either process.
 fn within_budget(
     free: f64,
-    ratio: f64,
-    span: TimeSpan,
+    fraction: f64,
+    window: TimeSpan,
     now: Timestamp,
-    taken: &[Timestamp],
-    made: &[Timestamp],
+    queries: &[Timestamp],
+    retries: &[Timestamp],
 ) -> bool {
-    let taken = taken.iter().filter(|&&t| now - t < span).count() as f64;
-    let made = made.iter().filter(|&&t| now - t <= span).count() as f64;
-    made <= free + ratio * taken + 1e-9
+    let queries = queries.iter().filter(|&&t| now - t < window).count() as f64;
+    let retries = retries.iter().filter(|&&t| now - t <= window).count() as f64;
+    retries <= free + fraction * queries + 1e-9
 }
 
 proptest! {
@@ -46,32 +50,32 @@
     fn two_processes_never_retry_more_than_one_could(
         before in proptest::collection::vec(step(), 0..120),
         after in proptest::collection::vec(step(), 0..200),
-        free in 0u32..5, ratio in 0.0f64..0.6, span_ms in 500i64..8000, drain_ms in 100i64..12_000,
+        free in 0u32..5, fraction in 0.0f64..0.6, window_ms in 500i64..8000, drain_ms in 100i64..12_000,
         skew_us in -5000i64..5000, predecessor_exits_at in 0usize..200,
     ) {
-        let (free, span) = (f64::from(free), TimeSpan::from_millis(span_ms));
-        let mut single = RetryBudget::new(ratio, free, Some(span));
-        let (mut now, mut taken, mut made) = (Timestamp::default(), Vec::new(), Vec::new());
+        let (free, window) = (f64::from(free), TimeSpan::from_millis(window_ms));
+        let mut single = RetryBudget::new(fraction, free, Some(window));
+        let (mut now, mut queries, mut retries) = (Timestamp::default(), Vec::new(), Vec::new());
         for step in before {
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Query => { single.record_admission(now); taken.push(now); }
-                Step::PredecessorRetries | Step::SuccessorRetries if single.remaining(now) >= 1.0 => { single.spend(now); made.push(now); }
+                Step::Query => { single.record_admission(now); queries.push(now); }
+                Step::PredecessorRetries | Step::SuccessorRetries if single.remaining(now) >= 1.0 => { single.spend(now); retries.push(now); }
                 _ => {}
             }
         }
         single.remaining(now);
         let mut learned = LearnedState::default();
-        learned.admitted = taken.iter().map(|&t| now - t).filter(|&s| s < span).collect();
-        learned.retries = made.iter().map(|&t| now - t).filter(|&s| s <= span).collect();
-        let delegated = split_retry_budget(free, ratio, span, TimeSpan::from_millis(drain_ms), &mut learned);
+        learned.admitted = queries.iter().map(|&t| now - t).filter(|&s| s < window).collect();
+        learned.retries = retries.iter().map(|&t| now - t).filter(|&s| s <= window).collect();
+        let delegated = split_retry_budget(budget(free, fraction, window), TimeSpan::from_millis(drain_ms), &mut learned);
         let (mut retries_left, until) = (delegated.count, now + delegated.valid_for);
         // The successor's clock differs a little.
         let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
-        let mut successor = RetryBudget::new(ratio, free, Some(span));
-        for (&age, further) in learned.admitted.iter().map(|a| (a, false)).chain(learned.retries.iter().map(|a| (a, true))) {
+        let mut successor = RetryBudget::new(fraction, free, Some(window));
+        for (&age, is_retry) in learned.admitted.iter().map(|a| (a, false)).chain(learned.retries.iter().map(|a| (a, true))) {
             let at = now - age + skew;
-            if further { successor.spend(at) } else { successor.record_admission(at) }
+            if is_retry { successor.spend(at) } else { successor.record_admission(at) }
         }
         successor.delegate(1, delegated.count, until + skew);
         let mut settled = false;
@@ -82,16 +86,16 @@
             }
             match step {
                 Step::Wait(ms) => now = now + TimeSpan::from_millis(ms),
-                Step::Query => { successor.record_admission(now + skew); taken.push(now); }
+                Step::Query => { successor.record_admission(now + skew); queries.push(now); }
                 Step::PredecessorRetries if !settled && retries_left > 0 && now < until => {
                     retries_left -= 1;
-                    made.push(now);
-                    prop_assert!(within_budget(free, ratio, span, now, &taken, &made), "the predecessor's retry");
+                    retries.push(now);
+                    prop_assert!(within_budget(free, fraction, window, now, &queries, &retries), "the predecessor's retry");
                 }
                 Step::SuccessorRetries if successor.remaining(now + skew) >= 1.0 => {
                     successor.spend(now + skew);
-                    made.push(now);
-                    prop_assert!(within_budget(free, ratio, span, now, &taken, &made), "the successor's retry");
+                    retries.push(now);
+                    prop_assert!(within_budget(free, fraction, window, now, &queries, &retries), "the successor's retry");
                 }
                 _ => {}
             }
@@ -108,21 +112,32 @@
 #[test]
 fn without_a_budget_or_capacity_no_retries_are_delegated() {
     let mut learned = LearnedState::default();
-    assert_eq!(split_retry_budget(0.0, 0.0, TimeSpan::ZERO, TimeSpan::from_millis(5), &mut learned).count, 0);
+    assert_eq!(
+        split_retry_budget(budget(0.0, 0.0, TimeSpan::ZERO), TimeSpan::from_millis(5), &mut learned).count,
+        0
+    );
     learned.retries = vec![TimeSpan::ZERO; 3];
     learned.retries.clear();
     learned.delegated_retries = vec![(3, TimeSpan::from_millis(5))];
     assert_eq!(
-        split_retry_budget(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut learned)
-            .count,
+        split_retry_budget(
+            budget(3.0, 0.1, TimeSpan::from_millis(900)),
+            TimeSpan::from_millis(5),
+            &mut learned
+        )
+        .count,
         0,
         "all is delegated already"
     );
     learned.delegated_retries.clear();
     learned.retries = vec![TimeSpan::ZERO; 3];
     assert_eq!(
-        split_retry_budget(3.0, 0.1, TimeSpan::from_millis(900), TimeSpan::from_millis(5), &mut learned)
-            .count,
+        split_retry_budget(
+            budget(3.0, 0.1, TimeSpan::from_millis(900)),
+            TimeSpan::from_millis(5),
+            &mut learned
+        )
+        .count,
         0
     );
 }
--- a/crates/pipitcrank-server/src/exchange/mod.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
-use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery, RetryBudgetConfig};
+use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
 use pipitcrank_core::ids::{self, AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::resource_split::{self, DelegatedRetries};
@@ -689,9 +689,8 @@
     ) -> Snapshot {
         self.take_lists();
         let mut known = self.coordinator.learned_state(now);
-        let RetryBudgetConfig { free, fraction, window } = self.coordinator.retry_budget_config();
-        let delegated_retries =
-            resource_split::split_retry_budget(free, fraction, window, longest, &mut known);
+        let budget = self.coordinator.retry_budget_config();
+        let delegated_retries = resource_split::split_retry_budget(budget, longest, &mut known);
         let until = now + delegated_retries.valid_for;
         self.coordinator.limit_to_delegated_retries(delegated_retries.count, until);
         Snapshot {
