--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -68,7 +68,7 @@
     }
 
     fn broken(&self) -> Vec<String> {
-        self.counters.all().into_iter().filter(|(what, ..)| what == "violations").map(|(_, w, _)| w).collect()
+        self.counters.all().into_iter().filter(|c| c.group == "violations").map(|c| c.name).collect()
     }
 }
 
--- a/crates/pipitcrank-server/src/clients/accept_queue.rs
+++ b/crates/pipitcrank-server/src/clients/accept_queue.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::runtime::counters::Counters;
-use crate::runtime::system_errors::{PAUSE, Policy, of_accept};
+use crate::runtime::system_errors::{ErrorPolicy, RETRY_PAUSE, accept_policy};
 
 /// Accepts that failed in a row after which others get a turn.
 const IN_A_ROW: u32 = 256;
@@ -44,9 +44,11 @@
             match accepted.await {
                 Ok((stream, _)) => return Ok(Accepted { stream, waited: self.empty_at.get().elapsed() }),
                 Err(e) => match self.failures.policy(&e) {
-                    Policy::GiveUp => return Err(e),
-                    Policy::RetryAtOnce => tokio::task::yield_now().await,
-                    Policy::RetryAfterPause | Policy::RetryFew => tokio::time::sleep(PAUSE).await,
+                    ErrorPolicy::GiveUp => return Err(e),
+                    ErrorPolicy::RetryAtOnce => tokio::task::yield_now().await,
+                    ErrorPolicy::RetryAfterPause | ErrorPolicy::RetryFew => {
+                        tokio::time::sleep(RETRY_PAUSE).await
+                    }
                 },
             }
         }
@@ -96,7 +98,7 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Next::Empty,
                 Err(e) => e,
             };
-            if self.failures.policy(&error) == Policy::GiveUp {
+            if self.failures.policy(&error) == ErrorPolicy::GiveUp {
                 return Next::Broken;
             }
         }
@@ -119,12 +121,12 @@
     }
 
     /// What the error asks for.
-    fn policy(&self, error: &io::Error) -> Policy {
-        let policy = of_accept(error);
+    fn policy(&self, error: &io::Error) -> ErrorPolicy {
+        let policy = accept_policy(error);
         let word = match policy {
-            Policy::RetryAtOnce => "retried_at_once",
-            Policy::RetryAfterPause | Policy::RetryFew => "retried_after_pause",
-            Policy::GiveUp => "given_up",
+            ErrorPolicy::RetryAtOnce => "retried_at_once",
+            ErrorPolicy::RetryAfterPause | ErrorPolicy::RetryFew => "retried_after_pause",
+            ErrorPolicy::GiveUp => "given_up",
         };
         self.counters.add("accept_errors", word);
         if self.logged.get().is_none_or(|at| at.elapsed() >= LOG_AGAIN) {
--- a/crates/pipitcrank-server/src/clients/acceptor.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor.rs
@@ -18,8 +18,8 @@
 use crate::clients::http::EndCalled;
 use crate::exchange::REQUESTS;
 use crate::runtime::clock::duration;
+use crate::runtime::connection_limits::{ConnectionLimiter, ConnectionPermit};
 use crate::runtime::counters::Counters;
-use crate::runtime::event_loop::{ConnectionLimiter, ConnectionPermit};
 use crate::runtime::shutdown::ShutdownSchedule;
 
 /// How often connections are looked over: a tenth of the second that is to spare where one has to end by a time.
--- a/crates/pipitcrank-server/src/clients/http.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -223,7 +223,7 @@
     body: Body,
 ) -> Result<QueryRequest, Wrong> {
     let received = door.clock.now();
-    door.awake.look(received);
+    door.awake.tick(received);
     let in_queue =
         arrival.as_ref().map_or(TimeSpan::ZERO, |a| TimeSpan::from_secs_f64(a.unread.as_secs_f64()));
     let unread =
--- a/crates/pipitcrank-server/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -10,7 +10,7 @@
 use crate::node_config::NodeConfig;
 use crate::runtime::clock::Clock;
 use crate::runtime::counters::Counters;
-use crate::runtime::system_errors::waited_for;
+use crate::runtime::system_errors::retry_open_for;
 
 /// A file that can't be opened or read for a while is waited for so long: folders may fail for 30 s.
 const READ_LIMIT: Duration = Duration::from_secs(40);
@@ -26,7 +26,7 @@
 ) {
     while hangups.recv().await.is_some() {
         // A further signal meanwhile means the same file.
-        let text = waited_for(READ_LIMIT, async || std::fs::read_to_string(&path)).await;
+        let text = retry_open_for(READ_LIMIT, async || std::fs::read_to_string(&path)).await;
         match text.map_err(unreadable).and_then(|text| read(&text, &clock)) {
             Ok(address) => {
                 counters.add("reloads", "taken");
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -10,8 +10,8 @@
 use crate::exchange::{Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport};
 use crate::replicas::pool::AssignedAttempt;
 use crate::runtime::clock::Clock;
+use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::counters::Counters;
-use crate::runtime::event_loop::ConnectionLimiter;
 
 const TOLD: &str = r#"{"allowed":{"cancel":true,"probing":false,"may_duplicate":true,"retry_after":false,
   "try_limit":1},"classes":[{"aim_s":50.0,"hard_limit_s":60.0,"idempotency":"safe","name":"view"}],
--- a/crates/pipitcrank-server/src/runtime/counters.rs
+++ b/crates/pipitcrank-server/src/runtime/counters.rs
@@ -1,61 +1,76 @@
-//! Counts of what is taken in, sent and answered; shown on request and at exit.
+//! Counters of what is admitted, sent and answered; shown by `/counters` and at exit.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-type Word = Cow<'static, str>;
+use pipitcrank_handover::messages::CounterValue;
 
-/// By what is counted and which kind of it: both are words of the code, of this process's or of one before it, so
-/// there are only so many.
+/// Entries taken from another process at most: far more than there are counters.
+const MAX_MERGED: usize = 1000;
+/// Group that the supervisor counts: it is set, never summed.
+const UPGRADES: &str = "upgrades";
+
+/// Group and name. Both are constants of this process or of one before it, so there are only so many.
+type Key = (Cow<'static, str>, Cow<'static, str>);
+
+/// Counters by group and name; clones are the same counters.
 #[derive(Clone, Default)]
-pub struct Counters(Arc<Mutex<BTreeMap<(Word, Word), u64>>>);
+pub struct Counters(Arc<Mutex<BTreeMap<Key, u64>>>);
 
 impl Counters {
-    pub fn add(&self, what: &'static str, which: &'static str) {
-        self.add_many(what.into(), which.into(), 1);
+    /// Adds 1.
+    pub fn add(&self, group: &'static str, name: &'static str) {
+        self.add_many(group.into(), name.into(), 1);
     }
 
-    fn add_many(&self, what: Word, which: Word, more: u64) {
-        *self.0.lock().unwrap_or_else(PoisonError::into_inner).entry((what, which)).or_default() += more;
+    fn add_many(&self, group: Cow<'static, str>, name: Cow<'static, str>, count: u64) {
+        *self.entries().entry((group, name)).or_default() += count;
     }
 
-    pub fn set(&self, what: &'static str, which: &'static str, to: u64) {
-        if to > 0 {
-            let key = (what.into(), which.into());
-            self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(key, to);
+    /// Sets a counter; 0 leaves it as it is.
+    pub fn set(&self, group: &'static str, name: &'static str, value: u64) {
+        if value > 0 {
+            self.entries().insert((group.into(), name.into()), value);
         }
     }
 
-    /// All of them, for a process that goes on counting.
-    pub fn all(&self) -> Vec<(String, String, u64)> {
-        let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        all.iter().map(|((what, which), n)| (what.to_string(), which.to_string(), *n)).collect()
+    /// All counters, for a process that continues them.
+    pub fn all(&self) -> Vec<CounterValue> {
+        let entries = self.entries();
+        let values = entries.iter().map(|((group, name), value)| CounterValue {
+            group: group.to_string(),
+            name: name.to_string(),
+            value: *value,
+        });
+        values.collect()
     }
 
-    /// Adds what a process before this one had counted; most lines taken are far more than there are words.
-    pub fn add_all(&self, counted: Vec<(String, String, u64)>) {
-        for (what, which, n) in counted.into_iter().take(1000).filter(|(what, ..)| what != "upgrades") {
-            self.add_many(what.into(), which.into(), n);
+    /// Adds the counters of a process before this one.
+    pub fn add_all(&self, values: Vec<CounterValue>) {
+        for CounterValue { group, name, value } in
+            values.into_iter().take(MAX_MERGED).filter(|counter| counter.group != UPGRADES)
+        {
+            self.add_many(group.into(), name.into(), value);
         }
     }
 
-    pub fn get(&self, what: &'static str, which: &'static str) -> u64 {
-        self.0
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .get(&(what.into(), which.into()))
-            .copied()
-            .unwrap_or(0)
+    /// The value of one counter.
+    pub fn get(&self, group: &'static str, name: &'static str) -> u64 {
+        self.entries().get(&(group.into(), name.into())).copied().unwrap_or(0)
     }
 
-    /// One line each: `what which count`.
+    /// One line each: `GROUP NAME VALUE`.
     pub fn show(&self) -> String {
         let mut out = String::new();
-        for ((what, which), n) in self.0.lock().unwrap_or_else(PoisonError::into_inner).iter() {
-            let _ = writeln!(out, "{what} {which} {n}");
+        for ((group, name), value) in self.entries().iter() {
+            let _ = writeln!(out, "{group} {name} {value}");
         }
         out
     }
+
+    fn entries(&self) -> MutexGuard<'_, BTreeMap<Key, u64>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 }
--- a/crates/pipitcrank-server/src/runtime/mod.rs
+++ b/crates/pipitcrank-server/src/runtime/mod.rs
@@ -1,6 +1,7 @@
-//! What every part stands on: clock, event loop, TCP streams, counters, system errors, shutdown times.
+//! What every part stands on: clock, event loop, connection limits, TCP streams, counters, system errors, shutdown times.
 
 pub mod clock;
+pub mod connection_limits;
 pub mod counters;
 pub mod dial;
 pub mod event_loop;
--- a/crates/pipitcrank-server/src/runtime/stream.rs
+++ b/crates/pipitcrank-server/src/runtime/stream.rs
@@ -1,11 +1,11 @@
-//! The one stream type of all TCP connections: clients', replicas', discovery's. It reads and writes until the system says
-//! that it would block, and takes an interrupted call up again.
+//! The one stream type of all TCP connections: to clients, replicas and the discovery service. It reads and writes until the
+//! system reports that it would block, and repeats an interrupted call.
 //!
 //! The runtime's own stream takes a read that brought less than it asked for as a sign that nothing is left, and a write
-//! likewise, and then waits for the system to tell of more. The system does not tell twice of what was there already: where
-//! a read is cut short for another reason the rest lay unread until the request's time was over. To read once more after each
-//! short read costs a call for every message, though, and most messages end with a short read. So that is done some
-//! milliseconds later, and only while something more is expected.
+//! likewise, and then waits for the system to report readiness. The system does not report again what was there already:
+//! where a read was cut short for another reason, the rest would lie unread. Reading once more after each short read would
+//! cost a system call for every message, and most messages end with a short read. So that read is made some milliseconds
+//! later, and only while something more is expected.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read};
@@ -20,46 +20,55 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
+/// A TCP connection.
 pub struct Stream {
     tcp: TcpStream,
-    /// The last read was short: there may be more that nobody tells of.
-    unsure: Cell<bool>,
-    /// When to look, and whether that time runs.
+    /// The last read was short: there may be more of which the system reports nothing.
+    may_have_more: Cell<bool>,
+    /// Timer of the read that is made without readiness; kept for the next one.
     recheck: RefCell<Option<Pin<Box<Sleep>>>>,
-    rechecks: Cell<bool>,
+    /// Whether that timer runs.
+    rechecking: Cell<bool>,
 }
 
-/// After a short read more is looked for so late: answers that come soon are told of anyway.
+/// Time from a short read to the read that is made without readiness.
 const RECHECK: Duration = Duration::from_millis(4);
 
-/// Most that one such look reads.
-const LONGEST_UNTOLD: usize = 16 * 1024;
+/// Most bytes that a read without readiness takes.
+const MAX_RECHECK_READ: usize = 16 * 1024;
 
-/// Whether more is to come that somebody waits for.
+/// Whether more is to come for which somebody waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expects {
+    /// The rest of a message, or an answer.
     More,
-    /// What was read is whole. A close is told of all the same.
+    /// What was read is whole. A close is reported all the same.
     Nothing,
 }
 
-/// Whether the call is to be made again: at once, or once the system says that it can go on.
-fn again(error: &io::Error) -> bool {
+/// Whether the call is to be repeated: at once, or once the system reports readiness.
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
 impl Stream {
-    /// Small writes go out at once.
+    /// Wraps a connection; small writes go out at once from now on.
     pub fn new(tcp: TcpStream) -> Stream {
         let _ = tcp.set_nodelay(true);
-        Stream { tcp, unsure: Cell::default(), recheck: RefCell::default(), rechecks: Cell::default() }
+        Stream {
+            tcp,
+            may_have_more: Cell::default(),
+            recheck: RefCell::default(),
+            rechecking: Cell::default(),
+        }
     }
 
+    /// The connection itself.
     pub fn into_tcp(self) -> TcpStream {
         self.tcp
     }
 
-    /// Bytes read; 0 where the other side has closed, or the buffer is full.
+    /// Reads; 0 bytes where the peer has closed, or the buffer is full.
     pub fn poll_read_some(
         &self,
         cx: &mut Context<'_>,
@@ -67,18 +76,19 @@
         expects: Expects,
     ) -> Poll<io::Result<usize>> {
         loop {
-            let told = self.tcp.poll_read_ready(cx)?.is_ready();
-            if !told {
+            let ready = self.tcp.poll_read_ready(cx)?.is_ready();
+            if !ready {
                 ready!(self.poll_recheck(cx, expects));
             }
             let room = buf.chunk_mut().len();
-            let read = if told { self.tcp.try_read_buf(buf) } else { self.read_untold(buf, room) };
+            let read =
+                if ready { self.tcp.try_read_buf(buf) } else { self.read_without_readiness(buf, room) };
             match read {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.unsure.set(false),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => self.unsure.set(true),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.may_have_more.set(false),
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => self.may_have_more.set(true),
                 Ok(n) if 0 < n && n < room => {
-                    self.unsure.set(true);
-                    self.nothing_more_is_told();
+                    self.may_have_more.set(true);
+                    self.clear_readiness();
                     return Poll::Ready(Ok(n));
                 }
                 read => return Poll::Ready(read),
@@ -86,36 +96,37 @@
         }
     }
 
+    /// Reads as `poll_read_some` does.
     pub async fn read_some(&self, buf: &mut impl BufMut, expects: Expects) -> io::Result<usize> {
         std::future::poll_fn(|cx| self.poll_read_some(cx, buf, expects)).await
     }
 
-    /// Ready once it is time to look for more that nobody tells of.
+    /// Ready once it is time for a read without readiness.
     fn poll_recheck(&self, cx: &mut Context<'_>, expects: Expects) -> Poll<()> {
-        if !self.unsure.get() || expects == Expects::Nothing {
-            self.rechecks.set(false);
+        if !self.may_have_more.get() || expects == Expects::Nothing {
+            self.rechecking.set(false);
             return Poll::Pending;
         }
         let mut recheck = self.recheck.borrow_mut();
         let sleeping = recheck.get_or_insert_with(|| Box::pin(sleep(RECHECK)));
-        if !self.rechecks.replace(true) {
+        if !self.rechecking.replace(true) {
             sleeping.as_mut().reset(Instant::now() + RECHECK);
         }
         ready!(sleeping.as_mut().poll(cx));
-        self.rechecks.set(false);
+        self.rechecking.set(false);
         Poll::Ready(())
     }
 
-    /// A read although nothing is told of.
-    fn read_untold(&self, buf: &mut impl BufMut, room: usize) -> io::Result<usize> {
-        let mut bytes = vec![0; room.min(LONGEST_UNTOLD)];
+    /// Reads although the system has reported nothing.
+    fn read_without_readiness(&self, buf: &mut impl BufMut, room: usize) -> io::Result<usize> {
+        let mut bytes = vec![0; room.min(MAX_RECHECK_READ)];
         let n = (&*socket2::SockRef::from(&self.tcp)).read(&mut bytes)?;
         buf.put_slice(&bytes[..n]);
         Ok(n)
     }
 
-    /// Until the system tells of more, no read is tried.
-    fn nothing_more_is_told(&self) {
+    /// No read is tried until the system reports readiness again.
+    fn clear_readiness(&self) {
         let _ =
             self.tcp.try_io(Interest::READABLE, || io::Result::<()>::Err(io::ErrorKind::WouldBlock.into()));
     }
@@ -128,16 +139,18 @@
         loop {
             ready!(self.tcp.poll_write_ready(cx))?;
             match write() {
-                Err(e) if again(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 written => return Poll::Ready(written),
             }
         }
     }
 
+    /// Writes some of the bytes.
     pub fn poll_write_some(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_with(cx, || self.tcp.try_write(bytes))
     }
 
+    /// Writes some of the pieces, in one call.
     pub fn poll_write_pieces(
         &self,
         cx: &mut Context<'_>,
@@ -146,6 +159,7 @@
         self.poll_write_with(cx, || self.tcp.try_write_vectored(pieces))
     }
 
+    /// Writes all of the bytes.
     pub async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             match std::future::poll_fn(|cx| self.poll_write_some(cx, bytes)).await? {
@@ -156,7 +170,7 @@
         Ok(())
     }
 
-    /// One write, as far as it goes; an error of the kind `WouldBlock` where nothing can be taken now.
+    /// Writes once, as far as it goes; an error of the kind `WouldBlock` where nothing can be written now.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         loop {
             match self.tcp.try_write(bytes) {
@@ -166,11 +180,12 @@
         }
     }
 
+    /// Ends once something can be written.
     pub async fn writable(&self) -> io::Result<()> {
         self.tcp.writable().await
     }
 
-    /// Says that nothing more comes from this side.
+    /// Closes this side's direction.
     pub fn shut_down(&self) -> io::Result<()> {
         socket2::SockRef::from(&self.tcp).shutdown(Shutdown::Write)
     }
--- a/crates/pipitcrank-server/src/runtime/system_errors.rs
+++ b/crates/pipitcrank-server/src/runtime/system_errors.rs
@@ -1,4 +1,4 @@
-//! What to do where a system call on a listener or a new socket fails: one policy for each class of error.
+//! What to do where a system call on a listener, a file or a new socket fails: one policy for each class of error.
 
 use std::io;
 use std::time::Duration;
@@ -6,40 +6,38 @@
 use rustix::io::Errno;
 use tokio::time::{Instant, sleep};
 
+/// Pause between two attempts while a resource runs short.
+pub const RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// Attempts in all where the network may be gone.
+const UNREACHABLE_ATTEMPTS: u32 = 3;
+
 /// What a failed call asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Policy {
-    /// It concerned this one attempt: the next may go through, now.
+pub enum ErrorPolicy {
+    /// It concerned this one attempt: the next may succeed, now.
     RetryAtOnce,
-    /// Something of this machine's runs short, and passes as others give it back.
+    /// A resource of this machine runs short, until others give it back.
     RetryAfterPause,
-    /// Once or twice more, then it counts: the way may be gone.
+    /// To be repeated once or twice: the network may be gone.
     RetryFew,
+    /// It will fail again.
     GiveUp,
 }
 
-/// Between two attempts where something runs short.
-pub const PAUSE: Duration = Duration::from_millis(5);
-/// Attempts in all where the way may be gone.
-pub const FEW: u32 = 3;
-
-fn errno(error: &io::Error) -> Option<Errno> {
-    Errno::from_io_error(error)
-}
-
-/// Of an accept. A listener that works otherwise has errors of the connection that was next, and those of short means.
-pub fn of_accept(error: &io::Error) -> Policy {
-    match errno(error) {
-        Some(Errno::BADF | Errno::INVAL | Errno::NOTSOCK | Errno::FAULT) => Policy::GiveUp,
-        Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => Policy::RetryAfterPause,
-        _ => Policy::RetryAtOnce,
+/// Policy for an error of `accept`. A working listener reports errors of the connection that was next, and shortages.
+pub fn accept_policy(error: &io::Error) -> ErrorPolicy {
+    match Errno::from_io_error(error) {
+        Some(Errno::BADF | Errno::INVAL | Errno::NOTSOCK | Errno::FAULT) => ErrorPolicy::GiveUp,
+        Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => ErrorPolicy::RetryAfterPause,
+        _ => ErrorPolicy::RetryAtOnce,
     }
 }
 
-/// Of opening a connection, binding or opening a file: its own limits, ports or memory run short, or a signal came between.
-pub fn of_open(error: &io::Error) -> Policy {
-    match errno(error) {
-        Some(Errno::INTR) => Policy::RetryAtOnce,
+/// Policy for an error of opening a connection, binding, or opening a file: limits, ports or memory run short, or a
+/// signal interrupted the call.
+pub fn open_policy(error: &io::Error) -> ErrorPolicy {
+    match Errno::from_io_error(error) {
+        Some(Errno::INTR) => ErrorPolicy::RetryAtOnce,
         Some(
             Errno::MFILE
             | Errno::NFILE
@@ -48,46 +46,89 @@
             | Errno::AGAIN
             | Errno::ADDRNOTAVAIL
             | Errno::ADDRINUSE,
-        ) => Policy::RetryAfterPause,
-        Some(Errno::NETUNREACH | Errno::HOSTUNREACH | Errno::NETDOWN | Errno::IO) => Policy::RetryFew,
-        _ => Policy::GiveUp,
+        ) => ErrorPolicy::RetryAfterPause,
+        Some(Errno::NETUNREACH | Errno::HOSTUNREACH | Errno::NETDOWN | Errno::IO) => ErrorPolicy::RetryFew,
+        _ => ErrorPolicy::GiveUp,
     }
 }
 
-/// Makes the attempt until it succeeds, or its failure counts. The caller bounds the time.
-pub async fn retried<T, F: Future<Output = io::Result<T>>>(mut attempt: impl FnMut() -> F) -> io::Result<T> {
-    let mut made = 0;
-    loop {
-        let error = match attempt().await {
-            Ok(value) => return Ok(value),
-            Err(error) => error,
-        };
-        made += 1;
-        match of_open(&error) {
-            Policy::GiveUp => return Err(error),
-            Policy::RetryFew if made >= FEW => return Err(error),
-            // Other tasks go on between, also where it never succeeds.
-            Policy::RetryAtOnce => tokio::task::yield_now().await,
-            Policy::RetryFew | Policy::RetryAfterPause => sleep(PAUSE).await,
+/// What follows a failed attempt.
+enum NextAttempt {
+    Never,
+    AtOnce,
+    AfterPause,
+}
+
+/// Attempts to open something, until an error counts.
+struct OpenRetry {
+    failures: u32,
+    /// Until then any error that may pass is waited out; without it an unreachable network counts soon.
+    until: Option<Instant>,
+}
+
+impl OpenRetry {
+    fn new(limit: Option<Duration>) -> OpenRetry {
+        OpenRetry { failures: 0, until: limit.map(|limit| Instant::now() + limit) }
+    }
+
+    fn after(&mut self, error: &io::Error) -> NextAttempt {
+        self.failures += 1;
+        match (open_policy(error), self.until) {
+            (ErrorPolicy::GiveUp, _) => NextAttempt::Never,
+            (_, Some(until)) if Instant::now() < until => NextAttempt::AfterPause,
+            (_, Some(_)) => NextAttempt::Never,
+            (ErrorPolicy::RetryFew, None) if self.failures >= UNREACHABLE_ATTEMPTS => NextAttempt::Never,
+            (ErrorPolicy::RetryAtOnce, None) => NextAttempt::AtOnce,
+            (ErrorPolicy::RetryFew | ErrorPolicy::RetryAfterPause, None) => NextAttempt::AfterPause,
+        }
+    }
+
+    async fn run<T, F: Future<Output = io::Result<T>>>(
+        mut self,
+        mut attempt: impl FnMut() -> F,
+    ) -> io::Result<T> {
+        loop {
+            let error = match attempt().await {
+                Ok(value) => return Ok(value),
+                Err(error) => error,
+            };
+            match self.after(&error) {
+                NextAttempt::Never => return Err(error),
+                // Other tasks run in between, also where it never succeeds.
+                NextAttempt::AtOnce => tokio::task::yield_now().await,
+                NextAttempt::AfterPause => sleep(RETRY_PAUSE).await,
+            }
         }
     }
 }
 
-/// Whether an error is of a kind that passes, so that who can't go on without waits for that.
-pub fn passes(error: &io::Error) -> bool {
-    of_open(error) != Policy::GiveUp
+/// Repeats an attempt until it succeeds or its error counts. The caller bounds the time.
+pub async fn retry_open<T, F: Future<Output = io::Result<T>>>(attempt: impl FnMut() -> F) -> io::Result<T> {
+    OpenRetry::new(None).run(attempt).await
+}
+
+/// Repeats an attempt for up to `limit`, waiting out any error that may pass: for what a process can't start without.
+pub async fn retry_open_for<T, F: Future<Output = io::Result<T>>>(
+    limit: Duration,
+    attempt: impl FnMut() -> F,
+) -> io::Result<T> {
+    OpenRetry::new(Some(limit)).run(attempt).await
 }
 
-/// The same as `retried`, for as long as told, whatever of it passes: what a process can't start without.
-pub async fn waited_for<T, F: Future<Output = io::Result<T>>>(
+/// The same as [`retry_open_for`] before a runtime is there: it blocks the thread.
+pub fn retry_open_for_blocking<T>(
     limit: Duration,
-    mut attempt: impl FnMut() -> F,
+    mut attempt: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let until = Instant::now() + limit;
+    let mut retry = OpenRetry::new(Some(limit));
     loop {
-        match attempt().await {
-            Err(e) if passes(&e) && Instant::now() < until => sleep(PAUSE).await,
-            ended => return ended,
+        let error = match attempt() {
+            Ok(value) => return Ok(value),
+            Err(error) => error,
+        };
+        match retry.after(&error) {
+            NextAttempt::Never => return Err(error),
+            NextAttempt::AtOnce | NextAttempt::AfterPause => std::thread::sleep(RETRY_PAUSE),
         }
     }
 }
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -6,7 +6,6 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
-use std::time::Instant;
 
 use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -24,11 +23,12 @@
 use crate::reload;
 use crate::replicas::pool::ReplicaPool;
 use crate::runtime::clock::Clock;
+use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::counters::Counters;
-use crate::runtime::event_loop::{ConnectionLimiter, EventLoop};
+use crate::runtime::event_loop::EventLoop;
 use crate::runtime::shutdown::ShutdownSchedule;
 use crate::runtime::stall_detector::StallDetector;
-use crate::runtime::system_errors::{PAUSE, passes, waited_for};
+use crate::runtime::system_errors::{retry_open_for, retry_open_for_blocking};
 use crate::upgrade::relay::Relay;
 use crate::upgrade::worker::{FirstList, Worker};
 
@@ -41,14 +41,8 @@
 /// The file that `NODE_CONFIG` names, and its text; before anything else runs, so it may wait.
 pub fn node_config_text() -> Result<(String, String), String> {
     let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
-    let until = Instant::now() + START_LIMIT;
-    loop {
-        match std::fs::read_to_string(&path) {
-            Ok(text) => return Ok((path, text)),
-            Err(e) if passes(&e) && Instant::now() < until => std::thread::sleep(PAUSE),
-            Err(e) => return Err(format!("NODE_CONFIG: {path}: {e}")),
-        }
-    }
+    let text = retry_open_for_blocking(START_LIMIT, || std::fs::read_to_string(&path));
+    text.map(|text| (path.clone(), text)).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))
 }
 
 /// What stands beside the near replica side is made of.
@@ -160,7 +154,7 @@
                 event_loop.update(|e| e.restore(clock.now(), passed, later.is_some(), snapshot));
             }
             list_known();
-            let listener = waited_for(START_LIMIT, || TcpListener::bind(listen)).await;
+            let listener = retry_open_for(START_LIMIT, || TcpListener::bind(listen)).await;
             let listener = listener.map_err(|e| format!("/listen: {e}"))?;
             let _ = acceptor.send(AcceptorCommand::Accept(listener));
             tracing::info!("{name} serves at {listen}");
@@ -224,8 +218,8 @@
     };
     tokio::task::spawn_local(async move {
         loop {
-            awake.look(clock.now());
-            clock.look_at_wall();
+            awake.tick(clock.now());
+            clock.sample_wall_clock();
             tokio::time::sleep(LOOK).await;
         }
     });
--- a/crates/pipitcrank-server/src/upgrade/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -14,7 +14,7 @@
 use pipitcrank_handover::clock::monotonic_micros;
 use pipitcrank_handover::descriptor_passing::{LinkError, LinkReceiver, LinkSender, Received, open_link};
 use pipitcrank_handover::messages::{
-    CounterValue, RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION,
+    RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION,
 };
 use pipitcrank_handover::resource_split;
 use pipitcrank_handover::snapshot::Snapshot;
@@ -26,7 +26,8 @@
 use crate::clients::acceptor::{AcceptorCommand, AdoptedConnection};
 use crate::discovery::client::SharedRevision;
 use crate::exchange::{Endpoint, Exchange, QueryResponse};
-use crate::runtime::event_loop::{ConnectionLimiter, EventLoop};
+use crate::runtime::connection_limits::ConnectionLimiter;
+use crate::runtime::event_loop::EventLoop;
 use crate::upgrade::relay::{self, Relay};
 
 /// How often it looks whether a step is done, and gives a sign of life: a small part of any limit that the operators
@@ -212,9 +213,8 @@
                         }
                         if from_new.is_some() && new.passing && own && self.relay.quiet() && self.clients.open() == 0 && passed_on.is_empty() {
                             let further = self.event_loop.read(|e| e.delegated_retries_used(new.kept));
-                            let counters = self.event_loop.counters.all().into_iter();
-                            let counters = counters.map(|(group, name, value)| CounterValue { group, name, value });
-                            new.to.send(&ToSuccessor::Finished { delegated_retries_used: further, counters: counters.collect() }, None);
+                            let counters = self.event_loop.counters.all();
+                            new.to.send(&ToSuccessor::Finished { delegated_retries_used: further, counters }, None);
                             to_keeper.send(&ToSupervisor::HandedOver, None);
                             peer = Peer::Nobody;
                             // What is queued is written before the tasks that write it end.
@@ -329,9 +329,7 @@
                 }
             }
             ToSuccessor::Finished { delegated_retries_used: further, counters } => {
-                let counters =
-                    counters.into_iter().map(|counter| (counter.group, counter.name, counter.value));
-                self.event_loop.counters.add_all(counters.collect());
+                self.event_loop.counters.add_all(counters);
                 self.settle(old, Some(further));
             }
         }
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -14,8 +14,9 @@
 };
 use pipitcrank_server::replicas::pool::ReplicaPool;
 use pipitcrank_server::runtime::clock::Clock;
+use pipitcrank_server::runtime::connection_limits::ConnectionLimiter;
 use pipitcrank_server::runtime::counters::Counters;
-use pipitcrank_server::runtime::event_loop::{ConnectionLimiter, EventLoop};
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
