--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -115,7 +115,7 @@
 
     fn is_valid(&self) -> bool {
         let learned = &self.learned;
-        let entries = self.replicas.len().max(learned.taken.len()).max(learned.further.len());
+        let entries = self.replicas.len().max(learned.admitted.len()).max(learned.retries.len());
         let replica_is_valid = |replica: &ReplicaRecord| {
             !replica.uid.is_empty() && replica.draining_for.is_none_or(|age| age >= TimeSpan::ZERO)
         };
--- a/crates/pipitcrank-server/src/exchange/admission.rs
+++ b/crates/pipitcrank-server/src/exchange/admission.rs
@@ -3,6 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use pipitcrank_core::coordinator::{NewPart, NewQuery};
 use pipitcrank_core::ids::{PartId, QueryId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
@@ -38,24 +39,23 @@
         let entry = OpenQuery { ticket, response, parts: indices.clone(), class, idempotency_key, delegated };
         table.queries.insert(query.0, entry);
         let works: Option<Vec<f64>> = parts.iter().map(|part| part.work).collect();
-        let work = works.map(|works| works.iter().sum());
         for ((&index, id), part) in indices.iter().zip(part_ids).zip(&parts) {
             table.parts.insert(index, OpenPart::new(id, query, part, text.clone()));
         }
-        self.coordinator.start_query(
-            &mut self.table,
-            now,
-            query,
+        let new_query = NewQuery {
+            id: query,
             class,
-            deadline - now,
-            work,
-            parts.len() as f64,
-        );
+            time_left: deadline - now,
+            work_hint: works.map(|works| works.iter().sum()),
+            part_count: parts.len() as f64,
+        };
+        self.coordinator.start_query(&mut self.table, now, new_query);
         if let Some(retries) = delegated_retries {
             self.coordinator.mark_forwarded(query, retries);
         }
         for (index, QueryPart { shard, weight, work }) in indices.into_iter().zip(parts) {
-            self.coordinator.add_part(&mut self.table, now, PartId(index), query, shard, weight, work);
+            let part = NewPart { id: PartId(index), query, shard, weight, work_hint: work };
+            self.coordinator.add_part(&mut self.table, now, part);
         }
     }
 
--- a/crates/pipitcrank-server/src/exchange/coordinator_output.rs
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -1,10 +1,10 @@
 //! What the coordinator calls: commands, responses and releases.
 
-use pipitcrank_core::ids::{PartId, QueryId, RejectReason, ReplicaId};
+use pipitcrank_core::ids::{AttemptId, PartId, QueryId, RejectReason, ReplicaId};
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use super::query::{AttemptId, QueryResponse, REQUESTS};
+use super::query::{QueryResponse, REQUESTS};
 use super::request_table::{Command, InFlightAttempt, RequestTable};
 use crate::reasons::ResendReason;
 
@@ -72,8 +72,7 @@
         self.commands.push(Command::SendAttempt(replica, attempt));
     }
 
-    fn cancel_attempt(&mut self, part: PartId, nth: u32) {
-        let attempt = AttemptId { part, number: nth };
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
         if let Some(replica) = self.in_flight.get(&attempt).map(|entry| entry.replica) {
             self.commands.push(Command::CancelAttempt(replica, attempt));
         }
--- a/crates/pipitcrank-server/src/exchange/event.rs
+++ b/crates/pipitcrank-server/src/exchange/event.rs
@@ -1,11 +1,11 @@
 //! Events that wait for the next batch.
 
 use pipitcrank_core::coordinator::zones::ZoneId;
-use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::Timestamp;
 
 use super::endpoint::Endpoint;
-use super::query::{AttemptId, DelegatedRequest, QueryRequest, ResponseSink};
+use super::query::{DelegatedRequest, QueryRequest, ResponseSink};
 use crate::replicas::frames::LoadReport;
 
 /// A query on its way into the exchange.
--- a/crates/pipitcrank-server/src/exchange/mod.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -24,9 +24,8 @@
 mod zones;
 
 pub use endpoint::Endpoint;
-pub use query::{
-    AttemptId, DelegatedRequest, PartSink, QueryPart, QueryRequest, QueryResponse, REQUESTS, ResponseSink,
-};
+pub use pipitcrank_core::ids::AttemptId;
+pub use query::{DelegatedRequest, PartSink, QueryPart, QueryRequest, QueryResponse, REQUESTS, ResponseSink};
 pub use remote_sites::{OutgoingForward, OutgoingPart};
 pub use state::Exchange;
 pub use transport::ReplicaTransport;
--- a/crates/pipitcrank-server/src/exchange/query.rs
+++ b/crates/pipitcrank-server/src/exchange/query.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::ids::{PartId, RequestClassId};
+use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use tokio::sync::oneshot;
 
@@ -103,12 +103,3 @@
     /// Where answers go as they come in.
     pub on_part: Box<dyn PartSink>,
 }
-
-/// One attempt at a part.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptId {
-    /// The part.
-    pub part: PartId,
-    /// Number among the part's attempts, from 0.
-    pub number: u32,
-}
--- a/crates/pipitcrank-server/src/exchange/remote_sites.rs
+++ b/crates/pipitcrank-server/src/exchange/remote_sites.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::ids::{PartId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptId, PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use super::query::{AttemptId, QueryPart};
+use super::query::QueryPart;
 use super::request_table::ReplicaEntry;
 use super::state::{DelegatedRetries, Exchange};
 use super::zones::zone_id;
--- a/crates/pipitcrank-server/src/exchange/state.rs
+++ b/crates/pipitcrank-server/src/exchange/state.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 
 use pipitcrank_core::coordinator::Coordinator;
-use pipitcrank_core::ids::{AttemptOutcome, PartId, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, PartId, ReplicaId, RequestClassId};
 use pipitcrank_core::time::Timestamp;
 
 use super::endpoint::Endpoint;
 use super::event::{EndedAttempt, EndpointChange, Event, Submission};
-use super::query::{AttemptId, DelegatedRequest, QueryRequest, QueryResponse, ResponseSink};
+use super::query::{DelegatedRequest, QueryRequest, QueryResponse, ResponseSink};
 use super::request_table::{ReplicaEntry, RequestTable};
 use crate::audit::{Audit, AuditRules};
 use crate::replicas::frames::LoadReport;
