--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -181,7 +181,7 @@
         text: "c41e".into(),
     };
     let parts: Vec<_> = (0..8).map(part).collect();
-    let counted = measure(|| drop(frames::call(&parts)));
+    let counted = measure(|| drop(frames::encode_call(&parts)));
     all.insert("frame of 8 parts: blocks".into(), counted.count_total as f64);
     all.insert("frame of 8 parts: bytes".into(), counted.bytes_total as f64);
     let answer = format!("Aq1.1 ok 7 -\n{}", "x".repeat(60_000));
--- a/crates/pipitcrank-server/src/clients/acceptor.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor.rs
@@ -70,7 +70,7 @@
             let end = serve(come, router, &connection, mood, idle).await;
             counters.add("clients", end.name());
             tracing::debug!(target: REQUESTS, why = end.name(), at = ?connection.doing(), "client's connection ended");
-            if end.is_ours() && connection.doing() == ConnectionPhase::Open {
+            if end.is_local() && connection.doing() == ConnectionPhase::Open {
                 violated(&counters, Rule::ClosedUnanswered, "of a connection", end.name());
             }
             connections.leave(&connection);
--- a/crates/pipitcrank-server/src/clients/connection.rs
+++ b/crates/pipitcrank-server/src/clients/connection.rs
@@ -118,9 +118,9 @@
             // Guards against a connection closed for its silence with a request of the client's unread.
             biased;
             served = std::future::poll_fn(|cx| serving.poll_without_shutdown(cx)) => break match served {
-                Ok(()) if matches!(now, ConnectionMode::Leave) => ConnectionEnd::LetGo,
+                Ok(()) if matches!(now, ConnectionMode::Leave) => ConnectionEnd::NotNeeded,
                 Ok(()) => ConnectionEnd::Closed,
-                Err(e) if e.is_parse() => ConnectionEnd::BadBytes,
+                Err(e) if e.is_parse() => ConnectionEnd::ProtocolError,
                 Err(_) => ConnectionEnd::Reset,
             },
             () = connection.called_to_leave() => match connection.doing() {
@@ -135,7 +135,7 @@
             () = closes_behind_body(&stream, connection) => return ConnectionEnd::Closed,
             Ok(()) = mood.changed() => now = mood.borrow_and_update().clone(),
             () = connection.rests(matches!(now, ConnectionMode::Pass(_)), idle), if !matches!(now, ConnectionMode::Stay) => {
-                let ConnectionMode::Pass(to) = now else { break ConnectionEnd::LetGo };
+                let ConnectionMode::Pass(to) = now else { break ConnectionEnd::NotNeeded };
                 let whole_within = connection.whole_within(Instant::now());
                 let parts = serving.into_parts();
                 let RequestReader { stream: ours, before, .. } = parts.io.into_inner();
@@ -144,7 +144,7 @@
                 let read = [&parts.read_buf[..], &before[..]].concat().into();
                 let Some(stream) = Rc::into_inner(stream) else { return ConnectionEnd::Reset };
                 let _ = to.send(AdoptedConnection { stream: stream.into_tcp(), read, whole_within });
-                return ConnectionEnd::Passed;
+                return ConnectionEnd::HandedOver;
             }
         }
     };
--- a/crates/pipitcrank-server/src/discovery/client.rs
+++ b/crates/pipitcrank-server/src/discovery/client.rs
@@ -293,7 +293,7 @@
         let (rev, whole, rows) = read(self.event_loop, body)?;
         if !whole {
             tracing::warn!("discovery sent changes for the whole list");
-            return Err(ConnectionEnd::BadBytes);
+            return Err(ConnectionEnd::ProtocolError);
         }
         let goes_back = self.rev.get().is_some_and(|held| rev < held);
         // Guards against an older list over a newer one: while this call was under way another brought more.
@@ -336,7 +336,7 @@
             if let Some(paid) = self.paid {
                 failed = if begun.elapsed() > 2 * PAID_CALL { 1 } else { failed + 1 };
                 // A call that hangs once is no sign of too many: a look goes beside the next.
-                if end == ConnectionEnd::NeverUp && failed <= 2 {
+                if end == ConnectionEnd::ConnectTimeout && failed <= 2 {
                     self.again.notify_one();
                 }
                 sleep(paid.pause(failed)).await;
@@ -380,12 +380,12 @@
         let held = self.rev.get();
         // Guards against an older life's list over a new one's: a look has found that versions began anew.
         if held.is_some_and(|held| held < stood_at) {
-            return Err(ConnectionEnd::LetGo);
+            return Err(ConnectionEnd::NotNeeded);
         }
         let goes_back = rev < stood_at;
         if goes_back && !whole {
             tracing::warn!("discovery told changes of version {rev} after {stood_at}");
-            return Err(ConnectionEnd::BadBytes);
+            return Err(ConnectionEnd::ProtocolError);
         }
         // A look may have brought as much already.
         if goes_back || held.is_none_or(|held| held < rev) {
@@ -405,9 +405,9 @@
     let Ok(request) = Request::get(uri).body(Empty::new()) else { return Err(ConnectionEnd::Refused) };
     match timeout_at(by, client.request(request)).await {
         Ok(Ok(answer)) if answer.status() == StatusCode::OK => Ok(answer.into_body()),
-        Ok(Ok(_)) => Err(ConnectionEnd::BadBytes),
+        Ok(Ok(_)) => Err(ConnectionEnd::ProtocolError),
         Ok(Err(_)) => Err(ConnectionEnd::Refused),
-        Err(_) => Err(ConnectionEnd::NeverUp),
+        Err(_) => Err(ConnectionEnd::ConnectTimeout),
     }
 }
 
@@ -421,7 +421,7 @@
     });
     read.map_err(|wrong| {
         tracing::warn!("discovery sent what can't be read: {wrong}");
-        ConnectionEnd::BadBytes
+        ConnectionEnd::ProtocolError
     })
 }
 
@@ -432,7 +432,7 @@
             tracing::warn!("discovery sent a list of over {LONGEST} bytes: it is left")
         }
     }
-    ConnectionEnd::BadBytes
+    ConnectionEnd::ProtocolError
 }
 
 async fn whole_list(client: &HttpClient, address: &str, by: Instant) -> Result<Bytes, ConnectionEnd> {
--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a replica, from its opening to its end.
+//! The task of one connection to a replica, from its opening to its end.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,286 +6,376 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use pipitcrank_core::ids::AttemptOutcome;
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome};
 use tokio::sync::mpsc::UnboundedReceiver;
-use tokio::time::Instant;
+use tokio::time::{Instant, sleep_until};
 
-use crate::exchange::AttemptId;
-use crate::replicas::connection_end::ConnectionEnd;
-use crate::replicas::frames::{self, ReplicaFrame};
-use crate::replicas::pool::{ConnectionCommand, ConnectionState};
+use super::connection_end::ConnectionEnd;
+use super::connection_state::{ConnectionCommand, ConnectionState};
+use super::frames::{self, LoadReport, ReplicaFrame};
 use crate::runtime::dial::dial;
 use crate::runtime::event_loop::EventLoop;
 use crate::runtime::stream::{Expects, Stream};
 
-/// What is being written: nothing, a job whose first byte has not gone, or the rest of a frame.
-enum Writing {
-    Nothing,
-    Next(ConnectionCommand),
-    Rest(Bytes, Vec<AttemptId>),
+/// Initial size of the read buffer, in bytes.
+const READ_BUFFER: usize = 4096;
+
+/// Time limits of a connection.
+#[derive(Clone, Copy)]
+pub struct ConnectionTimeouts {
+    /// For it to come up. It stands for the longest round trip as well: a frame that has begun is whole within it, and a
+    /// connection with something out that brings nothing for so long is doubted and pinged, then counts as silent.
+    pub connect: Duration,
+    /// After which it is closed when nothing is out on it.
+    pub idle: Duration,
 }
 
-/// `way_limit`, the time told for a connection to come up, stands for the longest way there and back: a frame begun
-/// is whole within it, and a connection with something out that brings nothing for so long is doubted, then pinged,
-/// then held to be silent. How the connection ended, and the calls that were still to be begun on it.
+/// How a connection ended.
+pub struct ClosedConnection {
+    /// Why it ended.
+    pub end: ConnectionEnd,
+    /// Calls queued on it that were not begun.
+    pub unsent: Vec<Vec<AttemptId>>,
+}
+
+/// Opens the connection and serves its commands until it ends.
 pub async fn run(
     event_loop: &Rc<EventLoop>,
-    wire: &ConnectionState,
-    mut jobs: UnboundedReceiver<ConnectionCommand>,
+    state: &ConnectionState,
+    mut commands: UnboundedReceiver<ConnectionCommand>,
     address: SocketAddr,
-    way_limit: Duration,
-    idle_limit: Duration,
-) -> (ConnectionEnd, Vec<Vec<AttemptId>>) {
-    let end = match open(address, way_limit).await {
+    timeouts: ConnectionTimeouts,
+) -> ClosedConnection {
+    let end = match open(address, timeouts.connect).await {
         Ok(stream) => {
             event_loop.counters.add("leaf_connections", "opened");
-            serve(event_loop, wire, &mut jobs, stream, way_limit, idle_limit).await
+            ConnectionTask::new(event_loop, state, &stream, timeouts).serve(&mut commands).await
         }
         Err(end) => end,
     };
-    (end, left(jobs))
+    ClosedConnection { end, unsent: unsent_calls(commands) }
 }
 
-/// The calls that were still to be begun.
-pub fn left(mut jobs: UnboundedReceiver<ConnectionCommand>) -> Vec<Vec<AttemptId>> {
-    let left = std::iter::from_fn(|| jobs.try_recv().ok());
-    left.filter_map(|job| if let ConnectionCommand::Call(parts) = job { Some(parts) } else { None }).collect()
+/// The calls among commands that were not taken.
+pub fn unsent_calls(mut commands: UnboundedReceiver<ConnectionCommand>) -> Vec<Vec<AttemptId>> {
+    let rest = std::iter::from_fn(|| commands.try_recv().ok());
+    let calls = rest.filter_map(|command| match command {
+        ConnectionCommand::SendCall(attempts) => Some(attempts),
+        _ => None,
+    });
+    calls.collect()
 }
 
-async fn open(address: SocketAddr, limit: Duration) -> Result<Stream, ConnectionEnd> {
-    match tokio::time::timeout(limit, dial(address)).await {
+async fn open(address: SocketAddr, timeout: Duration) -> Result<Stream, ConnectionEnd> {
+    match tokio::time::timeout(timeout, dial(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(e)) => {
-            tracing::debug!("no connection to {address}: {e}");
+            tracing::debug!("connecting to {address} failed: {e}");
             Err(ConnectionEnd::Refused)
         }
-        Err(_) => Err(ConnectionEnd::NeverUp),
+        Err(_) => Err(ConnectionEnd::ConnectTimeout),
     }
 }
 
-async fn serve(
-    event_loop: &Rc<EventLoop>,
-    wire: &ConnectionState,
-    jobs: &mut UnboundedReceiver<ConnectionCommand>,
-    stream: Stream,
-    way_limit: Duration,
-    idle_limit: Duration,
-) -> ConnectionEnd {
-    let mut buffer = BytesMut::with_capacity(4096);
-    let mut writing = Writing::Nothing;
-    let mut used = Instant::now();
-    let mut begun = used;
-    // Since when something is out and nothing has come.
-    let mut quiet: Option<Instant> = None;
-    loop {
-        quiet = if waiting(wire) { quiet.or_else(|| Some(Instant::now())) } else { None };
-        let quiet_since = quiet.unwrap_or(used);
-        let nothing = matches!(writing, Writing::Nothing);
-        let more = waiting(wire) || wire.half_read.get();
-        let expects = if more { Expects::More } else { Expects::Nothing };
-        if wire.let_go.get() && wire.carried.borrow().is_empty() && nothing && jobs.is_empty() {
-            return ConnectionEnd::LetGo;
+/// A frame on its way out, and the attempts in it.
+struct OutgoingFrame {
+    bytes: Bytes,
+    attempts: Vec<AttemptId>,
+}
+
+/// What is being written.
+enum Writing {
+    Nothing,
+    /// A command of which no byte has been written.
+    Next(ConnectionCommand),
+    /// The rest of a frame.
+    Rest(OutgoingFrame),
+}
+
+struct ConnectionTask<'a> {
+    event_loop: &'a Rc<EventLoop>,
+    state: &'a ConnectionState,
+    stream: &'a Stream,
+    timeouts: ConnectionTimeouts,
+    received: BytesMut,
+    writing: Writing,
+    /// When something was last read or written.
+    last_used: Instant,
+    /// When the frame that is being read has begun.
+    frame_begun: Instant,
+    /// Since when something is out and nothing has come.
+    silent_since: Option<Instant>,
+}
+
+impl<'a> ConnectionTask<'a> {
+    fn new(
+        event_loop: &'a Rc<EventLoop>,
+        state: &'a ConnectionState,
+        stream: &'a Stream,
+        timeouts: ConnectionTimeouts,
+    ) -> ConnectionTask<'a> {
+        let now = Instant::now();
+        ConnectionTask {
+            event_loop,
+            state,
+            stream,
+            timeouts,
+            received: BytesMut::with_capacity(READ_BUFFER),
+            writing: Writing::Nothing,
+            last_used: now,
+            frame_begun: now,
+            silent_since: None,
+        }
+    }
+
+    async fn serve(mut self, commands: &mut UnboundedReceiver<ConnectionCommand>) -> ConnectionEnd {
+        loop {
+            if let Err(end) = self.step(commands).await {
+                return end;
+            }
+        }
+    }
+
+    async fn step(
+        &mut self,
+        commands: &mut UnboundedReceiver<ConnectionCommand>,
+    ) -> Result<(), ConnectionEnd> {
+        let (state, timeouts) = (self.state, self.timeouts);
+        let awaits_answer = state.awaits_answer();
+        self.silent_since =
+            if awaits_answer { self.silent_since.or_else(|| Some(Instant::now())) } else { None };
+        let silent_since = self.silent_since.unwrap_or(self.last_used);
+        let writes_nothing = matches!(self.writing, Writing::Nothing);
+        let expects =
+            if awaits_answer || state.partial_frame.get() { Expects::More } else { Expects::Nothing };
+        if state.not_needed.get()
+            && state.assigned.borrow().is_empty()
+            && writes_nothing
+            && commands.is_empty()
+        {
+            return Err(ConnectionEnd::NotNeeded);
         }
         tokio::select! {
             biased;
-            // Guards against a frame written into a connection that the replica closes at that moment: it would end
-            // as a reset and count as having run.
-            () = tokio::time::sleep_until(used + idle_limit), if nothing && idle(wire) => {
-                return ConnectionEnd::Idle;
+            // First: a frame written into a connection that the replica closes at that moment would end as a reset and count as
+            // having run. Load probes don't keep a connection: one unanswered for so long will stay unanswered.
+            () = sleep_until(self.last_used + timeouts.idle), if writes_nothing && !state.has_begun_attempt() => {
+                Err(ConnectionEnd::Idle)
             }
-            read = stream.read_some(&mut buffer, expects) => match read {
-                Ok(0) => return ConnectionEnd::Closed,
-                Err(_) => return ConnectionEnd::Reset,
-                Ok(_) => {
-                    used = Instant::now();
-                    quiet = None;
-                    wire.doubted.set(false);
-                    if !wire.half_read.get() {
-                        begun = used;
-                    }
-                    loop {
-                        match frames::take(&mut buffer) {
-                            Ok(None) => break,
-                            Ok(Some(frame)) => {
-                                begun = used;
-                                if let Err(end) = took(event_loop, wire, frame) {
-                                    return end;
-                                }
-                            }
-                            Err(bad) => {
-                                tracing::warn!("leaf {} sent a bad frame: {bad}", wire.replica.0);
-                                return ConnectionEnd::BadBytes;
-                            }
-                        }
-                    }
-                    wire.half_read.set(!buffer.is_empty());
-                }
-            },
-            // Guards against a frame that never ends: it would swallow all later answers. After the read: a process that was
-            // held up for so long finds its end there.
-            () = tokio::time::sleep_until(begun + way_limit), if wire.half_read.get() => {
-                tracing::warn!("leaf {} did not end a frame", wire.replica.0);
-                return ConnectionEnd::BadBytes;
+            read = self.stream.read_some(&mut self.received, expects) => self.handle_read(read),
+            // A frame that never ends would swallow all later answers. After the read: a process that stalled for so long finds
+            // the frame's end there.
+            () = sleep_until(self.frame_begun + timeouts.connect), if state.partial_frame.get() => {
+                tracing::warn!("replica {} did not end a frame", state.replica.0);
+                Err(ConnectionEnd::ProtocolError)
             }
-            ready = stream.writable(), if !nothing => {
-                if ready.is_err() {
-                    return ConnectionEnd::Reset;
-                }
-                if matches!(writing, Writing::Next(ConnectionCommand::Call(_))) {
-                    event_loop.catch_up().await;
-                }
-                writing = match write(event_loop, wire, &stream, writing) {
-                    Ok(writing) => writing,
-                    Err(_) => return ConnectionEnd::Reset,
-                };
-                wire.stalled.set(!matches!(writing, Writing::Nothing));
-                used = Instant::now();
-            }
-            // Guards against a connection that has fallen silent while its replica is well: it took call after call, and
-            // what was out on it made the replica look jammed. A replica answers this however much it has to do.
-            () = tokio::time::sleep_until(quiet_since + way_limit), if quiet.is_some() && !wire.doubted.get() => {
-                wire.doubted.set(true);
-                let _ = wire.jobs.send(ConnectionCommand::Ping);
+            ready = self.stream.writable(), if !writes_nothing => self.handle_writable(ready).await,
+            // A connection may fall silent while its replica is well; a replica answers a ping however much it has to do.
+            () = sleep_until(silent_since + timeouts.connect), if awaits_answer && !state.doubted.get() => {
+                state.doubted.set(true);
+                let _ = state.commands.send(ConnectionCommand::Ping);
+                Ok(())
             }
-            () = tokio::time::sleep_until(quiet_since + 2 * way_limit), if quiet.is_some() && wire.doubted.get() => {
-                return ConnectionEnd::Silent;
+            () = sleep_until(silent_since + 2 * timeouts.connect), if awaits_answer && state.doubted.get() => {
+                Err(ConnectionEnd::Silent)
             }
-            Some(job) = jobs.recv(), if nothing => {
-                writing = Writing::Next(job);
-                wire.stalled.set(true);
+            Some(command) = commands.recv(), if writes_nothing => {
+                self.writing = Writing::Next(command);
+                state.write_stalled.set(true);
+                Ok(())
             }
         }
     }
-}
-
-/// Something written on it is unanswered.
-fn waiting(wire: &ConnectionState) -> bool {
-    wire.probes.get() > 0 || wire.pings.get() > 0 || wire.carried.borrow().iter().any(|c| c.id.is_some())
-}
-
-/// Nothing begun on it is out: parts that wait for their first byte don't count, they can go on another. Nor do
-/// probes: one that was not answered for so long will not be, and would keep a silent connection for ever.
-fn idle(wire: &ConnectionState) -> bool {
-    wire.carried.borrow().iter().all(|c| c.id.is_none())
-}
 
-/// One step of writing.
-fn write(
-    event_loop: &Rc<EventLoop>,
-    wire: &ConnectionState,
-    to: &Stream,
-    writing: Writing,
-) -> io::Result<Writing> {
-    let begins = matches!(writing, Writing::Next(_));
-    let (mut rest, parts) = match writing {
-        Writing::Nothing => return Ok(Writing::Nothing),
-        Writing::Rest(rest, parts) => (rest, parts),
-        Writing::Next(ConnectionCommand::GiveUp(id)) => (frames::give_up(&id), Vec::new()),
-        // Guards against a probe that waited for its connection while its replica was told to drain or went.
-        Writing::Next(ConnectionCommand::Probe)
-            if wire.let_go.get() || event_loop.read(|e| e.is_draining(wire.replica)) =>
-        {
-            wire.probes.set(wire.probes.get().saturating_sub(1));
-            if !wire.let_go.get() {
-                event_loop.update(|e| e.load_probe_ended(wire.replica, AttemptOutcome::NeverSent, None));
-            }
-            return Ok(Writing::Nothing);
+    fn handle_read(&mut self, read: io::Result<usize>) -> Result<(), ConnectionEnd> {
+        if read.map_err(|_| ConnectionEnd::Reset)? == 0 {
+            return Err(ConnectionEnd::Closed);
         }
-        Writing::Next(ConnectionCommand::Probe) => (frames::load_probe(), Vec::new()),
-        Writing::Next(ConnectionCommand::Ping) => {
-            wire.pings.set(wire.pings.get() + 1);
-            (frames::ping(), Vec::new())
+        self.last_used = Instant::now();
+        self.silent_since = None;
+        self.state.doubted.set(false);
+        if !self.state.partial_frame.get() {
+            self.frame_begun = self.last_used;
         }
-        Writing::Next(ConnectionCommand::Call(mut parts)) => {
-            // Guards against a call given up while it was queued here, whose number is by now that of another part's call on
-            // another connection to the replica: it went out here, and its answer was taken for one that nobody asked for.
-            let waits =
-                |call: &AttemptId| wire.carried.borrow().iter().any(|c| c.call == *call && c.id.is_none());
-            parts.retain(waits);
-            let going =
-                event_loop.update(|e| e.authorize_send(event_loop.clock.now(), wire.replica, &mut parts));
-            let mut carried = wire.carried.borrow_mut();
-            // What was not released has ended.
-            carried.retain(|c| c.id.is_some() || event_loop.read(|e| e.is_in_flight(c.call)));
-            if going.is_empty() {
-                return Ok(Writing::Nothing);
-            }
-            for (part, call) in going.iter().zip(&parts) {
-                if let Some(c) = carried.iter_mut().find(|c| c.call == *call) {
-                    c.id = Some(part.id.clone());
+        loop {
+            match frames::take(&mut self.received) {
+                Ok(None) => break,
+                Ok(Some(frame)) => {
+                    self.frame_begun = self.last_used;
+                    self.handle_frame(frame)?;
+                }
+                Err(error) => {
+                    tracing::warn!("replica {} sent a malformed frame: {error}", self.state.replica.0);
+                    return Err(ConnectionEnd::ProtocolError);
                 }
             }
-            (frames::call(&going), parts)
         }
-    };
-    match to.try_write(&rest) {
-        Ok(n) => rest.advance(n),
-        // Guards against a socket that looked writable and took nothing: no byte of the call has gone, so it is
-        // looked at once more when it does.
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock && begins && !parts.is_empty() => {
-            for c in wire.carried.borrow_mut().iter_mut().filter(|c| parts.contains(&c.call)) {
-                c.id = None;
+        self.state.partial_frame.set(!self.received.is_empty());
+        Ok(())
+    }
+
+    async fn handle_writable(&mut self, ready: io::Result<()>) -> Result<(), ConnectionEnd> {
+        ready.map_err(|_| ConnectionEnd::Reset)?;
+        if matches!(self.writing, Writing::Next(ConnectionCommand::SendCall(_))) {
+            self.event_loop.catch_up().await;
+        }
+        let writing = std::mem::replace(&mut self.writing, Writing::Nothing);
+        self.writing = self.write(writing).map_err(|_| ConnectionEnd::Reset)?;
+        self.state.write_stalled.set(!matches!(self.writing, Writing::Nothing));
+        self.last_used = Instant::now();
+        Ok(())
+    }
+
+    /// Writes once; returns what is left.
+    fn write(&self, writing: Writing) -> io::Result<Writing> {
+        let is_new = matches!(writing, Writing::Next(_));
+        let frame = match writing {
+            Writing::Nothing => None,
+            Writing::Rest(frame) => Some(frame),
+            Writing::Next(command) => self.make_frame(command),
+        };
+        let Some(mut frame) = frame else { return Ok(Writing::Nothing) };
+        match self.stream.try_write(&frame.bytes) {
+            Ok(n) => frame.bytes.advance(n),
+            // The socket looked writable and took nothing: no byte of the call is out, so it passes the send guard again.
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock && is_new && !frame.attempts.is_empty() => {
+                return Ok(Writing::Next(self.return_unwritten(frame.attempts)));
             }
-            event_loop.update(|e| e.return_unwritten(&parts));
-            return Ok(Writing::Next(ConnectionCommand::Call(parts)));
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            Err(e) => return Err(e),
+        }
+        if !frame.bytes.is_empty() {
+            return Ok(Writing::Rest(frame));
         }
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-        Err(e) => return Err(e),
+        let kind = if frame.attempts.is_empty() { "small_sent" } else { "calls_sent" };
+        self.event_loop.counters.add("frames", kind);
+        for assigned in self.state.assigned.borrow_mut().iter_mut() {
+            assigned.written |= frame.attempts.contains(&assigned.attempt);
+        }
+        Ok(Writing::Nothing)
     }
-    if !rest.is_empty() {
-        return Ok(Writing::Rest(rest, parts));
+
+    /// The frame of a command; none if it is not to be sent any more.
+    fn make_frame(&self, command: ConnectionCommand) -> Option<OutgoingFrame> {
+        let bytes = match command {
+            ConnectionCommand::SendCall(attempts) => return self.make_call(attempts),
+            ConnectionCommand::Cancel(id) => frames::encode_cancel(&id),
+            ConnectionCommand::SendLoadProbe if self.probe_is_obsolete() => return None,
+            ConnectionCommand::SendLoadProbe => frames::encode_load_probe(),
+            ConnectionCommand::Ping => {
+                self.state.pings_pending.set(self.state.pings_pending.get() + 1);
+                frames::encode_ping()
+            }
+        };
+        Some(OutgoingFrame { bytes, attempts: Vec::new() })
     }
-    event_loop.counters.add("frames", if parts.is_empty() { "small_sent" } else { "calls_sent" });
-    for c in wire.carried.borrow_mut().iter_mut().filter(|c| parts.contains(&c.call)) {
-        c.written = true;
+
+    /// A load probe may wait for its connection while its replica starts to drain or is removed; it then counts as never sent.
+    fn probe_is_obsolete(&self) -> bool {
+        let state = self.state;
+        if !state.not_needed.get() && !self.event_loop.read(|e| e.is_draining(state.replica)) {
+            return false;
+        }
+        state.probes_pending.set(state.probes_pending.get().saturating_sub(1));
+        if !state.not_needed.get() {
+            self.event_loop.update(|e| e.load_probe_ended(state.replica, AttemptOutcome::NeverSent, None));
+        }
+        true
     }
-    Ok(Writing::Nothing)
-}
 
-/// Deals with one frame of the replica's.
-fn took(
-    event_loop: &Rc<EventLoop>,
-    wire: &ConnectionState,
-    frame: ReplicaFrame,
-) -> Result<(), ConnectionEnd> {
-    match frame {
-        ReplicaFrame::Answer { id, outcome, report, value } => {
-            let mut carried = wire.carried.borrow_mut();
-            let Some(nth) = carried.iter().position(|c| c.id.as_deref() == Some(&*id)) else {
-                if wire.given_up.borrow().has(&id) {
-                    event_loop.counters.add("frames", "late_answers");
-                    return Ok(());
-                }
-                // Guards against waiting in vain for the part whose id was spoilt.
-                tracing::warn!("leaf {} answered what it was not asked", wire.replica.0);
-                return Err(ConnectionEnd::BadBytes);
-            };
-            let call = carried.swap_remove(nth).call;
-            // Its second copy is harmless.
-            wire.given_up.borrow_mut().add(&id);
-            event_loop.counters.add("frames", "answers");
-            let value = (outcome == AttemptOutcome::Success).then_some(value);
-            event_loop.update(|e| e.attempt_ended(call, outcome, value, report));
+    fn make_call(&self, mut attempts: Vec<AttemptId>) -> Option<OutgoingFrame> {
+        let (event_loop, state) = (self.event_loop, self.state);
+        // An attempt cancelled while it was queued here may share its number with one of another part that is queued on another
+        // connection to the replica.
+        let is_waiting = |attempt: &AttemptId| {
+            let assigned = state.assigned.borrow();
+            assigned.iter().any(|assigned| assigned.attempt == *attempt && assigned.part_id.is_none())
+        };
+        attempts.retain(is_waiting);
+        let now = event_loop.clock.now();
+        let allowed = event_loop.update(|e| e.authorize_send(now, state.replica, &mut attempts));
+        let mut assigned = state.assigned.borrow_mut();
+        // An attempt that was not authorized has ended.
+        assigned.retain(|a| a.part_id.is_some() || event_loop.read(|e| e.is_in_flight(a.attempt)));
+        if allowed.is_empty() {
+            return None;
         }
-        ReplicaFrame::Load(outcome, report) => {
-            let Some(before) = wire.probes.get().checked_sub(1) else {
-                tracing::warn!("leaf {} answered a probe that was not sent", wire.replica.0);
-                return Err(ConnectionEnd::BadBytes);
-            };
-            wire.probes.set(before);
-            if !wire.let_go.get() {
-                event_loop.update(|e| e.load_probe_ended(wire.replica, outcome, report));
+        for (part, attempt) in allowed.iter().zip(&attempts) {
+            if let Some(assigned) = assigned.iter_mut().find(|assigned| assigned.attempt == *attempt) {
+                assigned.part_id = Some(part.id.clone());
             }
         }
-        ReplicaFrame::Alive(_) => {
-            wire.pings.set(wire.pings.get().checked_sub(1).ok_or(ConnectionEnd::BadBytes)?);
+        Some(OutgoingFrame { bytes: frames::encode_call(&allowed), attempts })
+    }
+
+    fn return_unwritten(&self, attempts: Vec<AttemptId>) -> ConnectionCommand {
+        for assigned in self.state.assigned.borrow_mut().iter_mut() {
+            if attempts.contains(&assigned.attempt) {
+                assigned.part_id = None;
+            }
         }
-        ReplicaFrame::Complaint(words) => {
-            tracing::warn!("leaf {} could not use a frame: {words}", wire.replica.0);
-            return Err(ConnectionEnd::Complaint);
+        self.event_loop.update(|e| e.return_unwritten(&attempts));
+        ConnectionCommand::SendCall(attempts)
+    }
+
+    fn handle_frame(&self, frame: ReplicaFrame) -> Result<(), ConnectionEnd> {
+        let state = self.state;
+        match frame {
+            ReplicaFrame::Answer { id, outcome, report, value } => {
+                self.handle_answer(&id, outcome, report, value)
+            }
+            ReplicaFrame::Load(outcome, report) => self.handle_load(outcome, report),
+            ReplicaFrame::Pong(_) => {
+                let rest = state.pings_pending.get().checked_sub(1).ok_or(ConnectionEnd::ProtocolError)?;
+                state.pings_pending.set(rest);
+                Ok(())
+            }
+            ReplicaFrame::Error(text) => {
+                tracing::warn!("replica {} could not use a frame: {text}", state.replica.0);
+                Err(ConnectionEnd::RejectedByPeer)
+            }
+        }
+    }
+
+    fn handle_answer(
+        &self,
+        id: &str,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
+        value: String,
+    ) -> Result<(), ConnectionEnd> {
+        let (event_loop, state) = (self.event_loop, self.state);
+        let mut assigned = state.assigned.borrow_mut();
+        let Some(position) = assigned.iter().position(|a| a.part_id.as_deref() == Some(id)) else {
+            if state.finished.borrow().contains(id) {
+                event_loop.counters.add("frames", "late_answers");
+                return Ok(());
+            }
+            // The part whose id was garbled would be waited for in vain.
+            tracing::warn!("replica {} answered a part that was not sent", state.replica.0);
+            return Err(ConnectionEnd::ProtocolError);
+        };
+        let attempt = assigned.swap_remove(position).attempt;
+        // A second answer to it is harmless.
+        state.finished.borrow_mut().add(id);
+        event_loop.counters.add("frames", "answers");
+        let value = (outcome == AttemptOutcome::Success).then_some(value);
+        event_loop.update(|e| e.attempt_ended(attempt, outcome, value, report));
+        Ok(())
+    }
+
+    fn handle_load(&self, outcome: AttemptOutcome, report: Option<LoadReport>) -> Result<(), ConnectionEnd> {
+        let state = self.state;
+        let Some(rest) = state.probes_pending.get().checked_sub(1) else {
+            tracing::warn!("replica {} answered a load probe that was not sent", state.replica.0);
+            return Err(ConnectionEnd::ProtocolError);
+        };
+        state.probes_pending.set(rest);
+        if !state.not_needed.get() {
+            self.event_loop.update(|e| e.load_probe_ended(state.replica, outcome, report));
         }
+        Ok(())
     }
-    Ok(())
 }
 
 #[cfg(test)]
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 use crate::exchange::{Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport};
-use crate::replicas::pool::AssignedAttempt;
+use crate::replicas::connection_state::AssignedAttempt;
 use crate::runtime::clock::Clock;
 use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::counters::Counters;
@@ -34,8 +34,10 @@
     Exchange::new(coordinator, 9, 4, counters.clone())
 }
 
-#[test]
-fn a_sign_of_life_is_good_once_for_each_ping() {
+#[tokio::test]
+async fn a_pong_is_good_once_for_each_ping() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let stream = Stream::new(TcpStream::connect(listener.local_addr().unwrap()).await.unwrap());
     let counters = Counters::default();
     let event_loop = Rc::new(EventLoop::new(
         Clock::start(),
@@ -44,11 +46,20 @@
         exchange(&counters),
     ));
     let (jobs, _queue) = unbounded_channel();
-    let wire = ConnectionState::new(ReplicaId(0), jobs);
-    wire.pings.set(1);
-    let alive = || took(&event_loop, &wire, ReplicaFrame::Alive(AttemptOutcome::Fault));
+    let state = ConnectionState::new(ReplicaId(0), jobs);
+    state.pings_pending.set(1);
+    let alive = || task(&event_loop, &state, &stream).handle_frame(ReplicaFrame::Pong(AttemptOutcome::Fault));
     assert_eq!(alive(), Ok(()), "busy with probes, but alive");
-    assert_eq!(alive(), Err(ConnectionEnd::BadBytes), "nobody asked");
+    assert_eq!(alive(), Err(ConnectionEnd::ProtocolError), "nobody asked");
+}
+
+fn task<'a>(
+    event_loop: &'a Rc<EventLoop>,
+    state: &'a ConnectionState,
+    stream: &'a Stream,
+) -> ConnectionTask<'a> {
+    let limit = Duration::from_secs(9);
+    ConnectionTask::new(event_loop, state, stream, ConnectionTimeouts { connect: limit, idle: limit })
 }
 
 /// One replica at the end of a connection, and a query whose one call to it is out.
@@ -63,7 +74,7 @@
     (replica_end, to, event_loop, call)
 }
 
-/// A hall that has one replica there and one query, the first, with its one call out.
+/// An event loop that has one replica there and one query, the first, with its one call out.
 fn one_query(address: SocketAddr) -> (Rc<EventLoop>, AttemptId) {
     let (clock, counters) = (Clock::start(), Counters::default());
     let mut exchange = exchange(&counters);
@@ -97,16 +108,23 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (event_loop, call) = one_query(listener.local_addr().unwrap());
             let (jobs, mut queue) = unbounded_channel();
-            let wire = Rc::new(ConnectionState {
-                carried: carries(call),
+            let state = Rc::new(ConnectionState {
+                assigned: carries(call),
                 ..ConnectionState::new(ReplicaId(0), jobs.clone())
             });
             let (ours, at) = (event_loop.clone(), listener.local_addr().unwrap());
-            let running = wire.clone();
+            let running = state.clone();
             let limit = Duration::from_secs(9);
             let stream = open(at, limit).await.unwrap();
             tokio::task::spawn_local(async move {
-                serve(&ours, &running, &mut queue, stream, limit, limit).await;
+                ConnectionTask::new(
+                    &ours,
+                    &running,
+                    &stream,
+                    ConnectionTimeouts { connect: limit, idle: limit },
+                )
+                .serve(&mut queue)
+                .await;
             });
             let _replica_end = listener.accept().await.unwrap();
             std::thread::sleep(Duration::from_millis(100));
@@ -117,13 +135,13 @@
             let gone = event_loop.clone();
             tokio::task::spawn_local(async move {
                 tokio::task::yield_now().await;
-                jobs.send(ConnectionCommand::Call(vec![call])).unwrap();
+                jobs.send(ConnectionCommand::SendCall(vec![call])).unwrap();
                 tokio::task::yield_now().await;
                 gone.update(|e| e.client_disconnected(1));
             });
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "a call for a client that left");
-            assert!(wire.carried.borrow().is_empty(), "it was looked at");
+            assert!(state.assigned.borrow().is_empty(), "it was looked at");
         })
         .await;
 }
@@ -134,17 +152,17 @@
     let (_replica_end, to, event_loop, call) = one_call_out().await;
     let (jobs, _) = unbounded_channel();
     let here = ConnectionState::new(ReplicaId(0), jobs.clone());
-    let there = ConnectionState { carried: carries(call), ..ConnectionState::new(ReplicaId(0), jobs) };
-    let queued = || Writing::Next(ConnectionCommand::Call(vec![call]));
-    assert!(matches!(write(&event_loop, &here, &to, queued()).unwrap(), Writing::Nothing));
+    let there = ConnectionState { assigned: carries(call), ..ConnectionState::new(ReplicaId(0), jobs) };
+    let queued = || Writing::Next(ConnectionCommand::SendCall(vec![call]));
+    assert!(matches!(task(&event_loop, &here, &to).write(queued()).unwrap(), Writing::Nothing));
     assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "not here");
-    assert!(matches!(write(&event_loop, &there, &to, queued()).unwrap(), Writing::Nothing));
+    assert!(matches!(task(&event_loop, &there, &to).write(queued()).unwrap(), Writing::Nothing));
     assert_eq!(event_loop.counters.get("frames", "calls_sent"), 1, "but there");
-    assert!(there.carried.borrow()[0].written);
+    assert!(there.assigned.borrow()[0].written);
 }
 
-fn carries(call: AttemptId) -> RefCell<Vec<AssignedAttempt>> {
-    RefCell::new(vec![AssignedAttempt { call, id: None, written: false }])
+fn carries(attempt: AttemptId) -> RefCell<Vec<AssignedAttempt>> {
+    RefCell::new(vec![AssignedAttempt { attempt, part_id: None, written: false }])
 }
 
 #[tokio::test]
@@ -152,13 +170,17 @@
     let (_unread, to, event_loop, call) = one_call_out().await;
     while to.try_write(&[0; 1 << 16]).is_ok() {}
     let (jobs, _) = unbounded_channel();
-    let wire = ConnectionState { carried: carries(call), ..ConnectionState::new(ReplicaId(0), jobs) };
+    let state = ConnectionState { assigned: carries(call), ..ConnectionState::new(ReplicaId(0), jobs) };
 
-    let next = write(&event_loop, &wire, &to, Writing::Next(ConnectionCommand::Call(vec![call]))).unwrap();
-    assert!(matches!(next, Writing::Next(ConnectionCommand::Call(_))), "nothing of it has gone");
-    assert!(wire.carried.borrow()[0].id.is_none());
+    let next =
+        task(&event_loop, &state, &to).write(Writing::Next(ConnectionCommand::SendCall(vec![call]))).unwrap();
+    assert!(matches!(next, Writing::Next(ConnectionCommand::SendCall(_))), "nothing of it has gone");
+    assert!(state.assigned.borrow()[0].part_id.is_none());
     event_loop.update(|e| e.attempt_ended(call, AttemptOutcome::Cancelled, None, None));
-    assert!(matches!(write(&event_loop, &wire, &to, next).unwrap(), Writing::Nothing), "dropped: it is over");
+    assert!(
+        matches!(task(&event_loop, &state, &to).write(next).unwrap(), Writing::Nothing),
+        "dropped: it is over"
+    );
 }
 
 /// A probe waits at its connection while its replica is told to drain: it does not go out, and counts as never sent.
@@ -167,19 +189,19 @@
     for drains in [false, true] {
         let (replica_end, to, event_loop, _call) = one_call_out().await;
         let (jobs, _queue) = unbounded_channel();
-        let wire = ConnectionState::new(ReplicaId(0), jobs);
-        wire.probes.set(1);
+        let state = ConnectionState::new(ReplicaId(0), jobs);
+        state.probes_pending.set(1);
         let row =
             Endpoint { uid: "l".into(), address: None, cell: 0, zone: None, up: !drains, started: None };
         event_loop.update(|e| e.update_endpoints(event_loop.clock.now(), false, vec![row]));
         let take_turn = async { event_loop.run(TimeSpan::from_millis(1), &RefCell::new(Nobody)).await };
         assert!(tokio::time::timeout(Duration::from_millis(50), take_turn).await.is_err());
         assert!(matches!(
-            write(&event_loop, &wire, &to, Writing::Next(ConnectionCommand::Probe)).unwrap(),
+            task(&event_loop, &state, &to).write(Writing::Next(ConnectionCommand::SendLoadProbe)).unwrap(),
             Writing::Nothing
         ));
         let mut came = [0; 9];
         let sent = replica_end.try_read(&mut came).is_ok_and(|n| n > 0);
-        assert_eq!((sent, wire.probes.get()), (!drains, u32::from(!drains)), "drains: {drains}");
+        assert_eq!((sent, state.probes_pending.get()), (!drains, u32::from(!drains)), "drains: {drains}");
     }
 }
--- a/crates/pipitcrank-server/src/replicas/connection_end.rs
+++ b/crates/pipitcrank-server/src/replicas/connection_end.rs
@@ -1,73 +1,79 @@
-//! How things end on the network: every way in which a connection can end is one value of one type, and what
-//! that means for a attempt is said here and nowhere else.
+//! How connections end, and what that means for the attempts on them: said here and nowhere else.
 
 use pipitcrank_core::ids::AttemptOutcome;
 
+/// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The other side would not have it.
+    /// The peer refused it.
     Refused,
-    /// Not up within the time told for it.
-    NeverUp,
-    /// None was opened: our own share of sockets is used up.
-    NoSocket,
-    /// The other side closed it in order.
+    /// It was not up within the connect timeout.
+    ConnectTimeout,
+    /// It was not opened: this process holds as many connections as it may.
+    LimitReached,
+    /// The peer closed it in order.
     Closed,
     /// It broke.
     Reset,
-    /// The other side sent what the protocol does not know.
-    BadBytes,
-    /// The other side could not use what we sent.
-    Complaint,
-    /// Nothing came for longer than the other side may be silent.
+    /// The peer sent what the protocol does not allow.
+    ProtocolError,
+    /// The peer could not use what was sent.
+    RejectedByPeer,
+    /// Nothing came for longer than the peer may be silent.
     Silent,
-    /// We closed it: idle for nearly as long as the other side keeps it.
+    /// Closed by this side: idle for nearly as long as the peer keeps it.
     Idle,
-    /// We closed it: the other side is not needed any more.
-    LetGo,
-    /// It goes on at another process, which has its descriptor.
-    Passed,
+    /// Closed by this side: it is not needed any more.
+    NotNeeded,
+    /// It continues at another process, which has its descriptor.
+    HandedOver,
 }
 
 impl ConnectionEnd {
+    /// Its name in `/counters` and logs.
     pub fn name(self) -> &'static str {
         match self {
             ConnectionEnd::Refused => "refused",
-            ConnectionEnd::NeverUp => "never_up",
-            ConnectionEnd::NoSocket => "no_socket",
+            ConnectionEnd::ConnectTimeout => "never_up",
+            ConnectionEnd::LimitReached => "no_socket",
             ConnectionEnd::Closed => "closed",
             ConnectionEnd::Reset => "reset",
-            ConnectionEnd::BadBytes => "bad_bytes",
-            ConnectionEnd::Complaint => "complaint",
+            ConnectionEnd::ProtocolError => "bad_bytes",
+            ConnectionEnd::RejectedByPeer => "complaint",
             ConnectionEnd::Silent => "silent",
             ConnectionEnd::Idle => "idle",
-            ConnectionEnd::LetGo => "let_go",
-            ConnectionEnd::Passed => "passed",
+            ConnectionEnd::NotNeeded => "let_go",
+            ConnectionEnd::HandedOver => "passed",
         }
     }
 
-    /// Whether we ended it, for a reason of ours.
-    pub fn is_ours(self) -> bool {
+    /// Whether this side closed it.
+    pub fn is_local(self) -> bool {
         matches!(
             self,
-            ConnectionEnd::BadBytes | ConnectionEnd::Silent | ConnectionEnd::Idle | ConnectionEnd::LetGo
+            ConnectionEnd::ProtocolError
+                | ConnectionEnd::Silent
+                | ConnectionEnd::Idle
+                | ConnectionEnd::NotNeeded
         )
     }
 
-    /// What it means for a attempt on it. Until its frame is written whole a call can't have run.
-    pub fn outcome(self, written: bool) -> AttemptOutcome {
+    /// Outcome of an attempt on it. An attempt can't have run before its frame was `written` whole.
+    pub fn attempt_outcome(self, written: bool) -> AttemptOutcome {
         if written { AttemptOutcome::Disconnected } else { AttemptOutcome::Unreachable }
     }
 
-    /// What it means for a probe on it. Guards against a replica held to be out of reach because it closed a connection
-    /// that was up: only one that never came up tells that.
-    pub fn of_probe(self) -> AttemptOutcome {
-        let up = !matches!(self, ConnectionEnd::Refused | ConnectionEnd::NeverUp | ConnectionEnd::NoSocket);
-        self.outcome(up)
+    /// Outcome of a load probe on it. Only a connection that never came up shows that the replica is unreachable.
+    pub fn probe_outcome(self) -> AttemptOutcome {
+        let was_up = !matches!(
+            self,
+            ConnectionEnd::Refused | ConnectionEnd::ConnectTimeout | ConnectionEnd::LimitReached
+        );
+        self.attempt_outcome(was_up)
     }
 }
 
-/// The replica's own words for how a part ended.
+/// Outcome of a part by the replica's word for it; none for a word that the protocol does not know.
 pub fn outcome_from_wire(word: &str) -> Option<AttemptOutcome> {
     match word {
         "ok" => Some(AttemptOutcome::Success),
@@ -77,6 +83,7 @@
     }
 }
 
+/// Name of an outcome in `/counters` and logs.
 pub fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Success => "pass",
--- a/crates/pipitcrank-server/src/replicas/frames.rs
+++ b/crates/pipitcrank-server/src/replicas/frames.rs
@@ -1,7 +1,5 @@
-//! The frames that co-ordinators and replicas exchange: four bytes of length (most significant first), a letter,
-//! and the rest. Decoded once into a small value, encoded once.
+//! Frames between coordinators and replicas: four bytes of length (most significant first), a letter, and the rest.
 
-use std::fmt;
 use std::rc::Rc;
 use std::sync::Arc;
 
@@ -9,49 +7,97 @@
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
 
-use crate::replicas::connection_end::outcome_from_wire;
+use super::connection_end::outcome_from_wire;
 
-/// Longest frame taken from a replica: as much as any message body of the protocol may hold.
-const MOST: usize = 64 * 1024;
+/// Longest frame taken from a replica, in bytes: as much as any message body of the protocol may hold.
+const MAX_FRAME: usize = 64 * 1024;
+/// Bytes of a frame's length and letter.
+const HEADER: usize = 5;
 
-/// One part of a call, as it goes out.
+const CALL: u8 = b'Q';
+const CANCEL: u8 = b'X';
+const ANSWER: u8 = b'A';
+const PING: u8 = b'P';
+const LOAD: u8 = b'L';
+const ERROR: u8 = b'E';
+
+/// One part of a call, as it is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallPart {
+    /// The part's id.
     pub id: Rc<str>,
+    /// The shard asked.
     pub shard: u32,
+    /// For how long the answer is waited for.
     pub time_left: TimeSpan,
-    /// As the client gave it: replicas know a repeat by it.
+    /// The client's key, by which replicas recognize a repeat.
     pub idempotency_key: Option<Arc<str>>,
+    /// What is asked.
     pub text: Arc<str>,
 }
 
-/// A load report: what the decisions read of it.
+/// What the decisions read of a replica's load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
+    /// Parts that wait at the replica.
     pub queued: Option<f64>,
+    /// Parts that the replica works on.
     pub in_flight: Option<f64>,
 }
 
 /// What a replica sends.
 #[derive(Debug, PartialEq)]
 pub enum ReplicaFrame {
-    Answer { id: String, outcome: AttemptOutcome, report: Option<LoadReport>, value: String },
-    Alive(AttemptOutcome),
+    /// The answer to one part.
+    Answer {
+        /// The part's id.
+        id: String,
+        /// How the part ended.
+        outcome: AttemptOutcome,
+        /// The load, where the replica says.
+        report: Option<LoadReport>,
+        /// The part's value; empty unless it succeeded.
+        value: String,
+    },
+    /// The answer to a ping.
+    Pong(AttemptOutcome),
+    /// The answer to a load probe.
     Load(AttemptOutcome, Option<LoadReport>),
-    Complaint(String),
+    /// The replica could not use a frame, and why.
+    Error(String),
 }
 
-#[derive(Debug, PartialEq)]
-pub struct FrameError(&'static str);
-
-impl fmt::Display for FrameError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(self.0)
-    }
+/// Why a frame can't be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// The length is 0 or over the limit.
+    #[error("its length is 0 or over {MAX_FRAME}")]
+    Length,
+    /// The rest is not UTF-8.
+    #[error("it is not UTF-8")]
+    Encoding,
+    /// No frame has that letter.
+    #[error("its letter is not known")]
+    Letter,
+    /// A pong has another word than `ok` or `err`.
+    #[error("a pong is neither ok nor err")]
+    Pong,
+    /// An answer has no line of four words.
+    #[error("an answer has no line of four words")]
+    AnswerLine,
+    /// An answer's outcome is not known.
+    #[error("an answer has an unknown outcome")]
+    AnswerOutcome,
+    /// An answer's id is empty or its score is not a number.
+    #[error("an answer lacks its id or score")]
+    AnswerFields,
+    /// An answer's value is empty or holds another frame's header.
+    #[error("an answer has no value, or another frame in it")]
+    AnswerValue,
 }
 
 fn frame(letter: u8, rest: &[u8]) -> Bytes {
-    let mut out = BytesMut::with_capacity(5 + rest.len());
+    let mut out = BytesMut::with_capacity(HEADER + rest.len());
     out.put_u32(1 + rest.len() as u32);
     out.put_u8(letter);
     out.put_slice(rest);
@@ -59,7 +105,7 @@
 }
 
 /// One call with its parts.
-pub fn call(parts: &[CallPart]) -> Bytes {
+pub fn encode_call(parts: &[CallPart]) -> Bytes {
     let mut rest = Vec::new();
     for part in parts {
         let key = part.idempotency_key.as_ref().map_or(String::new(), |key| format!(",k={key}"));
@@ -68,27 +114,30 @@
         rest.extend_from_slice(head.as_bytes());
         rest.extend_from_slice(part.text.as_bytes());
     }
-    frame(b'Q', &rest)
+    frame(CALL, &rest)
 }
 
-pub fn give_up(id: &str) -> Bytes {
-    frame(b'X', id.as_bytes())
+/// Tells the replica that nobody waits for the part any more.
+pub fn encode_cancel(id: &str) -> Bytes {
+    frame(CANCEL, id.as_bytes())
 }
 
-pub fn load_probe() -> Bytes {
-    frame(b'L', b"")
+/// Asks for a load report.
+pub fn encode_load_probe() -> Bytes {
+    frame(LOAD, b"")
 }
 
-pub fn ping() -> Bytes {
-    frame(b'P', b"")
+/// Asks for a sign of life.
+pub fn encode_ping() -> Bytes {
+    frame(PING, b"")
 }
 
-/// Takes the first whole frame from the buffer, if there is one.
+/// Takes the first whole frame out of the buffer, if there is one.
 pub fn take(buffer: &mut BytesMut) -> Result<Option<ReplicaFrame>, FrameError> {
     let Some(head) = buffer.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if length == 0 || length > MOST {
-        return Err(FrameError("its length is none or too much"));
+    if length == 0 || length > MAX_FRAME {
+        return Err(FrameError::Length);
     }
     if buffer.len() < 4 + length {
         return Ok(None);
@@ -96,57 +145,58 @@
     buffer.advance(4);
     let letter = buffer.get_u8();
     let rest = buffer.split_to(length - 1);
-    let rest = std::str::from_utf8(&rest).map_err(|_| FrameError("it is not UTF-8"))?;
+    let rest = std::str::from_utf8(&rest).map_err(|_| FrameError::Encoding)?;
+    decode(letter, rest).map(Some)
+}
+
+fn decode(letter: u8, rest: &str) -> Result<ReplicaFrame, FrameError> {
     match letter {
-        b'A' => answer(rest).map(Some),
-        b'P' => match outcome_from_wire(rest) {
+        ANSWER => decode_answer(rest),
+        PING => match outcome_from_wire(rest) {
             Some(outcome @ (AttemptOutcome::Success | AttemptOutcome::Fault)) => {
-                Ok(Some(ReplicaFrame::Alive(outcome)))
+                Ok(ReplicaFrame::Pong(outcome))
             }
-            _ => Err(FrameError("a probe's answer is neither ok nor err")),
+            _ => Err(FrameError::Pong),
         },
-        b'L' if rest == "err" => Ok(Some(ReplicaFrame::Load(AttemptOutcome::Fault, None))),
-        b'L' => Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report(rest)))),
-        b'E' => Ok(Some(ReplicaFrame::Complaint(rest.to_string()))),
-        _ => Err(FrameError("its letter is not known")),
+        LOAD if rest == "err" => Ok(ReplicaFrame::Load(AttemptOutcome::Fault, None)),
+        LOAD => Ok(ReplicaFrame::Load(AttemptOutcome::Success, decode_load(rest))),
+        ERROR => Ok(ReplicaFrame::Error(rest.to_string())),
+        _ => Err(FrameError::Letter),
     }
 }
 
-fn answer(rest: &str) -> Result<ReplicaFrame, FrameError> {
-    let (line, value) = rest.split_once('\n').ok_or(FrameError("an answer has no line"))?;
+fn decode_answer(rest: &str) -> Result<ReplicaFrame, FrameError> {
+    let (line, value) = rest.split_once('\n').ok_or(FrameError::AnswerLine)?;
     let words: Vec<&str> = line.split(' ').collect();
-    let [id, word, score, load] = words[..] else {
-        return Err(FrameError("an answer's line has not four words"));
-    };
-    let outcome = outcome_from_wire(word).ok_or(FrameError("an answer ends in no known way"))?;
+    let [id, word, score, load] = words[..] else { return Err(FrameError::AnswerLine) };
+    let outcome = outcome_from_wire(word).ok_or(FrameError::AnswerOutcome)?;
     if id.is_empty() || !score.parse().is_ok_and(f64::is_finite) {
-        return Err(FrameError("an answer lacks its id or score"));
+        return Err(FrameError::AnswerFields);
     }
-    // Guards against a length that does not fit: a value with the next frame's head in it, or nothing at all, is not
-    // what a part was asked for.
+    // Where a length does not fit, the value is empty or holds the next frame's header.
     if outcome == AttemptOutcome::Success && (value.is_empty() || value.contains('\0')) {
-        return Err(FrameError("an answer has no value, or another frame in it"));
+        return Err(FrameError::AnswerValue);
     }
-    Ok(ReplicaFrame::Answer { id: id.to_string(), outcome, report: report(load), value: value.to_string() })
+    let report = decode_load(load);
+    Ok(ReplicaFrame::Answer { id: id.to_string(), outcome, report, value: value.to_string() })
 }
 
-/// `name=value` pairs set apart by commas, or `-`. Names not known are left. The protocol's example has the first
-/// name of each, replicas use the second, that of the settings: read under one alone, reports told nothing. A report
-/// that can't be read tells nothing, but the answer it comes with is good: it was thrown away once, with all else
-/// out on the connection.
-fn report(text: &str) -> Option<LoadReport> {
+/// `name=value` pairs separated by commas, or `-`; unknown names are skipped. The protocol's example has the first of the two
+/// names of each value, replicas use the second, which the settings have. A report that can't be read counts as none: the
+/// answer that it comes with is good.
+fn decode_load(text: &str) -> Option<LoadReport> {
     if text == "-" || text.is_empty() {
         return None;
     }
-    let mut found = LoadReport::default();
+    let mut report = LoadReport::default();
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
-        let place = match name {
-            "queue" | "backlog" => &mut found.queued,
-            "inflight" | "outstanding" => &mut found.in_flight,
+        let field = match name {
+            "queue" | "backlog" => &mut report.queued,
+            "inflight" | "outstanding" => &mut report.in_flight,
             _ => continue,
         };
-        *place = Some(value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)?);
+        *field = Some(value.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)?);
     }
-    Some(found)
+    Some(report)
 }
--- a/crates/pipitcrank-server/src/replicas/mod.rs
+++ b/crates/pipitcrank-server/src/replicas/mod.rs
@@ -2,5 +2,6 @@
 
 pub mod connection;
 pub mod connection_end;
+pub mod connection_state;
 pub mod frames;
 pub mod pool;
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -31,12 +31,12 @@
         text: "c41e77d0".into(),
     };
     let keyed = CallPart { idempotency_key: Some("19dd61b8".into()), ..part(3) };
-    assert_eq!(&frames::call(&[keyed])[..], framed(b"Q9b1f.3 3 d=240,k=19dd61b8 8\nc41e77d0"));
-    let bytes = frames::call(&[part(3), part(9)]);
+    assert_eq!(&frames::encode_call(&[keyed])[..], framed(b"Q9b1f.3 3 d=240,k=19dd61b8 8\nc41e77d0"));
+    let bytes = frames::encode_call(&[part(3), part(9)]);
     assert_eq!(&bytes[..], framed(b"Q9b1f.3 3 d=240 8\nc41e77d09b1f.9 9 d=240 8\nc41e77d0"));
-    assert_eq!(&frames::give_up("9b1f.3")[..], framed(b"X9b1f.3"));
-    assert_eq!(&frames::load_probe()[..], framed(b"L"));
-    assert_eq!(&frames::ping()[..], framed(b"P"));
+    assert_eq!(&frames::encode_cancel("9b1f.3")[..], framed(b"X9b1f.3"));
+    assert_eq!(&frames::encode_load_probe()[..], framed(b"L"));
+    assert_eq!(&frames::encode_ping()[..], framed(b"P"));
 }
 
 #[test]
@@ -65,8 +65,8 @@
     assert_eq!(take(&framed(b"Lbacklog=4.364,eps=0,outstanding=5")), Ok(Some(wanted)));
     assert_eq!(take(&framed(b"L-")), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, None))));
     assert_eq!(take(&framed(b"Lerr")), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Fault, None))));
-    assert_eq!(take(&framed(b"Pok")), Ok(Some(ReplicaFrame::Alive(AttemptOutcome::Success))));
-    assert_eq!(take(&framed(b"Eno such shard")), Ok(Some(ReplicaFrame::Complaint("no such shard".into()))));
+    assert_eq!(take(&framed(b"Pok")), Ok(Some(ReplicaFrame::Pong(AttemptOutcome::Success))));
+    assert_eq!(take(&framed(b"Eno such shard")), Ok(Some(ReplicaFrame::Error("no such shard".into()))));
     for (word, outcome) in [("err", AttemptOutcome::Fault), ("busy", AttemptOutcome::NoCapacity)] {
         let wanted = ReplicaFrame::Answer { id: "q.1".into(), outcome, report: None, value: String::new() };
         assert_eq!(take(&framed(format!("Aq.1 {word} 0 -\n").as_bytes())), Ok(Some(wanted)));
@@ -110,21 +110,24 @@
 
 #[test]
 fn a_connection_that_ends_before_the_frame_was_whole_proves_that_it_never_ran() {
-    for end in
-        [ConnectionEnd::Closed, ConnectionEnd::Reset, ConnectionEnd::BadBytes, ConnectionEnd::Complaint]
-    {
+    for end in [
+        ConnectionEnd::Closed,
+        ConnectionEnd::Reset,
+        ConnectionEnd::ProtocolError,
+        ConnectionEnd::RejectedByPeer,
+    ] {
         assert_eq!(
-            (end.outcome(false), end.outcome(true)),
+            (end.attempt_outcome(false), end.attempt_outcome(true)),
             (AttemptOutcome::Unreachable, AttemptOutcome::Disconnected),
             "{}",
             end.name()
         );
     }
-    assert_eq!(ConnectionEnd::NeverUp.outcome(false), AttemptOutcome::Unreachable);
+    assert_eq!(ConnectionEnd::ConnectTimeout.attempt_outcome(false), AttemptOutcome::Unreachable);
     // A probe lost with a connection that was up is no sign that there is no way to the replica.
-    assert_eq!(ConnectionEnd::Refused.of_probe(), AttemptOutcome::Unreachable);
+    assert_eq!(ConnectionEnd::Refused.probe_outcome(), AttemptOutcome::Unreachable);
     assert_eq!(
-        (ConnectionEnd::Closed.of_probe(), ConnectionEnd::Idle.of_probe()),
+        (ConnectionEnd::Closed.probe_outcome(), ConnectionEnd::Idle.probe_outcome()),
         (AttemptOutcome::Disconnected, AttemptOutcome::Disconnected)
     );
 }
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -258,7 +258,7 @@
         // A length that does not fit: the next answers would be its value.
         stream.write_all(b"\0\0\x40\0Aq1.0 ok 1 -\nvalue").await.unwrap();
         // Whether the next call finds the half frame or an ended connection, it opens one of its own.
-        while !stage.replicas.borrow().half_read(ReplicaId(0))
+        while !stage.replicas.borrow().has_partial_frame(ReplicaId(0))
             && stage.event_loop.counters.get("leaf_connections", "bad_bytes") == 0
         {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -379,7 +379,7 @@
         let rest = b"Aq1.0 ok 1 -\nvalue";
         stream.write_u32(rest.len() as u32).await.unwrap();
         stream.write_all(&rest[..7]).await.unwrap();
-        while !stage.replicas.borrow().half_read(ReplicaId(0)) {
+        while !stage.replicas.borrow().has_partial_frame(ReplicaId(0)) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         stream.write_all(&rest[7..]).await.unwrap();
