--- a/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
+++ b/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
@@ -26,7 +26,7 @@
         let (mut objects, mut found, mut rest) = (JsonObjectStream::new(1 << 20), Vec::new(), &bytes[..]);
         for cut in cuts.into_iter().chain([usize::MAX]) {
             let (piece, after) = rest.split_at(cut.min(rest.len()));
-            objects.came(piece);
+            objects.push(piece);
             rest = after;
             while let Some(object) = objects.take().unwrap() {
                 found.push(serde_json::from_slice::<Value>(&object).unwrap());
@@ -40,18 +40,18 @@
 #[test]
 fn what_is_no_object_or_never_ends_is_not_waited_for() {
     for (bytes, what) in [
-        ("{} x{}", JsonStreamError::Between),
-        ("}", JsonStreamError::Between),
-        ("\"{}\"", JsonStreamError::Between),
+        ("{} x{}", JsonStreamError::NotAnObject),
+        ("}", JsonStreamError::NotAnObject),
+        ("\"{}\"", JsonStreamError::NotAnObject),
     ] {
         let mut objects = JsonObjectStream::new(100);
-        objects.came(bytes.as_bytes());
+        objects.push(bytes.as_bytes());
         let first_bad = std::iter::from_fn(|| objects.take().transpose()).find_map(Result::err);
         assert_eq!(first_bad, Some(what), "{bytes}");
     }
     let mut objects = JsonObjectStream::new(100);
-    objects.came(b"{\"targets\": [");
+    objects.push(b"{\"targets\": [");
     assert_eq!(objects.take(), Ok(None));
-    objects.came(&[b' '; 100]);
+    objects.push(&[b' '; 100]);
     assert_eq!(objects.take(), Err(JsonStreamError::TooLong));
 }
--- a/crates/pipitcrank-server/src/discovery/mod.rs
+++ b/crates/pipitcrank-server/src/discovery/mod.rs
@@ -1,4 +1,8 @@
 //! The endpoint list: the client of the discovery service and the parsing of what it sends.
 
 pub mod client;
+pub mod endpoint_update;
+pub mod http;
 pub mod json_objects;
+pub mod poll_pacing;
+mod source;
--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 
 use crate::audit;
-use crate::discovery::client::EndpointUpdate;
+use crate::discovery::endpoint_update::{EndpointUpdate, Endpoints};
 use crate::exchange::{Endpoint, Exchange};
 use crate::runtime::clock::{Clock, duration};
 use crate::runtime::counters::Counters;
@@ -102,7 +102,8 @@
         let wrong = |reason: String| self.told().error("/known", &format!("is no list: {reason}"));
         let known = self.all.get("known").ok_or_else(|| wrong("it is missing".to_string()))?;
         let known = EndpointUpdate::deserialize(known).map_err(|e| wrong(e.to_string()))?;
-        let (rev, (_, rows)) = (known.rev, known.rows(clock).map_err(wrong)?);
+        let rev = known.revision;
+        let Endpoints { endpoints: rows, .. } = known.endpoints(clock).map_err(|e| wrong(e.to_string()))?;
         // Guards against two parts of the platform that name zones otherwise: near would be nowhere.
         let names = self.zones()?.map(|(_, names)| names);
         for (n, row) in rows.iter().enumerate() {
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -17,7 +17,8 @@
 
 use crate::clients::acceptor::{self, AcceptorCommand};
 use crate::clients::http::{self, HttpEvent, HttpState};
-use crate::discovery::client::{self, PollPacing, SharedRevision};
+use crate::discovery::client::{self, SharedRevision};
+use crate::discovery::poll_pacing::PollPacing;
 use crate::exchange::{Exchange, ReplicaTransport};
 use crate::node_config::NodeConfig;
 use crate::reload;
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -4,7 +4,7 @@
 use pipitcrank_core::config::ConfigError;
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::discovery::client::EndpointUpdate;
+use pipitcrank_server::discovery::endpoint_update::{EndpointUpdate, Endpoints};
 use pipitcrank_server::node_config::NodeConfig;
 use pipitcrank_server::replicas::connection_end::ConnectionEnd;
 use pipitcrank_server::replicas::frames::{self, CallPart, LoadReport, ReplicaFrame};
@@ -154,8 +154,9 @@
 
 fn rows(text: &str) -> Result<(bool, usize, usize), String> {
     let news: EndpointUpdate = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let (whole, rows) = news.rows(&Clock::start())?;
-    Ok((whole, rows.len(), rows.iter().filter(|r| r.up).count()))
+    let Endpoints { complete, endpoints: rows } =
+        news.endpoints(&Clock::start()).map_err(|e| e.to_string())?;
+    Ok((complete, rows.len(), rows.iter().filter(|r| r.up).count()))
 }
 
 #[test]
