--- a/crates/pipitcrank-server/src/exchange/batch.rs
+++ b/crates/pipitcrank-server/src/exchange/batch.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use pipitcrank_core::ids::{AttemptOutcome, QueryId, ReplicaId};
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, QueryId, ReplicaId};
 use pipitcrank_core::time::Timestamp;
 
 use super::event::{EndedAttempt, EndpointChange, Event};
-use super::query::{AttemptId, REQUESTS};
+use super::query::REQUESTS;
 use super::request_table::Command;
 use super::state::Exchange;
 use super::transport::ReplicaTransport;
--- a/crates/pipitcrank-server/src/exchange/coordinator_output.rs
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -1,10 +1,10 @@
 //! What the coordinator calls: commands, responses and releases.
 
-use pipitcrank_core::ids::{PartId, QueryId, RejectReason, ReplicaId};
+use pipitcrank_core::ids::{AttemptId, PartId, QueryId, RejectReason, ReplicaId};
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use super::query::{AttemptId, QueryResponse, REQUESTS};
+use super::query::{QueryResponse, REQUESTS};
 use super::request_table::{Command, InFlightAttempt, RequestTable};
 use crate::reasons::ResendReason;
 
--- a/crates/pipitcrank-server/src/exchange/query.rs
+++ b/crates/pipitcrank-server/src/exchange/query.rs
@@ -4,7 +4,6 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-pub use pipitcrank_core::ids::AttemptId;
 use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use tokio::sync::oneshot;
--- a/crates/pipitcrank-server/src/exchange/request_table.rs
+++ b/crates/pipitcrank-server/src/exchange/request_table.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pipitcrank_core::ids::{AttemptOutcome, ReplicaId, RequestClassId};
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, ReplicaId, RequestClassId};
 use pipitcrank_core::interner::Interner;
 use pipitcrank_core::time::Timestamp;
 
-use super::query::{AttemptId, DelegatedRequest, ResponseSink};
+use super::query::{DelegatedRequest, ResponseSink};
 use crate::audit::Audit;
 use crate::runtime::counters::Counters;
 
--- a/crates/pipitcrank-server/src/exchange/transport.rs
+++ b/crates/pipitcrank-server/src/exchange/transport.rs
@@ -2,9 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pipitcrank_core::ids::ReplicaId;
-
-use super::query::AttemptId;
+use pipitcrank_core::ids::{AttemptId, ReplicaId};
 
 /// The replica side: sends attempts and load probes, and reports their ends to the exchange.
 ///
