--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -296,8 +296,8 @@
         }
         let counters = &self.event_loop.counters;
         counters.set("zones", "older_decisions_left", self.instance.stale_decisions());
-        counters.set("peers_sent", "bytes", self.instance.sent.bytes);
-        counters.set("peers_sent", "datagrams", self.instance.sent.datagrams);
+        counters.set("peers_sent", "bytes", self.instance.sent().bytes);
+        counters.set("peers_sent", "datagrams", self.instance.sent().datagrams);
         let plan = self.instance.routing_plan(now);
         counters.set("zones", "decision", plan.decision_number);
         let away = match plan.shed {
--- /dev/null
+++ b/crates/pipitcrank-failover/src/controller/orders.rs
@@ -0,0 +1,123 @@
+//! Operators' orders.
+
+use pipitcrank_membership::evidence::{EvidenceMatrix, Finding};
+
+use super::capacity::{another_zone_serves, capacity_without, total_demand};
+use super::timing::{DRAIN_STEP, RETURN_STEP};
+use crate::decision::{Decision, DecisionCause, FULL_PERMILLE, OperatorOrder, ZoneState};
+
+/// Why an operator's order is rejected; shown to the operator.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+pub enum OrderError {
+    /// There is no zone at that place of the operators' list.
+    #[error("there is no zone {0}")]
+    UnknownZone(u16),
+    /// The zone was drained before.
+    #[error("it is drained already")]
+    AlreadyDrained,
+    /// No other zone could take its load.
+    #[error("no other zone is known to be well and serving")]
+    NoOtherZoneServes,
+    /// The other zones cannot answer the demand.
+    #[error("the zones left carry {capacity} parts a second of the {demand} that are asked")]
+    InsufficientCapacity {
+        /// Parts per second that the other zones can answer.
+        capacity: u64,
+        /// Parts per second that all clients request.
+        demand: u64,
+    },
+    /// Only a zone that is draining or out of service can be returned.
+    #[error("it is {}", .0.name())]
+    NotOutOfService(ZoneState),
+    /// Only a zone that is known to be usable can be returned.
+    #[error("evidence on it is {}, not that it is well", .0.name())]
+    NotUsable(Finding),
+    /// All zones were frozen before.
+    #[error("it is frozen already")]
+    AlreadyFrozen,
+    /// There is no freeze to end.
+    #[error("it is not frozen")]
+    NotFrozen,
+}
+
+/// Changes `next`, the current decision with its load updated, as ordered.
+pub(super) fn apply(
+    order: OperatorOrder,
+    matrix: &EvidenceMatrix,
+    current: &Decision,
+    next: &mut Decision,
+) -> Result<(), OrderError> {
+    match order {
+        OperatorOrder::Drain(zone) => drain(zone, matrix, current, next),
+        OperatorOrder::Return(zone) => return_zone(zone, matrix, current, next),
+        OperatorOrder::Freeze if current.frozen => Err(OrderError::AlreadyFrozen),
+        OperatorOrder::Thaw if !current.frozen => Err(OrderError::NotFrozen),
+        OperatorOrder::Freeze => {
+            (next.frozen, next.cause) = (true, DecisionCause::Frozen);
+            Ok(())
+        }
+        OperatorOrder::Thaw => {
+            (next.frozen, next.cause) = (false, DecisionCause::Thawed);
+            Ok(())
+        }
+    }
+}
+
+fn index_of(zone: u16, current: &Decision) -> Result<usize, OrderError> {
+    let index = usize::from(zone);
+    if index < current.zones.len() { Ok(index) } else { Err(OrderError::UnknownZone(zone)) }
+}
+
+fn drain(
+    zone: u16,
+    matrix: &EvidenceMatrix,
+    current: &Decision,
+    next: &mut Decision,
+) -> Result<(), OrderError> {
+    let index = index_of(zone, current)?;
+    if current.zones[index].drained {
+        return Err(OrderError::AlreadyDrained);
+    }
+    if !another_zone_serves(matrix, current, index) {
+        return Err(OrderError::NoOtherZoneServes);
+    }
+    let demand = total_demand(next);
+    if let Some(capacity) = capacity_without(next, index)
+        && capacity < demand
+    {
+        return Err(OrderError::InsufficientCapacity { capacity, demand });
+    }
+    let drained = &mut next.zones[index];
+    drained.drained = true;
+    if drained.retained > 0 {
+        drained.state = ZoneState::Draining;
+        drained.retained = drained.retained.saturating_sub(DRAIN_STEP);
+        if drained.retained == 0 {
+            drained.state = ZoneState::OutOfService;
+        }
+    }
+    (next.cause, next.zone) = (DecisionCause::Drained, zone);
+    Ok(())
+}
+
+fn return_zone(
+    zone: u16,
+    matrix: &EvidenceMatrix,
+    current: &Decision,
+    next: &mut Decision,
+) -> Result<(), OrderError> {
+    let index = index_of(zone, current)?;
+    let state = current.zones[index].state;
+    if !matches!(state, ZoneState::Draining | ZoneState::OutOfService) {
+        return Err(OrderError::NotOutOfService(state));
+    }
+    let finding = matrix.finding(index);
+    if !finding.is_usable() {
+        return Err(OrderError::NotUsable(finding));
+    }
+    let returned = &mut next.zones[index];
+    (returned.drained, returned.state) = (false, ZoneState::Returning);
+    returned.retained = (returned.retained + RETURN_STEP).min(FULL_PERMILLE - 1);
+    (next.cause, next.zone) = (DecisionCause::Returned, zone);
+    Ok(())
+}
--- /dev/null
+++ b/crates/pipitcrank-failover/src/controller/steps.rs
@@ -0,0 +1,171 @@
+//! The steps of one zone.
+
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+use pipitcrank_membership::evidence::{EvidenceMatrix, Finding};
+
+use super::capacity::another_zone_serves;
+use super::timing::{
+    DRAIN_STEP, DRAIN_STEP_INTERVAL, FailoverTiming, OBSERVED_FOR, RETURN_STEP, RETURN_STEP_INTERVAL,
+    SLOW_RETURN_FRACTION,
+};
+use super::watch::{EvidenceWatch, ZoneWatch};
+use crate::decision::{Decision, DecisionCause, FULL_PERMILLE, ZoneDecision, ZoneState};
+use crate::routing_table::{Proximity, RoutingTable};
+
+/// The hold-down is doubled at most so often.
+const MAX_HOLD_DOWN_LEVEL: u8 = 16;
+/// While replicas are warming up, steps of returning take this many times as long.
+const SLOW_RETURN_FACTOR: f64 = 2.0;
+
+/// All that a zone's next step depends on.
+pub(super) struct ZoneSteps<'a> {
+    pub(super) now: Timestamp,
+    pub(super) timing: &'a FailoverTiming,
+    pub(super) proximity: &'a Proximity,
+    pub(super) watch: &'a EvidenceWatch,
+    pub(super) matrix: &'a EvidenceMatrix,
+    pub(super) current: &'a Decision,
+}
+
+impl ZoneSteps<'_> {
+    /// One zone's step, if one is due: its cause; `next` is changed by it.
+    pub(super) fn next_step(&self, next: &mut Decision, zone: usize) -> Option<DecisionCause> {
+        match self.current.zones[zone].state {
+            ZoneState::Serving => self.step_while_serving(&mut next.zones[zone], zone),
+            ZoneState::Suspected => self.step_while_suspected(next, zone),
+            ZoneState::Draining => self.step_while_draining(next, zone),
+            ZoneState::OutOfService => self.step_while_out_of_service(&mut next.zones[zone], zone),
+            ZoneState::Returning => self.step_while_returning(&mut next.zones[zone], zone),
+        }
+    }
+
+    fn step_while_serving(&self, next: &mut ZoneDecision, zone: usize) -> Option<DecisionCause> {
+        let (watch, decided) = (self.zone_watch(zone), &self.current.zones[zone]);
+        if self.lasts(watch.unhealthy_since, OBSERVED_FOR) && self.another_zone_serves(zone) {
+            next.state = ZoneState::Suspected;
+            return Some(self.cause_against(zone));
+        }
+        if decided.hold_down_level > 0 && self.now - watch.serving_since >= self.timing.calm_after {
+            next.hold_down_level = 0;
+            return Some(DecisionCause::Calm);
+        }
+        None
+    }
+
+    fn step_while_suspected(&self, next: &mut Decision, zone: usize) -> Option<DecisionCause> {
+        let watch = self.zone_watch(zone);
+        if self.lasts(watch.unhealthy_since, OBSERVED_FOR + self.timing.suspect_after) {
+            let drained = self.another_zone_serves(zone) && self.drain_step(next, zone);
+            return drained.then(|| self.cause_against(zone));
+        }
+        if self.lasts(watch.healthy_since, self.timing.suspect_after) {
+            next.zones[zone].state = ZoneState::Serving;
+            return Some(DecisionCause::Healthy);
+        }
+        None
+    }
+
+    fn step_while_draining(&self, next: &mut Decision, zone: usize) -> Option<DecisionCause> {
+        let (watch, decided) = (self.zone_watch(zone), &self.current.zones[zone]);
+        if !decided.drained && self.lasts(watch.healthy_since, OBSERVED_FOR + self.timing.suspect_after) {
+            next.zones[zone].state = ZoneState::Returning;
+            next.zones[zone].hold_down_level = relapsed_level(decided);
+            return Some(DecisionCause::Healthy);
+        }
+        if self.step_is_due(zone, DRAIN_STEP_INTERVAL) && self.another_zone_serves(zone) {
+            let has_cause = decided.drained || watch.unhealthy_since.is_some();
+            return (has_cause && self.drain_step(next, zone)).then_some(DecisionCause::NextStep);
+        }
+        None
+    }
+
+    fn step_while_out_of_service(&self, next: &mut ZoneDecision, zone: usize) -> Option<DecisionCause> {
+        let (watch, decided) = (self.zone_watch(zone), &self.current.zones[zone]);
+        if decided.drained || !self.lasts(watch.healthy_since, self.hold_down(decided.hold_down_level)) {
+            return None;
+        }
+        (next.state, next.retained) = (ZoneState::Returning, RETURN_STEP);
+        Some(DecisionCause::Healthy)
+    }
+
+    fn step_while_returning(&self, next: &mut ZoneDecision, zone: usize) -> Option<DecisionCause> {
+        let (watch, decided) = (self.zone_watch(zone), &self.current.zones[zone]);
+        if self.lasts(watch.unhealthy_since, OBSERVED_FOR) {
+            (next.state, next.hold_down_level) = (ZoneState::Draining, relapsed_level(decided));
+            return Some(self.cause_against(zone));
+        }
+        let is_slow = self.matrix.warming_up_fraction(zone) >= SLOW_RETURN_FRACTION;
+        let factor = if is_slow { SLOW_RETURN_FACTOR } else { 1.0 };
+        if !self.step_is_due(zone, RETURN_STEP_INTERVAL * factor) || watch.healthy_since.is_none() {
+            return None;
+        }
+        next.retained = (decided.retained + RETURN_STEP).min(FULL_PERMILLE);
+        if next.retained == FULL_PERMILLE {
+            next.state = ZoneState::Serving;
+        }
+        Some(DecisionCause::NextStep)
+    }
+
+    fn zone_watch(&self, zone: usize) -> &ZoneWatch {
+        &self.watch.zones[zone]
+    }
+
+    fn lasts(&self, since: Option<Timestamp>, long_enough: TimeSpan) -> bool {
+        since.is_some_and(|since| self.now - since >= long_enough)
+    }
+
+    fn step_is_due(&self, zone: usize, interval: TimeSpan) -> bool {
+        self.now - self.zone_watch(zone).last_step >= interval
+    }
+
+    fn another_zone_serves(&self, zone: usize) -> bool {
+        another_zone_serves(self.matrix, self.current, zone)
+    }
+
+    fn cause_against(&self, zone: usize) -> DecisionCause {
+        match self.matrix.finding(zone) {
+            Finding::Dead => DecisionCause::Dead,
+            Finding::CutOff => DecisionCause::CutOff,
+            _ => DecisionCause::Slow,
+        }
+    }
+
+    fn hold_down(&self, level: u8) -> TimeSpan {
+        let doubled = f64::from(1u32 << level.min(MAX_HOLD_DOWN_LEVEL));
+        (self.timing.hold_down * doubled).min(self.timing.max_hold_down)
+    }
+
+    /// Drains a zone by one step; false where that may not be. A zone that answers nothing is drained whatever the capacity
+    /// of the others; one that still answers only as far as they have capacity.
+    fn drain_step(&self, next: &mut Decision, zone: usize) -> bool {
+        let before = next.zones[zone].clone();
+        let answers_nothing = matches!(self.matrix.finding(zone), Finding::Dead | Finding::CutOff);
+        if answers_nothing || before.retained == 0 {
+            drain_by_one_step(&mut next.zones[zone]);
+            return true;
+        }
+        let unanswered_before = self.unanswered(next);
+        drain_by_one_step(&mut next.zones[zone]);
+        let fits = self.unanswered(next) <= unanswered_before;
+        if !fits {
+            next.zones[zone] = before;
+        }
+        fits
+    }
+
+    /// Demand that nobody can answer, in thousandths of a part per second.
+    fn unanswered(&self, decision: &Decision) -> u64 {
+        let shed = RoutingTable::new(decision, self.proximity).shed;
+        let zones = shed.iter().zip(&decision.zones);
+        zones.map(|(shed, zone)| u64::from(*shed) * u64::from(zone.demand)).sum()
+    }
+}
+
+fn drain_by_one_step(zone: &mut ZoneDecision) {
+    zone.retained = zone.retained.saturating_sub(DRAIN_STEP);
+    zone.state = if zone.retained == 0 { ZoneState::OutOfService } else { ZoneState::Draining };
+}
+
+fn relapsed_level(zone: &ZoneDecision) -> u8 {
+    zone.hold_down_level.saturating_add(1).min(MAX_HOLD_DOWN_LEVEL)
+}
--- a/crates/pipitcrank-failover/src/controller/tests.rs
+++ b/crates/pipitcrank-failover/src/controller/tests.rs
@@ -1,7 +1,10 @@
+use pipitcrank_core::time::TimeSpan;
 use pipitcrank_membership::evidence::{EvidenceReport, EvidenceTable, ReplicaCounts};
 use proptest::prelude::*;
 
+use super::timing::{DRAIN_STEP, DRAIN_STEP_INTERVAL, RETURN_STEP};
 use super::*;
+use crate::routing_table::RoutingTable;
 
 const TIMING: FailoverTiming = FailoverTiming {
     suspect_after: TimeSpan::from_millis(500),
@@ -10,9 +13,9 @@
     calm_after: TimeSpan::from_millis(30_000),
 };
 
-/// Three zones of ten replicas that bear 100 parts a second each; 300 are asked in each.
+/// Three zones of ten replicas that answer 100 parts per second each, with a demand of 300 in each.
 struct Scene {
-    book: FailoverController,
+    controller: FailoverController,
     decision: Decision,
     now: Timestamp,
     /// `[from][to]`: replicas silent, full.
@@ -20,34 +23,34 @@
     saturated: [u16; 3],
     demand: u32,
     answered_parts: u32,
-    mute: Option<usize>,
+    unreported: Option<usize>,
     history: Vec<(Timestamp, Decision)>,
 }
 
 fn scene() -> Scene {
-    let near = Proximity::new(&["r", "r", "r"].map(str::to_string));
-    let mut book = FailoverController::new(TIMING, near, 3, 100.0);
-    book.leadership_gained(Timestamp::default());
+    let proximity = Proximity::new(&["r", "r", "r"].map(str::to_string));
+    let mut controller = FailoverController::new(TIMING, proximity, 3, 100.0);
+    controller.leadership_gained(Timestamp::default());
     let (silent, saturated) = ([[0; 3]; 3], [0; 3]);
     let decision = Decision::initial(3, 1 << 32);
     Scene {
-        book,
+        controller,
         decision,
         now: Timestamp::default(),
         silent,
         saturated,
         demand: 300,
         answered_parts: 100,
-        mute: None,
+        unreported: None,
         history: Vec::new(),
     }
 }
 
 impl Scene {
     fn matrix(&self) -> EvidenceMatrix {
-        let mut words = EvidenceTable::new(3);
-        for zone in (0..3usize).filter(|z| self.mute != Some(*z)) {
-            let row = |to: usize| {
+        let mut table = EvidenceTable::new(3);
+        for zone in (0..3usize).filter(|z| self.unreported != Some(*z)) {
+            let counts = |to: usize| {
                 let silent = self.silent[zone][to];
                 let saturated = self.saturated[to].min(10 - silent);
                 ReplicaCounts {
@@ -59,24 +62,24 @@
                     ..ReplicaCounts::default()
                 }
             };
-            let word = EvidenceReport {
+            let report = EvidenceReport {
                 zone: zone as u16,
                 sequence: 1,
-                replica_counts: (0..3).map(row).collect(),
+                replica_counts: (0..3).map(counts).collect(),
                 demand: self.demand,
                 nodes: 1,
             };
             let from = ([127, 0, 0, 1], zone as u16).into();
-            assert!(words.record(self.now, from, 1, word));
+            assert!(table.record(self.now, from, 1, report));
         }
-        words.matrix(self.now)
+        table.matrix(self.now)
     }
 
     fn pass(&mut self, ms: i64) {
         for _ in 0..ms / 50 {
             self.now = self.now + TimeSpan::from_millis(50);
             let matrix = self.matrix();
-            if let Some(mut next) = self.book.next_decision(self.now, &matrix, &self.decision) {
+            if let Some(mut next) = self.controller.next_decision(self.now, &matrix, &self.decision) {
                 next.number = self.decision.number + 1;
                 self.decision = next;
                 self.history.push((self.now, self.decision.clone()));
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn a_dead_zone_is_out_in_steps_within_the_aim_and_home_again_in_steps() {
+fn a_dead_zone_is_drained_in_steps_within_the_objective_and_returns_in_steps() {
     let mut scene = scene();
     scene.pass(2000);
     assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
@@ -106,9 +109,9 @@
     scene.pass(2000);
     assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "within two seconds of the evidence");
     let retained: Vec<u16> = scene.history.iter().map(|(_, d)| d.zones[1].retained).collect();
-    assert!(retained.windows(2).all(|w| w[0].abs_diff(w[1]) <= STEP), "{retained:?}");
+    assert!(retained.windows(2).all(|w| w[0].abs_diff(w[1]) <= DRAIN_STEP), "{retained:?}");
     scene.pass(5000);
-    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "not for time alone");
+    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "not by time alone");
     scene.heal();
     let healed = scene.now;
     scene.pass(12_000);
@@ -118,7 +121,7 @@
 }
 
 #[test]
-fn half_a_zone_does_not_leave_whole_and_a_blink_moves_nothing() {
+fn half_a_zone_is_not_drained_and_a_short_fault_moves_nothing() {
     let mut scene = scene();
     (0..3).for_each(|from| scene.silent[from][1] = 5);
     scene.pass(5000);
@@ -135,7 +138,7 @@
 }
 
 #[test]
-fn flapping_is_held_down_longer_each_time_and_calm_forgives() {
+fn flapping_is_held_down_longer_each_time_until_a_calm_period() {
     let mut scene = scene();
     let mut last = Timestamp::default();
     let mut waits = Vec::new();
@@ -157,7 +160,7 @@
 }
 
 #[test]
-fn a_zone_that_comes_and_goes_every_three_seconds_settles_out() {
+fn a_zone_that_flaps_every_three_seconds_stays_out_of_service() {
     let mut scene = scene();
     for _ in 0..20 {
         scene.kill(1);
@@ -172,7 +175,7 @@
 }
 
 #[test]
-fn a_cut_between_two_zones_closes_that_way_alone() {
+fn a_cut_between_two_zones_closes_that_path_alone() {
     let mut scene = scene();
     (scene.silent[0][1], scene.silent[1][0]) = (10, 10);
     scene.pass(3000);
@@ -184,18 +187,18 @@
 }
 
 #[test]
-fn a_zone_that_nobody_else_reaches_goes_on_for_its_own_clients() {
+fn a_zone_that_nobody_else_reaches_still_serves_its_own_clients() {
     let mut scene = scene();
     scene.silent = [[0, 10, 0], [10, 0, 10], [0, 10, 0]];
     scene.pass(4000);
     assert!((0..3).all(|z| scene.state(z) == (ZoneState::Serving, 1000)));
     assert_eq!([0, 1, 2].map(|z| scene.decision.zones[z].cut_paths), [0b010, 0b101, 0b010]);
-    let fractions = RoutingTable::new(&scene.decision, &scene.book.near);
-    assert_eq!((fractions.fractions[1].clone(), fractions.shed[1]), (vec![0, 1000, 0], 0));
+    let table = RoutingTable::new(&scene.decision, &scene.controller.proximity);
+    assert_eq!((table.fractions[1].clone(), table.shed[1]), (vec![0, 1000, 0], 0));
 }
 
 #[test]
-fn two_zones_a_second_apart_and_never_all() {
+fn two_zones_are_drained_a_second_apart_and_never_all() {
     let mut scene = scene();
     scene.kill(1);
     scene.pass(1000);
@@ -204,13 +207,13 @@
     assert_eq!([1, 2].map(|z| scene.state(z).0), [ZoneState::OutOfService, ZoneState::OutOfService]);
     scene.kill(0);
     scene.pass(5000);
-    assert_eq!(scene.state(0), (ZoneState::Serving, 1000), "nowhere to go");
+    assert_eq!(scene.state(0), (ZoneState::Serving, 1000), "no other zone could take its load");
 }
 
 #[test]
-fn a_slow_zone_is_left_only_as_far_as_the_others_carry() {
+fn a_slow_zone_is_drained_only_as_far_as_the_others_have_capacity() {
     let mut scene = scene();
-    // All three asked 700: the others have 200 free each by plan, and the zone's 700 do not fit.
+    // A demand of 700 in all three: the others have 200 free each, and the zone's 700 do not fit.
     (scene.demand, scene.answered_parts) = (700, 234);
     scene.saturated[1] = 10;
     scene.pass(6000);
@@ -220,59 +223,64 @@
         "{:?}",
         scene.state(1)
     );
-    let fractions = RoutingTable::new(&scene.decision, &scene.book.near);
-    assert_eq!(fractions.shed, [0, 0, 0]);
+    let table = RoutingTable::new(&scene.decision, &scene.controller.proximity);
+    assert_eq!(table.shed, [0, 0, 0]);
 }
 
 #[test]
-fn operators_orders_are_refused_with_a_reason_where_a_rule_forbids() {
+fn operators_orders_are_rejected_with_a_reason_where_a_rule_forbids() {
     let mut scene = scene();
     scene.pass(2000);
     let matrix = scene.matrix();
-    let ask = |d: &Decision, order| scene.book.apply_order(&matrix, d, order);
-    assert!(ask(&scene.decision, OperatorOrder::Drain(7)).unwrap_err().contains("no zone"));
-    assert!(ask(&scene.decision, OperatorOrder::Return(1)).unwrap_err().contains("serving"));
-    assert!(ask(&scene.decision, OperatorOrder::Thaw).unwrap_err().contains("not frozen"));
+    let ask = |d: &Decision, order| scene.controller.apply_order(&matrix, d, order);
+    assert!(ask(&scene.decision, OperatorOrder::Drain(7)).unwrap_err().to_string().contains("no zone"));
+    assert!(ask(&scene.decision, OperatorOrder::Return(1)).unwrap_err().to_string().contains("serving"));
+    assert!(ask(&scene.decision, OperatorOrder::Thaw).unwrap_err().to_string().contains("not frozen"));
     let drained = ask(&scene.decision, OperatorOrder::Drain(1)).unwrap();
     assert_eq!((drained.zones[1].state, drained.zones[1].drained), (ZoneState::Draining, true));
-    assert!(ask(&drained, OperatorOrder::Drain(1)).unwrap_err().contains("already"));
+    assert!(ask(&drained, OperatorOrder::Drain(1)).unwrap_err().to_string().contains("already"));
     scene.decision = drained;
     scene.pass(3000);
     assert_eq!(scene.state(1), (ZoneState::OutOfService, 0));
     scene.pass(60_000);
     assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "until an operator returns it");
     let (matrix, current) = (scene.matrix(), scene.decision.clone());
-    let one_more = scene.book.apply_order(&matrix, &current, OperatorOrder::Drain(2));
+    let one_more = scene.controller.apply_order(&matrix, &current, OperatorOrder::Drain(2));
     assert!(one_more.is_err() || scene.decision.zones[2].capacity >= 1000, "{one_more:?}");
-    scene.decision = scene.book.apply_order(&matrix, &current, OperatorOrder::Return(1)).unwrap();
+    scene.decision = scene.controller.apply_order(&matrix, &current, OperatorOrder::Return(1)).unwrap();
     scene.pass(10_000);
     assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
-    // Too much is asked for two zones to carry.
+    // The demand is too much for two zones.
     scene.demand = 700;
     scene.pass(2000);
-    let refused =
-        scene.book.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Drain(1)).unwrap_err();
+    let refused = scene
+        .controller
+        .apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Drain(1))
+        .unwrap_err()
+        .to_string();
     assert!(refused.contains("1800 parts a second of the 2100"), "{refused}");
 }
 
 #[test]
-fn frozen_nothing_moves_by_itself() {
+fn while_frozen_nothing_moves_by_itself() {
     let mut scene = scene();
-    scene.decision = scene.book.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Freeze).unwrap();
+    scene.decision =
+        scene.controller.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Freeze).unwrap();
     scene.kill(1);
     scene.pass(5000);
     assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
-    scene.decision = scene.book.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Thaw).unwrap();
+    scene.decision =
+        scene.controller.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Thaw).unwrap();
     scene.pass(3000);
     assert_eq!(scene.state(1).0, ZoneState::OutOfService);
 }
 
 #[test]
-fn a_zone_cut_off_whose_copies_are_not_heard_leaves() {
+fn a_zone_cut_off_whose_nodes_do_not_report_is_drained() {
     let mut scene = scene();
     scene.kill(1);
     scene.silent[1] = [0; 3];
-    scene.mute = Some(1);
+    scene.unreported = Some(1);
     scene.pass(2500);
     assert_eq!(scene.state(1).0, ZoneState::OutOfService);
     let first = scene.history.iter().find(|(_, d)| d.zone == 1 && d.cause != DecisionCause::LoadChanged);
@@ -280,22 +288,26 @@
 }
 
 #[test]
-fn what_replicas_bore_when_full_counts_against_what_operators_say() {
+fn what_saturated_replicas_answered_counts_against_the_configured_capacity() {
     let mut scene = scene();
     scene.saturated[1] = 4;
     scene.pass(500);
-    // 300 merged by ten replicas that are full: 30 each, not the 100 told.
-    assert!(scene.book.watches[1].bears < 31.0, "{}", scene.book.watches[1].bears);
+    // 300 answered by ten saturated replicas: 30 each, not the 100 configured.
+    assert!(
+        scene.controller.watch.zones[1].replica_capacity < 31.0,
+        "{}",
+        scene.controller.watch.zones[1].replica_capacity
+    );
     scene.saturated[1] = 0;
     scene.pass(60_000);
-    assert_eq!(scene.book.watches[1].bears, 100.0);
+    assert_eq!(scene.controller.watch.zones[1].replica_capacity, 100.0);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 64, ..ProptestConfig::default() })]
 
     /// Whatever the evidence does, against the rules as a plain model states them: steps no larger or quicker than
-    /// stated, never the last zone, a zone that is out or drained gets nothing, and one that is well comes home.
+    /// specified, never the last zone, nothing for a zone out of service or drained, and a healthy one returns.
     #[test]
     fn moves_keep_the_rules(script in proptest::collection::vec((0usize..3, 0u16..=10, 0u16..=10, 50i64..1500), 1..40)) {
         let mut scene = scene();
@@ -311,10 +323,10 @@
             prop_assert!(decision.zones.iter().any(|p| p.retained > 0), "all are out: {:?}", decision);
             for (zone, last) in changed.iter_mut().enumerate() {
                 let (was, is) = (&before.1.zones[zone], &decision.zones[zone]);
-                prop_assert!(was.retained.saturating_sub(is.retained) <= STEP);
+                prop_assert!(was.retained.saturating_sub(is.retained) <= DRAIN_STEP);
                 prop_assert!(is.retained.saturating_sub(was.retained) <= RETURN_STEP);
                 if was.retained != is.retained {
-                    let quick = decision.cause == DecisionCause::NextStep && *at - *last < STEP_TIME;
+                    let quick = decision.cause == DecisionCause::NextStep && *at - *last < DRAIN_STEP_INTERVAL;
                     prop_assert!(!quick, "{at:?} {decision:?}");
                     *last = *at;
                 }
--- a/crates/pipitcrank-failover/src/decision.rs
+++ b/crates/pipitcrank-failover/src/decision.rs
@@ -1,70 +1,95 @@
-//! What is agreed on: one decision a number. Numbers only grow; a new group of voters begins above all that any of them
-//! knew of.
+//! What the voters agree on: one decision for each number. Numbers only grow; a new group of voters begins above all that
+//! any of them knew of.
 
 use serde::{Deserialize, Serialize};
 
-/// Whole of anything given in thousandths.
+/// The whole of anything that is given in thousandths.
 pub const FULL_PERMILLE: u16 = 1000;
-/// Parts a second where nobody knows how many: held to be enough.
+/// Capacity in parts per second where nobody knows it; taken to be enough.
 pub const UNKNOWN_CAPACITY: u32 = u32::MAX;
+/// Bits of a decision's number that count within a generation of voters.
+const COUNT_BITS: u32 = 32;
 
 /// What is done with a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ZoneState {
+    /// It has its usual load.
     Serving,
-    /// Evidence speaks against it; nothing is moved yet.
+    /// Evidence is against it; nothing is moved yet.
     Suspected,
     /// Its load goes elsewhere, in steps.
     Draining,
+    /// It has no load.
     OutOfService,
     /// Its load comes back, in steps.
     Returning,
 }
 
-/// One zone in a decision.
+impl ZoneState {
+    /// As it is shown to operators and written to logs.
+    pub fn name(self) -> &'static str {
+        match self {
+            ZoneState::Serving => "serving",
+            ZoneState::Suspected => "suspected",
+            ZoneState::Draining => "leaving",
+            ZoneState::OutOfService => "out",
+            ZoneState::Returning => "returning",
+        }
+    }
+}
+
+/// What is decided for one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDecision {
+    /// What is done with it.
     pub state: ZoneState,
-    /// Thousandths of its usual load that it keeps.
+    /// Thousandths of its usual load that it retains.
     pub retained: u16,
     /// How often its hold-down was doubled.
     pub hold_down_level: u8,
-    /// An operator took it out: it stays so until an operator returns it.
+    /// An operator drained it: it stays out of service until an operator returns it.
     pub drained: bool,
-    /// Parts a second that it can carry; `UNKNOWN_CAPACITY` where nobody says.
+    /// Parts per second that it can answer; [`UNKNOWN_CAPACITY`] where nobody knows.
     pub capacity: u32,
-    /// Parts a second that its clients ask.
+    /// Parts per second that its clients request.
     pub demand: u32,
-    /// Bit `n`: nothing goes from here to zone `n`, the way is cut.
+    /// Bit `n`: the path to zone `n` is cut, nothing is routed there.
     pub cut_paths: u16,
 }
 
 /// Why a decision was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionCause {
-    /// A group of voters began.
+    /// A group of voters was founded.
     GroupFounded,
+    /// Evidence that a zone is dead.
     Dead,
+    /// Evidence that a zone is cut off.
     CutOff,
+    /// Evidence that a zone is slow.
     Slow,
-    /// Evidence that a place is well.
+    /// Evidence that a zone is healthy.
     Healthy,
-    /// The next step of a move that goes on.
+    /// The next step of a move.
     NextStep,
-    /// A way between two zones is cut, or whole again.
+    /// A path between two zones is cut, or restored.
     PathChanged,
-    /// Load or capacity changed by enough to matter.
+    /// Demand or capacity changed by enough to matter.
     LoadChanged,
-    /// Calm for long: the hold-down is at its shortest again.
+    /// No fault for long: the hold-down is at its shortest again.
     Calm,
-    /// An operator's order.
+    /// An operator drained a zone.
     Drained,
+    /// An operator returned a zone.
     Returned,
+    /// An operator froze all zones.
     Frozen,
+    /// An operator ended the freeze.
     Thawed,
 }
 
 impl DecisionCause {
+    /// As it is shown to operators and written to logs.
     pub fn name(self) -> &'static str {
         match self {
             DecisionCause::GroupFounded => "begun",
@@ -84,36 +109,25 @@
     }
 }
 
-impl ZoneState {
-    pub fn name(self) -> &'static str {
-        match self {
-            ZoneState::Serving => "serving",
-            ZoneState::Suspected => "suspected",
-            ZoneState::Draining => "leaving",
-            ZoneState::OutOfService => "out",
-            ZoneState::Returning => "returning",
-        }
-    }
-}
-
-/// All that is decided, whole.
+/// One decision on all zones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
     /// The generation of voters in the upper half, the count within it in the lower.
     pub number: u64,
     /// By zone, in the operators' order.
     pub zones: Vec<ZoneDecision>,
-    /// Nothing moves but by operators.
+    /// Nothing moves except by operators' orders.
     pub frozen: bool,
+    /// Why it was made.
     pub cause: DecisionCause,
-    /// The zone that it is about, by place.
+    /// The zone that it is about, by place in the operators' list.
     pub zone: u16,
 }
 
 impl Decision {
-    /// What stands before anything was decided.
-    pub fn initial(zones: usize, number: u64) -> Decision {
-        let place = ZoneDecision {
+    /// The decision that holds before any is made: all zones serve.
+    pub fn initial(zone_count: usize, number: u64) -> Decision {
+        let zone = ZoneDecision {
             state: ZoneState::Serving,
             retained: FULL_PERMILLE,
             hold_down_level: 0,
@@ -124,36 +138,54 @@
         };
         Decision {
             number,
-            zones: vec![place; zones],
+            zones: vec![zone; zone_count],
             frozen: false,
             cause: DecisionCause::GroupFounded,
             zone: 0,
         }
     }
 
-    /// Whether it can be acted on with so many zones. Guards against a word of copies that were told of other zones.
-    pub fn is_valid(&self, zones: usize) -> bool {
-        let whole = |p: &ZoneDecision| {
-            p.retained <= FULL_PERMILLE && (p.state != ZoneState::OutOfService || p.retained == 0)
+    /// Whether it can be acted on with that many zones: it may come from nodes with another configuration.
+    pub fn is_valid(&self, zone_count: usize) -> bool {
+        let consistent = |zone: &ZoneDecision| {
+            let out_of_service = zone.state == ZoneState::OutOfService;
+            zone.retained <= FULL_PERMILLE && (!out_of_service || zone.retained == 0)
         };
-        self.zones.len() == zones && usize::from(self.zone) < zones && self.zones.iter().all(whole)
+        self.zones.len() == zone_count
+            && usize::from(self.zone) < zone_count
+            && self.zones.iter().all(consistent)
     }
 
+    /// The generation of voters that made it.
     pub fn generation(&self) -> u64 {
-        self.number >> 32
+        self.number >> COUNT_BITS
     }
 
-    /// Whether anything may go from one zone to the other.
+    /// The lowest number of a generation.
+    pub(crate) fn first_number(generation: u64) -> u64 {
+        generation << COUNT_BITS
+    }
+
+    /// Whether queries may be routed from one zone to the other.
     pub fn allows(&self, from: usize, to: usize) -> bool {
-        self.zones[to].retained > 0 && self.zones[from].cut_paths & (1 << to) == 0
+        self.zones[to].retained > 0 && !self.is_path_cut(from, to)
+    }
+
+    /// Whether the path from one zone to the other is decided to be cut.
+    pub(crate) fn is_path_cut(&self, from: usize, to: usize) -> bool {
+        self.zones[from].cut_paths & (1 << to) != 0
     }
 }
 
-/// An operator's order.
+/// An operator's order; a zone is given by its place in the operators' list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorOrder {
+    /// Takes a zone out of service until it is returned.
     Drain(u16),
+    /// Brings a zone back into service.
     Return(u16),
+    /// Stops all moves that are not ordered.
     Freeze,
+    /// Ends a freeze.
     Thaw,
 }
--- a/crates/pipitcrank-failover/src/lib.rs
+++ b/crates/pipitcrank-failover/src/lib.rs
@@ -1,18 +1,24 @@
-//! The common decision on zones. Each copy says what it sees (`pipitcrank-membership`); few voters, spread over the zones,
-//! agree on one numbered decision at a time; all copies act on the newest they know, and on none that is older.
+//! The common decision on zones. Each node reports what it observes (`pipitcrank-membership`); few voters, spread over the
+//! zones, agree on one numbered decision at a time; all nodes act on the newest they know, and on none that is older.
 //!
-//! | file | decides |
+//! | module | decides |
 //! | --- | --- |
-//! | `controller.rs` | what the next decision is: states of zones, steps, hold-down; what operators may order |
-//! | `routing_table.rs` | which share of each zone's queries is meant for which zone |
-//! | `follower.rs` | what one copy acts on: the decision, or, cut off for long, its own evidence within bounds |
-//! | `voter.rs` | nothing: the adapter round the agreement's library, and who belongs to the voters |
-//! | `node.rs` | nothing: joins the parts of one copy; fed datagrams and times |
+//! | [`controller`] | what the next decision is: states of zones, steps, hold-down; which operators' orders are accepted |
+//! | [`routing_table`] | which fraction of each zone's queries is routed to which zone |
+//! | [`follower`] | what one node acts on: the decision, or, isolated for long, its own evidence within bounds |
+//! | [`voter`] | nothing about zones: drives the Raft library, and decides who belongs to the voters |
+//! | [`node`] | nothing: connects the parts of one node; fed datagrams and times |
 //!
-//! No sockets and no clock anywhere here: the program's hands (`pipitcrank-cli`), the emulator and the tests drive the same.
+//! No sockets and no clock anywhere here: the program (`pipitcrank-cli`), the emulator and the tests drive the same code.
 
+#![warn(missing_docs)]
+
+mod constants;
 pub mod controller;
 pub mod decision;
+#[cfg(test)]
+#[path = "../../../fixtures/mod.rs"]
+mod fixtures;
 pub mod follower;
 pub mod node;
 pub mod routing_table;
--- /dev/null
+++ b/crates/pipitcrank-failover/src/node/durable_voter.rs
@@ -0,0 +1,79 @@
+//! A voter whose outputs wait until its memory is persisted.
+
+use pipitcrank_core::time::Timestamp;
+
+use super::config::FailoverNodeConfig;
+use super::message::RequestError;
+use crate::decision::Decision;
+use crate::voter::{AddressedOutput, Voter, VoterMemory};
+
+pub(super) struct DurableVoter {
+    pub(super) voter: Voter,
+    own_slot: usize,
+    slot_count: usize,
+    /// Memory is persisted before anything is released that depends on it.
+    is_durable: bool,
+    awaits_persistence: bool,
+}
+
+impl DurableVoter {
+    /// None where this node is no voter.
+    pub(super) fn from_config(now: Timestamp, config: &FailoverNodeConfig) -> Option<DurableVoter> {
+        let FailoverNodeConfig { own, voters, zone_count, .. } = config;
+        let own_slot = voters.iter().position(|voter| *voter == own.address)?;
+        let slot_count = voters.len();
+        let voter = Voter::new(now, own_slot, slot_count, *zone_count, own.instance);
+        Some(DurableVoter { voter, own_slot, slot_count, is_durable: false, awaits_persistence: false })
+    }
+
+    pub(super) fn require_durable_memory(&mut self) {
+        self.is_durable = true;
+    }
+
+    pub(super) fn take_memory(&mut self) -> Option<VoterMemory> {
+        if !self.is_durable {
+            return None;
+        }
+        let memory = self.voter.take_memory();
+        self.awaits_persistence |= memory.is_some();
+        memory
+    }
+
+    pub(super) fn memory_persisted(&mut self) {
+        self.awaits_persistence = false;
+    }
+
+    pub(super) fn awaits_persistence(&self) -> bool {
+        self.awaits_persistence
+    }
+
+    /// Whether outputs may be sent and acted on: none that its memory could lose.
+    fn may_release(&self) -> bool {
+        !self.is_durable || !self.awaits_persistence && !self.voter.has_changed()
+    }
+
+    pub(super) fn take_decided(&mut self) -> Vec<Decision> {
+        if self.may_release() { self.voter.take_decided() } else { Vec::new() }
+    }
+
+    pub(super) fn take_outputs(&mut self) -> Vec<AddressedOutput> {
+        if self.may_release() { self.voter.take_outputs() } else { Vec::new() }
+    }
+
+    pub(super) fn leader_slot(&self) -> Option<u8> {
+        self.voter.leader().map(|slot| slot as u8)
+    }
+
+    /// Excludes the voters of these slots; each voter is asked by itself, since there may be no majority to agree on it.
+    pub(super) fn exclude(&mut self, slots: &[u8]) -> Result<(), RequestError> {
+        let slots: Vec<usize> = slots.iter().map(|slot| usize::from(*slot)).collect();
+        if slots.iter().any(|slot| *slot >= self.slot_count || *slot == self.own_slot) {
+            return Err(RequestError::InvalidSlot);
+        }
+        if !slots.is_empty() && self.voter.has_leader() {
+            return Err(RequestError::HasLeader);
+        }
+        self.voter.exclude_voters(slots);
+        Ok(())
+    }
+}
--- a/crates/pipitcrank-failover/src/node/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/node/stored_forms.rs
@@ -1,13 +1,17 @@
-//! Messages between copies and the gossip of decisions and heartbeats, against bytes of an earlier version.
+//! Messages between nodes and the gossip of decisions and heartbeats, against bytes of an earlier version.
 
 use std::fmt::Debug;
 
+use pipitcrank_membership::evidence::EvidenceReport;
+use serde::Serialize;
 use serde::de::DeserializeOwned;
 
+use super::broadcast::{DECISION_TOPIC, HEARTBEAT_TOPIC};
 use super::*;
-
-#[path = "../../../../fixtures/mod.rs"]
-mod fixtures;
+use crate::fixtures;
+use crate::follower::HeartbeatRank;
+use crate::routing_table::ZoneFraction;
+use crate::voter::VoterMessage;
 
 fn check<T: Debug + Serialize + DeserializeOwned>(file: &str, values: &[(&str, T)]) {
     let encode = |value: &T| postcard::to_allocvec(value).unwrap();
@@ -18,7 +22,7 @@
     Peer { address: ([127, 0, 0, 1], 7201).into(), instance: 1 << 50, zone: 2 }
 }
 
-fn shown() -> StatusReport {
+fn status() -> StatusReport {
     StatusReport {
         decision: Some(Decision::initial(2, 7 << 32)),
         status: "follows".into(),
@@ -30,9 +34,13 @@
     }
 }
 
+fn heartbeat() -> LeaderHeartbeat {
+    LeaderHeartbeat { rank: HeartbeatRank { term: 8, count: 9 }, decision_number: 10 }
+}
+
 #[test]
-fn messages_between_copies_are_read_and_written_as_by_an_earlier_version() {
-    let row = ReplicaCounts {
+fn messages_between_nodes_are_read_and_written_as_by_an_earlier_version() {
+    let counts = ReplicaCounts {
         listed: 9,
         answering: 1,
         silent: 2,
@@ -41,37 +49,37 @@
         warming_up: 5,
         answered_parts: 60_000,
     };
-    let evidence = Evidence { zone: 1, sequence: 300, replica_counts: vec![row], demand: 7000, nodes: 12 };
-    let stands = Message::Stands {
+    let evidence =
+        EvidenceReport { zone: 1, sequence: 300, replica_counts: vec![counts], demand: 7000, nodes: 12 };
+    let current_decision = Message::CurrentDecision {
         nonce: 17,
         decision: Some(Decision::initial(2, 7 << 32)),
-        rank: (8, 9),
-        beat_number: 10,
-        age: TimeSpan::from_millis(40),
+        heartbeat: heartbeat(),
+        heartbeat_age: TimeSpan::from_millis(40),
     };
-    let told = |answer| Message::Told { ticket: 33, answer };
+    let answered = |answer| Message::Answer { ticket: 33, answer };
     check(
         "node_messages.hex",
         &[
             ("voter", Message::Voter(VoterMessage::Found { generation: 9 })),
             ("evidence", Message::Evidence(evidence)),
-            ("look", Message::StatusQuery(17)),
-            ("stands", stands),
-            ("ask_show", Message::Ask { ticket: 33, order: None }),
-            ("ask_order", Message::Ask { ticket: 33, order: Some(OperatorOrder::Drain(2)) }),
-            ("told_shown", told(OperatorAnswer::Status(shown()))),
-            ("told_done", told(OperatorAnswer::Decided(7 << 32 | 1))),
-            ("told_refused", told(OperatorAnswer::Rejected("it is frozen already".into()))),
-            ("told_not_leading", told(OperatorAnswer::NotLeader(Some(2)))),
-            ("told_who", told(OperatorAnswer::Members { members: vec![peer()], more: true })),
-            ("stay_away", Message::StayAway { ticket: 33, seats: vec![1, 2] }),
-            ("who", Message::Who { ticket: 33, after: Some(([127, 0, 0, 1], 7202).into()) }),
+            ("look", Message::DecisionQuery(17)),
+            ("stands", current_decision),
+            ("ask_show", Message::OperatorRequest { ticket: 33, order: None }),
+            ("ask_order", Message::OperatorRequest { ticket: 33, order: Some(OperatorOrder::Drain(2)) }),
+            ("told_shown", answered(OperatorAnswer::Status(status()))),
+            ("told_done", answered(OperatorAnswer::Decided(7 << 32 | 1))),
+            ("told_refused", answered(OperatorAnswer::Rejected("it is frozen already".into()))),
+            ("told_not_leading", answered(OperatorAnswer::NotLeader(Some(2)))),
+            ("told_who", answered(OperatorAnswer::Members { members: vec![peer()], more: true })),
+            ("stay_away", Message::ExcludeVoters { ticket: 33, slots: vec![1, 2] }),
+            ("who", Message::MembersRequest { ticket: 33, after: Some(([127, 0, 0, 1], 7202).into()) }),
         ],
     );
 }
 
 #[test]
 fn topics_of_gossip_keep_their_numbers() {
-    assert_eq!((DECISION, BEATS), (0, 1));
-    check("heartbeat.hex", &[("heartbeat", ((8u64, 9u64), 10u64))]);
+    assert_eq!((DECISION_TOPIC, HEARTBEAT_TOPIC), (0, 1));
+    check("heartbeat.hex", &[("heartbeat", heartbeat())]);
 }
--- a/crates/pipitcrank-failover/src/routing_table.rs
+++ b/crates/pipitcrank-failover/src/routing_table.rs
@@ -1,39 +1,42 @@
-//! Which share of a zone's queries is meant for which zone. All copies derive the same from the same decision, in whole
-//! numbers, so that together they balance: near as far as near can carry, the least spill beyond, to the next nearest.
-//! What no zone can carry is a lack, which is turned away.
+//! Which fraction of each zone's queries is routed to which zone. All nodes derive the same table from the same decision, in
+//! integers, so that together they balance: local as far as local capacity reaches, the least possible spill beyond, to the
+//! nearest zone first. What no zone can answer is shed.
 
 use serde::{Deserialize, Serialize};
 
 use crate::decision::{Decision, FULL_PERMILLE, UNKNOWN_CAPACITY};
 
-/// Of what a zone can carry, what is planned for, in thousandths: the rest is for what is uneven within a second.
-const PLANNED: u64 = 900;
-/// Turns in which zones of one distance share out what is left: each halves what is uneven at the least.
-const TURNS: usize = 8;
+/// Thousandths of a zone's capacity that are planned for: the rest absorbs what is uneven within a second.
+pub(crate) const TARGET_UTILIZATION_PERMILLE: u64 = 900;
+/// Rounds in which zones at one distance divide what remains; each at least halves the imbalance.
+const ROUNDS_PER_DISTANCE: usize = 8;
+/// Capacity planned with where it is unknown, in thousandths of a part per second: above any demand, without overflow.
+const UNBOUNDED_CAPACITY: u64 = u64::MAX >> 24;
 
-/// The nearness of zones: 0 is the zone itself, 1 are the others of its region, 2 those of other regions. Zones of one
-/// nearness share what spills, by the room they have.
+/// Distances between zones: 0 for the zone itself, 1 for others of its region, 2 for those of other regions. Zones at one
+/// distance divide what spills, in proportion to their free capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proximity(Vec<Vec<u32>>);
 
 impl Proximity {
-    /// From each zone's region.
+    /// From the region of each zone.
     pub fn new(regions: &[String]) -> Proximity {
-        let zones = regions.len();
-        let far = |from: usize, to: usize| match (from == to, regions[from] == regions[to]) {
+        let zone_count = regions.len();
+        let distance = |from: usize, to: usize| match (from == to, regions[from] == regions[to]) {
             (true, _) => 0,
-            // One class a region: who spills splits over all of it.
             (_, true) => 1,
             _ => 2,
         };
-        Proximity((0..zones).map(|from| (0..zones).map(|to| far(from, to)).collect()).collect())
+        let distances_from = |from: usize| (0..zone_count).map(|to| distance(from, to)).collect();
+        Proximity((0..zone_count).map(distances_from).collect())
     }
 
-    pub fn of(&self, from: usize, to: usize) -> u32 {
+    /// The distance from one zone to another.
+    pub fn distance(&self, from: usize, to: usize) -> u32 {
         self.0[from][to]
     }
 
-    fn farthest(&self) -> u32 {
+    fn max_distance(&self) -> u32 {
         self.0.iter().flatten().copied().max().unwrap_or(0)
     }
 }
@@ -47,66 +50,99 @@
     pub permille: u16,
 }
 
-/// One request class's part of a node's work, as load shedding weighs it.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClassLoad {
-    /// Fraction of the node's work, 0 to 1.
-    pub work_fraction: f64,
-    /// Priority weight of a unit of work: the lowest is shed first.
-    pub priority_weight: f64,
-}
-
-/// What goes where, in thousandths.
+/// What is routed where.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingTable {
-    /// `[from][to]`: of the queries of a zone that are served. Each row sums to a thousand, or to nothing where nobody can
-    /// serve it.
+    /// `[from][to]`: thousandths of a zone's answered queries. Each row sums to a thousand, or to nothing where nobody can
+    /// answer.
     pub fractions: Vec<Vec<u16>>,
-    /// Of a zone's queries, what can't be carried by anybody.
+    /// By zone: thousandths of its queries that nobody can answer.
     pub shed: Vec<u16>,
-    /// Parts a second planned for each zone.
+    /// By zone: parts per second planned for it.
     pub load: Vec<u64>,
 }
 
-/// Parts a second that go from each zone to each, where zone `t` may be given `room[t]`.
+impl RoutingTable {
+    /// The routing that follows from a decision.
+    pub fn new(decision: &Decision, proximity: &Proximity) -> RoutingTable {
+        let zones = &decision.zones;
+        // A zone without demand still needs a row: its first query may arrive at any time.
+        let demand: Vec<u64> =
+            zones.iter().map(|zone| u64::from(zone.demand).max(1) * u64::from(FULL_PERMILLE)).collect();
+        let capacity: Vec<u64> = zones.iter().map(|zone| target_load(zone.capacity)).collect();
+        // A zone that moves in steps retains part of what it would have if all zones served.
+        let uncut = |from: usize, to: usize| !decision.is_path_cut(from, to);
+        let usual = load_by_zone(&flows(&demand, &capacity, &uncut, proximity));
+        let retained_capacity: Vec<u64> = (0..zones.len())
+            .map(|zone| match zones[zone].retained {
+                FULL_PERMILLE => capacity[zone],
+                retained => permille_of(usual[zone].min(capacity[zone]), retained),
+            })
+            .collect();
+        let allowed = |from: usize, to: usize| decision.allows(from, to);
+        let flow = flows(&demand, &retained_capacity, &allowed, proximity);
+        let load = load_by_zone(&flow).into_iter().map(|load| load / u64::from(FULL_PERMILLE)).collect();
+        let unanswered =
+            |(row, demand): (&Vec<u64>, &u64)| permille(demand - row.iter().sum::<u64>(), *demand);
+        RoutingTable {
+            fractions: flow.iter().map(|row| fractions_of(row)).collect(),
+            shed: flow.iter().zip(&demand).map(unanswered).collect(),
+            load,
+        }
+    }
+}
+
+/// What is planned for a zone of that capacity, in thousandths of a part per second.
+fn target_load(capacity: u32) -> u64 {
+    match capacity {
+        UNKNOWN_CAPACITY => UNBOUNDED_CAPACITY,
+        known => u64::from(known) * u64::from(FULL_PERMILLE) * TARGET_UTILIZATION_PERMILLE / 1000,
+    }
+}
+
+fn load_by_zone(flow: &[Vec<u64>]) -> Vec<u64> {
+    (0..flow.len()).map(|to| flow.iter().map(|row| row[to]).sum()).collect()
+}
+
+/// Thousandths for each zone; they sum to a thousand, or to nothing where nothing is answered.
+fn fractions_of(row: &[u64]) -> Vec<u16> {
+    let answered: u64 = row.iter().sum();
+    if answered == 0 {
+        return vec![0; row.len()];
+    }
+    let mut fractions: Vec<u16> = row.iter().map(|&given| permille(given, answered)).collect();
+    // The largest takes what rounding left over.
+    let sum: u16 = fractions.iter().sum();
+    if let Some(largest) = (0..row.len()).max_by_key(|&to| (fractions[to], row.len() - to)) {
+        fractions[largest] += FULL_PERMILLE - sum;
+    }
+    fractions
+}
+
+fn permille(part: u64, whole: u64) -> u16 {
+    (u128::from(part) * u128::from(FULL_PERMILLE) / u128::from(whole.max(1))) as u16
+}
+
+fn permille_of(value: u64, permille: u16) -> u64 {
+    (u128::from(value) * u128::from(permille) / u128::from(FULL_PERMILLE)) as u64
+}
+
+/// What flows from each zone to each, in the unit of `demand`, where zone `t` can take `capacity[t]`.
 fn flows(
     demand: &[u64],
-    room: &[u64],
-    open: &dyn Fn(usize, usize) -> bool,
-    near: &Proximity,
+    capacity: &[u64],
+    allowed: &dyn Fn(usize, usize) -> bool,
+    proximity: &Proximity,
 ) -> Vec<Vec<u64>> {
-    let zones = demand.len();
-    let (mut left, mut room) = (demand.to_vec(), room.to_vec());
-    let mut flow = vec![vec![0u64; zones]; zones];
-    for class in 0..=near.farthest() {
-        for _ in 0..TURNS {
-            let may = |from: usize, to: usize| near.of(from, to) == class && open(from, to);
-            // What each would give to each, by the room there is.
-            let mut wanted = vec![vec![0u64; zones]; zones];
-            for from in 0..zones {
-                let all: u128 = (0..zones).filter(|&to| may(from, to)).map(|to| u128::from(room[to])).sum();
-                for to in (0..zones).filter(|&to| may(from, to) && all > 0) {
-                    let share = u128::from(left[from]) * u128::from(room[to]);
-                    wanted[from][to] = (share.div_ceil(all)).min(u128::from(left[from])) as u64;
-                }
-            }
-            let mut moved = 0;
-            for to in 0..zones {
-                let all: u128 = (0..zones).map(|from| u128::from(wanted[from][to])).sum();
-                let fits = u128::from(room[to]).min(all);
-                for from in 0..zones {
-                    if all == 0 {
-                        break;
-                    }
-                    let given = (u128::from(wanted[from][to]) * fits / all) as u64;
-                    let given = given.min(left[from]);
-                    flow[from][to] += given;
-                    left[from] -= given;
-                    room[to] -= given.min(room[to]);
-                    moved += given;
-                }
-            }
-            if moved == 0 {
+    let zone_count = demand.len();
+    let mut remaining = Remaining { demand: demand.to_vec(), capacity: capacity.to_vec() };
+    let mut flow = vec![vec![0u64; zone_count]; zone_count];
+    for distance in 0..=proximity.max_distance() {
+        let reachable =
+            |from: usize, to: usize| proximity.distance(from, to) == distance && allowed(from, to);
+        for _ in 0..ROUNDS_PER_DISTANCE {
+            let offers = remaining.offers(&reachable);
+            if remaining.accept(&offers, &mut flow) == 0 {
                 break;
             }
         }
@@ -114,72 +150,77 @@
     flow
 }
 
-impl RoutingTable {
-    /// The routing that follows from a decision.
-    pub fn new(decision: &Decision, near: &Proximity) -> RoutingTable {
-        let zones = decision.zones.len();
-        let places = &decision.zones;
-        // A zone that nobody asks at still needs a row: the first query may come.
-        let demand: Vec<u64> =
-            places.iter().map(|p| u64::from(p.demand).max(1) * u64::from(FULL_PERMILLE)).collect();
-        let most = |capacity: u32| match capacity {
-            UNKNOWN_CAPACITY => u64::MAX >> 24,
-            known => u64::from(known) * u64::from(FULL_PERMILLE) * PLANNED / 1000,
-        };
-        let room: Vec<u64> = places.iter().map(|p| most(p.capacity)).collect();
-        let load = |flow: &[Vec<u64>]| -> Vec<u64> {
-            (0..zones).map(|to| flow.iter().map(|row| row[to]).sum()).collect()
-        };
-        // A zone that is left in steps keeps that part of what it would have were all well.
-        let usual = load(&flows(&demand, &room, &|from, to| places[from].cut_paths & (1 << to) == 0, near));
-        let room: Vec<u64> = (0..zones)
-            .map(|t| match places[t].retained {
-                FULL_PERMILLE => room[t],
-                retained => {
-                    (u128::from(usual[t].min(room[t])) * u128::from(retained) / u128::from(FULL_PERMILLE))
-                        as u64
-                }
-            })
-            .collect();
-        let flow = flows(&demand, &room, &|from, to| decision.allows(from, to), near);
-        let mut table =
-            RoutingTable { fractions: vec![vec![0; zones]; zones], shed: vec![0; zones], load: load(&flow) };
-        table.load.iter_mut().for_each(|l| *l /= u64::from(FULL_PERMILLE));
-        for from in 0..zones {
-            let served: u64 = flow[from].iter().sum();
-            table.shed[from] = thousandths(demand[from] - served, demand[from]);
-            if served == 0 {
+/// What is not assigned yet.
+struct Remaining {
+    demand: Vec<u64>,
+    capacity: Vec<u64>,
+}
+
+impl Remaining {
+    /// `[from][to]`: what each zone would send to each, in proportion to its free capacity.
+    fn offers(&self, reachable: &dyn Fn(usize, usize) -> bool) -> Vec<Vec<u64>> {
+        let zone_count = self.demand.len();
+        let mut offers = vec![vec![0u64; zone_count]; zone_count];
+        for (from, row) in offers.iter_mut().enumerate() {
+            let targets: Vec<usize> = (0..zone_count).filter(|&to| reachable(from, to)).collect();
+            let free: u128 = targets.iter().map(|&to| u128::from(self.capacity[to])).sum();
+            if free == 0 {
                 continue;
             }
-            table.fractions[from] = flow[from].iter().map(|&given| thousandths(given, served)).collect();
-            // What rounding left goes to the largest.
-            let sum: u16 = table.fractions[from].iter().sum();
-            if let Some(largest) = (0..zones).max_by_key(|&to| (table.fractions[from][to], zones - to)) {
-                table.fractions[from][largest] += FULL_PERMILLE - sum;
+            let demand = u128::from(self.demand[from]);
+            for to in targets {
+                let proportional = (demand * u128::from(self.capacity[to])).div_ceil(free);
+                row[to] = proportional.min(demand) as u64;
             }
         }
-        table
+        offers
+    }
+
+    /// Accepts of each offer what fits; how much was accepted in total.
+    fn accept(&mut self, offers: &[Vec<u64>], flow: &mut [Vec<u64>]) -> u64 {
+        let mut accepted = 0;
+        for to in 0..offers.len() {
+            let offered: u128 = offers.iter().map(|row| u128::from(row[to])).sum();
+            if offered == 0 {
+                continue;
+            }
+            let fitting = u128::from(self.capacity[to]).min(offered);
+            for (from, row) in offers.iter().enumerate() {
+                let proportional = (u128::from(row[to]) * fitting / offered) as u64;
+                let given = proportional.min(self.demand[from]);
+                flow[from][to] += given;
+                self.demand[from] -= given;
+                self.capacity[to] -= given.min(self.capacity[to]);
+                accepted += given;
+            }
+        }
+        accepted
     }
 }
 
-fn thousandths(part: u64, of: u64) -> u16 {
-    (u128::from(part) * u128::from(FULL_PERMILLE) / u128::from(of.max(1))) as u16
+/// One request class's part of a node's work, as load shedding weighs it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ClassLoad {
+    /// Fraction of the node's work, 0 to 1.
+    pub work_fraction: f64,
+    /// Priority weight of a unit of work: the lowest is shed first.
+    pub priority_weight: f64,
 }
 
-/// Of each request class, the share (0 to 1) to be turned away so that `shed` (thousandths) of the work is: those of least
-/// utility a work first. `mix`: share of the work and utility a work of each.
-pub fn shed_fractions(shed: u16, mix: &[ClassLoad]) -> Vec<f64> {
-    let mut order: Vec<usize> = (0..mix.len()).collect();
-    order.sort_by(|&a, &b| mix[a].priority_weight.total_cmp(&mix[b].priority_weight));
-    let all: f64 = mix.iter().map(|m| m.work_fraction).sum();
-    let mut left = f64::from(shed) / f64::from(FULL_PERMILLE) * all;
-    let mut away = vec![0.0; mix.len()];
-    for n in order {
-        let take = left.min(mix[n].work_fraction);
-        away[n] = if mix[n].work_fraction > 0.0 { take / mix[n].work_fraction } else { 0.0 };
-        left -= take;
+/// By request class, the fraction (0 to 1) of its queries to shed, so that `shed` thousandths of all work are shed.
+pub fn shed_fractions(shed: u16, classes: &[ClassLoad]) -> Vec<f64> {
+    let mut lowest_weight_first: Vec<usize> = (0..classes.len()).collect();
+    lowest_weight_first.sort_by(|&a, &b| classes[a].priority_weight.total_cmp(&classes[b].priority_weight));
+    let total_work: f64 = classes.iter().map(|class| class.work_fraction).sum();
+    let mut remaining = f64::from(shed) / f64::from(FULL_PERMILLE) * total_work;
+    let mut fractions = vec![0.0; classes.len()];
+    for class in lowest_weight_first {
+        let work = classes[class].work_fraction;
+        let shed_work = remaining.min(work);
+        fractions[class] = if work > 0.0 { shed_work / work } else { 0.0 };
+        remaining -= shed_work;
     }
-    away
+    fractions
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/pipitcrank-failover/src/voter/peers.rs
@@ -0,0 +1,48 @@
+//! Heartbeats of the other voters.
+
+use std::collections::BTreeMap;
+
+use pipitcrank_core::time::Timestamp;
+
+use super::identity::KnownIncarnation;
+use super::timing::HEARTBEAT_LIFETIME;
+
+/// The newest heartbeat of one voter.
+pub(super) struct PeerHeartbeat {
+    pub(super) at: Timestamp,
+    pub(super) id: u64,
+    /// The generation of its group; 0 without one.
+    pub(super) generation: u64,
+    pub(super) has_leader: bool,
+    /// What it has recorded of this process's slot.
+    pub(super) recorded: KnownIncarnation,
+}
+
+impl PeerHeartbeat {
+    pub(super) fn is_recent(&self, now: Timestamp) -> bool {
+        now - self.at <= HEARTBEAT_LIFETIME
+    }
+}
+
+/// The newest heartbeat of each other voter, by slot.
+#[derive(Default)]
+pub(super) struct PeerTable(BTreeMap<usize, PeerHeartbeat>);
+
+impl PeerTable {
+    pub(super) fn record(&mut self, slot: usize, heartbeat: PeerHeartbeat) {
+        self.0.insert(slot, heartbeat);
+    }
+
+    pub(super) fn by_slot(&self) -> impl Iterator<Item = (usize, &PeerHeartbeat)> {
+        self.0.iter().map(|(slot, heartbeat)| (*slot, heartbeat))
+    }
+
+    pub(super) fn recent(&self, now: Timestamp) -> impl Iterator<Item = &PeerHeartbeat> {
+        self.0.values().filter(move |heartbeat| heartbeat.is_recent(now))
+    }
+
+    /// Whether that voter was heard lately and knows of no leader.
+    pub(super) fn is_leaderless(&self, now: Timestamp, slot: usize) -> bool {
+        self.0.get(&slot).is_some_and(|heartbeat| heartbeat.is_recent(now) && !heartbeat.has_leader)
+    }
+}
--- a/crates/pipitcrank-failover/src/voter/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/voter/stored_forms.rs
@@ -2,13 +2,14 @@
 
 use std::fmt::Debug;
 
+use serde::Serialize;
 use serde::de::DeserializeOwned;
 
+use super::memory::{LogPosition, StoredHardState};
+use super::raft_group::Proposal;
 use super::*;
-use crate::decision::{DecisionCause, OperatorOrder, ZoneDecision, ZoneState};
-
-#[path = "../../../../fixtures/mod.rs"]
-mod fixtures;
+use crate::decision::{DecisionCause, FULL_PERMILLE, OperatorOrder, ZoneDecision, ZoneState};
+use crate::fixtures;
 
 fn check<T: Debug + Serialize + DeserializeOwned>(file: &str, values: &[(&str, T)]) {
     let encode = |value: &T| postcard::to_allocvec(value).unwrap();
@@ -40,7 +41,9 @@
     }
 }
 
-const FULL_PERMILLE: u16 = crate::decision::FULL_PERMILLE;
+fn known_incarnation(id: u64, count: u64, started: u64) -> KnownIncarnation {
+    KnownIncarnation { id, incarnation: Incarnation { count, started } }
+}
 
 #[test]
 fn decisions_are_read_and_written_as_by_an_earlier_version() {
@@ -73,21 +76,28 @@
 
 #[test]
 fn messages_between_voters_are_read_and_written_as_by_an_earlier_version() {
-    let hello = VoterMessage::Hello {
+    let incarnation = Incarnation { count: 2, started: 1 << 50 };
+    let heartbeat = VoterHeartbeat {
         id: 0x301,
         generation: 7,
-        led: true,
-        highest: 8,
-        run: (2, 1 << 50),
-        runs: vec![(0x301, (2, 1 << 50)), (0x402, (1, 5)), (0, (0, 0))],
+        has_leader: true,
+        highest_generation: 8,
+        incarnation,
+        known_incarnations: vec![
+            KnownIncarnation { id: 0x301, incarnation },
+            known_incarnation(0x402, 1, 5),
+            KnownIncarnation::default(),
+        ],
     };
+    let promise = Promise { generation: 9, id: 0x402, known_decision: Some(decision()) };
+    let group = NewGroup { generation: 9, voter_ids: vec![0x301, 0x402], initial_decision: decision() };
     check(
         "voter_messages.hex",
         &[
-            ("hello", hello),
+            ("hello", VoterMessage::Heartbeat(heartbeat)),
             ("found", VoterMessage::Found { generation: 9 }),
-            ("joins", VoterMessage::Joins { generation: 9, id: 0x402, known: Some(decision()) }),
-            ("begin", VoterMessage::Begin { generation: 9, ids: vec![0x301, 0x402], first: decision() }),
+            ("joins", VoterMessage::Promise(promise)),
+            ("begin", VoterMessage::Start(group)),
         ],
     );
 }
@@ -96,20 +106,20 @@
 fn a_voters_memory_is_read_and_written_as_by_an_earlier_version() {
     let group = GroupMemory {
         generation: 7,
-        at: (11, 4),
+        applied: LogPosition { index: 11, term: 4 },
         decision: Some(decision()),
         voters: vec![10, 1, 1],
-        hard: (5, 0x301, 12),
+        hard_state: StoredHardState { term: 5, vote: 0x301, commit: 12 },
         entries: vec![vec![1, 2], vec![3]],
     };
     let memory = VoterMemory {
-        seat: 1,
+        slot: 1,
         instance: 1 << 50,
-        left: 2,
-        run: 3,
-        highest: 8,
-        promised: true,
-        runs: vec![(0x301, (2, 6)), (0x402, (1, 5))],
+        abandoned_ids: 2,
+        incarnation_count: 3,
+        highest_generation: 8,
+        has_promised: true,
+        known_incarnations: vec![known_incarnation(0x301, 2, 6), known_incarnation(0x402, 1, 5)],
         group: Some(group),
     };
     let values = [("in_a_group", memory), ("new", VoterMemory::default())];
--- a/crates/pipitcrank-failover/tests/voter.rs
+++ b/crates/pipitcrank-failover/tests/voter.rs
@@ -5,7 +5,7 @@
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::decision::Decision;
-use pipitcrank_failover::voter::{Voter, VoterMemory, VoterOutput};
+use pipitcrank_failover::voter::{AddressedOutput, Voter, VoterMemory, VoterOutput};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -13,13 +13,13 @@
 
 struct Net {
     now: Timestamp,
-    chance: Pcg64,
+    rng: Pcg64,
     voters: Vec<Option<Voter>>,
-    /// Process of each seat, by number.
+    /// Process of each slot, by number.
     process: Vec<u64>,
     /// Stands still: what comes waits until it wakes.
     stopped: BTreeSet<usize>,
-    on_way: BTreeMap<(Timestamp, u64), (usize, usize, VoterOutput)>,
+    in_flight: BTreeMap<(Timestamp, u64), (usize, usize, VoterOutput)>,
     next: u64,
     /// Ways that are cut, by direction.
     cut: BTreeSet<(usize, usize)>,
@@ -33,20 +33,20 @@
     newest: BTreeMap<u64, u64>,
     two_under_one: u64,
     went_back: u64,
-    /// By seat, what was kept: all of it, oldest first. Empty where there is no disk.
-    kept: Vec<Vec<VoterMemory>>,
+    /// By slot, what was persisted: all of it, oldest first. Empty where there is no disk.
+    persisted: Vec<Vec<VoterMemory>>,
     disks: bool,
 }
 
 impl Net {
-    fn new(seed: u64, seats: usize) -> Net {
+    fn new(seed: u64, slots: usize) -> Net {
         let mut net = Net {
             now: Timestamp::from_secs_f64(1000.0),
-            chance: Pcg64::seed_from_u64(seed),
-            voters: (0..seats).map(|_| None).collect(),
-            process: vec![0; seats],
+            rng: Pcg64::seed_from_u64(seed),
+            voters: (0..slots).map(|_| None).collect(),
+            process: vec![0; slots],
             stopped: BTreeSet::new(),
-            on_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next: 0,
             cut: BTreeSet::new(),
             loss: 0.0,
@@ -58,26 +58,26 @@
             newest: BTreeMap::new(),
             two_under_one: 0,
             went_back: 0,
-            kept: vec![Vec::new(); seats],
+            persisted: vec![Vec::new(); slots],
             disks: false,
         };
-        (0..seats).for_each(|seat| net.start(seat));
+        (0..slots).for_each(|slot| net.start(slot));
         net
     }
 
-    fn start(&mut self, seat: usize) {
+    fn start(&mut self, slot: usize) {
         self.starts += 1_000_001;
-        self.process[seat] = self.starts;
-        self.stopped.remove(&seat);
-        self.voters[seat] = Some(Voter::new(self.now, seat, self.voters.len(), ZONES, self.starts));
+        self.process[slot] = self.starts;
+        self.stopped.remove(&slot);
+        self.voters[slot] = Some(Voter::new(self.now, slot, self.voters.len(), ZONES, self.starts));
     }
 
-    /// A process at that seat that goes on from what was kept so many writes before the last.
-    fn start_with(&mut self, seat: usize, writes_before: usize) {
-        self.start(seat);
-        let place = self.kept[seat].len().checked_sub(1 + writes_before);
-        if let (Some(place), Some(voter)) = (place, &mut self.voters[seat]) {
-            voter.restore(self.now, self.kept[seat][place].clone());
+    /// A process at that slot that goes on from what was persisted so many writes before the last.
+    fn start_from_memory(&mut self, slot: usize, writes_before: usize) {
+        self.start(slot);
+        let position = self.persisted[slot].len().checked_sub(1 + writes_before);
+        if let (Some(position), Some(voter)) = (position, &mut self.voters[slot]) {
+            voter.restore(self.now, self.persisted[slot][position].clone());
         }
     }
 
@@ -85,25 +85,25 @@
         let until = self.now + TimeSpan::from_millis(ms);
         while self.now < until {
             self.now = self.now + TimeSpan::from_millis(5);
-            while let Some(entry) = self.on_way.first_entry().filter(|e| e.key().0 <= self.now) {
+            while let Some(entry) = self.in_flight.first_entry().filter(|e| e.key().0 <= self.now) {
                 let ((_, order), (from, to, out)) = entry.remove_entry();
                 if self.stopped.contains(&to) {
                     // Its socket holds some of it.
-                    if self.on_way.len() < 500 {
-                        self.on_way.insert((self.now + TimeSpan::from_millis(50), order), (from, to, out));
+                    if self.in_flight.len() < 500 {
+                        self.in_flight.insert((self.now + TimeSpan::from_millis(50), order), (from, to, out));
                     }
                 } else if let Some(voter) = &mut self.voters[to] {
                     match out {
-                        VoterOutput::Raft(generation, bytes) => {
+                        VoterOutput::Raft { generation, bytes } => {
                             voter.handle_raft(self.now, generation, &bytes)
                         }
-                        VoterOutput::Message(word) => voter.handle_message(self.now, from, word),
+                        VoterOutput::Message(message) => voter.handle_message(self.now, from, message),
                     }
                 }
             }
             let proposes = self.now - self.proposed >= TimeSpan::from_millis(100);
-            for seat in (0..self.voters.len()).filter(|s| !self.stopped.contains(s)) {
-                let Some(voter) = &mut self.voters[seat] else { continue };
+            for slot in (0..self.voters.len()).filter(|s| !self.stopped.contains(s)) {
+                let Some(voter) = &mut self.voters[slot] else { continue };
                 if voter.next_deadline() <= self.now {
                     voter.tick(self.now);
                 }
@@ -122,12 +122,12 @@
     }
 
     fn collect(&mut self) {
-        for seat in 0..self.voters.len() {
-            let Some(voter) = &mut self.voters[seat] else { continue };
+        for slot in 0..self.voters.len() {
+            let Some(voter) = &mut self.voters[slot] else { continue };
             for decision in voter.take_decided() {
                 let held = self.all.entry(decision.number).or_insert_with(|| decision.clone());
                 self.two_under_one += u64::from(*held != decision);
-                let newest = self.newest.entry(self.process[seat]).or_insert(0);
+                let newest = self.newest.entry(self.process[slot]).or_insert(0);
                 self.went_back += u64::from(decision.number < *newest);
                 *newest = decision.number;
                 voter.observe_decision(&decision);
@@ -136,17 +136,17 @@
             if let Some(memory) = voter.take_memory()
                 && self.disks
             {
-                self.kept[seat].push(memory);
+                self.persisted[slot].push(memory);
             }
-            for (to, out) in voter.take_outputs() {
-                if self.cut.contains(&(seat, to)) || self.chance.random_bool(self.loss) {
+            for AddressedOutput { slot: to, output: out } in voter.take_outputs() {
+                if self.cut.contains(&(slot, to)) || self.rng.random_bool(self.loss) {
                     continue;
                 }
-                let nodes = if self.chance.random_bool(self.loss / 3.0) { 2 } else { 1 };
+                let nodes = if self.rng.random_bool(self.loss / 3.0) { 2 } else { 1 };
                 for _ in 0..nodes {
-                    let delay = TimeSpan::from_millis(1 + self.chance.random_range(0..=self.delay_ms));
+                    let delay = TimeSpan::from_millis(1 + self.rng.random_range(0..=self.delay_ms));
                     self.next += 1;
-                    self.on_way.insert((self.now + delay, self.next), (seat, to, out.clone()));
+                    self.in_flight.insert((self.now + delay, self.next), (slot, to, out.clone()));
                 }
             }
         }
@@ -183,14 +183,14 @@
 
 #[test]
 fn voters_found_a_group_and_go_on_without_a_minority() {
-    for seats in [1, 3, 5] {
-        let mut net = Net::new(1, seats);
+    for slots in [1, 3, 5] {
+        let mut net = Net::new(1, slots);
         net.goes_on(5000, "first start");
         assert_eq!(net.leaders().len(), 1);
-        for seat in 0..(seats - 1) / 2 {
-            net.voters[seat] = None;
+        for slot in 0..(slots - 1) / 2 {
+            net.voters[slot] = None;
         }
-        if seats > 1 {
+        if slots > 1 {
             net.goes_on(3000, "a minority died, the leader among them");
         }
     }
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_voter_that_lost_its_memory_is_admitted_anew_and_then_counts() {
+fn a_voter_that_lost_its_memory_is_admitted_again_and_then_counts() {
     let mut net = Net::new(3, 3);
     net.pass(5000);
     net.start(2);
@@ -231,12 +231,12 @@
 }
 
 #[test]
-fn all_memory_lost_begins_anew_above_all_numbers() {
+fn when_all_memory_is_lost_a_new_generation_begins_above_all_numbers() {
     let mut net = Net::new(4, 3);
     net.pass(5000);
     for lost in [vec![0, 1, 2], vec![0, 1], vec![1, 2]] {
         let last = *net.all.keys().last().unwrap();
-        lost.iter().for_each(|&seat| net.start(seat));
+        lost.iter().for_each(|&slot| net.start(slot));
         net.goes_on(12_000, "memory lost");
         assert!(*net.all.keys().last().unwrap() >> 32 > last >> 32, "{lost:?}");
     }
@@ -247,17 +247,17 @@
     let mut net = Net::new(5, 3);
     net.pass(5000);
     net.voters[2] = None;
-    (0..2).for_each(|seat| net.start(seat));
+    (0..2).for_each(|slot| net.start(slot));
     net.pass(100);
     let before = net.all.len();
     net.pass(15_000);
     assert_eq!(net.all.len(), before, "the third may remember more: it is waited for");
     net.start(2);
-    net.goes_on(10_000, "all seats are there again");
+    net.goes_on(10_000, "all slots are there again");
 }
 
 #[test]
-fn the_leader_stops_for_five_seconds_and_wakes_as_if_nothing_were() {
+fn a_leader_that_stood_still_for_five_seconds_resumes_without_harm() {
     let mut net = Net::new(6, 3);
     net.pass(5000);
     let leader = net.leaders()[0];
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_change_nothing() {
+fn invalid_raft_messages_change_nothing() {
     let mut net = Net::new(7, 3);
     net.pass(5000);
     let voter = net.voters[1].as_mut().unwrap();
@@ -285,26 +285,26 @@
 
 /// Everything at once, from a seed: each number has one decision at all times, and decisions go on in the end.
 #[test]
-fn whatever_breaks_each_number_has_one_decision() {
+fn under_any_faults_each_number_has_one_decision() {
     for seed in 0..40 {
-        let seats = [3, 5][seed as usize % 2];
-        let mut net = Net::new(seed, seats);
+        let slots = [3, 5][seed as usize % 2];
+        let mut net = Net::new(seed, slots);
         net.pass(4000);
         for _ in 0..12 {
-            let seat = net.chance.random_range(0..seats);
-            match net.chance.random_range(0..8) {
-                0 => net.voters[seat] = None,
-                1 => net.start(seat),
+            let slot = net.rng.random_range(0..slots);
+            match net.rng.random_range(0..8) {
+                0 => net.voters[slot] = None,
+                1 => net.start(slot),
                 2 => {
-                    net.stopped.insert(seat);
+                    net.stopped.insert(slot);
                 }
                 3 => {
-                    net.stopped.remove(&seat);
+                    net.stopped.remove(&slot);
                 }
-                4 => net.part(&[seat]),
+                4 => net.part(&[slot]),
                 5 => {
-                    let to = net.chance.random_range(0..seats);
-                    net.cut.insert((seat, to));
+                    let to = net.rng.random_range(0..slots);
+                    net.cut.insert((slot, to));
                 }
                 6 => (net.loss, net.delay_ms) = (0.3, 200),
                 _ => {
@@ -312,16 +312,16 @@
                     (net.loss, net.delay_ms) = (0.0, 5);
                 }
             }
-            let ms = net.chance.random_range(100..3000);
+            let ms = net.rng.random_range(100..3000);
             net.pass(ms);
             net.sound(&format!("seed {seed}"));
         }
         net.cut.clear();
         net.stopped.clear();
         (net.loss, net.delay_ms) = (0.0, 5);
-        for seat in 0..seats {
-            if net.voters[seat].is_none() {
-                net.start(seat);
+        for slot in 0..slots {
+            if net.voters[slot].is_none() {
+                net.start(slot);
             }
         }
         net.pass(8000);
@@ -330,44 +330,44 @@
 }
 
 #[test]
-fn voters_that_remember_go_on_as_they_were_even_when_all_restart_at_once() {
+fn voters_with_memory_continue_their_group_even_when_all_restart_at_once() {
     let mut net = Net::new(11, 3);
     net.disks = true;
     net.goes_on(5000, "first start");
     let ids: Vec<u64> = net.voters.iter().flatten().map(Voter::own_id).collect();
     for all in [vec![2], vec![0, 1], vec![0, 1, 2]] {
-        all.iter().for_each(|&seat| net.start_with(seat, 0));
-        net.goes_on(4000, "restarted with what was kept");
+        all.iter().for_each(|&slot| net.start_from_memory(slot, 0));
+        net.goes_on(4000, "restarted with what was persisted");
     }
     assert_eq!(ids, net.voters.iter().flatten().map(Voter::own_id).collect::<Vec<_>>());
     assert_eq!(net.generations(), 1, "nothing had to be founded anew");
     // A third that has nothing comes in beside them.
     net.voters[0] = None;
-    net.start_with(1, 0);
+    net.start_from_memory(1, 0);
     net.start(2);
     net.pass(3000);
-    net.start_with(0, 0);
+    net.start_from_memory(0, 0);
     net.goes_on(6000, "one had lost its disk, one was back from the dead");
     assert_eq!(net.generations(), 1);
 }
 
 #[test]
-fn what_is_kept_is_read_back_and_goes_to_its_own_seat_alone() {
+fn memory_is_read_back_and_used_by_its_own_slot_alone() {
     let mut net = Net::new(12, 3);
     net.disks = true;
     net.goes_on(5000, "first start");
-    for memories in &net.kept {
+    for memories in &net.persisted {
         let memory = memories.last().unwrap();
         let bytes = postcard::to_allocvec(memory).unwrap();
         assert!(bytes.len() < 4000, "{} bytes", bytes.len());
         assert_eq!(postcard::from_bytes::<VoterMemory>(&bytes).unwrap(), *memory);
     }
-    let (mine, others) = (net.kept[0].last().unwrap().clone(), net.kept[1].last().unwrap().clone());
+    let (mine, others) = (net.persisted[0].last().unwrap().clone(), net.persisted[1].last().unwrap().clone());
     net.start(0);
     let voter = net.voters[0].as_mut().unwrap();
     let blank = voter.own_id();
     voter.restore(net.now, others);
-    assert_eq!(voter.own_id(), blank, "another seat's");
+    assert_eq!(voter.own_id(), blank, "another slot's");
     voter.restore(net.now, mine);
     assert_ne!(voter.own_id(), blank);
     assert!(
@@ -377,18 +377,18 @@
 }
 
 #[test]
-fn a_memory_of_an_older_day_is_told_apart_and_its_id_left_for_good() {
+fn an_older_memory_is_recognized_and_its_id_abandoned_for_good() {
     let mut net = Net::new(13, 3);
     net.disks = true;
     net.goes_on(5000, "first start");
     let id = net.voters[2].as_ref().unwrap().own_id();
-    let old = net.kept[2].len();
-    net.start_with(2, 0);
+    let old = net.persisted[2].len();
+    net.start_from_memory(2, 0);
     net.goes_on(3000, "restarted");
     assert_eq!(net.voters[2].as_ref().unwrap().own_id(), id);
     // Somebody puts back what was on the disk before that start.
-    let later = net.kept[2].len() - old;
-    net.start_with(2, later);
+    let later = net.persisted[2].len() - old;
+    net.start_from_memory(2, later);
     net.pass(100);
     assert!(!net.voters[2].as_ref().unwrap().is_voter() || net.voters[2].as_ref().unwrap().is_unproven());
     net.goes_on(5000, "put back");
@@ -398,55 +398,55 @@
 }
 
 #[test]
-fn a_seat_that_stays_away_for_good_is_done_without_by_command_alone() {
+fn a_dead_slot_is_excluded_by_command_alone() {
     let mut net = Net::new(14, 3);
     net.goes_on(5000, "first start");
     let before = *net.all.keys().last().unwrap();
-    (0..3).for_each(|seat| net.start(seat));
+    (0..3).for_each(|slot| net.start(slot));
     net.voters[0] = None;
     let decided = net.all.len();
     net.pass(15_000);
     assert_eq!(net.all.len(), decided, "two of three without memory decide nothing");
-    for seat in [1, 2] {
-        net.voters[seat].as_mut().unwrap().exclude_voters(vec![0]);
+    for slot in [1, 2] {
+        net.voters[slot].as_mut().unwrap().exclude_voters(vec![0]);
     }
     net.goes_on(8000, "begun anew without it");
     assert!(*net.all.keys().last().unwrap() >> 32 > before >> 32, "above all numbers used");
     // It comes back after all, when the command is taken back.
-    for seat in [1, 2] {
-        net.voters[seat].as_mut().unwrap().exclude_voters(Vec::new());
+    for slot in [1, 2] {
+        net.voters[slot].as_mut().unwrap().exclude_voters(Vec::new());
     }
     net.start(0);
     net.goes_on(5000, "back");
     assert!(net.voters[0].as_ref().unwrap().is_voter());
 }
 
-/// Processes that die at any moment and go on from what was kept, or from an older copy of it, or from nothing, on a
+/// Processes that die at any moment and go on from what was persisted, or from an older copy of it, or from nothing, on a
 /// bad net.
 #[test]
-fn whatever_is_kept_or_lost_there_is_one_decision_a_number() {
+fn whatever_memory_is_kept_or_lost_each_number_has_one_decision() {
     for seed in 0..40 {
         let mut net = Net::new(100 + seed, if seed % 2 == 0 { 3 } else { 5 });
         net.disks = true;
         (net.loss, net.delay_ms) = (0.1, 60);
         net.pass(4000);
         for _ in 0..12 {
-            let seat = net.chance.random_range(0..net.voters.len());
-            match net.chance.random_range(0..10) {
-                0..5 => net.start_with(seat, 0),
+            let slot = net.rng.random_range(0..net.voters.len());
+            match net.rng.random_range(0..10) {
+                0..5 => net.start_from_memory(slot, 0),
                 5 => {
-                    let back = net.chance.random_range(0..20);
-                    net.start_with(seat, back);
+                    let back = net.rng.random_range(0..20);
+                    net.start_from_memory(slot, back);
                 }
                 6 => {
-                    net.kept[seat].clear();
-                    net.start(seat);
+                    net.persisted[slot].clear();
+                    net.start(slot);
                 }
-                7 => (0..net.voters.len()).for_each(|seat| net.start_with(seat, 0)),
-                8 => net.part(&[seat]),
+                7 => (0..net.voters.len()).for_each(|slot| net.start_from_memory(slot, 0)),
+                8 => net.part(&[slot]),
                 _ => net.cut.clear(),
             }
-            let ms = net.chance.random_range(50..2500);
+            let ms = net.rng.random_range(50..2500);
             net.pass(ms);
             net.sound(&format!("seed {seed}"));
         }
@@ -462,17 +462,17 @@
     let mut net = Net::new(15, 3);
     net.disks = true;
     net.goes_on(5000, "first start");
-    let old = net.kept[1].len();
-    net.start_with(1, 0);
+    let old = net.persisted[1].len();
+    net.start_from_memory(1, 0);
     net.goes_on(3000, "another run, noted by the others");
     net.part(&[2]);
     net.goes_on(3000, "two decide, the third hears nothing");
     // The other of the two is cut off, and the one comes back on what it had before its last run.
     net.cut.clear();
     net.part(&[0]);
-    net.on_way.clear();
-    let later = net.kept[1].len() - old;
-    net.start_with(1, later);
+    net.in_flight.clear();
+    let later = net.persisted[1].len() - old;
+    net.start_from_memory(1, later);
     let decided = net.all.len();
     net.pass(8000);
     net.sound("put back beside one that missed what it decided");
--- a/crates/pipitcrank-simulation/src/zones.rs
+++ b/crates/pipitcrank-simulation/src/zones.rs
@@ -403,7 +403,7 @@
     }
     let pushed_over = world.replicas.iter().map(|l| l.pushed_over).sum();
     let busiest =
-        world.copies.iter().filter_map(|c| c.instance.as_ref()).map(|i| i.sent.bytes).max().unwrap_or(0);
+        world.copies.iter().filter_map(|c| c.instance.as_ref()).map(|i| i.sent().bytes).max().unwrap_or(0);
     Run { service, load, lost, all, peak, pushed_over, world, calm, home, busiest }
 }
 
