--- a/crates/pipitcrank-cli/src/peers.rs
+++ b/crates/pipitcrank-cli/src/peers.rs
@@ -8,7 +8,9 @@
 
 use anyhow::{Context, Result, bail};
 use pipitcrank_config::ZonesConfig;
-use pipitcrank_core::coordinator::zones::{ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic};
+use pipitcrank_core::coordinator::zones::{
+    RequestTraffic, ZoneFraction, ZoneId, ZoneObservation, ZoneRouting, ZoneTraffic,
+};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::controller::{FailoverController, FailoverTiming};
 use pipitcrank_failover::decision::{FULL_PERMILLE, OperatorOrder, UNKNOWN_CAPACITY, ZoneState};
@@ -21,7 +23,7 @@
 use pipitcrank_membership::evidence::ReplicaCounts;
 use pipitcrank_membership::members::{Departure, MembershipEvent};
 use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::restart_waves::{self, Copy};
+use pipitcrank_recovery::restart_waves::{RestartNode, RestartRequest, plan_waves};
 use pipitcrank_server::discovery::client::SharedRevision;
 use pipitcrank_server::runtime::counters::Counters;
 use pipitcrank_server::serve::ServerContext;
@@ -97,8 +99,8 @@
 {
     let own = own_zone(&zones, ground.zones.as_ref())?;
     let (event_loop, utilities, rev) =
-        (ground.event_loop.clone(), ground.utilities.clone(), ground.rev.clone());
-    let (mut leaving, end_called) = (ground.leaving.clone(), ground.end_called.clone());
+        (ground.event_loop.clone(), ground.priority_weights.clone(), ground.revision.clone());
+    let (mut leaving, end_called) = (ground.draining.clone(), ground.shutdown_requested.clone());
     let names: Vec<String> = zones.zones.iter().map(|zone| zone.name.clone()).collect();
     let regions = regions(&zones);
     let region: Vec<bool> = regions.iter().map(|r| *r == regions[own]).collect();
@@ -116,7 +118,7 @@
         e.set_site_zones(site_zones);
         if !zones.dry_run {
             e.set_zone_routing(ZoneRouting {
-                fractions: vec![(ZoneId(own as u16), 1.0)],
+                fractions: vec![ZoneFraction { zone: ZoneId(own as u16), fraction: 1.0 }],
                 ..ZoneRouting::default()
             });
         }
@@ -268,8 +270,8 @@
         self.instance.report_evidence(now, rows, self.rates.asked());
         for (zone, seen) in seen.iter().enumerate() {
             let shut = self.plan.as_ref().is_some_and(|p| p.closed_zones.contains(&(zone as u16)));
-            let unseen = seen.fresh * 2 < seen.listed;
-            let doubted = seen.doubted * DOUBTED >= seen.listed && seen.doubted > 0;
+            let unseen = seen.recently_heard * 2 < seen.listed;
+            let doubted = seen.suspected * DOUBTED >= seen.listed && seen.suspected > 0;
             // Of many copies those look that speak for their zone: probes have their price.
             if self.instance.is_reporter() && (shut || unseen || doubted) {
                 let most = if shut || doubted { LOOKS } else { GLANCES };
@@ -277,8 +279,8 @@
             }
         }
         let counters = &self.event_loop.counters;
-        counters.set("zones", "parts_near", tally.near);
-        counters.set("zones", "parts_across", tally.across);
+        counters.set("zones", "parts_near", tally.same_zone_parts);
+        counters.set("zones", "parts_across", tally.cross_zone_parts);
     }
 
     async fn pass_on(&mut self, now: Timestamp) {
@@ -319,12 +321,13 @@
 
     fn apply(&self, plan: &RoutingPlan, turned_away: Vec<f64>) {
         let whole = f64::from(FULL_PERMILLE);
-        let mut of: Vec<(ZoneId, f64)> = vec![(ZoneId(self.own as u16), 0.0)];
-        for fraction in &plan.fractions {
-            let stands = ZoneId(self.stands_for[usize::from(fraction.zone)] as u16);
-            match of.iter_mut().find(|(known, _)| *known == stands) {
-                Some((_, sum)) => *sum += f64::from(fraction.permille) / whole,
-                None => of.push((stands, f64::from(fraction.permille) / whole)),
+        let mut fractions = vec![ZoneFraction { zone: ZoneId(self.own as u16), fraction: 0.0 }];
+        for planned in &plan.fractions {
+            let stands = ZoneId(self.stands_for[usize::from(planned.zone)] as u16);
+            let fraction = f64::from(planned.permille) / whole;
+            match fractions.iter_mut().find(|known| known.zone == stands) {
+                Some(known) => known.fraction += fraction,
+                None => fractions.push(ZoneFraction { zone: stands, fraction }),
             }
         }
         // A region is shut when all of its zones are.
@@ -335,7 +338,9 @@
         let shut =
             zones.filter(|&z| self.stands_for[z] == z && all_shut(z)).map(|z| ZoneId(z as u16)).collect();
         if !self.dry {
-            self.event_loop.update(|e| e.set_zone_routing(ZoneRouting { fractions: of, shut, turned_away }));
+            self.event_loop.update(|e| {
+                e.set_zone_routing(ZoneRouting { fractions, closed: shut, shed_fractions: turned_away })
+            });
         }
         let shares: Vec<String> = plan
             .fractions
@@ -358,8 +363,8 @@
         answering: small(seen.answering),
         silent: small(seen.silent),
         failing: small(seen.failing),
-        saturated: small(seen.full),
-        warming_up: small(seen.cold),
+        saturated: small(seen.overloaded),
+        warming_up: small(seen.in_slow_start),
         answered_parts: merged,
     }
 }
@@ -386,17 +391,17 @@
         let weight = (passed / RATE_OVER.as_secs_f64()).min(1.0);
         let old = std::mem::replace(&mut self.before, (now, tally.clone())).1;
         let blend = |rate: &mut f64, more: u64| *rate += weight * (more as f64 / passed - *rate);
-        let of = |list: &[(u64, u64)], n: usize| list.get(n).copied().unwrap_or((0, 0));
-        self.by_class.resize(tally.asked.len(), (0.0, 0.0));
+        let of = |list: &[RequestTraffic], n: usize| list.get(n).copied().unwrap_or_default();
+        self.by_class.resize(tally.requested.len(), (0.0, 0.0));
         for (n, rate) in self.by_class.iter_mut().enumerate() {
-            let (now, before) = (of(&tally.asked, n), of(&old.asked, n));
-            blend(&mut rate.0, now.0 - before.0);
-            blend(&mut rate.1, now.1 - before.1);
+            let (now, before) = (of(&tally.requested, n), of(&old.requested, n));
+            blend(&mut rate.0, now.queries - before.queries);
+            blend(&mut rate.1, now.parts - before.parts);
         }
         self.asked = self.by_class.iter().map(|r| r.1).sum();
-        self.merged.resize(tally.merged.len(), 0.0);
+        self.merged.resize(tally.answered_parts.len(), 0.0);
         for (n, rate) in self.merged.iter_mut().enumerate() {
-            blend(rate, tally.merged[n] - old.merged.get(n).copied().unwrap_or(0));
+            blend(rate, tally.answered_parts[n] - old.answered_parts.get(n).copied().unwrap_or(0));
         }
     }
 
@@ -621,8 +626,8 @@
             bail!(silent())
         };
         after = some.last().map(|p| p.address);
-        copies.extend(some.into_iter().map(|p| Copy {
-            votes: zones.voter_slot(p.address).is_some(),
+        copies.extend(some.into_iter().map(|p| RestartNode {
+            is_voter: zones.voter_slot(p.address).is_some(),
             address: p.address,
             zone: p.zone,
         }));
@@ -633,11 +638,17 @@
     let leader = shown.leader.and_then(|seat| Some(zones.voters.get(usize::from(seat))?.address));
     let home: Vec<bool> =
         decision.zones.iter().map(|p| p.state == ZoneState::Serving && p.retained == FULL_PERMILLE).collect();
-    let waves = restart_waves::plan(&copies, zones.voters.len(), leader, &home, share)?;
+    let waves = plan_waves(&RestartRequest {
+        nodes: &copies,
+        configured_voters: zones.voters.len(),
+        leader,
+        zone_serves: &home,
+        max_fraction: share,
+    })?;
     for (n, wave) in waves.iter().enumerate() {
-        let named = |c: &Copy| {
+        let named = |c: &RestartNode| {
             let zone = zones.zones.get(usize::from(c.zone)).map_or("?", |z| z.name.as_str());
-            format!("{} ({zone}{})", c.address, if c.votes { ", voter" } else { "" })
+            format!("{} ({zone}{})", c.address, if c.is_voter { ", voter" } else { "" })
         };
         println!("{}: {}", n + 1, wave.iter().map(named).collect::<Vec<_>>().join(", "));
     }
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -13,17 +13,14 @@
         draining_for: (n == 3).then(|| TimeSpan::from_millis(5)),
     };
     // A default state is not valid: the fill target starts between its bounds.
-    let mut coordinator = pipitcrank_core::coordinator::Coordinator::new(
-        pipitcrank_core::rng::Rng::new(1),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        Default::default(),
-        false,
-        TimeSpan::from_millis(5),
-    );
+    let mut coordinator =
+        pipitcrank_core::coordinator::Coordinator::new(pipitcrank_core::coordinator::CoordinatorConfig {
+            rng: pipitcrank_core::rng::Rng::new(1),
+            tick: TimeSpan::from_millis(5),
+            ..Default::default()
+        });
     let mut learned = coordinator.learned_state(pipitcrank_core::time::Timestamp::default());
-    learned.taken = vec![TimeSpan::from_millis(3); 9];
+    learned.admitted = vec![TimeSpan::from_millis(3); 9];
     Snapshot {
         taken_us: 5,
         revision: Some(7),
@@ -34,7 +31,7 @@
 }
 
 #[test]
-fn what_is_encoded_is_read_again_and_other_versions_are_not() {
+fn snapshot_round_trips_and_other_versions_are_rejected() {
     let bytes = sample().encode().unwrap();
     assert_eq!(Snapshot::decode(&bytes), Ok(sample()));
     let mut other = bytes.clone();
@@ -44,16 +41,16 @@
     foreign[0] = b'x';
     assert_eq!(Snapshot::decode(&foreign), Err(SnapshotError::BadMagic));
     let mut invalid = sample();
-    invalid.learned.taken[0] = TimeSpan::from_millis(-1);
+    invalid.learned.admitted[0] = TimeSpan::from_millis(-1);
     assert_eq!(Snapshot::decode(&invalid.encode().unwrap()), Err(SnapshotError::Invalid));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Cut at any byte, longer by some, or with any byte corrupted: refused whole.
+    /// Truncated at any byte, longer by a few, or with any bit flipped.
     #[test]
-    fn torn_and_corrupted_ones_are_refused(cut in 0usize..10_000, at in 0usize..10_000, bit in 0u8..8, more in 1usize..9) {
+    fn truncated_and_corrupted_snapshots_are_rejected(cut in 0usize..10_000, at in 0usize..10_000, bit in 0u8..8, more in 1usize..9) {
         let bytes = sample().encode().unwrap();
         prop_assert!(Snapshot::decode(&bytes[..cut % bytes.len()]).is_err());
         let mut corrupted = bytes.clone();
@@ -64,7 +61,7 @@
     }
 
     #[test]
-    fn noise_is_refused(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn random_bytes_are_rejected(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(Snapshot::decode(&noise).is_err());
     }
 }
