--- a/crates/pipitcrank-core/src/coordinator/attempts.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempts.rs
@@ -123,7 +123,7 @@
         let state = self.replicas.get_mut(&replica).expect("replicas outlive their attempts");
         self.zones.count_answered(state.zone);
         state.health.record_success();
-        let service_time = now - attempt.sent_at - state.network_delay();
+        let service_time = now - attempt.sent_at - state.network_delay;
         let taken = service_time.as_secs_f64().max(MIN_SERVICE_S);
         let pace = (taken / attempt.work_ahead.max(MIN_WORK)).min(MAX_PACE);
         // What a remote site takes beyond its network delay is its lag; it tells nothing of how replicas work.
--- a/crates/pipitcrank-core/src/coordinator/forwarding.rs
+++ b/crates/pipitcrank-core/src/coordinator/forwarding.rs
@@ -61,11 +61,13 @@
 
     /// The replica stands for a cell of another site, at that delay; none while nothing may go there.
     pub(super) fn set_remote_delay(&mut self, replica: ReplicaId, delay: Option<TimeSpan>) {
-        let site = delay.map_or(Site::RemoteClosed, |network_delay| Site::Remote { network_delay });
+        let site = if delay.is_some() { Site::Remote } else { Site::RemoteClosed };
+        let network_delay = delay.unwrap_or(TimeSpan::ZERO);
         if let Some(state) = self.replicas.get_mut(&replica) {
-            self.needs_dispatch |= state.site != site;
+            self.needs_dispatch |= (state.site, state.network_delay) != (site, network_delay);
             state.load.invalidate();
             state.site = site;
+            state.network_delay = network_delay;
         }
     }
 }
--- a/crates/pipitcrank-core/src/coordinator/load_estimate.rs
+++ b/crates/pipitcrank-core/src/coordinator/load_estimate.rs
@@ -68,7 +68,7 @@
             lag: estimate.lag,
             seconds_per_work: self.service.seconds_per_work(),
             work_before: estimate.outstanding_work + planned + cost,
-            network_delay: state.network_delay(),
+            network_delay: state.network_delay,
         }
     }
 
@@ -130,7 +130,7 @@
         let state = &self.replicas[&replica];
         let is_site_open = match state.site {
             Site::Local => true,
-            Site::Remote { .. } => !is_forwarded,
+            Site::Remote => !is_forwarded,
             Site::RemoteClosed => false,
         };
         is_site_open && !self.zones.is_closed(state.zone)
--- a/crates/pipitcrank-core/src/coordinator/query_review.rs
+++ b/crates/pipitcrank-core/src/coordinator/query_review.rs
@@ -96,7 +96,7 @@
         let attempt_id = AttemptId { part: id, number: number as u32 };
         let attempt = &replica.load.outstanding[&attempt_id];
         let overdue_after = self.service.overdue_after(attempt.work_ahead).min(latest);
-        now - attempt.sent_at > overdue_after + replica.network_delay()
+        now - attempt.sent_at > overdue_after + replica.network_delay
     }
 }
 
--- a/crates/pipitcrank-core/src/coordinator/replica_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_state.rs
@@ -13,8 +13,8 @@
 pub(super) enum Site {
     #[default]
     Local,
-    /// It stands for a cell of another site, at that round-trip time.
-    Remote { network_delay: TimeSpan },
+    /// It stands for a cell of another site.
+    Remote,
     /// It stands for a cell of another site, and nothing may go there.
     RemoteClosed,
 }
@@ -26,6 +26,8 @@
     pub(super) is_listed: bool,
     pub(super) started: Option<Timestamp>,
     pub(super) site: Site,
+    /// Round-trip time to it that is the network's and not the replica's; none is regarded of local replicas.
+    pub(super) network_delay: TimeSpan,
     /// None where none is configured.
     pub(super) zone: Option<ZoneId>,
     pub(super) health: ReplicaHealth,
@@ -39,20 +41,12 @@
         self.site == Site::Local
     }
 
-    /// Round-trip time that is the network's and not the replica's.
-    pub(super) fn network_delay(&self) -> TimeSpan {
-        match self.site {
-            Site::Remote { network_delay } => network_delay,
-            Site::Local | Site::RemoteClosed => TimeSpan::ZERO,
-        }
-    }
-
     pub(super) fn load_estimate(&self, model: LoadModel, call_cost: f64) -> LoadEstimate {
-        self.load.estimate(model, self.network_delay(), call_cost)
+        self.load.estimate(model, self.network_delay, call_cost)
     }
 
     pub(super) fn expected_lag(&self, model: LoadModel) -> f64 {
-        self.load.expected_lag(model, self.network_delay())
+        self.load.expected_lag(model, self.network_delay)
     }
 
     /// Neither listed nor with attempts out.
--- a/crates/pipitcrank-core/src/ids.rs
+++ b/crates/pipitcrank-core/src/ids.rs
@@ -1,15 +1,19 @@
-//! Small indices for what the outside names at length. The door that hands them out may use an index again
-//! once the module has let go of it (`Port::let_go_*`).
+//! Small indices for what the caller names at length, and the outcomes and reasons that both sides share. The caller may
+//! use an index again once it is released (`CoordinatorOutput::release_*`).
 
+/// A query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u32);
 
+/// A part of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u32);
 
+/// A replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u32);
 
+/// A request class, by its index in the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestClassId(pub u16);
 
@@ -22,45 +26,53 @@
     pub number: u32,
 }
 
-/// How an attempt ended, as reported by the caller.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
+    /// Answered.
     Success,
+    /// The replica answered with an error.
     Fault,
+    /// The replica rejected it for lack of capacity; it did not run.
     NoCapacity,
+    /// Not answered in time.
     TimedOut,
+    /// No connection could be made; it did not run.
     Unreachable,
+    /// The connection was closed before the answer.
     Disconnected,
+    /// Cancelled by the coordinator.
     Cancelled,
+    /// It did not go out.
     NeverSent,
 }
 
-/// Why a call that was decided may not begin after all.
+/// Why an attempt that was decided may not begin after all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptDenied {
     /// An earlier attempt may have run, and this one may not follow it now (rule 2).
     RepeatForbidden,
-    /// Further attempts that went out meanwhile have used the budget up (rule 6).
+    /// Retries that went out meanwhile have spent the budget (rule 6).
     RetryBudgetSpent,
 }
 
 /// Why a query ended without an answer from its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its share is turned away: the zones left can't carry it.
+    /// It was shed: the zones left can't carry the load.
     ZoneOverCapacity,
-    /// No replica could take its first calls within its patience.
+    /// No replica could take its first attempts in time.
     NoReplicaInTime,
-    /// Its client's time is all but over.
+    /// Its deadline has all but passed.
     DeadlineExceeded,
-    /// Its SLO time is over, and a late answer earns nothing.
+    /// Its latency objective has passed, and a late answer earns nothing.
     ObjectiveMissed,
-    /// The parts that can still come in do not reach an answer.
+    /// The parts that can still be answered do not reach an answer.
     AnswerUnreachable,
 }
 
 impl RejectReason {
-    /// Its word in counters and logs.
+    /// Its name in counters and logs.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::ZoneOverCapacity => "turned_away",
@@ -75,7 +87,10 @@
 /// What a second run of a part would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
+    /// No harm.
     Idempotent,
+    /// No harm while the replicas recognise it by its key.
     IdempotentByKey,
+    /// An effect may happen twice.
     NonIdempotent,
 }
--- a/crates/pipitcrank-core/src/time.rs
+++ b/crates/pipitcrank-core/src/time.rs
@@ -1,48 +1,59 @@
-//! Points in time and spans between them, in whole microseconds. Only the sums that mean something compile.
+//! Points in time and spans between them, in whole microseconds. Sums saturate; only those that mean something compile.
 
 use std::ops::{Add, Mul, Sub};
 
 use serde::{Deserialize, Serialize};
 
+/// A point in time, in microseconds since the epoch of the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(i64);
 
+/// A span of time, in microseconds; it may be negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct TimeSpan(i64);
 
 impl Timestamp {
+    /// That many seconds after the epoch, to the nearest microsecond.
     pub fn from_secs_f64(s: f64) -> Timestamp {
         Timestamp((s * 1e6).round() as i64)
     }
 
+    /// That many microseconds after the epoch.
     pub const fn from_micros(us: i64) -> Timestamp {
         Timestamp(us)
     }
 
+    /// Seconds since the epoch.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
+    /// Microseconds since the epoch.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 }
 
 impl TimeSpan {
+    /// No time.
     pub const ZERO: TimeSpan = TimeSpan(0);
 
+    /// That many milliseconds.
     pub const fn from_millis(ms: i64) -> TimeSpan {
         TimeSpan(ms.saturating_mul(1000))
     }
 
+    /// In microseconds.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 
+    /// That many seconds, to the nearest microsecond.
     pub fn from_secs_f64(s: f64) -> TimeSpan {
         TimeSpan((s * 1e6).round() as i64)
     }
 
+    /// In seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
