--- a/crates/pipitcrank-cli/src/disk.rs
+++ b/crates/pipitcrank-cli/src/disk.rs
@@ -4,17 +4,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipitcrank_config::Store as Told;
+use pipitcrank_config::StoreConfig;
 use pipitcrank_core::time::Timestamp;
-use pipitcrank_failover::agreement::Memory;
-use pipitcrank_failover::decision::Decision;
-use pipitcrank_handover::passing::monotonic_micros;
-use pipitcrank_membership::peer::Peer;
-use pipitcrank_recovery::beliefs::{Beliefs, Clocks, Recalled};
-use pipitcrank_recovery::store::{Fault, Store};
-use pipitcrank_server::counters::Counters;
-use pipitcrank_server::discovery::SharedRevision;
-use pipitcrank_server::event_loop::EventLoop;
+use pipitcrank_failover::node::RestartState;
+use pipitcrank_failover::voter::VoterMemory;
+use pipitcrank_handover::clock::monotonic_micros;
+use pipitcrank_recovery::last_known_state::{ClockReading, LastKnownState, RecoveredState};
+use pipitcrank_recovery::store::{Store, StoreError, WriteStatus};
+use pipitcrank_server::discovery::client::SharedRevision;
+use pipitcrank_server::runtime::counters::Counters;
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use tokio::sync::Notify;
 
 use crate::peers::{since_1970_us, span};
@@ -29,37 +28,37 @@
 /// What was found of a process before this one.
 #[derive(Default)]
 pub struct Past {
-    pub recalled: Recalled,
-    pub memory: Option<Memory>,
+    pub recalled: RecoveredState,
+    pub memory: Option<VoterMemory>,
 }
 
 pub struct Disk {
     store: Store,
-    told: Told,
+    told: StoreConfig,
     bell: std::sync::Arc<Notify>,
     written: Option<Timestamp>,
     wanted: u64,
     /// What was last said of it.
-    said: Option<Fault>,
+    said: Option<StoreError>,
     slow: bool,
 }
 
-fn clocks() -> Clocks {
-    Clocks { day_us: since_1970_us() as i64, since_boot_us: monotonic_micros() }
+fn clocks() -> ClockReading {
+    ClockReading { wall_us: since_1970_us() as i64, monotonic_us: monotonic_micros() }
 }
 
 impl Disk {
     /// Opens the store of the copy `owner`, and reads what it holds. What is wrong with it is said by name and held against
     /// nobody: the copy serves as one without a store.
-    pub fn open(told: &Told, owner: &str) -> (Disk, Past) {
+    pub fn open(told: &StoreConfig, owner: &str) -> (Disk, Past) {
         let bell = std::sync::Arc::new(Notify::new());
         let rings = bell.clone();
         let store = Store::open(told.path.clone(), owner.to_string(), move || rings.notify_one());
-        let found = store.found(OPENS_WITHIN);
+        let found = store.stored_values(OPENS_WITHIN);
         let mut disk =
             Disk { store, told: told.clone(), bell, written: None, wanted: 0, said: None, slow: false };
         let past = match found {
-            Ok(found) => disk.read(found.promises.as_deref(), found.beliefs.as_deref()),
+            Ok(found) => disk.read(found.voter_memory.as_deref(), found.learned_state.as_deref()),
             Err(fault) => {
                 tracing::warn!("/store/path {}: {fault}; nothing of it is gone by", told.path.display());
                 disk.said = Some(fault);
@@ -70,10 +69,14 @@
     }
 
     /// The same once no other process of this copy has the file, as in an upgrade; until `gone` says that this one ends too.
-    pub async fn open_when_free(told: &Told, owner: &str, mut gone: impl FnMut() -> bool) -> (Disk, Past) {
+    pub async fn open_when_free(
+        told: &StoreConfig,
+        owner: &str,
+        mut gone: impl FnMut() -> bool,
+    ) -> (Disk, Past) {
         loop {
             let (disk, past) = Disk::open(told, owner);
-            if disk.said != Some(Fault::InUse) || gone() {
+            if disk.said != Some(StoreError::InUse) || gone() {
                 return (disk, past);
             }
             drop(disk);
@@ -84,7 +87,7 @@
     fn read(&self, promises: Option<&[u8]>, beliefs: Option<&[u8]>) -> Past {
         let at = self.told.path.display();
         let memory = promises.and_then(|bytes| {
-            let read = Memory::decode(bytes);
+            let read = VoterMemory::decode(bytes);
             if read.is_none() {
                 tracing::warn!(
                     "/store/path {at}: what a voter must not forget can't be read; it comes back as a new one"
@@ -93,12 +96,12 @@
             read
         });
         let Some(beliefs) = beliefs else { return Past { memory, ..Past::default() } };
-        let Some(beliefs) = Beliefs::decode(beliefs) else {
+        let Some(beliefs) = LastKnownState::decode(beliefs) else {
             tracing::warn!("/store/path {at}: what was known can't be read, and is left");
             return Past { memory, ..Past::default() };
         };
-        let recalled = beliefs.recall(clocks(), span(self.told.oldest));
-        if recalled.known.is_none() {
+        let recalled = beliefs.recover(clocks(), span(self.told.max_age));
+        if recalled.learned.is_none() {
             tracing::info!(
                 "/store/path {at}: what was known of leaves is too old, or a clock was set; it is left"
             );
@@ -111,13 +114,13 @@
         self.bell.notified().await;
     }
 
-    pub fn keep(&mut self, memory: &Memory) {
-        self.wanted = self.store.keep(memory.encode());
+    pub fn keep(&mut self, memory: &VoterMemory) {
+        self.wanted = self.store.save_voter_memory(memory.encode());
     }
 
     /// Whether all that was to be kept is.
     pub fn is_kept(&self) -> bool {
-        self.store.synced() >= self.wanted
+        self.store.synced_sequence() >= self.wanted
     }
 
     /// Has what is known written, where it is time for that; and says how the disk does.
@@ -126,26 +129,26 @@
         now: Timestamp,
         event_loop: &EventLoop,
         rev: &SharedRevision,
-        agreed: impl FnOnce() -> (Option<Decision>, Vec<Peer>),
+        agreed: impl FnOnce() -> RestartState,
     ) {
         self.say(&event_loop.counters);
-        if self.written.is_some_and(|at| now - at < span(self.told.every)) {
+        if self.written.is_some_and(|at| now - at < span(self.told.write_interval)) {
             return;
         }
         self.written = Some(now);
-        let snapshot = event_loop.tell(|e| e.remembered(now, monotonic_micros(), rev.get()));
-        let (decision, members) = agreed();
-        self.store.believe(Beliefs::new(clocks(), &snapshot, decision, members).encode());
+        let snapshot = event_loop.update(|e| e.snapshot(now, monotonic_micros(), rev.get()));
+        let RestartState { decision, members } = agreed();
+        self.store.save_learned_state(LastKnownState::new(clocks(), &snapshot, decision, members).encode());
         event_loop.counters.add("store", "written");
     }
 
     /// When `look` is due.
     pub fn due(&self) -> Timestamp {
-        self.written.map_or(Timestamp::default(), |at| at + span(self.told.every))
+        self.written.map_or(Timestamp::default(), |at| at + span(self.told.write_interval))
     }
 
     fn say(&mut self, counters: &Counters) {
-        let (failing, waits) = self.store.failing();
+        let WriteStatus { error: failing, pending_for: waits } = self.store.write_status();
         let at = self.told.path.display();
         if failing != self.said {
             match &failing {
@@ -181,6 +184,6 @@
             () = disk.rings() => {}
             () = tokio::time::sleep_until(due) => {}
         }
-        disk.look(event_loop.clock.now(), &event_loop, &rev, || (None, Vec::new()));
+        disk.look(event_loop.clock.now(), &event_loop, &rev, RestartState::default);
     }
 }
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -16,14 +16,16 @@
 use anyhow::{Context, Result, anyhow};
 use clap::{Parser, Subcommand};
 use disk::{Disk, Past};
-use pipitcrank_config::{Gateway, Operators};
+use pipitcrank_config::{GatewayConfig, OperatorsConfig};
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_gateway::far::Far;
-use pipitcrank_gateway::near::{Near, Peer};
-use pipitcrank_server::clock::Clock;
+use pipitcrank_gateway::link_client::{LinkClient, LinkClientConfig, PeerSite};
+use pipitcrank_gateway::link_server::LinkServer;
 use pipitcrank_server::exchange::ReplicaTransport;
 use pipitcrank_server::node_config::NodeConfig;
-use pipitcrank_server::serve::{self, Beside, ServerContext};
+use pipitcrank_server::runtime::clock::Clock;
+use pipitcrank_server::serve::{self, ServerContext, TransportFactory};
+use pipitcrank_simulation::plot::{self, Chart};
+use pipitcrank_simulation::zones::{ZonesExperiment, run_experiment};
 use pipitcrank_testkit::trial::{self, Terms};
 
 /// A scatter-gather co-ordinator: it reads many shards for one query and gives one answer.
@@ -182,9 +184,9 @@
 /// What an operator asks of the copies that a file joins.
 fn asked_of(
     path: &std::path::Path,
-    ask: impl FnOnce(Option<pipitcrank_config::Zones>) -> Result<i32>,
+    ask: impl FnOnce(Option<pipitcrank_config::ZonesConfig>) -> Result<i32>,
 ) -> i32 {
-    match Operators::read(path) {
+    match OperatorsConfig::read(path) {
         Ok(operators) => said(ask(operators.zones)),
         Err(wrong) => {
             eprintln!("ERROR {wrong}");
@@ -201,8 +203,8 @@
     })
 }
 
-fn logged(path: Option<PathBuf>, run: impl FnOnce(Option<PathBuf>, Operators) -> Result<i32>) -> i32 {
-    let read = path.as_deref().map(Operators::read).transpose();
+fn logged(path: Option<PathBuf>, run: impl FnOnce(Option<PathBuf>, OperatorsConfig) -> Result<i32>) -> i32 {
+    let read = path.as_deref().map(OperatorsConfig::read).transpose();
     let logs = logs::start(&read.as_ref().ok().cloned().flatten().unwrap_or_default().logs);
     let ended = read.map_err(Into::into).and_then(|operators| run(path, operators.unwrap_or_default()));
     let code = ended.unwrap_or_else(|wrong| {
@@ -218,7 +220,7 @@
     Ok(tokio::task::LocalSet::new().block_on(&runtime, run))
 }
 
-fn serve_or_keep(path: Option<PathBuf>, operators: Operators) -> Result<i32> {
+fn serve_or_keep(path: Option<PathBuf>, operators: OperatorsConfig) -> Result<i32> {
     let clock = Clock::start();
     let Some(upgrade) = operators.upgrade else {
         let stored = operators
@@ -227,7 +229,7 @@
             .map(|told| Ok::<_, anyhow::Error>(Disk::open(told, &owner()?)))
             .transpose()?;
         let (disk, mut past) = stored.map_or((None, Past::default()), |(disk, past)| (Some(disk), past));
-        let known = past.recalled.known.take();
+        let known = past.recalled.learned.take().map(|learned| (learned.age, learned.snapshot));
         return on_one_thread(async {
             // Heeded without effect: left alone it would end the process.
             let _upgrades = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::user_defined2())?;
@@ -237,7 +239,7 @@
         .map(|()| 0);
     };
     let (_, text) = serve::node_config_text().map_err(|e| anyhow!(e))?;
-    let node_config = NodeConfig::read(&text, |name| std::env::var(name).ok())?;
+    let node_config = NodeConfig::parse(&text, |name| std::env::var(name).ok())?;
     node_config.check(&clock)?;
     if let Some(zones) = &operators.zones {
         peers::own_zone(zones, node_config.zones()?.as_ref())?;
@@ -249,19 +251,19 @@
 /// Whose store it is: the co-ordinator's name.
 fn owner() -> Result<String> {
     let (_, text) = serve::node_config_text().map_err(|e| anyhow!(e))?;
-    Ok(NodeConfig::read(&text, |name| std::env::var(name).ok())?.name()?)
+    Ok(NodeConfig::parse(&text, |name| std::env::var(name).ok())?.name()?)
 }
 
 /// Other copies, other sites beside the near replicas, and the store, where the operators' file has them. `opened`: the store
 /// and what a process before this one left in it; none while such a process may still have it.
-fn beside(operators: Operators, opened: Option<(Option<Disk>, Past)>) -> Option<Beside> {
-    let Operators { gateway, zones, store, .. } = operators;
+fn beside(operators: OperatorsConfig, opened: Option<(Option<Disk>, Past)>) -> Option<TransportFactory> {
+    let OperatorsConfig { gateway, zones, store, .. } = operators;
     if gateway.is_none() && zones.is_none() && store.is_none() {
         return None;
     }
     Some(Box::new(move |ground: ServerContext| {
         let (event_loop, rev, leaving) =
-            (ground.event_loop.clone(), ground.rev.clone(), ground.leaving.clone());
+            (ground.event_loop.clone(), ground.revision.clone(), ground.draining.clone());
         let opens = async move |gone: tokio::sync::watch::Receiver<bool>| match (opened, store) {
             (Some(opened), _) => opened,
             (None, Some(told)) => {
@@ -284,21 +286,29 @@
                 }
             });
         }
-        let Some(Gateway { site, listen, sites, connections, prefer_near }) = gateway else {
+        let Some(GatewayConfig { site, listen, sites, connections, local_preference }) = gateway else {
             return ground.replicas as Rc<RefCell<dyn ReplicaTransport>>;
         };
         // Told apart from any process before or beside this one: by its number and its start.
-        let instance = peers::since_1970_us() << 22 ^ u64::from(std::process::id());
-        let names = sites.iter().map(|(name, _)| name.clone()).collect();
-        tokio::task::spawn_local(Far::new(&ground, &site, instance, names).listen(listen));
-        let peers = sites.into_iter().map(|(name, address)| Peer { name, address }).collect();
-        let prefer_near = TimeSpan::from_secs_f64(prefer_near.as_secs_f64());
-        let near = Near::start(ground, &site, instance, peers, connections, prefer_near);
-        Rc::new(RefCell::new(near)) as Rc<RefCell<dyn ReplicaTransport>>
+        let incarnation = peers::since_1970_us() << 22 ^ u64::from(std::process::id());
+        let names = sites.iter().map(|site| site.name.clone()).collect();
+        tokio::task::spawn_local(LinkServer::new(&ground, &site, incarnation, names).listen(listen));
+        let config = LinkClientConfig {
+            own_site: site,
+            incarnation,
+            peers: sites
+                .into_iter()
+                .map(|site| PeerSite { name: site.name, address: site.address })
+                .collect(),
+            streams_per_site: connections,
+            local_preference: TimeSpan::from_secs_f64(local_preference.as_secs_f64()),
+        };
+        let client = LinkClient::start(ground, config);
+        Rc::new(RefCell::new(client)) as Rc<RefCell<dyn ReplicaTransport>>
     }))
 }
 
-fn work(operators: Operators) -> Result<i32> {
+fn work(operators: OperatorsConfig) -> Result<i32> {
     let keeper = std::io::stdin().as_fd().try_clone_to_owned().context("standard input")?;
     let keeper = UnixStream::from(keeper);
     keeper.peer_addr().context("standard input is not a keeper's link")?;
@@ -320,16 +330,17 @@
 ) -> Result<i32> {
     anyhow::ensure!(name == "zones", "no experiment is named '{name}'; there is: zones");
     anyhow::ensure!((zones..=MOST_COPIES).contains(&copies), "{copies} copies, not {zones} to {MOST_COPIES}");
-    let (figures, lines) = pipitcrank_simulation::zones::play(copies, zones, seed);
-    let text = serde_json::to_string_pretty(&figures)?;
+    let ZonesExperiment { report, service, load } = run_experiment(copies, zones, seed);
+    let text = serde_json::to_string_pretty(&report)?;
     println!("{text}");
     if let Some(path) = json {
         std::fs::write(path, &text).with_context(|| path.display().to_string())?;
     }
     if let Some(path) = plot {
-        let service = ("share of what was asked that was answered in time", &lines.service[..]);
-        let load = ("load of each zone against what it bears, by the common decision", &lines.load[..]);
-        pipitcrank_simulation::plot::draw(path, service, load)?;
+        let service = Chart { title: "share of what was asked that was answered in time", series: &service };
+        let load =
+            Chart { title: "load of each zone against what it bears, by the common decision", series: &load };
+        plot::draw(path, service, load)?;
     }
     Ok(0)
 }
@@ -348,18 +359,18 @@
     };
     if !no_node_config {
         let read = serve::node_config_text().and_then(|(_, text)| {
-            NodeConfig::read(&text, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
+            NodeConfig::parse(&text, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
         });
         let faults = read.map(|c| c.faults(&Clock::start()).iter().map(ToString::to_string).collect());
         look("the charter", faults.unwrap_or_else(|wrong| vec![wrong]));
     }
     if let Some(path) = operators {
-        let read = Operators::read(&path);
+        let read = OperatorsConfig::read(&path);
         let mut faults: Vec<String> = read.as_ref().err().map(ToString::to_string).into_iter().collect();
         // What both files say of zones has to agree; without the node configuration only the file itself is looked at.
-        if let (Ok(Operators { zones: Some(zones), .. }), false) = (&read, no_node_config)
+        if let (Ok(OperatorsConfig { zones: Some(zones), .. }), false) = (&read, no_node_config)
             && let Ok((_, text)) = serve::node_config_text()
-            && let Ok(node_config) = NodeConfig::read(&text, |name| std::env::var(name).ok())
+            && let Ok(node_config) = NodeConfig::parse(&text, |name| std::env::var(name).ok())
             && let Ok(platform) = node_config.zones()
         {
             faults.extend(peers::own_zone(zones, platform.as_ref()).err().map(|wrong| wrong.to_string()));
--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -14,7 +14,8 @@
 use clap::{Parser, Subcommand};
 use pipitcrank_core::ids::AttemptOutcome;
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::frames;
+use pipitcrank_server::exchange::AttemptId;
+use pipitcrank_server::replicas::frames;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use stage::Stage;
@@ -175,12 +176,12 @@
     let part = |n: u32| frames::CallPart {
         id: format!("q1.{n}").into(),
         shard: n,
-        wait: TimeSpan::from_millis(900),
+        time_left: TimeSpan::from_millis(900),
         idempotency_key: None,
         text: "c41e".into(),
     };
     let parts: Vec<_> = (0..8).map(part).collect();
-    let counted = measure(|| drop(frames::call(&parts)));
+    let counted = measure(|| drop(frames::encode_call(&parts)));
     all.insert("frame of 8 parts: blocks".into(), counted.count_total as f64);
     all.insert("frame of 8 parts: bytes".into(), counted.bytes_total as f64);
     let answer = format!("Aq1.1 ok 7 -\n{}", "x".repeat(60_000));
@@ -225,7 +226,7 @@
             }
             8 if !tickets.is_empty() && chance.random_bool(0.2) => {
                 let ticket = tickets.swap_remove(chance.random_range(0..tickets.len()));
-                stage.exchange.client_gone(ticket);
+                stage.exchange.client_disconnected(ticket);
             }
             9 if chance.random_bool(0.1) => {
                 stage.replica_changes(chance.random_range(0..24), chance.random_bool(0.7))
@@ -235,16 +236,17 @@
         stage.turn(chance.random_range(1..12));
         for (replica, parts) in &stage.noted.calls {
             sum.update(&replica.0.to_le_bytes());
-            parts.iter().for_each(|(part, nth)| {
+            parts.iter().for_each(|AttemptId { part, number }| {
                 sum.update(&part.0.to_le_bytes());
-                sum.update(&nth.to_le_bytes());
+                sum.update(&number.to_le_bytes());
             });
         }
-        for (replica, (part, nth)) in stage.noted.given_up.drain(..) {
+        for (replica, attempt) in stage.noted.given_up.drain(..) {
+            let AttemptId { part, number } = attempt;
             sum.update(
-                &[&replica.0.to_le_bytes()[..], &part.0.to_le_bytes(), &nth.to_le_bytes(), b"x"].concat(),
+                &[&replica.0.to_le_bytes()[..], &part.0.to_le_bytes(), &number.to_le_bytes(), b"x"].concat(),
             );
-            out.retain(|call| *call != (part, nth));
+            out.retain(|call| *call != attempt);
         }
         out.extend(stage.release());
     }
--- a/crates/pipitcrank-server/src/objects/tests.rs
+++ b/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
@@ -23,10 +23,10 @@
             bytes.extend_from_slice(text.unwrap().as_bytes());
             bytes.extend_from_slice(between.as_bytes());
         }
-        let (mut objects, mut found, mut rest) = (Objects::new(1 << 20), Vec::new(), &bytes[..]);
+        let (mut objects, mut found, mut rest) = (JsonObjectStream::new(1 << 20), Vec::new(), &bytes[..]);
         for cut in cuts.into_iter().chain([usize::MAX]) {
             let (piece, after) = rest.split_at(cut.min(rest.len()));
-            objects.came(piece);
+            objects.push(piece);
             rest = after;
             while let Some(object) = objects.take().unwrap() {
                 found.push(serde_json::from_slice::<Value>(&object).unwrap());
@@ -39,15 +39,19 @@
 
 #[test]
 fn what_is_no_object_or_never_ends_is_not_waited_for() {
-    for (bytes, what) in [("{} x{}", Spoilt::Between), ("}", Spoilt::Between), ("\"{}\"", Spoilt::Between)] {
-        let mut objects = Objects::new(100);
-        objects.came(bytes.as_bytes());
+    for (bytes, what) in [
+        ("{} x{}", JsonStreamError::NotAnObject),
+        ("}", JsonStreamError::NotAnObject),
+        ("\"{}\"", JsonStreamError::NotAnObject),
+    ] {
+        let mut objects = JsonObjectStream::new(100);
+        objects.push(bytes.as_bytes());
         let first_bad = std::iter::from_fn(|| objects.take().transpose()).find_map(Result::err);
         assert_eq!(first_bad, Some(what), "{bytes}");
     }
-    let mut objects = Objects::new(100);
-    objects.came(b"{\"targets\": [");
+    let mut objects = JsonObjectStream::new(100);
+    objects.push(b"{\"targets\": [");
     assert_eq!(objects.take(), Ok(None));
-    objects.came(&[b' '; 100]);
-    assert_eq!(objects.take(), Err(Spoilt::TooLong));
+    objects.push(&[b' '; 100]);
+    assert_eq!(objects.take(), Err(JsonStreamError::TooLong));
 }
--- /dev/null
+++ b/crates/pipitcrank-server/src/exchange/request_table.rs
@@ -0,0 +1,127 @@
+//! What the exchange holds of queries, parts, replicas and attempts.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, ReplicaId, RequestClassId};
+use pipitcrank_core::interner::Interner;
+use pipitcrank_core::time::Timestamp;
+
+use super::query::{DelegatedRequest, ResponseSink};
+use crate::audit::Audit;
+use crate::runtime::counters::Counters;
+
+pub(super) struct OpenQuery {
+    pub(super) ticket: u64,
+    /// Taken by the final response.
+    pub(super) response: Option<Box<dyn ResponseSink>>,
+    /// In the order asked.
+    pub(super) parts: Vec<u32>,
+    pub(super) class: RequestClassId,
+    pub(super) idempotency_key: Option<Arc<str>>,
+    pub(super) delegated: Option<DelegatedRequest>,
+}
+
+pub(super) struct OpenPart {
+    pub(super) id: Rc<str>,
+    /// None once its query is released: another query may have the index while an attempt at this part is in flight.
+    pub(super) query: Option<u32>,
+    pub(super) shard: u32,
+    pub(super) weight: f64,
+    pub(super) work: Option<f64>,
+    pub(super) text: Arc<str>,
+    pub(super) value: Option<String>,
+    /// Attempts begun so far.
+    pub(super) attempts: u32,
+    /// Outcome of the attempt that ended last.
+    pub(super) last_outcome: Option<AttemptOutcome>,
+}
+
+pub(super) struct ReplicaEntry {
+    pub(super) address: Option<SocketAddr>,
+    pub(super) cell: u32,
+    pub(super) zone: Option<String>,
+    pub(super) started: Option<Timestamp>,
+    /// Number of the remote site of which it stands for one cell; none for a local replica.
+    pub(super) site: Option<u16>,
+    /// When the endpoint list first named it as draining or left it out; none while it is up.
+    pub(super) down_since: Option<Timestamp>,
+}
+
+impl ReplicaEntry {
+    pub(super) fn is_local(&self) -> bool {
+        self.site.is_none()
+    }
+}
+
+pub(super) struct InFlightAttempt {
+    pub(super) replica: ReplicaId,
+    pub(super) deadline: Timestamp,
+    /// It has passed the send guard: its frame is being written, or was.
+    pub(super) authorized: bool,
+}
+
+/// What the coordinator asked for; executed at the end of the batch.
+pub(super) enum Command {
+    SendAttempt(ReplicaId, AttemptId),
+    CancelAttempt(ReplicaId, AttemptId),
+    SendLoadProbe(ReplicaId),
+    SetAddress(ReplicaId, SocketAddr),
+    RemoveReplica(ReplicaId),
+}
+
+/// Tables by index; an entry ends when the coordinator releases it.
+#[derive(Default)]
+pub(super) struct RequestTable {
+    pub(super) query_ids: Interner,
+    pub(super) part_ids: Interner,
+    pub(super) replica_uids: Interner,
+    pub(super) queries: BTreeMap<u32, OpenQuery>,
+    pub(super) parts: BTreeMap<u32, OpenPart>,
+    pub(super) replicas: BTreeMap<u32, ReplicaEntry>,
+    /// Query index by ticket.
+    pub(super) tickets: BTreeMap<u64, u32>,
+    pub(super) in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+    /// Deadlines of the attempts in flight.
+    pub(super) attempt_deadlines: BTreeSet<(Timestamp, AttemptId)>,
+    /// Timers of the coordinator, by label; removed as they fire.
+    pub(super) timers: BTreeSet<(Timestamp, u64)>,
+    pub(super) commands: Vec<Command>,
+    pub(super) counters: Counters,
+    /// The run-time check of the rules, where it is enabled.
+    pub(super) audit: Option<Audit>,
+    pub(super) now: Timestamp,
+}
+
+impl RequestTable {
+    /// Removes an attempt from those in flight; returns its replica, or none if it has ended before.
+    pub(super) fn close_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Option<ReplicaId> {
+        let InFlightAttempt { replica, deadline, .. } = self.in_flight.remove(&attempt)?;
+        if let Some(audit) = &mut self.audit {
+            audit.attempt_ended(attempt.part, attempt.number, outcome);
+        }
+        self.attempt_deadlines.remove(&(deadline, attempt));
+        Some(replica)
+    }
+
+    /// Number of open queries and parts; an answered part is not open.
+    pub(super) fn open_count(&self) -> usize {
+        let open = self.parts.values().filter(|part| part.value.is_none() && part.query.is_some());
+        self.queries.len() + open.count()
+    }
+
+    /// Replicas of this site.
+    pub(super) fn local_replicas(&self) -> impl Iterator<Item = (u32, &ReplicaEntry)> {
+        self.replicas.iter().filter(|(_, entry)| entry.is_local()).map(|(&index, entry)| (index, entry))
+    }
+
+    /// Tells the audit of all local replicas, since a complete list may have left some out.
+    pub(super) fn audit_local_replicas(&mut self) {
+        let Some(audit) = &mut self.audit else { return };
+        for (&replica, entry) in self.replicas.iter().filter(|(_, entry)| entry.is_local()) {
+            audit.replica_listed(ReplicaId(replica), entry.down_since);
+        }
+    }
+}
--- a/crates/pipitcrank-server/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -7,10 +7,10 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::clock::Clock;
-use crate::counters::Counters;
 use crate::node_config::NodeConfig;
-use crate::system_errors::waited_for;
+use crate::runtime::clock::Clock;
+use crate::runtime::counters::Counters;
+use crate::runtime::system_errors::retry_open_for;
 
 /// A file that can't be opened or read for a while is waited for so long: folders may fail for 30 s.
 const READ_LIMIT: Duration = Duration::from_secs(40);
@@ -26,7 +26,7 @@
 ) {
     while hangups.recv().await.is_some() {
         // A further signal meanwhile means the same file.
-        let text = waited_for(READ_LIMIT, async || std::fs::read_to_string(&path)).await;
+        let text = retry_open_for(READ_LIMIT, async || std::fs::read_to_string(&path)).await;
         match text.map_err(unreadable).and_then(|text| read(&text, &clock)) {
             Ok(address) => {
                 counters.add("reloads", "taken");
@@ -48,7 +48,7 @@
 
 /// Where discovery is from now on.
 fn read(text: &str, clock: &Clock) -> Result<String, ConfigError> {
-    let node_config = NodeConfig::read(text, |_| None)?;
+    let node_config = NodeConfig::parse(text, |_| None)?;
     node_config.check(clock)?;
     node_config.discovery()
 }
--- /dev/null
+++ b/crates/pipitcrank-server/src/replicas/pool.rs
@@ -0,0 +1,256 @@
+//! The pool of connections to replicas: which connection carries what. A connection is used again while it has streams free;
+//! another is opened only when none has.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, ReplicaId};
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+
+use super::connection::{self, ClosedConnection, ConnectionTimeouts};
+use super::connection_end::ConnectionEnd;
+use super::connection_state::{AssignedAttempt, ConnectionCommand, ConnectionState};
+use crate::exchange::ReplicaTransport;
+use crate::runtime::connection_limits::ConnectionPermit;
+use crate::runtime::event_loop::EventLoop;
+
+/// One replica's connections.
+struct ReplicaConnections {
+    address: SocketAddr,
+    /// A connection is removed when it ends.
+    open: Vec<Rc<ConnectionState>>,
+}
+
+/// The replica side of the coordinator over TCP.
+pub struct ReplicaPool {
+    event_loop: Rc<EventLoop>,
+    this: Weak<RefCell<ReplicaPool>>,
+    streams_per_connection: usize,
+    timeouts: ConnectionTimeouts,
+    /// An entry ends when the exchange removes the replica.
+    replicas: BTreeMap<ReplicaId, ReplicaConnections>,
+    /// Counts uses of connections.
+    uses: u64,
+}
+
+impl ReplicaPool {
+    /// A pool without replicas. `streams_per_connection`: parts that one connection carries at once.
+    pub fn new(
+        event_loop: Rc<EventLoop>,
+        streams_per_connection: usize,
+        connect_timeout: Duration,
+        idle_timeout: Duration,
+    ) -> Rc<RefCell<ReplicaPool>> {
+        let timeouts = ConnectionTimeouts { connect: connect_timeout, idle: idle_timeout };
+        let pool = Rc::new_cyclic(|this| {
+            RefCell::new(ReplicaPool {
+                event_loop: event_loop.clone(),
+                this: this.clone(),
+                streams_per_connection,
+                timeouts,
+                replicas: BTreeMap::new(),
+                uses: 0,
+            })
+        });
+        let this = Rc::downgrade(&pool);
+        tokio::task::spawn_local(async move {
+            loop {
+                event_loop.replica_connections.release_requested().await;
+                let Some(pool) = this.upgrade() else { return };
+                pool.borrow_mut().close_unused();
+            }
+        });
+        pool
+    }
+
+    /// Closes the connection that was unused for longest; false where all are in use.
+    fn close_unused(&mut self) -> bool {
+        let connections = self.replicas.values().flat_map(|replica| &replica.open);
+        let unused = connections.filter(|connection| connection.is_unused());
+        match unused.min_by_key(|connection| connection.last_use.get()) {
+            Some(connection) => retire([connection.clone()]),
+            None => return false,
+        }
+        self.event_loop.counters.add("leaf_connections", "given_back");
+        true
+    }
+
+    /// A healthy connection with streams free for so many parts, opened if need be.
+    fn connection(&mut self, replica: ReplicaId, parts: usize) -> Result<Rc<ConnectionState>, ConnectionEnd> {
+        self.uses += 1;
+        let connections = self.replicas.get(&replica).ok_or(ConnectionEnd::NotNeeded)?;
+        let has_room = |connection: &&Rc<ConnectionState>| {
+            let assigned = connection.assigned.borrow().len();
+            connection.is_healthy() && assigned + parts <= self.streams_per_connection
+        };
+        if let Some(connection) = connections.open.iter().find(has_room) {
+            connection.last_use.set(self.uses);
+            return Ok(connection.clone());
+        }
+        let permit = self.event_loop.replica_connections.try_acquire();
+        // A replica must not count as unreachable while connections to others are unused.
+        if permit.is_none() && !self.close_unused() {
+            return Err(ConnectionEnd::LimitReached);
+        }
+        self.open(replica, permit)
+    }
+
+    /// Opens a connection; without a permit it waits for the one of a connection that closes.
+    fn open(
+        &mut self,
+        replica: ReplicaId,
+        permit: Option<ConnectionPermit>,
+    ) -> Result<Rc<ConnectionState>, ConnectionEnd> {
+        let (sender, commands) = unbounded_channel();
+        let connection = Rc::new(ConnectionState::new(replica, sender));
+        connection.last_use.set(self.uses);
+        let connections = self.replicas.get_mut(&replica).ok_or(ConnectionEnd::NotNeeded)?;
+        connections.open.push(connection.clone());
+        let address = connections.address;
+        let (event_loop, this, timeouts) = (self.event_loop.clone(), self.this.clone(), self.timeouts);
+        let state = connection.clone();
+        tokio::task::spawn_local(async move {
+            let closed = run_with_permit(&event_loop, &state, commands, address, timeouts, permit).await;
+            if let Some(pool) = this.upgrade() {
+                pool.borrow_mut().connection_closed(&state, closed);
+            }
+        });
+        Ok(connection)
+    }
+
+    /// Whether a connection to the replica holds a partial frame of its.
+    pub fn has_partial_frame(&self, replica: ReplicaId) -> bool {
+        let connections = self.replicas.get(&replica);
+        connections.is_some_and(|replica| replica.open.iter().any(|c| c.partial_frame.get()))
+    }
+
+    /// All attempts on the connection end with it, except that calls not begun go on another one where this side closed it.
+    fn connection_closed(&mut self, connection: &Rc<ConnectionState>, closed: ClosedConnection) {
+        let ClosedConnection { end, unsent } = closed;
+        let replica = connection.replica;
+        tracing::debug!("connection to replica {} ended: {}", replica.0, end.name());
+        self.event_loop.counters.add("leaf_connections", end.name());
+        if let Some(connections) = self.replicas.get_mut(&replica) {
+            connections.open.retain(|open| !Rc::ptr_eq(open, connection));
+        }
+        let mut assigned = connection.assigned.take();
+        if matches!(end, ConnectionEnd::Idle | ConnectionEnd::NotNeeded) {
+            for mut attempts in unsent {
+                attempts.retain(|attempt| assigned.iter().any(|a| a.attempt == *attempt));
+                assigned.retain(|a| !attempts.contains(&a.attempt));
+                self.send_attempts(replica, attempts);
+            }
+        }
+        for AssignedAttempt { attempt, written, .. } in assigned {
+            self.event_loop.update(|e| e.attempt_ended(attempt, end.attempt_outcome(written), None, None));
+        }
+        // Nothing is reported of a replica that was removed: its id may stand for another one.
+        if connection.probes_pending.get() > 0 && !connection.not_needed.get() {
+            self.event_loop.update(|e| e.load_probe_ended(replica, end.probe_outcome(), None));
+        }
+    }
+}
+
+/// Runs a connection once it has its permit.
+async fn run_with_permit(
+    event_loop: &Rc<EventLoop>,
+    state: &ConnectionState,
+    commands: UnboundedReceiver<ConnectionCommand>,
+    address: SocketAddr,
+    timeouts: ConnectionTimeouts,
+    permit: Option<ConnectionPermit>,
+) -> ClosedConnection {
+    let permit = async {
+        match permit {
+            Some(permit) => permit,
+            None => event_loop.replica_connections.acquire().await,
+        }
+    };
+    match tokio::time::timeout(timeouts.connect, permit).await {
+        Ok(_permit) => connection::run(event_loop, state, commands, address, timeouts).await,
+        Err(_) => {
+            let unsent = connection::unsent_calls(commands);
+            ClosedConnection { end: ConnectionEnd::LimitReached, unsent }
+        }
+    }
+}
+
+impl ReplicaTransport for ReplicaPool {
+    fn set_address(&mut self, replica: ReplicaId, address: SocketAddr) {
+        let new = ReplicaConnections { address, open: Vec::new() };
+        let connections = self.replicas.entry(replica).or_insert(new);
+        if connections.address != address {
+            connections.address = address;
+            retire(std::mem::take(&mut connections.open));
+        }
+    }
+
+    fn remove_replica(&mut self, replica: ReplicaId) {
+        if let Some(connections) = self.replicas.remove(&replica) {
+            retire(connections.open);
+        }
+    }
+
+    fn send_attempts(&mut self, replica: ReplicaId, attempts: Vec<AttemptId>) {
+        match self.connection(replica, attempts.len()) {
+            Ok(connection) => {
+                let assigned = attempts.iter().map(|&attempt| AssignedAttempt {
+                    attempt,
+                    part_id: None,
+                    written: false,
+                });
+                connection.assigned.borrow_mut().extend(assigned);
+                // The task takes all commands until it ends, and then ends what is assigned.
+                let _ = connection.commands.send(ConnectionCommand::SendCall(attempts));
+            }
+            Err(end) => {
+                self.event_loop.counters.add("leaf_connections", end.name());
+                let event_loop = self.event_loop.clone();
+                // Later, since the exchange is within a batch.
+                tokio::task::spawn_local(async move {
+                    for attempt in attempts {
+                        let outcome = end.attempt_outcome(false);
+                        event_loop.update(|e| e.attempt_ended(attempt, outcome, None, None));
+                    }
+                });
+            }
+        }
+    }
+
+    fn cancel_attempt(&mut self, replica: ReplicaId, attempt: AttemptId) {
+        let Some(connections) = self.replicas.get(&replica) else { return };
+        for connection in &connections.open {
+            let mut assigned = connection.assigned.borrow_mut();
+            let Some(position) = assigned.iter().position(|a| a.attempt == attempt) else { continue };
+            if let Some(id) = assigned.swap_remove(position).part_id {
+                connection.finished.borrow_mut().add(&id);
+                let _ = connection.commands.send(ConnectionCommand::Cancel(id));
+            }
+            return;
+        }
+    }
+
+    fn send_load_probe(&mut self, replica: ReplicaId) {
+        if let Ok(connection) = self.connection(replica, 0) {
+            connection.probes_pending.set(connection.probes_pending.get() + 1);
+            let _ = connection.commands.send(ConnectionCommand::SendLoadProbe);
+        } else {
+            let event_loop = self.event_loop.clone();
+            tokio::task::spawn_local(async move {
+                event_loop.update(|e| e.load_probe_ended(replica, AttemptOutcome::Unreachable, None))
+            });
+        }
+    }
+}
+
+/// Has connections closed as soon as nothing is out on them.
+fn retire(connections: impl IntoIterator<Item = Rc<ConnectionState>>) {
+    for connection in connections {
+        connection.not_needed.set(true);
+        // Wakes the task; an empty call sends nothing.
+        let _ = connection.commands.send(ConnectionCommand::SendCall(Vec::new()));
+    }
+}
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -6,7 +6,6 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
-use std::time::Instant;
 
 use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -16,21 +15,23 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::sync::watch;
 
-use crate::acceptor::{self, Order};
-use crate::awake::Awake;
-use crate::clock::Clock;
-use crate::counters::Counters;
-use crate::discovery::{self, Paid, SharedRevision};
-use crate::event_loop::{ConnectionLimiter, EventLoop};
+use crate::clients::acceptor::{self, AcceptorCommand};
+use crate::clients::http::{self, HttpEvent, HttpState};
+use crate::discovery::client::{self, SharedRevision};
+use crate::discovery::poll_pacing::PollPacing;
 use crate::exchange::{Exchange, ReplicaTransport};
-use crate::front::{self, Door, Knock};
 use crate::node_config::NodeConfig;
-use crate::relay::Relay;
 use crate::reload;
-use crate::replica_pool::ReplicaPool;
-use crate::shutdown::ShutdownSchedule;
-use crate::system_errors::{PAUSE, passes, waited_for};
-use crate::worker::{FirstList, Worker};
+use crate::replicas::pool::ReplicaPool;
+use crate::runtime::clock::Clock;
+use crate::runtime::connection_limits::ConnectionLimiter;
+use crate::runtime::counters::Counters;
+use crate::runtime::event_loop::EventLoop;
+use crate::runtime::shutdown::ShutdownSchedule;
+use crate::runtime::stall_detector::StallDetector;
+use crate::runtime::system_errors::{retry_open_for, retry_open_for_blocking};
+use crate::upgrade::relay::Relay;
+use crate::upgrade::worker::{FirstList, Worker};
 
 /// How often it looks whether it stood still.
 const LOOK: std::time::Duration = std::time::Duration::from_millis(50);
@@ -41,14 +42,8 @@
 /// The file that `NODE_CONFIG` names, and its text; before anything else runs, so it may wait.
 pub fn node_config_text() -> Result<(String, String), String> {
     let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
-    let until = Instant::now() + START_LIMIT;
-    loop {
-        match std::fs::read_to_string(&path) {
-            Ok(text) => return Ok((path, text)),
-            Err(e) if passes(&e) && Instant::now() < until => std::thread::sleep(PAUSE),
-            Err(e) => return Err(format!("NODE_CONFIG: {path}: {e}")),
-        }
-    }
+    let text = retry_open_for_blocking(START_LIMIT, || std::fs::read_to_string(&path));
+    text.map(|text| (path.clone(), text)).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))
 }
 
 /// What stands beside the near replica side is made of.
@@ -59,32 +54,32 @@
     pub shards: u32,
     pub cells: u32,
     /// How long a query may be held.
-    pub longest: TimeSpan,
+    pub max_deadline: TimeSpan,
     pub tickets: Arc<AtomicU64>,
     /// Whether no new work of others is to be taken: another process takes over, or the end was called.
-    pub leaving: watch::Receiver<bool>,
+    pub draining: watch::Receiver<bool>,
     /// When the end was called.
-    pub end_called: watch::Receiver<Option<Timestamp>>,
+    pub shutdown_requested: watch::Receiver<Option<Timestamp>>,
     /// What the platform says of zones: the own one's place, and all names.
     pub zones: Option<(ZoneId, Vec<String>)>,
     /// Utility of a whole answer, by request class.
-    pub utilities: Vec<f64>,
+    pub priority_weights: Vec<f64>,
     /// Version of discovery's list, where one is held.
-    pub rev: SharedRevision,
+    pub revision: SharedRevision,
 }
 
 /// What a process before this one knew, and how long ago.
 pub type Recalled = Option<(TimeSpan, Snapshot)>;
 
 /// Makes a replica side that also reaches what near replicas are not, such as other sites.
-pub type Beside = Box<dyn FnOnce(ServerContext) -> Rc<RefCell<dyn ReplicaTransport>>>;
+pub type TransportFactory = Box<dyn FnOnce(ServerContext) -> Rc<RefCell<dyn ReplicaTransport>>>;
 
 /// Serves until asked to end, or until all has passed to another process. Under a keeper its link comes along; the
 /// listener then is the keeper's.
 pub async fn serve(
     clock: Clock,
     keeper: Option<StdStream>,
-    beside: Option<Beside>,
+    beside: Option<TransportFactory>,
     recalled: Recalled,
 ) -> Result<(), Box<dyn Error>> {
     // Before all else: unheeded, a signal ends the process, and what has connected meanwhile gets no answer.
@@ -92,18 +87,18 @@
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let (path, text) = node_config_text()?;
-    let node_config = NodeConfig::read(&text, |name| std::env::var(name).ok())?;
+    let node_config = NodeConfig::parse(&text, |name| std::env::var(name).ok())?;
 
     let counters = Counters::default();
     let exchange = node_config.exchange(counters.clone())?;
-    let (rev, rows) = node_config.known(&clock)?;
-    let (for_replicas, for_clients) = ConnectionLimiter::shared(node_config.sockets()?);
+    let (rev, rows) = node_config.initial_endpoints(&clock)?;
+    let (for_replicas, for_clients) = ConnectionLimiter::shared(node_config.connection_limit()?);
     let event_loop = Rc::new(EventLoop::new(clock.clone(), counters.clone(), for_replicas, exchange));
     let replicas = ReplicaPool::new(
         event_loop.clone(),
-        node_config.streams()?,
-        node_config.dial_limit()?,
-        node_config.idle_limit()?,
+        node_config.streams_per_connection()?,
+        node_config.connect_timeout()?,
+        node_config.idle_timeout()?,
     );
     let (knocks, knocked) = unbounded_channel();
     let (call_end, end_called) = watch::channel(None);
@@ -111,13 +106,13 @@
     let door_tickets = tickets.clone();
     let classes = node_config.classes()?;
     let worker_classes = classes.len();
-    let schedule = ShutdownSchedule::of(node_config.longest()?);
-    let awake = Arc::new(Awake::new(clock.now()));
-    let router = front::router(Door {
+    let schedule = ShutdownSchedule::of(node_config.max_deadline()?);
+    let awake = Arc::new(StallDetector::new(clock.now()));
+    let router = http::router(HttpState {
         clock: clock.clone(),
         counters: counters.clone(),
         classes: classes.into(),
-        deduplicated: node_config.deduplicated()?.into(),
+        deduplicated: node_config.keyed_idempotency()?.into(),
         shards: node_config.shards()?,
         knocks,
         end_called: end_called.clone(),
@@ -126,13 +121,14 @@
         awake: awake.clone(),
     });
     let (move_watch, watched) = watch::channel(node_config.discovery()?);
-    let (tick, name, listen) = (node_config.tick()?, node_config.name()?, node_config.listen()?);
+    let (tick, name, listen) = (node_config.tick_interval()?, node_config.name()?, node_config.listen()?);
     let rev_held = Rc::new(Cell::new(None));
     let (watch_event_loop, watch_rev) = (event_loop.clone(), rev_held.clone());
-    let paid = node_config.lists_are_asked_for()?.then_some((node_config.seed()?, node_config.copies()?));
+    let paid =
+        node_config.polls_discovery()?.then_some((node_config.seed()?, node_config.coordinator_count()?));
     let list_known = move || {
-        let paid = paid.map(|(seed, copies)| Paid::new(seed, copies));
-        let watch = discovery::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
+        let paid = paid.map(|(seed, copies)| PollPacing::new(seed, copies));
+        let watch = client::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
         tokio::task::spawn_local(watch);
     };
     tokio::task::spawn_local(reload::heed(hangups, path.into(), clock.clone(), counters.clone(), move_watch));
@@ -145,9 +141,9 @@
     match keeper {
         None => {
             rev_held.set(Some(rev));
-            event_loop.tell(|e| e.list(clock.now(), true, rows));
+            event_loop.update(|e| e.update_endpoints(clock.now(), true, rows));
             if let Some((passed, snapshot)) = recalled {
-                let later = snapshot.rev.filter(|&theirs| theirs > rev);
+                let later = snapshot.revision.filter(|&theirs| theirs > rev);
                 rev_held.set(Some(later.unwrap_or(rev)));
                 let replicas = snapshot.replicas.len();
                 tracing::info!(
@@ -156,12 +152,12 @@
                     age_s = passed.as_secs_f64(),
                     "goes on from what is stored"
                 );
-                event_loop.tell(|e| e.recall(clock.now(), passed, later.is_some(), snapshot));
+                event_loop.update(|e| e.restore(clock.now(), passed, later.is_some(), snapshot));
             }
             list_known();
-            let listener = waited_for(START_LIMIT, || TcpListener::bind(listen)).await;
+            let listener = retry_open_for(START_LIMIT, || TcpListener::bind(listen)).await;
             let listener = listener.map_err(|e| format!("/listen: {e}"))?;
-            let _ = acceptor.send(Order::Accept(listener));
+            let _ = acceptor.send(AcceptorCommand::Accept(listener));
             tracing::info!("{name} serves at {listen}");
         }
         Some(keeper) => {
@@ -176,7 +172,7 @@
                 tickets,
                 classes: worker_classes,
                 shards: node_config.shards()?,
-                longest: node_config.longest()?,
+                longest: node_config.max_deadline()?,
                 end_called: call_end.clone(),
                 leave: leave.clone(),
             });
@@ -212,25 +208,25 @@
             classes: node_config.classes()?,
             shards: node_config.shards()?,
             cells: node_config.cells()?,
-            longest: node_config.longest()?,
+            max_deadline: node_config.max_deadline()?,
             tickets: door_tickets,
-            leaving,
-            end_called: end_called.clone(),
+            draining: leaving,
+            shutdown_requested: end_called.clone(),
             zones: node_config.zones()?,
-            utilities: node_config.utilities()?,
-            rev: ground_rev,
+            priority_weights: node_config.priority_weights()?,
+            revision: ground_rev,
         }),
     };
     tokio::task::spawn_local(async move {
         loop {
-            awake.look(clock.now());
-            clock.look_at_wall();
+            awake.tick(clock.now());
+            clock.sample_wall_clock();
             tokio::time::sleep(LOOK).await;
         }
     });
-    let quiet = || event_loop.ask(Exchange::quiet) && relay.quiet();
+    let quiet = || event_loop.read(Exchange::is_drained) && relay.quiet();
     tokio::select! {
-        () = event_loop.take_turns(tick, &transport) => {}
+        () = event_loop.run(tick, &transport) => {}
         () = acceptor::keep(ordered, router, for_clients, counters.clone(), schedule, end_called, quiet) => {}
     }
     tracing::info!("counters at exit:\n{}", counters.show());
@@ -244,31 +240,27 @@
     last_answer: TimeSpan,
 ) {
     if let Ok(called) = end_called.wait_for(Option::is_some).await.map(|at| *at) {
-        called.into_iter().for_each(|at| event_loop.tell(|e| e.end_by(at + last_answer)));
+        called.into_iter().for_each(|at| event_loop.update(|e| e.cap_deadlines(at + last_answer)));
     }
 }
 
 /// Hands what the front has to the exchange, or to the process that takes over.
-async fn hear(event_loop: Rc<EventLoop>, relay: Relay, mut knocked: UnboundedReceiver<Knock>) {
+async fn hear(event_loop: Rc<EventLoop>, relay: Relay, mut knocked: UnboundedReceiver<HttpEvent>) {
     while let Some(knock) = knocked.recv().await {
         match knock {
-            Knock::Ask(ticket, asked, answer) => {
+            HttpEvent::Ask(ticket, asked, answer) => {
                 let Err((asked, answer)) = relay.ask(ticket, asked, answer) else { continue };
-                event_loop.tell(|e| {
-                    let then = Box::new(move |last| {
-                        // Nobody listens where the client left in this very moment.
-                        let _ = answer.send(last);
-                    });
-                    e.asked(ticket, asked, then);
+                event_loop.update(|e| {
+                    e.submit(ticket, asked, Box::new(answer));
                 });
             }
-            Knock::Gone(ticket) => {
+            HttpEvent::Gone(ticket) => {
                 if !relay.gone(ticket) {
-                    event_loop.tell(|e| e.client_gone(ticket));
+                    event_loop.update(|e| e.client_disconnected(ticket));
                 }
             }
-            Knock::Able(answer) => {
-                let _ = answer.send(event_loop.ask(Exchange::able));
+            HttpEvent::Able(answer) => {
+                let _ = answer.send(event_loop.read(Exchange::can_serve));
             }
         }
     }
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -9,13 +9,14 @@
 use pipitcrank_core::config::SettingsReader;
 use pipitcrank_core::ids::{ReplicaId, RequestClassId};
 use pipitcrank_core::time::TimeSpan;
-use pipitcrank_server::clock::Clock;
-use pipitcrank_server::counters::Counters;
-use pipitcrank_server::event_loop::{ConnectionLimiter, EventLoop};
 use pipitcrank_server::exchange::{
     Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
 };
-use pipitcrank_server::replica_pool::ReplicaPool;
+use pipitcrank_server::replicas::pool::ReplicaPool;
+use pipitcrank_server::runtime::clock::Clock;
+use pipitcrank_server::runtime::connection_limits::ConnectionLimiter;
+use pipitcrank_server::runtime::counters::Counters;
+use pipitcrank_server::runtime::event_loop::EventLoop;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
@@ -74,11 +75,11 @@
             up: true,
             started: None,
         };
-        exchange.list(clock.now(), true, vec![row]);
+        exchange.update_endpoints(clock.now(), true, vec![row]);
         let event_loop = Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(sockets), exchange));
         let replicas = ReplicaPool::new(event_loop.clone(), streams, way, idle);
         let (turns, side) = (event_loop.clone(), replicas.clone());
-        tokio::task::spawn_local(async move { turns.take_turns(TICK, &*side).await });
+        tokio::task::spawn_local(async move { turns.run(TICK, &*side).await });
         Stage { event_loop, replicas, accepted, asked: 0 }
     }
 
@@ -89,11 +90,9 @@
         let weight = 1.0 / f64::from(parts);
         let parts = (0..parts).map(|shard| QueryPart { shard, weight, work: None }).collect();
         let id = format!("q{}", self.asked);
-        let asked = QueryRequest { id, class: RequestClassId(0), ends, parts, idempotency_key: None, text };
-        let then = Box::new(move |last| {
-            let _ = tell.send(last);
-        });
-        self.event_loop.tell(|e| e.asked(self.asked, asked, then));
+        let asked =
+            QueryRequest { id, class: RequestClassId(0), deadline: ends, parts, idempotency_key: None, text };
+        self.event_loop.update(|e| e.submit(self.asked, asked, Box::new(tell)));
         told
     }
 
@@ -139,7 +138,7 @@
             answer(&mut wires[nth], id).await;
         }
         for last in told {
-            assert!(matches!(last.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+            assert!(matches!(last.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         }
         let again = stage.ask(1, "t".into());
         assert!(frame(&mut wires[0]).await.starts_with("Qq4.0 "), "the first one again");
@@ -160,7 +159,7 @@
             // Idle is when nothing is out: however long this takes, the connection stays.
             tokio::time::sleep(Duration::from_millis(60)).await;
             answer(&mut stream, &format!("q{n}.0")).await;
-            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
             assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "closed in order");
             stage.count("leaf_connections", "idle", n).await;
         }
@@ -182,7 +181,7 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "));
         answer(&mut second, "q2.0").await;
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         drop(first);
         assert!(matches!(stuck.await.unwrap(), QueryResponse::Rejected { .. }), "its one call never ran");
         stage.count("leaf_calls", "no_route", 1).await;
@@ -215,7 +214,7 @@
         assert!(matches!(told.await.unwrap(), QueryResponse::Rejected { .. }));
         stage.count("leaf_connections", "no_socket", 1).await;
         answer(&mut stream, "q1.0").await;
-        assert!(matches!(first.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(first.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
     });
 }
 
@@ -239,9 +238,9 @@
         frame(&mut stream).await;
         answer(&mut stream, "q1.0").await;
         told.await.unwrap();
-        stage.replicas.borrow_mut().probe(ReplicaId(0));
+        stage.replicas.borrow_mut().send_load_probe(ReplicaId(0));
         assert_eq!(frame(&mut stream).await, "L");
-        stage.event_loop.tell(|e| e.list(stage.event_loop.clock.now(), true, Vec::new()));
+        stage.event_loop.update(|e| e.update_endpoints(stage.event_loop.clock.now(), true, Vec::new()));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
         stage.count("leaf_connections", "let_go", 1).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -259,7 +258,7 @@
         // A length that does not fit: the next answers would be its value.
         stream.write_all(b"\0\0\x40\0Aq1.0 ok 1 -\nvalue").await.unwrap();
         // Whether the next call finds the half frame or an ended connection, it opens one of its own.
-        while !stage.replicas.borrow().half_read(ReplicaId(0))
+        while !stage.replicas.borrow().has_partial_frame(ReplicaId(0))
             && stage.event_loop.counters.get("leaf_connections", "bad_bytes") == 0
         {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -268,7 +267,7 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "), "no more is given to the first");
         answer(&mut second, "q2.0").await;
-        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         stage.count("leaf_connections", "bad_bytes", 1).await;
         told.await.unwrap();
         stage.count("leaf_calls", "cut", 1).await;
@@ -284,7 +283,7 @@
         frame(&mut stream).await;
         let two = stage.ask(2, "t".into());
         frame(&mut stream).await;
-        stage.event_loop.tell(|e| e.client_gone(1));
+        stage.event_loop.update(|e| e.client_disconnected(1));
         stage.count("leaf_calls", "undone", 1).await;
         answer(&mut stream, "q1.0").await;
         answer(&mut stream, "q2.0").await;
@@ -311,7 +310,7 @@
         let mut second = stage.accepted.recv().await.unwrap();
         assert!(frame(&mut second).await.starts_with("Qq2.0 "));
         answer(&mut second, "q2.0").await;
-        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(next.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         assert_eq!(silent.read(&mut [0]).await.unwrap(), 0, "closed, with nothing sent on it since");
         told.await.unwrap();
         stage.count("leaf_connections", "silent", 1).await;
@@ -328,17 +327,17 @@
         let mut first = stage.accepted.recv().await.unwrap();
         frame(&mut first).await;
         let other = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        stage.replicas.borrow_mut().meet(ReplicaId(9), other.local_addr().unwrap());
-        stage.replicas.borrow_mut().probe(ReplicaId(9));
+        stage.replicas.borrow_mut().set_address(ReplicaId(9), other.local_addr().unwrap());
+        stage.replicas.borrow_mut().send_load_probe(ReplicaId(9));
         stage.count("probes", "no_route", 1).await;
         answer(&mut first, "q1.0").await;
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
-        stage.replicas.borrow_mut().probe(ReplicaId(9));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
+        stage.replicas.borrow_mut().send_load_probe(ReplicaId(9));
         let (mut stream, _) = other.accept().await.unwrap();
         assert_eq!(frame(&mut stream).await, "L");
         assert_eq!(first.read(&mut [0; 1]).await.unwrap(), 0, "the unused one was closed");
         stage.count("leaf_connections", "given_back", 1).await;
-        assert_eq!(stage.event_loop.sockets.open(), 1);
+        assert_eq!(stage.event_loop.replica_connections.open(), 1);
     });
 }
 
@@ -355,15 +354,13 @@
         }
         for (n, (told, stream)) in asked.iter_mut().enumerate() {
             answer(stream, &format!("q{}.0", n + 1)).await;
-            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         }
-        let sockets = stage.event_loop.sockets.clone();
-        let _client = sockets.place().unwrap();
-        assert!(sockets.place().is_none(), "all are taken");
-        sockets.want();
-        drop(
-            tokio::time::timeout(Duration::from_secs(9), sockets.next_place()).await.expect("one comes back"),
-        );
+        let sockets = stage.event_loop.replica_connections.clone();
+        let _client = sockets.try_acquire().unwrap();
+        assert!(sockets.try_acquire().is_none(), "all are taken");
+        sockets.request_release();
+        drop(tokio::time::timeout(Duration::from_secs(9), sockets.acquire()).await.expect("one comes back"));
         stage.count("leaf_connections", "given_back", 1).await;
     });
 }
@@ -382,13 +379,13 @@
         let rest = b"Aq1.0 ok 1 -\nvalue";
         stream.write_u32(rest.len() as u32).await.unwrap();
         stream.write_all(&rest[..7]).await.unwrap();
-        while !stage.replicas.borrow().half_read(ReplicaId(0)) {
+        while !stage.replicas.borrow().has_partial_frame(ReplicaId(0)) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         stream.write_all(&rest[7..]).await.unwrap();
         // Everything here runs on this thread.
         std::thread::sleep(way * 2);
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { whole: true, .. }));
+        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         assert_eq!(stage.event_loop.counters.get("leaf_connections", "bad_bytes"), 0);
     });
 }
