--- a/crates/pipitcrank-core/src/coordinator/load_estimate.rs
+++ b/crates/pipitcrank-core/src/coordinator/load_estimate.rs
@@ -33,7 +33,7 @@
 }
 
 impl State {
-    /// Longest level that is told apart, in seconds.
+    /// Longest level that is distinguished, in seconds.
     const MAX_LEVEL_S: f64 = 1e6;
     /// A replica outside the zone that a query is routed to is held to be later by this fraction of the latency
     /// objective: more than the delay that is no reason against a candidate, little enough that overload in the zone
--- a/crates/pipitcrank-core/src/coordinator/replica_health.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_health.rs
@@ -39,7 +39,7 @@
     pub(super) const PROBE_TIMEOUT: TimeSpan = TimeSpan::from_millis(30);
     /// A probe out for longer was lost, whatever regions it had to cross.
     const PROBE_LOST_AFTER: TimeSpan = TimeSpan::from_millis(200);
-    /// Attempts and probes in a row without a word that make a replica silent: one may be lost.
+    /// Attempts and probes in a row that nothing was heard of and that make a replica silent: one may be lost.
     const SILENT_FROM: u32 = 2;
 
     /// A new process runs at the replica's address.
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -1,4 +1,6 @@
-//! A port that writes down what the module asks for, and a root over a small ring of replicas.
+//! An output that records what a coordinator asks for, and a coordinator over a small ring of replicas.
+
+#![allow(dead_code)] // no test file uses all of it
 
 use pipitcrank_core::coordinator::{
     Coordinator, CoordinatorConfig, RequestClassConfig, RetryBudgetConfig, RetryPolicy, SetCoverConfig,
@@ -9,91 +11,110 @@
 use pipitcrank_core::rng::Rng;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
+pub mod driver;
+
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    Call(PartId, ReplicaId),
-    Cancel(AttemptId),
-    Merge(QueryId, bool),
+pub enum Action {
+    SendAttempt(PartId, ReplicaId),
+    CancelAttempt(AttemptId),
+    Answer(QueryId, bool),
     Reject(QueryId),
     Abort(QueryId),
-    Wake(Timestamp, u64),
-    Watch,
-    Probe(ReplicaId),
-    FreeQuery(QueryId),
-    FreePart(PartId),
-    FreeReplica(ReplicaId),
+    SetTimer(Timestamp, u64),
+    WatchEndpoints,
+    SendLoadProbe(ReplicaId),
+    ReleaseQuery(QueryId),
+    ReleasePart(PartId),
+    ReleaseReplica(ReplicaId),
 }
 
 #[derive(Default)]
-pub struct Tape(pub Vec<Act>);
+pub struct RecordedOutput(pub Vec<Action>);
 
-impl CoordinatorOutput for Tape {
-    fn send_attempt(&mut self, part: PartId, replica: ReplicaId, _until: Timestamp) {
-        self.0.push(Act::Call(part, replica));
+impl CoordinatorOutput for RecordedOutput {
+    fn send_attempt(&mut self, part: PartId, replica: ReplicaId, _deadline: Timestamp) {
+        self.0.push(Action::SendAttempt(part, replica));
     }
     fn cancel_attempt(&mut self, attempt: AttemptId) {
-        self.0.push(Act::Cancel(attempt));
+        self.0.push(Action::CancelAttempt(attempt));
     }
-    fn answer(&mut self, query: QueryId, whole: bool) {
-        self.0.push(Act::Merge(query, whole));
+    fn answer(&mut self, query: QueryId, is_complete: bool) {
+        self.0.push(Action::Answer(query, is_complete));
     }
-    fn reject(&mut self, query: QueryId, _retry_after: TimeSpan, _why: RejectReason) {
-        self.0.push(Act::Reject(query));
+    fn reject(&mut self, query: QueryId, _retry_after: TimeSpan, _reason: RejectReason) {
+        self.0.push(Action::Reject(query));
     }
-    fn abort(&mut self, query: QueryId, _why: RejectReason) {
-        self.0.push(Act::Abort(query));
+    fn abort(&mut self, query: QueryId, _reason: RejectReason) {
+        self.0.push(Action::Abort(query));
     }
     fn set_timer(&mut self, at: Timestamp, label: u64) {
-        self.0.push(Act::Wake(at, label));
+        self.0.push(Action::SetTimer(at, label));
     }
     fn send_load_probe(&mut self, replica: ReplicaId) {
-        self.0.push(Act::Probe(replica));
+        self.0.push(Action::SendLoadProbe(replica));
     }
     fn watch_endpoints(&mut self) {
-        self.0.push(Act::Watch);
+        self.0.push(Action::WatchEndpoints);
     }
     fn log(&mut self, _text: &str) {}
     fn release_query(&mut self, query: QueryId) {
-        self.0.push(Act::FreeQuery(query));
+        self.0.push(Action::ReleaseQuery(query));
     }
     fn release_part(&mut self, part: PartId) {
-        self.0.push(Act::FreePart(part));
+        self.0.push(Action::ReleasePart(part));
     }
     fn release_replica(&mut self, replica: ReplicaId) {
-        self.0.push(Act::FreeReplica(replica));
+        self.0.push(Action::ReleaseReplica(replica));
     }
 }
 
-#[allow(dead_code)] // not every test file reads calls alone
-impl Tape {
-    pub fn calls(&self) -> Vec<(PartId, ReplicaId)> {
-        let call = |a: &Act| if let Act::Call(p, l) = a { Some((*p, *l)) } else { None };
-        self.0.iter().filter_map(call).collect()
+impl RecordedOutput {
+    /// The attempts sent, in their order.
+    pub fn attempts(&self) -> Vec<(PartId, ReplicaId)> {
+        let attempt = |a: &Action| if let Action::SendAttempt(p, r) = a { Some((*p, *r)) } else { None };
+        self.0.iter().filter_map(attempt).collect()
     }
 }
 
 pub const CELLS: u32 = 6;
-pub const HOLD: u32 = 3;
+pub const CELLS_PER_SHARD: u32 = 3;
 pub const TICK: TimeSpan = TimeSpan::from_millis(5);
-pub const TRY_LIMIT: usize = 3;
-pub const FREE: f64 = 2.0;
-pub const SHARE: f64 = 0.1;
-pub const BUDGET_SPAN: TimeSpan = TimeSpan::from_millis(1000);
-pub const DEDUP: TimeSpan = TimeSpan::from_millis(700);
-/// A repeat counts as it comes to its replica.
-pub const WAY: TimeSpan = TimeSpan::from_millis(80);
-/// Floor and need by request class: repeatable whole, repeatable with a floor, deduplicated, side-effecting, and one
-/// with a second step; a sixth, repeatable and whole, earns nothing after its SLO time.
-pub const FLOORS: [(f64, f64); 6] = [(1.0, 1.0), (0.6, 1.0), (1.0, 1.0), (1.0, 1.0), (0.5, 0.8), (1.0, 1.0)];
-pub const EFFECTS: [Idempotency; 6] = [
-    Idempotency::Idempotent,
-    Idempotency::Idempotent,
-    Idempotency::IdempotentByKey,
-    Idempotency::NonIdempotent,
-    Idempotency::Idempotent,
-    Idempotency::Idempotent,
+pub const MAX_ATTEMPTS: usize = 3;
+pub const FREE_RETRIES: f64 = 2.0;
+pub const RETRY_FRACTION: f64 = 0.1;
+pub const RETRY_WINDOW: TimeSpan = TimeSpan::from_millis(1000);
+pub const IDEMPOTENCY_WINDOW: TimeSpan = TimeSpan::from_millis(700);
+pub const MAX_NETWORK_DELAY: TimeSpan = TimeSpan::from_millis(80);
+
+/// What the request classes of the tests differ in.
+pub struct ClassRules {
+    pub idempotency: Idempotency,
+    pub partial_from: f64,
+    pub complete_from: f64,
+    pub late_weight: f64,
+}
+
+const fn class(
+    idempotency: Idempotency,
+    partial_from: f64,
+    complete_from: f64,
+    late_weight: f64,
+) -> ClassRules {
+    ClassRules { idempotency, partial_from, complete_from, late_weight }
+}
+
+/// By request class: idempotent; with partial answers; idempotent by key; non-idempotent; with a second step; and one
+/// that earns nothing after its latency objective.
+pub const CLASSES: [ClassRules; 6] = [
+    class(Idempotency::Idempotent, 1.0, 1.0, 0.3),
+    class(Idempotency::Idempotent, 0.6, 1.0, 0.3),
+    class(Idempotency::IdempotentByKey, 1.0, 1.0, 0.3),
+    class(Idempotency::NonIdempotent, 1.0, 1.0, 0.3),
+    class(Idempotency::Idempotent, 0.5, 0.8, 0.3),
+    class(Idempotency::Idempotent, 1.0, 1.0, 0.0),
 ];
-pub const LATE_WORTH: [f64; 6] = [0.3, 0.3, 0.3, 0.3, 0.3, 0.0];
+/// The request class with a second step.
+pub const TWO_STEP_CLASS: usize = 4;
 
 pub fn ms(n: i64) -> TimeSpan {
     TimeSpan::from_millis(n)
@@ -103,122 +124,116 @@
     Timestamp::from_secs_f64(1000.0) + ms(n)
 }
 
-#[allow(dead_code)] // not every test file has a ring of its own
-pub fn coordinator(seed: u64, call_size: usize, may_duplicate: bool) -> Coordinator {
-    coordinator_on(CELLS, HOLD, seed, call_size, may_duplicate, false)
-}
-
-pub fn coordinator_on(
-    cells: u32,
-    hold: u32,
-    seed: u64,
-    call_size: usize,
-    may_duplicate: bool,
-    may_probe: bool,
-) -> Coordinator {
-    let mut coordinator = bare(cells, hold, seed, call_size, may_duplicate, may_probe, 1);
-    classes(&mut coordinator, "v");
-    coordinator
-}
-
-/// One of so many co-ordinators.
-#[allow(dead_code)] // the cases use it, the rules do not
-pub fn coordinator_among(seed: u64, among: u32) -> Coordinator {
-    let mut coordinator = bare(CELLS, HOLD, seed, 2, true, false, among);
-    classes(&mut coordinator, "v");
-    coordinator
+/// What the coordinators of the tests differ in.
+pub struct Setup {
+    pub cells: u32,
+    pub cells_per_shard: u32,
+    pub seed: u64,
+    pub call_size: usize,
+    pub may_hedge: bool,
+    pub may_probe: bool,
+    pub coordinators: u32,
+    pub class_prefix: &'static str,
 }
 
-/// A root as the tests' at another deployment: the same replicas and rules, request classes of other names.
-#[allow(dead_code)] // the cases use it, the rules do not
-pub fn coordinator_named(seed: u64, prefix: &str) -> Coordinator {
-    let mut coordinator = bare(CELLS, HOLD, seed, 2, true, false, 1);
-    classes(&mut coordinator, prefix);
-    coordinator
-}
+impl Setup {
+    pub fn with_seed(seed: u64) -> Setup {
+        Setup {
+            cells: CELLS,
+            cells_per_shard: CELLS_PER_SHARD,
+            seed,
+            call_size: 2,
+            may_hedge: true,
+            may_probe: false,
+            coordinators: 1,
+            class_prefix: "v",
+        }
+    }
 
-fn bare(
-    cells: u32,
-    hold: u32,
-    seed: u64,
-    call_size: usize,
-    may_duplicate: bool,
-    may_probe: bool,
-    among: u32,
-) -> Coordinator {
-    let retry_policy = RetryPolicy {
-        max_attempts: TRY_LIMIT as u32,
-        may_hedge: may_duplicate,
-        may_cancel: true,
-        may_probe,
-        max_retry_after: Some(ms(500)),
-        max_network_delay: WAY,
-    };
-    let slow_start = SlowStartConfig {
-        initial_capacity: 0.2,
-        warm_up: ms(10_000),
-        overload_factor: 3.0,
-        window: ms(2000),
-        coordinators: among,
-    };
-    let retry_budget = RetryBudgetConfig { fraction: SHARE, free: FREE, window: BUDGET_SPAN };
-    let set_cover = SetCoverConfig { cells, cells_per_shard: hold, call_size, call_cost: ms(50) };
-    Coordinator::new(CoordinatorConfig {
-        rng: Rng::new(seed),
-        set_cover,
-        retry_budget,
-        slow_start,
-        retry_policy,
-        watch_endpoints: true,
-        tick: TICK,
-    })
-}
+    pub fn build(self) -> Coordinator {
+        let mut coordinator = Coordinator::new(self.config());
+        for (index, rules) in CLASSES.iter().enumerate() {
+            coordinator.add_request_class(RequestClassConfig {
+                name: format!("{}{index}", self.class_prefix),
+                idempotency: rules.idempotency,
+                idempotency_window: IDEMPOTENCY_WINDOW,
+                latency_objective: ms(1500),
+                objective_stretch: 0.0,
+                late_weight: rules.late_weight,
+                hard_limit: ms(4000),
+                complete_from: rules.complete_from,
+                partial_from: rules.partial_from,
+                has_second_step: index == TWO_STEP_CLASS,
+            });
+        }
+        coordinator
+    }
 
-/// The request classes of the tests, named from `prefix` and their number.
-pub fn classes(coordinator: &mut Coordinator, prefix: &str) {
-    for (n, (partial_from, complete_from)) in FLOORS.into_iter().enumerate() {
-        coordinator.add_request_class(RequestClassConfig {
-            name: format!("{prefix}{n}"),
-            idempotency: EFFECTS[n],
-            idempotency_window: DEDUP,
-            latency_objective: ms(1500),
-            objective_stretch: 0.0,
-            late_weight: LATE_WORTH[n],
-            hard_limit: ms(4000),
-            complete_from,
-            partial_from,
-            has_second_step: n == 4,
-        });
+    fn config(&self) -> CoordinatorConfig {
+        CoordinatorConfig {
+            rng: Rng::new(self.seed),
+            set_cover: SetCoverConfig {
+                cells: self.cells,
+                cells_per_shard: self.cells_per_shard,
+                call_size: self.call_size,
+                call_cost: ms(50),
+            },
+            retry_budget: RetryBudgetConfig {
+                fraction: RETRY_FRACTION,
+                free: FREE_RETRIES,
+                window: RETRY_WINDOW,
+            },
+            slow_start: SlowStartConfig {
+                initial_capacity: 0.2,
+                warm_up: ms(10_000),
+                overload_factor: 3.0,
+                window: ms(2000),
+                coordinators: self.coordinators,
+            },
+            retry_policy: RetryPolicy {
+                max_attempts: MAX_ATTEMPTS as u32,
+                may_hedge: self.may_hedge,
+                may_cancel: true,
+                may_probe: self.may_probe,
+                max_retry_after: Some(ms(500)),
+                max_network_delay: MAX_NETWORK_DELAY,
+            },
+            watch_endpoints: true,
+            tick: TICK,
+        }
     }
 }
 
-#[allow(dead_code)] // the cases of zones list their own
-/// Lists one replica a cell, all long up but those named, which started at that time.
-pub fn list(coordinator: &mut Coordinator, tape: &mut Tape, cold: &[(u32, Timestamp)]) {
+/// Lists one replica a cell; those named started at that time, the others long ago.
+pub fn list_replicas(
+    coordinator: &mut Coordinator,
+    output: &mut RecordedOutput,
+    started: &[(u32, Timestamp)],
+) {
     coordinator.begin_endpoint_list(true);
     for n in 0..CELLS {
-        let started = cold.iter().find(|(l, _)| *l == n).map(|(_, t)| *t);
+        let started = started.iter().find(|(replica, _)| *replica == n).map(|(_, t)| *t);
         coordinator.list_replica(ReplicaId(n), n, true, started);
     }
-    coordinator.finish_endpoint_list(tape);
+    coordinator.finish_endpoint_list(output);
 }
 
-/// Rings the alarms that the acts set, and those set meanwhile, up to a time; a turn after each. What was done.
-#[allow(dead_code)] // not every test file lets time pass alone
-pub fn pass(coordinator: &mut Coordinator, acts: &[Act], until: Timestamp) -> Tape {
-    let mut done = Tape::default();
-    let mut seen = acts.to_vec();
-    while let Some((n, due, label)) = (seen.iter().enumerate())
-        .filter_map(|(n, a)| if let Act::Wake(t, l) = a { Some((n, *t, *l)) } else { None })
+/// Fires the timers set by the actions, and those set meanwhile, up to a time, with a dispatch after each. What was
+/// done.
+pub fn advance_to(coordinator: &mut Coordinator, actions: &[Action], until: Timestamp) -> RecordedOutput {
+    let mut done = RecordedOutput::default();
+    let mut pending = actions.to_vec();
+    while let Some((index, due, label)) = (pending.iter().enumerate())
+        .filter_map(|(n, a)| if let Action::SetTimer(t, l) = a { Some((n, *t, *l)) } else { None })
         .filter(|(_, t, _)| *t <= until)
         .min_by_key(|(_, t, l)| (*t, *l))
     {
-        seen.remove(n);
-        let mut tape = Tape::default();
-        coordinator.timer_fired(&mut tape, due, label);
-        coordinator.dispatch(&mut tape, due);
-        seen.extend(tape.0.iter().cloned());
-        done.0.extend(tape.0);
+        pending.remove(index);
+        let mut output = RecordedOutput::default();
+        coordinator.timer_fired(&mut output, due, label);
+        coordinator.dispatch(&mut output, due);
+        pending.extend(output.0.iter().cloned());
+        done.0.extend(output.0);
     }
     done
 }
--- /dev/null
+++ b/crates/pipitcrank-core/tests/rng.rs
@@ -0,0 +1,17 @@
+//! The random number generator.
+
+use pipitcrank_core::rng::Rng;
+
+#[test]
+fn the_generator_is_even_and_follows_its_seed() {
+    let draw = |seed| {
+        let mut rng = Rng::new(seed);
+        (0..6000).map(|_| rng.below(6)).collect::<Vec<_>>()
+    };
+    assert_eq!(draw(7), draw(7));
+    assert_ne!(draw(7), draw(8));
+    for n in 0..6 {
+        let share = draw(7).iter().filter(|&&d| d == n).count();
+        assert!((850..1150).contains(&share), "{n} came {share} times of 6000");
+    }
+}
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -1,11 +1,10 @@
-//! A slow, plain model of the six rules beside the module, on generated events: whatever the module does, the
-//! model must allow.
+//! A plain model of the six rules, on generated events: whatever the coordinator does, the model must allow.
 
 mod helper;
 
 use std::collections::BTreeMap;
 
-use helper::{Act, Tape, at, ms};
+use helper::{Action, RecordedOutput, Setup, at, ms};
 use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
 use pipitcrank_core::ids::{
     AttemptId, AttemptOutcome, Idempotency, PartId, QueryId, ReplicaId, RequestClassId,
@@ -16,12 +15,12 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Ask { class: usize, first: u32, count: u32, left: i64 },
-    End { which: usize, outcome: usize },
-    Pass(i64),
-    List { replica: u32, up: bool, cold: bool },
-    Gone(usize),
-    ListFails,
+    StartQuery { class: usize, first: u32, count: u32, time_left: i64 },
+    EndAttempt { which: usize, outcome: usize },
+    Advance(i64),
+    ListReplica { replica: u32, is_up: bool, is_new: bool },
+    CancelQuery(usize),
+    EndpointListFails,
 }
 
 const OUTCOMES: [AttemptOutcome; 10] = [
@@ -40,239 +39,345 @@
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
         3 => (0..6usize, 0..12u32, 1..8u32, 30..4000i64)
-            .prop_map(|(class, first, count, left)| Op::Ask { class, first, count, left }),
-        8 => (any::<usize>(), 0..10usize).prop_map(|(which, outcome)| Op::End { which, outcome }),
-        5 => (1..400i64).prop_map(Op::Pass),
-        1 => (0..helper::CELLS, any::<bool>(), any::<bool>()).prop_map(|(replica, up, cold)| Op::List { replica, up, cold }),
-        1 => any::<usize>().prop_map(Op::Gone),
-        1 => Just(Op::ListFails),
+            .prop_map(|(class, first, count, time_left)| Op::StartQuery { class, first, count, time_left }),
+        8 => (any::<usize>(), 0..10usize).prop_map(|(which, outcome)| Op::EndAttempt { which, outcome }),
+        5 => (1..400i64).prop_map(Op::Advance),
+        1 => (0..helper::CELLS, any::<bool>(), any::<bool>()).prop_map(|(replica, is_up, is_new)| Op::ListReplica { replica, is_up, is_new }),
+        1 => any::<usize>().prop_map(Op::CancelQuery),
+        1 => Just(Op::EndpointListFails),
     ]
 }
 
-struct Piece {
+struct ModelPart {
     query: QueryId,
     shard: u32,
     weight: f64,
     step: u8,
-    /// Time, replica and ending of each attempt.
-    calls: Vec<(Timestamp, ReplicaId, Option<AttemptOutcome>)>,
-    passed: bool,
+    attempts: Vec<ModelAttempt>,
+    is_answered: bool,
 }
 
-struct Asked {
+struct ModelAttempt {
+    sent_at: Timestamp,
+    /// None while it is out.
+    outcome: Option<AttemptOutcome>,
+}
+
+impl ModelAttempt {
+    fn may_have_run(&self) -> bool {
+        !self.outcome.is_some_and(never_ran)
+    }
+}
+
+struct ModelQuery {
     class: usize,
     arrived: Timestamp,
-    ends: Timestamp,
+    deadline: Timestamp,
     step: u8,
-    first_whole: bool,
+    is_first_complete: bool,
 }
 
 /// The model: what is known from the events alone.
-struct World {
+struct Model {
     now: Timestamp,
     coordinator: Coordinator,
-    duplicates: bool,
-    asked: BTreeMap<QueryId, Asked>,
-    pieces: BTreeMap<PartId, Piece>,
-    alarms: BTreeMap<(Timestamp, u64), ()>,
-    up: Vec<bool>,
+    may_hedge: bool,
+    queries: BTreeMap<QueryId, ModelQuery>,
+    parts: BTreeMap<PartId, ModelPart>,
+    timers: BTreeMap<(Timestamp, u64), ()>,
+    is_up: Vec<bool>,
     started: Vec<Option<Timestamp>>,
-    taken: Vec<Timestamp>,
-    further: Vec<Timestamp>,
-    merged_any: bool,
-    cold_sends: Vec<(Timestamp, ReplicaId)>,
+    admissions: Vec<Timestamp>,
+    retries: Vec<Timestamp>,
+    has_success: bool,
+    slow_start_sends: Vec<(Timestamp, ReplicaId)>,
 }
 
-impl World {
-    fn did(&mut self, tape: Tape) -> Result<(), TestCaseError> {
-        for act in tape.0 {
-            match act {
-                Act::Call(part, replica) => self.called(part, replica)?,
-                Act::Cancel(AttemptId { part, number }) => {
+impl Model {
+    fn new(seed: u64, may_hedge: bool) -> Model {
+        Model {
+            now: at(0),
+            coordinator: Setup { may_hedge, ..Setup::with_seed(seed) }.build(),
+            may_hedge,
+            queries: BTreeMap::new(),
+            parts: BTreeMap::new(),
+            timers: BTreeMap::new(),
+            is_up: vec![true; helper::CELLS as usize],
+            started: vec![None; helper::CELLS as usize],
+            admissions: Vec::new(),
+            retries: Vec::new(),
+            has_success: false,
+            slow_start_sends: Vec::new(),
+        }
+    }
+
+    fn apply(&mut self, op: Op) -> Result<(), TestCaseError> {
+        match op {
+            Op::StartQuery { class, first, count, time_left } => {
+                self.start_query(class, first, count, ms(time_left))
+            }
+            Op::EndAttempt { which, outcome } => self.end_attempt(which, OUTCOMES[outcome]),
+            Op::Advance(span) => self.advance(ms(span)),
+            Op::ListReplica { replica, is_up, is_new } => self.list_replica(replica, is_up, is_new),
+            Op::CancelQuery(which) => self.cancel_query(which),
+            Op::EndpointListFails => {
+                self.event(|model, output| model.coordinator.endpoint_list_failed(output, model.now))
+            }
+        }
+    }
+
+    fn list_replica(&mut self, replica: u32, is_up: bool, is_new: bool) -> Result<(), TestCaseError> {
+        self.is_up[replica as usize] = is_up;
+        if is_new {
+            self.started[replica as usize] = Some(self.now);
+        }
+        let started = self.started[replica as usize];
+        self.event(|model, output| {
+            model.coordinator.begin_endpoint_list(false);
+            model.coordinator.list_replica(ReplicaId(replica), replica, is_up, started);
+            model.coordinator.finish_endpoint_list(output);
+        })
+    }
+
+    fn cancel_query(&mut self, which: usize) -> Result<(), TestCaseError> {
+        let open: Vec<QueryId> = self.queries.keys().copied().collect();
+        if open.is_empty() {
+            return Ok(());
+        }
+        let query = open[which % open.len()];
+        self.queries.remove(&query);
+        self.event(|model, output| model.coordinator.cancel_query(output, model.now, query))
+    }
+
+    fn check_actions(&mut self, output: RecordedOutput) -> Result<(), TestCaseError> {
+        for action in output.0 {
+            match action {
+                Action::SendAttempt(part, replica) => self.check_attempt(part, replica)?,
+                Action::CancelAttempt(AttemptId { part, number }) => {
                     prop_assert!(
-                        (number as usize) < self.pieces[&part].calls.len(),
-                        "abandons what was never sent"
+                        (number as usize) < self.parts[&part].attempts.len(),
+                        "cancels what was never sent"
                     )
                 }
-                Act::Merge(query, whole) => self.merged(query, whole)?,
-                Act::Reject(query) => {
-                    let asked = self.asked.remove(&query);
-                    prop_assert!(asked.is_some(), "a second final answer");
-                    let ran = |p: &Piece| p.calls.iter().any(|c| !c.2.is_some_and(unrun));
-                    let mut ours = self.pieces.values().filter(|p| p.query == query);
-                    let repeatable = helper::EFFECTS[asked.unwrap().class] == Idempotency::Idempotent;
-                    prop_assert!(repeatable || !ours.any(ran), "rejected though something may have run");
+                Action::Answer(query, is_complete) => self.check_answer(query, is_complete)?,
+                Action::Reject(query) => {
+                    let open = self.queries.remove(&query);
+                    prop_assert!(open.is_some(), "a second final answer");
+                    let ran = |p: &ModelPart| p.attempts.iter().any(ModelAttempt::may_have_run);
+                    let mut own_parts = self.parts.values().filter(|p| p.query == query);
+                    let is_idempotent =
+                        helper::CLASSES[open.unwrap().class].idempotency == Idempotency::Idempotent;
+                    prop_assert!(
+                        is_idempotent || !own_parts.any(ran),
+                        "rejected though something may have run"
+                    );
                 }
-                Act::Abort(query) => {
-                    prop_assert!(self.asked.remove(&query).is_some(), "a second final answer")
+                Action::Abort(query) => {
+                    prop_assert!(self.queries.remove(&query).is_some(), "a second final answer")
                 }
-                Act::Wake(at, label) => {
-                    self.alarms.insert((at, label), ());
+                Action::SetTimer(at, label) => {
+                    self.timers.insert((at, label), ());
                 }
-                Act::FreePart(part) => {
-                    let piece = self.pieces.remove(&part).expect("let go twice");
-                    prop_assert!(piece.calls.iter().all(|c| c.2.is_some()), "let go with a call out");
+                Action::ReleasePart(part) => {
+                    let part_state = self.parts.remove(&part).expect("released twice");
+                    prop_assert!(
+                        part_state.attempts.iter().all(|a| a.outcome.is_some()),
+                        "released with an attempt out"
+                    );
+                }
+                Action::ReleaseQuery(query) => {
+                    prop_assert!(!self.queries.contains_key(&query), "released while open")
                 }
-                Act::FreeQuery(query) => prop_assert!(!self.asked.contains_key(&query), "let go while open"),
-                Act::Watch | Act::FreeReplica(_) | Act::Probe(_) => {}
+                Action::WatchEndpoints | Action::ReleaseReplica(_) | Action::SendLoadProbe(_) => {}
             }
         }
         Ok(())
     }
 
-    fn called(&mut self, part: PartId, replica: ReplicaId) -> Result<(), TestCaseError> {
+    fn check_attempt(&mut self, part: PartId, replica: ReplicaId) -> Result<(), TestCaseError> {
         let now = self.now;
-        let piece = self.pieces.get_mut(&part).expect("sends what it let go");
-        let asked = self.asked.get(&piece.query);
-        prop_assert!(asked.is_some_and(|a| a.step == piece.step && now < a.ends), "sent after the end");
-        let asked = asked.unwrap();
-        prop_assert!(!piece.passed, "sent though its answer is in");
-        prop_assert!(self.up[replica.0 as usize], "sent to a leaf that is leaving or gone");
+        let part_state = self.parts.get_mut(&part).expect("sends what it released");
+        let open = self.queries.get(&part_state.query);
+        prop_assert!(
+            open.is_some_and(|a| a.step == part_state.step && now < a.deadline),
+            "sent after the end"
+        );
+        let open = open.unwrap();
+        prop_assert!(!part_state.is_answered, "sent though it is answered");
+        prop_assert!(self.is_up[replica.0 as usize], "sent to a replica that is not listed");
         prop_assert!(
-            (replica.0 + helper::CELLS - piece.shard % helper::CELLS) % helper::CELLS < helper::HOLD
+            (replica.0 + helper::CELLS - part_state.shard % helper::CELLS) % helper::CELLS
+                < helper::CELLS_PER_SHARD
         );
-        prop_assert!(piece.calls.len() < helper::TRY_LIMIT);
-        prop_assert!(self.duplicates || piece.calls.iter().all(|c| c.2.is_some()), "two calls out");
-        let risky = piece.calls.iter().find(|c| !c.2.is_some_and(unrun)).map(|c| c.0);
-        match (helper::EFFECTS[asked.class], risky) {
+        prop_assert!(part_state.attempts.len() < helper::MAX_ATTEMPTS);
+        prop_assert!(
+            self.may_hedge || part_state.attempts.iter().all(|a| a.outcome.is_some()),
+            "two attempts out"
+        );
+        let may_have_run_at = part_state.attempts.iter().find(|a| a.may_have_run()).map(|a| a.sent_at);
+        match (helper::CLASSES[open.class].idempotency, may_have_run_at) {
             (Idempotency::NonIdempotent, Some(_)) => prop_assert!(false, "an effect may happen twice"),
             (Idempotency::IdempotentByKey, Some(first)) => {
-                prop_assert!(now - first + helper::WAY <= helper::DEDUP, "too late")
+                prop_assert!(
+                    now - first + helper::MAX_NETWORK_DELAY <= helper::IDEMPOTENCY_WINDOW,
+                    "too late"
+                )
             }
             _ => {}
         }
-        if !piece.calls.is_empty() {
-            self.further.push(now);
-            let within = |t: &&Timestamp| now - **t < helper::BUDGET_SPAN;
-            let taken = self.taken.iter().filter(within).count() as f64;
-            let further = self.further.iter().filter(within).count() as f64;
-            prop_assert!(further <= helper::FREE + helper::SHARE * taken, "over the budget");
+        if !part_state.attempts.is_empty() {
+            self.retries.push(now);
+            let within = |t: &&Timestamp| now - **t < helper::RETRY_WINDOW;
+            let admissions = self.admissions.iter().filter(within).count() as f64;
+            let retries = self.retries.iter().filter(within).count() as f64;
+            prop_assert!(
+                retries <= helper::FREE_RETRIES + helper::RETRY_FRACTION * admissions,
+                "over the budget"
+            );
         }
-        piece.calls.push((now, replica, None));
-        // With nothing merged yet there is nothing to judge a cold replica's allowance by: one part a window.
-        if self.started[replica.0 as usize].is_some_and(|t| now - t < ms(10_000)) && !self.merged_any {
-            let near = self.cold_sends.iter().filter(|(t, l)| *l == replica && now - *t <= ms(2000)).count();
-            prop_assert!(near == 0, "a cold leaf is pushed");
-            self.cold_sends.push((now, replica));
+        part_state.attempts.push(ModelAttempt { sent_at: now, outcome: None });
+        // Before any answer nothing is known of what replicas carry: one part a window for each that is warming up.
+        if self.started[replica.0 as usize].is_some_and(|t| now - t < ms(10_000)) && !self.has_success {
+            let near =
+                self.slow_start_sends.iter().filter(|(t, l)| *l == replica && now - *t <= ms(2000)).count();
+            prop_assert!(near == 0, "too much is sent to a replica warming up");
+            self.slow_start_sends.push((now, replica));
         }
         Ok(())
     }
 
-    fn merged(&mut self, query: QueryId, whole: bool) -> Result<(), TestCaseError> {
-        let asked = self.asked.get_mut(&query);
-        prop_assert!(asked.is_some(), "a second final answer");
-        let asked = asked.unwrap();
-        let (floor, need) = helper::FLOORS[asked.class];
-        let need = if asked.step == 0 { need } else { 1.0 };
-        let ours = || self.pieces.values().filter(|p| p.query == query && p.step == asked.step);
-        let weight: f64 = ours().filter(|p| p.passed).map(|p| p.weight).sum();
-        prop_assert!(weight >= floor - 1e-4, "answered from {weight}, under the floor");
-        let may = weight >= need - 1e-4 && asked.first_whole && (asked.step == 0 || ours().all(|p| p.passed));
-        prop_assert!(!whole || may, "marked whole at {weight}");
-        if asked.class == 4 && asked.step == 0 {
-            let count = ours().filter(|p| p.passed).count().clamp(1, 2);
-            (asked.step, asked.first_whole) = (1, whole);
-            return self.second_step(query, count);
+    fn check_answer(&mut self, query: QueryId, is_complete: bool) -> Result<(), TestCaseError> {
+        let open = self.queries.get_mut(&query);
+        prop_assert!(open.is_some(), "a second final answer");
+        let open = open.unwrap();
+        let rules = &helper::CLASSES[open.class];
+        let complete_from = if open.step == 0 { rules.complete_from } else { 1.0 };
+        let own_parts = || self.parts.values().filter(|p| p.query == query && p.step == open.step);
+        let weight: f64 = own_parts().filter(|p| p.is_answered).map(|p| p.weight).sum();
+        prop_assert!(weight >= rules.partial_from - 1e-4, "answered from {weight}, too little");
+        let may = weight >= complete_from - 1e-4
+            && open.is_first_complete
+            && (open.step == 0 || own_parts().all(|p| p.is_answered));
+        prop_assert!(!is_complete || may, "marked complete at {weight}");
+        if open.class == helper::TWO_STEP_CLASS && open.step == 0 {
+            let count = own_parts().filter(|p| p.is_answered).count().clamp(1, 2);
+            (open.step, open.is_first_complete) = (1, is_complete);
+            return self.start_second_step(query, count);
         }
-        self.asked.remove(&query);
+        self.queries.remove(&query);
         Ok(())
     }
 
-    fn second_step(&mut self, query: QueryId, count: usize) -> Result<(), TestCaseError> {
-        let mut tape = Tape::default();
+    fn start_second_step(&mut self, query: QueryId, count: usize) -> Result<(), TestCaseError> {
+        let mut output = RecordedOutput::default();
         for n in 0..count {
-            self.piece(&mut tape, query, n as u32, 1.0 / count as f64, 1);
+            self.add_part(&mut output, query, n as u32, 1.0 / count as f64, 1);
         }
-        self.did(tape)
+        self.check_actions(output)
     }
 
-    fn piece(&mut self, tape: &mut Tape, query: QueryId, shard: u32, weight: f64, step: u8) {
-        let id = PartId((0..).find(|n| !self.pieces.contains_key(&PartId(*n))).unwrap());
-        self.pieces.insert(id, Piece { query, shard, weight, step, calls: Vec::new(), passed: false });
-        self.taken.push(self.now);
+    fn add_part(&mut self, output: &mut RecordedOutput, query: QueryId, shard: u32, weight: f64, step: u8) {
+        let id = PartId((0..).find(|n| !self.parts.contains_key(&PartId(*n))).unwrap());
+        self.parts
+            .insert(id, ModelPart { query, shard, weight, step, attempts: Vec::new(), is_answered: false });
+        self.admissions.push(self.now);
         self.coordinator.add_part(
-            tape,
+            output,
             self.now,
             NewPart { id, query, shard, weight, work_hint: shard.is_multiple_of(2).then_some(0.1) },
         );
     }
 
-    /// One event, then the turn that ends its moment.
-    fn event(&mut self, event: impl FnOnce(&mut World, &mut Tape)) -> Result<(), TestCaseError> {
-        let mut tape = Tape::default();
-        event(self, &mut tape);
-        self.did(tape)?;
-        let mut tape = Tape::default();
-        self.coordinator.dispatch(&mut tape, self.now);
-        self.did(tape)
+    /// One event, then the dispatch that ends its moment.
+    fn event(&mut self, event: impl FnOnce(&mut Model, &mut RecordedOutput)) -> Result<(), TestCaseError> {
+        let mut output = RecordedOutput::default();
+        event(self, &mut output);
+        self.check_actions(output)?;
+        let mut output = RecordedOutput::default();
+        self.coordinator.dispatch(&mut output, self.now);
+        self.check_actions(output)
     }
 
-    fn ask(&mut self, class: usize, first: u32, count: u32, left: TimeSpan) -> Result<(), TestCaseError> {
-        let ids = || self.pieces.values().map(|p| p.query);
+    fn start_query(
+        &mut self,
+        class: usize,
+        first: u32,
+        count: u32,
+        time_left: TimeSpan,
+    ) -> Result<(), TestCaseError> {
+        let ids = || self.parts.values().map(|p| p.query);
         let query = QueryId(
-            (0..).find(|n| !self.asked.contains_key(&QueryId(*n)) && ids().all(|q| q.0 != *n)).unwrap(),
+            (0..).find(|n| !self.queries.contains_key(&QueryId(*n)) && ids().all(|q| q.0 != *n)).unwrap(),
         );
-        let ends = self.now + left;
-        self.taken.push(self.now);
-        self.asked.insert(query, Asked { class, arrived: self.now, ends, step: 0, first_whole: true });
-        self.event(|w, tape| {
-            w.coordinator.start_query(
-                tape,
-                w.now,
+        let deadline = self.now + time_left;
+        self.admissions.push(self.now);
+        self.queries.insert(
+            query,
+            ModelQuery { class, arrived: self.now, deadline, step: 0, is_first_complete: true },
+        );
+        self.event(|model, output| {
+            model.coordinator.start_query(
+                output,
+                model.now,
                 NewQuery {
                     id: query,
                     class: RequestClassId(class as u16),
-                    time_left: left,
+                    time_left,
                     work_hint: Some(0.5),
                     part_count: f64::from(count),
                 },
             );
             for n in 0..count {
-                w.piece(tape, query, first + n, 1.0 / f64::from(count), 0);
+                model.add_part(output, query, first + n, 1.0 / f64::from(count), 0);
             }
         })
     }
 
-    fn end(&mut self, which: usize, outcome: AttemptOutcome) -> Result<(), TestCaseError> {
-        let out = |p: &Piece| p.calls.iter().position(|c| c.2.is_none());
-        let outs: Vec<PartId> =
-            self.pieces.iter().filter(|(_, p)| out(p).is_some()).map(|(id, _)| *id).collect();
-        if outs.is_empty() {
+    fn end_attempt(&mut self, which: usize, outcome: AttemptOutcome) -> Result<(), TestCaseError> {
+        let out = |p: &ModelPart| p.attempts.iter().position(|a| a.outcome.is_none());
+        let outstanding: Vec<PartId> =
+            self.parts.iter().filter(|(_, p)| out(p).is_some()).map(|(id, _)| *id).collect();
+        if outstanding.is_empty() {
             return Ok(());
         }
-        let id = outs[which % outs.len()];
-        let piece = self.pieces.get_mut(&id).unwrap();
-        let nth = out(piece).unwrap();
-        piece.calls[nth].2 = Some(outcome);
-        // Only while its query waits does an answer count.
-        let waited = self.asked.get(&piece.query).is_some_and(|a| a.step == piece.step);
-        piece.passed |= outcome == AttemptOutcome::Success && waited;
-        self.merged_any |= outcome == AttemptOutcome::Success;
-        self.event(|w, tape| {
-            w.coordinator.attempt_ended(tape, w.now, AttemptId { part: id, number: nth as u32 }, outcome)
+        let id = outstanding[which % outstanding.len()];
+        let part_state = self.parts.get_mut(&id).unwrap();
+        let number = out(part_state).unwrap();
+        part_state.attempts[number].outcome = Some(outcome);
+        // An answer counts only while its query waits for it.
+        let waited = self.queries.get(&part_state.query).is_some_and(|a| a.step == part_state.step);
+        part_state.is_answered |= outcome == AttemptOutcome::Success && waited;
+        self.has_success |= outcome == AttemptOutcome::Success;
+        self.event(|model, output| {
+            model.coordinator.attempt_ended(
+                output,
+                model.now,
+                AttemptId { part: id, number: number as u32 },
+                outcome,
+            )
         })
     }
 
-    fn pass(&mut self, span: TimeSpan) -> Result<(), TestCaseError> {
+    fn advance(&mut self, span: TimeSpan) -> Result<(), TestCaseError> {
         let until = self.now + span;
-        while let Some((&(due, label), ())) = self.alarms.first_key_value().filter(|((t, _), ())| *t <= until)
+        while let Some((&(due, label), ())) = self.timers.first_key_value().filter(|((t, _), ())| *t <= until)
         {
-            self.alarms.remove(&(due, label));
+            self.timers.remove(&(due, label));
             self.now = self.now.max(due);
-            self.event(|w, tape| w.coordinator.timer_fired(tape, w.now, label))?;
+            self.event(|model, output| model.coordinator.timer_fired(output, model.now, label))?;
         }
         self.now = until;
-        let lost = self.asked.values().any(|a| self.now >= a.ends);
+        let lost = self.queries.values().any(|a| self.now >= a.deadline);
         prop_assert!(!lost, "a query has had no answer in its time");
-        // A query that can earn nothing more is not held: one look after its SLO time of 1.5 s at most.
-        let worthless = |a: &Asked| helper::LATE_WORTH[a.class] == 0.0;
-        let held = self.asked.values().any(|a| worthless(a) && self.now > a.arrived + ms(1500 + 50 + 5));
-        prop_assert!(!held, "a query worth nothing more is held past its SLO time");
+        // A query that can earn nothing more ends within one review after its latency objective of 1.5 s.
+        let worthless = |a: &ModelQuery| helper::CLASSES[a.class].late_weight == 0.0;
+        let held = self.queries.values().any(|a| worthless(a) && self.now > a.arrived + ms(1500 + 50 + 5));
+        prop_assert!(!held, "a query worth nothing more is held past its objective");
         Ok(())
     }
 }
 
-fn unrun(outcome: AttemptOutcome) -> bool {
+fn never_ran(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::NoCapacity | AttemptOutcome::Unreachable | AttemptOutcome::NeverSent)
 }
 
@@ -282,57 +387,19 @@
     })]
 
     #[test]
-    fn the_rules_hold(seed in any::<u64>(), duplicates in any::<bool>(), ops in prop::collection::vec(op(), 1..90)) {
-        let mut w = World {
-            now: at(0),
-            coordinator: helper::coordinator(seed, 2, duplicates),
-            duplicates,
-            asked: BTreeMap::new(),
-            pieces: BTreeMap::new(),
-            alarms: BTreeMap::new(),
-            up: vec![true; helper::CELLS as usize],
-            started: vec![None; helper::CELLS as usize],
-            taken: Vec::new(),
-            further: Vec::new(),
-            merged_any: false,
-            cold_sends: Vec::new(),
-        };
-        w.event(|w, tape| {
-            w.coordinator.start(tape);
-            helper::list(&mut w.coordinator, tape, &[]);
+    fn the_rules_hold(seed in any::<u64>(), may_hedge in any::<bool>(), ops in prop::collection::vec(op(), 1..90)) {
+        let mut model = Model::new(seed, may_hedge);
+        model.event(|model, output| {
+            model.coordinator.start(output);
+            helper::list_replicas(&mut model.coordinator, output, &[]);
         })?;
         for op in ops {
-            match op {
-                Op::Ask { class, first, count, left } => w.ask(class, first, count, ms(left))?,
-                Op::End { which, outcome } => w.end(which, OUTCOMES[outcome])?,
-                Op::Pass(span) => w.pass(ms(span))?,
-                Op::ListFails => w.event(|w, tape| w.coordinator.endpoint_list_failed(tape, w.now))?,
-                Op::List { replica, up, cold } => {
-                    w.up[replica as usize] = up;
-                    if cold {
-                        w.started[replica as usize] = Some(w.now);
-                    }
-                    let started = w.started[replica as usize];
-                    w.event(|w, tape| {
-                        w.coordinator.begin_endpoint_list(false);
-                        w.coordinator.list_replica(ReplicaId(replica), replica, up, started);
-                        w.coordinator.finish_endpoint_list(tape);
-                    })?;
-                }
-                Op::Gone(which) => {
-                    let open: Vec<QueryId> = w.asked.keys().copied().collect();
-                    if !open.is_empty() {
-                        let query = open[which % open.len()];
-                        w.asked.remove(&query);
-                        w.event(|w, tape| w.coordinator.cancel_query(tape, w.now, query))?;
-                    }
-                }
-            }
+            model.apply(op)?;
         }
-        w.pass(ms(5000))?;
-        while w.pieces.values().any(|p| p.calls.iter().any(|c| c.2.is_none())) {
-            w.end(0, AttemptOutcome::Cancelled)?;
+        model.advance(ms(5000))?;
+        while model.parts.values().any(|p| p.attempts.iter().any(|a| a.outcome.is_none())) {
+            model.end_attempt(0, AttemptOutcome::Cancelled)?;
         }
-        prop_assert!(w.pieces.is_empty(), "parts are held for ever");
+        prop_assert!(model.parts.is_empty(), "parts are held for ever");
     }
 }
--- a/crates/pipitcrank-core/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -1,9 +1,9 @@
-//! Zones in the cover: near first, across when near lags, nothing into a shut zone, shares drawn, and what is seen of a
-//! zone's replicas.
+//! Zones: the nearest first, others when it is overloaded, nothing to a closed one, fractions drawn, and what is observed
+//! of a zone's replicas.
 
 mod helper;
 
-use helper::{Act, Tape, at, coordinator_on, ms};
+use helper::{Action, RecordedOutput, Setup, at, ms};
 use pipitcrank_core::config::SettingsReader;
 use pipitcrank_core::coordinator::zones::{RequestTraffic, ZoneFraction, ZoneId, ZoneRouting};
 use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
@@ -14,25 +14,26 @@
 const THERE: ZoneId = ZoneId(1);
 
 /// Six cells; replicas 0 to 5 stand here, 6 to 11 there, one a cell each.
-fn two_zones(seed: u64, may_probe: bool) -> (Coordinator, Tape) {
-    let (mut coordinator, mut tape) = (coordinator_on(6, 3, seed, 2, true, may_probe), Tape::default());
+fn two_zones(seed: u64, may_probe: bool) -> (Coordinator, RecordedOutput) {
+    let (mut coordinator, mut output) =
+        (Setup { may_probe, ..Setup::with_seed(seed) }.build(), RecordedOutput::default());
     coordinator.begin_endpoint_list(true);
     for n in 0..12 {
         coordinator.list_replica(ReplicaId(n), n % 6, true, None);
         coordinator.set_replica_zone(ReplicaId(n), Some(if n < 6 { HERE } else { THERE }));
     }
-    coordinator.finish_endpoint_list(&mut tape);
-    (coordinator, tape)
+    coordinator.finish_endpoint_list(&mut output);
+    (coordinator, output)
 }
 
-fn shares(of: &[(ZoneId, f64)], shut: &[ZoneId]) -> ZoneRouting {
-    let fractions = of.iter().map(|&(zone, fraction)| ZoneFraction { zone, fraction }).collect();
-    ZoneRouting { fractions, closed: shut.to_vec(), ..ZoneRouting::default() }
+fn routing(fractions: &[(ZoneId, f64)], closed: &[ZoneId]) -> ZoneRouting {
+    let fractions = fractions.iter().map(|&(zone, fraction)| ZoneFraction { zone, fraction }).collect();
+    ZoneRouting { fractions, closed: closed.to_vec(), ..ZoneRouting::default() }
 }
 
-/// Asks one query of one shard; where it went.
-fn goes(coordinator: &mut Coordinator, n: u32, t: i64, class: u16) -> (Vec<ReplicaId>, Vec<Act>) {
-    let mut tape = Tape::default();
+/// Starts a query of one shard; where it was sent.
+fn send_query(coordinator: &mut Coordinator, n: u32, t: i64, class: u16) -> (Vec<ReplicaId>, Vec<Action>) {
+    let mut output = RecordedOutput::default();
     let query = NewQuery {
         id: QueryId(n),
         class: RequestClassId(class),
@@ -40,16 +41,16 @@
         work_hint: None,
         part_count: 1.0,
     };
-    coordinator.start_query(&mut tape, at(t), query);
+    coordinator.start_query(&mut output, at(t), query);
     let part = NewPart { id: PartId(n), query: QueryId(n), shard: n % 6, weight: 1.0, work_hint: None };
-    coordinator.add_part(&mut tape, at(t), part);
-    coordinator.dispatch(&mut tape, at(t));
-    (tape.calls().into_iter().map(|c| c.1).collect(), tape.0)
+    coordinator.add_part(&mut output, at(t), part);
+    coordinator.dispatch(&mut output, at(t));
+    (output.attempts().into_iter().map(|c| c.1).collect(), output.0)
 }
 
-fn answered(coordinator: &mut Coordinator, n: u32, t: i64) {
+fn answer(coordinator: &mut Coordinator, n: u32, t: i64) {
     coordinator.attempt_ended(
-        &mut Tape::default(),
+        &mut RecordedOutput::default(),
         at(t),
         AttemptId { part: PartId(n), number: 0 },
         AttemptOutcome::Success,
@@ -57,75 +58,82 @@
 }
 
 #[test]
-fn near_goes_first_and_without_zones_both_are_used() {
-    for (told, across_wanted) in [(true, false), (false, true)] {
-        let mut across = 0;
+fn the_nearest_zone_goes_first_and_without_routing_both_are_used() {
+    for (is_routed, is_cross_zone_expected) in [(true, false), (false, true)] {
+        let mut cross_zone = 0;
         let (mut coordinator, _) = two_zones(3, false);
-        if told {
-            coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
+        if is_routed {
+            coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
         }
         for n in 0..60 {
-            let (replicas, _) = goes(&mut coordinator, n, i64::from(n) * 50, 0);
-            across += replicas.iter().filter(|l| l.0 >= 6).count();
-            answered(&mut coordinator, n, i64::from(n) * 50 + 20);
+            let (replicas, _) = send_query(&mut coordinator, n, i64::from(n) * 50, 0);
+            cross_zone += replicas.iter().filter(|l| l.0 >= 6).count();
+            answer(&mut coordinator, n, i64::from(n) * 50 + 20);
         }
-        assert_eq!(across > 0, across_wanted, "{across} of 60 across, zones told: {told}");
-        let tally = coordinator.zone_traffic();
-        assert_eq!((tally.same_zone_parts, tally.cross_zone_parts), if told { (60, 0) } else { (0, 0) });
         assert_eq!(
-            (tally.requested[0], tally.answered_parts.iter().sum::<u64>()),
+            cross_zone > 0,
+            is_cross_zone_expected,
+            "{cross_zone} of 60 cross-zone, routed: {is_routed}"
+        );
+        let traffic = coordinator.zone_traffic();
+        assert_eq!(
+            (traffic.same_zone_parts, traffic.cross_zone_parts),
+            if is_routed { (60, 0) } else { (0, 0) }
+        );
+        assert_eq!(
+            (traffic.requested[0], traffic.answered_parts.iter().sum::<u64>()),
             (RequestTraffic { queries: 60, parts: 60 }, 60)
         );
     }
 }
 
 #[test]
-fn a_jam_at_home_sends_work_across() {
+fn overload_in_the_nearest_zone_sends_work_to_others() {
     let (mut coordinator, _) = two_zones(3, false);
-    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
-    // Every replica here has a call out and unanswered for longer than a crossing is held to cost.
+    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
+    // Every replica here has an attempt out for longer than the cost of crossing zones.
     for n in 0..12 {
-        goes(&mut coordinator, n, 0, 0);
+        send_query(&mut coordinator, n, 0, 0);
     }
-    let (replicas, _) = goes(&mut coordinator, 30, 600, 0);
+    let (replicas, _) = send_query(&mut coordinator, 30, 600, 0);
     assert!(replicas[0].0 >= 6, "{replicas:?}");
 }
 
 #[test]
-fn nothing_goes_into_a_shut_zone_even_where_nobody_else_holds_the_shard() {
-    let (mut coordinator, mut tape) = two_zones(3, false);
-    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[THERE]));
+fn nothing_is_sent_to_a_closed_zone_even_where_no_other_holds_the_shard() {
+    let (mut coordinator, mut output) = two_zones(3, false);
+    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[THERE]));
     coordinator.begin_endpoint_list(false);
     (0..6).for_each(|n| coordinator.list_replica(ReplicaId(n), n, false, None));
-    coordinator.finish_endpoint_list(&mut tape);
-    let (replicas, _) = goes(&mut coordinator, 1, 0, 0);
+    coordinator.finish_endpoint_list(&mut output);
+    let (replicas, _) = send_query(&mut coordinator, 1, 0, 0);
     assert_eq!(replicas, []);
-    // Opened again it is placed.
-    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
-    let mut tape = Tape::default();
-    coordinator.dispatch(&mut tape, at(5));
-    assert_eq!(tape.calls().len(), 1);
+    // Open again, it is sent to.
+    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
+    let mut output = RecordedOutput::default();
+    coordinator.dispatch(&mut output, at(5));
+    assert_eq!(output.attempts().len(), 1);
 }
 
 #[test]
-fn shares_are_drawn_about_as_told() {
+fn zones_are_drawn_by_their_fractions() {
     let (mut coordinator, _) = two_zones(9, false);
-    coordinator.set_zone_routing(shares(&[(HERE, 0.7), (THERE, 0.3)], &[]));
-    let mut across = 0;
+    coordinator.set_zone_routing(routing(&[(HERE, 0.7), (THERE, 0.3)], &[]));
+    let mut cross_zone = 0;
     for n in 0..1000 {
-        let (replicas, _) = goes(&mut coordinator, n, i64::from(n) * 50, 0);
-        across += replicas.iter().filter(|l| l.0 >= 6).count();
-        answered(&mut coordinator, n, i64::from(n) * 50 + 20);
+        let (replicas, _) = send_query(&mut coordinator, n, i64::from(n) * 50, 0);
+        cross_zone += replicas.iter().filter(|l| l.0 >= 6).count();
+        answer(&mut coordinator, n, i64::from(n) * 50 + 20);
     }
-    assert!((250..350).contains(&across), "{across} of 1000");
+    assert!((250..350).contains(&cross_zone), "{cross_zone} of 1000");
     assert_eq!(
         (coordinator.zone_traffic().same_zone_parts, coordinator.zone_traffic().cross_zone_parts),
-        (1000 - across as u64, across as u64)
+        (1000 - cross_zone as u64, cross_zone as u64)
     );
 }
 
 #[test]
-fn what_no_zone_can_carry_is_rejected_at_once_by_class() {
+fn load_is_shed_by_request_class() {
     let (mut coordinator, _) = two_zones(3, false);
     let shed_fractions = vec![1.0, 0.0];
     coordinator.set_zone_routing(ZoneRouting {
@@ -133,23 +141,26 @@
         shed_fractions,
         ..ZoneRouting::default()
     });
-    let (replicas, acts) = goes(&mut coordinator, 1, 0, 0);
+    let (replicas, actions) = send_query(&mut coordinator, 1, 0, 0);
     assert_eq!(replicas, []);
-    assert!(acts.contains(&Act::Reject(QueryId(1))) && acts.contains(&Act::FreePart(PartId(1))), "{acts:?}");
-    assert_eq!(goes(&mut coordinator, 2, 0, 1).0.len(), 1);
+    assert!(
+        actions.contains(&Action::Reject(QueryId(1))) && actions.contains(&Action::ReleasePart(PartId(1))),
+        "{actions:?}"
+    );
+    assert_eq!(send_query(&mut coordinator, 2, 0, 1).0.len(), 1);
 }
 
 #[test]
 fn silent_failing_and_answering_replicas_are_told_apart() {
     let (mut coordinator, _) = two_zones(3, true);
-    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[THERE]));
+    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[THERE]));
     let nothing = coordinator.observe_zone(at(0), THERE);
-    assert_eq!((nothing.listed, nothing.answering, nothing.silent), (6, 0, 0), "nobody was asked");
-    let look = |coordinator: &mut Coordinator, t: i64, answer: &dyn Fn(u32) -> Option<AttemptOutcome>| {
-        let mut tape = Tape::default();
-        coordinator.probe_zone(&mut tape, at(t), THERE, 6);
-        for act in tape.0 {
-            let Act::Probe(replica) = act else { continue };
+    assert_eq!((nothing.listed, nothing.answering, nothing.silent), (6, 0, 0), "none was probed");
+    let probe = |coordinator: &mut Coordinator, t: i64, answer: &dyn Fn(u32) -> Option<AttemptOutcome>| {
+        let mut output = RecordedOutput::default();
+        coordinator.probe_zone(&mut output, at(t), THERE, 6);
+        for action in output.0 {
+            let Action::SendLoadProbe(replica) = action else { continue };
             if let Some(outcome) = answer(replica.0) {
                 coordinator.load_probe_ended(at(t + 5), replica, outcome);
             }
@@ -160,34 +171,34 @@
         8 => Some(AttemptOutcome::Unreachable),
         _ => Some(AttemptOutcome::Success),
     };
-    (0..3).for_each(|n| look(&mut coordinator, n * 400, &some));
+    (0..3).for_each(|n| probe(&mut coordinator, n * 400, &some));
     let seen = coordinator.observe_zone(at(850), THERE);
     assert_eq!((seen.answering, seen.silent, seen.failing), (3, 2, 1));
-    (3..5).for_each(|n| look(&mut coordinator, n * 400, &|_| Some(AttemptOutcome::Success)));
+    (3..5).for_each(|n| probe(&mut coordinator, n * 400, &|_| Some(AttemptOutcome::Success)));
     let seen = coordinator.observe_zone(at(1700), THERE);
-    assert_eq!((seen.answering + seen.failing, seen.silent), (6, 0), "one word is enough");
+    assert_eq!((seen.answering + seen.failing, seen.silent), (6, 0), "one answer is enough");
 }
 
 #[test]
-fn a_call_left_unanswered_speaks_of_silence_and_a_long_one_beside_answers_does_not() {
+fn an_unanswered_attempt_makes_a_replica_silent_until_it_answers() {
     let (mut coordinator, _) = two_zones(3, false);
-    coordinator.set_zone_routing(shares(&[(HERE, 1.0)], &[]));
-    let (replicas, _) = goes(&mut coordinator, 1, 0, 0);
+    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
+    let (replicas, _) = send_query(&mut coordinator, 1, 0, 0);
     assert_eq!(coordinator.observe_zone(at(300), HERE).silent, 0);
     assert_eq!(coordinator.observe_zone(at(2600), HERE).silent, 1, "{replicas:?}");
-    answered(&mut coordinator, 1, 2700);
+    answer(&mut coordinator, 1, 2700);
     assert_eq!(coordinator.observe_zone(at(2701), HERE).silent, 0);
 }
 
 #[test]
-fn zones_told_are_checked_by_key() {
+fn configured_zones_are_checked_by_key() {
     let zones = |value: serde_json::Value| {
         SettingsReader::new(&value).zones().map(|z| z.map(|zones| (zones.own.0, zones.names.len())))
     };
     assert_eq!(zones(json!({})), Ok(None));
     assert_eq!(zones(json!({"zone": null, "zones": null})), Ok(None));
     assert_eq!(zones(json!({"zone": "b", "zones": ["a", "b"]})), Ok(Some((1, 2))));
-    for (told, key) in [
+    for (value, key) in [
         (json!({"zone": "c", "zones": ["a", "b"]}), "/zone"),
         (json!({"zones": ["a", "b"]}), "/zone"),
         (json!({"zone": "a"}), "/zones"),
@@ -196,7 +207,7 @@
         (json!({"zone": "a", "zones": [3]}), "/zones/0"),
         (json!({"zone": "a", "zones": (0..17).map(|n| format!("z{n}")).collect::<Vec<_>>()}), "/zones"),
     ] {
-        let wrong = zones(told).unwrap_err();
+        let wrong = zones(value).unwrap_err();
         assert_eq!(wrong.key, key, "{wrong}");
     }
 }
