--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -26,7 +26,7 @@
 use pipitcrank_server::serve::{self, ServerContext, TransportFactory};
 use pipitcrank_simulation::plot::{self, Chart};
 use pipitcrank_simulation::zones::{ZonesExperiment, run_experiment};
-use pipitcrank_testkit::trial::{self, Terms};
+use pipitcrank_testkit::trial::{self, TrialOptions};
 
 /// A scatter-gather co-ordinator: it reads many shards for one query and gives one answer.
 #[derive(Parser)]
@@ -173,7 +173,7 @@
         }
         What::Demo { seed } => said(keeper::program().and_then(|p| pipitcrank_testkit::demo::play(&p, seed))),
         What::Trial { name, seed, rounds, only, json } => {
-            let terms = Terms { seed, rounds, only: only.as_deref(), json };
+            let terms = TrialOptions { seed, rounds, only: only.as_deref(), json };
             said(keeper::program().and_then(|p| trial::play(&p, &name, terms)))
         }
     };
--- a/crates/pipitcrank-cli/tests/crossings.rs
+++ b/crates/pipitcrank-cli/tests/crossings.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_testkit::client::{Lone, Question, connect, get, read_answer};
+use pipitcrank_testkit::client::{DedicatedConnection, QueryRequest, connect, get, read_response};
 use pipitcrank_testkit::discovery::row;
-use pipitcrank_testkit::ledger::{Ended, Ledger};
 use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::{Pid, Resource, Rlimit, Signal, prlimit};
 use stand_ins::{Source, StandInReplica, node_config, program};
@@ -18,9 +18,9 @@
 
 const LIMIT: Duration = Duration::from_secs(60);
 
-fn question(id: &str) -> Question {
+fn question(id: &str) -> QueryRequest {
     let wait = Duration::from_secs(4);
-    Question { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
+    QueryRequest { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
 }
 
 async fn one_replica(sockets: u32) -> Result<(StandInReplica, Source, Process)> {
@@ -34,7 +34,7 @@
 /// Asks on that connection; its answer comes from one of the replicas.
 async fn asks_on(stream: &mut BufReader<TcpStream>, id: &str, replica: &mut StandInReplica) -> u16 {
     stream.get_mut().write_all(question(id).request().as_bytes()).await.unwrap();
-    let answer = async { read_answer(stream).await.map_or(0, |a| a.status) };
+    let answer = async { read_response(stream).await.map_or(0, |a| a.status) };
     let mut answer = std::pin::pin!(answer);
     tokio::select! {
         call = replica.call() => call.answers(),
@@ -94,7 +94,7 @@
                 replica.call().await.answers();
             }
             for stream in [&mut kept, &mut new] {
-                let answer = read_answer(stream).await;
+                let answer = read_response(stream).await;
                 assert_eq!(answer.map(|a| a.status), Some(200), "round {round}; {}", process.log());
             }
         }
@@ -114,12 +114,12 @@
             // Some time after the last standstill.
             tokio::time::sleep(Duration::from_millis(400)).await;
             let wait = Duration::from_millis(1500);
-            let asked = Question { wait, ..question(&format!("view-{n}")) };
+            let asked = QueryRequest { wait, ..question(&format!("view-{n}")) };
             let mut kept = BufReader::new(connect(process.address).await?);
-            let before = Question { id: format!("view-before-{n}"), ..asked.clone() };
+            let before = QueryRequest { id: format!("view-before-{n}"), ..asked.clone() };
             kept.get_mut().write_all(before.request().as_bytes()).await?;
             replica.call().await.answers();
-            assert_eq!(read_answer(&mut kept).await.map(|a| a.status), Some(200));
+            assert_eq!(read_response(&mut kept).await.map(|a| a.status), Some(200));
             process.signal(Signal::STOP)?;
             kept.get_mut().write_all(asked.request().as_bytes()).await?;
             let written = Instant::now();
@@ -129,7 +129,7 @@
             let left = wait.saturating_sub(written.elapsed());
             assert!(call.told <= left + SLACK, "{stood_still} ms: told {:?}, left {left:?}", call.told);
             call.answers();
-            assert_eq!(read_answer(&mut kept).await.map(|a| a.status), Some(200));
+            assert_eq!(read_response(&mut kept).await.map(|a| a.status), Some(200));
         }
         Ok(())
     })
@@ -176,18 +176,18 @@
                     call = a.call() => { call.answers(); false }
                     call = b.call() => { call.answers(); true }
                 };
-                let answer = read_answer(&mut kept).await.expect("an answer");
+                let answer = read_response(&mut kept).await.expect("an answer");
                 assert_eq!(answer.status, 200);
                 if at_b {
                     break;
                 }
-                if !answer.keeps {
+                if !answer.keep_alive {
                     kept = BufReader::new(connect(process.address).await?);
                 }
                 assert!(had.elapsed() < Duration::from_secs(3), "not told; {}", process.log());
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            if let Some(told) = process.count(whole).await {
+            if let Some(told) = process.counter(whole).await {
                 assert_eq!(told, wanted, "by the way that is forced here");
             }
             Ok(())
@@ -217,7 +217,7 @@
         for _ in 0..150 {
             silent.push(connect(process.address).await?);
         }
-        let (_, descriptors) = process.holds();
+        let descriptors = process.resource_usage().descriptors;
         assert!(descriptors <= u64::from(TOLD), "{descriptors}");
         let mut b = StandInReplica::start().await?;
         source.holds(2, vec![row("a", a.address, 0, "leaving", 0), row("b", b.address, 0, "active", 0)]);
@@ -226,14 +226,14 @@
         let mut n = 0;
         loop {
             n += 1;
-            let mut asking = Lone::connect(process.address, Ledger::default()).await?;
+            let mut asking = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
             let mut asking = std::pin::pin!(asking.ask_in_pieces(question(&format!("view-new-{n}")), &[]));
             let at_b = tokio::select! {
                 call = a.call() => { call.answers(); false }
                 call = b.call() => { call.answers(); true }
                 how = &mut asking => panic!("{how:?}; {}", process.log()),
             };
-            assert_eq!(asking.await, Ended::Merged);
+            assert_eq!(asking.await, QueryOutcome::Complete);
             if at_b {
                 break;
             }
@@ -241,7 +241,7 @@
         }
         let log = process.log();
         assert!(!log.contains("accept failed"), "{log}");
-        assert_eq!(process.count("leaf_connections no_socket").await, Some(0));
+        assert_eq!(process.counter("leaf_connections no_socket").await, Some(0));
         Ok(())
     })
     .unwrap();
@@ -321,7 +321,7 @@
         process.signal(Signal::TERM)?;
         let mut ends = tokio::task::JoinSet::new();
         for mut stream in clients {
-            ends.spawn_local(async move { read_answer(&mut stream).await.map_or(0, |a| a.status) });
+            ends.spawn_local(async move { read_response(&mut stream).await.map_or(0, |a| a.status) });
         }
         let mut counted = std::collections::BTreeMap::new();
         loop {
@@ -358,10 +358,10 @@
         (allowed["streams_per_conn"], allowed["probing"]) = (1.into(), false.into());
         (allowed["conn_idle_s"], allowed["dial_timeout_s"]) = (2.0.into(), 2.0.into());
         let process = Process::start(program(), told, None).await?;
-        let mut client = Lone::connect(process.address, Ledger::default()).await?;
+        let mut client = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
         for n in 0..3 {
             let shards = vec![0, 1];
-            let asked = Question { shards, ..question(&format!("view-{n}")) };
+            let asked = QueryRequest { shards, ..question(&format!("view-{n}")) };
             let mut asking = std::pin::pin!(client.ask_in_pieces(asked, &[]));
             for _ in 0..2 {
                 tokio::select! {
@@ -369,9 +369,9 @@
                     how = &mut asking => panic!("{how:?}; {}", process.log()),
                 }
             }
-            assert_eq!(asking.await, Ended::Merged);
+            assert_eq!(asking.await, QueryOutcome::Complete);
         }
-        assert!(process.count("leaf_connections opened").await <= Some(2), "each is used again");
+        assert!(process.counter("leaf_connections opened").await <= Some(2), "each is used again");
         Ok(())
     })
     .unwrap();
@@ -393,7 +393,7 @@
                 call = Some(replica.call().await);
             }
             let changes = async |n: u64| {
-                while process.count("discovery changes").await < Some(n) {
+                while process.counter("discovery changes").await < Some(n) {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             };
@@ -406,9 +406,9 @@
             assert_eq!(asks_on(&mut kept, "view-3", &mut replica).await, 200, "held: {held}");
             if let Some(call) = call {
                 call.answers();
-                assert_eq!(read_answer(&mut other).await.map(|a| a.status), Some(200));
+                assert_eq!(read_response(&mut other).await.map(|a| a.status), Some(200));
             }
-            let opened = process.count("leaf_connections opened").await;
+            let opened = process.counter("leaf_connections opened").await;
             assert_eq!(opened, Some(if held { 1 } else { 2 }), "held: {held}");
             Ok(())
         })
--- a/crates/pipitcrank-cli/tests/ending.rs
+++ b/crates/pipitcrank-cli/tests/ending.rs
@@ -3,11 +3,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use pipitcrank_testkit::client::{Clients, Lone, Question, connect};
+use pipitcrank_testkit::client::{Clients, DedicatedConnection, QueryRequest, connect};
 use pipitcrank_testkit::fleet::{Fleet, Load};
-use pipitcrank_testkit::ledger::{Ended, Ledger};
-use pipitcrank_testkit::process::{Process, Steps};
-use pipitcrank_testkit::replica::{Manner, Work};
+use pipitcrank_testkit::process::{Process, UpgradeTimes};
+use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
+use pipitcrank_testkit::replica::{ReplicaBehavior, Work};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 
@@ -18,9 +18,9 @@
     Path::new(env!("CARGO_BIN_EXE_pipitcrank"))
 }
 
-fn question(id: String) -> Question {
+fn question(id: String) -> QueryRequest {
     let wait = Duration::from_secs(4);
-    Question { id, class: "view", shards: vec![0, 1], wait, text: "short".to_string() }
+    QueryRequest { id, class: "view", shards: vec![0, 1], wait, text: "short".to_string() }
 }
 
 /// It accepted and closed each new connection without an answer, for as long as clients came, and never ended.
@@ -29,12 +29,12 @@
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(1, WORK).await?;
         let mut process = Process::start(program(), fleet.node_config(1, 1024, 3000)?, None).await?;
-        let (ledger, address) = (Ledger::default(), process.address);
+        let (ledger, address) = (QueryLog::default(), process.address);
         process.signal(Signal::TERM)?;
         let (asked, mut n, mut refused) = (Instant::now(), 0, 0);
         let mut tasks = tokio::task::JoinSet::new();
         let ended = loop {
-            if let Some(status) = process.ended() {
+            if let Some(status) = process.exit_status() {
                 break status;
             }
             assert!(asked.elapsed() < Duration::from_secs(10), "it does not end");
@@ -44,7 +44,7 @@
                 Err(_) => refused += 1,
                 Ok(stream) => {
                     tasks.spawn_local(async move {
-                        Lone::on(stream, ledger).ask_in_pieces(question(id), &[]).await
+                        DedicatedConnection::on(stream, ledger).ask_in_pieces(question(id), &[]).await
                     });
                 }
             }
@@ -57,11 +57,11 @@
             asked.elapsed()
         );
         assert!(
-            ledger.count(Ended::Merged) > 100 && refused > 0,
+            ledger.count(QueryOutcome::Complete) > 100 && refused > 0,
             "served while it stayed, refused when it did not"
         );
         // One may connect in the very moment in which the listener closes.
-        assert!(ledger.count(Ended::Lost) <= 1, "{} got nothing", ledger.count(Ended::Lost));
+        assert!(ledger.count(QueryOutcome::Lost) <= 1, "{} got nothing", ledger.count(QueryOutcome::Lost));
         Ok(())
     })
     .unwrap();
@@ -75,8 +75,8 @@
 /// Clients wait for so long at most, all replicas hang, and the kill comes at the first moment allowed. Queries held when
 /// the end is called, and queries that clients go on asking for as long as anything is open to them, on connections
 /// they keep and on new ones, with a head and with a body that comes in halves; how each of them ended.
-fn killed_at_once(longest: f64) -> (Ledger, bool) {
-    let (ledger, mut by_itself) = (Ledger::default(), false);
+fn killed_at_once(longest: f64) -> (QueryLog, bool) {
+    let (ledger, mut by_itself) = (QueryLog::default(), false);
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(5, WORK).await?;
         let mut told = fleet.node_config(5, 1024, 3000)?;
@@ -84,9 +84,9 @@
             (class["aim_s"], class["hard_limit_s"]) = ((longest / 2.0).into(), longest.into());
         }
         let mut process = Process::start(program(), told, None).await?;
-        fleet.replicas.iter().for_each(|replica| replica.turns(Manner::Silent));
+        fleet.replicas.iter().for_each(|replica| replica.set_behavior(ReplicaBehavior::Silent));
         let wait = Duration::from_secs_f64(longest);
-        let asks = |name: &str| Question { wait, ..question(name.to_string()) };
+        let asks = |name: &str| QueryRequest { wait, ..question(name.to_string()) };
         let kept = Clients::new(process.address, ledger.clone());
         let mut tasks = tokio::task::JoinSet::new();
         let mut ask = |name: String, at: Duration| {
@@ -117,14 +117,14 @@
             let (address, ledger, question) = (process.address, ledger.clone(), asks(name));
             tasks.spawn_local(async move {
                 tokio::time::sleep(Duration::from_millis(380)).await;
-                let mut lone = Lone::connect(address, ledger).await.unwrap();
+                let mut lone = DedicatedConnection::connect(address, ledger).await.unwrap();
                 lone.ask_in_pieces(question, &[(cut, grace + Duration::from_millis(100))]).await;
             });
         }
-        while asked.elapsed() < grace && process.ended().is_none() {
+        while asked.elapsed() < grace && process.exit_status().is_none() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        by_itself = process.ended().is_some();
+        by_itself = process.exit_status().is_some();
         process.kill();
         while tasks.join_next().await.is_some() {}
         Ok(())
@@ -136,10 +136,10 @@
 fn nobody_is_left_without_an_answer(longest: f64) {
     let (ledger, by_itself) = killed_at_once(longest);
     let count = |how| ledger.count(how);
-    assert_eq!((count(Ended::Lost), ledger.open()), (0, 0), "of a grace of {:?}", grace(longest));
-    assert!(count(Ended::Rejected) > 20, "taken on meanwhile: {}", count(Ended::Rejected));
-    assert!(count(Ended::Refused) > 0, "it ceases to take on in time");
-    assert_eq!(count(Ended::Odd(408)), 2, "the halves are answered, too");
+    assert_eq!((count(QueryOutcome::Lost), ledger.open()), (0, 0), "of a grace of {:?}", grace(longest));
+    assert!(count(QueryOutcome::Rejected) > 20, "taken on meanwhile: {}", count(QueryOutcome::Rejected));
+    assert!(count(QueryOutcome::ConnectionRefused) > 0, "it ceases to take on in time");
+    assert_eq!(count(QueryOutcome::UnexpectedStatus(408)), 2, "the halves are answered, too");
     // At the shortest grace the half that does not read its answer is still there.
     assert!(by_itself || longest < 1.0, "it ends before the kill");
 }
@@ -167,11 +167,11 @@
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(6, WORK).await?;
         let mut process = Process::start(program(), fleet.node_config(6, 1024, 3000)?, None).await?;
-        let (ledger, mut tasks) = (Ledger::default(), tokio::task::JoinSet::new());
+        let (ledger, mut tasks) = (QueryLog::default(), tokio::task::JoinSet::new());
         let clients = Clients::new(process.address, ledger.clone());
         for n in 0..8 {
             let clients = clients.clone();
-            let slow = Question { text: "lasts=1200".to_string(), ..question(format!("view-{n}")) };
+            let slow = QueryRequest { text: "lasts=1200".to_string(), ..question(format!("view-{n}")) };
             tasks.spawn_local(async move { clients.ask(slow).await });
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -180,11 +180,11 @@
             process.signal(signal)?;
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        let ended = process.end(Duration::from_secs(10)).await;
+        let ended = process.wait_for_exit(Duration::from_secs(10)).await;
         assert!(ended.is_some_and(|e| e.success()), "{ended:?} {}", process.log());
         assert!(asked.elapsed() >= Duration::from_millis(1500), "it stayed for clients");
         while tasks.join_next().await.is_some() {}
-        assert_eq!(ledger.count(Ended::Merged), 8, "{}", process.log());
+        assert_eq!(ledger.count(QueryOutcome::Complete), 8, "{}", process.log());
         Ok(())
     })
     .unwrap();
@@ -237,10 +237,10 @@
         // In its trial, and while it passes.
         for wait in [100, 900] {
             let fleet = Fleet::start(2, WORK).await?;
-            let steps = Steps { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
+            let steps = UpgradeTimes { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
             let mut process =
                 Process::start(program(), fleet.node_config(2, 1024, 3000)?, steps.file()).await?;
-            let clients = Clients::new(process.address, fleet.ledger.clone());
+            let clients = Clients::new(process.address, fleet.query_log.clone());
             let load = Load::start("load", 3, 100.0, 0.1, clients);
             tokio::time::sleep(Duration::from_millis(500)).await;
             process.signal(Signal::USR2)?;
@@ -249,12 +249,12 @@
             process.signal(Signal::TERM)?;
             tokio::time::sleep(Duration::from_millis(200)).await;
             load.stop().await?;
-            let ended = process.end(Duration::from_secs(15)).await;
+            let ended = process.wait_for_exit(Duration::from_secs(15)).await;
             assert!(ended.is_some_and(|e| e.success()), "{ended:?} {}", process.log());
-            let ledger = &fleet.ledger;
-            assert_eq!((ledger.count(Ended::Lost), ledger.open()), (0, 0), "{}", process.log());
-            assert_eq!((ledger.ran_again("sale-"), ledger.answered_twice()), (0, 0));
-            assert!(ledger.count(Ended::Merged) > 30);
+            let ledger = &fleet.query_log;
+            assert_eq!((ledger.count(QueryOutcome::Lost), ledger.open()), (0, 0), "{}", process.log());
+            assert_eq!((ledger.parts_run_again("sale-"), ledger.answered_twice()), (0, 0));
+            assert!(ledger.count(QueryOutcome::Complete) > 30);
         }
         Ok(())
     })
@@ -265,18 +265,19 @@
 fn a_worker_that_crashes_is_started_again_and_nobody_is_refused() {
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(4, WORK).await?;
-        let steps = Steps { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
+        let steps = UpgradeTimes { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
         let process = Process::start(program(), fleet.node_config(4, 1024, 3000)?, steps.file()).await?;
-        let ledger = Ledger::default();
+        let ledger = QueryLog::default();
         for n in 0..2 {
             for worker in process.workers() {
                 pipitcrank_testkit::process::signal_worker(worker, Signal::KILL);
             }
             // At once: nobody listens but the keeper.
             let stream = connect(process.address).await?;
-            let ended =
-                Lone::on(stream, ledger.clone()).ask_in_pieces(question(format!("view-{n}")), &[]).await;
-            assert_eq!(ended, Ended::Merged, "{}", process.log());
+            let ended = DedicatedConnection::on(stream, ledger.clone())
+                .ask_in_pieces(question(format!("view-{n}")), &[])
+                .await;
+            assert_eq!(ended, QueryOutcome::Complete, "{}", process.log());
         }
         Ok(())
     })
--- a/crates/pipitcrank-cli/tests/gateway.rs
+++ b/crates/pipitcrank-cli/tests/gateway.rs
@@ -4,72 +4,72 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_testkit::trial::gateway::{Trouble, through};
+use pipitcrank_testkit::trial::gateway::{Fault, through};
 use pipitcrank_testkit::trial::on_one_thread;
 
-fn survives(seed: u64, trouble: Trouble) {
+fn survives(seed: u64, fault: Fault) {
     let program = Path::new(env!("CARGO_BIN_EXE_pipitcrank"));
-    let outcome = on_one_thread(Duration::from_secs(90), through(program, seed, trouble)).unwrap();
+    let outcome = on_one_thread(Duration::from_secs(90), through(program, seed, fault)).unwrap();
     assert!(outcome.broken.is_empty(), "{:?} {:?}", outcome.broken, outcome.figures);
 }
 
 #[test]
 fn a_far_site_that_accepts_and_goes_silent() {
-    survives(201, Trouble::Stalls);
+    survives(201, Fault::Stalls);
 }
 
 #[test]
 fn answers_that_do_not_come_back() {
-    survives(202, Trouble::StallsBack);
+    survives(202, Fault::StallsBack);
 }
 
 #[test]
 fn a_link_that_flaps() {
-    survives(203, Trouble::Flaps);
+    survives(203, Fault::Flaps);
 }
 
 #[test]
 fn links_cut_within_frames() {
-    survives(204, Trouble::CutWithin);
+    survives(204, Fault::CutWithin);
 }
 
 #[test]
 fn a_round_trip_that_goes_up_under_load() {
-    survives(205, Trouble::SlowWay);
+    survives(205, Fault::SlowWay);
 }
 
 #[test]
 fn a_far_site_that_is_killed_and_one_that_is_restarted() {
-    survives(206, Trouble::Killed);
-    survives(207, Trouble::Restarted);
+    survives(206, Fault::Killed);
+    survives(207, Fault::Restarted);
 }
 
 #[test]
 fn a_far_site_that_is_upgraded() {
-    survives(212, Trouble::Upgraded);
+    survives(212, Fault::Upgraded);
 }
 
 #[test]
 fn both_sites_forwarding_to_each_other() {
-    survives(208, Trouble::Mutual);
+    survives(208, Fault::Mutual);
 }
 
 #[test]
 fn two_far_sites_of_which_the_better_one_changes() {
-    survives(209, Trouble::Swapped);
+    survives(209, Fault::Swapped);
 }
 
 #[test]
 fn clients_that_leave() {
-    survives(210, Trouble::Leavers);
+    survives(210, Fault::Leavers);
 }
 
 #[test]
 fn a_far_site_that_is_full() {
-    survives(211, Trouble::FarFull);
+    survives(211, Fault::FarFull);
 }
 
 #[test]
 fn a_far_site_with_a_stale_list() {
-    survives(213, Trouble::FarStale);
+    survives(213, Fault::FarStale);
 }
--- a/crates/pipitcrank-cli/tests/leaving.rs
+++ b/crates/pipitcrank-cli/tests/leaving.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_testkit::client::{Lone, Question, connect, get};
+use pipitcrank_testkit::client::{DedicatedConnection, QueryRequest, connect, get};
 use pipitcrank_testkit::discovery::row;
-use pipitcrank_testkit::ledger::{Ended, Ledger};
 use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use stand_ins::{Late, Source, StandInReplica, node_config, program};
@@ -21,9 +21,9 @@
 /// Well past the longest time after which an attempt may still begin, and past its own way.
 const LONG: Duration = Duration::from_millis(900);
 
-fn question(id: &str) -> Question {
+fn question(id: &str) -> QueryRequest {
     let wait = Duration::from_secs(4);
-    Question { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
+    QueryRequest { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
 }
 
 /// How a client leaves.
@@ -65,7 +65,7 @@
 
 async fn counted(process: &Process, what: &str, wanted: u64) {
     let begun = Instant::now();
-    while process.count(what).await != Some(wanted) {
+    while process.counter(what).await != Some(wanted) {
         let counters = get(process.address, "/counters").await.map(|a| a.body);
         assert!(begun.elapsed() < LIMIT / 4, "{what} is not {wanted}: {counters:?}");
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -160,7 +160,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             replicas(client, how)?;
             counted(&process, "queries client_gone", 1).await;
-            let mut other = Lone::connect(process.address, Ledger::default()).await?;
+            let mut other = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
             let mut asking = std::pin::pin!(other.ask_in_pieces(question("view-2"), &[]));
             tokio::select! {
                 () = counted(&process, "queries taken", 2) => {}
@@ -174,7 +174,7 @@
             };
             assert!(call.id.starts_with("view-2"), "{} was sent on: {how:?}, {cancel}", call.id);
             call.answers();
-            assert_eq!(asking.await, Ended::Merged);
+            assert_eq!(asking.await, QueryOutcome::Complete);
             tokio::time::sleep(LONG).await;
             assert!(replica.came().is_none(), "{how:?}");
             Ok(())
@@ -185,7 +185,7 @@
 
 /// Connections to both replicas are up, so that nothing holds up a call.
 async fn warm(process: &Process, a: &mut StandInReplica, b: &mut StandInReplica, name: &str) -> Result<()> {
-    let mut warm = Lone::connect(process.address, Ledger::default()).await?;
+    let mut warm = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
     let (mut at_a, mut at_b) = (false, false);
     for n in 0.. {
         let mut asking = std::pin::pin!(warm.ask_in_pieces(question(&format!("{name}-warm-{n}")), &[]));
@@ -275,13 +275,13 @@
         }
         // Some had been given up on, as they had waited for long.
         let ended = async || {
-            let gone = process.count("queries client_gone").await.unwrap_or(0);
-            gone + process.count("queries rejected").await.unwrap_or(0)
+            let gone = process.counter("queries client_gone").await.unwrap_or(0);
+            gone + process.counter("queries rejected").await.unwrap_or(0)
         };
         while ended().await < 200 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert!(process.count("queries client_gone").await > Some(0));
+        assert!(process.counter("queries client_gone").await > Some(0));
         let mut replica = late.let_up();
         tokio::time::sleep(Duration::from_millis(2500)).await;
         assert!(replica.came().is_none());
--- a/crates/pipitcrank-cli/tests/lists.rs
+++ b/crates/pipitcrank-cli/tests/lists.rs
@@ -5,10 +5,10 @@
 
 use std::time::{Duration, Instant};
 
-use pipitcrank_testkit::client::{Lone, Question, get};
+use pipitcrank_testkit::client::{DedicatedConnection, QueryRequest, get};
 use pipitcrank_testkit::discovery::row;
-use pipitcrank_testkit::ledger::Ledger;
 use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::query_log::QueryLog;
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
@@ -55,8 +55,8 @@
     async fn goes_to_the_second(&mut self) -> bool {
         self.asked += 1;
         let (id, wait) = (format!("view-{}", self.asked), Duration::from_millis(900));
-        let question = Question { id, class: "view", shards: vec![0], wait, text: "c41e".to_string() };
-        let mut lone = Lone::connect(self.process.address, Ledger::default()).await.unwrap();
+        let question = QueryRequest { id, class: "view", shards: vec![0], wait, text: "c41e".to_string() };
+        let mut lone = DedicatedConnection::connect(self.process.address, QueryLog::default()).await.unwrap();
         let mut asking = std::pin::pin!(lone.ask_in_pieces(question, &[]));
         let [a, b] = &mut self.replicas;
         let went = tokio::select! {
@@ -169,7 +169,7 @@
         let mut scene = Scene::set().await?;
         scene.source.holds_quietly(40, vec![row("a", scene.replicas[0].address, 0, "active", 0)]);
         scene.source.tells_watches(40);
-        while scene.process.count("discovery changes").await != Some(1) {
+        while scene.process.counter("discovery changes").await != Some(1) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         // A new life: what there was of watches stays open and silent.
@@ -243,7 +243,7 @@
                 let rows = vec![row("a", a.address, 0, "leaving", 0), row("b", b.address, 0, "active", 0)];
                 there.holds(9, rows);
                 there.next_calls_are(&[Call::Hangs, Call::Half, Call::Hangs, Call::Refuses, Call::HeadOnly]);
-                scene.process.node_config_with("/discovery", there.address.to_string().into())?;
+                scene.process.override_node_config("/discovery", there.address.to_string().into())?;
                 scene.source = there;
                 Instant::now()
             } else {
--- a/crates/pipitcrank-cli/tests/repeats.rs
+++ b/crates/pipitcrank-cli/tests/repeats.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use pipitcrank_testkit::client::{Answer, Question, connect, read_answer};
+use pipitcrank_testkit::client::{HttpResponse, QueryRequest, connect, read_response};
 use pipitcrank_testkit::discovery::row;
-use pipitcrank_testkit::process::{Process, Steps};
+use pipitcrank_testkit::process::{Process, UpgradeTimes};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
@@ -19,15 +19,16 @@
 
 fn request(id: &str, keys: &[&str]) -> String {
     let wait = Duration::from_secs(4);
-    let question = Question { id: id.to_string(), class: "rank", shards: vec![0], wait, text: "c41e".into() };
+    let question =
+        QueryRequest { id: id.to_string(), class: "rank", shards: vec![0], wait, text: "c41e".into() };
     let headers: String = keys.iter().map(|k| format!("Idempotency-Key: {k}\r\n")).collect();
     question.request().replace("Req-Id:", &format!("{headers}Req-Id:"))
 }
 
-async fn asks(process: &Process, request: String) -> Result<Answer> {
+async fn asks(process: &Process, request: String) -> Result<HttpResponse> {
     let mut stream = connect(process.address).await?;
     stream.write_all(request.as_bytes()).await?;
-    let answer = read_answer(&mut BufReader::new(stream)).await;
+    let answer = read_response(&mut BufReader::new(stream)).await;
     Ok(answer.unwrap_or_else(|| panic!("no whole answer; {}", process.log())))
 }
 
@@ -108,11 +109,11 @@
         };
         // Its only other holder.
         source.holds(2, vec![row("a", a.address, 0, "leaving", 0), row("b", late.address, 0, "active", 0)]);
-        while process.count("discovery changes").await != Some(1) {
+        while process.counter("discovery changes").await != Some(1) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         first.resets();
-        while process.count("leaf_calls cut").await != Some(1) {
+        while process.counter("leaf_calls cut").await != Some(1) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -122,7 +123,7 @@
         assert_eq!(answer.status, 500, "it may have run: {}", process.log());
         tokio::time::sleep(Duration::from_millis(1500)).await;
         assert!(b.came().is_none() && a.came().is_none(), "a repeat that nobody knows as one");
-        assert!(process.count("leaf_calls stale").await >= Some(1), "it was held up, as is forced here");
+        assert!(process.counter("leaf_calls stale").await >= Some(1), "it was held up, as is forced here");
         Ok(())
     })
     .unwrap();
@@ -158,11 +159,11 @@
     on_one_thread(LIMIT, async {
         let mut replica = StandInReplica::start().await?;
         let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
-        let steps = Steps { start: 3.0, settle: 1.5, silent: 0.5, finish: 8.0 };
+        let steps = UpgradeTimes { start: 3.0, settle: 1.5, silent: 0.5, finish: 8.0 };
         let process = Process::start(program(), told(&source, 3.0, 1.0)?, steps.file()).await?;
         process.signal(Signal::USR2)?;
         let mut n = 0;
-        while process.count("upgrades done").await != Some(1) {
+        while process.counter("upgrades done").await != Some(1) {
             n += 1;
             let mut asking = std::pin::pin!(asks(&process, request(&format!("rank-{n}"), &["mine"])));
             let call = tokio::select! {
--- a/crates/pipitcrank-cli/tests/size.rs
+++ b/crates/pipitcrank-cli/tests/size.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_testkit::client::{Clients, Question};
+use pipitcrank_testkit::client::{Clients, QueryRequest};
 use pipitcrank_testkit::discovery::{Discovery, row};
 use pipitcrank_testkit::fleet::node_config_of;
-use pipitcrank_testkit::ledger::{Ended, Ledger};
-use pipitcrank_testkit::process::{Process, Steps};
+use pipitcrank_testkit::process::{Process, UpgradeTimes};
+use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
 use pipitcrank_testkit::replica::{StandInReplica, Work};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
@@ -30,8 +30,8 @@
 
 async fn counted(process: &Process, what: &str, wanted: u64) -> Result<()> {
     let begun = Instant::now();
-    while process.count(what).await != Some(wanted) {
-        let now = process.count(what).await;
+    while process.counter(what).await != Some(wanted) {
+        let now = process.counter(what).await;
         assert!(begun.elapsed() < Duration::from_secs(20), "{what}: {now:?}; {}", process.log());
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -40,12 +40,12 @@
 
 /// Queries of forty parts each, all of them whole.
 async fn serves(name: &str, clients: &Clients) {
-    let before = clients.ledger.count(Ended::Merged);
+    let before = clients.query_log.count(QueryOutcome::Complete);
     for n in 0..20u32 {
         let shards = (0..40).map(|i| (n * 37 + i * 5) % SHARDS).collect();
         let wait = Duration::from_secs(4);
         clients
-            .ask(Question {
+            .ask(QueryRequest {
                 id: format!("view-{name}-{n}"),
                 class: "view",
                 shards,
@@ -54,33 +54,33 @@
             })
             .await;
     }
-    assert_eq!(clients.ledger.count(Ended::Merged) - before, 20, "{name}");
+    assert_eq!(clients.query_log.count(QueryOutcome::Complete) - before, 20, "{name}");
 }
 
 #[test]
 fn a_thousand_replicas_are_told_replaced_drained_and_passed_on() {
     on_one_thread(Duration::from_secs(120), async {
-        let ledger = Ledger::default();
+        let ledger = QueryLog::default();
         let mut hosts = Vec::new();
         for n in 0..8 {
             hosts.push(StandInReplica::start(n, WORK, ledger.clone()).await?);
         }
         let discovery = Discovery::start(rows(0, &hosts)).await?;
-        let told = node_config_of(discovery.address, discovery.known(), CELLS, SHARDS, 6, 1024, 3000)?;
-        let steps = Steps { start: 10.0, settle: 0.6, silent: 2.0, finish: 8.0 };
+        let told = node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, 6, 1024, 3000)?;
+        let steps = UpgradeTimes { start: 10.0, settle: 0.6, silent: 2.0, finish: 8.0 };
         let process = Process::start(Path::new(env!("CARGO_BIN_EXE_pipitcrank")), told, steps.file()).await?;
         let clients = Clients::new(process.address, ledger.clone());
         serves("told", &clients).await;
 
         // Nothing of the old list is listed any more.
-        discovery.is_now(rows(REPLICAS, &hosts));
+        discovery.replace_list(rows(REPLICAS, &hosts));
         counted(&process, "discovery whole_list", 2).await?;
         serves("replaced", &clients).await;
 
         for replica in rows(REPLICAS, &hosts).into_iter().step_by(3) {
             let mut replica = replica;
             replica["state"] = "leaving".into();
-            discovery.changes(replica);
+            discovery.update_row(replica);
         }
         counted(&process, "discovery changes", REPLICAS.div_ceil(3) as u64).await?;
         serves("drained", &clients).await;
@@ -90,11 +90,11 @@
         process.signal(Signal::USR2)?;
         counted(&process, "upgrades done", 1).await?;
         serves("passed-on", &clients).await;
-        let (memory, _) = process.holds();
+        let memory = process.resource_usage().memory_kb;
         assert!(memory < MEMORY, "{memory} kB");
         // A connection a replica, and what of the told sockets is left: none was held to be out of reach.
-        assert_eq!(process.count("leaf_connections no_socket").await, Some(0));
-        assert_eq!(ledger.count(Ended::Lost) + ledger.count(Ended::Aborted), 0);
+        assert_eq!(process.counter("leaf_connections no_socket").await, Some(0));
+        assert_eq!(ledger.count(QueryOutcome::Lost) + ledger.count(QueryOutcome::Aborted), 0);
         Ok(())
     })
     .unwrap();
--- a/crates/pipitcrank-cli/tests/system_calls.rs
+++ b/crates/pipitcrank-cli/tests/system_calls.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::Result;
-use pipitcrank_testkit::client::{Clients, Question};
+use pipitcrank_testkit::client::{Clients, QueryRequest};
 use pipitcrank_testkit::discovery::row;
-use pipitcrank_testkit::faults::{Fault, Faults, Shim};
 use pipitcrank_testkit::fleet::Fleet;
-use pipitcrank_testkit::ledger::{Ended, Ledger};
 use pipitcrank_testkit::process::Process;
+use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
 use pipitcrank_testkit::replica::Work;
+use pipitcrank_testkit::syscall_faults::{FaultLibrary, ProcessFaults, SyscallFault};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use stand_ins::{Source, StandInReplica, node_config, program};
@@ -22,24 +22,24 @@
 struct Scene {
     fleet: Fleet,
     process: Process,
-    faults: Faults,
-    _shim: Shim,
+    faults: ProcessFaults,
+    _shim: FaultLibrary,
 }
 
 impl Scene {
     async fn start(seed: u64) -> Result<Scene> {
-        let fleet = Fleet::start_with(seed, WORK, Ledger::with_arrivals()).await?;
-        let shim = Shim::build()?;
+        let fleet = Fleet::start_with(seed, WORK, QueryLog::with_arrivals()).await?;
+        let shim = FaultLibrary::build()?;
         let faults = shim.for_process("one", seed)?;
         let told = fleet.node_config(seed, 512, 3000)?;
         let process = Process::start_with(program(), told, faults.variables())?;
-        process.up().await?;
+        process.wait_until_ready().await?;
         Ok(Scene { fleet, process, faults, _shim: shim })
     }
 
     /// So many requests, some at a time, on connections that are kept and on new ones.
-    async fn asks(&self, name: &str, many: usize) -> Ledger {
-        let ledger = Ledger::default();
+    async fn asks(&self, name: &str, many: usize) -> QueryLog {
+        let ledger = QueryLog::default();
         let kept = Clients::new(self.process.address, ledger.clone());
         let mut tasks = tokio::task::JoinSet::new();
         for n in 0..many {
@@ -56,16 +56,17 @@
     }
 }
 
-fn question(id: &str) -> Question {
+fn question(id: &str) -> QueryRequest {
     let wait = Duration::from_secs(3);
     let text = "a text that is long enough to be read in several pieces".to_string();
-    Question { id: id.to_string(), class: "view", shards: (0..6).collect(), wait, text }
+    QueryRequest { id: id.to_string(), class: "view", shards: (0..6).collect(), wait, text }
 }
 
-fn all_merged(ledger: &Ledger, many: usize, log: &str) {
-    let ends = [Ended::Merged, Ended::Rejected, Ended::Aborted, Ended::Lost].map(|end| ledger.count(end));
-    let odd = ledger.odd();
-    assert_eq!(ledger.count(Ended::Merged), many as u64, "{ends:?}, odd {odd}; {log}");
+fn all_merged(ledger: &QueryLog, many: usize, log: &str) {
+    let ends = [QueryOutcome::Complete, QueryOutcome::Rejected, QueryOutcome::Aborted, QueryOutcome::Lost]
+        .map(|end| ledger.count(end));
+    let odd = ledger.unexpected_statuses();
+    assert_eq!(ledger.count(QueryOutcome::Complete), many as u64, "{ends:?}, odd {odd}; {log}");
 }
 
 /// The runtime took a read that brought less than it asked for as the end of what was there, and waited for more to come.
@@ -73,11 +74,11 @@
 fn reads_and_writes_cut_short_lose_no_request() {
     on_one_thread(LIMIT, async {
         let scene = Scene::start(3).await?;
-        scene.faults.set(Fault::ShortRead, 0.1)?;
-        scene.faults.set(Fault::ShortWrite, 0.1)?;
+        scene.faults.set(SyscallFault::ShortRead, 0.1)?;
+        scene.faults.set(SyscallFault::ShortWrite, 0.1)?;
         let ledger = scene.asks("short", 300).await;
         all_merged(&ledger, 300, &scene.process.log());
-        assert_eq!(scene.fleet.ledger.ran_again(""), 0, "none had to be asked again");
+        assert_eq!(scene.fleet.query_log.parts_run_again(""), 0, "none had to be asked again");
         Ok(())
     })
     .unwrap();
@@ -88,10 +89,10 @@
 fn interrupted_calls_lose_no_request() {
     on_one_thread(LIMIT, async {
         let scene = Scene::start(4).await?;
-        scene.faults.set(Fault::Interrupt, 0.1)?;
+        scene.faults.set(SyscallFault::Interrupt, 0.1)?;
         let ledger = scene.asks("interrupted", 300).await;
         all_merged(&ledger, 300, &scene.process.log());
-        assert_eq!(scene.fleet.ledger.ran_again(""), 0, "none had to be asked again");
+        assert_eq!(scene.fleet.query_log.parts_run_again(""), 0, "none had to be asked again");
         Ok(())
     })
     .unwrap();
@@ -106,22 +107,26 @@
         scene.asks("before", 20).await;
         for (n, fails_for) in [250, 700].into_iter().enumerate() {
             let id = format!("view-waits-{n}");
-            scene.faults.set(Fault::Accept, 1.0)?;
-            let ledger = Ledger::default();
+            scene.faults.set(SyscallFault::Accept, 1.0)?;
+            let ledger = QueryLog::default();
             let clients = Clients::new(scene.process.address, ledger.clone());
             let (asked, written) = (question(&id), Instant::now());
             let wait = asked.wait;
             let asking = tokio::task::spawn_local(async move { clients.ask(asked).await });
             tokio::time::sleep(Duration::from_millis(fails_for)).await;
-            scene.faults.set(Fault::Accept, 0.0)?;
+            scene.faults.set(SyscallFault::Accept, 0.0)?;
             asking.await?;
             all_merged(&ledger, 1, &scene.process.log());
-            let arrivals = scene.fleet.ledger.arrivals();
+            let arrivals = scene.fleet.query_log.arrivals();
             let came: Vec<_> = arrivals.iter().filter(|a| a.part.starts_with(&id)).collect();
             assert_eq!(came.len(), 6);
             for arrival in came {
                 let left = (written + wait).saturating_duration_since(arrival.at);
-                assert!(arrival.told <= left + SLACK, "told {:?}, left {left:?}", arrival.told);
+                assert!(
+                    arrival.stated_deadline <= left + SLACK,
+                    "told {:?}, left {left:?}",
+                    arrival.stated_deadline
+                );
             }
         }
         Ok(())
@@ -137,18 +142,18 @@
     told["settings"]["allowed"]["probing"] = false.into();
     told["settings"]["rules"] = serde_json::json!({"cold_from": 0.05, "cold_s": COLD.as_secs_f64(),
         "drain_grace_s": 2.0, "fall_s": 0.5, "overload_factor": 1.0});
-    let shim = Shim::build()?;
+    let shim = FaultLibrary::build()?;
     let faults = shim.for_process("one", 1)?;
     let process = Process::start_with(program(), told, faults.variables())?;
-    process.up().await?;
+    process.wait_until_ready().await?;
     source.until_watched().await;
-    let clients = Clients::new(process.address, Ledger::default());
+    let clients = Clients::new(process.address, QueryLog::default());
     let mut n = 0;
     let mut asks = async |old: &mut StandInReplica, new: &mut StandInReplica, lasts: Duration| {
         let (begun, mut counted) = (Instant::now(), [0, 0]);
         while begun.elapsed() < lasts {
             n += 1;
-            let asked = Question { shards: vec![0], ..question(&format!("view-{n}")) };
+            let asked = QueryRequest { shards: vec![0], ..question(&format!("view-{n}")) };
             let asking = clients.ask(asked);
             let mut asking = std::pin::pin!(asking);
             let call = tokio::select! {
@@ -201,12 +206,12 @@
     on_one_thread(LIMIT, async {
         let mut scene = Scene::start(6).await?;
         scene.asks("before", 20).await;
-        scene.faults.set(Fault::Accept, 0.6)?;
-        let (ledger, address) = (Ledger::default(), scene.process.address);
+        scene.faults.set(SyscallFault::Accept, 0.6)?;
+        let (ledger, address) = (QueryLog::default(), scene.process.address);
         let (mut tasks, begun, mut n) = (tokio::task::JoinSet::new(), Instant::now(), 0);
         let mut asked_to_end = false;
         let ended = loop {
-            if let Some(status) = scene.process.ended() {
+            if let Some(status) = scene.process.exit_status() {
                 break status;
             }
             assert!(begun.elapsed() < Duration::from_secs(12), "it does not end");
@@ -216,7 +221,7 @@
             }
             n += 1;
             let clients = Clients::new(address, ledger.clone());
-            let asked = Question { shards: vec![0], ..question(&format!("view-end-{n}")) };
+            let asked = QueryRequest { shards: vec![0], ..question(&format!("view-end-{n}")) };
             tasks.spawn_local(async move {
                 clients.ask(asked).await;
             });
@@ -225,7 +230,8 @@
         while tasks.join_next().await.is_some() {}
         assert!(ended.success(), "{ended:?}");
         let [merged, refused, lost] =
-            [Ended::Merged, Ended::Refused, Ended::Lost].map(|end| ledger.count(end));
+            [QueryOutcome::Complete, QueryOutcome::ConnectionRefused, QueryOutcome::Lost]
+                .map(|end| ledger.count(end));
         assert!(merged > 100 && refused > 0, "merged {merged}, refused {refused}, lost {lost}");
         // One may connect in the very moment in which the listener closes.
         assert!(lost <= 1, "{lost} of {n} got nothing; {}", scene.process.log());
@@ -239,15 +245,17 @@
 fn a_start_is_not_refused_for_calls_that_fail_for_a_while() {
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(7, WORK).await?;
-        let shim = Shim::build()?;
+        let shim = FaultLibrary::build()?;
         let faults = shim.for_process("one", 7)?;
-        for (fault, share) in [(Fault::Bind, 0.9), (Fault::Socket, 0.5), (Fault::Open, 0.9)] {
+        for (fault, share) in
+            [(SyscallFault::Bind, 0.9), (SyscallFault::Socket, 0.5), (SyscallFault::Open, 0.9)]
+        {
             faults.set(fault, share)?;
         }
         let told = fleet.node_config(7, 512, 3000)?;
         let mut process = Process::start_with(program(), told, faults.variables())?;
-        let up = tokio::time::timeout(Duration::from_secs(10), process.up()).await;
-        let ended = process.ended();
+        let up = tokio::time::timeout(Duration::from_secs(10), process.wait_until_ready()).await;
+        let ended = process.exit_status();
         assert!(matches!(up, Ok(Ok(()))) && ended.is_none(), "{ended:?}; {}", process.log());
         Ok(())
     })
@@ -261,17 +269,17 @@
         let replica = StandInReplica::start().await?;
         let rows = || vec![row("a", replica.address, 0, "active", 0)];
         let (old, new) = (Source::start(1, rows()).await?, Source::start(1, rows()).await?);
-        let shim = Shim::build()?;
+        let shim = FaultLibrary::build()?;
         let faults = shim.for_process("one", 8)?;
         let process = Process::start_with(program(), node_config(&old, 1, 256)?, faults.variables())?;
-        process.up().await?;
+        process.wait_until_ready().await?;
         old.until_watched().await;
-        faults.set(Fault::Open, 1.0)?;
-        process.node_config_with("/discovery", new.address.to_string().into())?;
+        faults.set(SyscallFault::Open, 1.0)?;
+        process.override_node_config("/discovery", new.address.to_string().into())?;
         process.signal(Signal::HUP)?;
         tokio::time::sleep(Duration::from_millis(1500)).await;
         assert_eq!(new.calls(), 0);
-        faults.set(Fault::Open, 0.0)?;
+        faults.set(SyscallFault::Open, 0.0)?;
         let watched = tokio::time::timeout(Duration::from_secs(2), new.until_watched()).await;
         assert!(watched.is_ok(), "discovery has not moved; {}", process.log());
         Ok(())
--- a/crates/pipitcrank-testkit/src/client.rs
+++ b/crates/pipitcrank-testkit/src/client.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: queries over connections that are kept, each answer read whole and entered in the ledger.
+//! Stand-in clients: queries over connections that are kept, each answer read whole and entered in the query log.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-use crate::ledger::{Ended, Ledger};
+use crate::query_log::{QueryLog, QueryOutcome};
 
 /// A final answer counts for so long after the client's time.
 const SLACK: Duration = Duration::from_millis(300);
 
 /// What a client asks.
 #[derive(Clone)]
-pub struct Question {
+pub struct QueryRequest {
     pub id: String,
     pub class: &'static str,
     pub shards: Vec<u32>,
@@ -24,11 +24,17 @@
     pub text: String,
 }
 
-impl Question {
+impl QueryRequest {
     /// One that is answered soon.
-    pub fn short(id: &str) -> Question {
+    pub fn short(id: &str) -> QueryRequest {
         let wait = Duration::from_secs(4);
-        Question { id: id.to_string(), class: "view", shards: vec![0, 1], wait, text: "short".to_string() }
+        QueryRequest {
+            id: id.to_string(),
+            class: "view",
+            shards: vec![0, 1],
+            wait,
+            text: "short".to_string(),
+        }
     }
 
     pub fn request(&self) -> String {
@@ -46,15 +52,15 @@
 }
 
 /// One answer: its status, body, and whether the connection goes on.
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub body: String,
-    pub keeps: bool,
+    pub keep_alive: bool,
 }
 
 /// Reads one answer; none where the connection ends before it is whole.
-pub async fn read_answer(from: &mut BufReader<TcpStream>) -> Option<Answer> {
-    let (mut status, mut length, mut keeps) = (0, 0, true);
+pub async fn read_response(from: &mut BufReader<TcpStream>) -> Option<HttpResponse> {
+    let (mut status, mut length, mut keep_alive) = (0, 0, true);
     loop {
         let mut line = String::new();
         if from.read_line(&mut line).await.ok()? == 0 {
@@ -66,23 +72,23 @@
         } else if let Some(n) = line.strip_prefix("content-length: ") {
             length = n.parse().ok()?;
         } else if line == "connection: close" {
-            keeps = false;
+            keep_alive = false;
         } else if line.is_empty() && status > 0 {
             break;
         }
     }
     let mut body = vec![0; length];
     from.read_exact(&mut body).await.ok()?;
-    Some(Answer { status, body: String::from_utf8(body).ok()?, keeps })
+    Some(HttpResponse { status, body: String::from_utf8(body).ok()?, keep_alive })
 }
 
-fn ended(answer: &Answer) -> Ended {
+fn ended(answer: &HttpResponse) -> QueryOutcome {
     match answer.status {
-        200 if answer.body.starts_with("{\"complete\":true") => Ended::Merged,
-        200 => Ended::MergedInPart,
-        503 => Ended::Rejected,
-        500 => Ended::Aborted,
-        other => Ended::Odd(other),
+        200 if answer.body.starts_with("{\"complete\":true") => QueryOutcome::Complete,
+        200 => QueryOutcome::Partial,
+        503 => QueryOutcome::Rejected,
+        500 => QueryOutcome::Aborted,
+        other => QueryOutcome::UnexpectedStatus(other),
     }
 }
 
@@ -90,7 +96,7 @@
 #[derive(Clone)]
 pub struct Clients {
     address: SocketAddr,
-    pub ledger: Ledger,
+    pub query_log: QueryLog,
     kept: Rc<RefCell<Vec<Kept>>>,
     /// Kept connections that were closed on them.
     pub closed: Rc<Cell<u64>>,
@@ -113,37 +119,36 @@
 }
 
 impl Clients {
-    pub fn new(address: SocketAddr, ledger: Ledger) -> Clients {
+    pub fn new(address: SocketAddr, query_log: QueryLog) -> Clients {
         let (kept, closed, closed_by_kill, kill) = Default::default();
-        Clients { address, ledger, kept, closed, closed_by_kill, kill }
+        Clients { address, query_log, kept, closed, closed_by_kill, kill }
     }
 
     /// The same connections, with the queries entered elsewhere.
-    pub fn entered_in(&self, ledger: Ledger) -> Clients {
-        Clients { ledger, ..self.clone() }
+    pub fn entered_in(&self, query_log: QueryLog) -> Clients {
+        Clients { query_log, ..self.clone() }
     }
 
     /// Asks, waits for the answer, and keeps the connection where it goes on.
-    pub async fn ask(&self, question: Question) -> Option<Answer> {
+    pub async fn ask(&self, query: QueryRequest) -> Option<HttpResponse> {
         let begun = Instant::now();
-        self.ledger.asked(&question.id, question.shards.len());
-        let (answer, how) = match tokio::time::timeout(question.wait + SLACK, self.exchange(&question)).await
-        {
+        self.query_log.asked(&query.id, query.shards.len());
+        let (answer, how) = match tokio::time::timeout(query.wait + SLACK, self.exchange(&query)).await {
             Ok(Ok(answer)) => {
                 let how = ended(&answer);
                 (Some(answer), how)
             }
             Ok(Err(how)) => (None, how),
-            Err(_) => (None, Ended::Lost),
+            Err(_) => (None, QueryOutcome::Lost),
         };
-        self.ledger.ended(&question.id, how, begun.elapsed());
+        self.query_log.ended(&query.id, how, begun.elapsed());
         answer
     }
 
     /// Asks, and replicas after a while without having read anything.
-    pub async fn ask_and_leave(&self, question: Question, after: Duration) {
+    pub async fn ask_and_disconnect(&self, query: QueryRequest, after: Duration) {
         if let Ok(mut stream) = connect(self.address).await {
-            let _ = stream.write_all(question.request().as_bytes()).await;
+            let _ = stream.write_all(query.request().as_bytes()).await;
             tokio::time::sleep(after).await;
         }
     }
@@ -155,7 +160,7 @@
             let clients = Clients { kept: Rc::default(), ..self.clone() };
             let id = format!("view-{name}-{n}");
             asking.spawn_local(async move {
-                clients.ask(Question::short(&id)).await;
+                clients.ask(QueryRequest::short(&id)).await;
                 clients.kept.take()
             });
         }
@@ -199,18 +204,18 @@
         }
     }
 
-    async fn exchange(&self, question: &Question) -> Result<Answer, Ended> {
+    async fn exchange(&self, query: &QueryRequest) -> Result<HttpResponse, QueryOutcome> {
         let mut kept = match self.kept_open() {
             Some(kept) => kept,
             None => {
-                let stream = connect(self.address).await.map_err(|_| Ended::Refused)?;
+                let stream = connect(self.address).await.map_err(|_| QueryOutcome::ConnectionRefused)?;
                 Kept { opened: Instant::now(), stream: BufReader::new(stream) }
             }
         };
         let stream = &mut kept.stream;
-        stream.get_mut().write_all(question.request().as_bytes()).await.map_err(|_| Ended::Lost)?;
-        let answer = read_answer(stream).await.ok_or(Ended::Lost)?;
-        if answer.keeps {
+        stream.get_mut().write_all(query.request().as_bytes()).await.map_err(|_| QueryOutcome::Lost)?;
+        let answer = read_response(stream).await.ok_or(QueryOutcome::Lost)?;
+        if answer.keep_alive {
             self.kept.borrow_mut().push(kept);
         } else {
             // In order, with an answer: no kill's.
@@ -227,30 +232,30 @@
 }
 
 /// A connection that a client holds for itself, to write to it as it likes.
-pub struct Lone {
+pub struct DedicatedConnection {
     stream: BufReader<TcpStream>,
-    ledger: Ledger,
+    query_log: QueryLog,
 }
 
-impl Lone {
-    pub async fn connect(address: SocketAddr, ledger: Ledger) -> std::io::Result<Lone> {
-        Ok(Lone::on(connect(address).await?, ledger))
+impl DedicatedConnection {
+    pub async fn connect(address: SocketAddr, query_log: QueryLog) -> std::io::Result<DedicatedConnection> {
+        Ok(DedicatedConnection::on(connect(address).await?, query_log))
     }
 
-    pub fn on(stream: TcpStream, ledger: Ledger) -> Lone {
-        Lone { stream: BufReader::new(stream), ledger }
+    pub fn on(stream: TcpStream, query_log: QueryLog) -> DedicatedConnection {
+        DedicatedConnection { stream: BufReader::new(stream), query_log }
     }
 
     /// Asks in pieces, cut at these bytes, waiting as told before each but the first.
-    pub async fn ask_in_pieces(&mut self, question: Question, cuts: &[(usize, Duration)]) -> Ended {
-        self.ledger.asked(&question.id, question.shards.len());
-        let request = question.request();
+    pub async fn ask_in_pieces(&mut self, query: QueryRequest, cuts: &[(usize, Duration)]) -> QueryOutcome {
+        self.query_log.asked(&query.id, query.shards.len());
+        let request = query.request();
         let mut from = 0;
         let mut how = None;
         for &(cut, pause) in cuts {
             let cut = cut.clamp(from, request.len());
             if self.stream.get_mut().write_all(&request.as_bytes()[from..cut]).await.is_err() {
-                how = Some(Ended::Lost);
+                how = Some(QueryOutcome::Lost);
             }
             from = cut;
             tokio::time::sleep(pause).await;
@@ -258,11 +263,11 @@
         // What the client itself waited is not ours.
         let begun = Instant::now();
         if self.stream.get_mut().write_all(&request.as_bytes()[from..]).await.is_err() {
-            how = Some(Ended::Lost);
+            how = Some(QueryOutcome::Lost);
         }
-        let answered = tokio::time::timeout(question.wait + SLACK, read_answer(&mut self.stream)).await;
-        let how = how.unwrap_or_else(|| answered.ok().flatten().map_or(Ended::Lost, |a| ended(&a)));
-        self.ledger.ended(&question.id, how, begun.elapsed());
+        let answered = tokio::time::timeout(query.wait + SLACK, read_response(&mut self.stream)).await;
+        let how = how.unwrap_or_else(|| answered.ok().flatten().map_or(QueryOutcome::Lost, |a| ended(&a)));
+        self.query_log.ended(&query.id, how, begun.elapsed());
         how
     }
 
@@ -273,12 +278,12 @@
 }
 
 /// A plain GET; none where it is not answered in time.
-pub async fn get(address: SocketAddr, path: &str) -> Option<Answer> {
+pub async fn get(address: SocketAddr, path: &str) -> Option<HttpResponse> {
     let asked = async {
         let mut stream = BufReader::new(connect(address).await.ok()?);
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         stream.get_mut().write_all(request.as_bytes()).await.ok()?;
-        read_answer(&mut stream).await
+        read_response(&mut stream).await
     };
     tokio::time::timeout(Duration::from_secs(3), asked).await.ok().flatten()
 }
--- a/crates/pipitcrank-testkit/src/net.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network.rs
@@ -18,7 +18,7 @@
 
 /// How the way from one copy to another is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Drops {
+pub struct DatagramFaults {
     /// Share lost, and share that comes twice.
     pub loss: f64,
     pub doubled: f64,
@@ -28,31 +28,32 @@
     pub silent: bool,
 }
 
-impl Drops {
-    pub const NONE: Drops = Drops { loss: 0.0, doubled: 0.0, delay: Duration::ZERO, silent: false };
+impl DatagramFaults {
+    pub const NONE: DatagramFaults =
+        DatagramFaults { loss: 0.0, doubled: 0.0, delay: Duration::ZERO, silent: false };
 }
 
 struct Shared {
     /// Where copies really listen, by place.
     real: RefCell<Vec<SocketAddr>>,
-    ways: RefCell<BTreeMap<(usize, usize), Drops>>,
-    all: Cell<Drops>,
-    chance: RefCell<Pcg64>,
+    ways: RefCell<BTreeMap<(usize, usize), DatagramFaults>>,
+    all: Cell<DatagramFaults>,
+    rng: RefCell<Pcg64>,
     passed: Cell<u64>,
     bytes: Cell<u64>,
     lost: Cell<u64>,
 }
 
 #[derive(Clone)]
-pub struct Net(Rc<Shared>);
+pub struct DatagramNetwork(Rc<Shared>);
 
-impl Net {
-    pub fn new(seed: u64) -> Net {
-        Net(Rc::new(Shared {
+impl DatagramNetwork {
+    pub fn new(seed: u64) -> DatagramNetwork {
+        DatagramNetwork(Rc::new(Shared {
             real: RefCell::default(),
             ways: RefCell::default(),
-            all: Cell::new(Drops::NONE),
-            chance: RefCell::new(Pcg64::seed_from_u64(seed)),
+            all: Cell::new(DatagramFaults::NONE),
+            rng: RefCell::new(Pcg64::seed_from_u64(seed)),
             passed: Cell::new(0),
             bytes: Cell::new(0),
             lost: Cell::new(0),
@@ -78,13 +79,13 @@
     }
 
     /// How the way from one copy to another is from now on.
-    pub fn way(&self, from: usize, to: usize, drops: Drops) {
-        self.0.ways.borrow_mut().insert((from, to), drops);
+    pub fn way(&self, from: usize, to: usize, faults: DatagramFaults) {
+        self.0.ways.borrow_mut().insert((from, to), faults);
     }
 
     /// How all ways are that are not set by themselves.
-    pub fn all(&self, drops: Drops) {
-        self.0.all.set(drops);
+    pub fn all(&self, faults: DatagramFaults) {
+        self.0.all.set(faults);
     }
 
     /// Parts a set from all others, both ways.
@@ -92,14 +93,14 @@
         let count = self.0.real.borrow().len();
         for a in 0..count {
             for b in (0..count).filter(|b| set.contains(&a) != set.contains(b)) {
-                self.way(a, b, Drops { silent: true, ..Drops::NONE });
+                self.way(a, b, DatagramFaults { silent: true, ..DatagramFaults::NONE });
             }
         }
     }
 
     pub fn heal(&self) {
         self.0.ways.borrow_mut().clear();
-        self.0.all.set(Drops::NONE);
+        self.0.all.set(DatagramFaults::NONE);
     }
 
     /// Datagrams passed, their bytes, and datagrams lost on purpose.
@@ -113,22 +114,22 @@
         // Who is no copy, such as an operator's command, is not the faults' business.
         let sender = self.real.borrow().iter().position(|real| *real == from);
         let way = sender.and_then(|from| self.ways.borrow().get(&(from, to)).copied());
-        let drops = if sender.is_none() { Drops::NONE } else { way.unwrap_or(self.all.get()) };
-        let mut chance = self.chance.borrow_mut();
-        if drops.silent || chance.random_bool(drops.loss) {
+        let faults = if sender.is_none() { DatagramFaults::NONE } else { way.unwrap_or(self.all.get()) };
+        let mut rng = self.rng.borrow_mut();
+        if faults.silent || rng.random_bool(faults.loss) {
             self.lost.set(self.lost.get() + 1);
             return;
         }
-        let copies = if chance.random_bool(drops.doubled) { 2 } else { 1 };
+        let copies = if rng.random_bool(faults.doubled) { 2 } else { 1 };
         let real = self.real.borrow()[to];
         for _ in 0..copies {
             self.passed.set(self.passed.get() + 1);
             self.bytes.set(self.bytes.get() + bytes.len() as u64);
-            if drops.delay == Duration::ZERO {
+            if faults.delay == Duration::ZERO {
                 let _ = socket.try_send_to(bytes, real);
                 continue;
             }
-            let held = drops.delay.mul_f64(chance.random::<f64>());
+            let held = faults.delay.mul_f64(rng.random::<f64>());
             let (socket, bytes) = (socket.clone(), bytes.to_vec());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(held).await;
--- a/crates/pipitcrank-testkit/src/net/tests.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network/tests.rs
@@ -3,11 +3,11 @@
 #[test]
 fn each_direction_has_its_own_faults() {
     let run = async {
-        let net = Net::new(1);
+        let net = DatagramNetwork::new(1);
         let (a, b) = (UdpSocket::bind("127.0.0.1:0").await?, UdpSocket::bind("127.0.0.1:0").await?);
         let (to_a, to_b) = (net.relay(a.local_addr()?).await?, net.relay(b.local_addr()?).await?);
-        net.way(0, 1, Drops { silent: true, ..Drops::NONE });
-        net.way(1, 0, Drops { doubled: 1.0, ..Drops::NONE });
+        net.way(0, 1, DatagramFaults { silent: true, ..DatagramFaults::NONE });
+        net.way(1, 0, DatagramFaults { doubled: 1.0, ..DatagramFaults::NONE });
         let mut bytes = [0; 9];
         a.send_to(b"lost", to_b).await?;
         b.send_to(b"twice", to_a).await?;
@@ -17,7 +17,7 @@
         net.heal();
         a.send_to(b"passes", to_b).await?;
         assert_eq!(b.recv(&mut bytes).await?, 6, "and what was lost stays lost");
-        net.all(Drops { loss: 1.0, ..Drops::NONE });
+        net.all(DatagramFaults { loss: 1.0, ..DatagramFaults::NONE });
         a.send_to(b"lost", to_b).await?;
         tokio::time::sleep(Duration::from_millis(20)).await;
         assert_eq!((net.counts().0, net.counts().2), (3, 2));
--- a/crates/pipitcrank-testkit/src/demo.rs
+++ b/crates/pipitcrank-testkit/src/demo.rs
@@ -9,9 +9,9 @@
 use rand_pcg::Pcg64;
 
 use crate::client::Clients;
-use crate::fleet::{Fleet, question};
-use crate::ledger::{Ended, Ledger};
+use crate::fleet::{Fleet, random_query};
 use crate::process::Process;
+use crate::query_log::{QueryLog, QueryOutcome};
 use crate::replica::Work;
 use crate::trial::on_one_thread;
 
@@ -25,19 +25,19 @@
         println!("starting 12 stand-in leaves, discovery and one co-ordinator on loopback");
         let fleet = Fleet::start(seed, Work { usual: Duration::from_millis(10), at_once: 16 }).await?;
         let process = Process::start(program, fleet.node_config(seed, 1024, 2000)?, None).await?;
-        let mut chance = Pcg64::seed_from_u64(seed);
-        let ledgers = ["view", "rank", "sale"].map(|v| (v, Ledger::default()));
+        let mut rng = Pcg64::seed_from_u64(seed);
+        let query_logs = ["view", "rank", "sale"].map(|v| (v, QueryLog::default()));
         let mut tasks = tokio::task::JoinSet::new();
         println!("asking {QUERIES} queries; leaf 5 is killed half way");
-        let all = Clients::new(process.address, Ledger::default());
+        let all = Clients::new(process.address, QueryLog::default());
         for n in 0..QUERIES {
             if n == QUERIES / 2 {
                 fleet.replicas[5].kill();
             }
-            let question = question("demo", n, 0.0, &mut chance);
-            let ledger = ledgers.iter().find(|(v, _)| *v == question.class).map(|(_, l)| l.clone());
-            let clients = all.entered_in(ledger.unwrap_or_default());
-            tasks.spawn_local(async move { clients.ask(question).await });
+            let query = random_query("demo", n, 0.0, &mut rng);
+            let query_log = query_logs.iter().find(|(v, _)| *v == query.class).map(|(_, l)| l.clone());
+            let clients = all.entered_in(query_log.unwrap_or_default());
+            tasks.spawn_local(async move { clients.ask(query).await });
             tokio::time::sleep(PAUSE).await;
         }
         while tasks.join_next().await.is_some() {}
@@ -46,9 +46,14 @@
             "vertical", "asked", "whole", "in part", "rejected", "aborted", "half, ms", "99%, ms"
         );
         let mut answered = 0;
-        for (class, l) in &ledgers {
-            let ends =
-                [Ended::Merged, Ended::MergedInPart, Ended::Rejected, Ended::Aborted].map(|e| l.count(e));
+        for (class, l) in &query_logs {
+            let ends = [
+                QueryOutcome::Complete,
+                QueryOutcome::Partial,
+                QueryOutcome::Rejected,
+                QueryOutcome::Aborted,
+            ]
+            .map(|e| l.count(e));
             answered += ends.iter().sum::<u64>();
             let [whole, part, rejected, aborted] = ends;
             println!(
@@ -58,13 +63,13 @@
                 l.within(0.99)
             );
         }
-        let calls = process.count("frames calls_sent").await.unwrap_or(0);
+        let calls = process.counter("frames calls_sent").await.unwrap_or(0);
         println!(
             "{calls} leaf calls carried {} parts to the leaves; {} sales ran twice",
-            fleet.ledger.runs(),
-            fleet.ledger.ran_again("sale-")
+            fleet.query_log.runs(),
+            fleet.query_log.parts_run_again("sale-")
         );
-        let held = answered == QUERIES && fleet.ledger.ran_again("sale-") == 0;
+        let held = answered == QUERIES && fleet.query_log.parts_run_again("sale-") == 0;
         println!(
             "{}",
             if held { "every query got one final answer" } else { "not every query got its answer" }
--- a/crates/pipitcrank-testkit/src/discovery.rs
+++ b/crates/pipitcrank-testkit/src/discovery.rs
@@ -51,12 +51,12 @@
     }
 
     /// The first list, as a node configuration names it.
-    pub fn known(&self) -> Value {
+    pub fn initial_list(&self) -> Value {
         self.first.clone()
     }
 
     /// Watches are told of a changed row.
-    pub fn changes(&self, row: Value) {
+    pub fn update_row(&self, row: Value) {
         {
             let mut now = self.now.borrow_mut();
             now.retain(|r| r["uid"] != row["uid"]);
@@ -64,16 +64,16 @@
                 now.push(row.clone());
             }
         }
-        self.tells(|rev| list(rev, false, vec![row]).to_string());
+        self.publish(|rev| list(rev, false, vec![row]).to_string());
     }
 
     /// Watches are told of a whole new list, indented.
-    pub fn is_now(&self, rows: Vec<Value>) {
+    pub fn replace_list(&self, rows: Vec<Value>) {
         *self.now.borrow_mut() = rows.clone();
-        self.tells(|rev| format!("{:#}", list(rev, true, rows)));
+        self.publish(|rev| format!("{:#}", list(rev, true, rows)));
     }
 
-    fn tells(&self, what: impl FnOnce(usize) -> String) {
+    fn publish(&self, what: impl FnOnce(usize) -> String) {
         let rev = self.changes.borrow().len() + 2;
         self.changes.borrow_mut().push(what(rev));
         self.newest.send_replace(rev);
--- a/crates/pipitcrank-testkit/src/fleet.rs
+++ b/crates/pipitcrank-testkit/src/fleet.rs
@@ -11,9 +11,9 @@
 use rand_pcg::Pcg64;
 use serde_json::{Value, json};
 
-use crate::client::{Clients, Question};
+use crate::client::{Clients, QueryRequest};
 use crate::discovery::{Discovery, row};
-use crate::ledger::{Ended, Ledger};
+use crate::query_log::{QueryLog, QueryOutcome};
 use crate::replica::{StandInReplica, Work};
 
 /// Cells, and replicas a cell; a shard is held by two cells.
@@ -24,35 +24,35 @@
 pub struct Fleet {
     pub replicas: Vec<StandInReplica>,
     pub discovery: Discovery,
-    pub ledger: Ledger,
+    pub query_log: QueryLog,
 }
 
 impl Fleet {
     pub async fn start(seed: u64, work: Work) -> Result<Fleet> {
-        Fleet::start_with(seed, work, Ledger::default()).await
+        Fleet::start_with(seed, work, QueryLog::default()).await
     }
 
-    /// With what its replicas run entered in a ledger that others share.
-    pub async fn start_with(seed: u64, work: Work, ledger: Ledger) -> Result<Fleet> {
+    /// With what its replicas run entered in a query log that others share.
+    pub async fn start_with(seed: u64, work: Work, query_log: QueryLog) -> Result<Fleet> {
         let (mut replicas, mut rows) = (Vec::new(), Vec::new());
         for n in 0..CELLS * REPLICAS_A_CELL {
-            let replica = StandInReplica::start(seed ^ u64::from(n) << 32, work, ledger.clone()).await?;
+            let replica = StandInReplica::start(seed ^ u64::from(n) << 32, work, query_log.clone()).await?;
             rows.push(row(&format!("leaf-{n}"), replica.address, n % CELLS, "active", 0));
             replicas.push(replica);
         }
-        Ok(Fleet { replicas, discovery: Discovery::start(rows).await?, ledger })
+        Ok(Fleet { replicas, discovery: Discovery::start(rows).await?, query_log })
     }
 
     /// Tells that the replica drains, or is back.
-    pub fn drains(&self, replica: usize, state: &str) {
+    pub fn set_replica_state(&self, replica: usize, state: &str) {
         let address = self.replicas[replica].address;
-        self.discovery.changes(row(&format!("leaf-{replica}"), address, replica as u32 % CELLS, state, 0));
+        self.discovery.update_row(row(&format!("leaf-{replica}"), address, replica as u32 % CELLS, state, 0));
     }
 
     /// What a co-ordinator of this fleet is told; it listens on an address free a moment ago.
     pub fn node_config(&self, seed: u64, sockets: u32, max_open: u32) -> Result<Value> {
         let discovery = &self.discovery;
-        node_config_of(discovery.address, discovery.known(), CELLS, SHARDS, seed, sockets, max_open)
+        node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, seed, sockets, max_open)
     }
 }
 
@@ -97,11 +97,11 @@
 }
 
 /// What a query earned, and might have: whole within the SLO time all, in part nine tenths of the least share, late 0.3.
-pub fn worth(id: &str, how: Ended, took: Duration) -> (f64, f64) {
+pub fn worth(id: &str, how: QueryOutcome, took: Duration) -> (f64, f64) {
     let (all, slo) = utility(id.split('-').next().unwrap_or(""));
     let share = match how {
-        Ended::Merged => 1.0,
-        Ended::MergedInPart => 0.9 * 0.8,
+        QueryOutcome::Complete => 1.0,
+        QueryOutcome::Partial => 0.9 * 0.8,
         _ => 0.0,
     };
     (all * share * if took <= slo { 1.0 } else { 0.3 }, all)
@@ -128,17 +128,17 @@
         let going = Rc::new(Cell::new(true));
         let (name, on) = (name.to_string(), going.clone());
         let task = tokio::task::spawn_local(async move {
-            let mut chance = Pcg64::seed_from_u64(seed);
+            let mut rng = Pcg64::seed_from_u64(seed);
             let (start, mut due, mut n) = (Instant::now(), 0.0, 0);
             let mut tasks = tokio::task::JoinSet::new();
             while on.get() {
-                due += -(1.0 - chance.random::<f64>()).ln() / rate;
-                let question = question(&name, n, slow_sales, &mut chance);
+                due += -(1.0 - rng.random::<f64>()).ln() / rate;
+                let query = random_query(&name, n, slow_sales, &mut rng);
                 n += 1;
                 tokio::time::sleep_until((start + Duration::from_secs_f64(due)).into()).await;
                 let clients = clients.clone();
                 tasks.spawn_local(async move {
-                    clients.ask(question).await;
+                    clients.ask(query).await;
                 });
                 while tasks.try_join_next().is_some() {}
             }
@@ -155,22 +155,22 @@
     }
 }
 
-pub fn question(name: &str, n: u64, slow_sales: f64, chance: &mut Pcg64) -> Question {
-    let kind: f64 = chance.random();
-    let some = |chance: &mut Pcg64, count: u32| {
-        let first = chance.random_range(0..SHARDS);
+pub fn random_query(name: &str, n: u64, slow_sales: f64, rng: &mut Pcg64) -> QueryRequest {
+    let kind: f64 = rng.random();
+    let some = |rng: &mut Pcg64, count: u32| {
+        let first = rng.random_range(0..SHARDS);
         (0..count).map(|i| (first + i) % SHARDS).collect()
     };
     let (class, shards): (_, Vec<u32>) = if kind < 0.55 {
-        let count = chance.random_range(4..=6);
-        ("view", some(chance, count))
+        let count = rng.random_range(4..=6);
+        ("view", some(rng, count))
     } else if kind < 0.78 {
-        ("rank", some(chance, SHARDS))
+        ("rank", some(rng, SHARDS))
     } else {
-        ("sale", some(chance, 1))
+        ("sale", some(rng, 1))
     };
-    let slow = class == "sale" && chance.random_bool(slow_sales);
-    let text = if slow { format!("lasts={}", chance.random_range(1000..2000)) } else { format!("text {n}") };
+    let slow = class == "sale" && rng.random_bool(slow_sales);
+    let text = if slow { format!("lasts={}", rng.random_range(1000..2000)) } else { format!("text {n}") };
     let wait = Duration::from_millis(4000);
-    Question { id: format!("{class}-{name}-{n}"), class, shards, wait, text }
+    QueryRequest { id: format!("{class}-{name}-{n}"), class, shards, wait, text }
 }
--- a/crates/pipitcrank-testkit/src/link.rs
+++ b/crates/pipitcrank-testkit/src/link.rs
@@ -20,7 +20,7 @@
 
 /// How the way is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Way {
+pub struct LinkConditions {
     /// One way.
     pub delay: Duration,
     /// Up to so much more, by chance.
@@ -30,19 +30,19 @@
     pub stalled_back: bool,
 }
 
-impl Way {
-    pub fn of(round_trip: Duration) -> Way {
+impl LinkConditions {
+    pub fn of(round_trip: Duration) -> LinkConditions {
         let delay = round_trip / 2;
-        Way { delay, spread: delay / 10, stalled_there: false, stalled_back: false }
+        LinkConditions { delay, spread: delay / 10, stalled_there: false, stalled_back: false }
     }
 }
 
 struct Shared {
-    way: Cell<Way>,
+    way: Cell<LinkConditions>,
     down: Cell<bool>,
     cut: Notify,
     changed: Notify,
-    chance: RefCell<Pcg64>,
+    rng: RefCell<Pcg64>,
     bytes: Cell<u64>,
     /// Of the next connection's bytes there so many pass, then it is cut.
     cut_after: Cell<Option<usize>>,
@@ -56,7 +56,7 @@
 
 impl Link {
     /// From a new address to that one.
-    pub async fn start(seed: u64, to: SocketAddr, way: Way) -> Result<Link> {
+    pub async fn start(seed: u64, to: SocketAddr, way: LinkConditions) -> Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let shared = Rc::new(Shared {
@@ -64,7 +64,7 @@
             down: Cell::new(false),
             cut: Notify::new(),
             changed: Notify::new(),
-            chance: RefCell::new(Pcg64::seed_from_u64(seed)),
+            rng: RefCell::new(Pcg64::seed_from_u64(seed)),
             bytes: Cell::new(0),
             cut_after: Cell::new(None),
         });
@@ -86,7 +86,7 @@
         Ok(Link { address, shared })
     }
 
-    pub fn turns(&self, way: Way) {
+    pub fn set_conditions(&self, way: LinkConditions) {
         self.shared.way.set(way);
         self.shared.changed.notify_waiters();
     }
@@ -130,7 +130,7 @@
     shared: &Rc<Shared>,
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    stalled: fn(&Way) -> bool,
+    stalled: fn(&LinkConditions) -> bool,
     mut passes: Option<usize>,
 ) {
     let (way_in, mut way_out) = mpsc::channel::<(Instant, Vec<u8>)>(PIECES);
@@ -142,7 +142,7 @@
             piece.truncate(n);
             shared.bytes.set(shared.bytes.get() + n as u64);
             let way = shared.way.get();
-            let more = way.spread.mul_f64(shared.chance.borrow_mut().random::<f64>());
+            let more = way.spread.mul_f64(shared.rng.borrow_mut().random::<f64>());
             // Never before what went ahead of it.
             latest = latest.max(Instant::now() + way.delay + more);
             if way_in.send((latest, piece)).await.is_err() {
--- a/crates/pipitcrank-testkit/src/process.rs
+++ b/crates/pipitcrank-testkit/src/process.rs
@@ -38,26 +38,35 @@
     child: Child,
     pub address: SocketAddr,
     pub program: PathBuf,
-    pub node_config: PathBuf,
+    pub node_config_path: PathBuf,
     pub folder: Folder,
-    told: Value,
+    node_config: Value,
     /// Variables it is started with, beside its own.
     variables: Vec<(String, String)>,
 }
 
+/// What a process and its workers hold together.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ResourceUsage {
+    /// Resident memory, in kilobytes.
+    pub memory_kb: u64,
+    /// Open file descriptors.
+    pub descriptors: u64,
+}
+
 /// Times of an upgrade's steps, in seconds.
 #[derive(Clone, Copy)]
-pub struct Steps {
+pub struct UpgradeTimes {
     pub start: f64,
     pub settle: f64,
     pub silent: f64,
     pub finish: f64,
 }
 
-impl Steps {
+impl UpgradeTimes {
     /// An operators' file that turns upgrades on.
     pub fn file(self) -> Option<String> {
-        let Steps { start, settle, silent, finish } = self;
+        let UpgradeTimes { start, settle, silent, finish } = self;
         Some(format!(
             "{{ upgrade = Some {{ start_s = {start:?}, settle_s = {settle:?}, silent_s = {silent:?}, finish_s = {finish:?} }} }}"
         ))
@@ -65,39 +74,43 @@
 }
 
 impl Process {
-    /// Starts a copy of the program. `told` is the node configuration; `operators` is the operators' file, if there is one. What it logs goes to `log` in its
+    /// Starts a copy of the program. `node_config` is the node configuration; `operators` is the operators' file, if there is one. What it logs goes to `log` in its
     /// folder.
-    pub async fn start(program: &Path, told: Value, operators: Option<String>) -> Result<Process> {
+    pub async fn start(program: &Path, node_config: Value, operators: Option<String>) -> Result<Process> {
         let folder = Folder::new("serve")?;
         let own = folder.path().join("pipitcrank");
         std::fs::copy(program, &own).context("the program can't be copied")?;
-        let process = Process::begin(own, folder, told, operators, Vec::new())?;
-        process.up().await?;
+        let process = Process::begin(own, folder, node_config, operators, Vec::new())?;
+        process.wait_until_ready().await?;
         Ok(process)
     }
 
     /// Starts the program where it is, with those variables, and does not wait until it serves.
-    pub fn start_with(program: &Path, told: Value, variables: Vec<(String, String)>) -> Result<Process> {
-        Process::begin(program.to_path_buf(), Folder::new("serve")?, told, None, variables)
+    pub fn start_with(
+        program: &Path,
+        node_config: Value,
+        variables: Vec<(String, String)>,
+    ) -> Result<Process> {
+        Process::begin(program.to_path_buf(), Folder::new("serve")?, node_config, None, variables)
     }
 
     fn begin(
         program: PathBuf,
         folder: Folder,
-        told: Value,
+        node_config: Value,
         operators: Option<String>,
         variables: Vec<(String, String)>,
     ) -> Result<Process> {
-        let node_config = folder.path().join("charter.json");
-        let address: SocketAddr = told["listen"].as_str().context("/listen")?.parse()?;
-        std::fs::write(&node_config, told.to_string())?;
-        let child = Process::spawn(&program, &node_config, folder.path(), operators, &variables)?;
-        Ok(Process { child, address, program, node_config, folder, told, variables })
+        let node_config_path = folder.path().join("charter.json");
+        let address: SocketAddr = node_config["listen"].as_str().context("/listen")?.parse()?;
+        std::fs::write(&node_config_path, node_config.to_string())?;
+        let child = Process::spawn(&program, &node_config_path, folder.path(), operators, &variables)?;
+        Ok(Process { child, address, program, node_config_path, folder, node_config, variables })
     }
 
     fn spawn(
         program: &Path,
-        node_config: &Path,
+        node_config_path: &Path,
         folder: &Path,
         operators: Option<String>,
         variables: &[(String, String)],
@@ -107,7 +120,7 @@
         command
             .arg("serve")
             .envs(variables.iter().cloned())
-            .env("NODE_CONFIG", node_config)
+            .env("NODE_CONFIG", node_config_path)
             .stdin(Stdio::null())
             .stderr(log);
         if let Some(text) = operators {
@@ -128,20 +141,25 @@
     }
 
     /// Starts it anew after its end, as it was.
-    pub async fn start_again(&mut self, operators: Option<String>) -> Result<()> {
-        self.begin_again(operators)?;
-        self.up().await
+    pub async fn restart(&mut self, operators: Option<String>) -> Result<()> {
+        self.spawn_again(operators)?;
+        self.wait_until_ready().await
     }
 
     /// The same, without waiting until it serves.
-    pub fn begin_again(&mut self, operators: Option<String>) -> Result<()> {
-        self.child =
-            Process::spawn(&self.program, &self.node_config, self.folder.path(), operators, &self.variables)?;
+    pub fn spawn_again(&mut self, operators: Option<String>) -> Result<()> {
+        self.child = Process::spawn(
+            &self.program,
+            &self.node_config_path,
+            self.folder.path(),
+            operators,
+            &self.variables,
+        )?;
         Ok(())
     }
 
     /// Waits until it serves.
-    pub async fn up(&self) -> Result<()> {
+    pub async fn wait_until_ready(&self) -> Result<()> {
         let until = Instant::now() + Duration::from_secs(20);
         while Instant::now() < until {
             if client::get(self.address, "/up").await.is_some_and(|a| a.status == 200) {
@@ -162,7 +180,7 @@
     }
 
     /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
@@ -175,11 +193,11 @@
     }
 
     /// Processor time used by it and its workers that live, in seconds.
-    pub fn processor_s(&self) -> f64 {
-        self.workers().into_iter().chain([self.pid()]).map(|pid| self.processor_of(pid)).sum()
+    pub fn cpu_seconds(&self) -> f64 {
+        self.workers().into_iter().chain([self.pid()]).map(|pid| self.cpu_seconds_of(pid)).sum()
     }
 
-    fn processor_of(&self, pid: i32) -> f64 {
+    fn cpu_seconds_of(&self, pid: i32) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
         // The 14th and 15th field (proc(5)) in ticks of a hundredth of a second; two stand before the bracket.
@@ -187,10 +205,10 @@
         ticks as f64 / 100.0
     }
 
-    pub async fn end(&mut self, within: Duration) -> Option<ExitStatus> {
+    pub async fn wait_for_exit(&mut self, within: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + within;
         while Instant::now() < until {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.exit_status() {
                 return Some(status);
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -208,34 +226,34 @@
         found
     }
 
-    /// Kilobytes resident and descriptors open, of it and its workers together.
-    pub fn holds(&self) -> (u64, u64) {
-        let mut sum = (0, 0);
+    /// Memory and descriptors of the process and its workers together.
+    pub fn resource_usage(&self) -> ResourceUsage {
+        let mut sum = ResourceUsage::default();
         for pid in self.workers().into_iter().chain([self.pid()]) {
             let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
             let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-            sum.0 += line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
-            sum.1 += std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |d| d.count() as u64);
+            sum.memory_kb += line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
+            sum.descriptors += std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |d| d.count() as u64);
         }
         sum
     }
 
     /// One counter's line.
-    pub async fn count(&self, what: &str) -> Option<u64> {
+    pub async fn counter(&self, what: &str) -> Option<u64> {
         let answer = client::get(self.address, "/counters").await.filter(|a| a.status == 200)?;
         let line = answer.body.lines().find_map(|l| l.strip_prefix(what)?.strip_prefix(' '));
         Some(line.and_then(|n| n.trim().parse().ok()).unwrap_or(0))
     }
 
     /// The node configuration with one key changed, as it is read at the next start.
-    pub fn node_config_with(&self, key: &str, value: Value) -> Result<()> {
-        let mut told = self.told.clone();
-        *told.pointer_mut(key).context("a key of the charter")? = value;
-        Ok(std::fs::write(&self.node_config, told.to_string())?)
+    pub fn override_node_config(&self, key: &str, value: Value) -> Result<()> {
+        let mut node_config = self.node_config.clone();
+        *node_config.pointer_mut(key).context("a key of the charter")? = value;
+        Ok(std::fs::write(&self.node_config_path, node_config.to_string())?)
     }
 
-    pub fn node_config_as_it_was(&self) -> Result<()> {
-        Ok(std::fs::write(&self.node_config, self.told.to_string())?)
+    pub fn restore_node_config(&self) -> Result<()> {
+        Ok(std::fs::write(&self.node_config_path, self.node_config.to_string())?)
     }
 
     pub fn log(&self) -> String {
--- a/crates/pipitcrank-testkit/src/ledger.rs
+++ b/crates/pipitcrank-testkit/src/query_log.rs
@@ -10,19 +10,34 @@
 
 /// How a query ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ended {
-    Merged,
-    MergedInPart,
+pub enum QueryOutcome {
+    Complete,
+    Partial,
     Rejected,
     Aborted,
     /// Another status: the stand-in client's own fault, or ours.
-    Odd(u16),
+    UnexpectedStatus(u16),
     /// The connection could not be opened.
-    Refused,
+    ConnectionRefused,
     /// The connection ended without an answer, or none came in time.
     Lost,
 }
 
+/// The spelling that the trials' promises print; staff match on it.
+impl std::fmt::Display for QueryOutcome {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            QueryOutcome::Complete => f.write_str("Merged"),
+            QueryOutcome::Partial => f.write_str("MergedInPart"),
+            QueryOutcome::Rejected => f.write_str("Rejected"),
+            QueryOutcome::Aborted => f.write_str("Aborted"),
+            QueryOutcome::UnexpectedStatus(status) => write!(f, "Odd({status})"),
+            QueryOutcome::ConnectionRefused => f.write_str("Refused"),
+            QueryOutcome::Lost => f.write_str("Lost"),
+        }
+    }
+}
+
 /// A part as it came to a replica.
 #[derive(Clone)]
 pub struct Arrival {
@@ -30,10 +45,10 @@
     pub at: Instant,
     pub replica: SocketAddr,
     /// The time that the co-ordinator says it waits.
-    pub told: Duration,
+    pub stated_deadline: Duration,
 }
 
-struct Books {
+struct QueryLogState {
     start: Instant,
     /// Where arrivals are kept: all so far.
     arrivals: Option<Vec<Arrival>>,
@@ -42,7 +57,7 @@
     /// When parts ran that had run before.
     further: Vec<Duration>,
     /// By query: how it ended. One that is here without an end is open.
-    queries: BTreeMap<String, Option<Ended>>,
+    queries: BTreeMap<String, Option<QueryOutcome>>,
     /// Queries answered more than once.
     answered_twice: u64,
     /// By part: how often a replica ran it.
@@ -58,11 +73,11 @@
 }
 
 #[derive(Clone)]
-pub struct Ledger(Rc<RefCell<Books>>);
+pub struct QueryLog(Rc<RefCell<QueryLogState>>);
 
-impl Default for Ledger {
-    fn default() -> Ledger {
-        Ledger(Rc::new(RefCell::new(Books {
+impl Default for QueryLog {
+    fn default() -> QueryLog {
+        QueryLog(Rc::new(RefCell::new(QueryLogState {
             start: Instant::now(),
             arrivals: None,
             asked: Vec::new(),
@@ -79,12 +94,12 @@
     }
 }
 
-impl Ledger {
+impl QueryLog {
     /// One that keeps each part's arrivals.
-    pub fn with_arrivals() -> Ledger {
-        let ledger = Ledger::default();
-        ledger.0.borrow_mut().arrivals = Some(Vec::new());
-        ledger
+    pub fn with_arrivals() -> QueryLog {
+        let query_log = QueryLog::default();
+        query_log.0.borrow_mut().arrivals = Some(Vec::new());
+        query_log
     }
 
     pub fn arrived(&self, arrival: impl FnOnce() -> Arrival) {
@@ -98,10 +113,10 @@
     }
 
     pub fn asked(&self, id: &str, parts: usize) {
-        let mut books = self.0.borrow_mut();
-        let at = books.start.elapsed();
-        books.asked.push((at, parts));
-        books.queries.insert(id.to_string(), None);
+        let mut state = self.0.borrow_mut();
+        let at = state.start.elapsed();
+        state.asked.push((at, parts));
+        state.queries.insert(id.to_string(), None);
     }
 
     /// A client that went away: nothing of its query counts.
@@ -109,25 +124,25 @@
         self.0.borrow_mut().queries.remove(id);
     }
 
-    pub fn ended(&self, id: &str, how: Ended, took: Duration) {
-        let mut books = self.0.borrow_mut();
-        match books.queries.get_mut(id) {
+    pub fn ended(&self, id: &str, how: QueryOutcome, took: Duration) {
+        let mut state = self.0.borrow_mut();
+        match state.queries.get_mut(id) {
             Some(end @ None) => *end = Some(how),
-            _ => books.answered_twice += 1,
+            _ => state.answered_twice += 1,
         }
         let (earned, all) = crate::fleet::worth(id, how, took);
-        books.worth = (books.worth.0 + earned, books.worth.1 + all);
+        state.worth = (state.worth.0 + earned, state.worth.1 + all);
         let asked = Instant::now() - took;
-        books.line.push((asked, earned, all, !matches!(how, Ended::Merged | Ended::MergedInPart)));
-        if matches!(how, Ended::Refused | Ended::Lost) {
+        state.line.push((asked, earned, all, !matches!(how, QueryOutcome::Complete | QueryOutcome::Partial)));
+        if matches!(how, QueryOutcome::ConnectionRefused | QueryOutcome::Lost) {
             return;
         }
-        if matches!(how, Ended::Merged | Ended::MergedInPart) {
-            books.merged.push(took);
+        if matches!(how, QueryOutcome::Complete | QueryOutcome::Partial) {
+            state.merged.push(took);
         }
-        books.longest = books.longest.max(took);
+        state.longest = state.longest.max(took);
         let histogram =
-            books.took.get_or_insert_with(|| Histogram::new(3).expect("three digits are allowed"));
+            state.took.get_or_insert_with(|| Histogram::new(3).expect("three digits are allowed"));
         let _ = histogram.record(took.as_micros() as u64);
     }
 
@@ -137,37 +152,37 @@
             (Some((query, _)), Some((_, shard))) => format!("{query}.{shard}"),
             _ => part.to_string(),
         };
-        let mut books = self.0.borrow_mut();
-        let runs = books.runs.entry(name).or_default();
+        let mut state = self.0.borrow_mut();
+        let runs = state.runs.entry(name).or_default();
         *runs += 1;
         if *runs > 1 {
-            let at = books.start.elapsed();
-            books.further.push(at);
+            let at = state.start.elapsed();
+            state.further.push(at);
         }
     }
 
     /// The most by which further runs in any window were more than `free` and `share` of what was asked in it: nought
     /// or below where the budget was kept. A run may lag its sending by `slack`.
     pub fn over_budget(&self, free: f64, share: f64, window: Duration, slack: Duration) -> f64 {
-        let books = self.0.borrow();
+        let state = self.0.borrow();
         let within = |times: &[Duration], from: Duration, to: Duration| {
             times.partition_point(|t| *t <= to) - times.partition_point(|t| *t < from)
         };
         let mut asked = Vec::new();
-        for (at, parts) in &books.asked {
+        for (at, parts) in &state.asked {
             asked.extend(std::iter::repeat_n(*at, 1 + parts));
         }
-        let over = books.further.iter().map(|&t| {
-            let made = within(&books.further, t.saturating_sub(window), t);
+        let over = state.further.iter().map(|&t| {
+            let made = within(&state.further, t.saturating_sub(window), t);
             made as f64 - free - share * within(&asked, t.saturating_sub(window + slack), t) as f64
         });
         over.fold(-free, f64::max)
     }
 
-    /// The same where queries are entered in other ledgers, each begun before anything ran: further runs are this one's.
+    /// The same where queries are entered in other query logs, each begun before anything ran: further runs are this one's.
     pub fn over_budget_of(
         &self,
-        others: &[&Ledger],
+        others: &[&QueryLog],
         free: f64,
         share: f64,
         window: Duration,
@@ -183,20 +198,25 @@
         }
         asked.sort();
         let further = ours.further.clone();
-        let joined = Ledger::default();
+        let joined = QueryLog::default();
         {
-            let mut books = joined.0.borrow_mut();
-            (books.asked, books.further) = (asked, further);
+            let mut state = joined.0.borrow_mut();
+            (state.asked, state.further) = (asked, further);
         }
         joined.over_budget(free, share, window, slack)
     }
 
-    pub fn count(&self, how: Ended) -> u64 {
+    pub fn count(&self, how: QueryOutcome) -> u64 {
         self.0.borrow().queries.values().filter(|e| **e == Some(how)).count() as u64
     }
 
-    pub fn odd(&self) -> u64 {
-        self.0.borrow().queries.values().filter(|e| matches!(e, Some(Ended::Odd(_)))).count() as u64
+    pub fn unexpected_statuses(&self) -> u64 {
+        self.0
+            .borrow()
+            .queries
+            .values()
+            .filter(|e| matches!(e, Some(QueryOutcome::UnexpectedStatus(_))))
+            .count() as u64
     }
 
     pub fn all(&self) -> u64 {
@@ -212,7 +232,7 @@
     }
 
     /// Parts that ran more than once, of queries whose ids begin like that.
-    pub fn ran_again(&self, prefix: &str) -> u64 {
+    pub fn parts_run_again(&self, prefix: &str) -> u64 {
         self.0.borrow().runs.iter().filter(|(id, n)| id.starts_with(prefix) && **n > 1).count() as u64
     }
 
@@ -227,9 +247,9 @@
 
     /// The share of all queries that were merged within that time.
     pub fn merged_within(&self, limit: Duration) -> f64 {
-        let books = self.0.borrow();
-        let soon = books.merged.iter().filter(|t| **t <= limit).count();
-        soon as f64 / books.queries.len().max(1) as f64
+        let state = self.0.borrow();
+        let soon = state.merged.iter().filter(|t| **t <= limit).count();
+        soon as f64 / state.queries.len().max(1) as f64
     }
 
     /// Utility in time over utility asked.
@@ -240,8 +260,8 @@
 
     /// Utility earned and asked for by what was asked within that time, and how many of it got no answer that serves.
     pub fn between(&self, from: Instant, to: Instant) -> (f64, f64, u64) {
-        let books = self.0.borrow();
-        let within = books.line.iter().filter(|l| (from..to).contains(&l.0));
+        let state = self.0.borrow();
+        let within = state.line.iter().filter(|l| (from..to).contains(&l.0));
         within.fold((0.0, 0.0, 0), |sum, l| (sum.0 + l.1, sum.1 + l.2, sum.2 + u64::from(l.3)))
     }
 
--- a/crates/pipitcrank-testkit/src/replica.rs
+++ b/crates/pipitcrank-testkit/src/replica.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, Semaphore};
 
-use crate::ledger::{Arrival, Ledger};
+use crate::query_log::{Arrival, QueryLog};
 
 /// Parts that wait for work, at most.
 const WAITING: usize = 200;
@@ -25,8 +25,8 @@
 
 /// What it does with a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
-    Answers,
+pub enum ReplicaBehavior {
+    Normal,
     /// Takes so many times as long.
     Slow(f64),
     /// Works, and says nothing.
@@ -37,9 +37,9 @@
     /// Closes the connection when a call comes, without having run it.
     Resets,
     /// Works, and answers with what is no frame.
-    Garbles,
+    Malformed,
     /// Works, and sends half of each answer.
-    Halves,
+    Truncates,
 }
 
 /// How long a part takes: the most of a few parts by chance, and for some texts what they say.
@@ -57,12 +57,12 @@
 
 struct Shared {
     address: SocketAddr,
-    manner: Cell<Manner>,
+    behavior: Cell<ReplicaBehavior>,
     work: Work,
     slots: Semaphore,
     waiting: Cell<usize>,
-    ledger: Ledger,
-    chance: RefCell<Pcg64>,
+    query_log: QueryLog,
+    rng: RefCell<Pcg64>,
     killed: Notify,
     connections: Cell<usize>,
     most_connections: Cell<usize>,
@@ -78,17 +78,17 @@
 }
 
 impl StandInReplica {
-    pub async fn start(seed: u64, work: Work, ledger: Ledger) -> Result<StandInReplica> {
+    pub async fn start(seed: u64, work: Work, query_log: QueryLog) -> Result<StandInReplica> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let shared = Rc::new(Shared {
             address,
-            manner: Cell::new(Manner::Answers),
+            behavior: Cell::new(ReplicaBehavior::Normal),
             work,
             slots: Semaphore::new(work.at_once),
             waiting: Cell::new(0),
-            ledger,
-            chance: RefCell::new(Pcg64::seed_from_u64(seed)),
+            query_log,
+            rng: RefCell::new(Pcg64::seed_from_u64(seed)),
             killed: Notify::new(),
             connections: Cell::new(0),
             most_connections: Cell::new(0),
@@ -118,8 +118,8 @@
         Ok(StandInReplica { address, shared, accepting })
     }
 
-    pub fn turns(&self, manner: Manner) {
-        self.shared.manner.set(manner);
+    pub fn set_behavior(&self, behavior: ReplicaBehavior) {
+        self.shared.behavior.set(behavior);
     }
 
     /// It is no more: the listener closes, and so do all connections.
@@ -209,15 +209,15 @@
             b'X' => {
                 given_up.borrow_mut().insert(words);
             }
-            b'Q' if shared.manner.get() == Manner::Resets => return Ok(()),
+            b'Q' if shared.behavior.get() == ReplicaBehavior::Resets => return Ok(()),
             b'Q' => {
                 for part in parts(&words) {
                     shared.came();
-                    shared.ledger.arrived(|| Arrival {
+                    shared.query_log.arrived(|| Arrival {
                         part: part.id.clone(),
                         at: Instant::now(),
                         replica: shared.address,
-                        told: part.told,
+                        stated_deadline: part.stated_deadline,
                     });
                     take(shared, part, out.clone(), given_up.clone());
                 }
@@ -232,7 +232,7 @@
 struct Part {
     id: String,
     shard: u32,
-    told: Duration,
+    stated_deadline: Duration,
     text: String,
 }
 
@@ -242,11 +242,11 @@
         let words: Vec<&str> = line.split(' ').collect();
         let [id, shard, list, length] = words[..] else { break };
         let Some((text, after)) = length.parse().ok().and_then(|n| rest.split_at_checked(n)) else { break };
-        let told = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok()).unwrap_or(0);
+        let stated_deadline = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok()).unwrap_or(0);
         found.push(Part {
             id: id.to_string(),
             shard: shard.parse().unwrap_or(0),
-            told: Duration::from_millis(told),
+            stated_deadline: Duration::from_millis(stated_deadline),
             text: text.to_string(),
         });
         call = after;
@@ -260,8 +260,8 @@
     out: UnboundedSender<Vec<u8>>,
     given_up: Rc<RefCell<BTreeSet<String>>>,
 ) {
-    let manner = shared.manner.get();
-    if manner == Manner::Busy || shared.waiting.get() >= WAITING {
+    let behavior = shared.behavior.get();
+    if behavior == ReplicaBehavior::Busy || shared.waiting.get() >= WAITING {
         let _ = out.send(frame(format!("A{} busy 0 -\n", part.id).as_bytes()));
         return;
     }
@@ -273,17 +273,18 @@
         if given_up.borrow_mut().remove(&part.id) {
             return;
         }
-        shared.ledger.ran(&part.id);
+        shared.query_log.ran(&part.id);
         tokio::time::sleep(shared.lasts(&part.text)).await;
         drop(slot);
-        let answer = match manner {
-            Manner::Silent => return,
-            Manner::Fails => frame(format!("A{} err 0 -\n", part.id).as_bytes()),
-            Manner::Garbles => frame(b"?what"),
+        let answer = match behavior {
+            ReplicaBehavior::Silent => return,
+            ReplicaBehavior::Fails => frame(format!("A{} err 0 -\n", part.id).as_bytes()),
+            ReplicaBehavior::Malformed => frame(b"?what"),
             _ => frame(format!("A{} ok 7 -\nd{}-{}", part.id, part.shard, part.text.len()).as_bytes()),
         };
         let half = answer.len() / 2;
-        let _ = out.send(if manner == Manner::Halves { answer[..half].to_vec() } else { answer });
+        let _ =
+            out.send(if behavior == ReplicaBehavior::Truncates { answer[..half].to_vec() } else { answer });
     });
 }
 
@@ -302,8 +303,8 @@
         if let Some(ms) = text.split(' ').find_map(|w| w.strip_prefix("lasts=")?.parse().ok()) {
             return Duration::from_millis(ms);
         }
-        let factor = if let Manner::Slow(factor) = self.manner.get() { factor } else { 1.0 };
-        let chance: f64 = self.chance.borrow_mut().random();
-        self.work.usual.mul_f64(factor * (0.5 + chance))
+        let factor = if let ReplicaBehavior::Slow(factor) = self.behavior.get() { factor } else { 1.0 };
+        let rng: f64 = self.rng.borrow_mut().random();
+        self.work.usual.mul_f64(factor * (0.5 + rng))
     }
 }
--- a/crates/pipitcrank-testkit/src/soak/clients.rs
+++ b/crates/pipitcrank-testkit/src/soak/clients.rs
@@ -13,53 +13,53 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-use super::scene::{SHARDS, Scene};
-use crate::client::{Answer, connect, read_answer};
+use super::cluster::{SHARDS, SoakCluster};
+use crate::client::{HttpResponse, connect, read_response};
 
 /// A client waits so long beyond its time for an answer that came late.
 const PATIENCE: Duration = Duration::from_millis(1500);
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ClientBehavior {
     Plain,
     /// Closes, or resets, before its answer.
-    Replicas,
+    Disconnects,
     /// The same with bytes behind its request.
-    LeavesBehindBytes,
+    DisconnectsAfterExtraBytes,
     /// The same behind a chunked body.
-    LeavesBehindChunks,
+    DisconnectsAfterExtraChunks,
     /// Stops half way and stays.
-    Half,
+    PartialRequest,
     /// Writes in pieces.
-    Slow,
+    SlowWriter,
     /// Sends several requests at once.
     Pipelines,
     /// Has very little time.
-    Hurried,
+    ShortDeadline,
 }
 
 /// How it ended for its client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum RequestEnd {
     Open,
     Answered {
         status: u16,
         at: Instant,
     },
     /// The client closed.
-    Left {
+    Disconnected {
         at: Instant,
     },
     /// Nobody listened, or a kept connection was found closed and the request went nowhere else.
-    NotTaken,
+    NotAccepted,
     /// A connection ended without an answer.
-    Cut {
+    Interrupted {
         at: Instant,
         kept: bool,
     },
     /// Nothing came.
-    Silence,
+    NoResponse,
     /// Half a request: answered or closed.
     Refused {
         at: Instant,
@@ -69,11 +69,11 @@
 pub struct Request {
     pub id: String,
     pub node: usize,
-    pub manner: Manner,
+    pub behavior: ClientBehavior,
     /// When its last byte was written.
     pub asked: Instant,
     pub wait: Duration,
-    pub end: End,
+    pub end: RequestEnd,
     /// The answer was not what the replicas gave.
     pub spoilt: bool,
 }
@@ -84,26 +84,26 @@
 }
 
 struct Clients {
-    scene: Rc<Scene>,
+    cluster: Rc<SoakCluster>,
     node: usize,
     address: SocketAddr,
     kept: RefCell<Vec<BufReader<TcpStream>>>,
 }
 
 impl Load {
-    pub fn start(scene: Rc<Scene>, node: usize, seed: u64, rate: f64) -> Load {
+    pub fn start(cluster: Rc<SoakCluster>, node: usize, seed: u64, rate: f64) -> Load {
         let going = Rc::new(Cell::new(true));
         let on = going.clone();
         let task = tokio::task::spawn_local(async move {
-            let mut chance = Pcg64::seed_from_u64(seed ^ (node as u64 + 1) << 40);
-            let address = scene.nodes[node].address;
-            let clients = Rc::new(Clients { scene, node, address, kept: RefCell::default() });
+            let mut rng = Pcg64::seed_from_u64(seed ^ (node as u64 + 1) << 40);
+            let address = cluster.nodes[node].address;
+            let clients = Rc::new(Clients { cluster, node, address, kept: RefCell::default() });
             let (start, mut due, mut n) = (Instant::now(), 0.0, 0);
             let mut tasks = tokio::task::JoinSet::new();
             while on.get() {
-                due += -(1.0 - chance.random::<f64>()).ln() / rate;
+                due += -(1.0 - rng.random::<f64>()).ln() / rate;
                 n += 1;
-                let asking = ask(clients.clone(), n, chance.random());
+                let asking = ask(clients.clone(), n, rng.random());
                 tokio::time::sleep_until((start + Duration::from_secs_f64(due)).into()).await;
                 tasks.spawn_local(asking);
                 while tasks.try_join_next().is_some() {}
@@ -120,41 +120,41 @@
     }
 }
 
-struct Question {
+struct QueryRequest {
     id: String,
     wait: Duration,
     shards: Vec<u32>,
-    manner: Manner,
+    behavior: ClientBehavior,
 }
 
-fn question(node: usize, n: u64, chance: &mut Pcg64) -> Question {
-    let kind: f64 = chance.random();
+fn query(node: usize, n: u64, rng: &mut Pcg64) -> QueryRequest {
+    let kind: f64 = rng.random();
     let (class, count) = match kind {
-        k if k < 0.45 => ("view", chance.random_range(2..=5)),
-        k if k < 0.65 => ("rank", chance.random_range(4..=8)),
+        k if k < 0.45 => ("view", rng.random_range(2..=5)),
+        k if k < 0.65 => ("rank", rng.random_range(4..=8)),
         k if k < 0.85 => ("sale", 1),
-        _ => ("pay", chance.random_range(1..=2)),
+        _ => ("pay", rng.random_range(1..=2)),
     };
-    let first = chance.random_range(0..SHARDS);
+    let first = rng.random_range(0..SHARDS);
     let shards = (0..count).map(|i| (first + i) % SHARDS).collect();
-    let manner = match chance.random_range(0..100) {
-        0..66 => Manner::Plain,
-        66..76 => Manner::Replicas,
-        76..80 => Manner::LeavesBehindBytes,
-        80..84 => Manner::LeavesBehindChunks,
-        84..88 => Manner::Half,
-        88..92 => Manner::Slow,
-        92..95 => Manner::Pipelines,
-        _ => Manner::Hurried,
+    let behavior = match rng.random_range(0..100) {
+        0..66 => ClientBehavior::Plain,
+        66..76 => ClientBehavior::Disconnects,
+        76..80 => ClientBehavior::DisconnectsAfterExtraBytes,
+        80..84 => ClientBehavior::DisconnectsAfterExtraChunks,
+        84..88 => ClientBehavior::PartialRequest,
+        88..92 => ClientBehavior::SlowWriter,
+        92..95 => ClientBehavior::Pipelines,
+        _ => ClientBehavior::ShortDeadline,
     };
-    let wait = match manner {
-        Manner::Hurried => Duration::from_millis(chance.random_range(0..40)),
-        _ => Duration::from_millis(chance.random_range(600..2000)),
+    let wait = match behavior {
+        ClientBehavior::ShortDeadline => Duration::from_millis(rng.random_range(0..40)),
+        _ => Duration::from_millis(rng.random_range(600..2000)),
     };
-    Question { id: format!("{class}-{node}-{n}"), wait, shards, manner }
+    QueryRequest { id: format!("{class}-{node}-{n}"), wait, shards, behavior }
 }
 
-impl Question {
+impl QueryRequest {
     fn body(&self) -> String {
         let weight = 1.0 / self.shards.len() as f64;
         let shards: Vec<_> = self.shards.iter().map(|s| json!({"shard": s, "weight": weight})).collect();
@@ -184,7 +184,7 @@
     }
 
     /// Whether each value is one that a replica gave.
-    fn is_answered_by(&self, answer: &Answer) -> bool {
+    fn is_answered_by(&self, answer: &HttpResponse) -> bool {
         if answer.status != 200 {
             return true;
         }
@@ -200,29 +200,33 @@
 }
 
 async fn ask(clients: Rc<Clients>, n: u64, seed: u64) {
-    let mut chance = Pcg64::seed_from_u64(seed);
-    let question = question(clients.node, n, &mut chance);
-    let place = clients.note(&question, Instant::now());
-    let (end, spoilt) = match question.manner {
-        Manner::Plain | Manner::Hurried => clients.asks(&question, place).await,
-        Manner::Half => (clients.asks_half(&question, place, &mut chance).await, false),
-        Manner::Slow | Manner::Pipelines => clients.asks_new(&question, place).await,
-        _ => (clients.asks_and_leaves(&question, place, &mut chance).await, false),
+    let mut rng = Pcg64::seed_from_u64(seed);
+    let query = query(clients.node, n, &mut rng);
+    let place = clients.note(&query, Instant::now());
+    let (end, spoilt) = match query.behavior {
+        ClientBehavior::Plain | ClientBehavior::ShortDeadline => clients.ask(&query, place).await,
+        ClientBehavior::PartialRequest => {
+            (clients.send_partial_request(&query, place, &mut rng).await, false)
+        }
+        ClientBehavior::SlowWriter | ClientBehavior::Pipelines => {
+            clients.ask_on_new_connection(&query, place).await
+        }
+        _ => (clients.ask_and_disconnect(&query, place, &mut rng).await, false),
     };
-    let mut requests = clients.scene.requests.borrow_mut();
+    let mut requests = clients.cluster.requests.borrow_mut();
     (requests[place].end, requests[place].spoilt) = (end, spoilt);
 }
 
 impl Clients {
-    fn note(&self, question: &Question, asked: Instant) -> usize {
-        let mut requests = self.scene.requests.borrow_mut();
+    fn note(&self, query: &QueryRequest, asked: Instant) -> usize {
+        let mut requests = self.cluster.requests.borrow_mut();
         requests.push(Request {
-            id: question.id.clone(),
+            id: query.id.clone(),
             node: self.node,
-            manner: question.manner,
+            behavior: query.behavior,
             asked,
-            wait: question.wait,
-            end: End::Open,
+            wait: query.wait,
+            end: RequestEnd::Open,
             spoilt: false,
         });
         requests.len() - 1
@@ -230,7 +234,7 @@
 
     /// Its last byte was written now.
     fn asked_now(&self, place: usize) {
-        self.scene.requests.borrow_mut()[place].asked = Instant::now();
+        self.cluster.requests.borrow_mut()[place].asked = Instant::now();
     }
 
     /// A kept connection that was not closed meanwhile.
@@ -244,65 +248,69 @@
         }
     }
 
-    async fn asks(&self, question: &Question, place: usize) -> (End, bool) {
+    async fn ask(&self, query: &QueryRequest, place: usize) -> (RequestEnd, bool) {
         if let Some(stream) = self.kept() {
-            let (end, spoilt) = self.asks_on(stream, question, place, true).await;
+            let (end, spoilt) = self.ask_on(stream, query, place, true).await;
             // Once more, on a new connection.
-            if !matches!(end, End::Cut { .. }) {
+            if !matches!(end, RequestEnd::Interrupted { .. }) {
                 return (end, spoilt);
             }
         }
-        self.asks_new(question, place).await
+        self.ask_on_new_connection(query, place).await
     }
 
-    async fn asks_new(&self, question: &Question, place: usize) -> (End, bool) {
+    async fn ask_on_new_connection(&self, query: &QueryRequest, place: usize) -> (RequestEnd, bool) {
         match connect(self.address).await {
-            Ok(stream) => self.asks_on(BufReader::new(stream), question, place, false).await,
-            Err(_) => (End::NotTaken, false),
+            Ok(stream) => self.ask_on(BufReader::new(stream), query, place, false).await,
+            Err(_) => (RequestEnd::NotAccepted, false),
         }
     }
 
-    async fn asks_on(
+    async fn ask_on(
         &self,
         mut stream: BufReader<TcpStream>,
-        question: &Question,
+        query: &QueryRequest,
         place: usize,
         kept: bool,
-    ) -> (End, bool) {
-        let cut = |kept| (End::Cut { at: Instant::now(), kept }, false);
-        if self.writes(&mut stream, question).await.is_err() {
+    ) -> (RequestEnd, bool) {
+        let cut = |kept| (RequestEnd::Interrupted { at: Instant::now(), kept }, false);
+        if self.write_request(&mut stream, query).await.is_err() {
             return cut(kept);
         }
         self.asked_now(place);
-        let answered = tokio::time::timeout(question.wait + PATIENCE, read_answer(&mut stream)).await;
+        let answered = tokio::time::timeout(query.wait + PATIENCE, read_response(&mut stream)).await;
         match answered {
-            Err(_) => (End::Silence, false),
+            Err(_) => (RequestEnd::NoResponse, false),
             Ok(None) => cut(kept),
             Ok(Some(answer)) => {
                 let at = Instant::now();
-                let spoilt = !question.is_answered_by(&answer);
-                if answer.keeps && question.manner == Manner::Plain {
+                let spoilt = !query.is_answered_by(&answer);
+                if answer.keep_alive && query.behavior == ClientBehavior::Plain {
                     self.kept.borrow_mut().push(stream);
                 }
-                (End::Answered { status: answer.status, at }, spoilt)
+                (RequestEnd::Answered { status: answer.status, at }, spoilt)
             }
         }
     }
 
-    async fn writes(&self, stream: &mut BufReader<TcpStream>, question: &Question) -> std::io::Result<()> {
-        let mut request = question.request();
-        match question.manner {
-            Manner::Slow => {
+    async fn write_request(
+        &self,
+        stream: &mut BufReader<TcpStream>,
+        query: &QueryRequest,
+    ) -> std::io::Result<()> {
+        let mut request = query.request();
+        match query.behavior {
+            ClientBehavior::SlowWriter => {
                 for piece in request.as_bytes().chunks(60) {
                     stream.get_mut().write_all(piece).await?;
                     tokio::time::sleep(Duration::from_millis(25)).await;
                 }
                 return Ok(());
             }
-            Manner::Pipelines => {
+            ClientBehavior::Pipelines => {
                 for n in 0..3 {
-                    let id = format!("{}p{n}", question.id);
-                    let next = Question { id, shards: question.shards.clone(), ..*question };
+                    let id = format!("{}p{n}", query.id);
+                    let next = QueryRequest { id, shards: query.shards.clone(), ..*query };
                     request += &next.request();
                 }
             }
@@ -311,37 +319,37 @@
         stream.get_mut().write_all(request.as_bytes()).await
     }
 
-    async fn asks_and_leaves(&self, question: &Question, place: usize, chance: &mut Pcg64) -> End {
-        let Ok(mut stream) = connect(self.address).await else { return End::NotTaken };
+    async fn ask_and_disconnect(&self, query: &QueryRequest, place: usize, rng: &mut Pcg64) -> RequestEnd {
+        let Ok(mut stream) = connect(self.address).await else { return RequestEnd::NotAccepted };
         let behind = "x".repeat(4000);
-        let bytes = match question.manner {
-            Manner::LeavesBehindBytes => question.request() + &behind,
-            Manner::LeavesBehindChunks => question.chunked() + &behind,
-            _ => question.request(),
+        let bytes = match query.behavior {
+            ClientBehavior::DisconnectsAfterExtraBytes => query.request() + &behind,
+            ClientBehavior::DisconnectsAfterExtraChunks => query.chunked() + &behind,
+            _ => query.request(),
         };
         if stream.write_all(bytes.as_bytes()).await.is_err() {
-            return End::Cut { at: Instant::now(), kept: false };
+            return RequestEnd::Interrupted { at: Instant::now(), kept: false };
         }
         self.asked_now(place);
-        tokio::time::sleep(Duration::from_millis(chance.random_range(0..400))).await;
-        if chance.random_bool(0.4) {
+        tokio::time::sleep(Duration::from_millis(rng.random_range(0..400))).await;
+        if rng.random_bool(0.4) {
             let _ = stream.set_zero_linger();
         }
         drop(stream);
-        End::Left { at: Instant::now() }
+        RequestEnd::Disconnected { at: Instant::now() }
     }
 
-    async fn asks_half(&self, question: &Question, place: usize, chance: &mut Pcg64) -> End {
-        let Ok(mut stream) = connect(self.address).await else { return End::NotTaken };
-        let request = question.request();
-        let cut = chance.random_range(1..request.len() - 1);
+    async fn send_partial_request(&self, query: &QueryRequest, place: usize, rng: &mut Pcg64) -> RequestEnd {
+        let Ok(mut stream) = connect(self.address).await else { return RequestEnd::NotAccepted };
+        let request = query.request();
+        let cut = rng.random_range(1..request.len() - 1);
         if stream.write_all(&request.as_bytes()[..cut]).await.is_err() {
-            return End::Cut { at: Instant::now(), kept: false };
+            return RequestEnd::Interrupted { at: Instant::now(), kept: false };
         }
         self.asked_now(place);
         match tokio::time::timeout(Duration::from_secs(5), stream.read(&mut [0; 512])).await {
-            Ok(_) => End::Refused { at: Instant::now() },
-            Err(_) => End::Silence,
+            Ok(_) => RequestEnd::Refused { at: Instant::now() },
+            Err(_) => RequestEnd::NoResponse,
         }
     }
 }
--- a/crates/pipitcrank-testkit/src/soak/scene.rs
+++ b/crates/pipitcrank-testkit/src/soak/cluster.rs
@@ -15,12 +15,12 @@
 use super::Size;
 use super::clients::Request;
 use crate::discovery::{Discovery, row};
-use crate::faults::{Faults, Shim};
 use crate::fleet::node_config_of;
-use crate::ledger::Ledger;
-use crate::link::{Link, Way};
+use crate::link::{Link, LinkConditions};
 use crate::process::Process;
+use crate::query_log::QueryLog;
 use crate::replica::{StandInReplica, Work};
+use crate::syscall_faults::{FaultLibrary, ProcessFaults};
 
 pub const CELLS: u32 = 6;
 pub const SHARDS: u32 = 12;
@@ -66,7 +66,7 @@
 pub struct Node {
     pub process: Mutex<Process>,
     pub address: SocketAddr,
-    pub faults: Faults,
+    pub faults: ProcessFaults,
     /// When it was killed outright.
     pub kills: RefCell<Vec<Instant>>,
     /// From when to when it was ending, down or starting.
@@ -77,7 +77,7 @@
     pub ready: RefCell<Vec<Duration>>,
 }
 
-pub struct Scene {
+pub struct SoakCluster {
     pub begun: Instant,
     pub nodes: Vec<Node>,
     pub replicas: RefCell<Vec<Replica>>,
@@ -86,7 +86,7 @@
     pub discovery: Discovery,
     /// The ways to discovery that processes are told.
     pub ways_to_discovery: [Link; 2],
-    pub ledger: Ledger,
+    pub query_log: QueryLog,
     pub requests: RefCell<Vec<Request>>,
     /// When each replica address was told draining or gone, and until when.
     pub drains: RefCell<Vec<(SocketAddr, Instant, Option<Instant>)>>,
@@ -102,29 +102,29 @@
     wall_step: Cell<f64>,
     next_replica: Cell<usize>,
     seed: u64,
-    _shim: Shim,
+    _shim: FaultLibrary,
 }
 
-fn loopback() -> Way {
-    Way::of(Duration::from_micros(400))
+fn loopback() -> LinkConditions {
+    LinkConditions::of(Duration::from_micros(400))
 }
 
-impl Scene {
-    pub async fn start(program: &Path, seed: u64, size: Size) -> Result<Rc<Scene>> {
-        let ledger = Ledger::with_arrivals();
+impl SoakCluster {
+    pub async fn start(program: &Path, seed: u64, size: Size) -> Result<Rc<SoakCluster>> {
+        let query_log = QueryLog::with_arrivals();
         let mut replicas = Vec::new();
         for n in 0..REPLICAS {
-            replicas.push(replica(n, n as u32 % CELLS, seed, &ledger, None).await?);
+            replicas.push(replica(n, n as u32 % CELLS, seed, &query_log, None).await?);
         }
         let discovery = Discovery::start(replicas.iter().map(|r| r.row("active")).collect()).await?;
         let to_discovery = |n: u64| Link::start(seed ^ n, discovery.address, loopback());
         let ways_to_discovery = [to_discovery(11).await?, to_discovery(12).await?];
-        let shim = Shim::build()?;
+        let shim = FaultLibrary::build()?;
         let mut nodes = Vec::new();
         for n in 0..size.processes {
-            let told = told(&discovery, ways_to_discovery[0].address, seed, n, size.processes)?;
+            let node_config = node_config(&discovery, ways_to_discovery[0].address, seed, n, size.processes)?;
             let faults = shim.for_process(&n.to_string(), seed ^ (n as u64) << 8)?;
-            let process = Process::start_with(program, told, faults.variables())?;
+            let process = Process::start_with(program, node_config, faults.variables())?;
             nodes.push(Node {
                 address: process.address,
                 process: Mutex::new(process),
@@ -136,16 +136,16 @@
             });
         }
         for node in &nodes {
-            node.process.lock().await.up().await?;
+            node.process.lock().await.wait_until_ready().await?;
         }
-        let scene = Rc::new(Scene {
+        let cluster = Rc::new(SoakCluster {
             begun: Instant::now(),
             nodes,
             replicas: RefCell::new(replicas),
             retired: RefCell::default(),
             discovery,
             ways_to_discovery,
-            ledger,
+            query_log,
             requests: RefCell::default(),
             drains: RefCell::default(),
             lists_out: RefCell::default(),
@@ -157,8 +157,8 @@
             seed,
             _shim: shim,
         });
-        tokio::task::spawn_local(watch_own_lag(scene.clone()));
-        Ok(scene)
+        tokio::task::spawn_local(watch_own_lag(cluster.clone()));
+        Ok(cluster)
     }
 
     /// One clock for all machines: processes read it, and replicas' starts are told by it.
@@ -171,7 +171,7 @@
         let replicas = self.replicas.borrow();
         let replica = &replicas[n];
         self.drains.borrow_mut().push((replica.replica.address, Instant::now(), None));
-        self.discovery.changes(replica.row("leaving"));
+        self.discovery.update_row(replica.row("leaving"));
     }
 
     pub fn undrain(&self, n: usize) {
@@ -182,7 +182,7 @@
         if let Some((_, _, until)) = drain {
             *until = Some(Instant::now());
         }
-        self.discovery.changes(replica.row("active"));
+        self.discovery.update_row(replica.row("active"));
     }
 
     /// The replica is gone without a word, and a cold one comes in its place some time later.
@@ -197,7 +197,7 @@
         tokio::time::sleep(after).await;
         let number = self.next_replica.replace(self.next_replica.get() + 1);
         let started = Some(Instant::now());
-        let mut new = replica(number, cell, self.seed, &self.ledger, started).await?;
+        let mut new = replica(number, cell, self.seed, &self.query_log, started).await?;
         new.boot_ms += (self.wall_step.get() * 1000.0) as i64;
         new.replica.starts_cold(COLD);
         // It may have got the address of one that is gone.
@@ -207,8 +207,8 @@
         let new_row = new.row("active");
         let gone = self.replicas.borrow()[n].replica.address;
         self.drains.borrow_mut().push((gone, Instant::now(), None));
-        self.discovery.changes(old_row);
-        self.discovery.changes(new_row);
+        self.discovery.update_row(old_row);
+        self.discovery.update_row(new_row);
         let old = std::mem::replace(&mut self.replicas.borrow_mut()[n], new);
         self.retired.borrow_mut().push(old);
         Ok(())
@@ -221,24 +221,24 @@
     }
 
     /// The replica of that number, or the next that no other trouble drains or replaces; free again when dropped.
-    pub fn alone_on(&self, replica: usize) -> Option<Alone<'_>> {
+    pub fn reserve_replica(&self, replica: usize) -> Option<ExclusiveReplica<'_>> {
         let count = self.replicas.borrow().len();
         let mut taken = self.taken.borrow_mut();
         let free = (0..count).map(|n| (replica + n) % count).find(|n| !taken.contains(n))?;
         taken.insert(free);
-        Some(Alone { scene: self, replica: free })
+        Some(ExclusiveReplica { cluster: self, replica: free })
     }
 }
 
 /// A replica whose place in the list one trouble alone changes.
-pub struct Alone<'a> {
-    scene: &'a Scene,
+pub struct ExclusiveReplica<'a> {
+    cluster: &'a SoakCluster,
     pub replica: usize,
 }
 
-impl Drop for Alone<'_> {
+impl Drop for ExclusiveReplica<'_> {
     fn drop(&mut self) {
-        self.scene.taken.borrow_mut().remove(&self.replica);
+        self.cluster.taken.borrow_mut().remove(&self.replica);
     }
 }
 
@@ -257,26 +257,32 @@
     number: usize,
     cell: u32,
     seed: u64,
-    ledger: &Ledger,
+    query_log: &QueryLog,
     started: Option<Instant>,
 ) -> Result<Replica> {
-    let replica = StandInReplica::start(seed ^ (number as u64) << 32, WORK, ledger.clone()).await?;
+    let replica = StandInReplica::start(seed ^ (number as u64) << 32, WORK, query_log.clone()).await?;
     let way = Link::start(seed ^ (number as u64) << 16, replica.address, loopback()).await?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).context("the clock stands before 1970")?;
     let boot_ms = if started.is_some() { now.as_millis() as i64 } else { 0 };
     Ok(Replica { name: format!("replica-{number}"), cell, replica, way, boot_ms, started, gone: None })
 }
 
-fn told(discovery: &Discovery, watched: SocketAddr, seed: u64, n: usize, processes: usize) -> Result<Value> {
-    let known = discovery.known();
-    let mut told =
+fn node_config(
+    discovery: &Discovery,
+    watched: SocketAddr,
+    seed: u64,
+    n: usize,
+    processes: usize,
+) -> Result<Value> {
+    let known = discovery.initial_list();
+    let mut node_config =
         node_config_of(watched, known, CELLS, SHARDS, seed ^ ((n as u64 + 1) * 7919), SOCKETS, MOST_OPEN)?;
-    told["name"] = json!(format!("soak-{n}"));
+    node_config["name"] = json!(format!("soak-{n}"));
     let class = |name: &str, kind: &str| {
         json!({"name": name, "aim_s": 0.8, "hard_limit_s": LONGEST_DEADLINE_S, "idempotency": kind,
             "dedup_window_s": DEDUP_WINDOW.as_secs_f64()})
     };
-    let settings = &mut told["settings"];
+    let settings = &mut node_config["settings"];
     settings["classes"] =
         json!([class("view", "safe"), class("rank", "safe"), class("sale", "unsafe"), class("pay", "keyed")]);
     settings["balancers"] = json!(processes);
@@ -286,18 +292,18 @@
     settings["rules"] = json!({"cold_from": COLD_FROM, "cold_s": COLD.as_secs_f64(),
         "drain_grace_s": DRAIN_GRACE.as_secs_f64(), "fall_s": FALL.as_secs_f64(),
         "overload_factor": OVERLOAD_FACTOR, "repeat_ratio": 0.2, "extra_free": 5, "budget_span_s": 2.0});
-    Ok(told)
+    Ok(node_config)
 }
 
 /// What this program sees late it must not hold against a process.
-async fn watch_own_lag(scene: Rc<Scene>) {
+async fn watch_own_lag(cluster: Rc<SoakCluster>) {
     const STEP: Duration = Duration::from_millis(5);
     loop {
         let begun = Instant::now();
         tokio::time::sleep(STEP).await;
         let lag = begun.elapsed().saturating_sub(STEP);
         if lag > STEP {
-            scene.lags.borrow_mut().push((Instant::now(), lag));
+            cluster.lags.borrow_mut().push((Instant::now(), lag));
         }
     }
 }
--- a/crates/pipitcrank-testkit/src/soak/mod.rs
+++ b/crates/pipitcrank-testkit/src/soak/mod.rs
@@ -3,9 +3,9 @@
 //! rules (`docs/rules.md`) from outside, and by each process's own run-time check.
 
 mod clients;
-mod judge;
-mod scene;
+mod cluster;
 mod script;
+mod verifier;
 
 use std::path::Path;
 use std::time::Duration;
@@ -36,16 +36,22 @@
 }
 
 /// Plays one seed. `only`: troubles of that kind alone.
-pub async fn play(program: &Path, seed: u64, size: Size, only: Option<&str>, talk: bool) -> Result<Outcome> {
-    let only = only.map(script::Kind::named).transpose()?;
-    let scene = scene::Scene::start(program, seed, size).await?;
+pub async fn play(
+    program: &Path,
+    seed: u64,
+    size: Size,
+    only: Option<&str>,
+    verbose: bool,
+) -> Result<Outcome> {
+    let only = only.map(script::FaultKind::named).transpose()?;
+    let cluster = cluster::SoakCluster::start(program, seed, size).await?;
     let load: Vec<_> =
-        (0..size.processes).map(|n| clients::Load::start(scene.clone(), n, seed, size.rate)).collect();
-    let troubles = script::run(scene.clone(), seed, size, only, talk);
-    let (troubles, ()) = tokio::join!(troubles, tokio::time::sleep(size.lasts));
-    let troubles = troubles?;
+        (0..size.processes).map(|n| clients::Load::start(cluster.clone(), n, seed, size.rate)).collect();
+    let faults = script::run(cluster.clone(), seed, size, only, verbose);
+    let (faults, ()) = tokio::join!(faults, tokio::time::sleep(size.lasts));
+    let faults = faults?;
     for each in load {
         each.stop().await?;
     }
-    judge::judge(&scene, troubles).await
+    verifier::verify(&cluster, faults).await
 }
--- a/crates/pipitcrank-testkit/src/soak/script.rs
+++ b/crates/pipitcrank-testkit/src/soak/script.rs
@@ -11,19 +11,19 @@
 use tokio::task::JoinSet;
 
 use super::Size;
-use super::scene::{GRACE, Node, Scene};
+use super::cluster::{GRACE, Node, SoakCluster};
 use crate::client::connect;
-use crate::faults::Fault;
-use crate::link::Way;
+use crate::link::LinkConditions;
 use crate::process::Process;
-use crate::replica::Manner;
+use crate::replica::ReplicaBehavior;
+use crate::syscall_faults::SyscallFault;
 
 /// Longest time from a start until it serves that a soak waits.
 const START_LIMIT: Duration = Duration::from_secs(20);
 
 /// One kind of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     Restart,
     Kill,
     Reload,
@@ -44,8 +44,8 @@
     DiscoveryDown,
     ShortReads,
     ShortWrites,
-    Accepts,
-    ConnectionLimiter,
+    AcceptProbe,
+    Sockets,
     Connects,
     Interrupts,
     Broken,
@@ -58,68 +58,68 @@
     StepThenReplace,
 }
 
-pub const KINDS: [(Kind, &str); 32] = [
-    (Kind::Restart, "restart"),
-    (Kind::Kill, "kill"),
-    (Kind::Reload, "reload"),
-    (Kind::Reloads, "reloads"),
-    (Kind::Pause, "pause"),
-    (Kind::ReplicaHangs, "replica-hangs"),
-    (Kind::ReplicaFails, "replica-fails"),
-    (Kind::ReplicaResets, "replica-resets"),
-    (Kind::ReplicaBusy, "replica-busy"),
-    (Kind::ReplicaGarbles, "replica-garbles"),
-    (Kind::ReplicaSlow, "replica-slow"),
-    (Kind::ReplicaReplaced, "replica-replaced"),
-    (Kind::Drain, "drain"),
-    (Kind::WayStalls, "way-stalls"),
-    (Kind::WayBreaks, "way-breaks"),
-    (Kind::DiscoveryStalls, "discovery-stalls"),
-    (Kind::DiscoveryBreaks, "discovery-breaks"),
-    (Kind::DiscoveryDown, "discovery-down"),
-    (Kind::ShortReads, "short-reads"),
-    (Kind::ShortWrites, "short-writes"),
-    (Kind::Accepts, "accepts"),
-    (Kind::ConnectionLimiter, "sockets"),
-    (Kind::Connects, "connects"),
-    (Kind::Interrupts, "interrupts"),
-    (Kind::Broken, "broken"),
-    (Kind::Holds, "holds"),
-    (Kind::WallSteps, "wall-steps"),
-    (Kind::Flood, "flood"),
-    (Kind::RestartWhileAcceptsFail, "restart-accepts"),
-    (Kind::StartWhileBindsFail, "start-binds"),
-    (Kind::ReloadWhileOpensFail, "reload-opens"),
-    (Kind::StepThenReplace, "step-replace"),
+pub const FAULT_KINDS: [(FaultKind, &str); 32] = [
+    (FaultKind::Restart, "restart"),
+    (FaultKind::Kill, "kill"),
+    (FaultKind::Reload, "reload"),
+    (FaultKind::Reloads, "reloads"),
+    (FaultKind::Pause, "pause"),
+    (FaultKind::ReplicaHangs, "replica-hangs"),
+    (FaultKind::ReplicaFails, "replica-fails"),
+    (FaultKind::ReplicaResets, "replica-resets"),
+    (FaultKind::ReplicaBusy, "replica-busy"),
+    (FaultKind::ReplicaGarbles, "replica-garbles"),
+    (FaultKind::ReplicaSlow, "replica-slow"),
+    (FaultKind::ReplicaReplaced, "replica-replaced"),
+    (FaultKind::Drain, "drain"),
+    (FaultKind::WayStalls, "way-stalls"),
+    (FaultKind::WayBreaks, "way-breaks"),
+    (FaultKind::DiscoveryStalls, "discovery-stalls"),
+    (FaultKind::DiscoveryBreaks, "discovery-breaks"),
+    (FaultKind::DiscoveryDown, "discovery-down"),
+    (FaultKind::ShortReads, "short-reads"),
+    (FaultKind::ShortWrites, "short-writes"),
+    (FaultKind::AcceptProbe, "accepts"),
+    (FaultKind::Sockets, "sockets"),
+    (FaultKind::Connects, "connects"),
+    (FaultKind::Interrupts, "interrupts"),
+    (FaultKind::Broken, "broken"),
+    (FaultKind::Holds, "holds"),
+    (FaultKind::WallSteps, "wall-steps"),
+    (FaultKind::Flood, "flood"),
+    (FaultKind::RestartWhileAcceptsFail, "restart-accepts"),
+    (FaultKind::StartWhileBindsFail, "start-binds"),
+    (FaultKind::ReloadWhileOpensFail, "reload-opens"),
+    (FaultKind::StepThenReplace, "step-replace"),
 ];
 
-impl Kind {
-    pub fn named(name: &str) -> Result<Kind> {
-        match KINDS.iter().find(|(_, known)| *known == name) {
+impl FaultKind {
+    pub fn named(name: &str) -> Result<FaultKind> {
+        match FAULT_KINDS.iter().find(|(_, known)| *known == name) {
             Some((kind, _)) => Ok(*kind),
             None => {
-                let names: Vec<&str> = KINDS.iter().map(|k| k.1).collect();
+                let names: Vec<&str> = FAULT_KINDS.iter().map(|k| k.1).collect();
                 bail!("no trouble is named '{name}'; accepted: {}", names.join(", "))
             }
         }
     }
 
     pub fn name(self) -> &'static str {
-        KINDS.iter().find(|(kind, _)| *kind == self).map_or("", |k| k.1)
+        FAULT_KINDS.iter().find(|(kind, _)| *kind == self).map_or("", |k| k.1)
     }
 }
 
 /// One trouble as it was played.
-pub struct Trouble {
-    pub kind: Kind,
+pub struct PlayedFault {
+    pub kind: FaultKind,
     pub on: String,
     pub from: Instant,
     pub to: Instant,
 }
 
 /// What a lane has drawn for its next trouble.
-struct Draw {
-    kind: Kind,
+struct PlannedFault {
+    kind: FaultKind,
     node: usize,
     replica: usize,
     lasts: Duration,
@@ -127,47 +127,47 @@
     share: f64,
 }
 
-impl Draw {
-    fn next(chance: &mut Pcg64, size: Size, replicas: usize, only: Option<Kind>) -> Draw {
-        let kind = KINDS[chance.random_range(0..KINDS.len())].0;
-        Draw {
+impl PlannedFault {
+    fn next(rng: &mut Pcg64, size: Size, replicas: usize, only: Option<FaultKind>) -> PlannedFault {
+        let kind = FAULT_KINDS[rng.random_range(0..FAULT_KINDS.len())].0;
+        PlannedFault {
             kind: only.unwrap_or(kind),
-            node: chance.random_range(0..size.processes),
-            replica: chance.random_range(0..replicas),
-            lasts: Duration::from_millis(chance.random_range(600..2400)),
-            share: chance.random(),
+            node: rng.random_range(0..size.processes),
+            replica: rng.random_range(0..replicas),
+            lasts: Duration::from_millis(rng.random_range(600..2400)),
+            share: rng.random(),
         }
     }
 }
 
 /// Plays all lanes until the time is over; what was played.
 pub async fn run(
-    scene: Rc<Scene>,
+    cluster: Rc<SoakCluster>,
     seed: u64,
     size: Size,
-    only: Option<Kind>,
-    talk: bool,
-) -> Result<Vec<Trouble>> {
+    only: Option<FaultKind>,
+    verbose: bool,
+) -> Result<Vec<PlayedFault>> {
     let until = Instant::now() + size.lasts;
     let mut lanes = JoinSet::new();
     for lane in 0..size.overlap {
-        let scene = scene.clone();
+        let cluster = cluster.clone();
         lanes.spawn_local(async move {
-            let mut chance = Pcg64::seed_from_u64(seed.wrapping_mul(31) + lane as u64);
+            let mut rng = Pcg64::seed_from_u64(seed.wrapping_mul(31) + lane as u64);
             let mut played = Vec::new();
             // Nothing begins so late that its end is not seen.
             while Instant::now() + Duration::from_secs(3) < until {
-                tokio::time::sleep(Duration::from_millis(chance.random_range(0..400))).await;
-                let replicas = scene.replicas.borrow().len();
-                let draw = Draw::next(&mut chance, size, replicas, only);
+                tokio::time::sleep(Duration::from_millis(rng.random_range(0..400))).await;
+                let replicas = cluster.replicas.borrow().len();
+                let planned = PlannedFault::next(&mut rng, size, replicas, only);
                 let from = Instant::now();
-                let on = play(&scene, &draw).await?;
-                let (kind, to) = (draw.kind, Instant::now());
-                if talk {
-                    let at = |t: Instant| (t - scene.begun).as_secs_f64();
+                let on = play(&cluster, &planned).await?;
+                let (kind, to) = (planned.kind, Instant::now());
+                if verbose {
+                    let at = |t: Instant| (t - cluster.begun).as_secs_f64();
                     eprintln!("{:7.3} to {:7.3}  {} {on}", at(from), at(to), kind.name());
                 }
-                played.push(Trouble { kind, on, from, to });
+                played.push(PlayedFault { kind, on, from, to });
             }
             Ok::<_, anyhow::Error>(played)
         });
@@ -179,99 +179,101 @@
     Ok(all)
 }
 
-async fn play(scene: &Scene, draw: &Draw) -> Result<String> {
-    let node = &scene.nodes[draw.node];
-    let (on_node, on_replica) = (format!("process {}", draw.node), format!("replica {}", draw.replica));
-    match draw.kind {
-        Kind::Restart => restart(node).await?,
-        Kind::Kill => kill(node).await?,
-        Kind::Reload => reload(scene, node, draw.share < 0.7).await?,
-        Kind::Reloads => {
+async fn play(cluster: &SoakCluster, planned: &PlannedFault) -> Result<String> {
+    let node = &cluster.nodes[planned.node];
+    let (on_node, on_replica) = (format!("process {}", planned.node), format!("replica {}", planned.replica));
+    match planned.kind {
+        FaultKind::Restart => restart(node).await?,
+        FaultKind::Kill => kill(node).await?,
+        FaultKind::Reload => reload(cluster, node, planned.share < 0.7).await?,
+        FaultKind::Reloads => {
             for n in 0..5 {
-                reload(scene, node, n % 2 == 0).await?;
-                tokio::time::sleep(draw.lasts / 40).await;
+                reload(cluster, node, n % 2 == 0).await?;
+                tokio::time::sleep(planned.lasts / 40).await;
             }
         }
-        Kind::Pause => pause(node, draw.share).await?,
-        Kind::ReplicaHangs => manner(scene, draw, Manner::Silent).await,
-        Kind::ReplicaFails => manner(scene, draw, Manner::Fails).await,
-        Kind::ReplicaResets => manner(scene, draw, Manner::Resets).await,
-        Kind::ReplicaBusy => manner(scene, draw, Manner::Busy).await,
-        Kind::ReplicaGarbles => manner(scene, draw, Manner::Garbles).await,
-        Kind::ReplicaSlow => manner(scene, draw, Manner::Slow(15.0)).await,
-        Kind::ReplicaReplaced => {
-            if let Some(alone) = scene.alone_on(draw.replica) {
-                scene.replace(alone.replica, draw.lasts / 2).await?;
+        FaultKind::Pause => pause(node, planned.share).await?,
+        FaultKind::ReplicaHangs => behavior(cluster, planned, ReplicaBehavior::Silent).await,
+        FaultKind::ReplicaFails => behavior(cluster, planned, ReplicaBehavior::Fails).await,
+        FaultKind::ReplicaResets => behavior(cluster, planned, ReplicaBehavior::Resets).await,
+        FaultKind::ReplicaBusy => behavior(cluster, planned, ReplicaBehavior::Busy).await,
+        FaultKind::ReplicaGarbles => behavior(cluster, planned, ReplicaBehavior::Malformed).await,
+        FaultKind::ReplicaSlow => behavior(cluster, planned, ReplicaBehavior::Slow(15.0)).await,
+        FaultKind::ReplicaReplaced => {
+            if let Some(reserved) = cluster.reserve_replica(planned.replica) {
+                cluster.replace(reserved.replica, planned.lasts / 2).await?;
             }
         }
-        Kind::Drain => drain(scene, draw).await,
-        Kind::WayStalls => way_stalls(scene, draw).await,
-        Kind::WayBreaks => {
+        FaultKind::Drain => drain(cluster, planned).await,
+        FaultKind::WayStalls => way_stalls(cluster, planned).await,
+        FaultKind::WayBreaks => {
             for _ in 0..3 {
-                scene.replicas.borrow()[draw.replica].way.break_now();
-                tokio::time::sleep(draw.lasts / 3).await;
+                cluster.replicas.borrow()[planned.replica].way.break_now();
+                tokio::time::sleep(planned.lasts / 3).await;
             }
         }
-        Kind::DiscoveryStalls => lists_out(scene, draw, |way| way.turns(stalled(true, true))).await,
-        Kind::DiscoveryBreaks => scene.ways_to_discovery.iter().for_each(|way| way.break_now()),
-        Kind::DiscoveryDown => lists_out(scene, draw, |way| way.cut()).await,
-        Kind::ShortReads => faulty(node, draw, Fault::ShortRead, 0.05).await?,
-        Kind::ShortWrites => faulty(node, draw, Fault::ShortWrite, 0.05).await?,
-        Kind::Accepts => faulty(node, draw, Fault::Accept, 0.6).await?,
-        Kind::ConnectionLimiter => faulty(node, draw, Fault::Socket, 0.3).await?,
-        Kind::Connects => faulty(node, draw, Fault::Connect, 0.3).await?,
-        Kind::Interrupts => faulty(node, draw, Fault::Interrupt, 0.05).await?,
-        Kind::Broken => faulty(node, draw, Fault::Broken, 0.02).await?,
-        Kind::Holds => {
+        FaultKind::DiscoveryStalls => {
+            lists_out(cluster, planned, |way| way.set_conditions(stalled(true, true))).await
+        }
+        FaultKind::DiscoveryBreaks => cluster.ways_to_discovery.iter().for_each(|way| way.break_now()),
+        FaultKind::DiscoveryDown => lists_out(cluster, planned, |way| way.cut()).await,
+        FaultKind::ShortReads => faulty(node, planned, SyscallFault::ShortRead, 0.05).await?,
+        FaultKind::ShortWrites => faulty(node, planned, SyscallFault::ShortWrite, 0.05).await?,
+        FaultKind::AcceptProbe => faulty(node, planned, SyscallFault::Accept, 0.6).await?,
+        FaultKind::Sockets => faulty(node, planned, SyscallFault::Socket, 0.3).await?,
+        FaultKind::Connects => faulty(node, planned, SyscallFault::Connect, 0.3).await?,
+        FaultKind::Interrupts => faulty(node, planned, SyscallFault::Interrupt, 0.05).await?,
+        FaultKind::Broken => faulty(node, planned, SyscallFault::Broken, 0.02).await?,
+        FaultKind::Holds => {
             begin(&node.held_up);
-            faulty(node, draw, Fault::Hold, 0.01).await?;
+            faulty(node, planned, SyscallFault::Hold, 0.01).await?;
             end(&node.held_up);
         }
-        Kind::WallSteps => {
+        FaultKind::WallSteps => {
             for step in [-3600.0, 2.0, 3600.0, 0.0] {
                 node.faults.step_wall_clock(step)?;
-                tokio::time::sleep(draw.lasts / 4).await;
+                tokio::time::sleep(planned.lasts / 4).await;
             }
         }
-        Kind::Flood => flood(node, draw).await,
-        Kind::RestartWhileAcceptsFail => {
-            node.faults.set(Fault::Accept, 0.6)?;
-            tokio::time::sleep(draw.lasts / 4).await;
+        FaultKind::Flood => flood(node, planned).await,
+        FaultKind::RestartWhileAcceptsFail => {
+            node.faults.set(SyscallFault::Accept, 0.6)?;
+            tokio::time::sleep(planned.lasts / 4).await;
             restart(node).await?;
-            node.faults.set(Fault::Accept, 0.0)?;
+            node.faults.set(SyscallFault::Accept, 0.0)?;
         }
-        Kind::StartWhileBindsFail => {
-            node.faults.set(Fault::Bind, 0.8)?;
-            node.faults.set(Fault::Socket, 0.3)?;
-            node.faults.set(Fault::Open, 0.5)?;
+        FaultKind::StartWhileBindsFail => {
+            node.faults.set(SyscallFault::Bind, 0.8)?;
+            node.faults.set(SyscallFault::Socket, 0.3)?;
+            node.faults.set(SyscallFault::Open, 0.5)?;
             restart(node).await?;
-            for fault in [Fault::Bind, Fault::Socket, Fault::Open] {
+            for fault in [SyscallFault::Bind, SyscallFault::Socket, SyscallFault::Open] {
                 node.faults.set(fault, 0.0)?;
             }
         }
-        Kind::ReloadWhileOpensFail => {
-            node.faults.set(Fault::Open, 1.0)?;
-            reload(scene, node, true).await?;
-            tokio::time::sleep(draw.lasts.min(Duration::from_millis(800))).await;
-            node.faults.set(Fault::Open, 0.0)?;
+        FaultKind::ReloadWhileOpensFail => {
+            node.faults.set(SyscallFault::Open, 1.0)?;
+            reload(cluster, node, true).await?;
+            tokio::time::sleep(planned.lasts.min(Duration::from_millis(800))).await;
+            node.faults.set(SyscallFault::Open, 0.0)?;
         }
-        Kind::StepThenReplace => {
+        FaultKind::StepThenReplace => {
             // All machines read one clock: the replica's start is told by the stepped one.
-            let step = if draw.share < 0.5 { -3600.0 } else { 3600.0 };
-            scene.step_all_wall_clocks(step)?;
-            if let Some(alone) = scene.alone_on(draw.replica) {
-                scene.replace(alone.replica, Duration::from_millis(100)).await?;
+            let step = if planned.share < 0.5 { -3600.0 } else { 3600.0 };
+            cluster.step_all_wall_clocks(step)?;
+            if let Some(reserved) = cluster.reserve_replica(planned.replica) {
+                cluster.replace(reserved.replica, Duration::from_millis(100)).await?;
             }
-            tokio::time::sleep(draw.lasts).await;
-            scene.step_all_wall_clocks(0.0)?;
+            tokio::time::sleep(planned.lasts).await;
+            cluster.step_all_wall_clocks(0.0)?;
         }
     }
-    Ok(if draw.kind.is_of_replica() { on_replica } else { on_node })
+    Ok(if planned.kind.is_of_replica() { on_replica } else { on_node })
 }
 
-impl Kind {
+impl FaultKind {
     fn is_of_replica(self) -> bool {
-        use Kind::*;
+        use FaultKind::*;
         matches!(
             self,
             ReplicaHangs
@@ -305,7 +307,7 @@
     let mut process = node.process.lock().await;
     begin(&node.away);
     process.signal(Signal::TERM)?;
-    if process.end(GRACE).await.is_none() {
+    if process.wait_for_exit(GRACE).await.is_none() {
         process.kill();
     }
     start_again(node, &mut process).await
@@ -322,8 +324,8 @@
 
 async fn start_again(node: &Node, process: &mut Process) -> Result<()> {
     let begun = Instant::now();
-    process.begin_again(None)?;
-    let up = tokio::time::timeout(START_LIMIT, process.up()).await;
+    process.spawn_again(None)?;
+    let up = tokio::time::timeout(START_LIMIT, process.wait_until_ready()).await;
     // What never serves is judged by that time.
     let took = if matches!(up, Ok(Ok(()))) { begun.elapsed() } else { START_LIMIT };
     node.ready.borrow_mut().push(took);
@@ -332,10 +334,10 @@
 }
 
 /// A new configuration: discovery at one of its two addresses.
-async fn reload(scene: &Scene, node: &Node, second: bool) -> Result<()> {
+async fn reload(cluster: &SoakCluster, node: &Node, second: bool) -> Result<()> {
     let process = node.process.lock().await;
-    let address = scene.ways_to_discovery[usize::from(second)].address.to_string();
-    process.node_config_with("/discovery", address.into())?;
+    let address = cluster.ways_to_discovery[usize::from(second)].address.to_string();
+    process.override_node_config("/discovery", address.into())?;
     process.signal(Signal::HUP)?;
     Ok(())
 }
@@ -350,70 +352,74 @@
     Ok(())
 }
 
-async fn manner(scene: &Scene, draw: &Draw, manner: Manner) {
+async fn behavior(cluster: &SoakCluster, planned: &PlannedFault, behavior: ReplicaBehavior) {
     // It may be replaced meanwhile: the one that was troubled is the one that is well again.
-    let name = scene.replicas.borrow()[draw.replica].name.clone();
-    let turns = |manner| {
-        let replicas = scene.replicas.borrow();
-        replicas.iter().filter(|r| r.name == name).for_each(|r| r.replica.turns(manner));
+    let name = cluster.replicas.borrow()[planned.replica].name.clone();
+    let turns = |behavior| {
+        let replicas = cluster.replicas.borrow();
+        replicas.iter().filter(|r| r.name == name).for_each(|r| r.replica.set_behavior(behavior));
     };
-    turns(manner);
-    tokio::time::sleep(draw.lasts).await;
-    turns(Manner::Answers);
+    turns(behavior);
+    tokio::time::sleep(planned.lasts).await;
+    turns(ReplicaBehavior::Normal);
 }
 
-async fn drain(scene: &Scene, draw: &Draw) {
-    if let Some(alone) = scene.alone_on(draw.replica) {
-        scene.drain(alone.replica);
-        tokio::time::sleep(draw.lasts * 4).await;
-        scene.undrain(alone.replica);
+async fn drain(cluster: &SoakCluster, planned: &PlannedFault) {
+    if let Some(reserved) = cluster.reserve_replica(planned.replica) {
+        cluster.drain(reserved.replica);
+        tokio::time::sleep(planned.lasts * 4).await;
+        cluster.undrain(reserved.replica);
     }
 }
 
-fn stalled(there: bool, back: bool) -> Way {
-    Way { stalled_there: there, stalled_back: back, ..Way::of(Duration::from_micros(400)) }
+fn stalled(there: bool, back: bool) -> LinkConditions {
+    LinkConditions {
+        stalled_there: there,
+        stalled_back: back,
+        ..LinkConditions::of(Duration::from_micros(400))
+    }
 }
 
-async fn way_stalls(scene: &Scene, draw: &Draw) {
+async fn way_stalls(cluster: &SoakCluster, planned: &PlannedFault) {
     let (way, replica) = {
-        let replicas = scene.replicas.borrow();
-        (replicas[draw.replica].way.clone(), replicas[draw.replica].replica.address)
+        let replicas = cluster.replicas.borrow();
+        (replicas[planned.replica].way.clone(), replicas[planned.replica].replica.address)
     };
-    scene.stalls.borrow_mut().push((replica, Instant::now(), None));
-    way.turns(stalled(draw.share < 0.6, draw.share > 0.3));
-    tokio::time::sleep(draw.lasts).await;
-    way.turns(stalled(false, false));
-    let mut stalls = scene.stalls.borrow_mut();
+    cluster.stalls.borrow_mut().push((replica, Instant::now(), None));
+    way.set_conditions(stalled(planned.share < 0.6, planned.share > 0.3));
+    tokio::time::sleep(planned.lasts).await;
+    way.set_conditions(stalled(false, false));
+    let mut stalls = cluster.stalls.borrow_mut();
     if let Some(stall) = stalls.iter_mut().find(|s| s.0 == replica && s.2.is_none()) {
         stall.2 = Some(Instant::now());
     }
 }
 
-async fn lists_out(scene: &Scene, draw: &Draw, trouble: impl Fn(&crate::link::Link)) {
-    begin(&scene.lists_out);
-    scene.ways_to_discovery.iter().for_each(trouble);
-    tokio::time::sleep(draw.lasts).await;
-    for way in &scene.ways_to_discovery {
-        way.turns(stalled(false, false));
+async fn lists_out(cluster: &SoakCluster, planned: &PlannedFault, fault: impl Fn(&crate::link::Link)) {
+    begin(&cluster.lists_out);
+    cluster.ways_to_discovery.iter().for_each(fault);
+    tokio::time::sleep(planned.lasts).await;
+    for way in &cluster.ways_to_discovery {
+        way.set_conditions(stalled(false, false));
         way.heal();
     }
-    end(&scene.lists_out);
+    end(&cluster.lists_out);
 }
 
-async fn faulty(node: &Node, draw: &Draw, fault: Fault, share: f64) -> Result<()> {
+async fn faulty(node: &Node, planned: &PlannedFault, fault: SyscallFault, share: f64) -> Result<()> {
     node.faults.set(fault, share)?;
-    tokio::time::sleep(draw.lasts).await;
+    tokio::time::sleep(planned.lasts).await;
     node.faults.set(fault, 0.0)
 }
 
 /// Connections that say nothing, more than there are places for.
-async fn flood(node: &Node, draw: &Draw) {
+async fn flood(node: &Node, planned: &PlannedFault) {
     let mut idle = Vec::new();
-    for _ in 0..(200.0 + draw.share * 200.0) as usize {
+    for _ in 0..(200.0 + planned.share * 200.0) as usize {
         match tokio::time::timeout(Duration::from_millis(200), connect(node.address)).await {
             Ok(Ok(stream)) => idle.push(stream),
             _ => break,
         }
     }
-    tokio::time::sleep(draw.lasts).await;
+    tokio::time::sleep(planned.lasts).await;
 }
--- a/crates/pipitcrank-testkit/src/soak/judge.rs
+++ b/crates/pipitcrank-testkit/src/soak/verifier.rs
@@ -6,12 +6,12 @@
 
 use anyhow::Result;
 
-use super::clients::{End, Manner, Request};
-use super::scene::{
-    COLD, COLD_FROM, DEDUP_WINDOW, DRAIN_GRACE, FALL, Node, OVERLOAD_FACTOR, Replica, Scene, WORK,
+use super::clients::{ClientBehavior, Request, RequestEnd};
+use super::cluster::{
+    COLD, COLD_FROM, DEDUP_WINDOW, DRAIN_GRACE, FALL, Node, OVERLOAD_FACTOR, Replica, SoakCluster, WORK,
 };
-use super::script::Trouble;
-use crate::ledger::Arrival;
+use super::script::PlayedFault;
+use crate::query_log::Arrival;
 use crate::trial::Outcome;
 
 /// A final answer counts for so long after the client's time.
@@ -35,52 +35,52 @@
 /// Examples of each violation that are named.
 const EXAMPLES: usize = 4;
 
-struct Judge<'a> {
-    scene: &'a Scene,
+struct Verifier<'a> {
+    cluster: &'a SoakCluster,
     found: BTreeMap<&'static str, Vec<String>>,
 }
 
-pub async fn judge(scene: &Scene, troubles: Vec<Trouble>) -> Result<Outcome> {
-    let mut judge = Judge { scene, found: BTreeMap::new() };
-    for request in scene.requests.borrow().iter() {
-        judge.request(request);
+pub async fn verify(cluster: &SoakCluster, faults: Vec<PlayedFault>) -> Result<Outcome> {
+    let mut verifier = Verifier { cluster, found: BTreeMap::new() };
+    for request in cluster.requests.borrow().iter() {
+        verifier.request(request);
     }
-    let arrivals = scene.ledger.arrivals();
-    judge.arrivals(&arrivals);
-    for replica in scene.replicas.borrow().iter().chain(scene.retired.borrow().iter()) {
-        judge.slow_start(replica, &arrivals);
+    let arrivals = cluster.query_log.arrivals();
+    verifier.arrivals(&arrivals);
+    for replica in cluster.replicas.borrow().iter().chain(cluster.retired.borrow().iter()) {
+        verifier.slow_start(replica, &arrivals);
     }
-    for (n, node) in scene.nodes.iter().enumerate() {
-        judge.process(n, node).await;
+    for (n, node) in cluster.nodes.iter().enumerate() {
+        verifier.process(n, node).await;
     }
-    Ok(judge.outcome(&troubles, arrivals.len()))
+    Ok(verifier.outcome(&faults, arrivals.len()))
 }
 
-impl Judge<'_> {
+impl Verifier<'_> {
     fn breaks(&mut self, what: &'static str, detail: String) {
         self.found.entry(what).or_default().push(detail);
     }
 
     /// Seconds since the play began.
     fn at(&self, at: Instant) -> f64 {
-        at.saturating_duration_since(self.scene.begun).as_secs_f64()
+        at.saturating_duration_since(self.cluster.begun).as_secs_f64()
     }
 
     fn request(&mut self, request: &Request) {
-        let node = &self.scene.nodes[request.node];
+        let node = &self.cluster.nodes[request.node];
         let over = request.asked + request.wait + ANSWER_SLACK;
         let killed = |until: Instant| {
             let kills = node.kills.borrow();
             kills.iter().any(|k| *k + SEEN_LATE >= request.asked && *k <= until)
         };
-        let asked = format!("{} {:?} asked at {:.3}", request.id, request.manner, self.at(request.asked));
+        let asked = format!("{} {:?} asked at {:.3}", request.id, request.behavior, self.at(request.asked));
         let named = |how: &str| format!("{asked} {how}");
         if request.spoilt {
             self.breaks("answers not as replicas gave them", named(""));
         }
         match &request.end {
-            End::Answered { status, at } => {
-                let late = at.saturating_duration_since(over + SEEN_LATE + self.scene.lag_at(*at));
+            RequestEnd::Answered { status, at } => {
+                let late = at.saturating_duration_since(over + SEEN_LATE + self.cluster.lag_at(*at));
                 if late > Duration::ZERO && !killed(*at) {
                     self.breaks("answers too late", named(&format!("by {late:?} more, {status}")));
                 }
@@ -88,17 +88,17 @@
                     self.breaks("sound requests held to be faulty", named(&format!("status {status}")));
                 }
             }
-            End::Cut { at, kept } if !killed(*at + SEEN_LATE) => {
+            RequestEnd::Interrupted { at, kept } if !killed(*at + SEEN_LATE) => {
                 let how = if *kept { "kept" } else { "new" };
                 self.breaks("requests cut off", named(&format!("cut at {:.3}, {how}", self.at(*at))));
             }
-            End::Silence if request.manner == Manner::Half => {
+            RequestEnd::NoResponse if request.behavior == ClientBehavior::PartialRequest => {
                 self.breaks("halves left without a word", named("5 s"));
             }
-            End::Silence if !killed(over) => self.breaks("requests without an answer", named("")),
-            End::Refused { at } => {
+            RequestEnd::NoResponse if !killed(over) => self.breaks("requests without an answer", named("")),
+            RequestEnd::Refused { at } => {
                 let took = at.saturating_duration_since(request.asked);
-                if took > HALF_LIMIT + SEEN_LATE + self.scene.lag_at(*at) {
+                if took > HALF_LIMIT + SEEN_LATE + self.cluster.lag_at(*at) {
                     self.breaks("halves left without a word", named(&format!("{took:?}")));
                 }
             }
@@ -107,7 +107,7 @@
     }
 
     fn arrivals(&mut self, arrivals: &[Arrival]) {
-        let requests = self.scene.requests.borrow();
+        let requests = self.cluster.requests.borrow();
         let by_id: BTreeMap<&str, &Request> = requests.iter().map(|r| (r.id.as_str(), r)).collect();
         let mut first: BTreeMap<&str, Instant> = BTreeMap::new();
         for arrival in arrivals {
@@ -122,7 +122,7 @@
             self.drained(arrival);
         }
         drop(requests);
-        let again = self.scene.ledger.ran_again("sale-");
+        let again = self.cluster.query_log.parts_run_again("sale-");
         if again > 0 {
             self.breaks("side-effecting parts run twice", format!("{again}"));
         }
@@ -130,15 +130,15 @@
 
     /// What is to be added to a limit where the process may have been held up, or this program late.
     fn slack(&self, request: &Request, at: Instant) -> Duration {
-        let node = &self.scene.nodes[request.node];
+        let node = &self.cluster.nodes[request.node];
         let held = node.was_held_up(at - Duration::from_millis(500), at);
-        SEEN_LATE + self.scene.lag_at(at) + if held { HELD_UP } else { Duration::ZERO }
+        SEEN_LATE + self.cluster.lag_at(at) + if held { HELD_UP } else { Duration::ZERO }
     }
 
     /// What was on its way while that way was stalled came later than it was sent.
     fn was_stalled(&self, arrival: &Arrival) -> bool {
         let before = arrival.at - Duration::from_millis(50);
-        let stalls = self.scene.stalls.borrow();
+        let stalls = self.cluster.stalls.borrow();
         let mut of_replica = stalls.iter().filter(|s| s.0 == arrival.replica);
         of_replica.any(|(_, from, to)| *from <= arrival.at && to.is_none_or(|to| to >= before))
     }
@@ -148,10 +148,10 @@
             return;
         }
         let slack = self.slack(request, arrival.at);
-        let named = |judge: &Judge, how: String| {
-            format!("{} {:?} arrived at {:.3} {how}", arrival.part, request.manner, judge.at(arrival.at))
+        let named = |verifier: &Verifier, how: String| {
+            format!("{} {:?} arrived at {:.3} {how}", arrival.part, request.behavior, verifier.at(arrival.at))
         };
-        if let End::Left { at } = request.end {
+        if let RequestEnd::Disconnected { at } = request.end {
             let after = arrival.at.saturating_duration_since(at);
             if after > CLOSE_SLACK + slack {
                 let named = named(self, format!("{after:?} after the close"));
@@ -159,11 +159,11 @@
             }
         }
         let left = (request.asked + request.wait).saturating_duration_since(arrival.at);
-        if arrival.told > left + DEADLINE_SLACK + slack {
-            let named = named(self, format!("told {:?}, left {left:?}", arrival.told));
+        if arrival.stated_deadline > left + DEADLINE_SLACK + slack {
+            let named = named(self, format!("told {:?}, left {left:?}", arrival.stated_deadline));
             self.breaks("more time told than the client had", named);
         }
-        if let End::Answered { at, .. } = request.end {
+        if let RequestEnd::Answered { at, .. } = request.end {
             let after = arrival.at.saturating_duration_since(at);
             if after > slack {
                 let named = named(self, format!("{after:?} after the answer"));
@@ -174,7 +174,7 @@
 
     fn repeat(&mut self, arrival: &Arrival, first: Instant) {
         let after = arrival.at.saturating_duration_since(first);
-        let slack = SEEN_LATE + self.scene.lag_at(arrival.at) + HELD_UP;
+        let slack = SEEN_LATE + self.cluster.lag_at(arrival.at) + HELD_UP;
         if after > DEDUP_WINDOW + slack && !self.was_stalled(arrival) {
             let detail = format!("{} {after:?} after the first", arrival.part);
             self.breaks("deduplicated parts repeated beyond their window", detail);
@@ -187,14 +187,14 @@
         }
         let told_by = |told: Instant| {
             let mut by = told;
-            for (from, to) in self.scene.lists_out.borrow().iter() {
+            for (from, to) in self.cluster.lists_out.borrow().iter() {
                 if *from <= by + TOLD_AFTER {
                     by = by.max(to.unwrap_or(arrival.at));
                 }
             }
             by + TOLD_AFTER + DRAIN_GRACE + HELD_UP + SEEN_LATE
         };
-        let drains = self.scene.drains.borrow();
+        let drains = self.cluster.drains.borrow();
         let mut of_replica = drains.iter().filter(|d| d.0 == arrival.replica);
         let sent = of_replica.any(|(_, told, until)| {
             arrival.at > told_by(*told) && until.is_none_or(|until| arrival.at < until)
@@ -240,7 +240,7 @@
         for line in lines("panicked") {
             self.breaks("panics", format!("process {n}: {line}"));
         }
-        if let Some(status) = process.ended() {
+        if let Some(status) = process.exit_status() {
             let last = log.lines().last().unwrap_or("").to_string();
             self.breaks("processes that ended by themselves", format!("process {n}: {status}; {last}"));
         }
@@ -249,32 +249,32 @@
         }
     }
 
-    fn outcome(self, troubles: &[Trouble], arrivals: usize) -> Outcome {
+    fn outcome(self, faults: &[PlayedFault], arrivals: usize) -> Outcome {
         let mut outcome = Outcome::default();
-        let requests = self.scene.requests.borrow();
-        let plain = || requests.iter().filter(|r| r.manner == Manner::Plain);
+        let requests = self.cluster.requests.borrow();
+        let plain = || requests.iter().filter(|r| r.behavior == ClientBehavior::Plain);
         let ended = |status: u16| {
-            plain().filter(|r| matches!(r.end, End::Answered { status: s, .. } if s == status)).count()
+            plain().filter(|r| matches!(r.end, RequestEnd::Answered { status: s, .. } if s == status)).count()
         };
-        let (served, taken) = (ended(200), plain().filter(|r| r.end != End::NotTaken).count());
+        let (served, taken) = (ended(200), plain().filter(|r| r.end != RequestEnd::NotAccepted).count());
         outcome.figure("requests", requests.len() as f64);
         outcome.figure("parts that came to replicas", arrivals as f64);
-        outcome.figure("troubles", troubles.len() as f64);
+        outcome.figure("troubles", faults.len() as f64);
         outcome.figure("plain requests taken", taken as f64);
         outcome.figure("plain requests served", served as f64);
         outcome.figure("plain requests refused", ended(503) as f64);
         outcome.figure("plain requests failed", ended(500) as f64);
-        let worst = self.scene.lags.borrow().iter().map(|l| l.1).max().unwrap_or_default();
+        let worst = self.cluster.lags.borrow().iter().map(|l| l.1).max().unwrap_or_default();
         outcome.figure("this program late by, ms", worst.as_secs_f64() * 1000.0);
         outcome.promise(served as f64 >= taken as f64 * SERVED_LEAST, "hardly anybody was served");
         for (what, details) in &self.found {
-            outcome.nought(what, details.len() as u64);
+            outcome.expect_zero(what, details.len() as u64);
             for detail in details.iter().take(EXAMPLES) {
                 eprintln!("{what}: {detail}");
             }
         }
         if !self.found.is_empty() {
-            for Trouble { kind, on, from, to } in troubles {
+            for PlayedFault { kind, on, from, to } in faults {
                 eprintln!("trouble {:7.3} to {:7.3} {} {on}", self.at(*from), self.at(*to), kind.name());
             }
         }
--- a/crates/pipitcrank-testkit/src/faults.rs
+++ b/crates/pipitcrank-testkit/src/syscall_faults.rs
@@ -19,7 +19,7 @@
 
 /// Which call fails, in the order of the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum SyscallFault {
     /// A read brings 1 to 40 bytes while more are there.
     ShortRead,
     ShortWrite,
@@ -42,12 +42,12 @@
 }
 
 /// The library, built once.
-pub struct Shim {
+pub struct FaultLibrary {
     folder: Folder,
 }
 
-impl Shim {
-    pub fn build() -> Result<Shim> {
+impl FaultLibrary {
+    pub fn build() -> Result<FaultLibrary> {
         let folder = Folder::new("shim")?;
         let source = folder.path().join("faults.c");
         std::fs::write(&source, SOURCE)?;
@@ -61,7 +61,7 @@
         if !built.status.success() {
             bail!("the shim can't be built: {}", String::from_utf8_lossy(&built.stderr));
         }
-        Ok(Shim { folder })
+        Ok(FaultLibrary { folder })
     }
 
     fn library(&self) -> PathBuf {
@@ -69,23 +69,23 @@
     }
 
     /// For one process: nothing fails yet.
-    pub fn for_process(&self, name: &str, seed: u64) -> Result<Faults> {
+    pub fn for_process(&self, name: &str, seed: u64) -> Result<ProcessFaults> {
         let path = self.folder.path().join(format!("control-{name}"));
         let file = File::options().create(true).truncate(true).read(true).write(true).open(&path)?;
         file.set_len(SEED + 8)?;
         file.write_all_at(&seed.to_ne_bytes(), SEED)?;
-        Ok(Faults { file, path, library: self.library() })
+        Ok(ProcessFaults { file, path, library: self.library() })
     }
 }
 
 /// What fails in one process.
-pub struct Faults {
+pub struct ProcessFaults {
     file: File,
     path: PathBuf,
     library: PathBuf,
 }
 
-impl Faults {
+impl ProcessFaults {
     /// Variables that the process is started with.
     pub fn variables(&self) -> Vec<(String, String)> {
         let text = |path: &Path| path.display().to_string();
@@ -96,7 +96,7 @@
     }
 
     /// From now on this share of the calls fails.
-    pub fn set(&self, fault: Fault, share: f64) -> Result<()> {
+    pub fn set(&self, fault: SyscallFault, share: f64) -> Result<()> {
         let rate = (share.clamp(0.0, 1.0) * MILLION) as u32;
         Ok(self.file.write_all_at(&rate.to_ne_bytes(), fault as u64 * 4)?)
     }
--- a/crates/pipitcrank-testkit/src/trial/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/mod.rs
@@ -12,7 +12,7 @@
 use anyhow::{Result, bail};
 use serde::Serialize;
 
-use crate::ledger::{Ended, Ledger};
+use crate::query_log::{QueryLog, QueryOutcome};
 use crate::soak;
 
 /// No trial lasts longer, and a round more, whatever hangs.
@@ -32,7 +32,7 @@
     }
 
     /// A figure that has to be nought.
-    pub fn nought(&mut self, name: &str, value: u64) {
+    pub fn expect_zero(&mut self, name: &str, value: u64) {
         self.figure(name, value as f64);
         if value != 0 {
             self.broken.push(format!("{name} is {value}, not 0"));
@@ -46,21 +46,21 @@
     }
 
     /// One final answer a query, one run a side-effecting part.
-    fn once_each(&mut self, ledger: &Ledger) {
-        self.nought("answered twice", ledger.answered_twice());
-        self.nought("side-effecting parts run twice", ledger.ran_again("sale-"));
-        self.nought("odd answers", ledger.odd());
+    fn once_each(&mut self, query_log: &QueryLog) {
+        self.expect_zero("answered twice", query_log.answered_twice());
+        self.expect_zero("side-effecting parts run twice", query_log.parts_run_again("sale-"));
+        self.expect_zero("odd answers", query_log.unexpected_statuses());
     }
 
     /// How queries ended, and what ran again.
-    fn ends(&mut self, ledger: &Ledger) {
-        self.figure("merged", ledger.count(Ended::Merged) as f64);
-        self.figure("merged in part", ledger.count(Ended::MergedInPart) as f64);
-        self.figure("rejected", ledger.count(Ended::Rejected) as f64);
-        self.figure("aborted", ledger.count(Ended::Aborted) as f64);
+    fn ends(&mut self, query_log: &QueryLog) {
+        self.figure("merged", query_log.count(QueryOutcome::Complete) as f64);
+        self.figure("merged in part", query_log.count(QueryOutcome::Partial) as f64);
+        self.figure("rejected", query_log.count(QueryOutcome::Rejected) as f64);
+        self.figure("aborted", query_log.count(QueryOutcome::Aborted) as f64);
         self.figure(
             "repeatable parts run again",
-            (ledger.ran_again("view-") + ledger.ran_again("rank-")) as f64,
+            (query_log.parts_run_again("view-") + query_log.parts_run_again("rank-")) as f64,
         );
     }
 
@@ -95,7 +95,7 @@
 pub const NAMES: &str = "upgrade, upgrade-overloaded, upgrade-known, gateway, gateway-table, zones, return, soak, soak-short, soak-hard";
 
 /// What of a trial can be told: the same seed plays the same script.
-pub struct Terms<'a> {
+pub struct TrialOptions<'a> {
     pub seed: u64,
     pub rounds: u32,
     /// One kind of round alone.
@@ -104,8 +104,8 @@
 }
 
 /// Plays one; the exit code.
-pub fn play(program: &Path, name: &str, terms: Terms) -> Result<i32> {
-    let Terms { seed, rounds, only, json } = terms;
+pub fn play(program: &Path, name: &str, options: TrialOptions) -> Result<i32> {
+    let TrialOptions { seed, rounds, only, json } = options;
     let limit = LONGEST + A_ROUND * rounds;
     let outcome = match name {
         "upgrade" => on_one_thread(limit, upgrade::play(program, seed, rounds, only, !json))?,
