--- a/crates/pipitcrank-testkit/src/trial/returns.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns.rs
@@ -18,14 +18,14 @@
 use rustix::process::Signal;
 
 use super::Outcome;
-use super::zones::{Seen, free_udp, section, tell, watch};
+use super::zones::{Observations, free_udp, section, tell, watch};
 use crate::client::Clients;
+use crate::datagram_network::DatagramNetwork;
 use crate::fleet::Load;
-use crate::ledger::{Ended, Ledger};
-use crate::net::Net;
 use crate::process::{Folder, Process, signal_worker};
+use crate::query_log::{QueryLog, QueryOutcome};
 use crate::replica::Work;
-use crate::zoned::Zoned;
+use crate::zoned_fleet::ZonedFleet;
 
 const ZONES: [(&str, &str); 3] = [("a", "north"), ("b", "north"), ("c", "north")];
 const COPIES: usize = 12;
@@ -101,12 +101,12 @@
     up: Rc<Cell<bool>>,
 }
 
-struct Scene {
-    zoned: Zoned,
+struct RestartCluster {
+    fleet: ZonedFleet,
     // Held: relays end with it.
-    _net: Net,
+    _net: DatagramNetwork,
     members: Vec<Member>,
-    seen: Rc<RefCell<Seen>>,
+    observed: Rc<RefCell<Observations>>,
     stores: Folder,
     kept: bool,
     program: PathBuf,
@@ -129,10 +129,10 @@
     format!("{{ {}{store} }}", section(&ZONES, zone, listen, known_as, voters))
 }
 
-impl Scene {
-    async fn start(program: &Path, seed: u64, kept: bool) -> Result<Scene> {
-        let zoned = Zoned::start(seed, &ZONES, 0, WORK, Ledger::default()).await?;
-        let (net, stores) = (Net::new(seed ^ 5), Folder::new("stores")?);
+impl RestartCluster {
+    async fn start(program: &Path, seed: u64, kept: bool) -> Result<RestartCluster> {
+        let fleet = ZonedFleet::start(seed, &ZONES, 0, WORK, QueryLog::default()).await?;
+        let (net, stores) = (DatagramNetwork::new(seed ^ 5), Folder::new("stores")?);
         let mut places = Vec::new();
         for _ in 0..COPIES {
             let listen = free_udp().await?;
@@ -143,22 +143,29 @@
         for (n, &(listen, known_as)) in places.iter().enumerate() {
             let store = stores.path().join(format!("n{n}"));
             let file = file(zone_of(n), listen, known_as, &voters, kept.then_some(&store));
-            let mut told = zoned.node_config(zone_of(n), seed ^ n as u64, true)?;
+            let mut told = fleet.node_config(zone_of(n), seed ^ n as u64, true)?;
             told["name"] = format!("n{n}").into();
             let process = Process::start(program, told, Some(file.clone())).await?;
             members.push(Member { process, known_as, file, store, up: Rc::new(Cell::new(true)) });
         }
-        let scene =
-            Scene { zoned, _net: net, members, seen: Rc::default(), stores, kept, program: program.into() };
+        let cluster = RestartCluster {
+            fleet,
+            _net: net,
+            members,
+            observed: Rc::default(),
+            stores,
+            kept,
+            program: program.into(),
+        };
         let near = Proximity::new(&ZONES.map(|(_, region)| region.to_string()));
-        let addresses = scene.members.iter().map(|m| (m.known_as, m.up.clone())).collect();
-        watch(scene.seen.clone(), addresses, near).await?;
+        let addresses = cluster.members.iter().map(|m| (m.known_as, m.up.clone())).collect();
+        watch(cluster.observed.clone(), addresses, near).await?;
         ensure!(
-            scene.until(Scene::all_follow, 15.0).await.is_some(),
+            cluster.until(RestartCluster::all_follow, 15.0).await.is_some(),
             "copies do not find together: {}",
-            scene.logs()
+            cluster.logs()
         );
-        Ok(scene)
+        Ok(cluster)
     }
 
     fn all_follow(&self) -> bool {
@@ -166,16 +173,16 @@
     }
 
     fn all(&self, what: impl Fn(&str, &Decision) -> bool) -> bool {
-        let seen = self.seen.borrow();
+        let observed = self.observed.borrow();
         (0..COPIES).filter(|&n| self.members[n].up.get()).all(|n| {
-            seen.last.get(&n).is_some_and(|(at, shown)| {
+            observed.last.get(&n).is_some_and(|(at, shown)| {
                 at.elapsed() < Duration::from_secs(1)
                     && shown.decision.as_ref().is_some_and(|d| what(&shown.status, d))
             })
         })
     }
 
-    async fn until(&self, what: impl Fn(&Scene) -> bool, within: f64) -> Option<f64> {
+    async fn until(&self, what: impl Fn(&RestartCluster) -> bool, within: f64) -> Option<f64> {
         let start = Instant::now();
         while start.elapsed().as_secs_f64() < within {
             if what(self) {
@@ -207,10 +214,10 @@
 
     /// Its process is no more. What it went by still counts where it has a store: the next may not go by less.
     fn gone(&self, copy: usize) {
-        let mut seen = self.seen.borrow_mut();
-        seen.last.remove(&copy);
+        let mut observed = self.observed.borrow_mut();
+        observed.last.remove(&copy);
         if !self.kept {
-            seen.newest.remove(&copy);
+            observed.newest.remove(&copy);
         }
     }
 
@@ -218,11 +225,11 @@
     async fn start_again(&mut self, copies: &[usize]) -> Result<Instant> {
         for &n in copies {
             let file = self.members[n].file.clone();
-            self.members[n].process.begin_again(Some(file))?;
+            self.members[n].process.spawn_again(Some(file))?;
         }
         let last = Instant::now();
         for &n in copies {
-            self.members[n].process.up().await?;
+            self.members[n].process.wait_until_ready().await?;
             self.members[n].up.set(true);
         }
         Ok(last)
@@ -245,7 +252,7 @@
 
 /// What one case showed.
 #[derive(Default)]
-struct Shows {
+struct CaseReport {
     /// Seconds from the last start to full service.
     full: Option<f64>,
     /// Until all copies go by the same decision again.
@@ -259,17 +266,17 @@
 }
 
 /// The share served of what was asked within that time, over all copies, and how many got nothing that serves.
-fn service(ledgers: &[Ledger], from: Instant, to: Instant) -> (f64, u64) {
-    let sums = ledgers.iter().map(|l| l.between(from, to));
+fn service(query_logs: &[QueryLog], from: Instant, to: Instant) -> (f64, u64) {
+    let sums = query_logs.iter().map(|l| l.between(from, to));
     let (earned, all, failed) = sums.fold((0.0, 0.0, 0), |s, l| (s.0 + l.0, s.1 + l.1, s.2 + l.2));
     (earned / all.max(1e-9), failed)
 }
 
-impl Scene {
-    async fn play(&mut self, case: Case, seed: u64, ledgers: &[Ledger]) -> Result<Shows> {
-        let mut chance = Pcg64::seed_from_u64(seed ^ case as u64);
+impl RestartCluster {
+    async fn play(&mut self, case: Case, seed: u64, query_logs: &[QueryLog]) -> Result<CaseReport> {
+        let mut rng = Pcg64::seed_from_u64(seed ^ case as u64);
         let (secs, ms) = (Duration::from_secs, Duration::from_millis);
-        let mut shows = Shows::default();
+        let mut report = CaseReport::default();
         let old: Vec<(PathBuf, PathBuf)> = (0..COPIES)
             .filter(|n| n % 2 == 1)
             .map(|n| (self.members[n].store.clone(), self.stores.path().join(format!("old{n}"))))
@@ -282,7 +289,7 @@
         }
         match tell(&self.voters(), OperatorOrder::Drain(DRAINED as u16)).await? {
             OperatorAnswer::Decided(_) => {}
-            answer => shows.missing.push(format!("the zone was not drained: {answer:?}")),
+            answer => report.missing.push(format!("the zone was not drained: {answer:?}")),
         }
         let out = self.until(|s| s.all(|_, d| s.drained(d)), 15.0).await;
         ensure!(out.is_some(), "the drained zone was not left: {}", self.logs());
@@ -290,22 +297,22 @@
         let from = Instant::now();
         tokio::time::sleep(secs(3)).await;
         let to = Instant::now();
-        let usual = service(ledgers, from, to - ms(500)).0;
-        shows.before = self.zoned.most_in(secs(1), from, to);
-        let newest = self.seen.borrow().decisions.last_key_value().map_or(0, |(n, _)| *n);
+        let usual = service(query_logs, from, to - ms(500)).0;
+        report.before = self.fleet.most_in(secs(1), from, to);
+        let newest = self.observed.borrow().decisions.last_key_value().map_or(0, |(n, _)| *n);
         let mut order: Vec<usize> = (0..COPIES).collect();
-        order.shuffle(&mut chance);
+        order.shuffle(&mut rng);
         let dead: Vec<usize> = match case {
             Case::Survivors => order.iter().copied().filter(|&n| n != COPIES - 1).collect(),
             Case::Both => order[..9].to_vec(),
             Case::Stopped => order[..8].to_vec(),
-            Case::Crasher => vec![ZONES.len() + chance.random_range(0..COPIES - ZONES.len())],
+            Case::Crasher => vec![ZONES.len() + rng.random_range(0..COPIES - ZONES.len())],
             _ => order,
         };
-        let lost_zone = chance.random_range(0..DRAINED);
+        let lost_zone = rng.random_range(0..DRAINED);
         let mut started = match case {
             Case::Stopped => {
-                let stop = |s: &Scene, signal| {
+                let stop = |s: &RestartCluster, signal| {
                     dead.iter().for_each(|&n| signal_worker(s.members[n].process.pid(), signal));
                 };
                 dead.iter().for_each(|&n| self.members[n].up.set(false));
@@ -319,12 +326,15 @@
                 // With a zone drained nobody should; the plan says so.
                 let (planned, said) = self.command(1, &["restart-plan"]).await?;
                 if planned || !said.contains("is not at home") {
-                    shows.missing.push(format!("a plan while a zone is drained: {said}"));
+                    report.missing.push(format!("a plan while a zone is drained: {said}"));
                 }
                 for n in 0..COPIES {
                     self.members[n].up.set(false);
                     self.members[n].process.signal(Signal::TERM)?;
-                    ensure!(self.members[n].process.end(secs(10)).await.is_some(), "its end after SIGTERM");
+                    ensure!(
+                        self.members[n].process.wait_for_exit(secs(10)).await.is_some(),
+                        "its end after SIGTERM"
+                    );
                     self.gone(n);
                     self.start_again(&[n]).await?;
                 }
@@ -332,7 +342,7 @@
             }
             _ => {
                 if case == Case::Failover {
-                    self.zoned.vanish(lost_zone, 6, true);
+                    self.fleet.vanish(lost_zone, 6, true);
                     tokio::time::sleep(ms(700)).await;
                 }
                 self.kill(&dead);
@@ -356,7 +366,7 @@
                     }
                     _ => {}
                 }
-                tokio::time::sleep(ms(500 + chance.random_range(0..1000))).await;
+                tokio::time::sleep(ms(500 + rng.random_range(0..1000))).await;
                 let dead: Vec<usize> =
                     dead.iter().copied().filter(|&n| case != Case::Begin || n != 0).collect();
                 self.start_again(&dead).await?
@@ -365,26 +375,29 @@
         if case == Case::Begin {
             // As long as founding takes, were it to begin without the third seat.
             tokio::time::sleep(secs(6)).await;
-            if self.seen.borrow().decisions.last_key_value().is_some_and(|(n, _)| n >> 32 > newest >> 32) {
-                shows.missing.push("two of three voters without memory began anew by themselves".to_string());
+            if self.observed.borrow().decisions.last_key_value().is_some_and(|(n, _)| n >> 32 > newest >> 32)
+            {
+                report
+                    .missing
+                    .push("two of three voters without memory began anew by themselves".to_string());
             }
             let away = self.members[0].known_as.to_string();
             let (done, said) = self.command(1, &["zones", "begin", &away]).await?;
             if !done {
-                shows.missing.push(format!("`zones begin` was not done: {said}"));
+                report.missing.push(format!("`zones begin` was not done: {said}"));
             }
-            if self.until(Scene::all_follow, 15.0).await.is_none() {
-                shows.missing.push("nothing was begun anew without the dead voter".to_string());
+            if self.until(RestartCluster::all_follow, 15.0).await.is_none() {
+                report.missing.push("nothing was begun anew without the dead voter".to_string());
             }
             let (done, said) = self.command(1, &["zones", "begin", &away]).await?;
             if done || !said.contains("leader") {
-                shows.missing.push(format!("`zones begin` with a leader: {said}"));
+                report.missing.push(format!("`zones begin` with a leader: {said}"));
             }
             // It is back after all.
             started = self.start_again(&[0]).await?;
             let (done, said) = self.command(1, &["zones", "begin"]).await?;
             if !done {
-                shows.missing.push(format!("`zones begin` was not taken back: {said}"));
+                report.missing.push(format!("`zones begin` was not taken back: {said}"));
             }
         }
         if case == Case::Twice {
@@ -401,52 +414,53 @@
         }
         if case == Case::Failover {
             tokio::time::sleep(secs(2)).await;
-            self.zoned.starts_cold(lost_zone, secs(4));
-            self.zoned.vanish(lost_zone, 6, false);
+            self.fleet.starts_cold(lost_zone, secs(4));
+            self.fleet.vanish(lost_zone, 6, false);
             started = Instant::now();
         }
-        shows.agreed = self.until(Scene::all_follow, 20.0).await.map(|_| started.elapsed().as_secs_f64());
-        if shows.agreed.is_none() {
-            shows.missing.push(format!("copies do not find together again: {}", self.logs()));
+        report.agreed =
+            self.until(RestartCluster::all_follow, 20.0).await.map(|_| started.elapsed().as_secs_f64());
+        if report.agreed.is_none() {
+            report.missing.push(format!("copies do not find together again: {}", self.logs()));
         }
         tokio::time::sleep((started + secs(10 + HOLDS)).saturating_duration_since(Instant::now())).await;
         let end = Instant::now();
         // The first moment from which each of the next five seconds holds what was before.
         let from = |ms: u64| started + Duration::from_millis(ms);
-        let good = |ms: u64| service(ledgers, from(ms), from(ms + 1000)).0 >= FULL * usual;
+        let good = |ms: u64| service(query_logs, from(ms), from(ms + 1000)).0 >= FULL * usual;
         let full = (0..=(10_000 / 250)).map(|n| n * 250).find(|&ms| (0..HOLDS).all(|s| good(ms + s * 1000)));
-        shows.full = full.map(|ms| ms as f64 / 1000.0);
-        let (_, failed) = service(ledgers, started, from(10_000));
+        report.full = full.map(|ms| ms as f64 / 1000.0);
+        let (_, failed) = service(query_logs, started, from(10_000));
         let asked = RATE * COPIES as f64 * 10.0;
-        shows.errors = failed as f64 / asked;
-        shows.after = self.zoned.most_in(secs(1), started, end);
+        report.errors = failed as f64 / asked;
+        report.after = self.fleet.most_in(secs(1), started, end);
         // What was decided is not lost with the processes, where a majority of voters kept it.
         let keeps = self.kept && case != Case::Lost;
         if keeps && !self.all(|_, d| d.number >= newest && (self.drained(d) || case == Case::Failover)) {
-            shows.missing.push("what was decided before did not outlive the processes".to_string());
+            report.missing.push("what was decided before did not outlive the processes".to_string());
         }
         if case == Case::Stores {
             let told = tell(&self.voters(), OperatorOrder::Return(DRAINED as u16)).await?;
-            let home = |s: &Scene| {
+            let home = |s: &RestartCluster| {
                 s.all(|_, d| d.zones.iter().all(|p| p.state == ZoneState::Serving && p.retained == 1000))
             };
             if !matches!(told, OperatorAnswer::Decided(_)) || self.until(home, 15.0).await.is_none() {
-                shows.missing.push(format!("the drained zone did not return: {told:?}"));
+                report.missing.push(format!("the drained zone did not return: {told:?}"));
             }
             let (planned, said) = self.command(1, &["restart-plan", "--share", "0.25"]).await?;
             let last = said.lines().last().unwrap_or("").to_string();
             let named = self.members.iter().filter(|m| said.contains(&m.known_as.to_string())).count();
             if !planned || named != COPIES || !last.contains("voter") {
-                shows.missing.push(format!("no plan of a restart: {said}"));
+                report.missing.push(format!("no plan of a restart: {said}"));
             }
         }
-        Ok(shows)
+        Ok(report)
     }
 }
 
 /// Cases in the seed's order, the four kinds of memory first.
-pub async fn play(program: &Path, seed: u64, only: Option<&str>, say: bool) -> Result<Outcome> {
-    let mut chance = Pcg64::seed_from_u64(seed);
+pub async fn play(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
+    let mut rng = Pcg64::seed_from_u64(seed);
     let mut cases = ALL.to_vec();
     match only {
         Some(name) => {
@@ -454,64 +468,70 @@
             ensure!(!cases.is_empty(), "no case is named '{name}'; there are: {ALL:?}");
         }
         None => {
-            cases[4..].shuffle(&mut chance);
+            cases[4..].shuffle(&mut rng);
             cases.truncate(7);
         }
     }
-    through(program, seed, &cases, say, true).await
+    through(program, seed, &cases, verbose, true).await
 }
 
 /// Those cases, a fleet each. `aims`: whether times and loads are promised, too; the rules always are.
-pub async fn through(program: &Path, seed: u64, cases: &[Case], say: bool, aims: bool) -> Result<Outcome> {
+pub async fn through(
+    program: &Path,
+    seed: u64,
+    cases: &[Case],
+    verbose: bool,
+    aims: bool,
+) -> Result<Outcome> {
     let mut outcome = Outcome::default();
     let (mut lost, mut twice, mut odd, mut sales) = (0, 0, 0, 0);
     let (mut under_one, mut back, mut over) = (0, 0, 0.0_f64);
     for &case in cases {
         let kept = !matches!(case, Case::Nothing | Case::Survivors);
-        let mut scene = Scene::start(program, seed, kept).await?;
-        let ledgers: Vec<Ledger> = scene.members.iter().map(|_| Ledger::default()).collect();
-        let loads: Vec<Load> = (scene.members.iter().zip(&ledgers).enumerate())
-            .map(|(n, (member, ledger))| {
-                let clients = Clients::new(member.process.address, ledger.clone());
+        let mut cluster = RestartCluster::start(program, seed, kept).await?;
+        let query_logs: Vec<QueryLog> = cluster.members.iter().map(|_| QueryLog::default()).collect();
+        let loads: Vec<Load> = (cluster.members.iter().zip(&query_logs).enumerate())
+            .map(|(n, (member, query_log))| {
+                let clients = Clients::new(member.process.address, query_log.clone());
                 Load::start(&format!("{case:?}{n}x{seed:x}"), seed ^ (n as u64) << 8, RATE, 0.0, clients)
             })
             .collect();
-        let shows = scene.play(case, seed, &ledgers).await?;
+        let report = cluster.play(case, seed, &query_logs).await?;
         for load in loads {
             load.stop().await?;
         }
         let name = format!("{case:?}").to_lowercase();
-        if say {
+        if verbose {
             let figure = |x: Option<f64>| x.map_or("-".to_string(), |x| format!("{x:.2}"));
             println!(
                 "{name:<10} full service after {:>5} s, one decision after {:>5} s, errors {:>5.2} %, most parts {} -> {}, connections {} -> {}",
-                figure(shows.full),
-                figure(shows.agreed),
-                shows.errors * 100.0,
-                shows.before.0,
-                shows.after.0,
-                shows.before.1,
-                shows.after.1
+                figure(report.full),
+                figure(report.agreed),
+                report.errors * 100.0,
+                report.before.0,
+                report.after.0,
+                report.before.1,
+                report.after.1
             );
         }
-        outcome.figure(&format!("{name}: full service, s"), shows.full.unwrap_or(99.0));
-        outcome.figure(&format!("{name}: one decision, s"), shows.agreed.unwrap_or(99.0));
-        outcome.figure(&format!("{name}: errors in ten seconds, %"), shows.errors * 100.0);
-        outcome.figure(&format!("{name}: most parts at a leaf in a second"), shows.after.0 as f64);
-        outcome.figure(&format!("{name}: most connections at a leaf in a second"), shows.after.1 as f64);
+        outcome.figure(&format!("{name}: full service, s"), report.full.unwrap_or(99.0));
+        outcome.figure(&format!("{name}: one decision, s"), report.agreed.unwrap_or(99.0));
+        outcome.figure(&format!("{name}: errors in ten seconds, %"), report.errors * 100.0);
+        outcome.figure(&format!("{name}: most parts at a leaf in a second"), report.after.0 as f64);
+        outcome.figure(&format!("{name}: most connections at a leaf in a second"), report.after.1 as f64);
         let promised = aims && kept && case != Case::Failover;
         outcome.promise(
-            !promised || shows.full.is_some_and(|s| s <= BACK_WITHIN),
+            !promised || report.full.is_some_and(|s| s <= BACK_WITHIN),
             &format!(
                 "full service within {BACK_WITHIN} s where something was kept ({name}: {:?})",
-                shows.full
+                report.full
             ),
         );
         outcome.promise(
-            !aims || shows.after.0 as f64 <= MOST_PARTS,
-            &format!("at most {MOST_PARTS} parts a second come to a leaf ({name}: {})", shows.after.0),
+            !aims || report.after.0 as f64 <= MOST_PARTS,
+            &format!("at most {MOST_PARTS} parts a second come to a leaf ({name}: {})", report.after.0),
         );
-        shows.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
+        report.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
         // At copies that no fault touched; at those ended in order nothing that was accepted is lost either.
         let untouched = |n: usize| match case {
             Case::Survivors => n == COPIES - 1,
@@ -519,29 +539,29 @@
             _ => false,
         };
         for n in (0..COPIES).filter(|&n| untouched(n)) {
-            lost += ledgers[n].count(Ended::Lost) + ledgers[n].open();
+            lost += query_logs[n].count(QueryOutcome::Lost) + query_logs[n].open();
         }
-        twice += ledgers.iter().map(Ledger::answered_twice).sum::<u64>();
-        odd += ledgers.iter().map(Ledger::odd).sum::<u64>();
-        sales += scene.zoned.ledger.ran_again("sale-");
-        let asked: Vec<&Ledger> = ledgers.iter().collect();
+        twice += query_logs.iter().map(QueryLog::answered_twice).sum::<u64>();
+        odd += query_logs.iter().map(QueryLog::unexpected_statuses).sum::<u64>();
+        sales += cluster.fleet.query_log.parts_run_again("sale-");
+        let asked: Vec<&QueryLog> = query_logs.iter().collect();
         // A process that died leaves its budget to the next where it has a store; without, each start has one.
         let starts = if kept { COPIES } else { 2 * COPIES } as f64;
         let (free, share, window) = BUDGET;
-        over = over.max(scene.zoned.ledger.over_budget_of(&asked, free * starts, share, window, SLACK));
-        let seen = scene.seen.borrow();
-        (under_one, back) = (under_one + seen.two_under_one, back + seen.went_back);
-        let logs: String = scene.members.iter().map(|m| m.process.log()).collect();
+        over = over.max(cluster.fleet.query_log.over_budget_of(&asked, free * starts, share, window, SLACK));
+        let observed = cluster.observed.borrow();
+        (under_one, back) = (under_one + observed.two_under_one, back + observed.went_back);
+        let logs: String = cluster.members.iter().map(|m| m.process.log()).collect();
         // The store's library gives some torn files up so; it is caught.
         let panicked = logs.lines().find(|l| l.contains("panicked") && !l.contains("'store'"));
         outcome.promise(panicked.is_none(), &format!("{name}: nothing panics: {panicked:?}"));
     }
-    outcome.nought("lost at copies that no fault touched", lost);
-    outcome.nought("answered twice", twice);
-    outcome.nought("odd answers", odd);
-    outcome.nought("side-effecting parts run twice", sales);
-    outcome.nought("two decisions under one number", under_one);
-    outcome.nought("acted on an older decision", back);
+    outcome.expect_zero("lost at copies that no fault touched", lost);
+    outcome.expect_zero("answered twice", twice);
+    outcome.expect_zero("odd answers", odd);
+    outcome.expect_zero("side-effecting parts run twice", sales);
+    outcome.expect_zero("two decisions under one number", under_one);
+    outcome.expect_zero("acted on an older decision", back);
     outcome.figure("further runs over the budget", over);
     outcome.promise(over <= 0.0, "further calls stay within the budgets");
     Ok(outcome)
--- a/crates/pipitcrank-testkit/src/trial/upgrade.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade.rs
@@ -16,11 +16,11 @@
 use serde_json::json;
 
 use super::Outcome;
-use crate::client::{Clients, Lone, Question, get};
+use crate::client::{Clients, DedicatedConnection, QueryRequest, get};
 use crate::fleet::{Fleet, Load};
-use crate::ledger::{Ended, Ledger};
-use crate::process::{Process, Steps, signal_worker};
-use crate::replica::{Manner, Work};
+use crate::process::{Process, ResourceUsage, UpgradeTimes, signal_worker};
+use crate::query_log::{QueryLog, QueryOutcome};
+use crate::replica::{ReplicaBehavior, Work};
 
 /// Queries a second; a debug build serves them as well.
 const RATE: f64 = 150.0;
@@ -36,7 +36,7 @@
 const RESTING: usize = 40;
 /// Connections that were asked on once and stay, and go on being used once a round.
 const IDLE: usize = 200;
-const STEPS: Steps = Steps { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
+const STEPS: UpgradeTimes = UpgradeTimes { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
 /// Restarts beside it: each loses its queries in the same way.
 const RESTARTS: u32 = 2;
 const QUIET_S: f64 = 5.0;
@@ -94,32 +94,32 @@
 ];
 
 /// Each kind comes up as rounds go on; the order is the seed's.
-fn script(chance: &mut Pcg64, rounds: u32) -> Vec<Round> {
+fn script(rng: &mut Pcg64, rounds: u32) -> Vec<Round> {
     let mut kinds = KINDS;
     let mut script = Vec::new();
     while script.len() < rounds as usize {
-        kinds.shuffle(chance);
+        kinds.shuffle(rng);
         // Every second one is plain: what goes wrong happens on a chain of upgrades that did not.
         script.extend(kinds.iter().flat_map(|k| [*k, Round::Plain]));
     }
     script.truncate(rounds as usize);
     for round in &mut script {
         if *round == Round::NewCrashes(0) {
-            *round = Round::NewCrashes(chance.random_range(1..500));
+            *round = Round::NewCrashes(rng.random_range(1..500));
         }
     }
     script
 }
 
 /// Longest time in which nobody answered a client that had just connected.
-struct Accepts {
+struct AcceptProbe {
     longest: Rc<Cell<Duration>>,
     refused: Rc<Cell<u64>>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Accepts {
-    fn watch(address: SocketAddr) -> Accepts {
+impl AcceptProbe {
+    fn watch(address: SocketAddr) -> AcceptProbe {
         let (longest, refused) = (Rc::new(Cell::new(Duration::ZERO)), Rc::new(Cell::new(0)));
         let (most, no) = (longest.clone(), refused.clone());
         let task = tokio::task::spawn_local(async move {
@@ -132,11 +132,11 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         });
-        Accepts { longest, refused, task }
+        AcceptProbe { longest, refused, task }
     }
 }
 
-impl Drop for Accepts {
+impl Drop for AcceptProbe {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -144,82 +144,91 @@
 
 /// Most memory and descriptors held, of all its processes together.
 #[derive(Clone, Default)]
-struct Peak(Rc<Cell<(u64, u64)>>);
+struct PeakUsage(Rc<Cell<ResourceUsage>>);
 
-impl Peak {
-    fn see(&self, (memory, fds): (u64, u64)) {
-        let (m, f) = self.0.get();
-        self.0.set((m.max(memory), f.max(fds)));
+impl PeakUsage {
+    fn observe(&self, usage: ResourceUsage) {
+        let peak = self.0.get();
+        self.0.set(ResourceUsage {
+            memory_kb: peak.memory_kb.max(usage.memory_kb),
+            descriptors: peak.descriptors.max(usage.descriptors),
+        });
     }
 }
 
 /// All kinds in the seed's order, or one kind alone where it is named; beside it the same load without upgrades, and
 /// with restarts.
-pub async fn play(program: &Path, seed: u64, rounds: u32, only: Option<&str>, talk: bool) -> Result<Outcome> {
-    let mut chance = Pcg64::seed_from_u64(seed);
+pub async fn play(
+    program: &Path,
+    seed: u64,
+    rounds: u32,
+    only: Option<&str>,
+    verbose: bool,
+) -> Result<Outcome> {
+    let mut rng = Pcg64::seed_from_u64(seed);
     let script = match only {
-        None => script(&mut chance, rounds),
+        None => script(&mut rng, rounds),
         Some(only) => {
             let named = |r: &&Round| format!("{r:?}").to_lowercase().starts_with(&only.to_lowercase());
             let kind = *KINDS.iter().find(named).with_context(|| format!("no round is named {only}"))?;
             vec![kind; rounds as usize]
         }
     };
-    let mut outcome = scene(program, seed, &script, (USUAL, RATE, IDLE), talk).await?;
+    let mut outcome = run_rounds(program, seed, &script, (USUAL, RATE, IDLE), verbose).await?;
     restarts(program, seed, &mut outcome).await?;
     Ok(outcome)
 }
 
 /// Upgrades of one kind under the usual load.
 pub async fn rounds_of(program: &Path, seed: u64, script: &[Round]) -> Result<Outcome> {
-    scene(program, seed, script, (USUAL, RATE, IDLE), false).await
+    run_rounds(program, seed, script, (USUAL, RATE, IDLE), false).await
 }
 
 /// Plain upgrades while twice as much is asked as the replicas can do. No idle clients: with places short they give way, as
 /// they do without an upgrade.
 pub async fn overloaded(program: &Path, seed: u64, rounds: u32) -> Result<Outcome> {
-    scene(program, seed, &vec![Round::Plain; rounds as usize], (SCARCE, OVERLOAD, 0), false).await
+    run_rounds(program, seed, &vec![Round::Plain; rounds as usize], (SCARCE, OVERLOAD, 0), false).await
 }
 
-async fn scene(
+async fn run_rounds(
     program: &Path,
     seed: u64,
     script: &[Round],
     (work, rate, idle_clients): (Work, f64, usize),
-    talk: bool,
+    verbose: bool,
 ) -> Result<Outcome> {
     let mut outcome = Outcome::default();
-    let mut chance = Pcg64::seed_from_u64(seed ^ 5);
+    let mut rng = Pcg64::seed_from_u64(seed ^ 5);
     let rounds = script.len() as u32;
     let fleet = Fleet::start(seed, work).await?;
     let mut process = Process::start(program, fleet.node_config(seed, 1024, 3000)?, STEPS.file()).await?;
     let quiet = {
-        let clients = Clients::new(process.address, Ledger::default());
+        let clients = Clients::new(process.address, QueryLog::default());
         let load = Load::start("quiet", seed ^ 1, rate, SLOW_SALES, clients.clone());
         tokio::time::sleep(Duration::from_secs_f64(QUIET_S)).await;
         load.stop().await?;
-        clients.ledger
+        clients.query_log
     };
-    let before = process.holds();
+    let before = process.resource_usage();
 
-    let clients = Clients::new(process.address, fleet.ledger.clone());
+    let clients = Clients::new(process.address, fleet.query_log.clone());
     let mut idle = Vec::new();
     for n in 0..idle_clients {
-        let mut lone = Lone::connect(process.address, fleet.ledger.clone()).await?;
-        let ended = lone.ask_in_pieces(Question::short(&format!("view-idle{n}-0")), &[]).await;
-        ensure!(ended == Ended::Merged, "a client's first query: {ended:?}");
-        idle.push(lone);
+        let mut connection = DedicatedConnection::connect(process.address, fleet.query_log.clone()).await?;
+        let ended = connection.ask_in_pieces(QueryRequest::short(&format!("view-idle{n}-0")), &[]).await;
+        ensure!(ended == QueryOutcome::Complete, "a client's first query: {ended}");
+        idle.push(connection);
     }
-    let accepts = Accepts::watch(process.address);
+    let accepts = AcceptProbe::watch(process.address);
     let load = Load::start("load", seed ^ 2, rate, SLOW_SALES, clients.clone());
     let (mut done, mut undone) = (0, 0);
-    let peak = Peak::default();
+    let peak = PeakUsage::default();
     for (n, round) in script.iter().enumerate() {
-        if talk {
-            let (all, rejected) = (fleet.ledger.all(), fleet.ledger.count(Ended::Rejected));
+        if verbose {
+            let (all, rejected) = (fleet.query_log.all(), fleet.query_log.count(QueryOutcome::Rejected));
             println!("round {:>3}: {round:?}, after {all} queries, {rejected} rejected", n + 1);
         }
-        let halves = half_written(&process, &fleet.ledger, n, &mut chance);
+        let halves = half_written(&process, &fleet.query_log, n, &mut rng);
         if *round == Round::OldKilled {
             clients.rest(&format!("rest{n}"), RESTING).await;
         }
@@ -236,17 +245,18 @@
         (done, undone) = (done + more_done, undone + more_undone);
         for half in halves {
             let ended = half.await?;
-            let answered = matches!(ended, Ended::Merged | Ended::Rejected) || *round == Round::OldKilled;
-            outcome.promise(answered, &format!("round {}: a request in pieces ended {ended:?}", n + 1));
+            let answered = matches!(ended, QueryOutcome::Complete | QueryOutcome::Rejected)
+                || *round == Round::OldKilled;
+            outcome.promise(answered, &format!("round {}: a request in pieces ended {ended}", n + 1));
         }
-        for (m, lone) in idle.iter_mut().enumerate().skip(n % 10).step_by(10) {
-            lone.ask_in_pieces(Question::short(&format!("view-idle{m}-{}", n + 1)), &[]).await;
+        for (m, connection) in idle.iter_mut().enumerate().skip(n % 10).step_by(10) {
+            connection.ask_in_pieces(QueryRequest::short(&format!("view-idle{m}-{}", n + 1)), &[]).await;
         }
     }
-    let asked_done = (process.count("upgrades done").await, process.count("upgrades undone").await);
+    let asked_done = (process.counter("upgrades done").await, process.counter("upgrades undone").await);
     load.stop().await?;
-    let after = process.holds();
-    let ledger = &fleet.ledger;
+    let after = process.resource_usage();
+    let query_log = &fleet.query_log;
 
     outcome.figure("rounds", rounds);
     outcome.figure("upgrades done", asked_done.0.unwrap_or(0) as f64);
@@ -255,43 +265,43 @@
         asked_done == (Some(done), Some(undone)),
         &format!("upgrades done and undone are {asked_done:?}, not {:?}", (done, undone)),
     );
-    outcome.figure("queries", ledger.all() as f64);
+    outcome.figure("queries", query_log.all() as f64);
     // What a killed process held is lost with it, and no duty of who goes on.
     let killed = script.contains(&Round::OldKilled);
-    let lost = ledger.count(Ended::Lost);
-    outcome.nought("lost", ledger.open() + if killed { 0 } else { lost });
+    let lost = query_log.count(QueryOutcome::Lost);
+    outcome.expect_zero("lost", query_log.open() + if killed { 0 } else { lost });
     if killed {
         outcome.figure("lost with a killed process", lost as f64);
     }
-    outcome.nought("refused connections", ledger.count(Ended::Refused));
-    outcome.nought("tries to connect without an answer", if killed { 0 } else { accepts.refused.get() });
-    outcome.once_each(ledger);
+    outcome.expect_zero("refused connections", query_log.count(QueryOutcome::ConnectionRefused));
+    outcome.expect_zero("tries to connect without an answer", if killed { 0 } else { accepts.refused.get() });
+    outcome.once_each(query_log);
     let closed = idle.iter().filter(|l| l.is_closed()).count() as u64;
     if killed {
         outcome.figure("idle connections closed by the kill", closed as f64);
     } else {
-        outcome.nought("idle connections closed", closed);
+        outcome.expect_zero("idle connections closed", closed);
     }
-    outcome.nought("kept connections closed", clients.closed.get());
+    outcome.expect_zero("kept connections closed", clients.closed.get());
     if killed {
         let by_kill = clients.closed_by_kill.get();
         outcome.figure("kept connections closed by the kill", by_kill as f64);
         outcome.promise(by_kill > 0, "none of the connections that rested was closed by the kill");
     }
-    outcome.ends(ledger);
-    for (name, of) in [("with upgrades", ledger), ("without", &quiet)] {
+    outcome.ends(query_log);
+    for (name, of) in [("with upgrades", query_log), ("without", &quiet)] {
         outcome.figure(&format!("answer ms, half, {name}"), of.within(0.5));
         outcome.figure(&format!("answer ms, 99 of 100, {name}"), of.within(0.99));
         outcome.figure(&format!("answer ms, longest, {name}"), of.longest());
     }
     outcome.figure("longest time to accept and answer, ms", accepts.longest.get().as_secs_f64() * 1000.0);
-    let (memory, fds) = peak.0.get();
-    outcome.figure("memory before, MB", before.0 as f64 / 1024.0);
-    outcome.figure("memory at the peak, MB", memory as f64 / 1024.0);
-    outcome.figure("memory after, MB", after.0 as f64 / 1024.0);
-    outcome.figure("descriptors before", before.1 as f64);
-    outcome.figure("descriptors at the peak", fds as f64);
-    outcome.figure("descriptors after", after.1 as f64);
+    let peak = peak.0.get();
+    outcome.figure("memory before, MB", before.memory_kb as f64 / 1024.0);
+    outcome.figure("memory at the peak, MB", peak.memory_kb as f64 / 1024.0);
+    outcome.figure("memory after, MB", after.memory_kb as f64 / 1024.0);
+    outcome.figure("descriptors before", before.descriptors as f64);
+    outcome.figure("descriptors at the peak", peak.descriptors as f64);
+    outcome.figure("descriptors after", after.descriptors as f64);
     drop(accepts);
 
     if let Ok(path) = std::env::var("TRIAL_LOG") {
@@ -300,32 +310,32 @@
     // It ends in order, and nothing is left of it.
     let pids = process.workers();
     process.signal(Signal::TERM)?;
-    let status = process.end(Duration::from_secs(15)).await;
+    let status = process.wait_for_exit(Duration::from_secs(15)).await;
     outcome.promise(status.is_some_and(|s| s.success()), &format!("its end is {status:?}"));
     let left = pids.iter().filter(|p| Path::new(&format!("/proc/{p}")).exists()).count();
-    outcome.nought("workers left behind", left as u64);
+    outcome.expect_zero("workers left behind", left as u64);
     Ok(outcome)
 }
 
 /// Clients that are half through their head, or their body, while the round goes on.
 fn half_written(
     process: &Process,
-    ledger: &Ledger,
+    query_log: &QueryLog,
     round: usize,
-    chance: &mut Pcg64,
-) -> Vec<tokio::task::JoinHandle<Ended>> {
+    rng: &mut Pcg64,
+) -> Vec<tokio::task::JoinHandle<QueryOutcome>> {
     let address = process.address;
     let pieces = (0..8).map(|n| {
-        let question = Question::short(&format!("view-half{round}-{n}"));
-        let cut = if n == 0 { 0 } else { chance.random_range(1..question.request().len()) };
-        let pause = Duration::from_millis(chance.random_range(100..1800));
-        let (ledger, before) = (ledger.clone(), Duration::from_millis(chance.random_range(0..600)));
+        let query = QueryRequest::short(&format!("view-half{round}-{n}"));
+        let cut = if n == 0 { 0 } else { rng.random_range(1..query.request().len()) };
+        let pause = Duration::from_millis(rng.random_range(100..1800));
+        let (query_log, before) = (query_log.clone(), Duration::from_millis(rng.random_range(0..600)));
         tokio::task::spawn_local(async move {
             tokio::time::sleep(before).await;
-            match Lone::connect(address, ledger.clone()).await {
+            match DedicatedConnection::connect(address, query_log.clone()).await {
                 // Sometimes nothing of it has come when the connection passes.
-                Ok(mut lone) => lone.ask_in_pieces(question, &[(cut, pause)]).await,
-                Err(_) => Ended::Refused,
+                Ok(mut connection) => connection.ask_in_pieces(query, &[(cut, pause)]).await,
+                Err(_) => QueryOutcome::ConnectionRefused,
             }
         })
     });
@@ -367,10 +377,10 @@
     fleet: &Fleet,
     clients: &Clients,
     round: Round,
-    peak: &Peak,
+    peak: &PeakUsage,
 ) -> Result<()> {
     let counted =
-        async |p: &Process| Some((p.count("upgrades done").await?, p.count("upgrades undone").await?));
+        async |p: &Process| Some((p.counter("upgrades done").await?, p.counter("upgrades undone").await?));
     let before = counted(process).await.context("its counters")?;
     match round {
         Round::NoProgram => put_in_place(process, None, 0)?,
@@ -378,8 +388,8 @@
         Round::HangsBeforeReady => put_in_place(process, Some("exec sleep 100"), 0o755)?,
         Round::CrashesBeforeReady => put_in_place(process, Some("exit 70"), 0o755)?,
         Round::Noise => put_in_place(process, Some("head -c 300 /dev/urandom >&0; exec sleep 100"), 0o755)?,
-        Round::FaultyCharter => process.node_config_with("/settings/tick_s", json!("soon"))?,
-        Round::Drained => fleet.drains(3, "leaving"),
+        Round::FaultyCharter => process.override_node_config("/settings/tick_s", json!("soon"))?,
+        Round::Drained => fleet.set_replica_state(3, "leaving"),
         _ => {}
     }
     let old = process.workers();
@@ -421,14 +431,14 @@
     let (more_done, more_undone) = round.ends();
     let wanted = (before.0 + more_done, before.1 + more_undone);
     let ended = wait_until("the upgrade's end", Duration::from_secs(25), async || {
-        peak.see(process.holds());
+        peak.observe(process.resource_usage());
         counted(process).await == Some(wanted) && process.workers().len() == 1
     })
     .await;
     put_back(process)?;
-    process.node_config_as_it_was()?;
+    process.restore_node_config()?;
     if round == Round::Drained {
-        fleet.drains(3, "active");
+        fleet.set_replica_state(3, "active");
     }
     ended
 }
@@ -437,19 +447,25 @@
 async fn restarts(program: &Path, seed: u64, outcome: &mut Outcome) -> Result<()> {
     let fleet = Fleet::start(seed ^ 7, USUAL).await?;
     let mut process = Process::start(program, fleet.node_config(seed, 1024, 3000)?, None).await?;
-    let clients = Clients::new(process.address, fleet.ledger.clone());
+    let clients = Clients::new(process.address, fleet.query_log.clone());
     let load = Load::start("restart", seed ^ 3, RATE, SLOW_SALES, clients);
     for _ in 0..RESTARTS {
         tokio::time::sleep(Duration::from_secs(1)).await;
         process.signal(Signal::TERM)?;
-        ensure!(process.end(Duration::from_secs(15)).await.is_some(), "it does not end after SIGTERM");
-        process.start_again(None).await?;
+        ensure!(
+            process.wait_for_exit(Duration::from_secs(15)).await.is_some(),
+            "it does not end after SIGTERM"
+        );
+        process.restart(None).await?;
     }
     load.stop().await?;
     outcome.figure("beside it: restarts", RESTARTS);
-    outcome.figure("beside it: queries", fleet.ledger.all() as f64);
-    outcome.figure("beside it: lost", fleet.ledger.count(Ended::Lost) as f64);
-    outcome.figure("beside it: refused connections", fleet.ledger.count(Ended::Refused) as f64);
+    outcome.figure("beside it: queries", fleet.query_log.all() as f64);
+    outcome.figure("beside it: lost", fleet.query_log.count(QueryOutcome::Lost) as f64);
+    outcome.figure(
+        "beside it: refused connections",
+        fleet.query_log.count(QueryOutcome::ConnectionRefused) as f64,
+    );
     Ok(())
 }
 
@@ -459,42 +475,45 @@
     let mut outcome = Outcome::default();
     for (name, steps) in [("an upgrade", STEPS.file()), ("a restart", None)] {
         let fleet = Fleet::start(seed, USUAL).await?;
-        fleet.replicas[2].turns(Manner::Slow(60.0));
-        fleet.replicas[7].turns(Manner::Fails);
+        fleet.replicas[2].set_behavior(ReplicaBehavior::Slow(60.0));
+        fleet.replicas[7].set_behavior(ReplicaBehavior::Fails);
         let mut process =
             Process::start(program, fleet.node_config(seed, 1024, 3000)?, steps.clone()).await?;
-        let clients = Clients::new(process.address, Ledger::default());
+        let clients = Clients::new(process.address, QueryLog::default());
         let load = Load::start("warm", seed ^ 1, RATE, 0.0, clients.clone());
         tokio::time::sleep(Duration::from_secs_f64(QUIET_S)).await;
-        let before = clients.ledger.merged_within(SOON);
+        let before = clients.query_log.merged_within(SOON);
         if steps.is_some() {
             process.signal(Signal::USR2)?;
             wait_until("an upgrade", Duration::from_secs(20), async || {
-                process.count("upgrades done").await == Some(1)
+                process.counter("upgrades done").await == Some(1)
             })
             .await?;
             load.stop().await?;
         } else {
             load.stop().await?;
             process.signal(Signal::TERM)?;
-            ensure!(process.end(Duration::from_secs(15)).await.is_some(), "it does not end after SIGTERM");
-            process.start_again(None).await?;
+            ensure!(
+                process.wait_for_exit(Duration::from_secs(15)).await.is_some(),
+                "it does not end after SIGTERM"
+            );
+            process.restart(None).await?;
         }
-        let clients = clients.entered_in(Ledger::default());
+        let clients = clients.entered_in(QueryLog::default());
         let load = Load::start("first", seed ^ 2, RATE, 0.0, clients.clone());
         tokio::time::sleep(Duration::from_secs_f64(FIRST_S)).await;
         load.stop().await?;
-        let ledger = &clients.ledger;
+        let query_log = &clients.query_log;
         outcome.figure(&format!("merged soon before {name}, %"), before * 100.0);
         outcome.figure(
             &format!("merged soon in the first seconds after {name}, %"),
-            ledger.merged_within(SOON) * 100.0,
+            query_log.merged_within(SOON) * 100.0,
         );
-        outcome.figure(&format!("answer ms, 99 of 100, after {name}"), ledger.within(0.99));
+        outcome.figure(&format!("answer ms, 99 of 100, after {name}"), query_log.within(0.99));
         if steps.is_some() {
-            outcome.nought("lost after an upgrade", ledger.count(Ended::Lost));
+            outcome.expect_zero("lost after an upgrade", query_log.count(QueryOutcome::Lost));
         } else {
-            outcome.figure("lost after a restart", ledger.count(Ended::Lost) as f64);
+            outcome.figure("lost after a restart", query_log.count(QueryOutcome::Lost) as f64);
         }
     }
     Ok(outcome)
--- a/crates/pipitcrank-testkit/src/trial/zones.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones.rs
@@ -22,12 +22,12 @@
 
 use super::Outcome;
 use crate::client::Clients;
+use crate::datagram_network::{DatagramFaults, DatagramNetwork};
 use crate::fleet::{Load, free_address};
-use crate::ledger::{Ended, Ledger};
-use crate::net::{Drops, Net};
 use crate::process::Process;
-use crate::replica::{Manner, Work};
-use crate::zoned::Zoned;
+use crate::query_log::{QueryLog, QueryOutcome};
+use crate::replica::{ReplicaBehavior, Work};
+use crate::zoned_fleet::ZonedFleet;
 
 /// Zones of the region that has the troubles, and one of another, reached by the gateway alone.
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -54,7 +54,7 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Trouble {
+pub enum Fault {
     Calm,
     /// All replicas of a zone vanish without a word, its copies live; it returns cold.
     Replicas,
@@ -92,35 +92,35 @@
     Strangers,
 }
 
-pub const ALL: [Trouble; 18] = [
-    Trouble::Calm,
-    Trouble::Replicas,
-    Trouble::Zone,
-    Trouble::Copies,
-    Trouble::Half,
-    Trouble::Flaps,
-    Trouble::Parted,
-    Trouble::Cut,
-    Trouble::Leader,
-    Trouble::Majority,
-    Trouble::Two,
-    Trouble::Slow,
-    Trouble::Restarts,
-    Trouble::Drain,
-    Trouble::Lossy,
-    Trouble::Sick,
-    Trouble::Region,
-    Trouble::Strangers,
+pub const ALL: [Fault; 18] = [
+    Fault::Calm,
+    Fault::Replicas,
+    Fault::Zone,
+    Fault::Copies,
+    Fault::Half,
+    Fault::Flaps,
+    Fault::Parted,
+    Fault::Cut,
+    Fault::Leader,
+    Fault::Majority,
+    Fault::Two,
+    Fault::Slow,
+    Fault::Restarts,
+    Fault::Drain,
+    Fault::Lossy,
+    Fault::Sick,
+    Fault::Region,
+    Fault::Strangers,
 ];
 
 /// How copies go by zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
-    Common,
+pub enum RoutingMode {
+    Agreed,
     /// Each by what it sees itself, near first.
-    Alone,
+    ExclusiveReplica,
     /// Zones do not count.
-    None,
+    ZoneBlind,
 }
 
 struct Member {
@@ -135,7 +135,7 @@
 
 /// What was seen of the copies.
 #[derive(Default)]
-pub(super) struct Seen {
+pub(super) struct Observations {
     pub decisions: BTreeMap<u64, Decision>,
     /// When each was first seen.
     at: BTreeMap<u64, Instant>,
@@ -147,12 +147,12 @@
     pub last: BTreeMap<usize, (Instant, StatusReport)>,
 }
 
-struct Scene {
-    zoned: Zoned,
-    net: Net,
+struct ZoneCluster {
+    fleet: ZonedFleet,
+    net: DatagramNetwork,
     members: Vec<Member>,
-    seen: Rc<RefCell<Seen>>,
-    way: Way,
+    observed: Rc<RefCell<Observations>>,
+    way: RoutingMode,
     seed: u64,
 }
 
@@ -201,17 +201,18 @@
 }
 
 /// What a copy is told, with rule 4 as tight as the trial has it.
-fn node_config(zoned: &Zoned, zone: usize, seed: u64, way: Way) -> Result<serde_json::Value> {
-    let mut told = zoned.node_config(zone, seed, way != Way::None)?;
-    let rules = &mut told["settings"]["rules"];
+fn node_config(fleet: &ZonedFleet, zone: usize, seed: u64, way: RoutingMode) -> Result<serde_json::Value> {
+    let mut node_config = fleet.node_config(zone, seed, way != RoutingMode::ZoneBlind)?;
+    let rules = &mut node_config["settings"]["rules"];
     (rules["overload_factor"], rules["cold_from"]) = (COLD.0.into(), COLD.1.into());
-    Ok(told)
+    Ok(node_config)
 }
 
-impl Scene {
-    async fn start(program: &Path, seed: u64, way: Way) -> Result<Scene> {
-        let zoned = Zoned::start(seed, &ALL_ZONES, SICK % ZONES.len(), WORK, Ledger::default()).await?;
-        let net = Net::new(seed ^ 5);
+impl ZoneCluster {
+    async fn start(program: &Path, seed: u64, way: RoutingMode) -> Result<ZoneCluster> {
+        let fleet =
+            ZonedFleet::start(seed, &ALL_ZONES, SICK % ZONES.len(), WORK, QueryLog::default()).await?;
+        let net = DatagramNetwork::new(seed ^ 5);
         let mut places = Vec::new();
         for n in 0..ALL_ZONES.len() * A_ZONE {
             let listen = free_udp().await?;
@@ -226,25 +227,29 @@
             // Each keeps links to one of the other region's copies.
             let other = if zone == SOUTH { n % A_ZONE } else { ZONES.len() * A_ZONE + n % A_ZONE };
             let gate = Gate { listen: gates[n], other: gates[other] };
-            let file = (way == Way::Common).then(|| file(zone, listen, known_as, &voters, gate));
-            let view = if n == SICK { zoned.apart() } else { zone };
-            let told = node_config(&zoned, view, seed ^ n as u64, way)?;
-            let process = Process::start(program, told, file.clone()).await?;
+            let file = (way == RoutingMode::Agreed).then(|| file(zone, listen, known_as, &voters, gate));
+            let view = if n == SICK { fleet.apart() } else { zone };
+            let node_config = node_config(&fleet, view, seed ^ n as u64, way)?;
+            let process = Process::start(program, node_config, file.clone()).await?;
             members.push(Member { process, zone, listen, known_as, file, up: Rc::new(Cell::new(true)) });
         }
         // One of the version before: it knows of no others.
-        let told = node_config(&zoned, 0, seed ^ 99, way)?;
-        let process = Process::start(program, told, None).await?;
+        let node_config = node_config(&fleet, 0, seed ^ 99, way)?;
+        let process = Process::start(program, node_config, None).await?;
         let nowhere = free_address()?;
         let up = Rc::new(Cell::new(true));
         members.push(Member { process, zone: 0, listen: nowhere, known_as: nowhere, file: None, up });
-        let scene = Scene { zoned, net, members, seen: Rc::default(), way, seed };
-        if way == Way::Common {
-            scene.watch().await?;
-            let all = |s: &Scene| s.copies().all(|n| s.shows(n, |shown| shown.status == "following"));
-            ensure!(scene.until(all, 15.0).await.is_some(), "copies do not find together: {}", scene.logs());
+        let cluster = ZoneCluster { fleet, net, members, observed: Rc::default(), way, seed };
+        if way == RoutingMode::Agreed {
+            cluster.watch().await?;
+            let all = |s: &ZoneCluster| s.copies().all(|n| s.shows(n, |shown| shown.status == "following"));
+            ensure!(
+                cluster.until(all, 15.0).await.is_some(),
+                "copies do not find together: {}",
+                cluster.logs()
+            );
         }
-        Ok(scene)
+        Ok(cluster)
     }
 
     /// Asks each copy what stands, for as long as the scene is.
@@ -252,7 +257,7 @@
         let addresses =
             self.members.iter().filter(|m| m.file.is_some()).map(|m| (m.known_as, m.up.clone())).collect();
         let near = Proximity::new(&ALL_ZONES.map(|(_, region)| region.to_string()));
-        watch(self.seen.clone(), addresses, near).await
+        watch(self.observed.clone(), addresses, near).await
     }
 
     /// Copies that take part and are meant to be there.
@@ -261,9 +266,9 @@
     }
 
     fn shows(&self, copy: usize, what: impl Fn(&StatusReport) -> bool) -> bool {
-        let seen = self.seen.borrow();
+        let observed = self.observed.borrow();
         let fresh = |at: &Instant| at.elapsed() < LOOK * 10;
-        seen.last.get(&copy).is_some_and(|(at, shown)| fresh(at) && what(shown))
+        observed.last.get(&copy).is_some_and(|(at, shown)| fresh(at) && what(shown))
     }
 
     /// All copies that are there but those of that zone know the zone to be so.
@@ -285,7 +290,7 @@
     }
 
     /// Waits for it; the seconds that it took, none where it did not come.
-    async fn until(&self, what: impl Fn(&Scene) -> bool, within: f64) -> Option<f64> {
+    async fn until(&self, what: impl Fn(&ZoneCluster) -> bool, within: f64) -> Option<f64> {
         let start = Instant::now();
         while start.elapsed().as_secs_f64() < within {
             if what(self) {
@@ -297,22 +302,22 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let seen = self.seen.borrow();
+        let observed = self.observed.borrow();
         let of =
-            |n: usize| seen.last.get(&n).filter(|_| self.members[n].up.get()).and_then(|(_, s)| s.leader);
+            |n: usize| observed.last.get(&n).filter(|_| self.members[n].up.get()).and_then(|(_, s)| s.leader);
         (0..ZONES.len()).find_map(of).map(usize::from)
     }
 
     fn kill(&mut self, copy: usize) {
         self.members[copy].up.set(false);
         self.members[copy].process.kill();
-        self.seen.borrow_mut().forget(copy);
+        self.observed.borrow_mut().forget(copy);
     }
 
     async fn start_again(&mut self, copy: usize) -> Result<()> {
         let file = self.members[copy].file.clone();
-        self.members[copy].process.start_again(file).await?;
-        self.seen.borrow_mut().forget(copy);
+        self.members[copy].process.restart(file).await?;
+        self.observed.borrow_mut().forget(copy);
         self.members[copy].up.set(true);
         Ok(())
     }
@@ -356,9 +361,9 @@
     Ok(OperatorAnswer::Rejected("no answer".to_string()))
 }
 
-/// Asks each copy what stands, ten times a second, and enters it in `seen`; of such as are meant to be there.
+/// Asks each copy what stands, ten times a second, and enters it in `observed`; of such as are meant to be there.
 pub(super) async fn watch(
-    seen: Rc<RefCell<Seen>>,
+    observed: Rc<RefCell<Observations>>,
     addresses: Vec<(SocketAddr, Rc<Cell<bool>>)>,
     near: Proximity,
 ) -> Result<()> {
@@ -384,7 +389,7 @@
                 let Some(copy) = addresses.iter().position(|a| a.0 == from) else { continue };
                 // What one says that has just been killed came before.
                 if addresses[copy].1.get() {
-                    seen.borrow_mut().take(copy, shown, &near);
+                    observed.borrow_mut().take(copy, shown, &near);
                 }
             }
         }
@@ -392,7 +397,7 @@
     Ok(())
 }
 
-impl Seen {
+impl Observations {
     fn take(&mut self, copy: usize, shown: StatusReport, near: &Proximity) {
         if let Some(decision) = &shown.decision {
             match self.decisions.get(&decision.number) {
@@ -429,7 +434,7 @@
 
 /// What one trouble showed.
 #[derive(Default)]
-struct Shows {
+struct FaultReport {
     moved: Option<f64>,
     back: Option<f64>,
     /// What was decided, where a move took longer than it should.
@@ -440,90 +445,90 @@
     missing: Vec<String>,
 }
 
-impl Scene {
+impl ZoneCluster {
     /// Loses a zone's replicas, waits until all have left it, and has them come back cold.
-    async fn lose(&mut self, zone: usize, shows: &mut Shows, out_for: Duration) {
-        self.zoned.vanish(zone, 6, true);
+    async fn lose(&mut self, zone: usize, report: &mut FaultReport, out_for: Duration) {
+        self.fleet.vanish(zone, 6, true);
         let moved = self.until(|s| s.is_out(zone), 12.0).await;
-        shows.moved = moved;
-        shows.late = moved.filter(|s| *s > MOVED_WITHIN).map(|_| self.history());
+        report.moved = moved;
+        report.late = moved.filter(|s| *s > MOVED_WITHIN).map(|_| self.history());
         if moved.is_none() {
-            shows.missing.push(format!("zone {} was not left: {}", ALL_ZONES[zone].0, self.history()));
+            report.missing.push(format!("zone {} was not left: {}", ALL_ZONES[zone].0, self.history()));
         }
         tokio::time::sleep(out_for).await;
         self.heal(zone);
     }
 
     fn heal(&self, zone: usize) {
-        self.zoned.starts_cold(zone, COLD.3);
-        self.zoned.vanish(zone, 6, false);
+        self.fleet.starts_cold(zone, COLD.3);
+        self.fleet.vanish(zone, 6, false);
     }
 
-    async fn home(&self, shows: &mut Shows, within: f64) {
-        shows.back = self.until(Scene::all_home, within).await;
-        if shows.back.is_none() {
-            let decision = self.seen.borrow().decisions.last_key_value().map(|(_, d)| format!("{d:?}"));
+    async fn home(&self, report: &mut FaultReport, within: f64) {
+        report.back = self.until(ZoneCluster::all_home, within).await;
+        if report.back.is_none() {
+            let decision = self.observed.borrow().decisions.last_key_value().map(|(_, d)| format!("{d:?}"));
             let standings: Vec<String> =
-                self.seen.borrow().last.values().map(|(_, s)| s.status.clone()).collect();
-            shows.missing.push(format!("not all is home: {decision:?} {standings:?}"));
+                self.observed.borrow().last.values().map(|(_, s)| s.status.clone()).collect();
+            report.missing.push(format!("not all is home: {decision:?} {standings:?}"));
         }
     }
 
-    async fn trouble(&mut self, trouble: Trouble) -> Result<Shows> {
-        let mut chance = Pcg64::seed_from_u64(self.seed ^ trouble as u64);
-        let zone = chance.random_range(0..ZONES.len());
-        let other = (zone + 1 + chance.random_range(0..2)) % ZONES.len();
-        let mut shows = Shows::default();
+    async fn fault(&mut self, fault: Fault) -> Result<FaultReport> {
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ fault as u64);
+        let zone = rng.random_range(0..ZONES.len());
+        let other = (zone + 1 + rng.random_range(0..2)) % ZONES.len();
+        let mut report = FaultReport::default();
         let begun = self.decided();
         let (secs, ms) = (Duration::from_secs, Duration::from_millis);
-        match trouble {
-            Trouble::Calm => tokio::time::sleep(secs(5)).await,
-            Trouble::Replicas => {
-                self.lose(zone, &mut shows, secs(2)).await;
-                self.home(&mut shows, 25.0).await;
+        match fault {
+            Fault::Calm => tokio::time::sleep(secs(5)).await,
+            Fault::Replicas => {
+                self.lose(zone, &mut report, secs(2)).await;
+                self.home(&mut report, 25.0).await;
             }
-            Trouble::Lossy => {
-                self.net.all(Drops { loss: 0.2, doubled: 0.1, delay: ms(60), silent: false });
-                self.lose(zone, &mut shows, secs(1)).await;
+            Fault::Lossy => {
+                self.net.all(DatagramFaults { loss: 0.2, doubled: 0.1, delay: ms(60), silent: false });
+                self.lose(zone, &mut report, secs(1)).await;
                 self.net.heal();
-                self.home(&mut shows, 25.0).await;
+                self.home(&mut report, 25.0).await;
             }
-            Trouble::Zone => {
+            Fault::Zone => {
                 let copies: Vec<usize> = self.copies().filter(|&n| self.members[n].zone == zone).collect();
                 copies.iter().for_each(|&n| self.kill(n));
-                self.lose(zone, &mut shows, secs(1)).await;
+                self.lose(zone, &mut report, secs(1)).await;
                 for n in copies {
                     self.start_again(n).await?;
                 }
-                self.home(&mut shows, 30.0).await;
+                self.home(&mut report, 30.0).await;
             }
-            Trouble::Copies => {
+            Fault::Copies => {
                 let copies: Vec<usize> = self.copies().filter(|&n| self.members[n].zone == zone).collect();
                 copies.iter().for_each(|&n| self.kill(n));
                 tokio::time::sleep(secs(4)).await;
                 if !self.all_know(zone, |_, kept| kept == 1000) {
-                    shows.missing.push("leaves that are well were left with their copies".to_string());
+                    report.missing.push("leaves that are well were left with their copies".to_string());
                 }
                 for n in copies {
                     self.start_again(n).await?;
                 }
-                self.home(&mut shows, 15.0).await;
+                self.home(&mut report, 15.0).await;
             }
-            Trouble::Half => {
-                self.zoned.vanish(zone, 3, true);
+            Fault::Half => {
+                self.fleet.vanish(zone, 3, true);
                 tokio::time::sleep(secs(5)).await;
                 let left = self.since(begun).iter().any(|d| d.zones[zone].retained < 1000);
                 if left {
-                    shows.missing.push("a zone with half of its leaves was left whole".to_string());
+                    report.missing.push("a zone with half of its leaves was left whole".to_string());
                 }
-                self.zoned.vanish(zone, 3, false);
-                self.home(&mut shows, 15.0).await;
+                self.fleet.vanish(zone, 3, false);
+                self.home(&mut report, 15.0).await;
             }
-            Trouble::Flaps => {
+            Fault::Flaps => {
                 for _ in 0..4 {
-                    self.zoned.vanish(zone, 6, true);
+                    self.fleet.vanish(zone, 6, true);
                     tokio::time::sleep(ms(1500)).await;
-                    self.zoned.vanish(zone, 6, false);
+                    self.fleet.vanish(zone, 6, false);
                     tokio::time::sleep(ms(1500)).await;
                 }
                 let history = self.since(begun);
@@ -531,39 +536,39 @@
                     .windows(2)
                     .filter(|w| w[0].zones[zone].retained == 0 && w[1].zones[zone].retained > 0);
                 if returns.count() > 3 {
-                    shows.missing.push("it was let in again at each flap".to_string());
+                    report.missing.push("it was let in again at each flap".to_string());
                 }
-                self.home(&mut shows, 40.0).await;
+                self.home(&mut report, 40.0).await;
             }
-            Trouble::Parted => {
+            Fault::Parted => {
                 let copies: Vec<usize> = self.copies().filter(|&n| self.members[n].zone == zone).collect();
                 self.net.part(&copies);
                 tokio::time::sleep(secs(4)).await;
                 let held = copies.iter().all(|&n| self.shows(n, |s| s.status == "holding"));
                 if !held {
-                    shows.missing.push("copies that hear nobody do not hold what stands".to_string());
+                    report.missing.push("copies that hear nobody do not hold what stands".to_string());
                 }
                 let left = self.since(begun).iter().any(|d| d.zones.iter().any(|p| p.retained < 1000));
                 if left {
-                    shows.missing.push("a zone that is well for all was left".to_string());
+                    report.missing.push("a zone that is well for all was left".to_string());
                 }
                 self.net.heal();
-                self.home(&mut shows, 15.0).await;
+                self.home(&mut report, 15.0).await;
             }
-            Trouble::Cut => {
-                self.zoned.cut(zone, other, true);
+            Fault::Cut => {
+                self.fleet.cut(zone, other, true);
                 tokio::time::sleep(secs(4)).await;
                 let left = self.since(begun).iter().any(|d| d.zones.iter().any(|p| p.retained < 1000));
                 if left {
-                    shows.missing.push("a zone that the third reaches was left".to_string());
+                    report.missing.push("a zone that the third reaches was left".to_string());
                 }
-                self.zoned.cut(zone, other, false);
-                self.home(&mut shows, 15.0).await;
+                self.fleet.cut(zone, other, false);
+                self.home(&mut report, 15.0).await;
             }
-            Trouble::Leader => {
+            Fault::Leader => {
                 let Some(leader) = self.leader() else {
-                    shows.missing.push("nobody leads".to_string());
-                    return Ok(shows);
+                    report.missing.push("nobody leads".to_string());
+                    return Ok(report);
                 };
                 let zone = (self.members[leader].zone + 1) % ZONES.len();
                 self.members[leader].up.set(false);
@@ -572,69 +577,69 @@
                     |signal| workers.iter().for_each(|&pid| crate::process::signal_worker(pid, signal));
                 stop(Signal::STOP);
                 let stopped = Instant::now();
-                self.lose(zone, &mut shows, ms(500)).await;
+                self.lose(zone, &mut report, ms(500)).await;
                 tokio::time::sleep(secs(5).saturating_sub(stopped.elapsed())).await;
                 stop(Signal::CONT);
                 self.members[leader].up.set(true);
-                self.home(&mut shows, 25.0).await;
+                self.home(&mut report, 25.0).await;
             }
-            Trouble::Majority => {
+            Fault::Majority => {
                 let dead = [zone, other];
                 dead.iter().for_each(|&n| self.kill(n));
                 tokio::time::sleep(ms(1000)).await;
                 let before = self.decided();
                 let third = 3 - zone - other;
-                self.zoned.vanish(third, 6, true);
+                self.fleet.vanish(third, 6, true);
                 tokio::time::sleep(secs(4)).await;
                 if self.decided() != before {
-                    shows.missing.push("a minority decided".to_string());
+                    report.missing.push("a minority decided".to_string());
                 }
                 for n in dead {
                     self.start_again(n).await?;
                 }
                 let moved = self.until(|s| s.is_out(third), 15.0).await;
                 if moved.is_none() {
-                    shows.missing.push("voters that came back did not decide".to_string());
+                    report.missing.push("voters that came back did not decide".to_string());
                 }
                 self.heal(third);
-                self.home(&mut shows, 30.0).await;
+                self.home(&mut report, 30.0).await;
             }
-            Trouble::Two => {
-                self.zoned.vanish(zone, 6, true);
+            Fault::Two => {
+                self.fleet.vanish(zone, 6, true);
                 let half = self.until(|s| s.all_know(zone, |_, kept| kept < 1000), 8.0).await;
-                self.zoned.vanish(other, 6, true);
+                self.fleet.vanish(other, 6, true);
                 let moved = self.until(|s| s.is_out(zone) && s.is_out(other), 10.0).await;
-                shows.moved = half.zip(moved).map(|(a, b)| a + b);
+                report.moved = half.zip(moved).map(|(a, b)| a + b);
                 let third = 3 - zone - other;
                 if moved.is_none() || !self.all_know(third, |_, kept| kept == 1000) {
-                    shows.missing.push("two zones were not left for the third".to_string());
+                    report.missing.push("two zones were not left for the third".to_string());
                 }
                 tokio::time::sleep(secs(1)).await;
                 self.heal(zone);
                 self.heal(other);
-                self.home(&mut shows, 40.0).await;
+                self.home(&mut report, 40.0).await;
             }
-            Trouble::Slow => {
-                self.zoned.manner(zone, Manner::Slow(60.0));
+            Fault::Slow => {
+                self.fleet.behavior(zone, ReplicaBehavior::Slow(60.0));
                 tokio::time::sleep(secs(6)).await;
-                self.zoned.manner(zone, Manner::Answers);
-                self.home(&mut shows, 40.0).await;
+                self.fleet.behavior(zone, ReplicaBehavior::Normal);
+                self.home(&mut report, 40.0).await;
             }
-            Trouble::Restarts => {
+            Fault::Restarts => {
                 let of_other = self.copies().filter(|&n| self.members[n].zone == other && n >= ZONES.len());
                 let [ends, upgraded] = of_other.collect::<Vec<_>>()[..] else {
                     anyhow::bail!("two copies of a zone do not vote");
                 };
-                self.zoned.vanish(zone, 6, true);
+                self.fleet.vanish(zone, 6, true);
                 self.until(|s| s.all_know(zone, |_, kept| kept < 1000), 8.0).await;
                 self.members[ends].up.set(false);
                 self.members[ends].process.signal(Signal::TERM)?;
-                let before = self.members[upgraded].process.count("upgrades done").await.unwrap_or(0);
+                let before = self.members[upgraded].process.counter("upgrades done").await.unwrap_or(0);
                 self.members[upgraded].up.set(false);
                 self.members[upgraded].process.signal(Signal::USR2)?;
-                self.members[ends].process.end(secs(15)).await.context("its end after SIGTERM")?;
+                self.members[ends].process.wait_for_exit(secs(15)).await.context("its end after SIGTERM")?;
                 let start = Instant::now();
-                while self.members[upgraded].process.count("upgrades done").await != Some(before + 1) {
+                while self.members[upgraded].process.counter("upgrades done").await != Some(before + 1) {
                     ensure!(
                         start.elapsed() < secs(20),
                         "no upgrade: {}",
@@ -642,38 +647,38 @@
                     );
                     tokio::time::sleep(ms(50)).await;
                 }
-                self.seen.borrow_mut().forget(upgraded);
+                self.observed.borrow_mut().forget(upgraded);
                 self.members[upgraded].up.set(true);
                 self.start_again(ends).await?;
                 if self.until(|s| s.is_out(zone), 10.0).await.is_none() {
-                    shows.missing.push("the zone was not left while copies restarted".to_string());
+                    report.missing.push("the zone was not left while copies restarted".to_string());
                 }
                 self.heal(zone);
-                self.home(&mut shows, 25.0).await;
+                self.home(&mut report, 25.0).await;
             }
-            Trouble::Drain => {
-                self.zoned.vanish(zone, 6, true);
+            Fault::Drain => {
+                self.fleet.vanish(zone, 6, true);
                 self.until(|s| s.all_know(zone, |_, kept| kept < 1000), 8.0).await;
                 match self.order(OperatorOrder::Drain(other as u16)).await? {
                     OperatorAnswer::Decided(_) => {
                         if self.until(|s| s.is_out(other), 10.0).await.is_none() {
-                            shows.missing.push("a drained zone was not left".to_string());
+                            report.missing.push("a drained zone was not left".to_string());
                         }
                     }
                     OperatorAnswer::Rejected(why) if why.contains("carry") => {}
                     answer => {
-                        shows.missing.push(format!("a drain during a failover was answered {answer:?}"))
+                        report.missing.push(format!("a drain during a failover was answered {answer:?}"))
                     }
                 }
                 let third = 3 - zone - other;
                 if let OperatorAnswer::Decided(_) = self.order(OperatorOrder::Drain(third as u16)).await? {
-                    shows.missing.push("the last zone was let be drained".to_string());
+                    report.missing.push("the last zone was let be drained".to_string());
                 }
                 self.heal(zone);
                 let back =
                     self.until(|s| s.all_know(zone, |state, _| state == ZoneState::Serving), 25.0).await;
                 if back.is_none() {
-                    shows.missing.push("the lost zone did not come home".to_string());
+                    report.missing.push("the lost zone did not come home".to_string());
                 }
                 if self.all_know(other, |state, _| state == ZoneState::OutOfService)
                     && !matches!(
@@ -681,54 +686,55 @@
                         OperatorAnswer::Decided(_)
                     )
                 {
-                    shows.missing.push("a drained zone that is well was not let return".to_string());
+                    report.missing.push("a drained zone that is well was not let return".to_string());
                 }
-                self.home(&mut shows, 25.0).await;
+                self.home(&mut report, 25.0).await;
             }
-            Trouble::Sick => {
-                self.zoned.sicken(true);
+            Fault::Sick => {
+                self.fleet.sicken(true);
                 tokio::time::sleep(secs(5)).await;
                 let touched = |d: &Decision| d.zones.iter().any(|p| p.retained < 1000 || p.cut_paths != 0);
                 if self.since(begun).iter().any(touched) {
-                    shows.missing.push(format!("one sick copy moved something: {}", self.history()));
+                    report.missing.push(format!("one sick copy moved something: {}", self.history()));
                 }
-                self.zoned.sicken(false);
-                self.home(&mut shows, 15.0).await;
+                self.fleet.sicken(false);
+                self.home(&mut report, 15.0).await;
             }
-            Trouble::Region => {
-                self.lose(SOUTH, &mut shows, secs(3)).await;
-                self.home(&mut shows, 25.0).await;
+            Fault::Region => {
+                self.lose(SOUTH, &mut report, secs(3)).await;
+                self.home(&mut report, 25.0).await;
             }
-            Trouble::Strangers => {
+            Fault::Strangers => {
                 let decided = self.decided();
-                let sent = self.strangers(&mut chance).await?;
+                let sent = self.strangers(&mut rng).await?;
                 tokio::time::sleep(ms(500)).await;
                 let mut left = 0;
                 for reason in ["forged", "cut", "too_long", "other_version", "replayed", "unread"] {
-                    let n = self.members[0].process.count(&format!("peers_left {reason}")).await.unwrap_or(0);
+                    let n =
+                        self.members[0].process.counter(&format!("peers_left {reason}")).await.unwrap_or(0);
                     if n == 0 {
-                        shows.missing.push(format!("no datagram was counted as {reason}"));
+                        report.missing.push(format!("no datagram was counted as {reason}"));
                     }
                     left += n;
                 }
                 if left < sent {
-                    shows.missing.push(format!("{left} of {sent} bad datagrams were counted"));
+                    report.missing.push(format!("{left} of {sent} bad datagrams were counted"));
                 }
                 let log = self.members[0].process.log();
                 if log.lines().filter(|l| l.contains("a datagram is left")).count() > 2 {
-                    shows.missing.push("bad datagrams flood the log".to_string());
+                    report.missing.push("bad datagrams flood the log".to_string());
                 }
                 if self.decided() > decided + 1 {
-                    shows.missing.push("bad datagrams had something decided".to_string());
+                    report.missing.push("bad datagrams had something decided".to_string());
                 }
-                self.home(&mut shows, 10.0).await;
+                self.home(&mut report, 10.0).await;
             }
         }
-        Ok(shows)
+        Ok(report)
     }
 
     /// Sends the first copy what it must leave; how many.
-    async fn strangers(&self, chance: &mut Pcg64) -> Result<u64> {
+    async fn strangers(&self, rng: &mut Pcg64) -> Result<u64> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let (own, to) = (socket.local_addr()?, self.members[0].known_as);
         // Straight to where it listens: the relay is the faults' own.
@@ -737,11 +743,11 @@
         let mut ours = Sealer::new(derive_key(SECRET), own, 1);
         let mut sent = 0;
         for _ in 0..40 {
-            let body: Vec<u8> = (0..chance.random_range(1..300)).map(|_| chance.random()).collect();
+            let body: Vec<u8> = (0..rng.random_range(1..300)).map(|_| rng.random()).collect();
             let sound = ours.seal(to, DatagramKind::Message, &[0xff; 9]).context("it is short")?;
             let mut version = sound.clone();
             version[2] = 9;
-            let cut = &sound[..chance.random_range(1..12)];
+            let cut = &sound[..rng.random_range(1..12)];
             let forged = others.seal(to, DatagramKind::Consensus, &body).context("it is short")?;
             for bytes in [&sound[..], &sound[..], &version[..], cut, &forged[..], &body[..], &[7; 1500][..]] {
                 socket.send_to(bytes, at).await?;
@@ -754,71 +760,69 @@
 
     /// The last decisions in short, and what the voters make of the evidence.
     fn history(&self) -> String {
-        let seen = self.seen.borrow();
+        let observed = self.observed.borrow();
         let place =
             |p: &ZoneDecision| format!("{} {} of {}/{}", p.state.name(), p.retained, p.demand, p.capacity);
         let line = |d: &Decision| {
             let places: Vec<String> = d.zones.iter().map(place).collect();
-            let ago = seen.at.get(&d.number).map_or(0.0, |at| at.elapsed().as_secs_f64());
+            let ago = observed.at.get(&d.number).map_or(0.0, |at| at.elapsed().as_secs_f64());
             format!("{ago:.2} s ago {} {}: {}", d.number as u32, d.cause.name(), places.join(", "))
         };
-        let lines: Vec<String> = seen.decisions.values().rev().take(12).map(line).collect();
+        let lines: Vec<String> = observed.decisions.values().rev().take(12).map(line).collect();
         let evidence: Vec<String> =
-            seen.last.values().take(ZONES.len()).map(|(_, s)| format!("{:?}", s.evidence)).collect();
+            observed.last.values().take(ZONES.len()).map(|(_, s)| format!("{:?}", s.evidence)).collect();
         format!("{} | evidence {}", lines.join("; "), evidence.join(" / "))
     }
 
     /// The newest number known anywhere.
     fn decided(&self) -> u64 {
-        self.seen.borrow().decisions.last_key_value().map_or(0, |(n, _)| *n)
+        self.observed.borrow().decisions.last_key_value().map_or(0, |(n, _)| *n)
     }
 
     fn since(&self, number: u64) -> Vec<Decision> {
-        self.seen.borrow().decisions.range(number + 1..).map(|(_, d)| d.clone()).collect()
+        self.observed.borrow().decisions.range(number + 1..).map(|(_, d)| d.clone()).collect()
     }
 
-    /// Plays one trouble under load; what it showed and the ledgers of its clients, by copy.
-    async fn under_load(&mut self, trouble: Trouble) -> Result<(Shows, Vec<Ledger>)> {
-        let ledgers: Vec<Ledger> = self.members.iter().map(|_| Ledger::default()).collect();
+    /// Plays one trouble under load; what it showed and the query logs of its clients, by copy.
+    async fn under_load(&mut self, fault: Fault) -> Result<(FaultReport, Vec<QueryLog>)> {
+        let query_logs: Vec<QueryLog> = self.members.iter().map(|_| QueryLog::default()).collect();
         let loads: Vec<Load> = (0..self.members.len())
             .map(|n| {
-                let clients = Clients::new(self.members[n].process.address, ledgers[n].clone());
-                let name = format!("{trouble:?}{n}x{:x}", self.seed);
+                let clients = Clients::new(self.members[n].process.address, query_logs[n].clone());
+                let name = format!("{fault:?}{n}x{:x}", self.seed);
                 Load::start(&name, self.seed ^ (n as u64) << 8, RATE, 0.0, clients)
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(1500)).await;
-        let mut shows = self.trouble(trouble).await?;
+        let mut report = self.fault(fault).await?;
         for load in loads {
             load.stop().await?;
         }
         // At copies that were there all the time.
-        let lived = self.lived(trouble);
+        let lived = self.lived(fault);
         // Of a region that is lost, its own clients tell.
-        let tells = |n: &&usize| trouble != Trouble::Region || self.members[**n].zone == SOUTH;
+        let tells = |n: &&usize| fault != Fault::Region || self.members[**n].zone == SOUTH;
         let counted: Vec<usize> = lived.iter().filter(tells).copied().collect();
-        let service: f64 = counted.iter().map(|&n| ledgers[n].service()).sum();
-        shows.service = service / counted.len().max(1) as f64;
-        Ok((shows, ledgers))
+        let service: f64 = counted.iter().map(|&n| query_logs[n].service()).sum();
+        report.service = service / counted.len().max(1) as f64;
+        Ok((report, query_logs))
     }
 
     /// Copies that no fault killed, stopped or restarted: nothing may be lost at them.
-    fn lived(&self, trouble: Trouble) -> Vec<usize> {
-        let mut chance = Pcg64::seed_from_u64(self.seed ^ trouble as u64);
-        let zone = chance.random_range(0..ZONES.len());
-        let other = (zone + 1 + chance.random_range(0..2)) % ZONES.len();
+    fn lived(&self, fault: Fault) -> Vec<usize> {
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ fault as u64);
+        let zone = rng.random_range(0..ZONES.len());
+        let other = (zone + 1 + rng.random_range(0..2)) % ZONES.len();
         let all = 0..self.members.len();
-        let here = |n: &usize| match trouble {
-            Trouble::Zone | Trouble::Copies => {
-                self.members[*n].file.is_none() || self.members[*n].zone != zone
-            }
+        let here = |n: &usize| match fault {
+            Fault::Zone | Fault::Copies => self.members[*n].file.is_none() || self.members[*n].zone != zone,
             // Any voter may have led; the others go on.
-            Trouble::Leader => *n >= ZONES.len(),
-            Trouble::Majority => *n != zone && *n != other,
+            Fault::Leader => *n >= ZONES.len(),
+            Fault::Majority => *n != zone && *n != other,
             // It can't serve, and says so.
-            Trouble::Sick => *n != SICK,
+            Fault::Sick => *n != SICK,
             // One is ended in order, and its clients find it gone.
-            Trouble::Restarts => self.members[*n].zone != other || *n < ZONES.len(),
+            Fault::Restarts => self.members[*n].zone != other || *n < ZONES.len(),
             _ => true,
         };
         all.filter(here).collect()
@@ -826,70 +830,72 @@
 }
 
 /// A share of crossing parts, in percent, from the counters of the copies that take part.
-async fn crossing(scene: &Scene) -> (u64, u64) {
+async fn crossing(cluster: &ZoneCluster) -> (u64, u64) {
     let mut sums = (0, 0);
-    for n in scene.copies() {
-        let process = &scene.members[n].process;
-        sums.0 += process.count("zones parts_near").await.unwrap_or(0);
-        sums.1 += process.count("zones parts_across").await.unwrap_or(0);
+    for n in cluster.copies() {
+        let process = &cluster.members[n].process;
+        sums.0 += process.counter("zones parts_near").await.unwrap_or(0);
+        sums.1 += process.counter("zones parts_across").await.unwrap_or(0);
     }
     sums
 }
 
 /// Troubles in the seed's order, calm first; then the loss of a zone once more without the common decision, and without
 /// zones, from the same seed.
-pub async fn play(program: &Path, seed: u64, only: Option<&str>, say: bool) -> Result<Outcome> {
-    let mut chance = Pcg64::seed_from_u64(seed);
-    let mut troubles: Vec<Trouble> = ALL.to_vec();
+pub async fn play(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
+    let mut rng = Pcg64::seed_from_u64(seed);
+    let mut faults: Vec<Fault> = ALL.to_vec();
     match only {
         Some(name) => {
-            troubles.retain(|t| format!("{t:?}").eq_ignore_ascii_case(name));
-            ensure!(!troubles.is_empty(), "no trouble is named '{name}'; there are: {ALL:?}");
+            faults.retain(|t| format!("{t:?}").eq_ignore_ascii_case(name));
+            ensure!(!faults.is_empty(), "no trouble is named '{name}'; there are: {ALL:?}");
         }
         None => {
             // The loss of a zone is in each; of the others, some.
-            troubles.retain(|t| !matches!(t, Trouble::Calm | Trouble::Replicas));
-            troubles.shuffle(&mut chance);
-            troubles.truncate(5);
-            troubles.insert(0, Trouble::Replicas);
-            troubles.insert(0, Trouble::Calm);
+            faults.retain(|t| !matches!(t, Fault::Calm | Fault::Replicas));
+            faults.shuffle(&mut rng);
+            faults.truncate(5);
+            faults.insert(0, Fault::Replicas);
+            faults.insert(0, Fault::Calm);
         }
     }
-    let mut outcome = through(program, seed, &troubles, say, true).await?;
+    let mut outcome = through(program, seed, &faults, verbose, true).await?;
     if only.is_none() {
-        for (way, name) in [(Way::Alone, "each copy alone"), (Way::None, "no zones")] {
-            let mut scene = Scene::start(program, seed, way).await?;
-            let (service, ledgers) = scene.lose_blindly(seed).await?;
+        for (way, name) in
+            [(RoutingMode::ExclusiveReplica, "each copy alone"), (RoutingMode::ZoneBlind, "no zones")]
+        {
+            let mut cluster = ZoneCluster::start(program, seed, way).await?;
+            let (service, query_logs) = cluster.lose_blindly(seed).await?;
             outcome.figure(&format!("service while a zone is lost, {name}, %"), service * 100.0);
-            let lost: u64 = ledgers.iter().map(|l| l.count(Ended::Lost) + l.open()).sum();
-            outcome.nought(&format!("lost, {name}"), lost);
+            let lost: u64 = query_logs.iter().map(|l| l.count(QueryOutcome::Lost) + l.open()).sum();
+            outcome.expect_zero(&format!("lost, {name}"), lost);
         }
     }
     Ok(outcome)
 }
 
-impl Scene {
+impl ZoneCluster {
     /// The same loss of a zone, with nobody to ask when it was left: as long as the common decision took at the most.
-    async fn lose_blindly(&mut self, seed: u64) -> Result<(f64, Vec<Ledger>)> {
-        let mut chance = Pcg64::seed_from_u64(seed ^ Trouble::Replicas as u64);
-        let zone = chance.random_range(0..ZONES.len());
-        let ledgers: Vec<Ledger> = self.members.iter().map(|_| Ledger::default()).collect();
+    async fn lose_blindly(&mut self, seed: u64) -> Result<(f64, Vec<QueryLog>)> {
+        let mut rng = Pcg64::seed_from_u64(seed ^ Fault::Replicas as u64);
+        let zone = rng.random_range(0..ZONES.len());
+        let query_logs: Vec<QueryLog> = self.members.iter().map(|_| QueryLog::default()).collect();
         let loads: Vec<Load> = (0..self.members.len())
             .map(|n| {
-                let clients = Clients::new(self.members[n].process.address, ledgers[n].clone());
+                let clients = Clients::new(self.members[n].process.address, query_logs[n].clone());
                 Load::start(&format!("blind{n}x{seed:x}"), seed ^ (n as u64) << 8, RATE, 0.0, clients)
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(1500)).await;
-        self.zoned.vanish(zone, 6, true);
+        self.fleet.vanish(zone, 6, true);
         tokio::time::sleep(Duration::from_secs(5)).await;
         self.heal(zone);
         tokio::time::sleep(Duration::from_secs(8)).await;
         for load in loads {
             load.stop().await?;
         }
-        let service = ledgers.iter().map(Ledger::service).sum::<f64>() / ledgers.len() as f64;
-        Ok((service, ledgers))
+        let service = query_logs.iter().map(QueryLog::service).sum::<f64>() / query_logs.len() as f64;
+        Ok((service, query_logs))
     }
 }
 
@@ -897,81 +903,82 @@
 pub async fn through(
     program: &Path,
     seed: u64,
-    troubles: &[Trouble],
-    say: bool,
+    faults: &[Fault],
+    verbose: bool,
     aims: bool,
 ) -> Result<Outcome> {
     let mut outcome = Outcome::default();
-    let mut scene = Scene::start(program, seed, Way::Common).await?;
-    let (mut moved, mut back, mut all_ledgers) = (Vec::new(), Vec::new(), Vec::new());
+    let mut cluster = ZoneCluster::start(program, seed, RoutingMode::Agreed).await?;
+    let (mut moved, mut back, mut all_query_logs) = (Vec::new(), Vec::new(), Vec::new());
     let (mut lost, mut queries, mut odd, mut twice, mut over) = (0, 0, 0, 0, 0.0_f64);
-    for &trouble in troubles {
-        let before = crossing(&scene).await;
-        let (shows, ledgers) = scene.under_load(trouble).await?;
-        if say {
+    for &fault in faults {
+        let before = crossing(&cluster).await;
+        let (report, query_logs) = cluster.under_load(fault).await?;
+        if verbose {
             let figure = |x: Option<f64>| x.map_or("-".to_string(), |x| format!("{x:.2}"));
             println!(
                 "{:<10} service {:>6.2} %  moved {:>6} s  back {:>6} s",
-                format!("{trouble:?}"),
-                shows.service * 100.0,
-                figure(shows.moved),
-                figure(shows.back)
+                format!("{fault:?}"),
+                report.service * 100.0,
+                figure(report.moved),
+                figure(report.back)
             );
         }
-        if let Some(late) = shows.late.as_ref().filter(|_| say) {
+        if let Some(late) = report.late.as_ref().filter(|_| verbose) {
             println!("moved late: {late}");
         }
-        let name = format!("{trouble:?}").to_lowercase();
-        outcome.figure(&format!("service, {name}, %"), shows.service * 100.0);
-        if trouble == Trouble::Calm {
-            let after = crossing(&scene).await;
+        let name = format!("{fault:?}").to_lowercase();
+        outcome.figure(&format!("service, {name}, %"), report.service * 100.0);
+        if fault == Fault::Calm {
+            let after = crossing(&cluster).await;
             let (near, across) = (after.0 - before.0, after.1 - before.1);
             let share = across as f64 / (near + across).max(1) as f64;
             outcome.figure("parts that cross zones on calm, %", share * 100.0);
             outcome.promise(share < 0.05, "under 5 % of parts cross zones on calm");
         }
-        if aims && matches!(trouble, Trouble::Replicas | Trouble::Zone) {
+        if aims && matches!(fault, Fault::Replicas | Fault::Zone) {
             outcome.promise(
-                shows.moved.is_some_and(|s| s <= MOVED_WITHIN),
-                &format!("moved within {MOVED_WITHIN} s of a zone's loss ({name}: {:?})", shows.moved),
+                report.moved.is_some_and(|s| s <= MOVED_WITHIN),
+                &format!("moved within {MOVED_WITHIN} s of a zone's loss ({name}: {:?})", report.moved),
             );
             outcome.promise(
-                shows.service >= 0.97,
-                &format!("service at least 97 % where the rest can carry it ({name}: {:.3})", shows.service),
+                report.service >= 0.97,
+                &format!("service at least 97 % where the rest can carry it ({name}: {:.3})", report.service),
             );
         }
-        moved.extend(shows.moved);
-        back.extend(shows.back);
-        shows.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
-        for n in scene.lived(trouble) {
-            lost += ledgers[n].count(Ended::Lost) + ledgers[n].open();
+        moved.extend(report.moved);
+        back.extend(report.back);
+        report.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
+        for n in cluster.lived(fault) {
+            lost += query_logs[n].count(QueryOutcome::Lost) + query_logs[n].open();
         }
-        for ledger in ledgers {
-            queries += ledger.all();
-            odd += ledger.odd();
-            twice += ledger.answered_twice();
-            all_ledgers.push(ledger);
+        for query_log in query_logs {
+            queries += query_log.all();
+            odd += query_log.unexpected_statuses();
+            twice += query_log.answered_twice();
+            all_query_logs.push(query_log);
         }
-        let copies = scene.members.len() as f64;
+        let copies = cluster.members.len() as f64;
         let (free, share, window) = BUDGET;
         // Each copy has a budget of its own; their sum bounds all runs.
-        let asked: Vec<&Ledger> = all_ledgers.iter().collect();
-        over = over.max(scene.zoned.ledger.over_budget_of(&asked, free * copies, share, window, SLACK));
+        let asked: Vec<&QueryLog> = all_query_logs.iter().collect();
+        over = over.max(cluster.fleet.query_log.over_budget_of(&asked, free * copies, share, window, SLACK));
     }
     outcome.figure("queries", queries as f64);
-    outcome.nought("lost at copies that lived", lost);
-    outcome.nought("answered twice", twice);
-    outcome.nought("odd answers", odd);
-    outcome.nought("side-effecting parts run twice", scene.zoned.ledger.ran_again("sale-"));
+    outcome.expect_zero("lost at copies that lived", lost);
+    outcome.expect_zero("answered twice", twice);
+    outcome.expect_zero("odd answers", odd);
+    outcome.expect_zero("side-effecting parts run twice", cluster.fleet.query_log.parts_run_again("sale-"));
     {
-        let seen = scene.seen.borrow();
-        outcome.figure("decisions", seen.decisions.len() as f64);
-        outcome.nought("two decisions under one number", seen.two_under_one);
-        outcome.nought("acted on an older decision", seen.went_back);
-        outcome.nought("planned beyond capacity", seen.over_capacity);
+        let observed = cluster.observed.borrow();
+        outcome.figure("decisions", observed.decisions.len() as f64);
+        outcome.expect_zero("two decisions under one number", observed.two_under_one);
+        outcome.expect_zero("acted on an older decision", observed.went_back);
+        outcome.expect_zero("planned beyond capacity", observed.over_capacity);
     }
     let (factor, from, window, _) = COLD;
-    outcome.nought("parts over what a cold leaf may get", scene.zoned.pushed_over(factor, from, window));
+    outcome
+        .expect_zero("parts over what a cold leaf may get", cluster.fleet.pushed_over(factor, from, window));
     outcome.figure("further runs over the budget", over);
     outcome.promise(over <= 0.0, "further calls stay within the budgets");
     for (name, mut values) in [("moved, s", moved), ("back home, s", back)] {
@@ -981,13 +988,13 @@
             outcome.figure(&format!("{name}: longest"), *longest);
         }
     }
-    let (passed, bytes, dropped) = scene.net.counts();
+    let (passed, bytes, dropped) = cluster.net.counts();
     outcome.figure("datagrams between copies", passed as f64);
     outcome.figure("bytes a datagram", bytes as f64 / passed.max(1) as f64);
     outcome.figure("datagrams dropped on purpose", dropped as f64);
-    let logs: String = scene.members.iter().map(|m| m.process.log()).collect();
+    let logs: String = cluster.members.iter().map(|m| m.process.log()).collect();
     let panicked = logs.lines().find(|l| l.contains("panicked"));
     outcome.promise(panicked.is_none(), &format!("nothing panics: {panicked:?}"));
-    debug_assert_eq!(scene.way, Way::Common);
+    debug_assert_eq!(cluster.way, RoutingMode::Agreed);
     Ok(outcome)
 }
--- a/crates/pipitcrank-testkit/src/zoned.rs
+++ b/crates/pipitcrank-testkit/src/zoned_fleet.rs
@@ -10,9 +10,9 @@
 
 use crate::discovery::{Discovery, row};
 use crate::fleet::{SHARDS, node_config_of};
-use crate::ledger::Ledger;
-use crate::link::{Link, Way};
-use crate::replica::{Manner, StandInReplica, Work};
+use crate::link::{Link, LinkConditions};
+use crate::query_log::QueryLog;
+use crate::replica::{ReplicaBehavior, StandInReplica, Work};
 
 /// Cells, each with one replica a zone; a shard is held by two cells.
 pub const CELLS: u32 = 6;
@@ -20,7 +20,7 @@
 const NEAR: Duration = Duration::from_micros(400);
 const ACROSS: Duration = Duration::from_millis(2);
 
-pub struct Zoned {
+pub struct ZonedFleet {
     pub names: Vec<String>,
     regions: Vec<String>,
     /// `[zone][cell]`.
@@ -30,14 +30,14 @@
     pub discoveries: Vec<Discovery>,
     /// The zone that each view is from: one a zone, and one more of a copy that has ways of its own.
     views: Vec<usize>,
-    pub ledger: Ledger,
+    pub query_log: QueryLog,
 }
 
-fn way(from: usize, to: usize) -> Way {
-    Way::of(if from == to { NEAR } else { ACROSS })
+fn way(from: usize, to: usize) -> LinkConditions {
+    LinkConditions::of(if from == to { NEAR } else { ACROSS })
 }
 
-impl Zoned {
+impl ZonedFleet {
     /// Zones and the region of each: copies are told of replicas of their own region alone. One copy of zone `apart` has
     /// ways of its own (`view`).
     pub async fn start(
@@ -45,15 +45,15 @@
         names: &[(&str, &str)],
         apart: usize,
         work: Work,
-        ledger: Ledger,
-    ) -> Result<Zoned> {
+        query_log: QueryLog,
+    ) -> Result<ZonedFleet> {
         let zones = names.len();
         let mut replicas = Vec::new();
         for zone in 0..zones {
             let mut of_zone = Vec::new();
             for cell in 0..CELLS {
                 let seed = seed ^ (zone as u64) << 40 ^ u64::from(cell) << 32;
-                of_zone.push(Rc::new(StandInReplica::start(seed, work, ledger.clone()).await?));
+                of_zone.push(Rc::new(StandInReplica::start(seed, work, query_log.clone()).await?));
             }
             replicas.push(of_zone);
         }
@@ -82,7 +82,7 @@
         }
         let regions = names.iter().map(|n| n.1.to_string()).collect();
         let names = names.iter().map(|n| n.0.to_string()).collect();
-        Ok(Zoned { names, regions, replicas, links, discoveries, views, ledger })
+        Ok(ZonedFleet { names, regions, replicas, links, discoveries, views, query_log })
     }
 
     /// The view of the copy that has ways of its own.
@@ -95,27 +95,34 @@
         let view = self.apart();
         for (zone, links) in self.links[view].iter().enumerate() {
             let way = way(self.views[view], zone);
-            links.iter().for_each(|l| l.turns(Way { stalled_there: silent, stalled_back: silent, ..way }));
+            links.iter().for_each(|l| {
+                l.set_conditions(LinkConditions { stalled_there: silent, stalled_back: silent, ..way })
+            });
         }
     }
 
     /// What a copy with that view is told. `platform`: whether the platform says where replicas and the copy stand.
     pub fn node_config(&self, view: usize, seed: u64, platform: bool) -> Result<Value> {
         let (zone, discovery) = (self.views[view], &self.discoveries[view]);
-        let mut told = node_config_of(discovery.address, discovery.known(), CELLS, SHARDS, seed, 1024, 3000)?;
+        let mut node_config =
+            node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, seed, 1024, 3000)?;
         if platform {
-            told["settings"]["zone"] = json!(self.names[zone]);
-            told["settings"]["zones"] = json!(self.names);
+            node_config["settings"]["zone"] = json!(self.names[zone]);
+            node_config["settings"]["zones"] = json!(self.names);
         }
-        told["settings"]["classes"][1]["worth"] = json!(3.0);
-        Ok(told)
+        node_config["settings"]["classes"][1]["worth"] = json!(3.0);
+        Ok(node_config)
     }
 
     /// The ways from one zone's copies to another zone's replicas.
     fn turn(&self, from: usize, to: usize, silent: bool) {
         for (view, _) in self.views.iter().enumerate().filter(|(_, zone)| **zone == from) {
             for link in &self.links[view][to] {
-                link.turns(Way { stalled_there: silent, stalled_back: silent, ..way(from, to) });
+                link.set_conditions(LinkConditions {
+                    stalled_there: silent,
+                    stalled_back: silent,
+                    ..way(from, to)
+                });
             }
         }
     }
@@ -124,7 +131,11 @@
     pub fn vanish(&self, zone: usize, replicas: usize, silent: bool) {
         for (view, &from) in self.views.iter().enumerate() {
             for link in &self.links[view][zone][..replicas] {
-                link.turns(Way { stalled_there: silent, stalled_back: silent, ..way(from, zone) });
+                link.set_conditions(LinkConditions {
+                    stalled_there: silent,
+                    stalled_back: silent,
+                    ..way(from, zone)
+                });
             }
         }
     }
@@ -135,8 +146,8 @@
         self.turn(b, a, silent);
     }
 
-    pub fn manner(&self, zone: usize, manner: Manner) {
-        self.replicas[zone].iter().for_each(|l| l.turns(manner));
+    pub fn behavior(&self, zone: usize, behavior: ReplicaBehavior) {
+        self.replicas[zone].iter().for_each(|l| l.set_behavior(behavior));
     }
 
     /// The zone's replicas have just started, and all are told so; the stand-ins count what comes to them cold.
@@ -150,7 +161,7 @@
             }
             for cell in 0..CELLS {
                 let address = self.links[view][zone][cell as usize].address;
-                discovery.changes(zoned_row(&self.names[zone], cell, address, "active", now));
+                discovery.update_row(zoned_row(&self.names[zone], cell, address, "active", now));
             }
         }
         self.replicas[zone].iter().for_each(|l| l.starts_cold(cold));
