--- a/crates/pipitcrank-testkit/src/trial/zones.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones.rs
@@ -92,27 +92,35 @@
     Strangers,
 }
 
-pub const ALL: [Fault; 18] = [
-    Fault::Calm,
-    Fault::Replicas,
-    Fault::Zone,
-    Fault::Copies,
-    Fault::Half,
-    Fault::Flaps,
-    Fault::Parted,
-    Fault::Cut,
-    Fault::Leader,
-    Fault::Majority,
-    Fault::Two,
-    Fault::Slow,
-    Fault::Restarts,
-    Fault::Drain,
-    Fault::Lossy,
-    Fault::Sick,
-    Fault::Region,
-    Fault::Strangers,
+/// All faults in the order of the enum, with the names that `--only` takes and that figures and messages print.
+pub const FAULTS: [(Fault, &str); 18] = [
+    (Fault::Calm, "Calm"),
+    (Fault::Replicas, "Leaves"),
+    (Fault::Zone, "Zone"),
+    (Fault::Copies, "Copies"),
+    (Fault::Half, "Half"),
+    (Fault::Flaps, "Flaps"),
+    (Fault::Parted, "Parted"),
+    (Fault::Cut, "Cut"),
+    (Fault::Leader, "Leader"),
+    (Fault::Majority, "Majority"),
+    (Fault::Two, "Two"),
+    (Fault::Slow, "Slow"),
+    (Fault::Restarts, "Restarts"),
+    (Fault::Drain, "Drain"),
+    (Fault::Lossy, "Lossy"),
+    (Fault::Sick, "Sick"),
+    (Fault::Region, "Region"),
+    (Fault::Strangers, "Strangers"),
 ];
 
+impl Fault {
+    /// The name that `--only` takes and that figures and messages print.
+    pub fn name(self) -> &'static str {
+        FAULTS.iter().find(|(fault, _)| *fault == self).map_or("", |(_, name)| name)
+    }
+}
+
 /// How copies go by zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RoutingMode {
@@ -789,7 +797,7 @@
         let loads: Vec<Load> = (0..self.members.len())
             .map(|n| {
                 let clients = Clients::new(self.members[n].process.address, query_logs[n].clone());
-                let name = format!("{fault:?}{n}x{:x}", self.seed);
+                let name = format!("{}{n}x{:x}", fault.name(), self.seed);
                 Load::start(&name, self.seed ^ (n as u64) << 8, RATE, 0.0, clients)
             })
             .collect();
@@ -844,11 +852,12 @@
 /// zones, from the same seed.
 pub async fn play(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let mut faults: Vec<Fault> = ALL.to_vec();
+    let mut faults: Vec<Fault> = FAULTS.iter().map(|(fault, _)| *fault).collect();
     match only {
         Some(name) => {
-            faults.retain(|t| format!("{t:?}").eq_ignore_ascii_case(name));
-            ensure!(!faults.is_empty(), "no trouble is named '{name}'; there are: {ALL:?}");
+            faults.retain(|fault| fault.name().eq_ignore_ascii_case(name));
+            let known = FAULTS.map(|(_, name)| name).join(", ");
+            ensure!(!faults.is_empty(), "no trouble is named '{name}'; there are: [{known}]");
         }
         None => {
             // The loss of a zone is in each; of the others, some.
@@ -918,7 +927,7 @@
             let figure = |x: Option<f64>| x.map_or("-".to_string(), |x| format!("{x:.2}"));
             println!(
                 "{:<10} service {:>6.2} %  moved {:>6} s  back {:>6} s",
-                format!("{fault:?}"),
+                fault.name(),
                 report.service * 100.0,
                 figure(report.moved),
                 figure(report.back)
@@ -927,7 +936,7 @@
         if let Some(late) = report.late.as_ref().filter(|_| verbose) {
             println!("moved late: {late}");
         }
-        let name = format!("{fault:?}").to_lowercase();
+        let name = fault.name().to_lowercase();
         outcome.figure(&format!("service, {name}, %"), report.service * 100.0);
         if fault == Fault::Calm {
             let after = crossing(&cluster).await;
