--- a/crates/pipitcrank-simulation/src/zones/run.rs
+++ b/crates/pipitcrank-simulation/src/zones/run.rs
@@ -119,7 +119,7 @@
     /// Bytes that the busiest node sent.
     pub fn busiest_node_bytes(&self) -> u64 {
         let failover = self.world.nodes.iter().filter_map(|node| node.failover.as_ref());
-        failover.map(|failover| failover.sent.bytes).max().unwrap_or(0)
+        failover.map(|failover| failover.sent().bytes).max().unwrap_or(0)
     }
 }
 
