--- a/crates/pipitcrank-sim-adapter/tests/wire.rs
+++ b/crates/pipitcrank-sim-adapter/tests/wire.rs
@@ -53,7 +53,7 @@
 #[test]
 fn odd_but_legal_input_is_played() {
     // Empty batches; a list number used twice in a batch; an instance killed and restarted in one batch; events
-    // for what is no longer held; a probe's result, a message, a load report with names never heard of.
+    // for what is no longer held; a probe's result, a message, a load report with unknown names.
     let again = start().replace("MARK t_s=5.0\n", "").replace("COMMIT\n", "");
     let input = start()
         + "MARK t_s=6\nCOMMIT\nMARK t_s=6\n"
@@ -70,7 +70,7 @@
     let (out, err, code) = play(&input);
     assert_eq!((err.as_str(), code), ("", Some(0)));
     assert_eq!(out.matches("DONE\n").count(), 5, "{out}");
-    assert_eq!(out.matches("SEND ").count(), 2, "the second life serves the query: {out}");
+    assert_eq!(out.matches("SEND ").count(), 2, "the second instance serves the query: {out}");
 }
 
 #[test]
