--- a/crates/pipitcrank-server/src/exchange/admission.rs
+++ b/crates/pipitcrank-server/src/exchange/admission.rs
@@ -39,7 +39,6 @@
         let entry = OpenQuery { ticket, response, parts: indices.clone(), class, idempotency_key, delegated };
         table.queries.insert(query.0, entry);
         let works: Option<Vec<f64>> = parts.iter().map(|part| part.work).collect();
-        let work = works.map(|works| works.iter().sum());
         for ((&index, id), part) in indices.iter().zip(part_ids).zip(&parts) {
             table.parts.insert(index, OpenPart::new(id, query, part, text.clone()));
         }
@@ -47,7 +46,7 @@
             id: query,
             class,
             time_left: deadline - now,
-            work_hint: work,
+            work_hint: works.map(|works| works.iter().sum()),
             part_count: parts.len() as f64,
         };
         self.coordinator.start_query(&mut self.table, now, new_query);
@@ -55,8 +54,8 @@
             self.coordinator.mark_forwarded(query, retries);
         }
         for (index, QueryPart { shard, weight, work }) in indices.into_iter().zip(parts) {
-            let new_part = NewPart { id: PartId(index), query, shard, weight, work_hint: work };
-            self.coordinator.add_part(&mut self.table, now, new_part);
+            let part = NewPart { id: PartId(index), query, shard, weight, work_hint: work };
+            self.coordinator.add_part(&mut self.table, now, part);
         }
     }
 
--- a/crates/pipitcrank-server/src/exchange/send_guard.rs
+++ b/crates/pipitcrank-server/src/exchange/send_guard.rs
@@ -3,10 +3,10 @@
 //! An attempt may be held up on its way to the socket while its query ends, its deadline passes or its replica drains;
 //! it is then dropped and counts as never sent.
 
-use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use super::query::{AttemptId, REQUESTS};
+use super::query::REQUESTS;
 use super::state::Exchange;
 use crate::audit::SentAttempt;
 use crate::reasons::SendDenied;
