--- /dev/null
+++ b/crates/pipitcrank-cli/src/failover_driver.rs
@@ -0,0 +1,309 @@
+//! Driver of failover between zones: one UDP socket, evidence from the exchange, the routing plan handed to the exchange,
+//! events to log and counters. What is decided stands in `pipitcrank-failover`.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use anyhow::Result;
+use pipitcrank_config::ZonesConfig;
+use pipitcrank_core::coordinator::zones::ZoneId;
+use pipitcrank_core::time::Timestamp;
+use pipitcrank_failover::controller::{FailoverController, FailoverTiming};
+use pipitcrank_failover::follower::{DecisionFollower, RoutingPlan};
+use pipitcrank_failover::node::{FailoverNode, FailoverNodeConfig};
+use pipitcrank_failover::routing_table::{Proximity, shed_fractions};
+use pipitcrank_membership::envelope::{MAX_DATAGRAM_BYTES, OutgoingDatagram, derive_key};
+use pipitcrank_membership::members::Departure;
+use pipitcrank_membership::peer::Peer;
+use pipitcrank_server::discovery::client::SharedRevision;
+use pipitcrank_server::runtime::event_loop::EventLoop;
+use pipitcrank_server::serve::ServerContext;
+use tokio::net::UdpSocket;
+use tokio::sync::watch;
+
+use crate::clocks::{micros_since_epoch, time_span};
+use crate::event_log::EventLog;
+use crate::evidence_collector::{EvidenceCollector, probes_needed};
+use crate::store_driver::{OpenedStore, StoreDriver, StoreSource, StoredState};
+use crate::zone_topology::{ZoneTopology, own_zone, regions};
+
+/// Datagrams received in a row before anything else is done.
+const MAX_DATAGRAM_BATCH: usize = 32;
+/// While another process of this co-ordinator has the address, it is tried again so often; also the pause after an error
+/// of the socket.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// A smaller change of the fraction that is shed of a request class is not passed on: it changes with every query.
+const MIN_SHED_CHANGE: f64 = 0.02;
+
+/// Prepares failover and returns the future that runs it until this process drains. The store is opened once no other
+/// process of this co-ordinator has its address.
+///
+/// # Errors
+/// What the operators' file and the platform say of zones contradicts itself; named by its key.
+pub(crate) fn prepare(
+    context: &ServerContext,
+    zones: ZonesConfig,
+    store: StoreSource,
+) -> Result<impl Future<Output = ()> + use<>> {
+    let own = own_zone(&zones, context.zones.as_ref())?;
+    let topology = ZoneTopology::new(&zones, own);
+    context.event_loop.update(|exchange| {
+        exchange.set_zone_names(topology.names.clone());
+        exchange.set_site_zones(topology.site_zones());
+        if !zones.dry_run {
+            exchange.set_zone_routing(topology.own_zone_routing());
+        }
+    });
+    let startup = Startup {
+        zones,
+        topology: Rc::new(topology),
+        store,
+        event_loop: context.event_loop.clone(),
+        priority_weights: context.utilities.clone(),
+        revision: context.rev.clone(),
+        draining: context.leaving.clone(),
+        end_called: context.end_called.clone(),
+    };
+    Ok(startup.run())
+}
+
+/// What is known before the socket is open.
+struct Startup {
+    zones: ZonesConfig,
+    topology: Rc<ZoneTopology>,
+    store: StoreSource,
+    event_loop: Rc<EventLoop>,
+    priority_weights: Vec<f64>,
+    revision: SharedRevision,
+    draining: watch::Receiver<bool>,
+    end_called: watch::Receiver<Option<Timestamp>>,
+}
+
+impl Startup {
+    async fn run(self) {
+        let mut draining = self.draining.clone();
+        let end_called = self.end_called.clone();
+        let Some(socket) = bind_when_free(self.zones.listen, &mut draining).await else { return };
+        let mut driver = self.start(socket).await;
+        driver.run(&mut draining).await;
+        let departure = if end_called.borrow().is_some() { Departure::Left } else { Departure::Upgraded };
+        let now = driver.event_loop.clock.now();
+        driver.node.leave(now, departure);
+        driver.publish(now);
+    }
+
+    async fn start(self, socket: UdpSocket) -> FailoverDriver {
+        let OpenedStore { driver: store, state } = self.store.open(self.draining).await;
+        let now = self.event_loop.clock.now();
+        let mut node = new_node(now, &self.zones, self.topology.own);
+        if store.is_some() {
+            node.require_durable_memory();
+            restore(now, &mut node, state);
+        }
+        let is_voter = self.zones.voter_slot(self.zones.advertised).is_some();
+        let zone = &self.topology.names[self.topology.own];
+        tracing::info!(zone, advertised = %self.zones.advertised, voter = is_voter, "joining other members");
+        FailoverDriver {
+            socket,
+            node,
+            store,
+            revision: self.revision,
+            event_loop: self.event_loop,
+            is_dry_run: self.zones.dry_run,
+            priority_weights: self.priority_weights,
+            event_log: EventLog::new(self.topology.clone()),
+            topology: self.topology,
+            evidence: EvidenceCollector::new(now),
+            plan: None,
+            shed_fractions: Vec::new(),
+        }
+    }
+}
+
+/// A socket at the address, once no other process of this co-ordinator has it; none where this process drains before.
+async fn bind_when_free(address: SocketAddr, draining: &mut watch::Receiver<bool>) -> Option<UdpSocket> {
+    loop {
+        match UdpSocket::bind(address).await {
+            Ok(socket) => return Some(socket),
+            Err(error) => tracing::debug!("/zones/listen {address}: {error}"),
+        }
+        tokio::select! {
+            () = tokio::time::sleep(BIND_RETRY_INTERVAL) => {}
+            _ = draining.wait_for(|draining| *draining) => return None,
+        }
+    }
+}
+
+fn new_node(now: Timestamp, zones: &ZonesConfig, own: usize) -> FailoverNode {
+    let proximity = Proximity::new(&regions(zones));
+    let timing = FailoverTiming {
+        suspect_after: time_span(zones.suspect_time),
+        hold_down: time_span(zones.hold_down),
+        max_hold_down: time_span(zones.hold_down_max),
+        calm_after: time_span(zones.hold_down_reset),
+    };
+    let (zone, zone_count) = (own as u16, zones.zones.len());
+    let lease = time_span(zones.decision_lease);
+    let controller = FailoverController::new(timing, proximity.clone(), zone_count, zones.replica_capacity);
+    let follower = DecisionFollower::new(zone, zone_count, proximity, lease, zones.dry_run);
+    let config = FailoverNodeConfig {
+        own: Peer { address: zones.advertised, instance: micros_since_epoch(), zone },
+        key: derive_key(&zones.secret),
+        known_nodes: zones.seeds.clone(),
+        voters: zones.voters.iter().map(|voter| voter.address).collect(),
+        zone_count,
+        controller,
+        follower,
+    };
+    FailoverNode::new(now, config)
+}
+
+fn restore(now: Timestamp, node: &mut FailoverNode, state: StoredState) {
+    let StoredState { recovered, voter_memory } = state;
+    if let Some(decision) = &recovered.decision {
+        let (generation, count) = (decision.number >> 32, decision.number as u32);
+        tracing::info!(
+            members = recovered.members.len(),
+            "restored decision {generation}.{count}; older ones are ignored"
+        );
+    }
+    node.restore(now, recovered.decision, recovered.members, voter_memory);
+}
+
+struct FailoverDriver {
+    socket: UdpSocket,
+    node: FailoverNode,
+    store: Option<StoreDriver>,
+    revision: SharedRevision,
+    event_loop: Rc<EventLoop>,
+    topology: Rc<ZoneTopology>,
+    is_dry_run: bool,
+    /// Priority weight of an answer, by request class.
+    priority_weights: Vec<f64>,
+    event_log: EventLog,
+    evidence: EvidenceCollector,
+    /// The plan that the exchange has.
+    plan: Option<RoutingPlan>,
+    /// What the exchange sheds, by request class.
+    shed_fractions: Vec<f64>,
+}
+
+async fn write_finished(store: &Option<StoreDriver>) {
+    match store {
+        Some(store) => store.write_finished().await,
+        None => std::future::pending().await,
+    }
+}
+
+impl FailoverDriver {
+    async fn run(&mut self, draining: &mut watch::Receiver<bool>) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
+        loop {
+            let deadline = self.event_loop.clock.instant(self.node.next_deadline());
+            tokio::select! {
+                _ = draining.wait_for(|draining| *draining) => return,
+                ready = self.socket.readable() => if ready.is_err() {
+                    tokio::time::sleep(BIND_RETRY_INTERVAL).await;
+                },
+                () = write_finished(&self.store) => {}
+                () = tokio::time::sleep_until(deadline) => {}
+            }
+            let now = self.event_loop.clock.now();
+            self.receive(now, &mut buffer);
+            self.node.tick(now);
+            if self.node.take_report_due(now) {
+                self.report_evidence(now);
+            }
+            self.publish(now);
+        }
+    }
+
+    fn receive(&mut self, now: Timestamp, buffer: &mut [u8]) {
+        for _ in 0..MAX_DATAGRAM_BATCH {
+            match self.socket.try_recv_from(buffer) {
+                Ok((length, _)) => self.node.handle_datagram(now, &buffer[..length]),
+                // Nothing is there, or the system reports that an earlier datagram had no receiver.
+                Err(_) => break,
+            }
+        }
+    }
+
+    fn report_evidence(&mut self, now: Timestamp) {
+        let (observed, traffic) = self.event_loop.read(|exchange| exchange.observe_zones(now));
+        self.evidence.update(now, &traffic);
+        let replica_counts = self.evidence.replica_counts(&self.topology, &observed);
+        self.node.report_evidence(now, replica_counts, self.evidence.demand());
+        for (zone, observed) in (0u16..).zip(&observed) {
+            let is_closed = self.plan.as_ref().is_some_and(|plan| plan.closed_zones.contains(&zone));
+            // Of many members the reporters of a zone probe: probes have their price.
+            if self.node.is_reporter()
+                && let Some(count) = probes_needed(observed, is_closed)
+            {
+                self.event_loop.update(|exchange| exchange.probe_zone(ZoneId(zone), count));
+            }
+        }
+        let counters = &self.event_loop.counters;
+        counters.set("zones", "parts_near", traffic.same_zone_parts);
+        counters.set("zones", "parts_across", traffic.cross_zone_parts);
+    }
+
+    /// Passes on what the node has put out: to the store, the log, the exchange and other members.
+    fn publish(&mut self, now: Timestamp) {
+        self.save(now);
+        for event in self.node.take_events() {
+            self.event_log.record(now, event, &self.event_loop.counters);
+        }
+        let counters = &self.event_loop.counters;
+        counters.set("zones", "older_decisions_left", self.node.stale_decisions());
+        counters.set("peers_sent", "bytes", self.node.sent.bytes);
+        counters.set("peers_sent", "datagrams", self.node.sent.datagrams);
+        self.update_routing(now);
+        for OutgoingDatagram { to, bytes } in self.node.take_datagrams() {
+            // A datagram that can't be sent now counts as lost.
+            let _ = self.socket.try_send_to(&bytes, to);
+        }
+    }
+
+    fn save(&mut self, now: Timestamp) {
+        let Some(store) = &mut self.store else { return };
+        if let Some(memory) = self.node.take_memory() {
+            store.save_voter_memory(&memory);
+        }
+        if self.node.awaits_persistence() && store.is_memory_saved() {
+            self.node.memory_persisted(now);
+        }
+        let restart_state = || self.node.restart_state();
+        store.save_learned_state_if_due(now, &self.event_loop, &self.revision, restart_state);
+    }
+
+    fn update_routing(&mut self, now: Timestamp) {
+        let plan = self.node.routing_plan(now);
+        self.event_loop.counters.set("zones", "decision", plan.decision_number);
+        let shed = match plan.shed {
+            0 => Vec::new(),
+            shed => shed_fractions(shed, &self.evidence.class_loads(&self.priority_weights)),
+        };
+        let is_changed = |(new, old): (&f64, &f64)| (new - old).abs() > MIN_SHED_CHANGE;
+        let shed_changed =
+            shed.len() != self.shed_fractions.len() || shed.iter().zip(&self.shed_fractions).any(is_changed);
+        if self.plan.as_ref() != Some(&plan) || shed_changed {
+            self.apply(&plan, shed.clone());
+            (self.plan, self.shed_fractions) = (Some(plan), shed);
+        }
+    }
+
+    fn apply(&self, plan: &RoutingPlan, shed_fractions: Vec<f64>) {
+        if !self.is_dry_run {
+            let routing = self.topology.routing(plan, shed_fractions);
+            self.event_loop.update(|exchange| exchange.set_zone_routing(routing));
+        }
+        let fractions = plan.fractions.iter().map(|fraction| {
+            let name = &self.topology.names[usize::from(fraction.zone)];
+            format!("{name} {:.1} %", f64::from(fraction.permille) / 10.0)
+        });
+        let fractions: Vec<String> = fractions.collect();
+        let (number, shed) = (plan.decision_number, plan.shed);
+        tracing::info!(number, shed, "routing queries to zones: {}", fractions.join(", "));
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-cli/src/runtime.rs
@@ -0,0 +1,15 @@
+//! Runtimes of one thread.
+
+use anyhow::Result;
+
+/// Runs a future whose tasks share one thread.
+pub(crate) fn block_on_local<T>(future: impl Future<Output = T>) -> Result<T> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    Ok(tokio::task::LocalSet::new().block_on(&runtime, future))
+}
+
+/// Runs a future that spawns no tasks.
+pub(crate) fn block_on<T>(future: impl Future<Output = T>) -> Result<T> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    Ok(runtime.block_on(future))
+}
--- /dev/null
+++ b/crates/pipitcrank-cli/src/store_driver.rs
@@ -0,0 +1,242 @@
+//! Driver of this co-ordinator's store: opens it, passes on what a process before this one kept, and has the learned state
+//! written at intervals. What of it may be used is decided in `pipitcrank-recovery`.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use pipitcrank_config::StoreConfig;
+use pipitcrank_core::time::Timestamp;
+use pipitcrank_failover::node::RestartState;
+use pipitcrank_failover::voter::VoterMemory;
+use pipitcrank_handover::clock::monotonic_micros;
+use pipitcrank_recovery::last_known_state::{ClockReading, LastKnownState, RecoveredState};
+use pipitcrank_recovery::store::{Store, StoreError, StoredValues, WriteStatus};
+use pipitcrank_server::discovery::client::SharedRevision;
+use pipitcrank_server::runtime::counters::Counters;
+use pipitcrank_server::runtime::event_loop::EventLoop;
+use tokio::sync::{Notify, watch};
+
+use crate::clocks::{micros_since_epoch, time_span};
+use crate::environment::node_name;
+
+/// The disk delays a start by no longer than this.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
+/// While another process of this co-ordinator has the file open, it is tried again so often.
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// A write that takes longer is logged.
+const SLOW_WRITE: Duration = Duration::from_millis(1000);
+
+/// What a process before this one left in the store.
+#[derive(Default)]
+pub(crate) struct StoredState {
+    pub(crate) recovered: RecoveredState,
+    pub(crate) voter_memory: Option<VoterMemory>,
+}
+
+/// A store, if there is one, and what a process before this one left in it.
+#[derive(Default)]
+pub(crate) struct OpenedStore {
+    pub(crate) driver: Option<StoreDriver>,
+    pub(crate) state: StoredState,
+}
+
+/// Where the store comes from.
+pub(crate) struct StoreSource {
+    /// The store that was opened at start; none while a process before this one may have it open.
+    pub(crate) opened: Option<OpenedStore>,
+    /// The store to be opened otherwise, if one is configured.
+    pub(crate) config: Option<StoreConfig>,
+}
+
+impl StoreSource {
+    /// The store, once no other process of this co-ordinator has it open.
+    pub(crate) async fn open(self, draining: watch::Receiver<bool>) -> OpenedStore {
+        if let Some(opened) = self.opened {
+            return opened;
+        }
+        let Some(config) = self.config else { return OpenedStore::default() };
+        let owner = node_name().unwrap_or_default();
+        let (driver, state) = StoreDriver::open_when_free(&config, &owner, draining).await;
+        OpenedStore { driver: Some(driver), state }
+    }
+}
+
+/// Driver of an open store.
+pub(crate) struct StoreDriver {
+    store: Store,
+    config: StoreConfig,
+    /// Notified each time that a write succeeded or failed.
+    write_finished: Arc<Notify>,
+    last_write: Option<Timestamp>,
+    /// Number of the newest voter memory to be written.
+    memory_sequence: u64,
+    /// The error that was logged last.
+    logged_error: Option<StoreError>,
+    is_slow: bool,
+}
+
+fn read_clocks() -> ClockReading {
+    ClockReading { wall_us: micros_since_epoch() as i64, monotonic_us: monotonic_micros() }
+}
+
+impl StoreDriver {
+    /// Opens the store of the co-ordinator `owner`, and reads it. An error is logged and stops nothing: the co-ordinator
+    /// serves as one without a store.
+    pub(crate) fn open(config: &StoreConfig, owner: &str) -> (StoreDriver, StoredState) {
+        let write_finished = Arc::new(Notify::new());
+        let notify = write_finished.clone();
+        let store = Store::open(config.path.clone(), owner.to_string(), move || notify.notify_one());
+        let stored = store.stored_values(OPEN_TIMEOUT);
+        let mut driver = StoreDriver {
+            store,
+            config: config.clone(),
+            write_finished,
+            last_write: None,
+            memory_sequence: 0,
+            logged_error: None,
+            is_slow: false,
+        };
+        let state = match stored {
+            Ok(values) => driver.decode(&values),
+            Err(error) => {
+                tracing::warn!("/store/path {}: {error}; nothing of it is used", config.path.display());
+                driver.logged_error = Some(error);
+                StoredState::default()
+            }
+        };
+        (driver, state)
+    }
+
+    /// The same once no other process of this co-ordinator has the file open, as in an upgrade; or as soon as this one
+    /// drains.
+    async fn open_when_free(
+        config: &StoreConfig,
+        owner: &str,
+        draining: watch::Receiver<bool>,
+    ) -> (StoreDriver, StoredState) {
+        loop {
+            let (driver, state) = StoreDriver::open(config, owner);
+            if driver.logged_error != Some(StoreError::InUse) || *draining.borrow() {
+                return (driver, state);
+            }
+            drop(driver);
+            tokio::time::sleep(OPEN_RETRY_INTERVAL).await;
+        }
+    }
+
+    fn decode(&self, values: &StoredValues) -> StoredState {
+        let voter_memory = values.voter_memory.as_deref().and_then(|bytes| self.decode_voter_memory(bytes));
+        let learned_state = values.learned_state.as_deref();
+        let recovered = learned_state.and_then(|bytes| self.decode_learned_state(bytes)).unwrap_or_default();
+        StoredState { recovered, voter_memory }
+    }
+
+    fn decode_voter_memory(&self, bytes: &[u8]) -> Option<VoterMemory> {
+        let memory = VoterMemory::decode(bytes);
+        if memory.is_none() {
+            let path = self.config.path.display();
+            tracing::warn!("/store/path {path}: voter memory can't be read; returning as a new voter");
+        }
+        memory
+    }
+
+    fn decode_learned_state(&self, bytes: &[u8]) -> Option<RecoveredState> {
+        let path = self.config.path.display();
+        let Some(state) = LastKnownState::decode(bytes) else {
+            tracing::warn!("/store/path {path}: learned state can't be read; it is not used");
+            return None;
+        };
+        let recovered = state.recover(read_clocks(), time_span(self.config.max_age));
+        if recovered.learned.is_none() {
+            tracing::info!(
+                "/store/path {path}: learned state is too old, or a clock was set; it is not used"
+            );
+        }
+        Some(recovered)
+    }
+
+    /// Waits until a write succeeded or failed.
+    pub(crate) async fn write_finished(&self) {
+        self.write_finished.notified().await;
+    }
+
+    /// Has the voter memory written.
+    pub(crate) fn save_voter_memory(&mut self, memory: &VoterMemory) {
+        self.memory_sequence = self.store.save_voter_memory(memory.encode());
+    }
+
+    /// Whether the newest voter memory is on disk.
+    pub(crate) fn is_memory_saved(&self) -> bool {
+        self.store.synced_sequence() >= self.memory_sequence
+    }
+
+    /// Has the learned state written where that is due, and logs errors of the disk.
+    pub(crate) fn save_learned_state_if_due(
+        &mut self,
+        now: Timestamp,
+        event_loop: &EventLoop,
+        revision: &SharedRevision,
+        restart_state: impl FnOnce() -> RestartState,
+    ) {
+        self.log_write_status(&event_loop.counters);
+        let interval = time_span(self.config.write_interval);
+        if self.last_write.is_some_and(|last| now - last < interval) {
+            return;
+        }
+        self.last_write = Some(now);
+        let snapshot =
+            event_loop.update(|exchange| exchange.snapshot(now, monotonic_micros(), revision.get()));
+        let RestartState { decision, members } = restart_state();
+        let state = LastKnownState::new(read_clocks(), &snapshot, decision, members);
+        self.store.save_learned_state(state.encode());
+        event_loop.counters.add("store", "written");
+    }
+
+    /// When the learned state is to be written next.
+    pub(crate) fn next_write(&self) -> Timestamp {
+        let interval = time_span(self.config.write_interval);
+        self.last_write.map_or(Timestamp::default(), |last| last + interval)
+    }
+
+    fn log_write_status(&mut self, counters: &Counters) {
+        let WriteStatus { error, pending_for } = self.store.write_status();
+        let path = self.config.path.display();
+        if error != self.logged_error {
+            match &error {
+                Some(error) => {
+                    counters.add("store_faults", error.name());
+                    tracing::warn!("/store/path {path}: {error}");
+                }
+                None => tracing::info!("/store/path {path}: writes succeed again"),
+            }
+            self.logged_error = error;
+        }
+        if (pending_for > SLOW_WRITE) != self.is_slow {
+            self.is_slow = pending_for > SLOW_WRITE;
+            if self.is_slow {
+                counters.add("store_faults", "slow");
+                tracing::warn!("/store/path {path}: a write has been pending for {pending_for:?}");
+            }
+        }
+    }
+}
+
+/// Writes the learned state of a co-ordinator without other members, until it drains.
+pub(crate) async fn save_until_draining(
+    mut driver: StoreDriver,
+    event_loop: Rc<EventLoop>,
+    revision: SharedRevision,
+    mut draining: watch::Receiver<bool>,
+) {
+    loop {
+        let next_write = event_loop.clock.instant(driver.next_write());
+        tokio::select! {
+            _ = draining.wait_for(|draining| *draining) => return,
+            () = driver.write_finished() => {}
+            () = tokio::time::sleep_until(next_write) => {}
+        }
+        let now = event_loop.clock.now();
+        driver.save_learned_state_if_due(now, &event_loop, &revision, RestartState::default);
+    }
+}
--- a/crates/pipitcrank-testkit/src/trial/upgrade.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade.rs
@@ -390,7 +390,7 @@
             let log = process.log();
             let found = process.workers().into_iter().find(|p| !old.contains(p));
             *new.borrow_mut() = found;
-            found.is_some() && log.rfind("going on from") > log.rfind("hands over")
+            found.is_some() && log.rfind("going on from") > log.rfind("handover begins")
         })
         .await?;
     }
--- a/crates/pipitcrank-testkit/src/trial/zones.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones.rs
@@ -715,7 +715,7 @@
                     shows.missing.push(format!("{left} of {sent} bad datagrams were counted"));
                 }
                 let log = self.members[0].process.log();
-                if log.lines().filter(|l| l.contains("a datagram is left")).count() > 2 {
+                if log.lines().filter(|l| l.contains("rejected a datagram")).count() > 2 {
                     shows.missing.push("bad datagrams flood the log".to_string());
                 }
                 if self.decided() > decided + 1 {
