--- a/crates/pipitcrank-cli/src/environment.rs
+++ b/crates/pipitcrank-cli/src/environment.rs
@@ -23,7 +23,7 @@
 /// The node configuration that `NODE_CONFIG` names.
 pub(crate) fn node_config() -> Result<NodeConfigWithEnvironment> {
     let read: fn(&str) -> Option<String> = variable;
-    Ok(NodeConfig::read(&node_config_text()?, read)?)
+    Ok(NodeConfig::parse(&node_config_text()?, read)?)
 }
 
 /// The co-ordinator's name: the owner of its store.
--- a/crates/pipitcrank-cli/src/failover_driver.rs
+++ b/crates/pipitcrank-cli/src/failover_driver.rs
@@ -60,10 +60,10 @@
         topology: Rc::new(topology),
         store,
         event_loop: context.event_loop.clone(),
-        priority_weights: context.utilities.clone(),
-        revision: context.rev.clone(),
-        draining: context.leaving.clone(),
-        end_called: context.end_called.clone(),
+        priority_weights: context.priority_weights.clone(),
+        revision: context.revision.clone(),
+        draining: context.draining.clone(),
+        shutdown_requested: context.shutdown_requested.clone(),
     };
     Ok(startup.run())
 }
@@ -77,17 +77,18 @@
     priority_weights: Vec<f64>,
     revision: SharedRevision,
     draining: watch::Receiver<bool>,
-    end_called: watch::Receiver<Option<Timestamp>>,
+    shutdown_requested: watch::Receiver<Option<Timestamp>>,
 }
 
 impl Startup {
     async fn run(self) {
         let mut draining = self.draining.clone();
-        let end_called = self.end_called.clone();
+        let shutdown_requested = self.shutdown_requested.clone();
         let Some(socket) = bind_when_free(self.zones.listen, &mut draining).await else { return };
         let mut driver = self.start(socket).await;
         driver.run(&mut draining).await;
-        let departure = if end_called.borrow().is_some() { Departure::Left } else { Departure::Upgraded };
+        let departure =
+            if shutdown_requested.borrow().is_some() { Departure::Left } else { Departure::Upgraded };
         let now = driver.event_loop.clock.now();
         driver.node.leave(now, departure);
         driver.publish(now);
@@ -256,8 +257,8 @@
         }
         let counters = &self.event_loop.counters;
         counters.set("zones", "older_decisions_left", self.node.stale_decisions());
-        counters.set("peers_sent", "bytes", self.node.sent.bytes);
-        counters.set("peers_sent", "datagrams", self.node.sent.datagrams);
+        counters.set("peers_sent", "bytes", self.node.sent().bytes);
+        counters.set("peers_sent", "datagrams", self.node.sent().datagrams);
         self.update_routing(now);
         for OutgoingDatagram { to, bytes } in self.node.take_datagrams() {
             // A datagram that can't be sent now counts as lost.
--- a/crates/pipitcrank-cli/src/serve.rs
+++ b/crates/pipitcrank-cli/src/serve.rs
@@ -114,8 +114,8 @@
 }
 
 fn start_store(context: &ServerContext, store: StoreSource) {
-    let (event_loop, revision) = (context.event_loop.clone(), context.rev.clone());
-    let draining = context.leaving.clone();
+    let (event_loop, revision) = (context.event_loop.clone(), context.revision.clone());
+    let draining = context.draining.clone();
     tokio::task::spawn_local(async move {
         if let Some(driver) = store.open(draining.clone()).await.driver {
             save_until_draining(driver, event_loop, revision, draining).await;
--- a/crates/pipitcrank-gateway/src/link_connection.rs
+++ b/crates/pipitcrank-gateway/src/link_connection.rs
@@ -8,7 +8,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_server::exchange::{AttemptId, OutgoingForward};
+use pipitcrank_server::exchange::{AttemptId, OutgoingForward, OutgoingPart, QueryPart};
 use pipitcrank_server::runtime::clock::duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -272,23 +272,26 @@
 
     fn queue_forward(&mut self, now: Timestamp, round_trip: TimeSpan, outgoing: OutgoingForward) {
         let health_id = self.site.health.borrow_mut().forward_sent(now);
-        let forwarded = |(shard, attempt)| ForwardedPart { shard, attempt };
+        let forwarded = |out: &OutgoingPart| ForwardedPart { shard: out.part.shard, attempt: out.attempt };
         let number = self.link_stream.sent.borrow_mut().begin(NewForward {
-            parts: outgoing.calls.into_iter().map(forwarded).collect(),
-            idempotent: outgoing.repeatable,
-            delegation: outgoing.who,
+            parts: outgoing.parts.iter().map(forwarded).collect(),
+            idempotent: outgoing.idempotent,
+            delegation: outgoing.delegation,
             health_id,
-            deadline: outgoing.until,
+            deadline: outgoing.deadline,
         });
-        let part = |(shard, weight, estimated_work)| ForwardPart { shard, weight, estimated_work };
+        let part = |out: &OutgoingPart| {
+            let QueryPart { shard, weight, work } = out.part;
+            ForwardPart { shard, weight, estimated_work: work }
+        };
         let forward = Forward {
             number,
             query_id: outgoing.id,
             class: self.local.classes[outgoing.class.0 as usize].clone(),
-            time_left: outgoing.until - now - round_trip,
-            delegated_retries: outgoing.further,
+            time_left: outgoing.deadline - now - round_trip,
+            delegated_retries: outgoing.retries,
             sites_crossed: vec![self.local.name.clone()],
-            parts: outgoing.parts.into_iter().map(part).collect(),
+            parts: outgoing.parts.iter().map(part).collect(),
             text: outgoing.text.to_string(),
         };
         let message = match outgoing.idempotency_key {
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -6,7 +6,6 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
-use std::time::Instant;
 
 use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -18,17 +17,19 @@
 
 use crate::clients::acceptor::{self, AcceptorCommand};
 use crate::clients::http::{self, HttpEvent, HttpState};
-use crate::discovery::client::{self, PollPacing, SharedRevision};
+use crate::discovery::client::{self, SharedRevision};
+use crate::discovery::poll_pacing::PollPacing;
 use crate::exchange::{Exchange, ReplicaTransport};
 use crate::node_config::NodeConfig;
 use crate::reload;
 use crate::replicas::pool::ReplicaPool;
 use crate::runtime::clock::Clock;
+use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::counters::Counters;
-use crate::runtime::event_loop::{ConnectionLimiter, EventLoop};
+use crate::runtime::event_loop::EventLoop;
 use crate::runtime::shutdown::ShutdownSchedule;
 use crate::runtime::stall_detector::StallDetector;
-use crate::runtime::system_errors::{PAUSE, passes, waited_for};
+use crate::runtime::system_errors::{retry_open_for, retry_open_for_blocking};
 use crate::upgrade::relay::Relay;
 use crate::upgrade::worker::{FirstList, Worker};
 
@@ -41,14 +42,8 @@
 /// The file that `NODE_CONFIG` names, and its text; before anything else runs, so it may wait.
 pub fn node_config_text() -> Result<(String, String), String> {
     let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
-    let until = Instant::now() + START_LIMIT;
-    loop {
-        match std::fs::read_to_string(&path) {
-            Ok(text) => return Ok((path, text)),
-            Err(e) if passes(&e) && Instant::now() < until => std::thread::sleep(PAUSE),
-            Err(e) => return Err(format!("NODE_CONFIG: {path}: {e}")),
-        }
-    }
+    let text = retry_open_for_blocking(START_LIMIT, || std::fs::read_to_string(&path));
+    text.map(|text| (path.clone(), text)).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))
 }
 
 /// What stands beside the near replica side is made of.
@@ -59,18 +54,18 @@
     pub shards: u32,
     pub cells: u32,
     /// How long a query may be held.
-    pub longest: TimeSpan,
+    pub max_deadline: TimeSpan,
     pub tickets: Arc<AtomicU64>,
     /// Whether no new work of others is to be taken: another process takes over, or the end was called.
-    pub leaving: watch::Receiver<bool>,
+    pub draining: watch::Receiver<bool>,
     /// When the end was called.
-    pub end_called: watch::Receiver<Option<Timestamp>>,
+    pub shutdown_requested: watch::Receiver<Option<Timestamp>>,
     /// What the platform says of zones: the own one's place, and all names.
     pub zones: Option<(ZoneId, Vec<String>)>,
     /// Utility of a whole answer, by request class.
-    pub utilities: Vec<f64>,
+    pub priority_weights: Vec<f64>,
     /// Version of discovery's list, where one is held.
-    pub rev: SharedRevision,
+    pub revision: SharedRevision,
 }
 
 /// What a process before this one knew, and how long ago.
@@ -92,18 +87,18 @@
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let (path, text) = node_config_text()?;
-    let node_config = NodeConfig::read(&text, |name| std::env::var(name).ok())?;
+    let node_config = NodeConfig::parse(&text, |name| std::env::var(name).ok())?;
 
     let counters = Counters::default();
     let exchange = node_config.exchange(counters.clone())?;
-    let (rev, rows) = node_config.known(&clock)?;
-    let (for_replicas, for_clients) = ConnectionLimiter::shared(node_config.sockets()?);
+    let (rev, rows) = node_config.initial_endpoints(&clock)?;
+    let (for_replicas, for_clients) = ConnectionLimiter::shared(node_config.connection_limit()?);
     let event_loop = Rc::new(EventLoop::new(clock.clone(), counters.clone(), for_replicas, exchange));
     let replicas = ReplicaPool::new(
         event_loop.clone(),
-        node_config.streams()?,
-        node_config.dial_limit()?,
-        node_config.idle_limit()?,
+        node_config.streams_per_connection()?,
+        node_config.connect_timeout()?,
+        node_config.idle_timeout()?,
     );
     let (knocks, knocked) = unbounded_channel();
     let (call_end, end_called) = watch::channel(None);
@@ -111,13 +106,13 @@
     let door_tickets = tickets.clone();
     let classes = node_config.classes()?;
     let worker_classes = classes.len();
-    let schedule = ShutdownSchedule::of(node_config.longest()?);
+    let schedule = ShutdownSchedule::of(node_config.max_deadline()?);
     let awake = Arc::new(StallDetector::new(clock.now()));
     let router = http::router(HttpState {
         clock: clock.clone(),
         counters: counters.clone(),
         classes: classes.into(),
-        deduplicated: node_config.deduplicated()?.into(),
+        deduplicated: node_config.keyed_idempotency()?.into(),
         shards: node_config.shards()?,
         knocks,
         end_called: end_called.clone(),
@@ -126,10 +121,11 @@
         awake: awake.clone(),
     });
     let (move_watch, watched) = watch::channel(node_config.discovery()?);
-    let (tick, name, listen) = (node_config.tick()?, node_config.name()?, node_config.listen()?);
+    let (tick, name, listen) = (node_config.tick_interval()?, node_config.name()?, node_config.listen()?);
     let rev_held = Rc::new(Cell::new(None));
     let (watch_event_loop, watch_rev) = (event_loop.clone(), rev_held.clone());
-    let paid = node_config.lists_are_asked_for()?.then_some((node_config.seed()?, node_config.copies()?));
+    let paid =
+        node_config.polls_discovery()?.then_some((node_config.seed()?, node_config.coordinator_count()?));
     let list_known = move || {
         let paid = paid.map(|(seed, copies)| PollPacing::new(seed, copies));
         let watch = client::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
@@ -159,7 +155,7 @@
                 event_loop.update(|e| e.restore(clock.now(), passed, later.is_some(), snapshot));
             }
             list_known();
-            let listener = waited_for(START_LIMIT, || TcpListener::bind(listen)).await;
+            let listener = retry_open_for(START_LIMIT, || TcpListener::bind(listen)).await;
             let listener = listener.map_err(|e| format!("/listen: {e}"))?;
             let _ = acceptor.send(AcceptorCommand::Accept(listener));
             tracing::info!("{name} serves at {listen}");
@@ -176,7 +172,7 @@
                 tickets,
                 classes: worker_classes,
                 shards: node_config.shards()?,
-                longest: node_config.longest()?,
+                longest: node_config.max_deadline()?,
                 end_called: call_end.clone(),
                 leave: leave.clone(),
             });
@@ -212,19 +208,19 @@
             classes: node_config.classes()?,
             shards: node_config.shards()?,
             cells: node_config.cells()?,
-            longest: node_config.longest()?,
+            max_deadline: node_config.max_deadline()?,
             tickets: door_tickets,
-            leaving,
-            end_called: end_called.clone(),
+            draining: leaving,
+            shutdown_requested: end_called.clone(),
             zones: node_config.zones()?,
-            utilities: node_config.utilities()?,
-            rev: ground_rev,
+            priority_weights: node_config.priority_weights()?,
+            revision: ground_rev,
         }),
     };
     tokio::task::spawn_local(async move {
         loop {
-            awake.look(clock.now());
-            clock.look_at_wall();
+            awake.tick(clock.now());
+            clock.sample_wall_clock();
             tokio::time::sleep(LOOK).await;
         }
     });
@@ -255,11 +251,7 @@
             HttpEvent::Ask(ticket, asked, answer) => {
                 let Err((asked, answer)) = relay.ask(ticket, asked, answer) else { continue };
                 event_loop.update(|e| {
-                    let then = Box::new(move |last| {
-                        // Nobody listens where the client left in this very moment.
-                        let _ = answer.send(last);
-                    });
-                    e.submit(ticket, asked, then);
+                    e.submit(ticket, asked, Box::new(answer));
                 });
             }
             HttpEvent::Gone(ticket) => {
--- a/crates/pipitcrank-server/src/upgrade/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -58,10 +58,10 @@
         let Some(to) = to.as_ref().filter(|_| !self.event_loop.read(|e| e.has_query(&asked.id))) else {
             return Err((asked, answer));
         };
-        let left = asked.ends - self.event_loop.clock.now();
+        let left = asked.deadline - self.event_loop.clock.now();
         self.out.borrow_mut().insert(ticket, Out { class: asked.class, answer });
         let relay = self.clone();
-        let by = self.event_loop.clock.instant(asked.ends - BEFORE_TIME);
+        let by = self.event_loop.clock.instant(asked.deadline - BEFORE_TIME);
         tokio::task::spawn_local(async move {
             tokio::time::sleep_until(by).await;
             if relay.strand(ticket) {
@@ -133,7 +133,7 @@
     known.then(|| QueryRequest {
         id,
         class: RequestClassId(class),
-        ends: event_loop.clock.now() + left,
+        deadline: event_loop.clock.now() + left,
         parts: parts.into_iter().map(part).collect(),
         idempotency_key: idempotency_key.map(Into::into),
         text: text.into(),
@@ -142,11 +142,11 @@
 
 pub fn to_final_words(last: QueryResponse) -> RelayedResponse {
     match last {
-        QueryResponse::Answered { whole, hits } => {
+        QueryResponse::Answered { complete, hits } => {
             let hits = hits.into_iter().map(|(shard, value)| RelayedHit { shard, value }).collect();
-            RelayedResponse::Answered { complete: whole, hits }
+            RelayedResponse::Answered { complete, hits }
         }
-        QueryResponse::Rejected { stay_away } => RelayedResponse::Rejected { retry_after: stay_away },
+        QueryResponse::Rejected { retry_after } => RelayedResponse::Rejected { retry_after },
         QueryResponse::Aborted => RelayedResponse::Aborted,
         QueryResponse::DuplicateId => RelayedResponse::DuplicateId,
     }
@@ -154,11 +154,11 @@
 
 fn from_words(last: RelayedResponse) -> QueryResponse {
     match last {
-        RelayedResponse::Answered { complete: whole, hits } => {
+        RelayedResponse::Answered { complete, hits } => {
             let hits = hits.into_iter().map(|hit| (hit.shard, hit.value)).collect();
-            QueryResponse::Answered { whole, hits }
+            QueryResponse::Answered { complete, hits }
         }
-        RelayedResponse::Rejected { retry_after: stay_away } => QueryResponse::Rejected { stay_away },
+        RelayedResponse::Rejected { retry_after } => QueryResponse::Rejected { retry_after },
         RelayedResponse::Aborted => QueryResponse::Aborted,
         RelayedResponse::DuplicateId => QueryResponse::DuplicateId,
     }
