--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -229,7 +229,7 @@
             .map(|told| Ok::<_, anyhow::Error>(Disk::open(told, &owner()?)))
             .transpose()?;
         let (disk, mut past) = stored.map_or((None, Past::default()), |(disk, past)| (Some(disk), past));
-        let known = past.recalled.learned.take().map(|learned| (learned.age, learned.snapshot));
+        let known = past.recalled.learned.take();
         return on_one_thread(async {
             // Heeded without effect: left alone it would end the process.
             let _upgrades = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::user_defined2())?;
@@ -238,7 +238,7 @@
         })?
         .map(|()| 0);
     };
-    let (_, text) = serve::node_config_text().map_err(|e| anyhow!(e))?;
+    let text = serve::node_config_file().map_err(|e| anyhow!("{e}"))?.text;
     let node_config = NodeConfig::parse(&text, |name| std::env::var(name).ok())?;
     node_config.check(&clock)?;
     if let Some(zones) = &operators.zones {
@@ -250,7 +250,7 @@
 
 /// Whose store it is: the co-ordinator's name.
 fn owner() -> Result<String> {
-    let (_, text) = serve::node_config_text().map_err(|e| anyhow!(e))?;
+    let text = serve::node_config_file().map_err(|e| anyhow!("{e}"))?.text;
     Ok(NodeConfig::parse(&text, |name| std::env::var(name).ok())?.name()?)
 }
 
@@ -358,8 +358,8 @@
         }
     };
     if !no_node_config {
-        let read = serve::node_config_text().and_then(|(_, text)| {
-            NodeConfig::parse(&text, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
+        let read = serve::node_config_file().map_err(|e| e.to_string()).and_then(|file| {
+            NodeConfig::parse(&file.text, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
         });
         let faults = read.map(|c| c.faults(&Clock::start()).iter().map(ToString::to_string).collect());
         look("the charter", faults.unwrap_or_else(|wrong| vec![wrong]));
@@ -369,8 +369,8 @@
         let mut faults: Vec<String> = read.as_ref().err().map(ToString::to_string).into_iter().collect();
         // What both files say of zones has to agree; without the node configuration only the file itself is looked at.
         if let (Ok(OperatorsConfig { zones: Some(zones), .. }), false) = (&read, no_node_config)
-            && let Ok((_, text)) = serve::node_config_text()
-            && let Ok(node_config) = NodeConfig::parse(&text, |name| std::env::var(name).ok())
+            && let Ok(file) = serve::node_config_file()
+            && let Ok(node_config) = NodeConfig::parse(&file.text, |name| std::env::var(name).ok())
             && let Ok(platform) = node_config.zones()
         {
             faults.extend(peers::own_zone(zones, platform.as_ref()).err().map(|wrong| wrong.to_string()));
--- a/crates/pipitcrank-server/src/clients/acceptor.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor.rs
@@ -15,11 +15,11 @@
 use crate::clients::client_connections::{ClientConnections, ConnectionPhase};
 pub use crate::clients::connection::AdoptedConnection;
 use crate::clients::connection::{ConnectionMode, serve, turn_away};
-use crate::clients::http::EndCalled;
 use crate::exchange::REQUESTS;
 use crate::runtime::clock::duration;
 use crate::runtime::connection_limits::{ConnectionLimiter, ConnectionPermit};
 use crate::runtime::counters::Counters;
+use crate::runtime::shutdown::ShutdownRequest;
 use crate::runtime::shutdown::ShutdownSchedule;
 
 /// How often connections are looked over: a tenth of the second that is to spare where one has to end by a time.
@@ -37,11 +37,11 @@
     /// Serve a connection that another process had.
     Adopt(AdoptedConnection),
     /// Accept no more, and pass on each connection as soon as it rests.
-    Pass(UnboundedSender<AdoptedConnection>),
+    Transfer(UnboundedSender<AdoptedConnection>),
     /// Pass on no more.
-    Stay,
+    StopTransfer,
     /// All has been passed on.
-    Done,
+    Exit,
 }
 
 /// What each connection's task is given.
@@ -64,7 +64,7 @@
         let (connections, connection) = (self.connections.clone(), self.connections.enter(Instant::now()));
         match waited {
             Some(waited) => connection.waited(waited),
-            None => connection.goes_on(Instant::now(), come.whole_within),
+            None => connection.goes_on(Instant::now(), come.request_timeout),
         }
         tokio::task::spawn_local(async move {
             let end = serve(come, router, &connection, mood, idle).await;
@@ -80,7 +80,7 @@
 
     fn accepted(&self, place: Option<ConnectionPermit>, accepted: Accepted) {
         let Accepted { stream, waited } = accepted;
-        let come = AdoptedConnection { stream, read: Bytes::new(), whole_within: None };
+        let come = AdoptedConnection { stream, read: Bytes::new(), request_timeout: None };
         self.receive(place, come, Some(waited));
     }
 
@@ -120,13 +120,13 @@
 /// Accepts as ordered. After the end was called and the time to stay has passed, or no listener is left to it, it closes the
 /// listener, so that clients are refused and not dropped, answers what has come, and returns when all is quiet:
 /// connections that are at nothing by the time of the last answer, the others with their answer.
-pub async fn keep(
+pub async fn run(
     mut orders: UnboundedReceiver<AcceptorCommand>,
     router: Router,
     clients: ConnectionLimiter,
     counters: Counters,
     schedule: ShutdownSchedule,
-    mut end_called: EndCalled,
+    mut shutdown_requested: ShutdownRequest,
     quiet: impl Fn() -> bool,
 ) {
     let (moods, mood) = watch::channel(ConnectionMode::Stay);
@@ -158,7 +158,7 @@
                 AcceptorCommand::Accept(new) => {
                     listener = (!leaving).then(|| AcceptQueue::new(new, rounds.counters.clone()));
                     moods.send_if_modified(|m| {
-                        let passing = matches!(m, ConnectionMode::Pass(_));
+                        let passing = matches!(m, ConnectionMode::Transfer(_));
                         if passing {
                             *m = ConnectionMode::Stay;
                         }
@@ -169,17 +169,17 @@
                     drop(place);
                     rounds.receive(Some(clients.acquire_adopted()), come, None);
                 }
-                AcceptorCommand::Pass(to) => {
+                AcceptorCommand::Transfer(to) => {
                     listener = None;
                     moods.send_if_modified(|m| {
-                        *m = ConnectionMode::Pass(to);
+                        *m = ConnectionMode::Transfer(to);
                         true
                     });
                 }
-                AcceptorCommand::Stay => { moods.send_replace(ConnectionMode::Stay); }
-                AcceptorCommand::Done => return,
+                AcceptorCommand::StopTransfer => { moods.send_replace(ConnectionMode::Stay); }
+                AcceptorCommand::Exit => return,
             },
-            Ok(()) = end_called.changed(), if since.is_none() => {
+            Ok(()) = shutdown_requested.changed(), if since.is_none() => {
                 tracing::info!("asked to end");
                 since = Some(Instant::now());
             }
--- a/crates/pipitcrank-server/src/clients/acceptor/tests.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor/tests.rs
@@ -37,7 +37,7 @@
         let idle = TimeSpan::from_millis(250);
         let schedule = ShutdownSchedule { stay, idle, last_answer: stay + idle, queue_until: stay + idle };
         tokio::task::spawn_local(async move {
-            keep(ordered, router, ConnectionLimiter::new(9), counters, schedule, called, || true).await;
+            run(ordered, router, ConnectionLimiter::new(9), counters, schedule, called, || true).await;
             gate_ended.set(true);
         });
         assert!(!asked(&mut stream).await.contains("connection: close"));
@@ -174,7 +174,7 @@
         let schedule =
             ShutdownSchedule { stay: TimeSpan::ZERO, idle: end, last_answer: end, queue_until: end };
         let (router, sockets) = (Router::new().route("/", get(slow)), ConnectionLimiter::new(2));
-        let serving = keep(ordered, router, sockets.clone(), Counters::default(), schedule, called, || true);
+        let serving = run(ordered, router, sockets.clone(), Counters::default(), schedule, called, || true);
         let serving = tokio::task::spawn_local(serving);
         let ask = async || {
             let mut stream = TcpStream::connect(address).await.unwrap();
--- a/crates/pipitcrank-server/src/clients/connection.rs
+++ b/crates/pipitcrank-server/src/clients/connection.rs
@@ -53,7 +53,7 @@
 pub struct AdoptedConnection {
     pub stream: TcpStream,
     pub read: Bytes,
-    pub whole_within: Option<Duration>,
+    pub request_timeout: Option<Duration>,
 }
 
 /// What connections do as soon as they rest.
@@ -61,7 +61,7 @@
 pub enum ConnectionMode {
     Stay,
     Leave,
-    Pass(UnboundedSender<AdoptedConnection>),
+    Transfer(UnboundedSender<AdoptedConnection>),
 }
 
 /// A client for whom there is no place is told so at once, and not left to a reset.
@@ -134,8 +134,8 @@
             // Guards against a close that is not seen behind bytes which the library does not read on from.
             () = closes_behind_body(&stream, connection) => return ConnectionEnd::Closed,
             Ok(()) = mood.changed() => now = mood.borrow_and_update().clone(),
-            () = connection.rests(matches!(now, ConnectionMode::Pass(_)), idle), if !matches!(now, ConnectionMode::Stay) => {
-                let ConnectionMode::Pass(to) = now else { break ConnectionEnd::NotNeeded };
+            () = connection.rests(matches!(now, ConnectionMode::Transfer(_)), idle), if !matches!(now, ConnectionMode::Stay) => {
+                let ConnectionMode::Transfer(to) = now else { break ConnectionEnd::NotNeeded };
                 let whole_within = connection.whole_within(Instant::now());
                 let parts = serving.into_parts();
                 let RequestReader { stream: ours, before, .. } = parts.io.into_inner();
@@ -143,7 +143,7 @@
                 // What the library has read and not used, and what had come before and was not read by it.
                 let read = [&parts.read_buf[..], &before[..]].concat().into();
                 let Some(stream) = Rc::into_inner(stream) else { return ConnectionEnd::Reset };
-                let _ = to.send(AdoptedConnection { stream: stream.into_tcp(), read, whole_within });
+                let _ = to.send(AdoptedConnection { stream: stream.into_tcp(), read, request_timeout: whole_within });
                 return ConnectionEnd::HandedOver;
             }
         }
--- a/crates/pipitcrank-server/src/clients/http.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -18,7 +18,7 @@
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc::UnboundedSender;
-use tokio::sync::{Notify, oneshot, watch};
+use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
 use crate::exchange::{QueryPart, QueryRequest, QueryResponse};
@@ -31,8 +31,7 @@
 /// Longest id taken: it goes out with each part.
 const LONGEST_ID: usize = 256;
 
-/// When this process was asked to end, once it was.
-pub type EndCalled = watch::Receiver<Option<Timestamp>>;
+use crate::runtime::shutdown::ShutdownRequest;
 
 /// Says when a request's body has been read whole.
 #[derive(Default)]
@@ -76,10 +75,18 @@
 
 /// What the front has for the exchange.
 pub enum HttpEvent {
-    Ask(u64, QueryRequest, oneshot::Sender<QueryResponse>),
-    Gone(u64),
+    Query {
+        ticket: u64,
+        request: QueryRequest,
+        response: oneshot::Sender<QueryResponse>,
+    },
+    ClientDisconnected {
+        ticket: u64,
+    },
     /// Is it able to serve?
-    Able(oneshot::Sender<bool>),
+    CanServe {
+        answer: oneshot::Sender<bool>,
+    },
 }
 
 #[derive(Clone)]
@@ -88,14 +95,14 @@
     pub counters: Counters,
     pub classes: Arc<[String]>,
     /// Whether a repeat of the request class's is known by the client's key.
-    pub deduplicated: Arc<[bool]>,
+    pub keyed_idempotency: Arc<[bool]>,
     pub shards: u32,
-    pub knocks: UnboundedSender<HttpEvent>,
-    pub end_called: EndCalled,
+    pub events: UnboundedSender<HttpEvent>,
+    pub shutdown_requested: ShutdownRequest,
     /// A query that comes after the end was called is answered within this of that at the latest.
     pub last_answer: TimeSpan,
     pub tickets: Arc<AtomicU64>,
-    pub awake: Arc<StallDetector>,
+    pub stall_detector: Arc<StallDetector>,
 }
 
 /// What a client asks.
@@ -129,8 +136,8 @@
     doc: &'a str,
 }
 
-pub fn router(door: HttpState) -> Router {
-    Router::new().route("/up", get(up)).route("/counters", get(counters)).fallback(query).with_state(door)
+pub fn router(state: HttpState) -> Router {
+    Router::new().route("/up", get(up)).route("/counters", get(counters)).fallback(query).with_state(state)
 }
 
 /// Only clients whose queries are sound keep their connections. Guards against places held by connections that
@@ -140,65 +147,65 @@
     response
 }
 
-async fn up(State(door): State<HttpState>) -> Response {
+async fn up(State(state): State<HttpState>) -> Response {
     let (tell, told) = oneshot::channel();
-    let asked = door.knocks.send(HttpEvent::Able(tell)).is_ok();
-    let able = asked && told.await.unwrap_or(false) && door.end_called.borrow().is_none();
+    let asked = state.events.send(HttpEvent::CanServe { answer: tell }).is_ok();
+    let able = asked && told.await.unwrap_or(false) && state.shutdown_requested.borrow().is_none();
     let status = if able { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     last_on_connection(status.into_response())
 }
 
-async fn counters(State(door): State<HttpState>) -> Response {
-    last_on_connection(door.counters.show().into_response())
+async fn counters(State(state): State<HttpState>) -> Response {
+    last_on_connection(state.counters.show().into_response())
 }
 
 /// Says to the exchange that the client is gone, unless the answer came first.
 struct DisconnectGuard {
     ticket: u64,
-    knocks: UnboundedSender<HttpEvent>,
+    events: UnboundedSender<HttpEvent>,
     answered: bool,
 }
 
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.knocks.send(HttpEvent::Gone(self.ticket));
+            let _ = self.events.send(HttpEvent::ClientDisconnected { ticket: self.ticket });
         }
     }
 }
 
-async fn query(State(door): State<HttpState>, request: Request) -> Response {
+async fn query(State(state): State<HttpState>, request: Request) -> Response {
     let (parts, body) = request.into_parts();
     let word = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or("");
-    let Some(class) = door.classes.iter().position(|v| v == word) else {
-        return bad(&door, "unknown_path", StatusCode::NOT_FOUND, "no such vertical");
+    let Some(class) = state.classes.iter().position(|v| v == word) else {
+        return bad(&state, "unknown_path", StatusCode::NOT_FOUND, "no such vertical");
     };
     if parts.method != Method::POST {
-        let mut refused = bad(&door, "method", StatusCode::METHOD_NOT_ALLOWED, "queries are posted");
+        let mut refused = bad(&state, "method", StatusCode::METHOD_NOT_ALLOWED, "queries are posted");
         refused.headers_mut().insert(ALLOW, HeaderValue::from_static("POST"));
         return refused;
     }
     let arrival = parts.extensions.get::<Arrival>().cloned();
-    let asked = match read(&door, RequestClassId(class as u16), &parts.headers, arrival, body).await {
+    let asked = match read(&state, RequestClassId(class as u16), &parts.headers, arrival, body).await {
         Ok(asked) => asked,
         Err((status, what)) => {
             let kind = if status == StatusCode::PAYLOAD_TOO_LARGE { "too_large" } else { "malformed" };
-            return bad(&door, kind, status, what);
+            return bad(&state, kind, status, what);
         }
     };
     // Guards against a wave of queries whose clients have long gone, after this process stood still: all replicas were
     // asked for them at once, and nobody was served for ten seconds.
-    let now = door.clock.now();
-    if asked.deadline <= now && door.awake.unread_for(now) > TimeSpan::ZERO {
-        door.counters.add("queries", "unread_too_long");
+    let now = state.clock.now();
+    if asked.deadline <= now && state.stall_detector.unread_for(now) > TimeSpan::ZERO {
+        state.counters.add("queries", "unread_too_long");
         return encode(QueryResponse::Rejected { retry_after: TimeSpan::ZERO });
     }
-    let ticket = door.tickets.fetch_add(1, Ordering::Relaxed);
+    let ticket = state.tickets.fetch_add(1, Ordering::Relaxed);
     let (answer, answered) = oneshot::channel();
-    if door.knocks.send(HttpEvent::Ask(ticket, asked, answer)).is_err() {
+    if state.events.send(HttpEvent::Query { ticket, request: asked, response: answer }).is_err() {
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
     }
-    let mut waiting = DisconnectGuard { ticket, knocks: door.knocks.clone(), answered: false };
+    let mut waiting = DisconnectGuard { ticket, events: state.events.clone(), answered: false };
     let last = answered.await;
     waiting.answered = true;
     match last {
@@ -207,8 +214,8 @@
     }
 }
 
-fn bad(door: &HttpState, kind: &'static str, status: StatusCode, what: &'static str) -> Response {
-    door.counters.add("bad_requests", kind);
+fn bad(state: &HttpState, kind: &'static str, status: StatusCode, what: &'static str) -> Response {
+    state.counters.add("bad_requests", kind);
     last_on_connection((status, what).into_response())
 }
 
@@ -216,18 +223,21 @@
 
 /// One request, read whole.
 async fn read(
-    door: &HttpState,
+    state: &HttpState,
     class: RequestClassId,
     headers: &HeaderMap,
     arrival: Option<Arrival>,
     body: Body,
 ) -> Result<QueryRequest, Wrong> {
-    let received = door.clock.now();
-    door.awake.tick(received);
+    let received = state.clock.now();
+    state.stall_detector.tick(received);
     let in_queue =
         arrival.as_ref().map_or(TimeSpan::ZERO, |a| TimeSpan::from_secs_f64(a.unread.as_secs_f64()));
-    let unread =
-        door.awake.unread_for(received).max(if in_queue > SOON_ACCEPTED { in_queue } else { TimeSpan::ZERO });
+    let unread = state.stall_detector.unread_for(received).max(if in_queue > SOON_ACCEPTED {
+        in_queue
+    } else {
+        TimeSpan::ZERO
+    });
     let wrong = |what: &'static str| (StatusCode::BAD_REQUEST, what);
     // Guards against a request hidden in the body of another: neither is taken.
     if arrival.as_ref().is_some_and(|a| a.mixed) {
@@ -250,7 +260,7 @@
     if headers.contains_key("Idempotency-Key") && !key.is_some_and(is_idempotency_key) {
         return Err(wrong("Idempotency-Key is no key, or there are several"));
     }
-    if key.is_none() && door.deduplicated[class.0 as usize] {
+    if key.is_none() && state.keyed_idempotency[class.0 as usize] {
         return Err(wrong("Idempotency-Key is missing"));
     }
     let left = header("Req-Deadline-Ms").filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
@@ -262,7 +272,7 @@
     let body = tokio::select! {
         biased;
         body = to_bytes(body, MOST_BODY) => body,
-        () = overdue(door, whole_by) => {
+        () = overdue(state, whole_by) => {
             return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come in time"));
         }
     };
@@ -270,24 +280,25 @@
     if let Some(arrival) = arrival {
         arrival.whole.set();
     }
-    let ends = ends(received + left - unread, *door.end_called.borrow(), door.last_answer);
-    let asked = decode(&body, id, class, ends, door.shards).map_err(wrong)?;
+    let ends = ends(received + left - unread, *state.shutdown_requested.borrow(), state.last_answer);
+    let asked = decode(&body, id, class, ends, state.shards).map_err(wrong)?;
     Ok(QueryRequest { idempotency_key: key.map(Into::into), ..asked })
 }
 
 /// Guards against an answer that would come when this process has been killed.
-fn ends(own: Timestamp, end_called: Option<Timestamp>, last_answer: TimeSpan) -> Timestamp {
-    end_called.map_or(own, |at| own.min(at + last_answer))
+fn ends(own: Timestamp, shutdown_requested: Option<Timestamp>, last_answer: TimeSpan) -> Timestamp {
+    shutdown_requested.map_or(own, |at| own.min(at + last_answer))
 }
 
 /// Ends when a request that is not whole has to be answered without more of it: then, or before this process ends.
-async fn overdue(door: &HttpState, whole_by: Instant) {
-    let mut end_called = door.end_called.clone();
+async fn overdue(state: &HttpState, whole_by: Instant) {
+    let mut shutdown_requested = state.shutdown_requested.clone();
     loop {
-        let last = end_called.borrow_and_update().map(|at| door.clock.instant(at + door.last_answer));
+        let last =
+            shutdown_requested.borrow_and_update().map(|at| state.clock.instant(at + state.last_answer));
         tokio::select! {
             () = tokio::time::sleep_until(last.map_or(whole_by, |last| whole_by.min(last))) => return,
-            Ok(()) = end_called.changed() => {}
+            Ok(()) = shutdown_requested.changed() => {}
         }
     }
 }
--- a/crates/pipitcrank-server/src/lib.rs
+++ b/crates/pipitcrank-server/src/lib.rs
@@ -14,4 +14,5 @@
 pub mod replicas;
 pub mod runtime;
 pub mod serve;
+pub mod server_context;
 pub mod upgrade;
--- a/crates/pipitcrank-server/src/reasons.rs
+++ b/crates/pipitcrank-server/src/reasons.rs
@@ -1,28 +1,29 @@
-//! Typed reasons for what is not a plain success: why a call was not sent, why a part goes again. Why a connection ended
-//! is in `replicas/connection_end.rs`, why a query was refused in the core (`ids::RejectReason`).
+//! Typed reasons of what is no plain success: why an attempt was not sent, why a part is sent again.
+//!
+//! Why a connection ended is in `replicas/connection_end.rs`, why a query was refused in the core (`ids::RejectReason`).
 
 use pipitcrank_core::ids::{AttemptDenied, AttemptOutcome};
 
-/// Why a call was dropped at the last look before its first byte.
+/// Why an attempt was dropped just before its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDenied {
     /// Its query has ended.
     QueryEnded,
     /// Its client has closed.
     ClientClosed,
-    /// Its replica was told draining or gone.
+    /// Its replica drains or is gone.
     ReplicaDrained,
-    /// Nobody waits for it any more.
+    /// Its deadline has passed.
     TimeOver,
     /// An earlier attempt may have run, and this one may not follow it now.
     RepeatForbidden,
-    /// Further attempts that went out meanwhile have used the budget up.
+    /// Retries sent meanwhile have used the retry budget up.
     BudgetSpent,
 }
 
 impl From<AttemptDenied> for SendDenied {
-    fn from(barred: AttemptDenied) -> SendDenied {
-        match barred {
+    fn from(denied: AttemptDenied) -> SendDenied {
+        match denied {
             AttemptDenied::RepeatForbidden => SendDenied::RepeatForbidden,
             AttemptDenied::RetryBudgetSpent => SendDenied::BudgetSpent,
         }
@@ -30,6 +31,7 @@
 }
 
 impl SendDenied {
+    /// Its name in `/counters` and logs.
     pub fn name(self) -> &'static str {
         match self {
             SendDenied::QueryEnded => "query_ended",
@@ -45,13 +47,14 @@
 /// Why a part is sent once more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResendReason {
-    /// An earlier attempt is out and overdue.
+    /// A hedged request: an earlier attempt is in flight and overdue.
     Hedge,
-    /// The last attempt ended so.
+    /// A retry after an attempt that ended so.
     After(AttemptOutcome),
 }
 
 impl ResendReason {
+    /// Its name in `/counters` and logs.
     pub fn name(self) -> &'static str {
         match self {
             ResendReason::Hedge => "hedge",
--- a/crates/pipitcrank-server/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -1,5 +1,6 @@
-//! A new node configuration while the process runs: at SIGHUP the file is read again, and what may change of it takes effect.
+//! Reloads the node configuration at SIGHUP: its file is read again, and what may change of it takes effect.
 
+use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -12,12 +13,12 @@
 use crate::runtime::counters::Counters;
 use crate::runtime::system_errors::retry_open_for;
 
-/// A file that can't be opened or read for a while is waited for so long: folders may fail for 30 s.
-const READ_LIMIT: Duration = Duration::from_secs(40);
+/// For how long a file is waited for that can't be read: folders may fail for 30 s.
+const READ_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Heeds each SIGHUP. Of the file `discovery` takes effect at once; the variables given at start do not go before
-/// the new file, which was written after them. A file that is faulty anywhere changes nothing.
-pub async fn heed(
+/// Reloads at each SIGHUP. Of the file `discovery` takes effect at once; the variables given at start do not override the
+/// new file, which was written after them. A file that is faulty anywhere changes nothing.
+pub async fn run(
     mut hangups: Signal,
     path: PathBuf,
     clock: Clock,
@@ -26,29 +27,29 @@
 ) {
     while hangups.recv().await.is_some() {
         // A further signal meanwhile means the same file.
-        let text = retry_open_for(READ_LIMIT, async || std::fs::read_to_string(&path)).await;
-        match text.map_err(unreadable).and_then(|text| read(&text, &clock)) {
+        let text = retry_open_for(READ_TIMEOUT, async || std::fs::read_to_string(&path)).await;
+        match text.map_err(unreadable).and_then(|text| discovery_address(&text, &clock)) {
             Ok(address) => {
                 counters.add("reloads", "taken");
-                tracing::info!("charter read again: discovery is at {address}");
-                // Also where it stays: what discovery has counts as told sooner after a SIGHUP.
+                tracing::info!("node configuration reloaded: discovery is at {address}");
+                // Also where it stays: changes of the endpoint list have to be known sooner after a SIGHUP.
                 discovery.send_replace(address);
             }
-            Err(wrong) => {
+            Err(error) => {
                 counters.add("reloads", "faulty");
-                tracing::error!("the new charter is faulty, the old one stays: {wrong}");
+                tracing::error!("the new node configuration is faulty, the old one stays: {error}");
             }
         }
     }
 }
 
-fn unreadable(error: std::io::Error) -> ConfigError {
+fn unreadable(error: io::Error) -> ConfigError {
     ConfigError { key: "NODE_CONFIG".to_string(), reason: format!("can't be read: {error}") }
 }
 
-/// Where discovery is from now on.
-fn read(text: &str, clock: &Clock) -> Result<String, ConfigError> {
-    let node_config = NodeConfig::parse(text, |_| None)?;
-    node_config.check(clock)?;
-    node_config.discovery()
+/// Where the discovery service is from now on.
+fn discovery_address(text: &str, clock: &Clock) -> Result<String, ConfigError> {
+    let config = NodeConfig::parse(text, |_| None)?;
+    config.check(clock)?;
+    config.discovery()
 }
--- a/crates/pipitcrank-server/src/runtime/shutdown.rs
+++ b/crates/pipitcrank-server/src/runtime/shutdown.rs
@@ -3,7 +3,11 @@
 //! All of them follow from the longest deadline of a client, since the platform's grace before it kills does: first
 //! admission goes on, then connections that clients still use, then the last answers.
 
-use pipitcrank_core::time::TimeSpan;
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+use tokio::sync::watch;
+
+/// When shutdown was requested; none until it is.
+pub type ShutdownRequest = watch::Receiver<Option<Timestamp>>;
 
 /// The platform kills no sooner than the longest deadline after asking, which it counts as this where it is longer ...
 const MAX_COUNTED_DEADLINE: TimeSpan = TimeSpan::from_millis(3000);
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -1,17 +1,20 @@
-//! The co-ordinator on sockets: starts what it is made of, joins it, and ends in order.
+//! Starts the parts of the server, joins them, and ends in order.
 
 use std::cell::{Cell, RefCell};
-use std::error::Error;
+use std::io;
+use std::net::SocketAddr;
 use std::os::unix::net::UnixStream as StdStream;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
+use std::time::Duration;
 
-use pipitcrank_core::coordinator::zones::ZoneId;
-use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_handover::snapshot::Snapshot;
+use axum::Router;
+use pipitcrank_core::config::ConfigError;
+use pipitcrank_core::time::TimeSpan;
+use pipitcrank_handover::snapshot::AgedSnapshot;
 use tokio::net::TcpListener;
-use tokio::signal::unix::{SignalKind, signal};
+use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::sync::watch;
 
@@ -27,239 +30,376 @@
 use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::counters::Counters;
 use crate::runtime::event_loop::EventLoop;
-use crate::runtime::shutdown::ShutdownSchedule;
+use crate::runtime::shutdown::{ShutdownRequest, ShutdownSchedule};
 use crate::runtime::stall_detector::StallDetector;
 use crate::runtime::system_errors::{retry_open_for, retry_open_for_blocking};
-use crate::upgrade::relay::Relay;
-use crate::upgrade::worker::{FirstList, Worker};
+pub use crate::server_context::{ServerContext, TransportFactory};
+use crate::upgrade::context::{InitialList, UpgradeContext};
+use crate::upgrade::relay::{NotRelayed, Relay};
+use crate::upgrade::worker;
 
-/// How often it looks whether it stood still.
-const LOOK: std::time::Duration = std::time::Duration::from_millis(50);
+/// Interval at which stalls of the process are looked for.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// For how long a start waits out errors that may pass, of its configuration file and its address. Nine starts in ten are to
+/// serve within 10 s.
+const START_TIMEOUT: Duration = Duration::from_secs(8);
+/// Exit code of a worker whose supervisor's link broke.
+const EXIT_LINK_BROKEN: i32 = 3;
 
-/// A start waits so long for what fails for a while: its configuration, its address. Nine in ten are to serve within 10 s.
-const START_LIMIT: std::time::Duration = std::time::Duration::from_secs(8);
+/// The node configuration's file.
+pub struct NodeConfigFile {
+    /// The path that `NODE_CONFIG` names.
+    pub path: String,
+    /// What is in it.
+    pub text: String,
+}
 
-/// The file that `NODE_CONFIG` names, and its text; before anything else runs, so it may wait.
-pub fn node_config_text() -> Result<(String, String), String> {
-    let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
-    let text = retry_open_for_blocking(START_LIMIT, || std::fs::read_to_string(&path));
-    text.map(|text| (path.clone(), text)).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))
+/// Why the node configuration's file can't be read.
+#[derive(Debug, thiserror::Error)]
+pub enum NodeConfigFileError {
+    /// The variable is not set, or is no text.
+    #[error("NODE_CONFIG: {0}")]
+    Variable(#[from] std::env::VarError),
+    /// The file can't be read.
+    #[error("NODE_CONFIG: {path}: {error}")]
+    Unreadable {
+        /// The path.
+        path: String,
+        /// What reading it ended with.
+        error: io::Error,
+    },
 }
 
-/// What stands beside the near replica side is made of.
-pub struct ServerContext {
-    pub event_loop: Rc<EventLoop>,
-    pub replicas: Rc<RefCell<ReplicaPool>>,
-    pub classes: Vec<String>,
-    pub shards: u32,
-    pub cells: u32,
-    /// How long a query may be held.
-    pub max_deadline: TimeSpan,
-    pub tickets: Arc<AtomicU64>,
-    /// Whether no new work of others is to be taken: another process takes over, or the end was called.
-    pub draining: watch::Receiver<bool>,
-    /// When the end was called.
-    pub shutdown_requested: watch::Receiver<Option<Timestamp>>,
-    /// What the platform says of zones: the own one's place, and all names.
-    pub zones: Option<(ZoneId, Vec<String>)>,
-    /// Utility of a whole answer, by request class.
-    pub priority_weights: Vec<f64>,
-    /// Version of discovery's list, where one is held.
-    pub revision: SharedRevision,
+/// Why the server could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// Signals can't be received.
+    #[error("{0}")]
+    Signals(io::Error),
+    /// The node configuration's file can't be read.
+    #[error("{0}")]
+    ConfigFile(#[from] NodeConfigFileError),
+    /// A key of the node configuration is faulty.
+    #[error("{0}")]
+    Config(#[from] ConfigError),
+    /// The address can't be listened on.
+    #[error("/listen: {0}")]
+    Listen(io::Error),
 }
 
-/// What a process before this one knew, and how long ago.
-pub type Recalled = Option<(TimeSpan, Snapshot)>;
+/// Reads the file that `NODE_CONFIG` names. It blocks, so it is called before anything else runs.
+pub fn node_config_file() -> Result<NodeConfigFile, NodeConfigFileError> {
+    let path = std::env::var("NODE_CONFIG")?;
+    match retry_open_for_blocking(START_TIMEOUT, || std::fs::read_to_string(&path)) {
+        Ok(text) => Ok(NodeConfigFile { path, text }),
+        Err(error) => Err(NodeConfigFileError::Unreadable { path, error }),
+    }
+}
 
-/// Makes a replica side that also reaches what near replicas are not, such as other sites.
-pub type TransportFactory = Box<dyn FnOnce(ServerContext) -> Rc<RefCell<dyn ReplicaTransport>>>;
+struct Signals {
+    hangup: Signal,
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl Signals {
+    fn install() -> io::Result<Signals> {
+        Ok(Signals {
+            hangup: signal(SignalKind::hangup())?,
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+        })
+    }
+}
 
-/// Serves until asked to end, or until all has passed to another process. Under a keeper its link comes along; the
-/// listener then is the keeper's.
+/// Serves until shutdown is requested and done, or until all has been handed over to another process.
+///
+/// `supervisor`: the link to the upgrade supervisor, where there is one; the listener then comes from it. `stored`: what a
+/// process before this one knew.
 pub async fn serve(
     clock: Clock,
-    keeper: Option<StdStream>,
-    beside: Option<TransportFactory>,
-    recalled: Recalled,
-) -> Result<(), Box<dyn Error>> {
-    // Before all else: unheeded, a signal ends the process, and what has connected meanwhile gets no answer.
-    let hangups = signal(SignalKind::hangup())?;
-    let mut term = signal(SignalKind::terminate())?;
-    let mut int = signal(SignalKind::interrupt())?;
-    let (path, text) = node_config_text()?;
-    let node_config = NodeConfig::parse(&text, |name| std::env::var(name).ok())?;
-
-    let counters = Counters::default();
-    let exchange = node_config.exchange(counters.clone())?;
-    let (rev, rows) = node_config.initial_endpoints(&clock)?;
-    let (for_replicas, for_clients) = ConnectionLimiter::shared(node_config.connection_limit()?);
-    let event_loop = Rc::new(EventLoop::new(clock.clone(), counters.clone(), for_replicas, exchange));
-    let replicas = ReplicaPool::new(
-        event_loop.clone(),
-        node_config.streams_per_connection()?,
-        node_config.connect_timeout()?,
-        node_config.idle_timeout()?,
-    );
-    let (knocks, knocked) = unbounded_channel();
-    let (call_end, end_called) = watch::channel(None);
-    let tickets = Arc::new(AtomicU64::new(0));
-    let door_tickets = tickets.clone();
-    let classes = node_config.classes()?;
-    let worker_classes = classes.len();
-    let schedule = ShutdownSchedule::of(node_config.max_deadline()?);
-    let awake = Arc::new(StallDetector::new(clock.now()));
-    let router = http::router(HttpState {
-        clock: clock.clone(),
-        counters: counters.clone(),
-        classes: classes.into(),
-        deduplicated: node_config.keyed_idempotency()?.into(),
-        shards: node_config.shards()?,
-        knocks,
-        end_called: end_called.clone(),
-        last_answer: schedule.last_answer,
-        tickets: tickets.clone(),
-        awake: awake.clone(),
-    });
-    let (move_watch, watched) = watch::channel(node_config.discovery()?);
-    let (tick, name, listen) = (node_config.tick_interval()?, node_config.name()?, node_config.listen()?);
-    let rev_held = Rc::new(Cell::new(None));
-    let (watch_event_loop, watch_rev) = (event_loop.clone(), rev_held.clone());
-    let paid =
-        node_config.polls_discovery()?.then_some((node_config.seed()?, node_config.coordinator_count()?));
-    let list_known = move || {
-        let paid = paid.map(|(seed, copies)| PollPacing::new(seed, copies));
-        let watch = client::watch(watch_event_loop.clone(), watched.clone(), watch_rev.clone(), paid);
-        tokio::task::spawn_local(watch);
-    };
-    tokio::task::spawn_local(reload::heed(hangups, path.into(), clock.clone(), counters.clone(), move_watch));
-    let (leave, leaving) = watch::channel(false);
-    let leave = Rc::new(leave);
-    let relay = Relay::new(event_loop.clone());
-    let (acceptor, ordered) = unbounded_channel();
-    let ground_rev = rev_held.clone();
-    let ended = call_end.clone();
-    match keeper {
-        None => {
-            rev_held.set(Some(rev));
-            event_loop.update(|e| e.update_endpoints(clock.now(), true, rows));
-            if let Some((passed, snapshot)) = recalled {
-                let later = snapshot.revision.filter(|&theirs| theirs > rev);
-                rev_held.set(Some(later.unwrap_or(rev)));
-                let replicas = snapshot.replicas.len();
-                tracing::info!(
-                    replicas,
-                    its_list = later.is_some(),
-                    age_s = passed.as_secs_f64(),
-                    "goes on from what is stored"
-                );
-                event_loop.update(|e| e.restore(clock.now(), passed, later.is_some(), snapshot));
-            }
-            list_known();
-            let listener = retry_open_for(START_LIMIT, || TcpListener::bind(listen)).await;
-            let listener = listener.map_err(|e| format!("/listen: {e}"))?;
-            let _ = acceptor.send(AcceptorCommand::Accept(listener));
-            tracing::info!("{name} serves at {listen}");
-        }
-        Some(keeper) => {
-            let worker = Rc::new(Worker {
-                event_loop: event_loop.clone(),
-                relay: relay.clone(),
-                acceptor: acceptor.clone(),
-                clients: for_clients.clone(),
-                rev: rev_held,
-                list_known: Rc::new(list_known),
-                first_list: Cell::new(Some(FirstList { rev, rows })),
-                tickets,
-                classes: worker_classes,
-                shards: node_config.shards()?,
-                longest: node_config.max_deadline()?,
-                end_called: call_end.clone(),
-                leave: leave.clone(),
-            });
-            tokio::task::spawn_local(async move {
-                if let Err(wrong) = worker.obey(keeper).await {
-                    // The keeper sees the link end, and this process.
-                    tracing::error!("the keeper's link broke: {wrong}");
-                    std::process::exit(3);
-                }
-            });
-            tracing::info!("{name} is checked and waits for the keeper");
+    supervisor: Option<StdStream>,
+    transport_factory: Option<TransportFactory>,
+    stored: Option<AgedSnapshot>,
+) -> Result<(), ServeError> {
+    // Before all else: without a handler a signal ends the process, and what has connected meanwhile gets no answer.
+    let Signals { hangup, terminate, interrupt } = Signals::install().map_err(ServeError::Signals)?;
+    let file = node_config_file()?;
+    let config = NodeConfig::parse(&file.text, env_variable as EnvVariable)?;
+    let server = Server::new(&clock, &config)?;
+    let (context, shutdown_requested) = (&server.context, &server.shutdown_requested);
+    let (event_loop, counters) = (context.event_loop.clone(), context.event_loop.counters.clone());
+    let reload =
+        reload::run(hangup, file.path.into(), clock.clone(), counters.clone(), server.discovery_address);
+    tokio::task::spawn_local(reload);
+    match supervisor {
+        None => start_alone(context, stored, &server.name, server.listen).await?,
+        Some(supervisor) => {
+            tokio::task::spawn_local(run_worker(context.clone(), supervisor));
+            tracing::info!("{} is checked and waits for the upgrade supervisor", server.name);
         }
     }
-
-    let end_clock = clock.clone();
-    tokio::task::spawn_local(async move {
-        tokio::select! {
-            _ = term.recv() => {}
-            _ = int.recv() => {}
+    tokio::task::spawn_local(request_shutdown_on_signal(context.clone(), terminate, interrupt));
+    let (requested, last_answer) = (shutdown_requested.clone(), server.schedule.last_answer);
+    tokio::task::spawn_local(cap_deadlines_at_shutdown(event_loop.clone(), requested, last_answer));
+    tokio::task::spawn_local(dispatch_http_events(
+        event_loop.clone(),
+        context.relay.clone(),
+        server.http_events,
+    ));
+    let transport: Rc<RefCell<dyn ReplicaTransport>> = match transport_factory {
+        None => server.replicas,
+        Some(make_transport) => {
+            let receivers = (shutdown_requested.clone(), server.is_draining);
+            make_transport(server_context(&config, context, server.replicas, receivers)?)
         }
-        ended.send_replace(Some(end_clock.now()));
-        leave.send_replace(true);
-        // Kept: a closed channel would read as a second call.
-        std::future::pending::<()>().await;
-    });
-    tokio::task::spawn_local(answer_by_the_end(event_loop.clone(), end_called.clone(), schedule.last_answer));
-    tokio::task::spawn_local(hear(event_loop.clone(), relay.clone(), knocked));
-    let transport: Rc<RefCell<dyn ReplicaTransport>> = match beside {
-        None => replicas,
-        Some(beside) => beside(ServerContext {
-            event_loop: event_loop.clone(),
-            replicas,
-            classes: node_config.classes()?,
-            shards: node_config.shards()?,
-            cells: node_config.cells()?,
-            max_deadline: node_config.max_deadline()?,
-            tickets: door_tickets,
-            draining: leaving,
-            shutdown_requested: end_called.clone(),
-            zones: node_config.zones()?,
-            priority_weights: node_config.priority_weights()?,
-            revision: ground_rev,
-        }),
     };
-    tokio::task::spawn_local(async move {
-        loop {
-            awake.tick(clock.now());
-            clock.sample_wall_clock();
-            tokio::time::sleep(LOOK).await;
-        }
-    });
-    let quiet = || event_loop.read(Exchange::is_drained) && relay.quiet();
+    tokio::task::spawn_local(check_for_stalls(clock, server.stall_detector));
+    let is_drained = || event_loop.read(Exchange::is_drained) && context.relay.is_empty();
+    let accepting = acceptor::run(
+        server.acceptor_commands,
+        server.router,
+        context.client_connections.clone(),
+        counters.clone(),
+        server.schedule,
+        shutdown_requested.clone(),
+        is_drained,
+    );
     tokio::select! {
-        () = event_loop.run(tick, &transport) => {}
-        () = acceptor::keep(ordered, router, for_clients, counters.clone(), schedule, end_called, quiet) => {}
+        () = event_loop.run(server.tick, &transport) => {}
+        () = accepting => {}
     }
     tracing::info!("counters at exit:\n{}", counters.show());
     Ok(())
 }
 
-/// What is held when the end is called has its answer before the kill, as what comes later has.
-async fn answer_by_the_end(
+type EnvVariable = fn(&str) -> Option<String>;
+
+fn env_variable(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
+
+/// What the node configuration makes, before anything runs.
+struct Server {
+    context: Rc<UpgradeContext>,
+    replicas: Rc<RefCell<ReplicaPool>>,
+    router: Router,
+    schedule: ShutdownSchedule,
+    stall_detector: Arc<StallDetector>,
+    shutdown_requested: ShutdownRequest,
+    is_draining: watch::Receiver<bool>,
+    http_events: UnboundedReceiver<HttpEvent>,
+    acceptor_commands: UnboundedReceiver<AcceptorCommand>,
+    discovery_address: watch::Sender<String>,
+    tick: TimeSpan,
+    name: String,
+    listen: SocketAddr,
+}
+
+impl Server {
+    fn new(clock: &Clock, config: &NodeConfig<EnvVariable>) -> Result<Server, ConfigError> {
+        let counters = Counters::default();
+        let exchange = config.exchange(counters.clone())?;
+        let (revision, endpoints) = config.initial_endpoints(clock)?;
+        let initial_list = InitialList { revision, endpoints };
+        let (for_replicas, client_connections) = ConnectionLimiter::shared(config.connection_limit()?);
+        let event_loop = Rc::new(EventLoop::new(clock.clone(), counters, for_replicas, exchange));
+        let replicas = ReplicaPool::new(
+            event_loop.clone(),
+            config.streams_per_connection()?,
+            config.connect_timeout()?,
+            config.idle_timeout()?,
+        );
+        let (http_sender, http_events) = unbounded_channel();
+        let (shutdown, shutdown_requested) = watch::channel(None);
+        let (draining, is_draining) = watch::channel(false);
+        let (acceptor, acceptor_commands) = unbounded_channel();
+        let tickets = Arc::new(AtomicU64::new(0));
+        let classes = config.classes()?;
+        let class_count = classes.len();
+        let max_deadline = config.max_deadline()?;
+        let schedule = ShutdownSchedule::of(max_deadline);
+        let stall_detector = Arc::new(StallDetector::new(clock.now()));
+        let router = http::router(HttpState {
+            clock: clock.clone(),
+            counters: event_loop.counters.clone(),
+            classes: classes.into(),
+            keyed_idempotency: config.keyed_idempotency()?.into(),
+            shards: config.shards()?,
+            events: http_sender,
+            shutdown_requested: shutdown_requested.clone(),
+            last_answer: schedule.last_answer,
+            tickets: tickets.clone(),
+            stall_detector: stall_detector.clone(),
+        });
+        let (discovery_address, addresses) = watch::channel(config.discovery()?);
+        let (tick, name, listen) = (config.tick_interval()?, config.name()?, config.listen()?);
+        let held_revision = SharedRevision::default();
+        let context = Rc::new(UpgradeContext {
+            relay: Relay::new(event_loop.clone()),
+            start_discovery: discovery_starter(config, &event_loop, addresses, &held_revision)?,
+            event_loop,
+            acceptor,
+            client_connections,
+            revision: held_revision,
+            initial_list: Cell::new(Some(initial_list)),
+            tickets,
+            class_count,
+            shards: config.shards()?,
+            max_deadline,
+            shutdown,
+            draining: Rc::new(draining),
+        });
+        Ok(Server {
+            context,
+            replicas,
+            router,
+            schedule,
+            stall_detector,
+            shutdown_requested,
+            is_draining,
+            http_events,
+            acceptor_commands,
+            discovery_address,
+            tick,
+            name,
+            listen,
+        })
+    }
+}
+
+/// Starts the watch of the endpoint list each time it is called.
+fn discovery_starter(
+    config: &NodeConfig<EnvVariable>,
+    event_loop: &Rc<EventLoop>,
+    addresses: watch::Receiver<String>,
+    revision: &SharedRevision,
+) -> Result<Rc<dyn Fn()>, ConfigError> {
+    let pacing = config.polls_discovery()?.then_some((config.seed()?, config.coordinator_count()?));
+    let (event_loop, revision) = (event_loop.clone(), revision.clone());
+    Ok(Rc::new(move || {
+        let pacing = pacing.map(|(seed, coordinators)| PollPacing::new(seed, coordinators));
+        let watch = client::watch(event_loop.clone(), addresses.clone(), revision.clone(), pacing);
+        tokio::task::spawn_local(watch);
+    }))
+}
+
+fn server_context(
+    config: &NodeConfig<EnvVariable>,
+    context: &UpgradeContext,
+    replicas: Rc<RefCell<ReplicaPool>>,
+    (shutdown_requested, draining): (ShutdownRequest, watch::Receiver<bool>),
+) -> Result<ServerContext, ConfigError> {
+    Ok(ServerContext {
+        event_loop: context.event_loop.clone(),
+        replicas,
+        classes: config.classes()?,
+        shards: config.shards()?,
+        cells: config.cells()?,
+        max_deadline: config.max_deadline()?,
+        tickets: context.tickets.clone(),
+        draining,
+        shutdown_requested,
+        zones: config.zones()?,
+        priority_weights: config.priority_weights()?,
+        revision: context.revision.clone(),
+    })
+}
+
+/// Loads what is known and accepts clients; there is no supervisor.
+async fn start_alone(
+    context: &UpgradeContext,
+    stored: Option<AgedSnapshot>,
+    name: &str,
+    listen: SocketAddr,
+) -> Result<(), ServeError> {
+    load_initial_state(context, stored);
+    (context.start_discovery)();
+    let listener = retry_open_for(START_TIMEOUT, || TcpListener::bind(listen)).await;
+    let listener = listener.map_err(ServeError::Listen)?;
+    let _ = context.acceptor.send(AcceptorCommand::Accept(listener));
+    tracing::info!("{name} serves at {listen}");
+    Ok(())
+}
+
+/// Loads the node configuration's endpoint list, and what a process before this one knew.
+fn load_initial_state(context: &UpgradeContext, stored: Option<AgedSnapshot>) {
+    let Some(InitialList { revision, endpoints }) = context.initial_list.take() else { return };
+    let (event_loop, clock) = (&context.event_loop, &context.event_loop.clock);
+    context.revision.set(Some(revision));
+    event_loop.update(|e| e.update_endpoints(clock.now(), true, endpoints));
+    if let Some(AgedSnapshot { age, snapshot }) = stored {
+        let later = snapshot.revision.filter(|&stored| stored > revision);
+        let use_list = later.is_some();
+        context.revision.set(Some(later.unwrap_or(revision)));
+        let (replicas, age_s) = (snapshot.replicas.len(), age.as_secs_f64());
+        tracing::info!(replicas, its_list = use_list, age_s, "goes on from what is stored");
+        event_loop.update(|e| e.restore(clock.now(), age, use_list, snapshot));
+    }
+}
+
+async fn run_worker(context: Rc<UpgradeContext>, supervisor: StdStream) {
+    if let Err(error) = worker::run(context, supervisor).await {
+        // The supervisor sees the link end, and this process.
+        tracing::error!("the upgrade supervisor's link broke: {error}");
+        std::process::exit(EXIT_LINK_BROKEN);
+    }
+}
+
+async fn request_shutdown_on_signal(
+    context: Rc<UpgradeContext>,
+    mut terminate: Signal,
+    mut interrupt: Signal,
+) {
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
+    }
+    context.shutdown.send_replace(Some(context.event_loop.clock.now()));
+    context.draining.send_replace(true);
+    // Kept: a closed channel would read as a second request.
+    std::future::pending::<()>().await;
+}
+
+/// Queries open when shutdown is requested are answered before the kill, as those are that come later.
+async fn cap_deadlines_at_shutdown(
     event_loop: Rc<EventLoop>,
-    mut end_called: watch::Receiver<Option<Timestamp>>,
+    mut shutdown_requested: ShutdownRequest,
     last_answer: TimeSpan,
 ) {
-    if let Ok(called) = end_called.wait_for(Option::is_some).await.map(|at| *at) {
-        called.into_iter().for_each(|at| event_loop.update(|e| e.cap_deadlines(at + last_answer)));
+    let requested = shutdown_requested.wait_for(Option::is_some).await.map(|at| *at);
+    if let Ok(Some(at)) = requested {
+        event_loop.update(|e| e.cap_deadlines(at + last_answer));
     }
 }
 
-/// Hands what the front has to the exchange, or to the process that takes over.
-async fn hear(event_loop: Rc<EventLoop>, relay: Relay, mut knocked: UnboundedReceiver<HttpEvent>) {
-    while let Some(knock) = knocked.recv().await {
-        match knock {
-            HttpEvent::Ask(ticket, asked, answer) => {
-                let Err((asked, answer)) = relay.ask(ticket, asked, answer) else { continue };
-                event_loop.update(|e| {
-                    e.submit(ticket, asked, Box::new(answer));
-                });
+async fn check_for_stalls(clock: Clock, stall_detector: Arc<StallDetector>) {
+    loop {
+        stall_detector.tick(clock.now());
+        clock.sample_wall_clock();
+        tokio::time::sleep(STALL_CHECK_INTERVAL).await;
+    }
+}
+
+/// Hands the HTTP service's events to the exchange, or to the successor.
+async fn dispatch_http_events(
+    event_loop: Rc<EventLoop>,
+    relay: Relay,
+    mut events: UnboundedReceiver<HttpEvent>,
+) {
+    while let Some(event) = events.recv().await {
+        match event {
+            HttpEvent::Query { ticket, request, response } => {
+                if let Err(NotRelayed { request, response }) = relay.relay(ticket, request, response) {
+                    event_loop.update(|e| e.submit(ticket, request, Box::new(response)));
+                }
             }
-            HttpEvent::Gone(ticket) => {
-                if !relay.gone(ticket) {
+            HttpEvent::ClientDisconnected { ticket } => {
+                if !relay.client_disconnected(ticket) {
                     event_loop.update(|e| e.client_disconnected(ticket));
                 }
             }
-            HttpEvent::Able(answer) => {
+            HttpEvent::CanServe { answer } => {
                 let _ = answer.send(event_loop.read(Exchange::can_serve));
             }
         }
--- /dev/null
+++ b/crates/pipitcrank-server/src/server_context.rs
@@ -0,0 +1,47 @@
+//! What subsystems beside the server are given: gateways to other sites, the store, common decisions.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+
+use pipitcrank_core::coordinator::zones::ZoneId;
+use pipitcrank_core::time::TimeSpan;
+use tokio::sync::watch;
+
+use crate::discovery::client::SharedRevision;
+use crate::exchange::ReplicaTransport;
+use crate::replicas::pool::ReplicaPool;
+use crate::runtime::event_loop::EventLoop;
+use crate::runtime::shutdown::ShutdownRequest;
+
+/// The running server, as seen by the subsystems beside it.
+pub struct ServerContext {
+    /// The event loop, with the exchange.
+    pub event_loop: Rc<EventLoop>,
+    /// The pool of connections to local replicas.
+    pub replicas: Rc<RefCell<ReplicaPool>>,
+    /// Names of the request classes, by id.
+    pub classes: Vec<String>,
+    /// Number of shards.
+    pub shards: u32,
+    /// Number of cells of the replica ring.
+    pub cells: u32,
+    /// For how long a query may be open.
+    pub max_deadline: TimeSpan,
+    /// The next ticket.
+    pub tickets: Arc<AtomicU64>,
+    /// Whether no new work of others is to be taken: another process takes over, or shutdown was requested.
+    pub draining: watch::Receiver<bool>,
+    /// When shutdown was requested.
+    pub shutdown_requested: ShutdownRequest,
+    /// The platform's zones: the own one, and the names of all; none where the platform names none.
+    pub zones: Option<(ZoneId, Vec<String>)>,
+    /// Priority weight of a complete answer, by request class.
+    pub priority_weights: Vec<f64>,
+    /// Revision of the endpoint list that is held.
+    pub revision: SharedRevision,
+}
+
+/// Makes the transport, for one that also reaches what local replicas are not, such as other sites.
+pub type TransportFactory = Box<dyn FnOnce(ServerContext) -> Rc<RefCell<dyn ReplicaTransport>>>;
--- /dev/null
+++ b/crates/pipitcrank-server/src/upgrade/predecessor.rs
@@ -0,0 +1,184 @@
+//! The link to the predecessor: this process takes over from it.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::os::fd::OwnedFd;
+use std::rc::Rc;
+use std::sync::atomic::Ordering;
+
+use pipitcrank_core::time::TimeSpan;
+use pipitcrank_handover::clock::monotonic_micros;
+use pipitcrank_handover::descriptor_passing::LinkSender;
+use pipitcrank_handover::messages::{
+    RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, VERSION,
+};
+use pipitcrank_handover::snapshot::Snapshot;
+use tokio::net::TcpStream;
+
+use super::context::UpgradeContext;
+use super::relayed::{KnownDomain, decode_query, encode_response};
+use crate::clients::acceptor::AcceptorCommand;
+use crate::clients::connection::AdoptedConnection;
+use crate::exchange::{QueryResponse, ResponseSink};
+use crate::runtime::clock::duration;
+
+/// Tickets here by the predecessor's.
+type TicketMap = Rc<RefCell<BTreeMap<u64, u64>>>;
+
+/// The process that hands over.
+pub(super) struct Predecessor {
+    link: LinkSender,
+    /// Retries that stayed with it; none before its state is loaded and once it is settled.
+    retries_kept: Option<u32>,
+    tickets: TicketMap,
+}
+
+/// Sends the response to a relayed query back.
+struct RelayedResponder {
+    ticket: u64,
+    link: LinkSender,
+    tickets: TicketMap,
+}
+
+impl ResponseSink for RelayedResponder {
+    fn respond(self: Box<Self>, response: QueryResponse) {
+        self.tickets.borrow_mut().remove(&self.ticket);
+        let response = encode_response(response);
+        self.link.send(&ToPredecessor::Response { ticket: self.ticket, response }, None);
+    }
+}
+
+impl Predecessor {
+    pub(super) fn new(link: LinkSender) -> Predecessor {
+        Predecessor { link, retries_kept: None, tickets: Rc::default() }
+    }
+
+    /// Whether its state is loaded and it has not finished.
+    pub(super) fn is_active(&self) -> bool {
+        self.retries_kept.is_some()
+    }
+
+    pub(super) fn handle(
+        &mut self,
+        context: &UpgradeContext,
+        supervisor: &LinkSender,
+        message: ToSuccessor,
+        descriptor: Option<OwnedFd>,
+    ) {
+        match message {
+            ToSuccessor::Hello { version: VERSION } => {}
+            ToSuccessor::Hello { version } => {
+                tracing::error!("the predecessor speaks version {version}, not {VERSION}");
+                // Nothing more is sent: the supervisor's timeout ends this upgrade.
+                self.retries_kept = None;
+            }
+            ToSuccessor::Snapshot(bytes) => {
+                self.retries_kept = Some(load_state(context, &bytes));
+                supervisor.send(&ToSupervisor::StateLoaded, None);
+            }
+            ToSuccessor::Query(query) => self.submit(context, query, None),
+            ToSuccessor::QueryWithKey { query, idempotency_key } => {
+                self.submit(context, query, Some(idempotency_key));
+            }
+            ToSuccessor::CancelQuery { ticket } => {
+                if let Some(own) = self.tickets.borrow_mut().remove(&ticket) {
+                    context.event_loop.update(|e| e.client_disconnected(own));
+                }
+            }
+            ToSuccessor::HeldResources { replica_connections, client_connections, open_queries } => {
+                context.event_loop.replica_connections.reserve_for_peer(replica_connections as usize);
+                context.client_connections.reserve_for_peer(client_connections as usize);
+                context.event_loop.update(|e| e.set_open_in_peer(open_queries as usize));
+            }
+            ToSuccessor::ClientConnection { read, request_timeout } => {
+                adopt(context, descriptor, read, request_timeout);
+            }
+            ToSuccessor::Finished { delegated_retries_used, counters } => {
+                context.event_loop.counters.add_all(counters);
+                self.settle(context, Some(delegated_retries_used));
+            }
+        }
+    }
+
+    fn submit(&self, context: &UpgradeContext, query: RelayedQuery, idempotency_key: Option<String>) {
+        let ticket = query.ticket;
+        let domain = KnownDomain { class_count: context.class_count, shards: context.shards };
+        let now = context.event_loop.clock.now();
+        let Some(request) = decode_query(now, domain, query, idempotency_key) else {
+            let response = RelayedResponse::Rejected { retry_after: TimeSpan::ZERO };
+            return self.link.send(&ToPredecessor::Response { ticket, response }, None);
+        };
+        let own = context.tickets.fetch_add(1, Ordering::Relaxed);
+        self.tickets.borrow_mut().insert(ticket, own);
+        let responder = RelayedResponder { ticket, link: self.link.clone(), tickets: self.tickets.clone() };
+        context.event_loop.update(|e| e.submit(own, request, Box::new(responder)));
+    }
+
+    /// It has finished and used so many of the retries that it kept; none where it ended without saying: then it counts as
+    /// having used all.
+    pub(super) fn settle(&mut self, context: &UpgradeContext, used: Option<u32>) {
+        if let Some(kept) = self.retries_kept.take() {
+            let used = used.unwrap_or(kept).min(kept);
+            let now = context.event_loop.clock.now();
+            context.event_loop.update(|e| e.settle_with_predecessor(now, used));
+        }
+        context.event_loop.replica_connections.clear_peer_reservation();
+        context.client_connections.clear_peer_reservation();
+    }
+
+    /// It is gone: this process continues alone.
+    pub(super) fn abandon(mut self, context: &UpgradeContext) {
+        // It may have died before it sent its state: then the initial list is all there is.
+        if context.has_initial_list() {
+            context.use_initial_list();
+            context.resume_alone();
+        }
+        self.settle(context, None);
+    }
+}
+
+/// Loads the predecessor's state; returns how many retries stayed with it.
+fn load_state(context: &UpgradeContext, bytes: &[u8]) -> u32 {
+    match Snapshot::decode(bytes) {
+        Ok(snapshot) => {
+            let now = context.event_loop.clock.now();
+            let age_us = (monotonic_micros() - snapshot.taken_us).max(0);
+            let age = TimeSpan::from_secs_f64(age_us as f64 / 1e6);
+            let age_s = age.as_secs_f64();
+            tracing::info!(
+                replicas = snapshot.replicas.len(),
+                age_s,
+                "continuing with the predecessor's state"
+            );
+            context.initial_list.take();
+            context.revision.set(snapshot.revision);
+            let kept = snapshot.delegated_retries.count;
+            context.event_loop.update(|e| e.resume_from_predecessor(now, age, snapshot));
+            (context.start_discovery)();
+            kept
+        }
+        Err(error) => {
+            tracing::warn!("the predecessor's state is refused ({error}); using the initial list alone");
+            context.event_loop.counters.add("upgrades", "snapshots_refused");
+            context.use_initial_list();
+            context.resume_alone();
+            0
+        }
+    }
+}
+
+/// Serves a connection that the predecessor had.
+fn adopt(
+    context: &UpgradeContext,
+    descriptor: Option<OwnedFd>,
+    read: Vec<u8>,
+    request_timeout: Option<TimeSpan>,
+) {
+    let Some(stream) = descriptor.map(std::net::TcpStream::from) else { return };
+    let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+    if let Ok(stream) = stream {
+        let request_timeout = request_timeout.map(duration);
+        let connection = AdoptedConnection { stream, read: read.into(), request_timeout };
+        let _ = context.acceptor.send(AcceptorCommand::Adopt(connection));
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-server/src/upgrade/successor.rs
@@ -0,0 +1,96 @@
+//! The link to the successor: this process hands over to it.
+
+use pipitcrank_core::time::TimeSpan;
+use pipitcrank_handover::clock::monotonic_micros;
+use pipitcrank_handover::descriptor_passing::LinkSender;
+use pipitcrank_handover::messages::ToSuccessor;
+use pipitcrank_handover::resource_split;
+
+use super::context::UpgradeContext;
+use crate::clients::acceptor::AcceptorCommand;
+use crate::clients::connection::AdoptedConnection;
+use crate::exchange::Exchange;
+
+/// The process that takes over.
+pub(super) struct Successor {
+    link: LinkSender,
+    /// Retries that this process kept at the handover.
+    retries_kept: u32,
+    /// It speaks this version, and has the state.
+    pub(super) has_state: bool,
+    /// Client connections are passed to it.
+    pub(super) transferring: bool,
+    /// No query is open here any more.
+    pub(super) drained: bool,
+}
+
+impl Successor {
+    pub(super) fn new(link: LinkSender) -> Successor {
+        Successor { link, retries_kept: 0, has_state: false, transferring: false, drained: false }
+    }
+
+    /// Sends it the state; from now on this process only finishes its open queries.
+    pub(super) fn hand_over(&mut self, context: &UpgradeContext) {
+        self.has_state = true;
+        let now = context.event_loop.clock.now();
+        let revision = context.revision.get();
+        let snapshot = context
+            .event_loop
+            .update(|e| e.begin_handover(now, monotonic_micros(), revision, context.max_deadline));
+        self.retries_kept = snapshot.delegated_retries.count;
+        let bytes = snapshot.encode().unwrap_or_else(|error| {
+            tracing::error!("the state can't be encoded: {error}");
+            Vec::new()
+        });
+        tracing::info!("handing over {} bytes of state", bytes.len());
+        self.link.send(&ToSuccessor::Snapshot(bytes), None);
+        self.report_held_resources(context);
+        context.relay.start(self.link.clone());
+        context.draining.send_replace(true);
+    }
+
+    /// Tells it what this process still holds; that only shrinks.
+    pub(super) fn report_held_resources(&self, context: &UpgradeContext) {
+        let (replicas, clients) = (&context.event_loop.replica_connections, &context.client_connections);
+        let split = resource_split::split_connections(replicas.limit(), replicas.open());
+        replicas.set_limit(split.predecessor);
+        let held = ToSuccessor::HeldResources {
+            open_queries: context.event_loop.read(Exchange::open_count) as u32,
+            replica_connections: replicas.open() as u32,
+            client_connections: clients.open() as u32,
+        };
+        self.link.send(&held, None);
+    }
+
+    /// Passes a client's connection to it.
+    pub(super) fn transfer(&self, connection: AdoptedConnection) {
+        let AdoptedConnection { stream, read, request_timeout } = connection;
+        if let Ok(stream) = stream.into_std() {
+            let request_timeout = request_timeout.map(|time| TimeSpan::from_secs_f64(time.as_secs_f64()));
+            let message = ToSuccessor::ClientConnection { read: read.to_vec(), request_timeout };
+            self.link.send(&message, Some(stream.into()));
+        }
+    }
+
+    /// Sends it the last message.
+    pub(super) fn finish(&self, context: &UpgradeContext) {
+        let kept = self.retries_kept;
+        let delegated_retries_used = context.event_loop.read(|e| e.delegated_retries_used(kept));
+        let counters = context.event_loop.counters.all();
+        self.link.send(&ToSuccessor::Finished { delegated_retries_used, counters }, None);
+    }
+
+    /// It is gone: this process continues alone.
+    pub(super) fn abandon(self, context: &UpgradeContext) {
+        let lost = context.relay.stop();
+        if self.has_state {
+            tracing::warn!("continuing alone; {lost} queries were with the successor");
+            context.resume_alone();
+            context.event_loop.replica_connections.clear_peer_reservation();
+            context.draining.send_replace(false);
+        }
+        if self.transferring {
+            let _ = context.acceptor.send(AcceptorCommand::StopTransfer);
+        }
+    }
+}
--- a/crates/pipitcrank-server/src/upgrade/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -1,404 +1,254 @@
-//! A co-ordinator under a keeper: does what it is told over its link, and says how far it is. All order and all limits
-//! are the keeper's (`pipitcrank_handover::upgrade_state`); what each of two processes may spend is `resource_split`'s.
+//! The upgrade worker: obeys the supervisor over its link and reports how far it is.
+//!
+//! All order and all timeouts are the supervisor's (`pipitcrank_handover::upgrade_state`); what each of two processes may
+//! use is decided in `resource_split`.
 
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream as StdStream;
 use std::rc::Rc;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use pipitcrank_core::time::TimeSpan;
-use pipitcrank_handover::clock::monotonic_micros;
 use pipitcrank_handover::descriptor_passing::{LinkError, LinkReceiver, LinkSender, Received, open_link};
-use pipitcrank_handover::messages::{
-    RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION,
-};
-use pipitcrank_handover::resource_split;
-use pipitcrank_handover::snapshot::Snapshot;
+use pipitcrank_handover::messages::{ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION};
 use pipitcrank_handover::upgrade_event::UpgradeCounts;
-use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
-use tokio::sync::watch;
-
-use crate::clients::acceptor::{AcceptorCommand, AdoptedConnection};
-use crate::discovery::client::SharedRevision;
-use crate::exchange::{Endpoint, Exchange, QueryResponse};
-use crate::runtime::connection_limits::ConnectionLimiter;
-use crate::runtime::event_loop::EventLoop;
-use crate::upgrade::relay::{self, Relay};
-
-/// How often it looks whether a step is done, and gives a sign of life: a small part of any limit that the operators
-/// may set.
-const LOOK: Duration = Duration::from_millis(50);
-
-/// What this process knows the list of replicas by before it is told otherwise.
-pub struct FirstList {
-    pub rev: u64,
-    pub rows: Vec<Endpoint>,
-}
-
-pub struct Worker {
-    pub event_loop: Rc<EventLoop>,
-    pub relay: Relay,
-    pub acceptor: UnboundedSender<AcceptorCommand>,
-    pub clients: ConnectionLimiter,
-    pub rev: SharedRevision,
-    /// Called once the list is there, from wherever it came.
-    pub list_known: Rc<dyn Fn()>,
-    pub first_list: Cell<Option<FirstList>>,
-    pub tickets: Arc<AtomicU64>,
-    pub classes: usize,
-    pub shards: u32,
-    /// How long a query may be held.
-    pub longest: TimeSpan,
-    pub end_called: watch::Sender<Option<pipitcrank_core::time::Timestamp>>,
-    /// Told to those who take work of others.
-    pub leave: Rc<watch::Sender<bool>>,
+use serde::de::DeserializeOwned;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tokio::time::{Interval, MissedTickBehavior};
+
+use super::context::UpgradeContext;
+use super::predecessor::Predecessor;
+use super::successor::Successor;
+use crate::clients::acceptor::AcceptorCommand;
+use crate::clients::connection::AdoptedConnection;
+use crate::exchange::Exchange;
+
+/// Interval of heartbeats and of checks whether a step is done: a small part of any timeout that operators may set.
+const TICK: Duration = Duration::from_millis(50);
+
+/// The other process of an upgrade.
+enum Peer {
+    None,
+    Predecessor(Predecessor),
+    Successor(Successor),
 }
 
-/// The process that hands over, and what goes to it.
-struct Old {
-    to: LinkSender,
-    /// Further calls that stayed with it; none once it is settled.
-    lent: Option<u32>,
-    /// Our tickets by theirs.
-    tickets: Rc<RefCell<BTreeMap<u64, u64>>>,
+/// Whether the supervisor is still there.
+enum Supervision {
+    Continues,
+    Ended,
 }
 
-/// The process that takes over.
-struct New {
-    to: LinkSender,
-    kept: u32,
-    trusted: bool,
-    passing: bool,
-    drained: bool,
+/// Obeys the supervisor until it exits; then this process shuts down, as nobody could upgrade or signal it any more.
+pub async fn run(context: Rc<UpgradeContext>, supervisor: StdStream) -> Result<(), LinkError> {
+    let mut worker = Worker::start(context, supervisor)?;
+    while let Supervision::Continues = worker.step().await? {}
+    Ok(())
 }
 
-enum Peer {
-    Nobody,
-    Old(Old),
-    New(New),
-}
-
-type Link<M> = Option<(LinkReceiver, std::marker::PhantomData<M>)>;
-
-async fn heard<M: serde::de::DeserializeOwned>(link: &mut Link<M>) -> Result<Received<M>, LinkError> {
+async fn receive<M: DeserializeOwned>(link: &mut Option<LinkReceiver>) -> Result<Received<M>, LinkError> {
     match link {
-        Some((from, _)) => from.receive().await,
+        Some(link) => link.receive().await,
         None => std::future::pending().await,
     }
 }
 
+struct Worker {
+    context: Rc<UpgradeContext>,
+    supervisor: LinkSender,
+    from_supervisor: LinkReceiver,
+    peer: Peer,
+    from_predecessor: Option<LinkReceiver>,
+    from_successor: Option<LinkReceiver>,
+    /// Client connections that the acceptor gives up for the successor.
+    transfers: UnboundedSender<AdoptedConnection>,
+    transferred: UnboundedReceiver<AdoptedConnection>,
+    ticks: Interval,
+}
+
 impl Worker {
-    /// Obeys until the keeper is gone; then it ends in order, as nobody could upgrade or signal it any more.
-    pub async fn obey(self: Rc<Worker>, keeper: StdStream) -> Result<(), LinkError> {
-        let (to_keeper, mut from_keeper) = open_link(keeper)?;
-        to_keeper.send(&ToSupervisor::Hello { version: VERSION }, None);
-        to_keeper.send(&ToSupervisor::Ready, None);
-        let mut peer = Peer::Nobody;
-        let mut from_old: Link<ToSuccessor> = None;
-        let mut from_new: Link<ToPredecessor> = None;
-        let mut looks = tokio::time::interval(LOOK);
-        looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let (pass_on, mut passed_on) = unbounded_channel::<AdoptedConnection>();
-        loop {
-            tokio::select! {
-                said = from_keeper.receive::<ToWorker>() => {
-                    let Ok(Received { message: said, descriptor: fd }) = said else {
-                        tracing::warn!("the keeper is gone");
-                        self.list_as_first_known();
-                        self.end_called.send_if_modified(|e| {
-                            let first = e.is_none();
-                            *e = e.or(Some(self.event_loop.clock.now()));
-                            first
-                        });
-                        return Ok(());
-                    };
-                    match said {
-                        ToWorker::Hello { version: VERSION } => {}
-                        ToWorker::Hello { .. } => return Err(LinkError::Malformed),
-                        ToWorker::Serve => {
-                            let listener = std::net::TcpListener::from(fd.ok_or(LinkError::DescriptorMismatch)?);
-                            listener.set_nonblocking(true)?;
-                            if matches!(peer, Peer::Nobody) {
-                                self.list_as_first_known();
-                            }
-                            let _ = self.acceptor.send(AcceptorCommand::Accept(TcpListener::from_std(listener)?));
-                        }
-                        ToWorker::TakeOver => {
-                            let (to, from) = open_link(StdStream::from(fd.ok_or(LinkError::DescriptorMismatch)?))?;
-                            to.send(&ToPredecessor::Hello { version: VERSION }, None);
-                            from_old = Some((from, std::marker::PhantomData));
-                            peer = Peer::Old(Old { to, lent: None, tickets: Rc::default() });
-                        }
-                        ToWorker::HandOver => {
-                            let (to, from) = open_link(StdStream::from(fd.ok_or(LinkError::DescriptorMismatch)?))?;
-                            to.send(&ToSuccessor::Hello { version: VERSION }, None);
-                            from_new = Some((from, std::marker::PhantomData));
-                            peer = Peer::New(New { to, kept: 0, trusted: false, passing: false, drained: false });
-                        }
-                        ToWorker::TransferConnections => {
-                            if let Peer::New(new) = &mut peer {
-                                new.passing = true;
-                                let _ = self.acceptor.send(AcceptorCommand::Pass(pass_on.clone()));
-                            }
-                        }
-                        ToWorker::ContinueAlone => {
-                            match std::mem::replace(&mut peer, Peer::Nobody) {
-                                Peer::New(new) => self.go_back(new),
-                                Peer::Old(old) => self.without_old(old),
-                                Peer::Nobody => {}
-                            }
-                            (from_old, from_new) = (None, None);
-                        }
-                        ToWorker::UpgradeCounts(UpgradeCounts { requested, completed, rolled_back }) => {
-                            for (which, n) in [("asked", requested), ("done", completed), ("undone", rolled_back)] {
-                                self.event_loop.counters.set("upgrades", which, n);
-                            }
-                        }
-                    }
+    fn start(context: Rc<UpgradeContext>, supervisor: StdStream) -> Result<Worker, LinkError> {
+        let (supervisor, from_supervisor) = open_link(supervisor)?;
+        supervisor.send(&ToSupervisor::Hello { version: VERSION }, None);
+        supervisor.send(&ToSupervisor::Ready, None);
+        let mut ticks = tokio::time::interval(TICK);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let (transfers, transferred) = unbounded_channel();
+        Ok(Worker {
+            context,
+            supervisor,
+            from_supervisor,
+            peer: Peer::None,
+            from_predecessor: None,
+            from_successor: None,
+            transfers,
+            transferred,
+            ticks,
+        })
+    }
+
+    async fn step(&mut self) -> Result<Supervision, LinkError> {
+        tokio::select! {
+            received = self.from_supervisor.receive::<ToWorker>() => match received {
+                Ok(Received { message, descriptor }) => self.handle_supervisor(message, descriptor)?,
+                Err(_) => {
+                    self.supervisor_exited();
+                    return Ok(Supervision::Ended);
                 }
-                said = heard(&mut from_old) => match said {
-                    Ok(Received { message: said, descriptor: fd }) => {
-                        if let Peer::Old(old) = &mut peer {
-                            self.said_by_old(old, said, fd, &to_keeper);
-                        }
-                    }
-                    Err(end) => {
-                        tracing::info!("the link to the old process ended: {end}");
-                        from_old = None;
-                        if let Peer::Old(old) = &mut peer {
-                            // Not before its word is no word at all: then what it might spend is held to be spent.
-                            self.settle(old, None);
-                        }
-                    }
-                },
-                said = heard(&mut from_new) => match (said, &mut peer) {
-                    (Ok(Received { message: ToPredecessor::Hello { version: VERSION }, .. }), Peer::New(new)) => {
-                        new.trusted = true;
-                        self.hand_over(new);
-                    }
-                    (Ok(Received { message: ToPredecessor::Response { ticket, response }, .. }), _) => {
-                        self.relay.answered(ticket, response);
-                    },
-                    (Ok(_), _) => {
-                        tracing::warn!("the new process speaks another version");
-                        from_new = None;
-                    }
-                    (Err(end), _) => {
-                        // Its keeper says what follows; what it had is answered now.
-                        tracing::info!("the link to the new process ended: {end}");
-                        from_new = None;
-                        let stranded = self.relay.end();
-                        tracing::warn!("{stranded} queries were with it");
-                    }
-                },
-                Some(AdoptedConnection { stream, read, whole_within }) = passed_on.recv() => {
-                    if let (Peer::New(new), Ok(stream)) = (&peer, stream.into_std()) {
-                        let whole_within = whole_within.map(|d| TimeSpan::from_secs_f64(d.as_secs_f64()));
-                        new.to.send(&ToSuccessor::ClientConnection { read: read.to_vec(), request_timeout: whole_within }, Some(stream.into()));
-                    }
+            },
+            received = receive(&mut self.from_predecessor) => self.handle_predecessor(received),
+            received = receive(&mut self.from_successor) => self.handle_successor(received),
+            Some(connection) = self.transferred.recv() => {
+                if let Peer::Successor(successor) = &self.peer {
+                    successor.transfer(connection);
                 }
-                _ = looks.tick() => match &mut peer {
-                    Peer::Old(old) if old.lent.is_some() => to_keeper.send(&ToSupervisor::Heartbeat, None),
-                    Peer::New(new) if new.trusted => {
-                        self.tell_room(new);
-                        let own = self.event_loop.read(Exchange::is_drained);
-                        if own && !new.drained {
-                            new.drained = true;
-                            to_keeper.send(&ToSupervisor::Drained, None);
-                        }
-                        if from_new.is_some() && new.passing && own && self.relay.quiet() && self.clients.open() == 0 && passed_on.is_empty() {
-                            let further = self.event_loop.read(|e| e.delegated_retries_used(new.kept));
-                            let counters = self.event_loop.counters.all();
-                            new.to.send(&ToSuccessor::Finished { delegated_retries_used: further, counters }, None);
-                            to_keeper.send(&ToSupervisor::HandedOver, None);
-                            peer = Peer::Nobody;
-                            // What is queued is written before the tasks that write it end.
-                            tokio::time::sleep(LOOK).await;
-                            let _ = self.acceptor.send(AcceptorCommand::Done);
-                        }
-                    }
-                    _ => {}
-                },
             }
+            _ = self.ticks.tick() => self.tick().await,
         }
+        Ok(Supervision::Continues)
     }
 
-    /// The list that the node configuration names, unless one is held already.
-    fn list_as_first_known(&self) {
-        if let Some(FirstList { rev, rows }) = self.first_list.take() {
-            self.rev.set(Some(rev));
-            let now = self.event_loop.clock.now();
-            self.event_loop.update(|e| e.update_endpoints(now, true, rows));
-            (self.list_known)();
-        }
+    fn supervisor_exited(&self) {
+        tracing::warn!("upgrade supervisor exited; worker shuts down");
+        self.context.use_initial_list();
+        self.context.request_shutdown();
     }
 
-    // As the old one.
-
-    fn hand_over(&self, new: &mut New) {
-        let now = self.event_loop.clock.now();
-        let snapshot = self
-            .event_loop
-            .update(|e| e.begin_handover(now, monotonic_micros(), self.rev.get(), self.longest));
-        new.kept = snapshot.delegated_retries.count;
-        let bytes = snapshot.encode().unwrap_or_else(|e| {
-            tracing::error!("what is known can't be handed over: {e}");
-            Vec::new()
-        });
-        tracing::info!("{} bytes of what is known are handed over", bytes.len());
-        new.to.send(&ToSuccessor::Snapshot(bytes), None);
-        self.tell_room(new);
-        self.relay.begin(new.to.clone());
-        self.leave.send_replace(true);
+    fn handle_supervisor(&mut self, message: ToWorker, descriptor: Option<OwnedFd>) -> Result<(), LinkError> {
+        match message {
+            ToWorker::Hello { version: VERSION } => {}
+            ToWorker::Hello { .. } => return Err(LinkError::Malformed),
+            ToWorker::Serve => self.serve(descriptor)?,
+            ToWorker::TakeOver => {
+                let (link, receiver) = open_peer_link(descriptor)?;
+                link.send(&ToPredecessor::Hello { version: VERSION }, None);
+                self.from_predecessor = Some(receiver);
+                self.peer = Peer::Predecessor(Predecessor::new(link));
+            }
+            ToWorker::HandOver => {
+                let (link, receiver) = open_peer_link(descriptor)?;
+                link.send(&ToSuccessor::Hello { version: VERSION }, None);
+                self.from_successor = Some(receiver);
+                self.peer = Peer::Successor(Successor::new(link));
+            }
+            ToWorker::TransferConnections => {
+                if let Peer::Successor(successor) = &mut self.peer {
+                    successor.transferring = true;
+                    let command = AcceptorCommand::Transfer(self.transfers.clone());
+                    let _ = self.context.acceptor.send(command);
+                }
+            }
+            ToWorker::ContinueAlone => self.continue_alone(),
+            ToWorker::UpgradeCounts(counts) => self.set_upgrade_counters(counts),
+        }
+        Ok(())
     }
 
-    /// What is held here is not the new one's; it only shrinks.
-    fn tell_room(&self, new: &New) {
-        let (replicas, clients) = (&self.event_loop.replica_connections, &self.clients);
-        replicas.set_limit(resource_split::split_connections(replicas.limit(), replicas.open()).predecessor);
-        let open = self.event_loop.read(Exchange::open_count) as u32;
-        let (replicas, clients) = (replicas.open() as u32, clients.open() as u32);
-        let held = ToSuccessor::HeldResources {
-            replica_connections: replicas,
-            client_connections: clients,
-            open_queries: open,
-        };
-        new.to.send(&held, None);
+    fn serve(&self, descriptor: Option<OwnedFd>) -> Result<(), LinkError> {
+        let listener = std::net::TcpListener::from(descriptor.ok_or(LinkError::DescriptorMismatch)?);
+        listener.set_nonblocking(true)?;
+        if matches!(self.peer, Peer::None) {
+            self.context.use_initial_list();
+        }
+        let _ = self.context.acceptor.send(AcceptorCommand::Accept(TcpListener::from_std(listener)?));
+        Ok(())
     }
 
-    fn go_back(&self, new: New) {
-        let stranded = self.relay.end();
-        if new.trusted {
-            tracing::warn!("going on alone; {stranded} queries were with the new process");
-            self.event_loop.update(|e| e.resume_alone(self.event_loop.clock.now()));
-            self.event_loop.replica_connections.clear_peer_reservation();
-            self.leave.send_replace(false);
-        }
-        if new.passing {
-            let _ = self.acceptor.send(AcceptorCommand::Stay);
+    fn continue_alone(&mut self) {
+        match std::mem::replace(&mut self.peer, Peer::None) {
+            Peer::Successor(successor) => successor.abandon(&self.context),
+            Peer::Predecessor(predecessor) => predecessor.abandon(&self.context),
+            Peer::None => {}
         }
+        (self.from_predecessor, self.from_successor) = (None, None);
     }
 
-    // As the new one.
+    fn set_upgrade_counters(&self, counts: UpgradeCounts) {
+        let UpgradeCounts { requested, completed, rolled_back } = counts;
+        for (name, value) in [("asked", requested), ("done", completed), ("undone", rolled_back)] {
+            self.context.event_loop.counters.set("upgrades", name, value);
+        }
+    }
 
-    fn said_by_old(&self, old: &mut Old, said: ToSuccessor, fd: Option<OwnedFd>, to_keeper: &LinkSender) {
-        match said {
-            ToSuccessor::Hello { version: VERSION } => {}
-            ToSuccessor::Hello { version } => {
-                tracing::error!("the old process speaks version {version}, not {VERSION}");
-                // Not a word more: the keeper's limit ends this try.
-                old.lent = None;
-            }
-            ToSuccessor::Snapshot(bytes) => {
-                old.lent = Some(self.learn(&bytes));
-                to_keeper.send(&ToSupervisor::StateLoaded, None);
+    fn handle_predecessor(&mut self, received: Result<Received<ToSuccessor>, LinkError>) {
+        match received {
+            Ok(Received { message, descriptor }) => {
+                if let Peer::Predecessor(predecessor) = &mut self.peer {
+                    predecessor.handle(&self.context, &self.supervisor, message, descriptor);
+                }
             }
-            ToSuccessor::Query(ask) => self.asked(old, ask, None),
-            ToSuccessor::QueryWithKey { query: ask, idempotency_key: key } => self.asked(old, ask, Some(key)),
-            ToSuccessor::CancelQuery { ticket } => {
-                if let Some(ours) = old.tickets.borrow_mut().remove(&ticket) {
-                    self.event_loop.update(|e| e.client_disconnected(ours));
+            Err(error) => {
+                tracing::info!("the link to the predecessor ended: {error}");
+                self.from_predecessor = None;
+                if let Peer::Predecessor(predecessor) = &mut self.peer {
+                    // Only now is it certain that no last message comes: what it might use counts as used.
+                    predecessor.settle(&self.context, None);
                 }
             }
-            ToSuccessor::HeldResources {
-                replica_connections: replicas,
-                client_connections: clients,
-                open_queries: open,
-            } => {
-                self.event_loop.replica_connections.reserve_for_peer(replicas as usize);
-                self.clients.reserve_for_peer(clients as usize);
-                self.event_loop.update(|e| e.set_open_in_peer(open as usize));
+        }
+    }
+
+    fn handle_successor(&mut self, received: Result<Received<ToPredecessor>, LinkError>) {
+        let message = received.map(|received| received.message);
+        match (message, &mut self.peer) {
+            (Ok(ToPredecessor::Hello { version: VERSION }), Peer::Successor(successor)) => {
+                successor.hand_over(&self.context);
+            }
+            (Ok(ToPredecessor::Response { ticket, response }), _) => {
+                self.context.relay.respond(ticket, response);
             }
-            ToSuccessor::ClientConnection { read, request_timeout: whole_within } => {
-                let stream = fd.map(std::net::TcpStream::from).ok_or(()).and_then(|s| {
-                    s.set_nonblocking(true).map_err(drop)?;
-                    TcpStream::from_std(s).map_err(drop)
-                });
-                if let Ok(stream) = stream {
-                    let whole_within = whole_within.map(crate::runtime::clock::duration);
-                    let _ = self.acceptor.send(AcceptorCommand::Adopt(AdoptedConnection {
-                        stream,
-                        read: read.into(),
-                        whole_within,
-                    }));
-                }
+            (Ok(_), _) => {
+                tracing::warn!("the successor speaks another version");
+                self.from_successor = None;
             }
-            ToSuccessor::Finished { delegated_retries_used: further, counters } => {
-                self.event_loop.counters.add_all(counters);
-                self.settle(old, Some(further));
+            (Err(error), _) => {
+                // The supervisor says what follows; its queries are answered now.
+                tracing::info!("the link to the successor ended: {error}");
+                self.from_successor = None;
+                let lost = self.context.relay.stop();
+                tracing::warn!("{lost} queries were with the successor");
             }
         }
     }
 
-    /// How many further calls stayed with the old one.
-    fn learn(&self, bytes: &[u8]) -> u32 {
-        let now = self.event_loop.clock.now();
-        match Snapshot::decode(bytes) {
-            Ok(snapshot) => {
-                let passed =
-                    TimeSpan::from_secs_f64(((monotonic_micros() - snapshot.taken_us).max(0) as f64) / 1e6);
-                tracing::info!(
-                    replicas = snapshot.replicas.len(),
-                    "going on from what was known {} s ago",
-                    passed.as_secs_f64()
-                );
-                self.first_list.take();
-                self.rev.set(snapshot.revision);
-                let lent = snapshot.delegated_retries.count;
-                self.event_loop.update(|e| e.resume_from_predecessor(now, passed, snapshot));
-                (self.list_known)();
-                lent
+    async fn tick(&mut self) {
+        match &mut self.peer {
+            Peer::Predecessor(predecessor) if predecessor.is_active() => {
+                self.supervisor.send(&ToSupervisor::Heartbeat, None);
             }
-            Err(why) => {
-                tracing::warn!("what was known is refused ({why}); going by the list alone");
-                self.event_loop.counters.add("upgrades", "snapshots_refused");
-                self.list_as_first_known();
-                // What the other process spent, or may spend, is not known.
-                self.event_loop.update(|e| e.resume_alone(now));
-                0
+            Peer::Successor(successor) if successor.has_state => {
+                successor.report_held_resources(&self.context);
+                let is_drained = self.context.event_loop.read(Exchange::is_drained);
+                if is_drained && !successor.drained {
+                    successor.drained = true;
+                    self.supervisor.send(&ToSupervisor::Drained, None);
+                }
+                if is_drained && successor.transferring && self.nothing_left_to_transfer() {
+                    self.finish_handover().await;
+                }
             }
+            _ => {}
         }
     }
 
-    fn asked(&self, old: &Old, ask: RelayedQuery, key: Option<String>) {
-        let (theirs, to) = (ask.ticket, old.to.clone());
-        let answer = move |response: RelayedResponse| {
-            to.send(&ToPredecessor::Response { ticket: theirs, response }, None)
-        };
-        let Some(asked) = relay::asked(&self.event_loop, self.classes, self.shards, ask, key) else {
-            return answer(RelayedResponse::Rejected { retry_after: TimeSpan::ZERO });
-        };
-        let ours = self.tickets.fetch_add(1, Ordering::Relaxed);
-        old.tickets.borrow_mut().insert(theirs, ours);
-        let tickets = old.tickets.clone();
-        let then = Box::new(move |last: QueryResponse| {
-            tickets.borrow_mut().remove(&theirs);
-            answer(relay::to_final_words(last));
-        });
-        self.event_loop.update(|e| e.submit(ours, asked, then));
+    fn nothing_left_to_transfer(&self) -> bool {
+        self.from_successor.is_some()
+            && self.context.relay.is_empty()
+            && self.context.client_connections.open() == 0
+            && self.transferred.is_empty()
     }
 
-    /// The old one has said all it had to, or is gone without a word.
-    fn settle(&self, old: &mut Old, further: Option<u32>) {
-        if let Some(lent) = old.lent.take() {
-            let further = further.unwrap_or(lent).min(lent);
-            self.event_loop.update(|e| e.settle_with_predecessor(self.event_loop.clock.now(), further));
+    async fn finish_handover(&mut self) {
+        if let Peer::Successor(successor) = std::mem::replace(&mut self.peer, Peer::None) {
+            successor.finish(&self.context);
         }
-        self.event_loop.replica_connections.clear_peer_reservation();
-        self.clients.clear_peer_reservation();
+        self.supervisor.send(&ToSupervisor::HandedOver, None);
+        // What is queued is written before the tasks that write it end.
+        tokio::time::sleep(TICK).await;
+        let _ = self.context.acceptor.send(AcceptorCommand::Exit);
     }
+}
 
-    fn without_old(&self, mut old: Old) {
-        // Guards against an old one that died before it told anything: then the list is all there is.
-        if self.first_list.take().map(|f| self.first_list.set(Some(f))).is_some() {
-            self.list_as_first_known();
-            self.event_loop.update(|e| e.resume_alone(self.event_loop.clock.now()));
-        }
-        self.settle(&mut old, None);
-    }
+fn open_peer_link(descriptor: Option<OwnedFd>) -> Result<(LinkSender, LinkReceiver), LinkError> {
+    open_link(StdStream::from(descriptor.ok_or(LinkError::DescriptorMismatch)?))
 }
