--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -2,7 +2,6 @@
 
 use std::collections::BTreeMap;
 
-use pipitcrank_core::coordinator::RetryBudgetConfig;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_handover::resource_split::{self, DelegatedRetries};
 use pipitcrank_handover::snapshot::{ReplicaRecord, Snapshot};
@@ -23,9 +22,8 @@
     ) -> Snapshot {
         self.apply_pending_endpoint_changes();
         let mut learned = self.coordinator.learned_state(now);
-        let RetryBudgetConfig { free, fraction, window } = self.coordinator.retry_budget_config();
-        let delegated_retries =
-            resource_split::split_retry_budget(free, fraction, window, longest, &mut learned);
+        let budget = self.coordinator.retry_budget_config();
+        let delegated_retries = resource_split::split_retry_budget(budget, longest, &mut learned);
         let until = now + delegated_retries.valid_for;
         self.coordinator.limit_to_delegated_retries(delegated_retries.count, until);
         let replicas = self.replica_records(now);
