--- a/crates/pipitcrank-cli/src/serve.rs
+++ b/crates/pipitcrank-cli/src/serve.rs
@@ -46,7 +46,7 @@
         let (driver, state) = StoreDriver::open(store, &environment::node_name()?);
         opened = OpenedStore { driver: Some(driver), state };
     }
-    let learned = opened.state.recovered.learned.take().map(|learned| (learned.age, learned.snapshot));
+    let learned = opened.state.recovered.learned.take();
     block_on_local(async {
         // Received without effect: by default the signal would end the process.
         let _upgrades = signal(SignalKind::user_defined2())?;
--- a/crates/pipitcrank-testkit/src/trial/upgrade.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade.rs
@@ -400,7 +400,8 @@
             let log = process.log();
             let found = process.workers().into_iter().find(|p| !old.contains(p));
             *new.borrow_mut() = found;
-            found.is_some() && log.rfind("going on from") > log.rfind("handover begins")
+            found.is_some()
+                && log.rfind("continuing with the predecessor's state") > log.rfind("handover begins")
         })
         .await?;
     }
