--- a/crates/pipitcrank-core/src/coordinator.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -7,7 +7,8 @@
 //! done goes out through `CoordinatorOutput`; ids are small indices (`ids.rs`) that the caller may use again once they
 //! are released.
 //!
-//! `Coordinator` only sequences: each rule stands in a module of its own.
+//! `Coordinator` only sequences: each rule stands in a module of its own. Rules are numbered as in docs/rules.md, and the
+//! reasons for the values of constants stand in docs/capacity.md.
 
 mod admission;
 mod attempt_rules;
@@ -141,7 +142,7 @@
         self.state.cap_deadlines(latest);
     }
 
-    /// The retry-after of a query that was lost with the process that held it; none if it is aborted (rule 2).
+    /// The retry-after of a query that was lost with the process that held it; none if it is aborted (rule 6).
     pub fn retry_after_if_lost(&self, class: RequestClassId) -> Option<TimeSpan> {
         self.state.retry_after_if_lost(class)
     }
@@ -242,23 +243,23 @@
     pub fn delegate_retries(
         &mut self,
         now: Timestamp,
-        borrower: u64,
+        delegation_id: u64,
         parts: &[PartId],
         expires_at: Timestamp,
     ) -> u32 {
-        self.state.delegate_retries(now, borrower, parts, expires_at)
+        self.state.delegate_retries(now, delegation_id, parts, expires_at)
     }
 
     /// The other site made so many of the retries delegated with the parts, and will make no more.
     pub fn delegation_returned(
         &mut self,
         now: Timestamp,
-        borrower: u64,
+        delegation_id: u64,
         parts: &[PartId],
         delegated: u32,
         made: u32,
     ) {
-        self.state.delegation_returned(now, borrower, parts, delegated, made);
+        self.state.delegation_returned(now, delegation_id, parts, delegated, made);
     }
 }
 
--- a/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
@@ -1,12 +1,12 @@
-//! Whether one more attempt of a part may be made: within its query's time (rule 1), without a forbidden repeat (rule 2),
-//! and within the retry budget (rule 6).
+//! Whether one more attempt of a part may be made: within its query's time (rule 1), without a forbidden repeat (rule 6),
+//! and within the retry budget (rule 11).
 
 use super::state::State;
 use crate::ids::{AttemptDenied, AttemptId, Idempotency, PartId};
 use crate::time::Timestamp;
 
 impl State {
-    /// Rules 1, 2 and 6 for one more attempt.
+    /// Rules 1, 6, 7 and 11 for one more attempt.
     pub(super) fn may_attempt(&mut self, now: Timestamp, id: PartId) -> bool {
         if !self.could_attempt(now, id) {
             return false;
@@ -19,7 +19,7 @@
         delegated.map_or_else(|| self.retry_budget.remaining(now), f64::from) >= 1.0
     }
 
-    /// Rules 1 and 2 alone: a retry budget that is spent refills.
+    /// Rules 1, 6 and 7 alone: a retry budget that is spent refills.
     pub(super) fn could_attempt(&self, now: Timestamp, id: PartId) -> bool {
         let part = &self.parts[&id];
         let Some(open) = self.queries.get(&part.query) else { return false };
@@ -30,7 +30,7 @@
             && (part.outstanding_count() == 0 || self.retry_policy.may_hedge)
     }
 
-    /// Rule 2 for the attempt after `earlier` others. A repeat counts as it reaches the replica, and may reach none that
+    /// Rule 6 for the attempt after `earlier` others. A repeat counts as it reaches the replica, and may reach none that
     /// no longer knows the key.
     fn may_repeat(&self, now: Timestamp, id: PartId, earlier: usize) -> bool {
         let part = &self.parts[&id];
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Rules 2 and 6 as they stand when the attempt goes out.
+    /// Rules 6 and 11 as they stand when the attempt goes out.
     pub(super) fn begin_attempt(&mut self, now: Timestamp, attempt: AttemptId) -> Result<(), AttemptDenied> {
         let index = attempt.number as usize;
         if !self.may_repeat(now, attempt.part, index) {
--- a/crates/pipitcrank-core/src/coordinator/attempts.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempts.rs
@@ -20,6 +20,10 @@
 const MIN_SERVICE_S: f64 = 1e-6;
 const MIN_WORK: f64 = 1e-3;
 const MAX_PACE: f64 = 20.0;
+/// Work ahead, relative to an attempt's own, up to which nothing else was ahead of it; above 1 for rounding.
+const OWN_WORK_TOLERANCE: f64 = 1.01;
+/// Least fraction of the time taken that counts as the part's work, whatever the call costs.
+const MIN_WORK_FRACTION: f64 = 0.1;
 
 /// An attempt that was answered.
 struct Answer {
@@ -143,8 +147,8 @@
     /// Only an attempt with nothing of ours ahead of it tells the work of its part.
     fn learn_part_work(&mut self, class: RequestClassId, attempt: &OutstandingAttempt, taken: f64) {
         let cost = self.call_limits.cost;
-        if attempt.work_ahead < (attempt.work + cost) * 1.01 {
-            let work = (taken - cost).max(taken * 0.1);
+        if attempt.work_ahead < (attempt.work + cost) * OWN_WORK_TOLERANCE {
+            let work = (taken - cost).max(taken * MIN_WORK_FRACTION);
             self.classes[usize::from(class.0)].part_work.observe(work, QuantileEstimator::LOW);
         }
     }
--- a/crates/pipitcrank-core/src/coordinator/delegated_retries.rs
+++ b/crates/pipitcrank-core/src/coordinator/delegated_retries.rs
@@ -1,39 +1,39 @@
 //! Retries that others may make for this co-ordinator: the process that hands over in an upgrade, or another site for the
-//! parts forwarded to it. A borrower may make them at any time until they expire.
+//! parts forwarded to it. They may be made at any time until they expire.
 
 use std::collections::BTreeMap;
 
 use crate::time::Timestamp;
 
-/// Retries that one borrower may make.
+/// Retries delegated at one time.
 #[derive(Clone, Copy)]
 pub(super) struct Delegation {
     pub(super) count: u32,
     pub(super) expires_at: Timestamp,
 }
 
-/// All delegations, by borrower. An entry ends when it is settled or expires.
+/// All delegations, by id. An entry ends when it is settled or expires.
 #[derive(Default)]
 pub(super) struct DelegatedRetries {
-    by_borrower: BTreeMap<u64, Delegation>,
+    by_id: BTreeMap<u64, Delegation>,
 }
 
 impl DelegatedRetries {
-    pub(super) fn insert(&mut self, borrower: u64, delegation: Delegation) {
-        self.by_borrower.insert(borrower, delegation);
+    pub(super) fn insert(&mut self, delegation_id: u64, delegation: Delegation) {
+        self.by_id.insert(delegation_id, delegation);
     }
 
-    pub(super) fn remove(&mut self, borrower: u64) -> Option<Delegation> {
-        self.by_borrower.remove(&borrower)
+    pub(super) fn remove(&mut self, delegation_id: u64) -> Option<Delegation> {
+        self.by_id.remove(&delegation_id)
     }
 
     /// Removes what has expired and was not settled.
     pub(super) fn take_expired(&mut self, now: Timestamp) -> impl Iterator<Item = Delegation> + '_ {
-        self.by_borrower.extract_if(.., move |_, d| d.expires_at <= now).map(|(_, d)| d)
+        self.by_id.extract_if(.., move |_, d| d.expires_at <= now).map(|(_, d)| d)
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = Delegation> + '_ {
-        self.by_borrower.values().copied()
+        self.by_id.values().copied()
     }
 
     /// Retries delegated at present.
--- a/crates/pipitcrank-core/src/coordinator/final_answers.rs
+++ b/crates/pipitcrank-core/src/coordinator/final_answers.rs
@@ -1,5 +1,5 @@
-//! How queries end: answered, completely or in part (rule 5); rejected where repeating is harmless, aborted otherwise
-//! (rule 2); or cancelled. A query has exactly one final answer.
+//! How queries end: answered, completely or in part (rule 12); rejected where repeating is harmless, aborted otherwise
+//! (rule 6); or cancelled. A query has exactly one final answer.
 
 use super::open_query::{OpenQuery, QueryStep};
 use super::state::State;
--- a/crates/pipitcrank-core/src/coordinator/forwarding.rs
+++ b/crates/pipitcrank-core/src/coordinator/forwarding.rs
@@ -25,7 +25,7 @@
     pub(super) fn delegate_retries(
         &mut self,
         now: Timestamp,
-        borrower: u64,
+        delegation_id: u64,
         parts: &[PartId],
         expires_at: Timestamp,
     ) -> u32 {
@@ -33,7 +33,7 @@
         let attempts_left =
             |p: &PartId| self.parts.get(p).map_or(0, |p| max_attempts.saturating_sub(p.attempt_count()));
         let most = parts.iter().map(attempts_left).min().unwrap_or(0).min(parts.len() as u32);
-        let count = self.retry_budget.delegate_up_to(now, borrower, most, expires_at);
+        let count = self.retry_budget.delegate_up_to(now, delegation_id, most, expires_at);
         for id in parts {
             if let Some(part) = self.parts.get_mut(id) {
                 part.remote_attempts += count;
@@ -46,12 +46,12 @@
     pub(super) fn delegation_returned(
         &mut self,
         now: Timestamp,
-        borrower: u64,
+        delegation_id: u64,
         parts: &[PartId],
         delegated: u32,
         made: u32,
     ) {
-        self.retry_budget.settle_delegation(now, borrower, made);
+        self.retry_budget.settle_delegation(now, delegation_id, made);
         for id in parts {
             if let Some(part) = self.parts.get_mut(id) {
                 part.remote_attempts -= delegated - made.min(delegated);
--- a/crates/pipitcrank-core/src/coordinator/process_handover.rs
+++ b/crates/pipitcrank-core/src/coordinator/process_handover.rs
@@ -5,7 +5,7 @@
 use crate::time::Timestamp;
 
 impl State {
-    /// The process that hands over, among the borrowers of retries.
+    /// Id of the delegation to the process that hands over.
     pub(super) const PREDECESSOR: u64 = u64::MAX;
 
     pub(super) fn limit_to_delegated_retries(&mut self, count: u32, expires_at: Timestamp) {
--- a/crates/pipitcrank-core/src/coordinator/replica_load.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_load.rs
@@ -16,6 +16,13 @@
 }
 
 impl Lag {
+    /// Time for which an observed lag counts for more than what is usual.
+    const VALID_FOR: TimeSpan = TimeSpan::from_millis(2000);
+
+    pub(super) fn is_recent(self, now: Timestamp) -> bool {
+        now - self.observed_at < Self::VALID_FOR
+    }
+
     pub(super) fn remaining(self, now: Timestamp) -> f64 {
         (self.seconds - (now - self.observed_at).as_secs_f64()).max(0.0)
     }
@@ -85,9 +92,6 @@
 }
 
 impl ReplicaLoad {
-    /// Time for which an observed lag counts; after that, the usual lag of all replicas does.
-    const LAG_VALID_FOR: TimeSpan = TimeSpan::from_millis(2000);
-
     /// The attempt goes out.
     pub(super) fn add(&mut self, attempt: NewAttempt, limits: CallLimits) {
         let NewAttempt { id, now, work, pass } = attempt;
@@ -138,8 +142,7 @@
     /// Seconds of lag expected now: what was observed, drained, or what the attempts out are late.
     pub(super) fn expected_lag(&self, model: LoadModel, network_delay: TimeSpan) -> f64 {
         let LoadModel { now, seconds_per_work, usual_lag } = model;
-        let is_valid = now - self.lag.observed_at < Self::LAG_VALID_FOR;
-        let observed = if is_valid { self.lag.remaining(now) } else { usual_lag };
+        let observed = if self.lag.is_recent(now) { self.lag.remaining(now) } else { usual_lag };
         self.outstanding
             .values()
             .map(|o| (now - o.sent_at - network_delay).as_secs_f64() - seconds_per_work * o.work_ahead)
--- a/crates/pipitcrank-core/src/coordinator/request_class.rs
+++ b/crates/pipitcrank-core/src/coordinator/request_class.rs
@@ -49,6 +49,23 @@
     const HINT_WEIGHT: f64 = 0.05;
     /// How far a hint's distance from the usual one is believed, as an exponent: hints scatter more than times do.
     const HINT_TRUST: f64 = 0.2;
+    /// Weight of the newest early leaver in the age at which they leave, if it is below that age: the answer has to be
+    /// there before most leave.
+    const EARLIER_AGE_WEIGHT: f64 = 0.5;
+    /// The same if it is above.
+    const LATER_AGE_WEIGHT: f64 = 0.1;
+    /// Rate of early leavers below which the age of the newest alone counts.
+    const FEW_LEAVERS: f64 = 0.1;
+    /// Fraction of the age at which clients leave, past which one that stayed raises that age.
+    const NEAR_LEAVE_AGE: f64 = 0.8;
+    /// By how much it does.
+    const LEAVE_AGE_GROWTH: f64 = 1.02;
+    /// What such a client leaves of the rate of early leavers.
+    const RATE_DECAY_NEAR: f64 = 0.9;
+    /// What any other client that stayed leaves of it.
+    const RATE_DECAY: f64 = 0.98;
+    /// Fraction of the age at which clients leave that is used where many do.
+    const USED_LEAVE_AGE: f64 = 0.9;
     /// Rate of early leavers from which the latency objective is shortened to their patience.
     const EARLY_LEAVE_LIMIT: f64 = 0.35;
     /// Fraction of the latency objective that stands for a part's work before any answer.
@@ -65,10 +82,11 @@
     }
 
     /// A client left before its deadline. Clients may close before the deadline they state; see
-    /// docs/incidents/i85cd7c.md. The age moves faster down than up: the answer has to be there before most leave.
+    /// docs/incidents/i85cd7c.md.
     pub(super) fn client_left(&mut self, age: TimeSpan) {
-        let newest = if age < self.early_leave_age { 0.5 } else { 0.1 };
-        self.early_leave_age = if self.early_leave_rate < 0.1 {
+        let is_earlier = age < self.early_leave_age;
+        let newest = if is_earlier { Self::EARLIER_AGE_WEIGHT } else { Self::LATER_AGE_WEIGHT };
+        self.early_leave_age = if self.early_leave_rate < Self::FEW_LEAVERS {
             age
         } else {
             self.early_leave_age * (1.0 - newest) + age * newest
@@ -79,9 +97,9 @@
     /// A client was there for its answer or rejection at that age. Past or near the age at which clients leave, that age
     /// is raised; at any age the rate of early leavers falls.
     pub(super) fn client_stayed(&mut self, age: TimeSpan) {
-        let is_past = age > self.early_leave_age * 0.8;
-        self.early_leave_rate *= if is_past { 0.9 } else { 0.98 };
-        self.early_leave_age = self.early_leave_age * if is_past { 1.02 } else { 1.0 };
+        let is_past = age > self.early_leave_age * Self::NEAR_LEAVE_AGE;
+        self.early_leave_rate *= if is_past { Self::RATE_DECAY_NEAR } else { Self::RATE_DECAY };
+        self.early_leave_age = self.early_leave_age * if is_past { Self::LEAVE_AGE_GROWTH } else { 1.0 };
     }
 
     /// Seconds of work of a usual part.
@@ -95,7 +113,7 @@
         if self.early_leave_rate < Self::EARLY_LEAVE_LIMIT {
             self.config.latency_objective
         } else {
-            self.config.latency_objective.min(self.early_leave_age * 0.9)
+            self.config.latency_objective.min(self.early_leave_age * Self::USED_LEAVE_AGE)
         }
     }
 
--- a/crates/pipitcrank-core/src/coordinator/retry_budget.rs
+++ b/crates/pipitcrank-core/src/coordinator/retry_budget.rs
@@ -1,5 +1,5 @@
 //! The retry budget: how many attempts beyond a part's first may be made, relative to the queries and parts admitted
-//! (rule 6). Both are counted over one sliding window.
+//! (rule 11). Both are counted over one sliding window.
 
 use std::collections::VecDeque;
 
@@ -115,9 +115,15 @@
         self.admissions.pop_back();
     }
 
-    /// Delegates up to `most` retries to the borrower until they expire, which has to be within the window; returns
+    /// Delegates up to `most` retries under that id until they expire, which has to be within the window; returns
     /// how many.
-    pub fn delegate_up_to(&mut self, now: Timestamp, borrower: u64, most: u32, expires_at: Timestamp) -> u32 {
+    pub fn delegate_up_to(
+        &mut self,
+        now: Timestamp,
+        delegation_id: u64,
+        most: u32,
+        expires_at: Timestamp,
+    ) -> u32 {
         if self.is_unlimited() {
             return most;
         }
@@ -134,20 +140,20 @@
         };
         let count = ((remaining * Self::DELEGATED_FRACTION).floor().max(0.0) as u32).min(most);
         if count > 0 {
-            self.delegate(borrower, count, expires_at);
+            self.delegate(delegation_id, count, expires_at);
         }
         count
     }
 
     /// Delegates exactly so many retries until they expire.
-    pub fn delegate(&mut self, borrower: u64, count: u32, expires_at: Timestamp) {
-        self.delegated.insert(borrower, Delegation { count, expires_at });
+    pub fn delegate(&mut self, delegation_id: u64, count: u32, expires_at: Timestamp) {
+        self.delegated.insert(delegation_id, Delegation { count, expires_at });
     }
 
-    /// The borrower made so many retries and will make no more. Nothing happens after their expiry, when all were
+    /// So many of the delegated retries were made, and no more will be. Nothing happens after their expiry, when all were
     /// counted as made.
-    pub fn settle_delegation(&mut self, now: Timestamp, borrower: u64, made: u32) {
-        if let Some(delegation) = self.delegated.remove(borrower) {
+    pub fn settle_delegation(&mut self, now: Timestamp, delegation_id: u64, made: u32) {
+        if let Some(delegation) = self.delegated.remove(delegation_id) {
             (0..made.min(delegation.count)).for_each(|_| self.retries.push_back(now));
         }
     }
@@ -162,10 +168,10 @@
         self.allotment.map_or(0, |a| a.remaining.max(0.0) as u32)
     }
 
-    /// This process has the whole budget again; what the borrower made is not known, so no retries for a window.
-    pub(super) fn reclaim(&mut self, now: Timestamp, borrower: u64) {
+    /// This process has the whole budget again; how many were made is not known, so no retries for a window.
+    pub(super) fn reclaim(&mut self, now: Timestamp, delegation_id: u64) {
         self.allotment = None;
-        self.delegated.remove(borrower);
+        self.delegated.remove(delegation_id);
         self.closed_until = now + self.config.window;
     }
 
--- a/crates/pipitcrank-core/src/coordinator/set_cover.rs
+++ b/crates/pipitcrank-core/src/coordinator/set_cover.rs
@@ -19,8 +19,6 @@
 const BEHIND_FRACTION: f64 = 0.05;
 /// A hedged request must promise an answer within this fraction of the first attempt's age.
 const HEDGE_FRACTION: f64 = 0.5;
-/// Lag of all replicas of late that still counts for a calm moment.
-const CALM_VALID_FOR: TimeSpan = TimeSpan::from_millis(2000);
 
 /// What the rounds of one query go by.
 struct CoverBounds {
@@ -99,9 +97,7 @@
         let open = &self.queries[&query];
         let soon = (open.objective_at - open.arrived) * SOON_FRACTION;
         let lag = self.service.lag;
-        let is_calm = self.is_unsent(query)
-            && lag.seconds < soon.as_secs_f64()
-            && now - lag.observed_at < CALM_VALID_FOR;
+        let is_calm = self.is_unsent(query) && lag.seconds < soon.as_secs_f64() && lag.is_recent(now);
         self.retry_policy.may_probe && !is_calm
     }
 
--- a/crates/pipitcrank-core/src/coordinator/slow_start.rs
+++ b/crates/pipitcrank-core/src/coordinator/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much work may go to a replica that has just started (rule 4).
+//! Slow start: how much work may go to a replica that has just started (rule 10).
 
 use std::collections::VecDeque;
 
@@ -62,6 +62,8 @@
 impl SlowStart {
     /// Fraction of the budget that is used; the rest is for co-ordinators of uneven load and for small replicas.
     const USED_FRACTION: f64 = 0.8;
+    /// Least length of a span that is divided by, in seconds.
+    const MIN_SPAN_S: f64 = 1e-6;
     /// Most idle windows whose budget is saved.
     const MAX_IDLE_WINDOWS: f64 = 2.0;
 
@@ -92,7 +94,7 @@
     /// Draws the threshold of a new window once some replica may be warming up. Windows without a query lower it: with
     /// hundreds of co-ordinators each is asked in few of them.
     pub(super) fn draw_threshold(&mut self, now: Timestamp, rng: &mut Rng) {
-        let window = self.config.window.as_secs_f64().max(1e-6);
+        let window = self.config.window.as_secs_f64().max(Self::MIN_SPAN_S);
         let windows = (now - self.window_began).as_secs_f64() / window;
         if windows > 1.0 {
             self.window_began = now;
@@ -137,7 +139,8 @@
 
     /// Fraction of its capacity that a replica has at that age.
     fn capacity(&self, age: TimeSpan) -> f64 {
-        let progress = (age.as_secs_f64() / self.config.warm_up.as_secs_f64().max(1e-6)).clamp(0.0, 1.0);
+        let progress =
+            (age.as_secs_f64() / self.config.warm_up.as_secs_f64().max(Self::MIN_SPAN_S)).clamp(0.0, 1.0);
         self.config.initial_capacity + (1.0 - self.config.initial_capacity) * progress
     }
 
--- a/crates/pipitcrank-core/src/coordinator/state_transfer.rs
+++ b/crates/pipitcrank-core/src/coordinator/state_transfer.rs
@@ -50,8 +50,8 @@
         self.retry_budget.admissions = times(learned.admitted);
         self.retry_budget.retries = times(learned.retries);
         for (index, (count, left)) in learned.delegated_retries.into_iter().enumerate() {
-            let borrower = Self::PREDECESSOR - 1 - index as u64;
-            self.retry_budget.delegate(borrower, count, written_at + left);
+            let delegation_id = Self::PREDECESSOR - 1 - index as u64;
+            self.retry_budget.delegate(delegation_id, count, written_at + left);
         }
         let overdue_pace = learned.overdue_pace.or(self.service.overdue_pace.value());
         self.service.overdue_pace = QuantileEstimator::new(overdue_pace);
--- a/crates/pipitcrank-core/src/ids.rs
+++ b/crates/pipitcrank-core/src/ids.rs
@@ -50,9 +50,9 @@
 /// Why an attempt that was decided may not begin after all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptDenied {
-    /// An earlier attempt may have run, and this one may not follow it now (rule 2).
+    /// An earlier attempt may have run, and this one may not follow it now (rule 6).
     RepeatForbidden,
-    /// Retries that went out meanwhile have spent the budget (rule 6).
+    /// Retries that went out meanwhile have spent the budget (rule 11).
     RetryBudgetSpent,
 }
 
