--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -28,7 +28,7 @@
 use clap::Parser;
 use pipitcrank_config::{OperatorsConfig, ZonesConfig};
 use pipitcrank_testkit::demo;
-use pipitcrank_testkit::trial::{self, Terms};
+use pipitcrank_testkit::trial::{self, TrialOptions};
 
 use crate::arguments::{Arguments, Command};
 use crate::simulate::Experiment;
@@ -64,8 +64,8 @@
             exit_code_of(environment::program().and_then(|program| demo::play(&program, seed)))
         }
         Command::Trial { name, seed, rounds, only, json } => {
-            let terms = Terms { seed, rounds, only: only.as_deref(), json };
-            exit_code_of(environment::program().and_then(|program| trial::play(&program, &name, terms)))
+            let options = TrialOptions { seed, rounds, only: only.as_deref(), json };
+            exit_code_of(environment::program().and_then(|program| trial::play(&program, &name, options)))
         }
     }
 }
