--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -64,8 +64,8 @@
             exit_code_of(environment::program().and_then(|program| demo::play(&program, seed)))
         }
         Command::Trial { name, seed, rounds, only, json } => {
-            let terms = TrialOptions { seed, rounds, only: only.as_deref(), json };
-            exit_code_of(environment::program().and_then(|program| trial::play(&program, &name, terms)))
+            let options = TrialOptions { seed, rounds, only: only.as_deref(), json };
+            exit_code_of(environment::program().and_then(|program| trial::play(&program, &name, options)))
         }
     }
 }
