--- a/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
@@ -35,7 +35,7 @@
     fn may_repeat(&self, now: Timestamp, id: PartId, earlier: usize) -> bool {
         let part = &self.parts[&id];
         let may_have_run = part.attempts.iter().take(earlier).find(|a| !a.never_ran);
-        let class = &self.classes[usize::from(part.class.0)].config;
+        let class = self.class_config(part.class);
         match (class.idempotency, may_have_run) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::IdempotentByKey, Some(first)) => {
--- a/crates/pipitcrank-core/src/coordinator/final_answers.rs
+++ b/crates/pipitcrank-core/src/coordinator/final_answers.rs
@@ -113,14 +113,14 @@
 
     /// The retry-after of a query that was lost with the process that held it; none if it is aborted.
     pub(super) fn retry_after_if_lost(&self, class: RequestClassId) -> Option<TimeSpan> {
-        let idempotency = self.classes[usize::from(class.0)].config.idempotency;
+        let idempotency = self.class_config(class).idempotency;
         (idempotency == Idempotency::Idempotent).then(|| self.retry_after(class))
     }
 
     /// As long as a query may wait for its first attempts, up to what may be stated.
     fn retry_after(&self, class: RequestClassId) -> TimeSpan {
         let longest = self.retry_policy.max_retry_after.unwrap_or(TimeSpan::ZERO);
-        let objective = self.classes[usize::from(class.0)].config.latency_objective;
+        let objective = self.class_config(class).latency_objective;
         (objective * Self::FIRST_ATTEMPT_FRACTION).min(longest)
     }
 
--- a/crates/pipitcrank-core/src/coordinator/forwarding.rs
+++ b/crates/pipitcrank-core/src/coordinator/forwarding.rs
@@ -17,7 +17,7 @@
     }
 
     pub(super) fn may_retry(&self, class: RequestClassId) -> bool {
-        self.classes[usize::from(class.0)].config.idempotency != Idempotency::NonIdempotent
+        self.class_config(class).idempotency != Idempotency::NonIdempotent
     }
 
     /// The parts are forwarded: returns how many retries the other site may make for them until they expire. They count
--- a/crates/pipitcrank-core/src/coordinator/state.rs
+++ b/crates/pipitcrank-core/src/coordinator/state.rs
@@ -12,7 +12,7 @@
 use super::slow_start::{SlowStart, SlowStartConfig};
 use super::target_utilization::TargetUtilization;
 use super::zones::ZoneRouter;
-use crate::ids::{AttemptId, PartId, QueryId, ReplicaId};
+use crate::ids::{AttemptId, PartId, QueryId, ReplicaId, RequestClassId};
 use crate::output::CoordinatorOutput;
 use crate::rng::Rng;
 use crate::time::{TimeSpan, Timestamp};
@@ -111,8 +111,12 @@
         output.set_timer(at, label);
     }
 
+    pub(super) fn class_config(&self, class: RequestClassId) -> &RequestClassConfig {
+        &self.classes[usize::from(class.0)].config
+    }
+
     pub(super) fn class_of(&self, query: &OpenQuery) -> &RequestClassConfig {
-        &self.classes[usize::from(query.class.0)].config
+        self.class_config(query.class)
     }
 
     /// Marks the part to be placed by the next dispatch pass.
