--- a/crates/pipitcrank-server/src/clients/accept_queue.rs
+++ b/crates/pipitcrank-server/src/clients/accept_queue.rs
@@ -1,4 +1,4 @@
-//! The accept queue of a listener: who waits in it, for how long at most, and what is done where accepting fails.
+//! The accept queue of a listener: for how long clients may have waited in it, and what is done where accepting fails.
 
 use std::cell::Cell;
 use std::io;
@@ -10,15 +10,20 @@
 use crate::runtime::counters::Counters;
 use crate::runtime::system_errors::{ErrorPolicy, RETRY_PAUSE, accept_policy};
 
-/// Accepts that failed in a row after which others get a turn.
-const IN_A_ROW: u32 = 256;
+/// Accepts that failed in a row after which other tasks run.
+const MAX_FAILURES_IN_A_ROW: u32 = 256;
+/// Failures are logged no more often: they come by thousands where resources run short.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A client's connection, and how long it may have waited at most.
+/// A client's connection.
 pub struct Accepted {
+    /// The connection.
     pub stream: TcpStream,
-    pub waited: Duration,
+    /// For how long it may have waited at most.
+    pub wait: Duration,
 }
 
+/// The accept queue of a listener that is open.
 pub struct AcceptQueue {
     listener: TcpListener,
     /// When it was last seen to be empty.
@@ -27,11 +32,12 @@
 }
 
 impl AcceptQueue {
+    /// The queue of that listener.
     pub fn new(listener: TcpListener, counters: Counters) -> AcceptQueue {
         AcceptQueue { listener, empty_at: Cell::new(Instant::now()), failures: Failures::new(counters) }
     }
 
-    /// The next client. An error is one of the listener itself: nobody can be accepted any more.
+    /// Accepts the next client. An error is one of the listener itself: nobody can be accepted any more.
     pub async fn accept(&self) -> io::Result<Accepted> {
         loop {
             let accepted = std::future::poll_fn(|cx| {
@@ -42,96 +48,100 @@
                 polled
             });
             match accepted.await {
-                Ok((stream, _)) => return Ok(Accepted { stream, waited: self.empty_at.get().elapsed() }),
-                Err(e) => match self.failures.policy(&e) {
-                    ErrorPolicy::GiveUp => return Err(e),
+                Ok((stream, _)) => return Ok(Accepted { stream, wait: self.empty_at.get().elapsed() }),
+                Err(error) => match self.failures.record(&error) {
+                    ErrorPolicy::GiveUp => return Err(error),
                     ErrorPolicy::RetryAtOnce => tokio::task::yield_now().await,
                     ErrorPolicy::RetryAfterPause | ErrorPolicy::RetryFew => {
-                        tokio::time::sleep(RETRY_PAUSE).await
+                        tokio::time::sleep(RETRY_PAUSE).await;
                     }
                 },
             }
         }
     }
 
-    /// The listening ends, but for who waits already. What the runtime knows of the queue may be as old as its last look: from
-    /// now on the queue itself is asked.
+    /// Stops listening but for clients that wait already. What the runtime knows of the queue may be old: from now on the
+    /// queue itself is asked.
     pub fn close(self) -> Option<ClosingQueue> {
         let listener = self.listener.into_std().ok()?;
         Some(ClosingQueue { listener, empty_at: self.empty_at.get(), failures: self.failures })
     }
 }
 
-/// One that is emptied before its listener closes.
+/// A queue that is emptied before its listener closes.
 pub struct ClosingQueue {
     listener: std::net::TcpListener,
     empty_at: Instant,
     failures: Failures,
 }
 
-/// What comes of one look into a closing queue.
-pub enum Next {
-    Client(Accepted),
+/// What the next accept of a closing queue brought.
+pub enum NextClient {
+    /// A client.
+    Accepted(Accepted),
     /// Nobody waits.
     Empty,
-    /// It can't be told for now.
+    /// Accepting fails for now.
     Failing,
     /// Nobody can be accepted any more.
     Broken,
 }
 
 impl ClosingQueue {
-    /// Guards against clients reset in a queue whose accepts fail: what failed is tried again, at once and later.
-    pub fn next(&self) -> Next {
-        for _ in 0..IN_A_ROW {
-            let error = match self.listener.accept() {
-                Ok((stream, _)) => {
-                    let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-                    match stream {
-                        Ok(stream) => {
-                            let waited = self.empty_at.elapsed();
-                            return Next::Client(Accepted { stream, waited });
-                        }
-                        Err(e) => e,
-                    }
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Next::Empty,
-                Err(e) => e,
+    /// Accepts the next client. What fails is repeated at once, and by later calls: clients left in the queue would be reset.
+    pub fn next(&self) -> NextClient {
+        for _ in 0..MAX_FAILURES_IN_A_ROW {
+            let error = match self.accept() {
+                Ok(accepted) => return NextClient::Accepted(accepted),
+                Err(AcceptError::Empty) => return NextClient::Empty,
+                Err(AcceptError::Failed(error)) => error,
             };
-            if self.failures.policy(&error) == ErrorPolicy::GiveUp {
-                return Next::Broken;
+            if self.failures.record(&error) == ErrorPolicy::GiveUp {
+                return NextClient::Broken;
             }
         }
-        Next::Failing
+        NextClient::Failing
+    }
+
+    fn accept(&self) -> Result<Accepted, AcceptError> {
+        let (stream, _) = self.listener.accept().map_err(|error| match error.kind() {
+            io::ErrorKind::WouldBlock => AcceptError::Empty,
+            _ => AcceptError::Failed(error),
+        })?;
+        let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+        let stream = stream.map_err(AcceptError::Failed)?;
+        Ok(Accepted { stream, wait: self.empty_at.elapsed() })
     }
 }
 
-/// Accepts that failed: counted each, logged now and then.
+enum AcceptError {
+    Empty,
+    Failed(io::Error),
+}
+
+/// Accepts that failed: each is counted, some are logged.
 struct Failures {
     counters: Counters,
     logged: Cell<Option<Instant>>,
 }
 
-/// Failures are logged so often at most: they come by thousands where means run short.
-const LOG_AGAIN: Duration = Duration::from_secs(1);
-
 impl Failures {
     fn new(counters: Counters) -> Failures {
         Failures { counters, logged: Cell::default() }
     }
 
-    /// What the error asks for.
-    fn policy(&self, error: &io::Error) -> ErrorPolicy {
+    /// Records a failure; returns what it asks for.
+    fn record(&self, error: &io::Error) -> ErrorPolicy {
         let policy = accept_policy(error);
-        let word = match policy {
+        let name = match policy {
             ErrorPolicy::RetryAtOnce => "retried_at_once",
             ErrorPolicy::RetryAfterPause | ErrorPolicy::RetryFew => "retried_after_pause",
             ErrorPolicy::GiveUp => "given_up",
         };
-        self.counters.add("accept_errors", word);
-        if self.logged.get().is_none_or(|at| at.elapsed() >= LOG_AGAIN) {
+        self.counters.add("accept_errors", name);
+        if self.logged.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
             self.logged.set(Some(Instant::now()));
-            tracing::warn!(policy = word, "accept failed: {error}");
+            tracing::warn!(policy = name, "accept failed: {error}");
         }
         policy
     }
--- a/crates/pipitcrank-server/src/clients/acceptor.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor.rs
@@ -1,236 +1,227 @@
-//! Client connections: accepting them, and ending them in order after SIGTERM. What happens on one is in `connection.rs`.
+//! Accepts client connections, and ends them in order at shutdown.
 
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
 use axum::Router;
-use bytes::Bytes;
+use pipitcrank_core::time::TimeSpan;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::watch;
-use tokio::time::Instant;
-
-use crate::audit::{Rule, violated};
-use crate::clients::accept_queue::{AcceptQueue, Accepted, ClosingQueue, Next};
-use crate::clients::client_connections::{ClientConnections, ConnectionPhase};
-pub use crate::clients::connection::AdoptedConnection;
-use crate::clients::connection::{ConnectionMode, serve, turn_away};
-use crate::exchange::REQUESTS;
+use tokio::time::{Instant, MissedTickBehavior};
+
+use super::accept_queue::{AcceptQueue, Accepted, ClosingQueue};
+use super::client_connections::ClientConnections;
+use super::connection::{AdoptedConnection, ConnectionMode};
+use super::connection_server::ConnectionServer;
 use crate::runtime::clock::duration;
 use crate::runtime::connection_limits::{ConnectionLimiter, ConnectionPermit};
 use crate::runtime::counters::Counters;
-use crate::runtime::shutdown::ShutdownRequest;
-use crate::runtime::shutdown::ShutdownSchedule;
-
-/// How often connections are looked over: a tenth of the second that is to spare where one has to end by a time.
-const LOOK: Duration = Duration::from_millis(50);
-/// Of the places for clients, one in so many is kept free for who comes next.
-const SPARE: usize = 8;
+use crate::runtime::shutdown::{ShutdownRequest, ShutdownSchedule};
 
-/// Clients without a place that are seen off at a time: a descriptor each, of those that no side has.
-const NO_PLACE_AT_ONCE: usize = 12;
+/// Interval at which connections are checked: a tenth of the half second that is to spare where one has to end by a time.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Of the permits for clients, one in so many is kept available for those that come next.
+const SPARE_ONE_IN: usize = 8;
 
-/// What the acceptor is told from outside.
+/// What the acceptor is told.
 pub enum AcceptorCommand {
     /// Accept there.
     Accept(TcpListener),
     /// Serve a connection that another process had.
     Adopt(AdoptedConnection),
-    /// Accept no more, and pass on each connection as soon as it rests.
+    /// Accept no more, and transfer each connection as soon as it rests.
     Transfer(UnboundedSender<AdoptedConnection>),
-    /// Pass on no more.
+    /// Transfer no more.
     StopTransfer,
-    /// All has been passed on.
+    /// All has been transferred: return.
     Exit,
 }
 
-/// What each connection's task is given.
-struct ConnectionServer {
-    router: Router,
-    counters: Counters,
-    connections: Rc<ClientConnections>,
-    mood: watch::Receiver<ConnectionMode>,
-    /// At the end a connection leaves when nothing came on it for so long.
-    idle: Duration,
-}
-
-impl ConnectionServer {
-    /// `waited`: how long a new one may have waited to be accepted.
-    fn receive(&self, place: Option<ConnectionPermit>, come: AdoptedConnection, waited: Option<Duration>) {
-        let new = waited.is_some();
-        self.counters.add("clients", if new { "accepted" } else { "adopted" });
-        let (router, counters, mood) = (self.router.clone(), self.counters.clone(), self.mood.clone());
-        let idle = self.idle;
-        let (connections, connection) = (self.connections.clone(), self.connections.enter(Instant::now()));
-        match waited {
-            Some(waited) => connection.waited(waited),
-            None => connection.goes_on(Instant::now(), come.request_timeout),
-        }
-        tokio::task::spawn_local(async move {
-            let end = serve(come, router, &connection, mood, idle).await;
-            counters.add("clients", end.name());
-            tracing::debug!(target: REQUESTS, why = end.name(), at = ?connection.doing(), "client's connection ended");
-            if end.is_local() && connection.doing() == ConnectionPhase::Open {
-                violated(&counters, Rule::ClosedUnanswered, "of a connection", end.name());
-            }
-            connections.leave(&connection);
-            drop(place);
-        });
-    }
-
-    fn accepted(&self, place: Option<ConnectionPermit>, accepted: Accepted) {
-        let Accepted { stream, waited } = accepted;
-        let come = AdoptedConnection { stream, read: Bytes::new(), request_timeout: None };
-        self.receive(place, come, Some(waited));
-    }
-
-    /// Takes what waits in the accept queue as the listening ends; the listener while some may be left. Guards against
-    /// clients reset that connected before it closed: more of them than there are places, or than descriptors.
-    fn take_the_rest(
-        &self,
-        queue: ClosingQueue,
-        clients: &ConnectionLimiter,
-        turned_away: &Rc<()>,
-    ) -> Option<ClosingQueue> {
-        loop {
-            let place = clients.try_acquire();
-            if place.is_none() && Rc::strong_count(turned_away) > NO_PLACE_AT_ONCE {
-                return Some(queue);
-            }
-            match queue.next() {
-                Next::Client(accepted) => {
-                    if place.is_some() {
-                        self.accepted(place, accepted);
-                        continue;
-                    }
-                    self.counters.add("clients", "turned_away_at_the_end");
-                    let counted = turned_away.clone();
-                    tokio::task::spawn_local(async move {
-                        turn_away(accepted.stream).await;
-                        drop(counted);
-                    });
-                }
-                Next::Empty | Next::Broken => return None,
-                Next::Failing => return Some(queue),
-            }
-        }
-    }
+/// Whether the acceptor goes on.
+#[derive(PartialEq)]
+enum Flow {
+    Continue,
+    Exit,
 }
 
-/// Accepts as ordered. After the end was called and the time to stay has passed, or no listener is left to it, it closes the
-/// listener, so that clients are refused and not dropped, answers what has come, and returns when all is quiet:
-/// connections that are at nothing by the time of the last answer, the others with their answer.
+/// Accepts as commanded. Once shutdown was requested and the schedule's time of admission has passed, it closes the listener,
+/// answers the clients that have come, so that they are refused and not dropped, and returns when all is drained:
+/// inactive connections by the time of the last answer, the others with their answer.
 pub async fn run(
-    mut orders: UnboundedReceiver<AcceptorCommand>,
+    mut commands: UnboundedReceiver<AcceptorCommand>,
     router: Router,
-    clients: ConnectionLimiter,
+    permits: ConnectionLimiter,
     counters: Counters,
     schedule: ShutdownSchedule,
     mut shutdown_requested: ShutdownRequest,
-    quiet: impl Fn() -> bool,
+    is_drained: impl Fn() -> bool,
 ) {
-    let (moods, mood) = watch::channel(ConnectionMode::Stay);
-    let (stay, idle, last) = (schedule.stay, schedule.idle, schedule.last_answer);
-    let (stay, idle, last) = (duration(stay), duration(idle), duration(last));
-    let queue_until = duration(schedule.queue_until);
-    let connections = Rc::new(ClientConnections::default());
-    let rounds = ConnectionServer { router, counters, connections: connections.clone(), mood, idle };
-    let mut listener: Option<AcceptQueue> = None;
-    // At the end, until its queue is empty.
-    let mut rest: Option<ClosingQueue> = None;
-    let turned_away = Rc::new(());
-    let mut since: Option<Instant> = None;
-    let mut leaving = false;
-    let mut looks = tokio::time::interval(LOOK);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut acceptor = Acceptor::new(router, permits, counters, schedule, is_drained);
+    let mut checks = tokio::time::interval(CHECK_INTERVAL);
+    checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        // Without a place the rest waits in the accept queue.
-        let place = if listener.is_some() { clients.try_acquire() } else { None };
-        tokio::select! {
-            accepted = accept(&listener), if place.is_some() => match accepted {
-                Ok(accepted) => rounds.accepted(place, accepted),
-                Err(e) => {
-                    tracing::error!("no longer listening, as the listener broke: {e}");
-                    listener = None;
-                }
-            },
-            Some(order) = orders.recv() => match order {
-                AcceptorCommand::Accept(new) => {
-                    listener = (!leaving).then(|| AcceptQueue::new(new, rounds.counters.clone()));
-                    moods.send_if_modified(|m| {
-                        let passing = matches!(m, ConnectionMode::Transfer(_));
-                        if passing {
-                            *m = ConnectionMode::Stay;
-                        }
-                        passing
-                    });
-                }
-                AcceptorCommand::Adopt(come) => {
-                    drop(place);
-                    rounds.receive(Some(clients.acquire_adopted()), come, None);
-                }
-                AcceptorCommand::Transfer(to) => {
-                    listener = None;
-                    moods.send_if_modified(|m| {
-                        *m = ConnectionMode::Transfer(to);
-                        true
-                    });
-                }
-                AcceptorCommand::StopTransfer => { moods.send_replace(ConnectionMode::Stay); }
-                AcceptorCommand::Exit => return,
-            },
-            Ok(()) = shutdown_requested.changed(), if since.is_none() => {
-                tracing::info!("asked to end");
-                since = Some(Instant::now());
+        // Without a permit clients wait in the accept queue.
+        let permit = if acceptor.listener.is_some() { acceptor.permits.try_acquire() } else { None };
+        let flow = tokio::select! {
+            accepted = accept(&acceptor.listener), if permit.is_some() => {
+                acceptor.handle_accept(permit, accepted);
+                Flow::Continue
             }
-            () = more(&clients), if listener.is_some() && place.is_none() => {}
-            _ = looks.tick() => {
-                drop(place);
-                // At the end all that is at nothing gives way.
-                let short = if leaving { usize::MAX } else { (clients.limit().div_ceil(SPARE)).saturating_sub(clients.available()) };
-                connections.look(Instant::now(), short);
-                if since.is_none_or(|s| s.elapsed() < stay) {
-                    continue;
-                }
-                if !leaving {
-                    leaving = true;
-                    rest = listener.take().and_then(AcceptQueue::close);
-                    // Idle connections end now, busy ones with their answer.
-                    moods.send_replace(ConnectionMode::Leave);
-                }
-                let over = since.is_some_and(|s| s.elapsed() >= last);
-                let too_late = since.is_some_and(|s| s.elapsed() >= queue_until);
-                if let Some(queue) = rest.take() {
-                    rest = rounds.take_the_rest(queue, &clients, &turned_away).filter(|_| !too_late);
-                    if rest.is_none() {
-                        tracing::info!("no longer listening");
-                    }
-                }
-                // Guards against half a request found by the kill: it gets its answer, too.
-                if over {
-                    connections.end();
-                }
-                if connections.none() && Rc::strong_count(&turned_away) == 1 && rest.is_none() && quiet() {
-                    return;
-                }
+            Some(command) = commands.recv() => acceptor.handle_command(permit, command),
+            Ok(()) = shutdown_requested.changed(), if acceptor.shutdown_since.is_none() => {
+                tracing::info!("shutdown requested");
+                acceptor.shutdown_since = Some(Instant::now());
+                Flow::Continue
             }
+            () = permit_released(&acceptor.permits), if acceptor.listener.is_some() && permit.is_none() => {
+                Flow::Continue
+            }
+            _ = checks.tick() => {
+                drop(permit);
+                acceptor.check()
+            }
+        };
+        if flow == Flow::Exit {
+            return;
         }
     }
 }
 
-/// Ends when there may be a place again, after asking for one that the replica side does not need.
-async fn more(clients: &ConnectionLimiter) {
-    let freed = clients.released();
-    clients.request_release();
-    freed.await;
+/// Ends when a permit may be available again, after asking for one that the replica side does not need.
+async fn permit_released(permits: &ConnectionLimiter) {
+    let released = permits.released();
+    permits.request_release();
+    released.await;
 }
 
-async fn accept(listener: &Option<AcceptQueue>) -> std::io::Result<Accepted> {
+async fn accept(listener: &Option<AcceptQueue>) -> io::Result<Accepted> {
     match listener {
         Some(listener) => listener.accept().await,
         None => std::future::pending().await,
     }
 }
 
+struct Acceptor<F> {
+    server: ConnectionServer,
+    permits: ConnectionLimiter,
+    mode: watch::Sender<ConnectionMode>,
+    schedule: ShutdownSchedule,
+    is_drained: F,
+    listener: Option<AcceptQueue>,
+    /// While draining, until it is empty.
+    closing_queue: Option<ClosingQueue>,
+    /// Has a clone for each client that is being rejected.
+    rejecting: Rc<()>,
+    shutdown_since: Option<Instant>,
+    draining: bool,
+}
+
+impl<F: Fn() -> bool> Acceptor<F> {
+    fn new(
+        router: Router,
+        permits: ConnectionLimiter,
+        counters: Counters,
+        schedule: ShutdownSchedule,
+        is_drained: F,
+    ) -> Acceptor<F> {
+        let (mode, receiver) = watch::channel(ConnectionMode::Serve);
+        let connections = Rc::new(ClientConnections::default());
+        let idle = duration(schedule.idle);
+        Acceptor {
+            server: ConnectionServer { router, counters, connections, mode: receiver, idle },
+            permits,
+            mode,
+            schedule,
+            is_drained,
+            listener: None,
+            closing_queue: None,
+            rejecting: Rc::new(()),
+            shutdown_since: None,
+            draining: false,
+        }
+    }
+
+    fn handle_accept(&mut self, permit: Option<ConnectionPermit>, accepted: io::Result<Accepted>) {
+        match accepted {
+            Ok(accepted) => self.server.serve_accepted(permit, accepted),
+            Err(error) => {
+                tracing::error!("no longer listening, as the listener broke: {error}");
+                self.listener = None;
+            }
+        }
+    }
+
+    fn handle_command(&mut self, permit: Option<ConnectionPermit>, command: AcceptorCommand) -> Flow {
+        match command {
+            AcceptorCommand::Accept(listener) => {
+                let counters = self.server.counters.clone();
+                self.listener = (!self.draining).then(|| AcceptQueue::new(listener, counters));
+                self.mode.send_if_modified(|mode| {
+                    let is_transfer = matches!(mode, ConnectionMode::Transfer(_));
+                    if is_transfer {
+                        *mode = ConnectionMode::Serve;
+                    }
+                    is_transfer
+                });
+            }
+            AcceptorCommand::Adopt(connection) => {
+                drop(permit);
+                self.server.serve_adopted(self.permits.acquire_adopted(), connection);
+            }
+            AcceptorCommand::Transfer(successor) => {
+                self.listener = None;
+                self.mode.send_modify(|mode| *mode = ConnectionMode::Transfer(successor));
+            }
+            AcceptorCommand::StopTransfer => {
+                self.mode.send_replace(ConnectionMode::Serve);
+            }
+            AcceptorCommand::Exit => return Flow::Exit,
+        }
+        Flow::Continue
+    }
+
+    /// Whether so much time has passed since shutdown was requested.
+    fn has_passed(&self, span: TimeSpan) -> bool {
+        self.shutdown_since.is_some_and(|since| since.elapsed() >= duration(span))
+    }
+
+    /// Closes connections that are overdue or in the way of others; while draining, all that may be closed.
+    fn check(&mut self) -> Flow {
+        let connections = self.server.connections.clone();
+        let spare = self.permits.limit().div_ceil(SPARE_ONE_IN);
+        let short = if self.draining { usize::MAX } else { spare.saturating_sub(self.permits.available()) };
+        connections.close_overdue(Instant::now(), short);
+        if !self.has_passed(self.schedule.stay) {
+            return Flow::Continue;
+        }
+        if !self.draining {
+            self.draining = true;
+            self.closing_queue = self.listener.take().and_then(AcceptQueue::close);
+            // Idle connections are closed now, busy ones with their answer.
+            self.mode.send_replace(ConnectionMode::Drain);
+        }
+        let (is_over, queue_is_over) =
+            (self.has_passed(self.schedule.last_answer), self.has_passed(self.schedule.queue_until));
+        if let Some(queue) = self.closing_queue.take() {
+            let rest = self.server.drain_queue(queue, &self.permits, &self.rejecting);
+            self.closing_queue = rest.filter(|_| !queue_is_over);
+            if self.closing_queue.is_none() {
+                tracing::info!("no longer listening");
+            }
+        }
+        // Half a request gets its answer, too, before the kill finds it.
+        if is_over {
+            connections.close_inactive();
+        }
+        let is_rejecting = Rc::strong_count(&self.rejecting) > 1;
+        if connections.is_empty() && !is_rejecting && self.closing_queue.is_none() && (self.is_drained)() {
+            return Flow::Exit;
+        }
+        Flow::Continue
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/pipitcrank-server/src/clients/acceptor/tests.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor/tests.rs
@@ -8,6 +8,7 @@
 use tokio::sync::mpsc::unbounded_channel;
 
 use super::*;
+use crate::clients::connection_server::MAX_REJECTING;
 
 /// More than the sockets of both sides hold.
 const LONG_ANSWER: usize = 32 << 20;
@@ -51,7 +52,7 @@
         call.send_replace(Some(Timestamp::default()));
         for _ in 0..3 {
             assert!(!asked(&mut stream).await.contains("connection: close"), "nobody else may be there");
-            tokio::time::sleep(2 * LOOK).await;
+            tokio::time::sleep(2 * CHECK_INTERVAL).await;
         }
         assert!(!ended.get());
     });
@@ -61,10 +62,10 @@
 fn an_answer_half_written_at_the_last_moment_is_not_cut_while_its_client_reads() {
     play(TimeSpan::ZERO, async |mut stream, call, ended| {
         stream.write_all(b"GET /long HTTP/1.1\r\nHost: x\r\n\r\n").await.unwrap();
-        tokio::time::sleep(2 * LOOK).await;
+        tokio::time::sleep(2 * CHECK_INTERVAL).await;
         call.send_replace(Some(Timestamp::default()));
         // Well past the last answer.
-        tokio::time::sleep(10 * LOOK).await;
+        tokio::time::sleep(10 * CHECK_INTERVAL).await;
         assert!(!ended.get());
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.unwrap();
@@ -79,7 +80,7 @@
         assert_eq!(stream.read(&mut [0; 9]).await.unwrap(), 0, "closed in order");
         drop(stream);
         while !ended.get() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     });
 }
@@ -112,17 +113,17 @@
             tokio::time::sleep(A_QUERY).await;
             "served"
         };
-        let rounds = ConnectionServer {
+        let server = ConnectionServer {
             router: Router::new().route("/", get(served)),
             counters: Counters::default(),
             connections: connections.clone(),
-            mood: watch::channel(ConnectionMode::Stay).1,
+            mode: watch::channel(ConnectionMode::Serve).1,
             idle: Duration::from_secs(9),
         };
-        rounds.accepted(None, Accepted { stream: accepted, waited: Duration::ZERO });
+        server.serve_accepted(None, Accepted { stream: accepted, wait: Duration::ZERO });
         asked(&mut stream).await;
         // It rests by now.
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         assert!(heard.try_read(&mut [0; 1]).is_err(), "so that it waits for the bell");
         // The runtime looks at neither before both are there.
         bell.try_write(b"!").unwrap();
@@ -131,8 +132,8 @@
         there_is_something(&beside_accepted);
         drop(beside_accepted);
         heard.readable().await.unwrap();
-        connections.end();
-        tokio::time::sleep(LOOK).await;
+        connections.close_inactive();
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let _ = stream.write_all(rest).await;
         let mut answer = Vec::new();
         while !answer.ends_with(b"served") && stream.read_buf(&mut answer).await.is_ok_and(|n| n > 0) {}
@@ -183,10 +184,10 @@
         };
         let mut placed = [ask().await, ask().await];
         while sockets.available() > 0 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
         let mut waiting = Vec::new();
-        for _ in 0..3 * NO_PLACE_AT_ONCE {
+        for _ in 0..3 * MAX_REJECTING {
             waiting.push(ask().await);
         }
         call.send_replace(Some(Timestamp::default()));
--- a/crates/pipitcrank-server/src/clients/client_connections.rs
+++ b/crates/pipitcrank-server/src/clients/client_connections.rs
@@ -1,5 +1,5 @@
-//! Clients' connections: what each is at, how long it may be at that, and which give way to others when places
-//! run short. A connection with an open request never does.
+//! Client connections: what phase each is in, how long it may last, and which are closed when permits run short. A connection
+//! with a query being answered never is.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,286 +9,288 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::clients::http::BodyCompletion;
+use super::arrival::BodyCompletion;
 
-/// A request has to be whole this long after it began, the first on a connection after connecting: who does not
-/// get so far is owed an error or a close within 3 s, and half a second of that may pass waiting for the processor.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2500);
-/// Idle for longer than this a connection is closed in any case: most clients are back sooner.
-const LONGEST_IDLE: Duration = Duration::from_secs(60);
-/// Clients reckon with a close of a connection that has been idle for so long.
-const IDLE_GIVES_WAY: Duration = Duration::from_secs(2);
-/// A client that connects has a request to send: many times the way from it is time enough for the first byte.
-const SILENT_GIVES_WAY: Duration = Duration::from_millis(100);
-/// However long a connection waited to be accepted, what lies on it is read first.
-const READ_WITHIN: Duration = Duration::from_millis(250);
+/// A request has to be whole this long after it began, the first on a connection after connecting: a client that does not
+/// get so far is owed an error or a close within 3 s, of which half a second may pass waiting for the processor.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A connection idle for longer is closed in any case.
+const MAX_IDLE: Duration = Duration::from_secs(60);
+/// Clients expect that a connection idle for so long may be closed.
+const IDLE_YIELDS: Duration = Duration::from_secs(2);
+/// Time for the first byte of a client that connected, which has a request to send: many times the way from it.
+const NEW_YIELDS: Duration = Duration::from_millis(100);
+/// However long a connection waited to be accepted, what lies on it is read first, within this.
+const MIN_READ_TIME: Duration = Duration::from_millis(250);
 /// What lay on a connection as it was accepted is read within this.
-const LAY_UNREAD: Duration = Duration::from_millis(20);
-/// A request comes in one go, so what stops half way for so long is broken off or a bad client's.
-const BEGUN_GIVES_WAY: Duration = Duration::from_millis(1000);
-/// Time for a last answer to be read when others wait for the place.
-const PARTING_GIVES_WAY: Duration = Duration::from_millis(250);
+const BACKLOG_READ: Duration = Duration::from_millis(20);
+/// A request comes in one go: one that stops half way for so long is broken off.
+const READING_YIELDS: Duration = Duration::from_millis(1000);
+/// Time for a last answer to be read when others wait for the permit.
+const LINGERING_YIELDS: Duration = Duration::from_millis(250);
 
 /// What a connection is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
     /// Nothing has come on it yet.
-    Silent,
+    New,
     /// Some of a request's head has come.
-    Begun,
-    /// A request is read or answered.
-    Open,
+    Reading,
+    /// A request's body is read, or the request is answered.
+    Answering,
     /// The last request was answered.
     Idle,
     /// Its last answer is given, and the client is left time to read it.
-    Parting,
+    Lingering,
 }
 
+/// One client's connection.
 pub struct ClientConnection {
-    came: Instant,
-    doing: Cell<(ConnectionPhase, Instant)>,
-    /// Until when a request begun has to be whole.
-    whole_by: Cell<Instant>,
-    leaving: Cell<bool>,
-    leave: Notify,
-    /// What it was at, and since when, as it was called to leave.
-    called_from: Cell<(ConnectionPhase, Instant)>,
+    accepted: Instant,
+    phase: Cell<(ConnectionPhase, Instant)>,
+    /// When a request that has begun has to be whole.
+    request_deadline: Cell<Instant>,
+    closing: Cell<bool>,
+    close: Notify,
+    /// Its phase when it was asked to close.
+    phase_at_close: Cell<(ConnectionPhase, Instant)>,
     /// The last answer has been handed to the system whole.
     flushed: Cell<bool>,
     /// Its last answer says that the connection ends with it.
-    last: Cell<bool>,
-    moved_on: Notify,
+    last_answer: Cell<bool>,
+    phase_changed: Notify,
     /// Of a request whose body comes in chunks: whether that is whole.
-    body: RefCell<Option<Arc<BodyCompletion>>>,
-    body_begun: Notify,
-    /// How long what is read first may have waited for the connection to be accepted.
-    waited: Cell<Duration>,
+    chunked_body: RefCell<Option<Arc<BodyCompletion>>>,
+    chunked_body_begun: Notify,
+    /// For how long what is read first may have waited for the connection to be accepted.
+    accept_wait: Cell<Duration>,
 }
 
 impl ClientConnection {
     fn new(now: Instant) -> ClientConnection {
-        let (doing, whole_by) = (Cell::new((ConnectionPhase::Silent, now)), Cell::new(now + WHOLE_WITHIN));
-        let called_from = doing.clone();
-        let (leaving, flushed) = (Cell::default(), Cell::new(true));
-        let (leave, last, moved_on) = (Notify::new(), Cell::default(), Notify::new());
-        let (body, body_begun) = (RefCell::default(), Notify::new());
+        let phase = Cell::new((ConnectionPhase::New, now));
         ClientConnection {
-            came: now,
-            doing,
-            whole_by,
-            leaving,
-            leave,
-            called_from,
-            flushed,
-            last,
-            moved_on,
-            body,
-            body_begun,
-            waited: Cell::default(),
+            accepted: now,
+            phase_at_close: phase.clone(),
+            phase,
+            request_deadline: Cell::new(now + REQUEST_TIMEOUT),
+            closing: Cell::default(),
+            close: Notify::new(),
+            flushed: Cell::new(true),
+            last_answer: Cell::default(),
+            phase_changed: Notify::new(),
+            chunked_body: RefCell::default(),
+            chunked_body_begun: Notify::new(),
+            accept_wait: Cell::default(),
         }
     }
 
-    /// Goes on from where another process had it: between two requests, or with some of one read, which has to be
-    /// whole within that.
-    pub fn goes_on(&self, now: Instant, whole_within: Option<Duration>) {
-        let doing = if whole_within.is_some() { ConnectionPhase::Begun } else { ConnectionPhase::Idle };
-        self.doing.set((doing, now));
-        self.whole_by.set(now + whole_within.unwrap_or(WHOLE_WITHIN).min(WHOLE_WITHIN));
+    /// Continues where another process had it: between two requests, or with some of one read, which has to be whole within
+    /// `request_timeout`.
+    pub fn resume(&self, now: Instant, request_timeout: Option<Duration>) {
+        let phase = if request_timeout.is_some() { ConnectionPhase::Reading } else { ConnectionPhase::Idle };
+        self.phase.set((phase, now));
+        let timeout = request_timeout.unwrap_or(REQUEST_TIMEOUT).min(REQUEST_TIMEOUT);
+        self.request_deadline.set(now + timeout);
     }
 
     /// It may have waited so long to be accepted, with its first request.
-    pub fn waited(&self, waited: Duration) {
-        self.waited.set(waited);
-        let left = WHOLE_WITHIN.saturating_sub(waited).max(READ_WITHIN);
-        self.whole_by.set(self.came + left);
+    pub fn set_accept_wait(&self, wait: Duration) {
+        self.accept_wait.set(wait);
+        let left = REQUEST_TIMEOUT.saturating_sub(wait).max(MIN_READ_TIME);
+        self.request_deadline.set(self.accepted + left);
     }
 
-    /// How long the request at hand may have waited to be accepted.
-    pub fn take_waited(&self) -> Duration {
-        self.waited.take()
+    /// For how long the present request may have waited for the connection to be accepted.
+    pub fn take_accept_wait(&self) -> Duration {
+        self.accept_wait.take()
     }
 
-    /// A request's body comes in chunks; whoever reads it says when it is whole.
-    pub fn body_comes(&self) -> Arc<BodyCompletion> {
+    /// A request's body comes in chunks; whoever reads it signals when it is whole.
+    pub fn expect_chunked_body(&self) -> Arc<BodyCompletion> {
         let body = Arc::<BodyCompletion>::default();
-        *self.body.borrow_mut() = Some(body.clone());
-        self.body_begun.notify_one();
+        *self.chunked_body.borrow_mut() = Some(body.clone());
+        self.chunked_body_begun.notify_one();
         body
     }
 
     /// Ends when the body of a request that came in chunks is whole.
-    pub async fn body_is_whole(&self) {
+    pub async fn chunked_body_complete(&self) {
         loop {
-            let body = self.body.borrow().clone();
+            let body = self.chunked_body.borrow().clone();
             match body {
                 Some(body) => return body.wait().await,
-                None => self.body_begun.notified().await,
+                None => self.chunked_body_begun.notified().await,
             }
         }
     }
 
-    /// The answer at hand ends the connection.
-    pub fn ends(&self) {
-        self.last.set(true);
+    /// The present answer ends the connection.
+    pub fn set_last_answer(&self) {
+        self.last_answer.set(true);
     }
 
-    /// Until when a request begun has to be whole, from now on.
-    pub fn whole_within(&self, now: Instant) -> Option<Duration> {
-        matches!(self.doing(), ConnectionPhase::Silent | ConnectionPhase::Begun)
-            .then(|| self.whole_by() - now)
+    /// Time left for a request that has begun, or for the first one; none otherwise.
+    pub fn request_time_left(&self, now: Instant) -> Option<Duration> {
+        let is_waited_for = matches!(self.phase(), ConnectionPhase::New | ConnectionPhase::Reading);
+        is_waited_for.then(|| self.request_deadline() - now)
     }
 
-    /// All of the answer is with the system.
-    pub fn flushed(&self) {
-        if self.doing() == ConnectionPhase::Idle && !self.flushed.replace(true) {
-            self.moved_on.notify_one();
+    /// All that was to be written is with the system.
+    pub fn set_flushed(&self) {
+        if self.phase() == ConnectionPhase::Idle && !self.flushed.replace(true) {
+            self.phase_changed.notify_one();
         }
     }
 
+    /// Whether the last answer has been handed to the system whole.
     pub fn is_flushed(&self) -> bool {
         self.flushed.get()
     }
 
-    /// Ends when no request is open on it and its last answer has gone: a moment in which it can pass or end without
-    /// any loss. `begun`: half a request read may be at hand. `idle`: of a process that ends, a connection leaves when
-    /// nothing came on it for so long.
-    pub async fn rests(&self, begun: bool, idle: Duration) {
+    /// Ends when it can be transferred or closed without any loss: no request is open on it and its last answer is written.
+    /// `with_partial_request`: half a request may be there. `idle`: of a process that shuts down, a connection on which nothing
+    /// came for so long is closed.
+    pub async fn rest(&self, with_partial_request: bool, idle: Duration) {
         loop {
-            match self.doing() {
-                _ if self.last.get() => self.moved_on.notified().await,
-                ConnectionPhase::Idle if self.flushed.get() && begun => return,
-                // Guards against a request that is on its way when the connection closes: one in use is ended with its
-                // next answer.
-                ConnectionPhase::Idle if self.flushed.get() => {
-                    let (_, since) = self.doing.get();
-                    tokio::select! {
-                        () = self.moved_on.notified() => {}
-                        () = tokio::time::sleep_until(since + idle) => return,
-                    }
-                }
-                ConnectionPhase::Silent | ConnectionPhase::Begun if begun => return,
-                // Guards against a request lost on its way: who has just connected has one to send.
-                ConnectionPhase::Silent => {
-                    let (_, since) = self.doing.get();
-                    tokio::select! {
-                        () = self.moved_on.notified() => {}
-                        () = tokio::time::sleep_until(since + SILENT_GIVES_WAY) => return,
-                    }
-                }
-                _ => self.moved_on.notified().await,
+            let (phase, since) = self.phase.get();
+            let rests_at = match phase {
+                _ if self.last_answer.get() => None,
+                ConnectionPhase::Idle if self.flushed.get() && with_partial_request => return,
+                // A request may be on its way when the connection closes: one in use is closed with its next answer.
+                ConnectionPhase::Idle if self.flushed.get() => Some(since + idle),
+                ConnectionPhase::New | ConnectionPhase::Reading if with_partial_request => return,
+                // A client that has just connected has a request to send.
+                ConnectionPhase::New => Some(since + NEW_YIELDS),
+                _ => None,
+            };
+            match rests_at {
+                Some(at) => tokio::select! {
+                    () = self.phase_changed.notified() => {}
+                    () = tokio::time::sleep_until(at) => return,
+                },
+                None => self.phase_changed.notified().await,
             }
         }
     }
 
-    pub fn doing(&self) -> ConnectionPhase {
-        self.doing.get().0
+    /// What it is at.
+    pub fn phase(&self) -> ConnectionPhase {
+        self.phase.get().0
     }
 
     /// From now on it is at something else.
-    pub fn turns_to(&self, doing: ConnectionPhase, now: Instant) {
-        if self.doing() == ConnectionPhase::Silent && now - self.came > LAY_UNREAD {
-            self.waited.set(Duration::ZERO);
+    pub fn set_phase(&self, phase: ConnectionPhase, now: Instant) {
+        if self.phase() == ConnectionPhase::New && now - self.accepted > BACKLOG_READ {
+            self.accept_wait.set(Duration::ZERO);
         }
-        if self.doing() == ConnectionPhase::Idle {
-            self.whole_by.set(now + WHOLE_WITHIN);
+        if self.phase() == ConnectionPhase::Idle {
+            self.request_deadline.set(now + REQUEST_TIMEOUT);
         }
-        if self.doing() == ConnectionPhase::Open {
+        if self.phase() == ConnectionPhase::Answering {
             self.flushed.set(false);
         }
-        self.doing.set((doing, now));
-        self.moved_on.notify_one();
+        self.phase.set((phase, now));
+        self.phase_changed.notify_one();
     }
 
-    pub fn whole_by(&self) -> Instant {
-        self.whole_by.get()
+    /// When a request that has begun has to be whole.
+    pub fn request_deadline(&self) -> Instant {
+        self.request_deadline.get()
     }
 
-    /// Ends when the connection has to be closed. Guards against a request that lay unread as an idle connection was called
-    /// to leave: once read it was taken, and then closed upon without an answer. Who is at something else by now stays.
-    pub async fn called_to_leave(&self) {
+    /// Ends when the connection has to be closed. A request may lie unread as an idle connection is asked to close; once it is
+    /// read the connection is at something else, and stays.
+    pub async fn close_requested(&self) {
         loop {
-            self.leave.notified().await;
-            if self.doing.get() == self.called_from.get() {
+            self.close.notified().await;
+            if self.phase.get() == self.phase_at_close.get() {
                 return;
             }
-            self.leaving.set(false);
+            self.closing.set(false);
         }
     }
 
-    fn overdue(&self, now: Instant) -> bool {
-        match self.doing.get() {
-            (ConnectionPhase::Silent | ConnectionPhase::Begun, _) => now >= self.whole_by(),
-            (ConnectionPhase::Idle, since) => now >= since + LONGEST_IDLE,
-            // The front and whoever sees it off have limits of their own.
-            (ConnectionPhase::Open | ConnectionPhase::Parting, _) => false,
+    fn is_overdue(&self, now: Instant) -> bool {
+        match self.phase.get() {
+            (ConnectionPhase::New | ConnectionPhase::Reading, _) => now >= self.request_deadline(),
+            (ConnectionPhase::Idle, since) => now >= since + MAX_IDLE,
+            // The HTTP service and lingering have time limits of their own.
+            (ConnectionPhase::Answering | ConnectionPhase::Lingering, _) => false,
         }
     }
 
-    /// Since when it could give way.
-    fn gives_way(&self) -> Option<Instant> {
-        let (doing, since) = self.doing.get();
-        let wait = match doing {
-            ConnectionPhase::Silent => SILENT_GIVES_WAY,
-            ConnectionPhase::Begun => BEGUN_GIVES_WAY,
-            // Guards against an answer cut by us that a slow client still reads.
+    /// From when it may be closed in favour of another; none while it may not.
+    fn yields_at(&self) -> Option<Instant> {
+        let (phase, since) = self.phase.get();
+        let wait = match phase {
+            ConnectionPhase::New => NEW_YIELDS,
+            ConnectionPhase::Reading => READING_YIELDS,
+            // A slow client still reads its answer.
             ConnectionPhase::Idle if !self.flushed.get() => return None,
-            ConnectionPhase::Idle => IDLE_GIVES_WAY,
-            ConnectionPhase::Parting => PARTING_GIVES_WAY,
-            ConnectionPhase::Open => return None,
+            ConnectionPhase::Idle => IDLE_YIELDS,
+            ConnectionPhase::Lingering => LINGERING_YIELDS,
+            ConnectionPhase::Answering => return None,
         };
         Some(since + wait)
     }
 
-    fn call_to_leave(&self) {
-        self.leaving.set(true);
-        self.called_from.set(self.doing.get());
-        self.leave.notify_one();
+    fn request_close(&self) {
+        self.closing.set(true);
+        self.phase_at_close.set(self.phase.get());
+        self.close.notify_one();
     }
 }
 
-/// All of them; each leaves the list as its connection ends.
+/// All client connections; each is removed as it ends.
 #[derive(Default)]
 pub struct ClientConnections(RefCell<Vec<Rc<ClientConnection>>>);
 
 impl ClientConnections {
-    pub fn enter(&self, now: Instant) -> Rc<ClientConnection> {
+    /// Adds a connection that was accepted now.
+    pub fn add(&self, now: Instant) -> Rc<ClientConnection> {
         let connection = Rc::new(ClientConnection::new(now));
         self.0.borrow_mut().push(connection.clone());
         connection
     }
 
-    pub fn none(&self) -> bool {
+    /// Whether there is none.
+    pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
 
-    pub fn leave(&self, connection: &Rc<ClientConnection>) {
-        self.0.borrow_mut().retain(|v| !Rc::ptr_eq(v, connection));
+    /// Removes a connection that has ended.
+    pub fn remove(&self, connection: &Rc<ClientConnection>) {
+        self.0.borrow_mut().retain(|other| !Rc::ptr_eq(other, connection));
     }
 
-    /// Closes all that have no request open. Guards against an answer cut by us that a slow client still reads: that is
-    /// left to the kill.
-    pub fn end(&self) {
-        let connections = self.0.borrow();
-        let reads = |v: &ClientConnection| {
-            v.doing() == ConnectionPhase::Open || v.doing() == ConnectionPhase::Idle && !v.is_flushed()
+    /// Closes all but those that are answered or whose answer a slow client still reads: that is left to the kill.
+    pub fn close_inactive(&self) {
+        let is_active = |connection: &ClientConnection| match connection.phase() {
+            ConnectionPhase::Answering => true,
+            ConnectionPhase::Idle => !connection.is_flushed(),
+            _ => false,
         };
-        connections.iter().filter(|v| !v.leaving.get() && !reads(v)).for_each(|v| v.call_to_leave());
+        let connections = self.0.borrow();
+        let inactive = connections.iter().filter(|other| !other.closing.get() && !is_active(other));
+        inactive.for_each(|connection| connection.request_close());
     }
 
-    /// Closes what has been at something for too long; then those that may give way, the longest ready first,
-    /// until `short` places more are on their way to be free. Guards against clients kept out by connections that
-    /// asked once and stay, or that never say anything.
-    pub fn look(&self, now: Instant, short: usize) {
+    /// Closes connections that have been in a phase for too long; then those that may be closed in favour of others, the
+    /// longest ready first, until `short` permits more are on their way to be released.
+    pub fn close_overdue(&self, now: Instant, short: usize) {
         let connections = self.0.borrow();
-        connections.iter().filter(|v| !v.leaving.get() && v.overdue(now)).for_each(|v| v.call_to_leave());
-        let on_their_way = connections.iter().filter(|v| v.leaving.get()).count();
+        let overdue = connections.iter().filter(|other| !other.closing.get() && other.is_overdue(now));
+        overdue.for_each(|connection| connection.request_close());
+        let closing = connections.iter().filter(|other| other.closing.get()).count();
         let mut ready: Vec<(Instant, Instant, &Rc<ClientConnection>)> = connections
             .iter()
-            .filter(|v| !v.leaving.get())
-            .filter_map(|v| Some((v.gives_way().filter(|&at| at <= now)?, v.came, v)))
+            .filter(|other| !other.closing.get())
+            .filter_map(|other| Some((other.yields_at().filter(|&at| at <= now)?, other.accepted, other)))
             .collect();
-        ready.sort_by_key(|&(at, came, _)| (at, came));
-        ready.iter().take(short.saturating_sub(on_their_way)).for_each(|(.., v)| v.call_to_leave());
+        ready.sort_by_key(|&(at, accepted, _)| (at, accepted));
+        let chosen = ready.iter().take(short.saturating_sub(closing));
+        chosen.for_each(|(.., connection)| connection.request_close());
     }
 }
 
--- a/crates/pipitcrank-server/src/clients/connection.rs
+++ b/crates/pipitcrank-server/src/clients/connection.rs
@@ -1,5 +1,5 @@
 //! One client's connection, from its acceptance to its end: HTTP as the library serves it, closes that the library does not
-//! see, and a last word before a close of ours.
+//! see, and a last answer before a close by this side.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,6 +10,7 @@
 use axum::body::Body;
 use axum::http::header::CONNECTION;
 use axum::http::{HeaderValue, Request};
+use axum::response::Response;
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -21,209 +22,166 @@
 use tokio::time::Instant;
 use tower_service::Service;
 
-use crate::clients::client_connections::{ClientConnection, ConnectionPhase};
-use crate::clients::http::Arrival;
-use crate::clients::request_reader::{BEHIND_PAUSE, BEHIND_PIECE, Framing, HeadTracker, RequestReader};
+use super::arrival::Arrival;
+use super::client_connections::{ClientConnection, ConnectionPhase};
+use super::linger::{REQUEST_TIMEOUT, linger, send_last};
+use super::request_reader::{DISCARD_PAUSE, DISCARD_PIECE, Framing, HeadTracker, RequestReader};
 use crate::replicas::connection_end::ConnectionEnd;
 use crate::runtime::stream::{Expects, Stream};
 
-/// Longest request head taken: with all places for clients in use, heads and bodies stay under a quarter of the
-/// memory told.
-const LONGEST_HEAD: usize = 16 * 1024;
-/// What a client sends on while it has our last answer is thrown away, so that no reset takes the answer from it:
-/// for so long at most, so much, and only while it goes on; in pieces with a pause, as it must not cost the others
-/// the processor. That is enough for the largest bodies that clients are known to send.
-const SEE_OFF: Duration = Duration::from_secs(5);
-const SEE_OFF_BYTES: usize = 64 << 20;
-const SEE_OFF_SILENT: Duration = Duration::from_millis(500);
-const SEE_OFF_PIECE: usize = 64 * 1024;
-const SEE_OFF_PAUSE: Duration = Duration::from_millis(2);
+/// Longest request head taken, in bytes: with all permits in use, heads and bodies stay under a quarter of the memory limit.
+const MAX_HEAD: usize = 16 * 1024;
+/// Bytes behind a chunked body that are read in one go.
+const PIECE: usize = 64 * 1024;
 
-/// What a client gets whose request did not come whole.
-const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
-/// So long is a client left to read a last word of ours: others may wait for its place.
-const LAST_WORD_READ: Duration = Duration::from_millis(250);
-
-/// What a client gets who waited in the accept queue at the end, when there was no place, and how long its request is waited
-/// for before.
-const NO_PLACE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
-const NO_PLACE_WAIT: Duration = Duration::from_millis(50);
-
-/// A connection on its way between processes: what had been read of a request, which has to be whole within that.
+/// A connection on its way between processes.
 pub struct AdoptedConnection {
+    /// The connection.
     pub stream: TcpStream,
+    /// What was read of a request.
     pub read: Bytes,
+    /// Time left for that request to be whole.
     pub request_timeout: Option<Duration>,
 }
 
 /// What connections do as soon as they rest.
 #[derive(Clone)]
 pub enum ConnectionMode {
-    Stay,
-    Leave,
+    /// They stay open.
+    Serve,
+    /// They are closed.
+    Drain,
+    /// They are handed over to another process.
     Transfer(UnboundedSender<AdoptedConnection>),
 }
 
-/// A client for whom there is no place is told so at once, and not left to a reset.
-pub async fn turn_away(stream: TcpStream) {
-    let (stream, mut piece) = (Stream::new(stream), Vec::with_capacity(LONGEST_HEAD));
-    // Guards against a reset that takes the answer with it: what it has asked is read.
-    let _ = tokio::time::timeout(NO_PLACE_WAIT, stream.read_some(&mut piece, Expects::More)).await;
-    last_word(&stream, NO_PLACE).await;
-}
-
-/// Says that, and lets the client read it for a while: others may wait for its place.
-async fn last_word(stream: &Stream, word: &[u8]) {
-    let said = async {
-        if stream.write_all(word).await.is_ok() {
-            see_off(stream).await;
-        }
-    };
-    let _ = tokio::time::timeout(LAST_WORD_READ, said).await;
-}
-
-/// Serves one connection until its end; says how it ended.
+/// Serves one connection until its end; returns how it ended. `idle`: while draining, it is closed when nothing came on it
+/// for so long.
 pub async fn serve(
-    come: AdoptedConnection,
+    adopted: AdoptedConnection,
     router: Router,
     connection: &Rc<ClientConnection>,
-    mut mood: watch::Receiver<ConnectionMode>,
+    mut modes: watch::Receiver<ConnectionMode>,
     idle: Duration,
 ) -> ConnectionEnd {
-    let AdoptedConnection { stream, read, .. } = come;
-    let stream = Rc::new(Stream::new(stream));
-    let heads = Rc::new(RefCell::new(HeadTracker::new(LONGEST_HEAD)));
-    let reader = RequestReader {
-        stream: stream.clone(),
-        connection: connection.clone(),
-        heads: heads.clone(),
-        ended: false,
-        before: read,
-        behind: 0,
-        pause: None,
-    };
-    let moods = mood.clone();
+    let stream = Rc::new(Stream::new(adopted.stream));
+    let heads = Rc::new(RefCell::new(HeadTracker::new(MAX_HEAD)));
+    let reader = RequestReader::new(stream.clone(), connection.clone(), heads.clone(), adopted.read);
+    let answer_modes = modes.clone();
     let service = service_fn(|request| {
-        Box::pin(answer(router.clone(), connection.clone(), heads.clone(), moods.clone(), request))
+        let (router, connection) = (router.clone(), connection.clone());
+        Box::pin(answer(router, connection, heads.clone(), answer_modes.clone(), request))
     });
     let mut serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        // Client connections have limits of their own, from connecting on.
+        // Client connections have time limits of their own, from connecting on.
         .header_read_timeout(None)
-        .max_buf_size(LONGEST_HEAD)
+        .max_buf_size(MAX_HEAD)
         .serve_connection(TokioIo::new(reader), service);
-    let mut now = mood.borrow_and_update().clone();
+    let mut mode = modes.borrow_and_update().clone();
     let end = loop {
+        let is_transfer = matches!(mode, ConnectionMode::Transfer(_));
         tokio::select! {
-            // Guards against a connection closed for its silence with a request of the client's unread.
+            // In this order: a request of the client's may lie unread when the connection is to be closed for its silence.
             biased;
-            served = std::future::poll_fn(|cx| serving.poll_without_shutdown(cx)) => break match served {
-                Ok(()) if matches!(now, ConnectionMode::Leave) => ConnectionEnd::NotNeeded,
-                Ok(()) => ConnectionEnd::Closed,
-                Err(e) if e.is_parse() => ConnectionEnd::ProtocolError,
-                Err(_) => ConnectionEnd::Reset,
-            },
-            () = connection.called_to_leave() => match connection.doing() {
-                ConnectionPhase::Idle => return ConnectionEnd::Idle,
-                ConnectionPhase::Begun if connection.is_flushed() => {
-                    last_word(&stream, TOO_SLOW).await;
-                    return ConnectionEnd::Silent;
-                }
-                _ => return ConnectionEnd::Silent,
-            },
-            // Guards against a close that is not seen behind bytes which the library does not read on from.
-            () = closes_behind_body(&stream, connection) => return ConnectionEnd::Closed,
-            Ok(()) = mood.changed() => now = mood.borrow_and_update().clone(),
-            () = connection.rests(matches!(now, ConnectionMode::Transfer(_)), idle), if !matches!(now, ConnectionMode::Stay) => {
-                let ConnectionMode::Transfer(to) = now else { break ConnectionEnd::NotNeeded };
-                let whole_within = connection.whole_within(Instant::now());
+            served = std::future::poll_fn(|cx| serving.poll_without_shutdown(cx)) => break end_of(served, &mode),
+            () = connection.close_requested() => return close(&stream, connection).await,
+            // The library does not read on behind bytes that it can't use yet, and would miss a close there.
+            () = closed_behind_body(&stream, connection) => return ConnectionEnd::Closed,
+            Ok(()) = modes.changed() => mode = modes.borrow_and_update().clone(),
+            () = connection.rest(is_transfer, idle), if !matches!(mode, ConnectionMode::Serve) => {
+                let ConnectionMode::Transfer(successor) = mode else { break ConnectionEnd::NotNeeded };
+                let request_timeout = connection.request_time_left(Instant::now());
                 let parts = serving.into_parts();
-                let RequestReader { stream: ours, before, .. } = parts.io.into_inner();
-                drop(ours);
-                // What the library has read and not used, and what had come before and was not read by it.
-                let read = [&parts.read_buf[..], &before[..]].concat().into();
+                // What the library has read and not used, and what came before and was not read by it.
+                let read = [&parts.read_buf[..], &parts.io.into_inner().into_unread()[..]].concat().into();
                 let Some(stream) = Rc::into_inner(stream) else { return ConnectionEnd::Reset };
-                let _ = to.send(AdoptedConnection { stream: stream.into_tcp(), read, request_timeout: whole_within });
+                let _ = successor.send(AdoptedConnection { stream: stream.into_tcp(), read, request_timeout });
                 return ConnectionEnd::HandedOver;
             }
         }
     };
     let reader = serving.into_parts().io.into_inner();
-    if !reader.ended && end != ConnectionEnd::Reset {
-        connection.turns_to(ConnectionPhase::Parting, Instant::now());
+    if !reader.is_closed() && end != ConnectionEnd::Reset {
+        connection.set_phase(ConnectionPhase::Lingering, Instant::now());
         tokio::select! {
-            () = see_off(&stream) => {}
-            () = connection.called_to_leave() => {}
+            () = linger(&stream) => {}
+            () = connection.close_requested() => {}
         }
     }
     end
 }
 
-/// Ends when the client closes behind a request whose body came whole in chunks. Where a chunked body ends only the library
-/// knows, and it reads no further where it has bytes behind it that it can't use yet; so those are read off here.
-async fn closes_behind_body(stream: &Stream, connection: &ClientConnection) {
-    connection.body_is_whole().await;
-    let (mut piece, mut read) = (Vec::with_capacity(SEE_OFF_PIECE), 0);
+/// How the library's end of serving ends the connection.
+fn end_of(served: hyper::Result<()>, mode: &ConnectionMode) -> ConnectionEnd {
+    match served {
+        Ok(()) if matches!(mode, ConnectionMode::Drain) => ConnectionEnd::NotNeeded,
+        Ok(()) => ConnectionEnd::Closed,
+        Err(error) if error.is_parse() => ConnectionEnd::ProtocolError,
+        Err(_) => ConnectionEnd::Reset,
+    }
+}
+
+/// Closes a connection that was asked to close.
+async fn close(stream: &Stream, connection: &ClientConnection) -> ConnectionEnd {
+    match connection.phase() {
+        ConnectionPhase::Idle => ConnectionEnd::Idle,
+        ConnectionPhase::Reading if connection.is_flushed() => {
+            send_last(stream, REQUEST_TIMEOUT).await;
+            ConnectionEnd::Silent
+        }
+        _ => ConnectionEnd::Silent,
+    }
+}
+
+/// Ends when the client closes behind a request whose body came whole in chunks. Only the library knows where a chunked body
+/// ends, and it reads no further where it has bytes behind it that it can't use yet; so those are read and discarded here.
+async fn closed_behind_body(stream: &Stream, connection: &ClientConnection) {
+    connection.chunked_body_complete().await;
+    let (mut piece, mut read) = (Vec::with_capacity(PIECE), 0);
     loop {
         piece.clear();
         match stream.read_some(&mut piece, Expects::More).await {
             Ok(n) if n > 0 => read += n,
             _ => return,
         }
-        if read > BEHIND_PIECE {
+        if read > DISCARD_PIECE {
             read = 0;
-            tokio::time::sleep(BEHIND_PAUSE).await;
+            tokio::time::sleep(DISCARD_PAUSE).await;
         }
     }
 }
 
-/// One request of a connection, from its head to its answer.
+/// Answers one request of a connection.
 async fn answer(
     router: Router,
     connection: Rc<ClientConnection>,
     heads: Rc<RefCell<HeadTracker>>,
-    mood: watch::Receiver<ConnectionMode>,
+    mode: watch::Receiver<ConnectionMode>,
     mut request: Request<Incoming>,
-) -> Result<axum::response::Response, std::convert::Infallible> {
-    connection.turns_to(ConnectionPhase::Open, Instant::now());
+) -> Result<Response, std::convert::Infallible> {
+    connection.set_phase(ConnectionPhase::Answering, Instant::now());
     // Seen by the reader alone: of a request framed both ways the library shows one only.
     let framing = heads.borrow().framing();
-    let whole = match framing {
-        Some(Framing::Chunked) => connection.body_comes(),
+    let body = match framing {
+        Some(Framing::Chunked) => connection.expect_chunked_body(),
         _ => Arc::default(),
     };
-    let mixed = framing == Some(Framing::Mixed);
-    let (whole_by, unread) = (connection.whole_by(), connection.take_waited());
-    request.extensions_mut().insert(Arrival { whole_by, mixed, whole, unread });
+    let ambiguous_framing = framing == Some(Framing::Ambiguous);
+    let (deadline, accept_wait) = (connection.request_deadline(), connection.take_accept_wait());
+    request.extensions_mut().insert(Arrival { deadline, ambiguous_framing, body, accept_wait });
     let answered = { router }.call(request.map(Body::new)).await;
     let mut heads = heads.borrow_mut();
-    let follows = heads.may_follow() && !matches!(*mood.borrow(), ConnectionMode::Leave);
+    let may_follow = heads.may_follow() && !matches!(*mode.borrow(), ConnectionMode::Drain);
     heads.next();
-    connection.turns_to(ConnectionPhase::Idle, Instant::now());
+    connection.set_phase(ConnectionPhase::Idle, Instant::now());
     answered.map(|mut response| {
-        if !follows {
+        if !may_follow {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        if response.headers().get(CONNECTION).is_some_and(|v| v == "close") {
-            connection.ends();
+        if response.headers().get(CONNECTION).is_some_and(|value| value == "close") {
+            connection.set_last_answer();
         }
         response
     })
 }
-
-/// Says that nothing more comes from us, and lets the client read that in peace.
-async fn see_off(stream: &Stream) {
-    if stream.shut_down().is_err() {
-        return;
-    }
-    let until = Instant::now() + SEE_OFF;
-    let (mut piece, mut left) = (Vec::with_capacity(SEE_OFF_PIECE), SEE_OFF_BYTES);
-    while left > 0 && Instant::now() < until {
-        piece.clear();
-        match tokio::time::timeout(SEE_OFF_SILENT, stream.read_some(&mut piece, Expects::More)).await {
-            Ok(Ok(n)) if n > 0 => left = left.saturating_sub(n),
-            _ => return,
-        }
-        tokio::time::sleep(SEE_OFF_PAUSE).await;
-    }
-}
--- a/crates/pipitcrank-server/src/clients/mod.rs
+++ b/crates/pipitcrank-server/src/clients/mod.rs
@@ -2,7 +2,12 @@
 
 pub mod accept_queue;
 pub mod acceptor;
+pub mod arrival;
 pub mod client_connections;
 pub mod connection;
+mod connection_server;
 pub mod http;
+mod linger;
+pub mod query_body;
+pub mod request_error;
 pub mod request_reader;
--- a/crates/pipitcrank-server/src/clients/request_reader.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader.rs
@@ -1,6 +1,7 @@
-//! The stream of one client's connection as HTTP is read from it: it notes when a request begins and how its head
-//! says the body is framed, which the HTTP library does not tell.
+//! The stream of one client's connection as HTTP is read from it: it notes when a request begins and how its head frames the
+//! body, which the HTTP library does not tell.
 
+use std::cell::RefCell;
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -11,86 +12,95 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::clients::client_connections::{ClientConnection, ConnectionPhase};
+use super::client_connections::{ClientConnection, ConnectionPhase};
 use crate::runtime::stream::{Expects, Stream};
 
+/// Bytes behind a request that are discarded in one go: a client that sends without end must not cost others the processor,
+/// and its close has to be found behind all of it soon.
+pub const DISCARD_PIECE: usize = 1 << 20;
+/// Pause after each such piece.
+pub const DISCARD_PAUSE: Duration = Duration::from_millis(1);
+
 /// How a request says where it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By a length, or it has no body.
+    /// By a length in bytes; 0 where it has no body.
     Length(u64),
+    /// By chunks.
     Chunked,
     /// Both ways at once, so that two readers may not agree on what is one request.
-    Mixed,
+    Ambiguous,
 }
 
-/// Reads the bytes of a connection beside the HTTP library.
+/// Follows the heads of requests beside the HTTP library.
 pub struct HeadTracker {
-    longest: usize,
+    max_head: usize,
     /// The head as far as it has come; emptied once whole.
     head: Vec<u8>,
-    /// Of a whole head: how it is framed, and what of its body is still to come.
+    /// Of a whole head: how its request is framed.
     framing: Option<Framing>,
-    left: u64,
+    /// Bytes of the body that are still to come, where its length is known.
+    body_left: u64,
     /// Something came behind the request: a next one before the answer, or a length that does not fit.
-    more: bool,
+    has_more: bool,
 }
 
 impl HeadTracker {
-    pub fn new(longest: usize) -> HeadTracker {
-        HeadTracker { longest, head: Vec::new(), framing: None, left: 0, more: false }
+    /// Heads longer than so many bytes are not followed: the library refuses them.
+    pub fn new(max_head: usize) -> HeadTracker {
+        HeadTracker { max_head, head: Vec::new(), framing: None, body_left: 0, has_more: false }
     }
 
-    /// How many of the bytes that came are of the request at hand; what stands behind it is never used.
-    pub fn see(&mut self, bytes: &[u8]) -> usize {
+    /// Follows bytes that came; returns how many of them are of the present request. What is behind it is never used.
+    pub fn push(&mut self, bytes: &[u8]) -> usize {
         let mut own = 0;
         if self.framing.is_none() {
             let before = self.head.len();
-            let room = (self.longest - before).min(bytes.len());
+            let room = (self.max_head - before).min(bytes.len());
             self.head.extend_from_slice(&bytes[..room]);
             let Some(end) = end_of_head(&self.head) else { return bytes.len() };
             own = end - before;
             let framing = framing(&self.head[..end]);
-            self.left = if let Framing::Length(left) = framing { left } else { 0 };
+            self.body_left = if let Framing::Length(length) = framing { length } else { 0 };
             self.framing = Some(framing);
             self.head = Vec::new();
         }
         let Some(Framing::Length(_)) = self.framing else { return bytes.len() };
-        let of_body = self.left.min((bytes.len() - own) as u64);
-        self.left -= of_body;
+        let of_body = self.body_left.min((bytes.len() - own) as u64);
+        self.body_left -= of_body;
         own += of_body as usize;
-        self.more |= bytes.len() > own;
+        self.has_more |= bytes.len() > own;
         own
     }
 
-    /// It is known that the request has come whole.
-    pub fn whole(&self) -> bool {
-        matches!(self.framing, Some(Framing::Length(_))) && self.left == 0
+    /// Whether it is known that the request has come whole.
+    fn is_whole(&self) -> bool {
+        matches!(self.framing, Some(Framing::Length(_))) && self.body_left == 0
     }
 
-    /// A request has begun, and is not known to be whole.
+    /// Whether a request has begun and is not known to be whole.
     pub fn awaits_rest(&self) -> bool {
-        !self.head.is_empty() || self.framing.is_some() && !self.whole()
+        !self.head.is_empty() || self.framing.is_some() && !self.is_whole()
     }
 
-    /// How the request at hand is framed, once its head is whole.
+    /// How the present request is framed, once its head is whole.
     pub fn framing(&self) -> Option<Framing> {
         self.framing
     }
 
-    /// Whether another request may follow on the connection: only where it is known that this one has come whole
-    /// and none has begun behind it, so that each head is seen from its first byte.
+    /// Whether another request may follow on the connection: only where it is known that this one has come whole and none has
+    /// begun behind it, so that each head is seen from its first byte.
     pub fn may_follow(&self) -> bool {
-        self.whole() && !self.more
+        self.is_whole() && !self.has_more
     }
 
     /// The request was answered; what comes now is the next one.
     pub fn next(&mut self) {
-        *self = HeadTracker::new(self.longest);
+        *self = HeadTracker::new(self.max_head);
     }
 }
 
-/// Behind the empty line that ends a head. Lines before a request that are empty are not its end.
+/// Position behind the empty line that ends a head. Empty lines before a request are not its end.
 fn end_of_head(bytes: &[u8]) -> Option<usize> {
     let start = bytes.iter().position(|b| !b"\r\n".contains(b))?;
     let mut line = start;
@@ -116,42 +126,57 @@
         chunked |= name.eq_ignore_ascii_case(b"transfer-encoding");
     }
     match (length, chunked) {
-        (Some(_), true) => Framing::Mixed,
+        (Some(_), true) => Framing::Ambiguous,
         (None, true) => Framing::Chunked,
         (length, false) => Framing::Length(length.unwrap_or(0)),
     }
 }
 
+/// The stream that the HTTP library reads and writes.
 pub struct RequestReader {
-    pub stream: Rc<Stream>,
-    pub connection: Rc<ClientConnection>,
-    pub heads: Rc<std::cell::RefCell<HeadTracker>>,
+    stream: Rc<Stream>,
+    connection: Rc<ClientConnection>,
+    heads: Rc<RefCell<HeadTracker>>,
+    /// What another process had read from the connection: it comes before all else.
+    unread: Bytes,
     /// The client has closed its side.
-    pub ended: bool,
-    /// What another process had read from it: comes before all else.
-    pub before: Bytes,
-    /// Bytes thrown away that came behind the request at hand, since the last pause.
-    pub behind: usize,
+    closed: bool,
+    /// Bytes behind the present request that were discarded since the last pause.
+    discarded: usize,
     /// The pause under way.
-    pub pause: Option<Pin<Box<Sleep>>>,
+    pause: Option<Pin<Box<Sleep>>>,
 }
 
-/// So much of what stands behind a request is thrown away in one go, then others get their turns: a client that sends
-/// without end must not cost them the processor, and its own close has to be found behind all of it soon.
-pub const BEHIND_PIECE: usize = 1 << 20;
-pub const BEHIND_PAUSE: Duration = Duration::from_millis(1);
-
 impl RequestReader {
-    /// Takes bytes from before, or from the connection.
+    /// A reader of that connection, that begins with bytes read from it before.
+    pub fn new(
+        stream: Rc<Stream>,
+        connection: Rc<ClientConnection>,
+        heads: Rc<RefCell<HeadTracker>>,
+        unread: Bytes,
+    ) -> RequestReader {
+        RequestReader { stream, connection, heads, unread, closed: false, discarded: 0, pause: None }
+    }
+
+    /// Whether the client has closed its side.
+    pub fn is_closed(&self) -> bool {
+        self.closed
+    }
+
+    /// What another process had read and the library has not.
+    pub fn into_unread(self) -> Bytes {
+        self.unread
+    }
+
     fn poll_some(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if self.before.is_empty() {
-            let begun = self.heads.borrow().awaits_rest();
-            let expects = if begun { Expects::More } else { Expects::Nothing };
+        if self.unread.is_empty() {
+            let awaits_rest = self.heads.borrow().awaits_rest();
+            let expects = if awaits_rest { Expects::More } else { Expects::Nothing };
             return self.stream.poll_read_some(cx, buf, expects).map_ok(drop);
         }
-        let n = buf.remaining().min(self.before.len());
-        buf.put_slice(&self.before[..n]);
-        self.before.advance(n);
+        let n = buf.remaining().min(self.unread.len());
+        buf.put_slice(&self.unread[..n]);
+        self.unread.advance(n);
         Poll::Ready(Ok(()))
     }
 }
@@ -166,25 +191,24 @@
         loop {
             ready!(self.poll_some(cx, buf))?;
             let came = &buf.filled()[before..];
-            self.ended |= came.is_empty();
+            self.closed |= came.is_empty();
             if came.is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            if matches!(self.connection.doing(), ConnectionPhase::Silent | ConnectionPhase::Idle) {
-                self.connection.turns_to(ConnectionPhase::Begun, Instant::now());
+            if matches!(self.connection.phase(), ConnectionPhase::New | ConnectionPhase::Idle) {
+                self.connection.set_phase(ConnectionPhase::Reading, Instant::now());
             }
-            let (all, own) = (came.len(), self.heads.borrow_mut().see(came));
+            let (all, own) = (came.len(), self.heads.borrow_mut().push(came));
             buf.set_filled(before + own);
             if own > 0 {
-                self.behind = all - own;
+                self.discarded = all - own;
                 return Poll::Ready(Ok(()));
             }
-            // Guards against a client that has closed and is not seen to: the library reads no further where it has bytes
-            // that it can't use yet.
-            self.behind += all;
-            if self.behind > BEHIND_PIECE {
-                self.behind = 0;
-                self.pause = Some(Box::pin(sleep(BEHIND_PAUSE)));
+            // The library reads no further where it has bytes that it can't use yet, and would miss the client's close.
+            self.discarded += all;
+            if self.discarded > DISCARD_PIECE {
+                self.discarded = 0;
+                self.pause = Some(Box::pin(sleep(DISCARD_PAUSE)));
             }
             if let Some(pause) = &mut self.pause {
                 ready!(pause.as_mut().poll(cx));
@@ -212,8 +236,8 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Called once all that there was to write has been written.
-        self.connection.flushed();
+        // The library flushes once all that there was to write has been written.
+        self.connection.set_flushed();
         Poll::Ready(Ok(()))
     }
 
--- a/crates/pipitcrank-server/src/clients/request_reader/tests.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader/tests.rs
@@ -10,10 +10,10 @@
     let mut rest = request.as_bytes();
     for &cut in cuts {
         let (piece, after) = rest.split_at(cut.min(rest.len()));
-        heads.see(piece);
+        heads.push(piece);
         rest = after;
     }
-    heads.see(rest);
+    heads.push(rest);
     (heads.framing(), heads.may_follow())
 }
 
@@ -29,8 +29,8 @@
             (head("content-length:9\r\n") + "body", Some(Framing::Length(9)), false),
             (head("Content-Length: -4\r\n"), Some(Framing::Length(u64::MAX)), false),
             (head("Transfer-Encoding: chunked\r\n") + "0\r\n\r\n", Some(Framing::Chunked), false),
-            (head("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"), Some(Framing::Mixed), false),
-            (head("tRANSFER-encoding: x\r\nA: b\r\nContent-Length: 5\r\n"), Some(Framing::Mixed), false),
+            (head("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"), Some(Framing::Ambiguous), false),
+            (head("tRANSFER-encoding: x\r\nA: b\r\nContent-Length: 5\r\n"), Some(Framing::Ambiguous), false),
             (head("").replace("\r\n", "\n"), Some(Framing::Length(0)), true),
             ("POST /v HTTP/1.1\r\nHost: ".to_string(), None, false),
         ];
@@ -44,7 +44,7 @@
 fn a_head_that_does_not_end_is_not_kept() {
     let mut heads = HeadTracker::new(LONGEST);
     for _ in 0..1000 {
-        heads.see(&[b'x'; 100]);
+        heads.push(&[b'x'; 100]);
     }
     assert_eq!((heads.head.len(), heads.framing()), (LONGEST, None));
 }
