--- /dev/null
+++ b/crates/pipitcrank-cost/src/decisions.rs
@@ -0,0 +1,97 @@
+//! A checksum of decisions on a generated stream.
+
+use crc32fast::Hasher;
+use pipitcrank_core::ids::{AttemptId, AttemptOutcome};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64;
+
+use crate::harness::ExchangeHarness;
+
+/// Batches of a stream.
+const BATCHES: u32 = 4000;
+
+/// Checksum of all that the coordinator asked for on a stream of that seed: queries of all request classes, answers, faults,
+/// silence, clients that disconnect, replicas that come and go.
+pub fn checksum(seed: u64) -> u32 {
+    let mut stream = Stream {
+        rng: Pcg64::seed_from_u64(seed),
+        harness: ExchangeHarness::new(24, 12, 40, 300),
+        sum: Hasher::new(),
+        in_flight: Vec::new(),
+        tickets: Vec::new(),
+    };
+    for _ in 0..BATCHES {
+        stream.generate_event();
+        let ms = stream.rng.random_range(1..12);
+        stream.harness.run_batch(ms);
+        stream.add_decisions();
+    }
+    for (kind, count) in stream.harness.responses.borrow().iter() {
+        stream.sum.update(kind.as_bytes());
+        stream.sum.update(&count.to_le_bytes());
+    }
+    stream.sum.finalize()
+}
+
+struct Stream {
+    rng: Pcg64,
+    harness: ExchangeHarness,
+    sum: Hasher,
+    in_flight: Vec<AttemptId>,
+    tickets: Vec<u64>,
+}
+
+impl Stream {
+    fn generate_event(&mut self) {
+        match self.rng.random_range(0..10) {
+            0..=2 => {
+                let class = self.rng.random_range(0..3u16);
+                let parts = [6, 20, 1][class as usize];
+                let wait_ms = self.rng.random_range(300..4000);
+                let first = self.rng.random_range(0..40);
+                self.tickets.push(self.harness.submit(class, first, parts, wait_ms));
+            }
+            3..=7 if !self.in_flight.is_empty() => self.end_some_attempts(),
+            8 if !self.tickets.is_empty() && self.rng.random_bool(0.2) => {
+                let ticket = self.tickets.swap_remove(self.rng.random_range(0..self.tickets.len()));
+                self.harness.exchange.client_disconnected(ticket);
+            }
+            9 if self.rng.random_bool(0.1) => {
+                let replica = self.rng.random_range(0..24);
+                self.harness.change_replica(replica, self.rng.random_bool(0.7));
+            }
+            _ => {}
+        }
+    }
+
+    fn end_some_attempts(&mut self) {
+        for _ in 0..self.rng.random_range(1..12usize).min(self.in_flight.len()) {
+            let attempt = self.in_flight.swap_remove(self.rng.random_range(0..self.in_flight.len()));
+            let outcome = match self.rng.random_range(0..40) {
+                0 => AttemptOutcome::Fault,
+                1 => AttemptOutcome::NoCapacity,
+                2 => AttemptOutcome::Unreachable,
+                3 => AttemptOutcome::Disconnected,
+                _ => AttemptOutcome::Success,
+            };
+            self.harness.end_attempt(attempt, outcome);
+        }
+    }
+
+    fn add_decisions(&mut self) {
+        for (replica, attempts) in &self.harness.transport.calls {
+            self.sum.update(&replica.0.to_le_bytes());
+            for AttemptId { part, number } in attempts {
+                self.sum.update(&part.0.to_le_bytes());
+                self.sum.update(&number.to_le_bytes());
+            }
+        }
+        for (replica, attempt) in self.harness.transport.cancelled.drain(..) {
+            let AttemptId { part, number } = attempt;
+            let bytes = [&replica.0.to_le_bytes()[..], &part.0.to_le_bytes(), &number.to_le_bytes(), b"x"];
+            self.sum.update(&bytes.concat());
+            self.in_flight.retain(|other| *other != attempt);
+        }
+        self.in_flight.extend(self.harness.authorize_all());
+    }
+}
--- a/crates/pipitcrank-cost/src/tests.rs
+++ b/crates/pipitcrank-cost/src/tests.rs
@@ -8,10 +8,10 @@
     let now: Figures = [("a: blocks", 106.0), ("a: us", 500.0), ("decisions on stream 1", 8.0), ("new", 1.0)]
         .map(|(k, v)| (k.to_string(), v))
         .into();
-    let lines = grown(&held, &now);
+    let lines = regressions(&held, &now);
     for name in ["a: blocks", "decisions on stream 1", "gone", "new"] {
         assert!(lines.iter().any(|l| l.starts_with(name)), "{name}: {lines:?}");
     }
     assert_eq!(lines.len(), 4);
-    assert!(grown(&held, &held).is_empty());
+    assert!(regressions(&held, &held).is_empty());
 }
--- a/crates/pipitcrank-server/src/clients/connection_server.rs
+++ b/crates/pipitcrank-server/src/clients/connection_server.rs
@@ -65,7 +65,7 @@
             let phase = connection.phase();
             tracing::debug!(target: REQUESTS, why = end.name(), at = ?phase, "client connection ended");
             if end.is_local() && phase == ConnectionPhase::Answering {
-                violated(&counters, Rule::ClosedUnanswered, "of a connection", end.name());
+                violated(&counters, Rule::NoCloseUnanswered, "of a connection", end.name());
             }
             connections.remove(&connection);
             drop(permit);
--- a/crates/pipitcrank-server/src/discovery/endpoint_update.rs
+++ b/crates/pipitcrank-server/src/discovery/endpoint_update.rs
@@ -6,8 +6,17 @@
 use crate::exchange::Endpoint;
 use crate::runtime::clock::Clock;
 
-/// A list or changes, as sent.
+/// A complete endpoint list.
+pub struct EndpointList {
+    /// Its revision.
+    pub revision: u64,
+    /// All replicas there are.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// A list or changes, as sent. Its name in errors is the one that operators know.
 #[derive(Deserialize)]
+#[serde(expecting = "struct News")]
 pub struct EndpointUpdate {
     /// Revision of the list after this update.
     #[serde(rename = "rev")]
--- a/crates/pipitcrank-server/src/exchange/request_table.rs
+++ b/crates/pipitcrank-server/src/exchange/request_table.rs
@@ -100,7 +100,7 @@
     pub(super) fn close_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Option<ReplicaId> {
         let InFlightAttempt { replica, deadline, .. } = self.in_flight.remove(&attempt)?;
         if let Some(audit) = &mut self.audit {
-            audit.attempt_ended(attempt.part, attempt.number, outcome);
+            audit.attempt_ended(attempt, outcome);
         }
         self.attempt_deadlines.remove(&(deadline, attempt));
         Some(replica)
--- a/crates/pipitcrank-server/src/exchange/send_guard.rs
+++ b/crates/pipitcrank-server/src/exchange/send_guard.rs
@@ -91,8 +91,7 @@
         let part = &self.table.parts[&attempt.part.0];
         tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, replica = replica.0, left_s = time_left.as_secs_f64(), "sent");
         if let Some(audit) = &mut self.table.audit {
-            let sent = SentAttempt { part: attempt.part, attempt: attempt.number, replica, time_left };
-            audit.sent(now, sent);
+            audit.sent(now, SentAttempt { attempt, replica, time_left });
         }
     }
 
@@ -116,7 +115,7 @@
         for &attempt in attempts {
             self.table.in_flight.get_mut(&attempt).into_iter().for_each(|entry| entry.authorized = false);
             if let Some(audit) = &mut self.table.audit {
-                audit.unsent(attempt.part, attempt.number);
+                audit.unsent(attempt);
             }
         }
     }
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -21,6 +21,7 @@
 use crate::clients::acceptor::{self, AcceptorCommand};
 use crate::clients::http::{self, HttpEvent, HttpState};
 use crate::discovery::client::{self, SharedRevision};
+use crate::discovery::endpoint_update::EndpointList;
 use crate::discovery::poll_pacing::PollPacing;
 use crate::exchange::{Exchange, ReplicaTransport};
 use crate::node_config::NodeConfig;
@@ -34,7 +35,7 @@
 use crate::runtime::stall_detector::StallDetector;
 use crate::runtime::system_errors::{retry_open_for, retry_open_for_blocking};
 pub use crate::server_context::{ServerContext, TransportFactory};
-use crate::upgrade::context::{InitialList, UpgradeContext};
+use crate::upgrade::context::UpgradeContext;
 use crate::upgrade::relay::{NotRelayed, Relay};
 use crate::upgrade::worker;
 
@@ -200,8 +201,7 @@
     fn new(clock: &Clock, config: &NodeConfig<EnvVariable>) -> Result<Server, ConfigError> {
         let counters = Counters::default();
         let exchange = config.exchange(counters.clone())?;
-        let (revision, endpoints) = config.initial_endpoints(clock)?;
-        let initial_list = InitialList { revision, endpoints };
+        let initial_list = config.initial_endpoints(clock)?;
         let (for_replicas, client_connections) = ConnectionLimiter::shared(config.connection_limit()?);
         let event_loop = Rc::new(EventLoop::new(clock.clone(), counters, for_replicas, exchange));
         let replicas = ReplicaPool::new(
@@ -324,7 +324,7 @@
 
 /// Loads the node configuration's endpoint list, and what a process before this one knew.
 fn load_initial_state(context: &UpgradeContext, stored: Option<AgedSnapshot>) {
-    let Some(InitialList { revision, endpoints }) = context.initial_list.take() else { return };
+    let Some(EndpointList { revision, endpoints }) = context.initial_list.take() else { return };
     let (event_loop, clock) = (&context.event_loop, &context.event_loop.clock);
     context.revision.set(Some(revision));
     event_loop.update(|e| e.update_endpoints(clock.now(), true, endpoints));
--- a/crates/pipitcrank-server/src/upgrade/context.rs
+++ b/crates/pipitcrank-server/src/upgrade/context.rs
@@ -12,18 +12,10 @@
 use super::relay::Relay;
 use crate::clients::acceptor::AcceptorCommand;
 use crate::discovery::client::SharedRevision;
-use crate::exchange::Endpoint;
+use crate::discovery::endpoint_update::EndpointList;
 use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::event_loop::EventLoop;
 
-/// The endpoint list of the node configuration.
-pub struct InitialList {
-    /// Its revision.
-    pub revision: u64,
-    /// All replicas there are.
-    pub endpoints: Vec<Endpoint>,
-}
-
 /// The parts of the server that an upgrade concerns.
 pub struct UpgradeContext {
     /// The event loop, with the exchange.
@@ -39,7 +31,7 @@
     /// To be called once an endpoint list is held, from wherever it came.
     pub start_discovery: Rc<dyn Fn()>,
     /// The node configuration's list, until a list is held.
-    pub initial_list: Cell<Option<InitialList>>,
+    pub initial_list: Cell<Option<EndpointList>>,
     /// The next ticket.
     pub tickets: Arc<AtomicU64>,
     /// Number of request classes.
@@ -57,7 +49,7 @@
 impl UpgradeContext {
     /// Goes by the node configuration's list, unless a list is held already.
     pub fn use_initial_list(&self) {
-        if let Some(InitialList { revision, endpoints }) = self.initial_list.take() {
+        if let Some(EndpointList { revision, endpoints }) = self.initial_list.take() {
             self.revision.set(Some(revision));
             let now = self.event_loop.clock.now();
             self.event_loop.update(|e| e.update_endpoints(now, true, endpoints));
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -65,22 +65,22 @@
 }
 
 /// The rules that the run-time check goes by, of those settings.
-fn audit_terms(told: &serde_json::Value) -> audit::AuditRules {
+fn audit_rules(told: &serde_json::Value) -> audit::AuditRules {
     let number = |key: &str| told.pointer(key).and_then(serde_json::Value::as_f64);
     let class = |n: usize| audit::ClassRules {
         idempotency: SettingsReader::new(told).idempotency(n).unwrap(),
         dedup_window: TimeSpan::from_secs_f64(number(&format!("/classes/{n}/dedup_window_s")).unwrap_or(0.0)),
         floor: number(&format!("/domain/floor_by_class/{n}")).unwrap(),
-        whole_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
+        complete_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
     };
     audit::AuditRules {
         classes: (0..told["classes"].as_array().unwrap().len()).map(class).collect(),
-        may_duplicate: told["allowed"]["may_duplicate"].as_bool().unwrap(),
-        try_limit: number("/allowed/try_limit").unwrap() as u32,
+        may_hedge: told["allowed"]["may_duplicate"].as_bool().unwrap(),
+        max_attempts: number("/allowed/try_limit").unwrap() as u32,
         drain_grace: TimeSpan::ZERO,
         budget_free: number("/rules/extra_free").unwrap_or(0.0),
         budget_ratio: number("/rules/repeat_ratio").unwrap_or(0.0),
-        budget_span: number("/rules/budget_span_s").map(TimeSpan::from_secs_f64),
+        budget_window: number("/rules/budget_span_s").map(TimeSpan::from_secs_f64),
     }
 }
 
@@ -115,7 +115,7 @@
         let counters = Counters::default();
         let coordinator = SettingsReader::new(&told).coordinator(7).unwrap();
         let mut exchange = Exchange::new(coordinator, MOST_OPEN, 4, counters.clone());
-        exchange.enable_audit(audit_terms(&told));
+        exchange.enable_audit(audit_rules(&told));
         exchange.update_endpoints(at(0), true, (0..3).map(|n| listed(n, true)).collect());
         let mut stage =
             Stage { exchange, ledger: Ledger::default(), counters, answers: Answers::default(), tickets: 0 };
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -5,6 +5,7 @@
 
 use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::time::TimeSpan;
+use pipitcrank_server::discovery::endpoint_update::EndpointList;
 use pipitcrank_server::node_config::NodeConfig;
 use pipitcrank_server::runtime::clock::Clock;
 use pipitcrank_server::runtime::counters::Counters;
@@ -35,7 +36,7 @@
     assert_eq!(config.connect_timeout().unwrap(), Duration::from_millis(500));
     assert_eq!(config.idle_timeout().unwrap(), Duration::from_millis(29_500));
     assert!(config.exchange(Counters::default()).is_ok());
-    let (revision, rows) = config.initial_endpoints(&clock).unwrap();
+    let EndpointList { revision, endpoints: rows } = config.initial_endpoints(&clock).unwrap();
     assert_eq!(revision, 41);
     let rows: Vec<_> = rows
         .iter()
