--- a/crates/pipitcrank-server/src/audit/checker.rs
+++ b/crates/pipitcrank-server/src/audit/checker.rs
@@ -13,7 +13,7 @@
 const ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
 /// For so long after its client has closed an attempt may begin.
 const CLOSE_SLACK: TimeSpan = TimeSpan::from_millis(100);
-/// By so much the time that a replica is told may exceed what the client has left.
+/// By so much the deadline sent to a replica may exceed what the client has left.
 const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(150);
 /// By so much time limits on sockets are longer (protocol page).
 const SOCKET_SLACK: TimeSpan = TimeSpan::from_millis(50);
@@ -42,7 +42,7 @@
     pub attempt: AttemptId,
     /// Where it goes.
     pub replica: ReplicaId,
-    /// The time that the replica is told.
+    /// The time left that is sent to the replica.
     pub time_left: TimeSpan,
 }
 
@@ -141,10 +141,10 @@
         let AttemptId { part, number } = sent.attempt;
         let after_answer = Rule::NothingSentAfterAnswer;
         let Some(record) = self.parts.get(&part) else {
-            return violated(&self.counters, after_answer, "unknown", "the part is not held");
+            return violated(&self.counters, after_answer, "unknown", "the part is not open");
         };
         let Some(query) = self.queries.get(&record.ticket) else {
-            return violated(&self.counters, after_answer, "unknown", "the query is not held");
+            return violated(&self.counters, after_answer, "unknown", "the query is not open");
         };
         let (is_repeat, forwarded) = (!record.attempts.is_empty(), query.forwarded);
         for (rule, reason) in self.broken_by(now, query, record, &sent) {
--- a/crates/pipitcrank-server/src/audit/rules.rs
+++ b/crates/pipitcrank-server/src/audit/rules.rs
@@ -18,7 +18,7 @@
     NothingSentAfterClose,
     /// A connection is not closed while its request is unanswered.
     NoCloseUnanswered,
-    /// A replica is told no later deadline than the client's.
+    /// A replica is sent no later deadline than the client's.
     DeadlineTold,
     /// A part that is not idempotent is not repeated once it may have run.
     NoUnsafeRepeat,
--- a/crates/pipitcrank-server/src/audit/tests.rs
+++ b/crates/pipitcrank-server/src/audit/tests.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn more_time_told_than_the_client_has_is_counted() {
+fn a_deadline_later_than_the_clients_is_counted() {
     let mut scene = Scene::with(VIEW);
     let time_left = TimeSpan::from_millis(3151);
     scene.audit.sent(
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_side_effecting_part_goes_again_only_if_it_never_ran() {
+fn a_non_idempotent_part_is_repeated_only_if_it_never_ran() {
     let mut scene = Scene::with(SALE);
     scene.sends(10, 0, 0);
     scene.ends(0, 0, AttemptOutcome::Unreachable);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_deduplicated_part_goes_again_only_within_its_window() {
+fn a_part_idempotent_by_key_is_repeated_only_within_its_window() {
     let mut scene = Scene::with(PAY);
     scene.sends(10, 0, 0);
     scene.ends(0, 0, AttemptOutcome::Disconnected);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_second_copy_and_too_many_tries_are_counted() {
+fn a_forbidden_hedge_and_too_many_attempts_are_counted() {
     let mut scene = Scene::told(AuditRules { budget_window: None, ..rules() }, VIEW);
     scene.sends(10, 0, 0);
     scene.sends(20, 0, 1);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn further_attempts_beyond_the_budget_are_counted() {
+fn retries_beyond_the_budget_are_counted() {
     // Three taken allow one further attempt and three tenths.
     let mut scene = Scene::with(VIEW);
     for (part, ms) in [(0, 10), (1, 20)] {
--- a/crates/pipitcrank-server/src/clients/acceptor/tests.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn for_a_while_after_the_end_is_called_clients_keep_their_connections() {
+fn for_a_while_after_shutdown_is_requested_clients_keep_their_connections() {
     play(TimeSpan::from_secs_f64(3600.0), async |mut stream, call, ended| {
         call.send_replace(Some(Timestamp::default()));
         for _ in 0..3 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn then_connections_end_and_so_does_the_gate() {
+fn then_connections_end_and_so_does_the_acceptor() {
     play(TimeSpan::ZERO, async |mut stream, call, ended| {
         call.send_replace(Some(Timestamp::default()));
         assert_eq!(stream.read(&mut [0; 9]).await.unwrap(), 0, "closed in order");
@@ -144,13 +144,13 @@
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n";
 
 #[test]
-fn a_request_read_as_its_resting_connection_is_called_to_leave_is_answered() {
+fn a_request_read_as_its_idle_connection_is_asked_to_close_is_answered() {
     let answer = called_to_leave_beside(REQUEST, b"");
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("served"), "{answer:?}");
 }
 
 #[test]
-fn who_begins_a_request_as_its_resting_connection_is_called_to_leave_is_left_time() {
+fn a_request_begun_as_its_idle_connection_is_asked_to_close_is_left_time() {
     let (begun, rest) = REQUEST.split_at(8);
     let answer = called_to_leave_beside(begun, rest);
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("served"), "{answer:?}");
--- a/crates/pipitcrank-server/src/clients/client_connections/tests.rs
+++ b/crates/pipitcrank-server/src/clients/client_connections/tests.rs
@@ -3,7 +3,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn the_longest_quiet_give_way_and_open_requests_never_do() {
+fn the_longest_inactive_are_closed_first_and_open_requests_never() {
     let (connections, start) = (ClientConnections::default(), Instant::now());
     let [open, idle, fresh_idle, silent, begun] = [0, 1, 2, 3, 4].map(|n| connections.add(start + MS * n));
     open.set_phase(ConnectionPhase::Answering, start);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn at_the_last_moment_all_leave_but_what_is_asked_or_still_read() {
+fn at_the_last_moment_all_are_closed_but_what_is_answered_or_still_read() {
     let (connections, start) = (ClientConnections::default(), Instant::now());
     let [open, idle, unread, silent, begun] = [0; 5].map(|_| connections.add(start));
     for asked in [&open, &idle, &unread] {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn who_still_reads_an_answer_does_not_give_way_and_does_once_it_is_read() {
+fn a_connection_whose_answer_is_still_read_is_closed_only_once_it_is_read() {
     let (connections, start) = (ClientConnections::default(), Instant::now());
     let reads = connections.add(start);
     reads.set_phase(ConnectionPhase::Answering, start);
--- a/crates/pipitcrank-server/src/clients/http/tests.rs
+++ b/crates/pipitcrank-server/src/clients/http/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_query_that_comes_after_the_end_was_called_is_answered_before_the_kill() {
+fn a_query_that_comes_after_shutdown_was_requested_is_answered_before_the_kill() {
     let at = |ms| Timestamp::default() + TimeSpan::from_millis(ms);
     let last = TimeSpan::from_millis(1900);
     assert_eq!(deadline(at(9000), None, last), at(9000));
--- a/crates/pipitcrank-server/src/clients/request_reader/tests.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader/tests.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_head_that_does_not_end_is_not_kept() {
+fn a_head_that_does_not_end_is_not_buffered() {
     let mut heads = HeadTracker::new(LONGEST);
     for _ in 0..1000 {
         heads.push(&[b'x'; 100]);
--- a/crates/pipitcrank-server/src/discovery/client.rs
+++ b/crates/pipitcrank-server/src/discovery/client.rs
@@ -16,11 +16,11 @@
 use super::source::DiscoverySource;
 use crate::runtime::event_loop::EventLoop;
 
-/// Revision of the endpoint list that is held; none asks for the complete list.
+/// Revision of the current endpoint list; none asks for the complete list.
 pub type SharedRevision = Rc<Cell<Option<u64>>>;
 
 /// Keeps the list up to date for ever, wherever the discovery service is at the moment. `revision`: of the initial list,
-/// then of the one held. `pacing`: present where the service pays for each call.
+/// then of the current one. `pacing`: present where the service pays for each call.
 pub async fn watch(
     event_loop: Rc<EventLoop>,
     mut address: watch::Receiver<String>,
--- a/crates/pipitcrank-server/src/discovery/http.rs
+++ b/crates/pipitcrank-server/src/discovery/http.rs
@@ -18,7 +18,7 @@
 /// The HTTP library's client.
 pub type HttpClient = Client<Connector, Empty<Bytes>>;
 
-/// A client whose calls have a connection of their own each: a kept one that has died would swallow call after call.
+/// A client whose calls have a connection of their own each: a cached one that has died would swallow call after call.
 pub fn client() -> HttpClient {
     Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(Connector)
 }
--- a/crates/pipitcrank-server/src/discovery/source.rs
+++ b/crates/pipitcrank-server/src/discovery/source.rs
@@ -49,7 +49,7 @@
 #[derive(PartialEq)]
 enum PollResult {
     Done,
-    /// The list was older than the one held: to be polled once more before it counts.
+    /// The list was older than the current one: to be polled once more before it counts.
     PollAgain,
 }
 
@@ -57,14 +57,14 @@
     event_loop: &'a Rc<EventLoop>,
     client: &'a HttpClient,
     address: &'a str,
-    /// Of the list that is held.
+    /// Of the current list; none where there is none.
     revision: &'a Cell<Option<u64>>,
     pacing: Option<&'a PollPacing>,
     /// Asks for a poll before its time.
     poll_requested: Notify,
-    /// A list has come where none was held.
+    /// A list has come where there was none.
     list_received: Notify,
-    /// The last poll brought an older revision than the one held.
+    /// The last poll brought an older revision than the current one.
     doubted: Cell<bool>,
 }
 
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Polls where each call is paid for: at once where no list is held or a poll was requested, else rarely, and more rarely
+    /// Polls where each call is paid for: at once where there is no list or a poll was requested, else rarely, and more rarely
     /// while calls are refused, so that a fleet does not keep the service from answering anybody.
     async fn poll_paced(&self, pacing: &PollPacing) -> Infallible {
         let mut failed = 0;
@@ -172,7 +172,7 @@
         self.event_loop.counters.add("discovery", end.name());
     }
 
-    /// Applies what a poll brought. `before`: the revision held when it began.
+    /// Applies what a poll brought. `before`: the revision that was current when it began.
     fn apply_poll(&self, before: Option<u64>, body: &[u8]) -> Result<PollResult, ConnectionEnd> {
         let update = self.decode(body)?;
         if !update.complete {
@@ -180,12 +180,12 @@
             return Err(ConnectionEnd::ProtocolError);
         }
         let revision = update.revision;
-        let is_older = self.revision.get().is_some_and(|held| revision < held);
+        let is_older = self.revision.get().is_some_and(|current| revision < current);
         // Another call brought a newer list while this one was under way.
         if is_older && before.is_some_and(|before| revision >= before) {
             return Ok(PollResult::Done);
         }
-        // Revisions start anew where the service has. One call may have been answered late, so it has to be said twice.
+        // Revisions start anew where the service has. One call may have been answered late, so two calls have to agree.
         if is_older && !self.doubted.replace(true) {
             tracing::warn!(
                 "discovery sent revision {revision} older than the current one; requesting the full list"
@@ -193,7 +193,7 @@
             return Ok(PollResult::PollAgain);
         }
         self.doubted.set(false);
-        // After a restart of the service its revisions may reach the number held with another list.
+        // After a restart of the service its revisions may reach the current number with another list.
         if self.revision.get() != Some(revision)
             || !self.event_loop.read(|e| e.matches_endpoints(&update.endpoints))
         {
@@ -217,12 +217,12 @@
             sleep(pacing.initial_pause()).await;
         }
         loop {
-            let Some(held) = self.revision.get() else {
+            let Some(current) = self.revision.get() else {
                 self.list_received.notified().await;
                 continue;
             };
             let begun = Instant::now();
-            let Err(end) = self.run_watch(held).await;
+            let Err(end) = self.run_watch(current).await;
             self.record_end("watch", end);
             if let Some(pacing) = self.pacing {
                 failed = if begun.elapsed() > 2 * PAID_CALL_TIMEOUT { 1 } else { failed + 1 };
@@ -240,13 +240,13 @@
     }
 
     /// Runs one watch until it ends.
-    async fn run_watch(&self, held: u64) -> Result<Infallible, ConnectionEnd> {
-        let query = format!("?stream=1&index={held}");
+    async fn run_watch(&self, current: u64) -> Result<Infallible, ConnectionEnd> {
+        let query = format!("?stream=1&index={current}");
         let head_timeout = if self.pacing.is_some() { PAID_CALL_TIMEOUT } else { WATCH_HEAD_TIMEOUT };
         let mut body = request(self.client, self.address, &query, Instant::now() + head_timeout).await?;
         // A list may come indented: a line is no object.
         let mut objects = JsonObjectStream::new(MAX_LIST);
-        let (mut position, mut whole_since) = (held, Instant::now());
+        let (mut position, mut whole_since) = (current, Instant::now());
         loop {
             match timeout_at(whole_since + WATCH_SILENCE, body.frame()).await {
                 Err(_) => return Err(ConnectionEnd::Silent),
@@ -269,9 +269,9 @@
     fn apply_watch_event(&self, position: u64, object: &[u8]) -> Result<u64, ConnectionEnd> {
         let update = self.decode(object)?;
         let revision = update.revision;
-        let held = self.revision.get();
+        let current = self.revision.get();
         // A poll has found that revisions started anew: this watch is of the service's earlier incarnation.
-        if held.is_some_and(|held| held < position) {
+        if current.is_some_and(|current| current < position) {
             return Err(ConnectionEnd::NotNeeded);
         }
         let is_older = revision < position;
@@ -280,7 +280,7 @@
             return Err(ConnectionEnd::ProtocolError);
         }
         // A poll may have brought as much already.
-        if is_older || held.is_none_or(|held| held < revision) {
+        if is_older || current.is_none_or(|current| current < revision) {
             self.apply(update);
         }
         Ok(revision)
--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -96,18 +96,18 @@
         self.coordinator.restore_learned_state(now, age, learned);
     }
 
-    /// The predecessor has ended, having used so many of the retries that it kept.
+    /// The predecessor has ended, having used so many of the retries reserved for it.
     pub fn settle_with_predecessor(&mut self, now: Timestamp, used: u32) {
         self.coordinator.settle_with_predecessor(now, used);
         self.open_in_peer = 0;
     }
 
-    /// How many of the retries kept at the handover were used here.
-    pub fn delegated_retries_used(&self, kept: u32) -> u32 {
-        kept.saturating_sub(self.coordinator.delegated_retries_left())
+    /// How many of the retries reserved at the handover were used here.
+    pub fn delegated_retries_used(&self, reserved: u32) -> u32 {
+        reserved.saturating_sub(self.coordinator.delegated_retries_left())
     }
 
-    /// The other process is gone, and what it sent is not known.
+    /// The other process has exited, and what it sent is not known.
     pub fn resume_alone(&mut self, now: Timestamp) {
         self.coordinator.resume_alone(now);
         self.open_in_peer = 0;
--- a/crates/pipitcrank-server/src/exchange/query.rs
+++ b/crates/pipitcrank-server/src/exchange/query.rs
@@ -50,7 +50,7 @@
     },
     /// Nothing has run: a repeat is harmless.
     Rejected {
-        /// When to come back; zero where nothing is said.
+        /// When to come back; zero where no time is given.
         retry_after: TimeSpan,
     },
     /// Something may have run.
@@ -75,7 +75,7 @@
 
 impl ResponseSink for oneshot::Sender<QueryResponse> {
     fn respond(self: Box<Self>, response: QueryResponse) {
-        // The receiver is gone where the client disconnected in this very moment.
+        // The receiver is dropped where the client disconnected in this very moment.
         let _ = self.send(response);
     }
 }
--- a/crates/pipitcrank-server/src/lib.rs
+++ b/crates/pipitcrank-server/src/lib.rs
@@ -17,4 +17,6 @@
 pub mod runtime;
 pub mod serve;
 pub mod server_context;
+mod server_parts;
+mod start_error;
 pub mod upgrade;
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -13,7 +13,7 @@
 use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::counters::Counters;
 
-const TOLD: &str = r#"{"allowed":{"cancel":true,"probing":false,"may_duplicate":true,"retry_after":false,
+const SETTINGS: &str = r#"{"allowed":{"cancel":true,"probing":false,"may_duplicate":true,"retry_after":false,
   "try_limit":1},"classes":[{"aim_s":50.0,"hard_limit_s":60.0,"idempotency":"safe","name":"view"}],
   "domain":{"call_cost_s":0.01,"complete_from":[1.0],"floor_by_class":[1.0],"follow_up":[0],"parts_a_call":4,
   "sets":1,"shards":1,"span":1},"rules":{"cold_from":0.3,"cold_s":9.0,"fall_s":1.5,"overload_factor":4.0},
@@ -30,7 +30,7 @@
 }
 
 fn exchange(counters: &Counters) -> Exchange {
-    let coordinator = SettingsReader::new(&serde_json::from_str(TOLD).unwrap()).coordinator(1).unwrap();
+    let coordinator = SettingsReader::new(&serde_json::from_str(SETTINGS).unwrap()).coordinator(1).unwrap();
     Exchange::new(coordinator, 9, 4, counters.clone())
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// One replica at the end of a connection, and a query whose one call to it is out.
-async fn one_call_out() -> (TcpStream, Stream, Rc<EventLoop>, AttemptId) {
+async fn one_call_in_flight() -> (TcpStream, Stream, Rc<EventLoop>, AttemptId) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).await.unwrap();
@@ -109,7 +109,7 @@
             let (event_loop, call) = one_query(listener.local_addr().unwrap());
             let (jobs, mut queue) = unbounded_channel();
             let state = Rc::new(ConnectionState {
-                assigned: carries(call),
+                assigned: assigned(call),
                 ..ConnectionState::new(ReplicaId(0), jobs.clone())
             });
             let (ours, at) = (event_loop.clone(), listener.local_addr().unwrap());
@@ -148,11 +148,11 @@
 
 /// A call was queued on this connection and given up there; its number is that of a call queued on another one now.
 #[tokio::test]
-async fn a_call_that_another_connection_carries_does_not_go_out_here() {
-    let (_replica_end, to, event_loop, call) = one_call_out().await;
+async fn a_call_assigned_to_another_connection_is_not_sent_here() {
+    let (_replica_end, to, event_loop, call) = one_call_in_flight().await;
     let (jobs, _) = unbounded_channel();
     let here = ConnectionState::new(ReplicaId(0), jobs.clone());
-    let there = ConnectionState { assigned: carries(call), ..ConnectionState::new(ReplicaId(0), jobs) };
+    let there = ConnectionState { assigned: assigned(call), ..ConnectionState::new(ReplicaId(0), jobs) };
     let queued = || Writing::Next(ConnectionCommand::SendCall(vec![call]));
     assert!(matches!(task(&event_loop, &here, &to).write(queued()).unwrap(), Writing::Nothing));
     assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "not here");
@@ -161,16 +161,16 @@
     assert!(there.assigned.borrow()[0].written);
 }
 
-fn carries(attempt: AttemptId) -> RefCell<Vec<AssignedAttempt>> {
+fn assigned(attempt: AttemptId) -> RefCell<Vec<AssignedAttempt>> {
     RefCell::new(vec![AssignedAttempt { attempt, part_id: None, written: false }])
 }
 
 #[tokio::test]
-async fn a_call_of_which_no_byte_has_gone_is_looked_at_again() {
-    let (_unread, to, event_loop, call) = one_call_out().await;
+async fn a_call_of_which_no_byte_was_written_passes_the_send_guard_again() {
+    let (_unread, to, event_loop, call) = one_call_in_flight().await;
     while to.try_write(&[0; 1 << 16]).is_ok() {}
     let (jobs, _) = unbounded_channel();
-    let state = ConnectionState { assigned: carries(call), ..ConnectionState::new(ReplicaId(0), jobs) };
+    let state = ConnectionState { assigned: assigned(call), ..ConnectionState::new(ReplicaId(0), jobs) };
 
     let next =
         task(&event_loop, &state, &to).write(Writing::Next(ConnectionCommand::SendCall(vec![call]))).unwrap();
@@ -185,9 +185,9 @@
 
 /// A probe waits at its connection while its replica is told to drain: it does not go out, and counts as never sent.
 #[tokio::test]
-async fn a_probe_queued_for_a_replica_that_drains_meanwhile_does_not_go_out() {
+async fn a_probe_queued_for_a_replica_that_drains_meanwhile_is_not_sent() {
     for drains in [false, true] {
-        let (replica_end, to, event_loop, _call) = one_call_out().await;
+        let (replica_end, to, event_loop, _call) = one_call_in_flight().await;
         let (jobs, _queue) = unbounded_channel();
         let state = ConnectionState::new(ReplicaId(0), jobs);
         state.probes_pending.set(1);
--- a/crates/pipitcrank-server/src/replicas/connection_end.rs
+++ b/crates/pipitcrank-server/src/replicas/connection_end.rs
@@ -1,4 +1,4 @@
-//! How connections end, and what that means for the attempts on them: said here and nowhere else.
+//! How connections end, and what that means for the attempts on them: defined here and nowhere else.
 
 use pipitcrank_core::ids::AttemptOutcome;
 
--- a/crates/pipitcrank-server/src/runtime/clock/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/clock/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_start_told_by_a_stepped_clock_is_placed_where_it_was() {
+fn a_start_given_by_a_stepped_clock_is_placed_where_it_was() {
     for step in [-HOUR_US, -2_000_000, 2_000_000, HOUR_US] {
         let mut wall = WallClock::new(UNIX_US);
         wall.record_offset(UNIX_US + step);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_start_told_before_a_step_keeps_its_place() {
+fn a_start_given_before_a_clock_step_keeps_its_place() {
     for step in [-HOUR_US, -2_000_000, 2_000_000, HOUR_US] {
         let mut wall = WallClock::new(UNIX_US);
         let told = shown(0, at(10.0));
--- a/crates/pipitcrank-server/src/runtime/connection_limits/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/connection_limits/tests.rs
@@ -7,7 +7,7 @@
 
     /// Beside a plain count: whoever asks, here or at another process, all together never hold more than there are.
     #[test]
-    fn sides_share_what_there_is(
+    fn sides_share_the_capacity(
         all in 3usize..40,
         steps in proptest::collection::vec((0u8..5, 0usize..40), 0..200),
     ) {
--- a/crates/pipitcrank-server/src/runtime/shutdown/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/shutdown/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn at_the_longest_grace_the_hours_are_those_measured() {
+fn at_the_longest_grace_the_times_are_those_measured() {
     for longest in [3.0, 7.5, 86_400.0] {
         let ShutdownSchedule { stay, idle, last_answer, .. } =
             ShutdownSchedule::of(TimeSpan::from_secs_f64(longest));
@@ -16,7 +16,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_the_deadline_they_keep_their_order_and_end_before_the_kill(longest in 0.0f64..100_000.0) {
+    fn whatever_the_deadline_the_times_keep_their_order_and_end_before_the_kill(longest in 0.0f64..100_000.0) {
         let ShutdownSchedule { stay, idle, last_answer, queue_until } =
             ShutdownSchedule::of(TimeSpan::from_secs_f64(longest));
         let kill = longest.min(3.0) + 0.7;
--- a/crates/pipitcrank-server/src/runtime/stall_detector/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/stall_detector/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_read_on_waking_is_as_old_as_the_sleep_and_what_comes_later_is_new() {
+fn what_is_read_after_a_stall_is_as_old_as_the_stall_and_what_comes_later_is_new() {
     let at = |ms| Timestamp::from_secs_f64(5.0) + TimeSpan::from_millis(ms);
     let detector = StallDetector::new(at(0));
     for ms in (0..2000).step_by(50) {
--- a/crates/pipitcrank-server/src/runtime/system_errors/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/system_errors/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn an_accept_that_fails_for_one_connection_or_for_want_is_made_again() {
+fn an_accept_that_fails_for_one_connection_or_a_shortage_is_retried() {
     for errno in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::HOSTUNREACH, Errno::NETDOWN] {
         assert_eq!(accept_policy(&error(errno)), ErrorPolicy::RetryAtOnce, "{errno}");
     }
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_dial_that_the_other_side_refuses_is_not_made_again() {
+fn a_connection_that_the_peer_refuses_is_not_retried() {
     for errno in [Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::CONNRESET] {
         assert_eq!(open_policy(&error(errno)), ErrorPolicy::GiveUp, "{errno}");
     }
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_passes_is_waited_for_and_what_does_not_is_told() {
+async fn transient_errors_are_retried_and_others_returned() {
     assert_eq!(attempts(Errno::NFILE, 40).await, (true, 41));
     assert_eq!(attempts(Errno::INTR, 40).await, (true, 41));
     assert_eq!(attempts(Errno::NETUNREACH, 2).await, (true, 3));
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -1,102 +1,43 @@
 //! Starts the parts of the server, joins them, and ends in order.
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream as StdStream;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-use axum::Router;
-use pipitcrank_core::config::ConfigError;
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_handover::snapshot::AgedSnapshot;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
-use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
-use tokio::sync::watch;
+use tokio::sync::mpsc::UnboundedReceiver;
 
 use crate::clients::acceptor::{self, AcceptorCommand};
-use crate::clients::http::{self, HttpEvent, HttpState};
-use crate::discovery::client::{self, SharedRevision};
+use crate::clients::http::HttpEvent;
 use crate::discovery::endpoint_update::EndpointList;
-use crate::discovery::poll_pacing::PollPacing;
 use crate::exchange::{Exchange, ReplicaTransport};
 use crate::node_config::NodeConfig;
 use crate::reload;
-use crate::replicas::pool::ReplicaPool;
 use crate::runtime::clock::Clock;
-use crate::runtime::connection_limits::ConnectionLimiter;
-use crate::runtime::counters::Counters;
 use crate::runtime::event_loop::EventLoop;
-use crate::runtime::shutdown::{ShutdownRequest, ShutdownSchedule};
+use crate::runtime::shutdown::ShutdownRequest;
 use crate::runtime::stall_detector::StallDetector;
-use crate::runtime::system_errors::{retry_open_for, retry_open_for_blocking};
+use crate::runtime::system_errors::retry_open_for;
 pub use crate::server_context::{ServerContext, TransportFactory};
+use crate::server_parts::{EnvVariable, Server, env_variable, server_context};
+use crate::start_error::START_TIMEOUT;
+pub use crate::start_error::{NodeConfigFile, NodeConfigFileError, ServeError, node_config_file};
 use crate::upgrade::context::UpgradeContext;
 use crate::upgrade::relay::{NotRelayed, Relay};
 use crate::upgrade::worker;
 
 /// Interval at which stalls of the process are looked for.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// For how long a start waits out errors that may pass, of its configuration file and its address. Nine starts in ten are to
-/// serve within 10 s.
-const START_TIMEOUT: Duration = Duration::from_secs(8);
 /// Exit code of a worker whose supervisor's link broke.
 const EXIT_LINK_BROKEN: i32 = 3;
 
-/// The node configuration's file.
-pub struct NodeConfigFile {
-    /// The path that `NODE_CONFIG` names.
-    pub path: String,
-    /// What is in it.
-    pub text: String,
-}
-
-/// Why the node configuration's file can't be read.
-#[derive(Debug, thiserror::Error)]
-pub enum NodeConfigFileError {
-    /// The variable is not set, or is no text.
-    #[error("NODE_CONFIG: {0}")]
-    Variable(#[from] std::env::VarError),
-    /// The file can't be read.
-    #[error("NODE_CONFIG: {path}: {error}")]
-    Unreadable {
-        /// The path.
-        path: String,
-        /// What reading it ended with.
-        error: io::Error,
-    },
-}
-
-/// Why the server could not start.
-#[derive(Debug, thiserror::Error)]
-pub enum ServeError {
-    /// Signals can't be received.
-    #[error("{0}")]
-    Signals(io::Error),
-    /// The node configuration's file can't be read.
-    #[error("{0}")]
-    ConfigFile(#[from] NodeConfigFileError),
-    /// A key of the node configuration is faulty.
-    #[error("{0}")]
-    Config(#[from] ConfigError),
-    /// The address can't be listened on.
-    #[error("/listen: {0}")]
-    Listen(io::Error),
-}
-
-/// Reads the file that `NODE_CONFIG` names. It blocks, so it is called before anything else runs.
-pub fn node_config_file() -> Result<NodeConfigFile, NodeConfigFileError> {
-    let path = std::env::var("NODE_CONFIG")?;
-    match retry_open_for_blocking(START_TIMEOUT, || std::fs::read_to_string(&path)) {
-        Ok(text) => Ok(NodeConfigFile { path, text }),
-        Err(error) => Err(NodeConfigFileError::Unreadable { path, error }),
-    }
-}
-
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -174,138 +115,6 @@
     Ok(())
 }
 
-type EnvVariable = fn(&str) -> Option<String>;
-
-fn env_variable(name: &str) -> Option<String> {
-    std::env::var(name).ok()
-}
-
-/// What the node configuration makes, before anything runs.
-struct Server {
-    context: Rc<UpgradeContext>,
-    replicas: Rc<RefCell<ReplicaPool>>,
-    router: Router,
-    schedule: ShutdownSchedule,
-    stall_detector: Arc<StallDetector>,
-    shutdown_requested: ShutdownRequest,
-    is_draining: watch::Receiver<bool>,
-    http_events: UnboundedReceiver<HttpEvent>,
-    acceptor_commands: UnboundedReceiver<AcceptorCommand>,
-    discovery_address: watch::Sender<String>,
-    tick: TimeSpan,
-    name: String,
-    listen: SocketAddr,
-}
-
-impl Server {
-    fn new(clock: &Clock, config: &NodeConfig<EnvVariable>) -> Result<Server, ConfigError> {
-        let counters = Counters::default();
-        let exchange = config.exchange(counters.clone())?;
-        let initial_list = config.initial_endpoints(clock)?;
-        let (for_replicas, client_connections) = ConnectionLimiter::shared(config.connection_limit()?);
-        let event_loop = Rc::new(EventLoop::new(clock.clone(), counters, for_replicas, exchange));
-        let replicas = ReplicaPool::new(
-            event_loop.clone(),
-            config.streams_per_connection()?,
-            config.connect_timeout()?,
-            config.idle_timeout()?,
-        );
-        let (http_sender, http_events) = unbounded_channel();
-        let (shutdown, shutdown_requested) = watch::channel(None);
-        let (draining, is_draining) = watch::channel(false);
-        let (acceptor, acceptor_commands) = unbounded_channel();
-        let tickets = Arc::new(AtomicU64::new(0));
-        let classes = config.classes()?;
-        let class_count = classes.len();
-        let max_deadline = config.max_deadline()?;
-        let schedule = ShutdownSchedule::of(max_deadline);
-        let stall_detector = Arc::new(StallDetector::new(clock.now()));
-        let router = http::router(HttpState {
-            clock: clock.clone(),
-            counters: event_loop.counters.clone(),
-            classes: classes.into(),
-            keyed_idempotency: config.keyed_idempotency()?.into(),
-            shards: config.shards()?,
-            events: http_sender,
-            shutdown_requested: shutdown_requested.clone(),
-            last_answer: schedule.last_answer,
-            tickets: tickets.clone(),
-            stall_detector: stall_detector.clone(),
-        });
-        let (discovery_address, addresses) = watch::channel(config.discovery()?);
-        let (tick, name, listen) = (config.tick_interval()?, config.name()?, config.listen()?);
-        let held_revision = SharedRevision::default();
-        let context = Rc::new(UpgradeContext {
-            relay: Relay::new(event_loop.clone()),
-            start_discovery: discovery_starter(config, &event_loop, addresses, &held_revision)?,
-            event_loop,
-            acceptor,
-            client_connections,
-            revision: held_revision,
-            initial_list: Cell::new(Some(initial_list)),
-            tickets,
-            class_count,
-            shards: config.shards()?,
-            max_deadline,
-            shutdown,
-            draining: Rc::new(draining),
-        });
-        Ok(Server {
-            context,
-            replicas,
-            router,
-            schedule,
-            stall_detector,
-            shutdown_requested,
-            is_draining,
-            http_events,
-            acceptor_commands,
-            discovery_address,
-            tick,
-            name,
-            listen,
-        })
-    }
-}
-
-/// Starts the watch of the endpoint list each time it is called.
-fn discovery_starter(
-    config: &NodeConfig<EnvVariable>,
-    event_loop: &Rc<EventLoop>,
-    addresses: watch::Receiver<String>,
-    revision: &SharedRevision,
-) -> Result<Rc<dyn Fn()>, ConfigError> {
-    let pacing = config.polls_discovery()?.then_some((config.seed()?, config.coordinator_count()?));
-    let (event_loop, revision) = (event_loop.clone(), revision.clone());
-    Ok(Rc::new(move || {
-        let pacing = pacing.map(|(seed, coordinators)| PollPacing::new(seed, coordinators));
-        let watch = client::watch(event_loop.clone(), addresses.clone(), revision.clone(), pacing);
-        tokio::task::spawn_local(watch);
-    }))
-}
-
-fn server_context(
-    config: &NodeConfig<EnvVariable>,
-    context: &UpgradeContext,
-    replicas: Rc<RefCell<ReplicaPool>>,
-    (shutdown_requested, draining): (ShutdownRequest, watch::Receiver<bool>),
-) -> Result<ServerContext, ConfigError> {
-    Ok(ServerContext {
-        event_loop: context.event_loop.clone(),
-        replicas,
-        classes: config.classes()?,
-        shards: config.shards()?,
-        cells: config.cells()?,
-        max_deadline: config.max_deadline()?,
-        tickets: context.tickets.clone(),
-        draining,
-        shutdown_requested,
-        zones: config.zones()?,
-        priority_weights: config.priority_weights()?,
-        revision: context.revision.clone(),
-    })
-}
-
 /// Loads what is known and accepts clients; there is no supervisor.
 async fn start_alone(
     context: &UpgradeContext,
--- a/crates/pipitcrank-server/src/server_context.rs
+++ b/crates/pipitcrank-server/src/server_context.rs
@@ -39,7 +39,7 @@
     pub zones: Option<(ZoneId, Vec<String>)>,
     /// Priority weight of a complete answer, by request class.
     pub priority_weights: Vec<f64>,
-    /// Revision of the endpoint list that is held.
+    /// Revision of the current endpoint list.
     pub revision: SharedRevision,
 }
 
--- /dev/null
+++ b/crates/pipitcrank-server/src/server_parts.rs
@@ -0,0 +1,164 @@
+//! The parts of the server, made from the node configuration before anything runs.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+
+use axum::Router;
+use pipitcrank_core::config::ConfigError;
+use pipitcrank_core::time::TimeSpan;
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+use tokio::sync::watch;
+
+use crate::clients::acceptor::AcceptorCommand;
+use crate::clients::http::{self, HttpEvent, HttpState};
+use crate::discovery::client::{self, SharedRevision};
+use crate::discovery::poll_pacing::PollPacing;
+use crate::node_config::NodeConfig;
+use crate::replicas::pool::ReplicaPool;
+use crate::runtime::clock::Clock;
+use crate::runtime::connection_limits::ConnectionLimiter;
+use crate::runtime::counters::Counters;
+use crate::runtime::event_loop::EventLoop;
+use crate::runtime::shutdown::{ShutdownRequest, ShutdownSchedule};
+use crate::runtime::stall_detector::StallDetector;
+use crate::server_context::ServerContext;
+use crate::upgrade::context::UpgradeContext;
+use crate::upgrade::relay::Relay;
+
+/// Looks up an environment variable.
+pub(crate) type EnvVariable = fn(&str) -> Option<String>;
+
+pub(crate) fn env_variable(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
+
+/// What the node configuration makes, before anything runs.
+pub(crate) struct Server {
+    pub(crate) context: Rc<UpgradeContext>,
+    pub(crate) replicas: Rc<RefCell<ReplicaPool>>,
+    pub(crate) router: Router,
+    pub(crate) schedule: ShutdownSchedule,
+    pub(crate) stall_detector: Arc<StallDetector>,
+    pub(crate) shutdown_requested: ShutdownRequest,
+    pub(crate) is_draining: watch::Receiver<bool>,
+    pub(crate) http_events: UnboundedReceiver<HttpEvent>,
+    pub(crate) acceptor_commands: UnboundedReceiver<AcceptorCommand>,
+    pub(crate) discovery_address: watch::Sender<String>,
+    pub(crate) tick: TimeSpan,
+    pub(crate) name: String,
+    pub(crate) listen: SocketAddr,
+}
+
+impl Server {
+    pub(crate) fn new(clock: &Clock, config: &NodeConfig<EnvVariable>) -> Result<Server, ConfigError> {
+        let counters = Counters::default();
+        let exchange = config.exchange(counters.clone())?;
+        let initial_list = config.initial_endpoints(clock)?;
+        let (for_replicas, client_connections) = ConnectionLimiter::shared(config.connection_limit()?);
+        let event_loop = Rc::new(EventLoop::new(clock.clone(), counters, for_replicas, exchange));
+        let replicas = make_replica_pool(config, &event_loop)?;
+        let (http_sender, http_events) = unbounded_channel();
+        let (shutdown, shutdown_requested) = watch::channel(None);
+        let (draining, is_draining) = watch::channel(false);
+        let (acceptor, acceptor_commands) = unbounded_channel();
+        let tickets = Arc::new(AtomicU64::new(0));
+        let classes: Arc<[String]> = config.classes()?.into();
+        let max_deadline = config.max_deadline()?;
+        let schedule = ShutdownSchedule::of(max_deadline);
+        let stall_detector = Arc::new(StallDetector::new(clock.now()));
+        let router = http::router(HttpState {
+            clock: clock.clone(),
+            counters: event_loop.counters.clone(),
+            classes: classes.clone(),
+            keyed_idempotency: config.keyed_idempotency()?.into(),
+            shards: config.shards()?,
+            events: http_sender,
+            shutdown_requested: shutdown_requested.clone(),
+            last_answer: schedule.last_answer,
+            tickets: tickets.clone(),
+            stall_detector: stall_detector.clone(),
+        });
+        let (discovery_address, addresses) = watch::channel(config.discovery()?);
+        let (tick, name, listen) = (config.tick_interval()?, config.name()?, config.listen()?);
+        let held_revision = SharedRevision::default();
+        let context = Rc::new(UpgradeContext {
+            relay: Relay::new(event_loop.clone()),
+            start_discovery: discovery_starter(config, &event_loop, addresses, &held_revision)?,
+            event_loop,
+            acceptor,
+            client_connections,
+            revision: held_revision,
+            initial_list: Cell::new(Some(initial_list)),
+            tickets,
+            class_count: classes.len(),
+            shards: config.shards()?,
+            max_deadline,
+            shutdown,
+            draining: Rc::new(draining),
+        });
+        Ok(Server {
+            context,
+            replicas,
+            router,
+            schedule,
+            stall_detector,
+            shutdown_requested,
+            is_draining,
+            http_events,
+            acceptor_commands,
+            discovery_address,
+            tick,
+            name,
+            listen,
+        })
+    }
+}
+
+fn make_replica_pool(
+    config: &NodeConfig<EnvVariable>,
+    event_loop: &Rc<EventLoop>,
+) -> Result<Rc<RefCell<ReplicaPool>>, ConfigError> {
+    let streams = config.streams_per_connection()?;
+    Ok(ReplicaPool::new(event_loop.clone(), streams, config.connect_timeout()?, config.idle_timeout()?))
+}
+
+/// Starts the watch of the endpoint list each time it is called.
+fn discovery_starter(
+    config: &NodeConfig<EnvVariable>,
+    event_loop: &Rc<EventLoop>,
+    addresses: watch::Receiver<String>,
+    revision: &SharedRevision,
+) -> Result<Rc<dyn Fn()>, ConfigError> {
+    let pacing = config.polls_discovery()?.then_some((config.seed()?, config.coordinator_count()?));
+    let (event_loop, revision) = (event_loop.clone(), revision.clone());
+    Ok(Rc::new(move || {
+        let pacing = pacing.map(|(seed, coordinators)| PollPacing::new(seed, coordinators));
+        let watch = client::watch(event_loop.clone(), addresses.clone(), revision.clone(), pacing);
+        tokio::task::spawn_local(watch);
+    }))
+}
+
+pub(crate) fn server_context(
+    config: &NodeConfig<EnvVariable>,
+    context: &UpgradeContext,
+    replicas: Rc<RefCell<ReplicaPool>>,
+    (shutdown_requested, draining): (ShutdownRequest, watch::Receiver<bool>),
+) -> Result<ServerContext, ConfigError> {
+    Ok(ServerContext {
+        event_loop: context.event_loop.clone(),
+        replicas,
+        classes: config.classes()?,
+        shards: config.shards()?,
+        cells: config.cells()?,
+        max_deadline: config.max_deadline()?,
+        tickets: context.tickets.clone(),
+        draining,
+        shutdown_requested,
+        zones: config.zones()?,
+        priority_weights: config.priority_weights()?,
+        revision: context.revision.clone(),
+    })
+}
--- a/crates/pipitcrank-server/src/upgrade/context.rs
+++ b/crates/pipitcrank-server/src/upgrade/context.rs
@@ -26,11 +26,11 @@
     pub acceptor: UnboundedSender<AcceptorCommand>,
     /// Limits client connections.
     pub client_connections: ConnectionLimiter,
-    /// Revision of the endpoint list that is held.
+    /// Revision of the current endpoint list.
     pub revision: SharedRevision,
-    /// To be called once an endpoint list is held, from wherever it came.
+    /// To be called once there is an endpoint list, from wherever it came.
     pub start_discovery: Rc<dyn Fn()>,
-    /// The node configuration's list, until a list is held.
+    /// The node configuration's list, until there is a current list.
     pub initial_list: Cell<Option<EndpointList>>,
     /// The next ticket.
     pub tickets: Arc<AtomicU64>,
@@ -47,7 +47,7 @@
 }
 
 impl UpgradeContext {
-    /// Goes by the node configuration's list, unless a list is held already.
+    /// Goes by the node configuration's list, unless there is a list already.
     pub fn use_initial_list(&self) {
         if let Some(EndpointList { revision, endpoints }) = self.initial_list.take() {
             self.revision.set(Some(revision));
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether no list is held yet.
+    /// Whether there is no current list yet.
     pub fn has_initial_list(&self) -> bool {
         let list = self.initial_list.take();
         let is_there = list.is_some();
--- a/crates/pipitcrank-server/src/upgrade/predecessor.rs
+++ b/crates/pipitcrank-server/src/upgrade/predecessor.rs
@@ -28,8 +28,8 @@
 /// The process that hands over.
 pub(super) struct Predecessor {
     link: LinkSender,
-    /// Retries that stayed with it; none before its state is loaded and once it is settled.
-    retries_kept: Option<u32>,
+    /// Retries reserved for it; none before its state is loaded and once it is settled.
+    retries_reserved: Option<u32>,
     tickets: TicketMap,
 }
 
@@ -50,12 +50,12 @@
 
 impl Predecessor {
     pub(super) fn new(link: LinkSender) -> Predecessor {
-        Predecessor { link, retries_kept: None, tickets: Rc::default() }
+        Predecessor { link, retries_reserved: None, tickets: Rc::default() }
     }
 
     /// Whether its state is loaded and it has not finished.
     pub(super) fn is_active(&self) -> bool {
-        self.retries_kept.is_some()
+        self.retries_reserved.is_some()
     }
 
     pub(super) fn handle(
@@ -70,10 +70,10 @@
             ToSuccessor::Hello { version } => {
                 tracing::error!("the predecessor speaks version {version}, not {VERSION}");
                 // Nothing more is sent: the supervisor's timeout ends this upgrade.
-                self.retries_kept = None;
+                self.retries_reserved = None;
             }
             ToSuccessor::Snapshot(bytes) => {
-                self.retries_kept = Some(load_state(context, &bytes));
+                self.retries_reserved = Some(load_state(context, &bytes));
                 supervisor.send(&ToSupervisor::StateLoaded, None);
             }
             ToSuccessor::Query(query) => self.submit(context, query, None),
@@ -114,11 +114,11 @@
         context.event_loop.update(|e| e.submit(own, request, Box::new(responder)));
     }
 
-    /// It has finished and used so many of the retries that it kept; none where it ended without saying: then it counts as
+    /// It has finished and used so many of the retries reserved for it; none where it ended without a last message: then it counts as
     /// having used all.
     pub(super) fn settle(&mut self, context: &UpgradeContext, used: Option<u32>) {
-        if let Some(kept) = self.retries_kept.take() {
-            let used = used.unwrap_or(kept).min(kept);
+        if let Some(reserved) = self.retries_reserved.take() {
+            let used = used.unwrap_or(reserved).min(reserved);
             let now = context.event_loop.clock.now();
             context.event_loop.update(|e| e.settle_with_predecessor(now, used));
         }
@@ -126,7 +126,7 @@
         context.client_connections.clear_peer_reservation();
     }
 
-    /// It is gone: this process continues alone.
+    /// It has exited: this process continues alone.
     pub(super) fn abandon(mut self, context: &UpgradeContext) {
         // It may have died before it sent its state: then the initial list is all there is.
         if context.has_initial_list() {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Loads the predecessor's state; returns how many retries stayed with it.
+/// Loads the predecessor's state; returns how many retries are reserved for it.
 fn load_state(context: &UpgradeContext, bytes: &[u8]) -> u32 {
     match Snapshot::decode(bytes) {
         Ok(snapshot) => {
@@ -152,10 +152,10 @@
             );
             context.initial_list.take();
             context.revision.set(snapshot.revision);
-            let kept = snapshot.delegated_retries.count;
+            let reserved = snapshot.delegated_retries.count;
             context.event_loop.update(|e| e.resume_from_predecessor(now, age, snapshot));
             (context.start_discovery)();
-            kept
+            reserved
         }
         Err(error) => {
             tracing::warn!("the predecessor's state is refused ({error}); using the initial list alone");
--- a/crates/pipitcrank-server/src/upgrade/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -1,5 +1,5 @@
 //! Queries that the successor answers while their clients are connected here. Each gets one response: the successor's, or
-//! one made here when the deadline comes or the successor is gone.
+//! one made here when the deadline comes or the successor has exited.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -115,7 +115,7 @@
         true
     }
 
-    /// The successor is gone: responds to all pending queries, and returns how many those were.
+    /// The successor has exited: responds to all pending queries, and returns how many those were.
     pub fn stop(&self) -> usize {
         *self.successor.borrow_mut() = None;
         let tickets: Vec<u64> = self.pending.borrow().keys().copied().collect();
--- a/crates/pipitcrank-server/src/upgrade/successor.rs
+++ b/crates/pipitcrank-server/src/upgrade/successor.rs
@@ -14,8 +14,8 @@
 /// The process that takes over.
 pub(super) struct Successor {
     link: LinkSender,
-    /// Retries that this process kept at the handover.
-    retries_kept: u32,
+    /// Retries reserved for this process at the handover.
+    retries_reserved: u32,
     /// It speaks this version, and has the state.
     pub(super) has_state: bool,
     /// Client connections are passed to it.
@@ -26,7 +26,7 @@
 
 impl Successor {
     pub(super) fn new(link: LinkSender) -> Successor {
-        Successor { link, retries_kept: 0, has_state: false, transferring: false, drained: false }
+        Successor { link, retries_reserved: 0, has_state: false, transferring: false, drained: false }
     }
 
     /// Sends it the state; from now on this process only finishes its open queries.
@@ -37,7 +37,7 @@
         let snapshot = context
             .event_loop
             .update(|e| e.begin_handover(now, monotonic_micros(), revision, context.max_deadline));
-        self.retries_kept = snapshot.delegated_retries.count;
+        self.retries_reserved = snapshot.delegated_retries.count;
         let bytes = snapshot.encode().unwrap_or_else(|error| {
             tracing::error!("the state can't be encoded: {error}");
             Vec::new()
@@ -74,13 +74,13 @@
 
     /// Sends it the last message.
     pub(super) fn finish(&self, context: &UpgradeContext) {
-        let kept = self.retries_kept;
-        let delegated_retries_used = context.event_loop.read(|e| e.delegated_retries_used(kept));
+        let reserved = self.retries_reserved;
+        let delegated_retries_used = context.event_loop.read(|e| e.delegated_retries_used(reserved));
         let counters = context.event_loop.counters.all();
         self.link.send(&ToSuccessor::Finished { delegated_retries_used, counters }, None);
     }
 
-    /// It is gone: this process continues alone.
+    /// It has exited: this process continues alone.
     pub(super) fn abandon(self, context: &UpgradeContext) {
         let lost = context.relay.stop();
         if self.has_state {
--- a/crates/pipitcrank-server/src/upgrade/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -202,7 +202,7 @@
                 self.from_successor = None;
             }
             (Err(error), _) => {
-                // The supervisor says what follows; its queries are answered now.
+                // The supervisor decides what follows; its queries are answered now.
                 tracing::info!("the link to the successor ended: {error}");
                 self.from_successor = None;
                 let lost = self.context.relay.stop();
--- a/crates/pipitcrank-server/tests/exchange.rs
+++ b/crates/pipitcrank-server/tests/exchange.rs
@@ -18,7 +18,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const TOLD: &str = r#"{"allowed":{"cancel":true,"probing":false,"may_duplicate":true,"retry_after":true,
+const SETTINGS: &str = r#"{"allowed":{"cancel":true,"probing":false,"may_duplicate":true,"retry_after":true,
   "max_retry_after_s":2.0,"try_limit":4},"classes":[
   {"aim_s":1.0,"hard_limit_s":4.0,"idempotency":"safe","name":"view"},
   {"aim_s":1.0,"hard_limit_s":4.0,"idempotency":"safe","name":"rank"},
@@ -26,7 +26,7 @@
   "domain":{"call_cost_s":0.01,"complete_from":[1.0,1.0,1.0],"floor_by_class":[1.0,0.4,1.0],"follow_up":[0,0,0],
   "parts_a_call":4,"sets":3,"shards":12,"span":2},
   "rules":{"cold_from":0.3,"cold_s":9.0,"fall_s":1.5,"overload_factor":4.0},"tick_s":0.005}"#;
-const MOST_OPEN: usize = 9;
+const MAX_OPEN: usize = 9;
 
 fn at(ms: i64) -> Timestamp {
     Timestamp::from_micros(ms * 1000)
@@ -34,14 +34,14 @@
 
 /// The replica side, written down.
 #[derive(Default)]
-struct Ledger {
+struct RecordingTransport {
     calls: Vec<(ReplicaId, Vec<AttemptId>)>,
-    given_up: Vec<AttemptId>,
+    cancelled: Vec<AttemptId>,
     met: BTreeMap<ReplicaId, SocketAddr>,
     probed: Vec<ReplicaId>,
 }
 
-impl ReplicaTransport for Ledger {
+impl ReplicaTransport for RecordingTransport {
     fn set_address(&mut self, replica: ReplicaId, address: SocketAddr) {
         self.met.insert(replica, address);
     }
@@ -52,7 +52,7 @@
         self.calls.push((replica, parts));
     }
     fn cancel_attempt(&mut self, _replica: ReplicaId, call: AttemptId) {
-        self.given_up.push(call);
+        self.cancelled.push(call);
     }
     fn send_load_probe(&mut self, replica: ReplicaId) {
         self.probed.push(replica);
@@ -65,17 +65,17 @@
 }
 
 /// The rules that the run-time check goes by, of those settings.
-fn audit_rules(told: &serde_json::Value) -> audit::AuditRules {
-    let number = |key: &str| told.pointer(key).and_then(serde_json::Value::as_f64);
+fn audit_rules(settings: &serde_json::Value) -> audit::AuditRules {
+    let number = |key: &str| settings.pointer(key).and_then(serde_json::Value::as_f64);
     let class = |n: usize| audit::ClassRules {
-        idempotency: SettingsReader::new(told).idempotency(n).unwrap(),
+        idempotency: SettingsReader::new(settings).idempotency(n).unwrap(),
         dedup_window: TimeSpan::from_secs_f64(number(&format!("/classes/{n}/dedup_window_s")).unwrap_or(0.0)),
         floor: number(&format!("/domain/floor_by_class/{n}")).unwrap(),
         complete_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
     };
     audit::AuditRules {
-        classes: (0..told["classes"].as_array().unwrap().len()).map(class).collect(),
-        may_hedge: told["allowed"]["may_duplicate"].as_bool().unwrap(),
+        classes: (0..settings["classes"].as_array().unwrap().len()).map(class).collect(),
+        may_hedge: settings["allowed"]["may_duplicate"].as_bool().unwrap(),
         max_attempts: number("/allowed/try_limit").unwrap() as u32,
         drain_grace: TimeSpan::ZERO,
         budget_free: number("/rules/extra_free").unwrap_or(0.0),
@@ -86,15 +86,15 @@
 
 type Answers = Rc<RefCell<Vec<(String, QueryResponse)>>>;
 
-struct Stage {
+struct Harness {
     exchange: Exchange,
-    ledger: Ledger,
+    transport: RecordingTransport,
     counters: Counters,
     answers: Answers,
     tickets: u64,
 }
 
-impl Drop for Stage {
+impl Drop for Harness {
     fn drop(&mut self) {
         if !std::thread::panicking() {
             let all = self.counters.all();
@@ -104,27 +104,32 @@
     }
 }
 
-impl Stage {
+impl Harness {
     /// Three replicas in a ring of three cells, each shard held by two.
-    fn set() -> Stage {
-        Stage::told(TOLD)
+    fn new() -> Harness {
+        Harness::with_settings(SETTINGS)
     }
 
-    fn told(told: &str) -> Stage {
-        let told = serde_json::from_str(told).unwrap();
+    fn with_settings(settings: &str) -> Harness {
+        let settings = serde_json::from_str(settings).unwrap();
         let counters = Counters::default();
-        let coordinator = SettingsReader::new(&told).coordinator(7).unwrap();
-        let mut exchange = Exchange::new(coordinator, MOST_OPEN, 4, counters.clone());
-        exchange.enable_audit(audit_rules(&told));
+        let coordinator = SettingsReader::new(&settings).coordinator(7).unwrap();
+        let mut exchange = Exchange::new(coordinator, MAX_OPEN, 4, counters.clone());
+        exchange.enable_audit(audit_rules(&settings));
         exchange.update_endpoints(at(0), true, (0..3).map(|n| listed(n, true)).collect());
-        let mut stage =
-            Stage { exchange, ledger: Ledger::default(), counters, answers: Answers::default(), tickets: 0 };
-        stage.turn(0);
-        stage
+        let mut harness = Harness {
+            exchange,
+            transport: RecordingTransport::default(),
+            counters,
+            answers: Answers::default(),
+            tickets: 0,
+        };
+        harness.turn(0);
+        harness
     }
 
     fn turn(&mut self, ms: i64) {
-        self.exchange.run_batch(at(ms), &mut self.ledger);
+        self.exchange.run_batch(at(ms), &mut self.transport);
     }
 
     fn ask(&mut self, id: &str, class: u16, shards: std::ops::Range<u32>, ends: i64) -> u64 {
@@ -151,7 +156,7 @@
     /// Lets all calls made so far go, as the connections would just before the first byte.
     fn release(&mut self, ms: i64) -> Vec<(ReplicaId, AttemptId, String, u32)> {
         let mut out = Vec::new();
-        for (replica, mut parts) in std::mem::take(&mut self.ledger.calls) {
+        for (replica, mut parts) in std::mem::take(&mut self.transport.calls) {
             let going = self.exchange.authorize_send(at(ms), replica, &mut parts);
             assert_eq!(going.len(), parts.len());
             for (part, call) in going.into_iter().zip(parts) {
@@ -169,12 +174,12 @@
     /// Turns at their times until `ms`.
     fn run_to(&mut self, ms: i64) {
         while let Some(next) = self.exchange.next_due().filter(|&t| t <= at(ms)) {
-            self.exchange.run_batch(next, &mut self.ledger);
+            self.exchange.run_batch(next, &mut self.transport);
         }
         self.turn(ms);
     }
 
-    fn final_of(&self, id: &str) -> Option<String> {
+    fn response_to(&self, id: &str) -> Option<String> {
         let answers = self.answers.borrow();
         let mut mine = answers.iter().filter(|(name, _)| name == id);
         let last = mine.next().map(|(_, last)| format!("{last:?}"));
@@ -185,217 +190,220 @@
 
 #[test]
 fn a_query_travels_in_calls_and_is_answered_as_the_replicas_gave_it() {
-    let mut stage = Stage::set();
-    stage.ask("q", 0, 0..6, 4000);
-    stage.turn(10);
-    assert!(stage.ledger.calls.iter().all(|(_, parts)| parts.len() <= 4), "calls within the call size");
-    assert!(stage.ledger.calls.len() < 6, "parts for one leaf share calls");
-    let out = stage.release(11);
+    let mut harness = Harness::new();
+    harness.ask("q", 0, 0..6, 4000);
+    harness.turn(10);
+    assert!(harness.transport.calls.iter().all(|(_, parts)| parts.len() <= 4), "calls within the call size");
+    assert!(harness.transport.calls.len() < 6, "parts for one leaf share calls");
+    let out = harness.release(11);
     let mut ids: Vec<&str> = out.iter().map(|o| &*o.2).collect();
     ids.sort();
     assert_eq!(ids, ["q.0", "q.1", "q.2", "q.3", "q.4", "q.5"]);
     for (replica, _, _, shard) in &out {
-        let cell = stage.ledger.met[replica].port() as u32 - 5000;
+        let cell = harness.transport.met[replica].port() as u32 - 5000;
         assert!((cell + 3 - shard % 3) % 3 < 2, "leaf {cell} does not hold shard {shard}");
     }
     for (_, call, id, _) in out.iter().rev() {
-        stage.pass(*call, &format!("doc of {id}"));
+        harness.pass(*call, &format!("doc of {id}"));
     }
-    assert_eq!(stage.final_of("q"), None, "answered in the turn, not between");
-    stage.turn(60);
+    assert_eq!(harness.response_to("q"), None, "answered in the turn, not between");
+    harness.turn(60);
     let hits = (0..6).map(|n| (n, format!("doc of q.{n}"))).collect();
     let wanted = QueryResponse::Answered { complete: true, hits };
-    assert_eq!(stage.final_of("q"), Some(format!("{wanted:?}")));
-    assert!(stage.exchange.is_drained());
-    assert_eq!(stage.counters.get("leaf_calls", "pass"), 6);
+    assert_eq!(harness.response_to("q"), Some(format!("{wanted:?}")));
+    assert!(harness.exchange.is_drained());
+    assert_eq!(harness.counters.get("leaf_calls", "pass"), 6);
 }
 
 #[test]
-fn a_partial_answer_names_what_is_in_and_is_not_marked_whole() {
-    let mut stage = Stage::set();
-    stage.ask("q", 1, 0..2, 4000);
-    stage.turn(10);
-    let out = stage.release(10);
+fn a_partial_answer_names_what_is_in_and_is_not_marked_complete() {
+    let mut harness = Harness::new();
+    harness.ask("q", 1, 0..2, 4000);
+    harness.turn(10);
+    let out = harness.release(10);
     let (_, call, _, shard) = out[0].clone();
-    stage.pass(call, "in");
-    stage.run_to(1100);
+    harness.pass(call, "in");
+    harness.run_to(1100);
     let wanted = QueryResponse::Answered { complete: false, hits: vec![(shard, "in".into())] };
-    assert_eq!(stage.final_of("q"), Some(format!("{wanted:?}")));
-    assert!(stage.ledger.given_up.contains(&out[1].1), "nobody waits for the other part");
+    assert_eq!(harness.response_to("q"), Some(format!("{wanted:?}")));
+    assert!(harness.transport.cancelled.contains(&out[1].1), "nobody waits for the other part");
 }
 
 #[test]
-fn queries_are_turned_away_only_once_the_told_number_is_open() {
-    let mut stage = Stage::set();
-    stage.ask("five", 0, 0..5, 4000);
+fn queries_are_rejected_only_once_the_limit_is_open() {
+    let mut harness = Harness::new();
+    harness.ask("five", 0, 0..5, 4000);
     // Six are open, under nine: this one is taken although it passes the number.
-    stage.ask("long", 0, 5..12, 4000);
-    stage.ask("over", 0, 0..1, 4000);
-    stage.turn(10);
-    assert_eq!((stage.final_of("five"), stage.final_of("long")), (None, None));
+    harness.ask("long", 0, 5..12, 4000);
+    harness.ask("over", 0, 0..1, 4000);
+    harness.turn(10);
+    assert_eq!((harness.response_to("five"), harness.response_to("long")), (None, None));
     let over = QueryResponse::Rejected { retry_after: TimeSpan::ZERO };
-    assert_eq!(stage.final_of("over"), Some(format!("{over:?}")));
-    assert_eq!(stage.counters.get("queries", "turned_away_over_most_open"), 1);
+    assert_eq!(harness.response_to("over"), Some(format!("{over:?}")));
+    assert_eq!(harness.counters.get("queries", "turned_away_over_most_open"), 1);
     // Nine are open again but for the parts that are in: those are not, though their query is.
-    for (_, call, id, _) in stage.release(10) {
+    for (_, call, id, _) in harness.release(10) {
         if id != "long.5" {
-            stage.pass(call, "x");
+            harness.pass(call, "x");
         }
     }
-    stage.turn(20);
-    assert_eq!(stage.final_of("long"), None);
-    stage.ask("next", 0, 0..7, 4000);
-    stage.ask("over again", 0, 0..1, 4000);
-    stage.turn(30);
-    assert_eq!(stage.final_of("next"), None, "room again");
-    assert_eq!(stage.final_of("over again"), Some(format!("{over:?}")), "2 and 8 are open");
+    harness.turn(20);
+    assert_eq!(harness.response_to("long"), None);
+    harness.ask("next", 0, 0..7, 4000);
+    harness.ask("over again", 0, 0..1, 4000);
+    harness.turn(30);
+    assert_eq!(harness.response_to("next"), None, "room again");
+    assert_eq!(harness.response_to("over again"), Some(format!("{over:?}")), "2 and 8 are open");
 }
 
 #[test]
-fn an_id_that_is_held_is_not_taken_again() {
-    let mut stage = Stage::set();
-    stage.ask("q", 0, 0..1, 4000);
-    stage.ask("q", 0, 1..2, 4000);
-    stage.turn(10);
-    let answers: Vec<_> = stage.answers.borrow_mut().drain(..).collect();
+fn the_id_of_an_open_query_is_not_admitted_again() {
+    let mut harness = Harness::new();
+    harness.ask("q", 0, 0..1, 4000);
+    harness.ask("q", 0, 1..2, 4000);
+    harness.turn(10);
+    let answers: Vec<_> = harness.answers.borrow_mut().drain(..).collect();
     assert_eq!(answers, [("q".to_string(), QueryResponse::DuplicateId)]);
-    stage.release(10).iter().for_each(|o| stage.pass(o.1, "x"));
-    stage.turn(20);
-    assert!(stage.final_of("q").unwrap().contains("complete: true"), "the first is served all the same");
+    harness.release(10).iter().for_each(|o| harness.pass(o.1, "x"));
+    harness.turn(20);
+    assert!(harness.response_to("q").unwrap().contains("complete: true"), "the first is served all the same");
 }
 
 #[test]
-fn a_frame_held_up_until_its_query_is_over_is_dropped_as_never_run() {
-    let mut stage = Stage::set();
-    let ticket = stage.ask("q", 2, 0..2, 4000);
-    stage.turn(10);
-    let held_up = stage.ledger.calls.clone();
-    stage.exchange.client_disconnected(ticket);
-    stage.turn(20);
-    assert!(stage.release(21).is_empty());
-    assert_eq!(stage.final_of("q"), None, "a client that left gets no answer");
-    stage.turn(30);
+fn a_frame_delayed_until_its_query_is_over_is_dropped_as_never_sent() {
+    let mut harness = Harness::new();
+    let ticket = harness.ask("q", 2, 0..2, 4000);
+    harness.turn(10);
+    let held_up = harness.transport.calls.clone();
+    harness.exchange.client_disconnected(ticket);
+    harness.turn(20);
+    assert!(harness.release(21).is_empty());
+    assert_eq!(harness.response_to("q"), None, "a client that left gets no answer");
+    harness.turn(30);
     let calls = held_up.iter().map(|(_, parts)| parts.len() as u64).sum::<u64>();
-    assert_eq!(stage.counters.get("leaf_calls", "undone"), calls);
-    assert!(stage.exchange.is_drained() && stage.exchange.next_due().is_none_or(|t| t > at(30)));
+    assert_eq!(harness.counters.get("leaf_calls", "undone"), calls);
+    assert!(harness.exchange.is_drained() && harness.exchange.next_due().is_none_or(|t| t > at(30)));
 }
 
 #[test]
-fn a_frame_held_up_past_its_time_is_dropped_as_never_run() {
-    let mut stage = Stage::set();
-    stage.ask("q", 2, 0..1, 300);
-    stage.turn(10);
-    assert!(stage.release(300).is_empty());
-    stage.turn(300);
-    assert_eq!(stage.counters.get("leaf_calls", "stale"), 1);
+fn a_frame_delayed_past_its_deadline_is_dropped_as_never_sent() {
+    let mut harness = Harness::new();
+    harness.ask("q", 2, 0..1, 300);
+    harness.turn(10);
+    assert!(harness.release(300).is_empty());
+    harness.turn(300);
+    assert_eq!(harness.counters.get("leaf_calls", "stale"), 1);
     // A tenth of its SLO time: given up on, it is told at once when to come back (the move, 2026-12-01).
     let rejected = QueryResponse::Rejected { retry_after: TimeSpan::from_millis(100) };
     // It never ran, so even a side-effecting query may be rejected.
-    assert_eq!(stage.final_of("q"), Some(format!("{rejected:?}")));
+    assert_eq!(harness.response_to("q"), Some(format!("{rejected:?}")));
 }
 
 #[test]
-fn a_frame_for_a_replica_told_drained_is_dropped_at_once_and_placed_anew() {
+fn a_frame_for_a_draining_replica_is_dropped_at_once_and_sent_to_another() {
     for whole in [false, true] {
-        let mut stage = Stage::set();
-        stage.ask("early", 2, 0..1, 4000);
-        stage.ask("late", 2, 0..1, 4000);
-        stage.turn(10);
-        let (replica, _) = stage.ledger.calls[0].clone();
-        let n = stage.ledger.met[&replica].port() as u32 - 5000;
+        let mut harness = Harness::new();
+        harness.ask("early", 2, 0..1, 4000);
+        harness.ask("late", 2, 0..1, 4000);
+        harness.turn(10);
+        let (replica, _) = harness.transport.calls[0].clone();
+        let n = harness.transport.met[&replica].port() as u32 - 5000;
         // Told by its own row, or by a whole list that lacks it.
         let rows = if whole {
             (0..3).filter(|m| *m != n).map(|m| listed(m, true)).collect()
         } else {
             vec![listed(n, false)]
         };
-        stage.exchange.update_endpoints(at(20), whole, rows);
-        stage.turn(25);
+        harness.exchange.update_endpoints(at(20), whole, rows);
+        harness.turn(25);
         let (on, off): (Vec<_>, Vec<_>) =
-            stage.ledger.calls.clone().into_iter().partition(|c| c.0 == replica);
+            harness.transport.calls.clone().into_iter().partition(|c| c.0 == replica);
         let mut queued = on.into_iter().flat_map(|c| c.1).collect::<Vec<_>>();
         let dropped = queued.len();
         assert!(dropped > 0);
         assert_eq!(
-            stage.exchange.authorize_send(at(26), replica, &mut queued).len(),
+            harness.exchange.authorize_send(at(26), replica, &mut queued).len(),
             0,
             "not within the grace either"
         );
-        stage.turn(30);
-        assert_eq!(stage.counters.get("leaf_calls", "stale"), dropped as u64);
-        let again = stage.ledger.calls.iter().skip(off.len()).filter(|c| c.0 != replica).count();
+        harness.turn(30);
+        assert_eq!(harness.counters.get("leaf_calls", "stale"), dropped as u64);
+        let again = harness.transport.calls.iter().skip(off.len()).filter(|c| c.0 != replica).count();
         assert!(again > 0, "the other holder is asked");
     }
 }
 
 #[test]
-fn waiting_ends_at_its_time_with_a_give_up_and_what_comes_later_is_nothing() {
-    let mut stage = Stage::set();
-    stage.ask("q", 2, 0..1, 400);
-    stage.turn(10);
-    let out = stage.release(10);
-    stage.run_to(399);
-    let aborted = stage.final_of("q").expect("answered before its deadline");
+fn an_attempt_is_cancelled_at_its_deadline_and_a_later_answer_is_ignored() {
+    let mut harness = Harness::new();
+    harness.ask("q", 2, 0..1, 400);
+    harness.turn(10);
+    let out = harness.release(10);
+    harness.run_to(399);
+    let aborted = harness.response_to("q").expect("answered before its deadline");
     assert_eq!(aborted, format!("{:?}", QueryResponse::Aborted), "it may have run");
-    stage.run_to(500);
-    assert!(stage.ledger.given_up.contains(&out[0].1));
-    stage.pass(out[0].1, "late");
-    stage.run_to(600);
-    assert_eq!(stage.final_of("q").as_ref(), Some(&aborted));
+    harness.run_to(500);
+    assert!(harness.transport.cancelled.contains(&out[0].1));
+    harness.pass(out[0].1, "late");
+    harness.run_to(600);
+    assert_eq!(harness.response_to("q").as_ref(), Some(&aborted));
 }
 
 #[test]
 fn what_replicas_report_to_probes_reaches_the_decisions() {
     for busy in [false, true] {
-        let mut stage = Stage::told(&TOLD.replace("\"probing\":false", "\"probing\":true"));
+        let mut harness = Harness::with_settings(&SETTINGS.replace("\"probing\":false", "\"probing\":true"));
         // Long after anything was heard of the replicas.
-        stage.ask("q", 0, 0..1, 9000);
-        stage.turn(5010);
-        let holders = std::mem::take(&mut stage.ledger.probed);
+        harness.ask("q", 0, 0..1, 9000);
+        harness.turn(5010);
+        let holders = std::mem::take(&mut harness.transport.probed);
         assert_eq!(
-            (holders.len(), stage.ledger.calls.len()),
+            (holders.len(), harness.transport.calls.len()),
             (2, 0),
             "holders are probed before anything is sent"
         );
         let chosen =
             |n: usize| LoadReport { queued: Some(if busy && n == 1 { 40.0 } else { 0.0 }), in_flight: None };
         for (n, replica) in holders.iter().enumerate() {
-            stage.exchange.load_probe_ended(*replica, AttemptOutcome::Success, Some(chosen(n)));
+            harness.exchange.load_probe_ended(*replica, AttemptOutcome::Success, Some(chosen(n)));
         }
-        stage.turn(5015);
-        assert_eq!(stage.ledger.calls.len(), 1);
+        harness.turn(5015);
+        assert_eq!(harness.transport.calls.len(), 1);
         assert!(
-            !busy || stage.ledger.calls[0].0 == holders[0],
+            !busy || harness.transport.calls[0].0 == holders[0],
             "the one with forty parts waiting is left out"
         );
     }
 }
 
 #[test]
-fn only_the_first_end_of_a_call_counts() {
-    let mut stage = Stage::set();
-    stage.ask("q", 0, 0..1, 4000);
-    stage.turn(10);
-    let (_, call, _, _) = stage.release(10)[0].clone();
-    stage.pass(call, "first");
-    stage.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
-    stage.pass(call, "second");
-    stage.turn(20);
-    assert!(stage.final_of("q").unwrap().contains("first"));
-    assert_eq!((stage.counters.get("leaf_calls", "pass"), stage.counters.get("leaf_calls", "cut")), (1, 0));
+fn only_the_first_end_of_an_attempt_counts() {
+    let mut harness = Harness::new();
+    harness.ask("q", 0, 0..1, 4000);
+    harness.turn(10);
+    let (_, call, _, _) = harness.release(10)[0].clone();
+    harness.pass(call, "first");
+    harness.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
+    harness.pass(call, "second");
+    harness.turn(20);
+    assert!(harness.response_to("q").unwrap().contains("first"));
+    assert_eq!(
+        (harness.counters.get("leaf_calls", "pass"), harness.counters.get("leaf_calls", "cut")),
+        (1, 0)
+    );
 }
 
 #[test]
-fn it_is_able_to_serve_only_with_a_replica_that_is_up() {
-    let mut stage = Stage::set();
-    assert!(stage.exchange.can_serve());
-    stage.exchange.update_endpoints(at(10), true, vec![listed(1, false)]);
-    stage.turn(10);
-    assert!(!stage.exchange.can_serve());
-    assert_eq!(stage.ledger.met.len(), 0, "leaves that are off the list are let go");
-    stage.exchange.update_endpoints(at(20), false, vec![listed(2, true)]);
-    stage.turn(20);
-    assert!(stage.exchange.can_serve());
+fn it_can_serve_only_with_a_replica_that_is_up() {
+    let mut harness = Harness::new();
+    assert!(harness.exchange.can_serve());
+    harness.exchange.update_endpoints(at(10), true, vec![listed(1, false)]);
+    harness.turn(10);
+    assert!(!harness.exchange.can_serve());
+    assert_eq!(harness.transport.met.len(), 0, "leaves that are off the list are let go");
+    harness.exchange.update_endpoints(at(20), false, vec![listed(2, true)]);
+    harness.turn(20);
+    assert!(harness.exchange.can_serve());
 }
 
 #[derive(Clone, Debug)]
@@ -428,13 +436,13 @@
     fn every_query_ends_once_and_in_time(ops in proptest::collection::vec(op(), 1..60)) {
         const HOW: [AttemptOutcome; 6] =
             [AttemptOutcome::Success, AttemptOutcome::Success, AttemptOutcome::Fault, AttemptOutcome::NoCapacity, AttemptOutcome::Unreachable, AttemptOutcome::Disconnected];
-        let (mut stage, mut now, mut out) = (Stage::set(), 0i64, Vec::new());
+        let (mut harness, mut now, mut out) = (Harness::new(), 0i64, Vec::new());
         let mut asked: BTreeMap<String, (i64, bool)> = BTreeMap::new();
         let mut given: BTreeMap<(String, u32), Vec<String>> = BTreeMap::new();
         for (n, op) in ops.into_iter().enumerate() {
             match op {
                 Op::Ask(class, first, count, left) => {
-                    let ticket = stage.ask(&format!("q{}", stage.tickets + 1), class, first..(first + count).min(12), now + left);
+                    let ticket = harness.ask(&format!("q{}", harness.tickets + 1), class, first..(first + count).min(12), now + left);
                     asked.insert(format!("q{ticket}"), (now + left, false));
                 }
                 Op::End(which, how) if !out.is_empty() => {
@@ -442,78 +450,78 @@
                     let value = (HOW[how] == AttemptOutcome::Success).then(|| format!("v{n}"));
                     let query = id.split('.').next().unwrap().to_string();
                     given.entry((query, shard)).or_default().extend(value.clone());
-                    stage.exchange.attempt_ended(call, HOW[how], value, None);
+                    harness.exchange.attempt_ended(call, HOW[how], value, None);
                 }
                 Op::End(..) => {}
                 Op::Wait(ms) => {
                     now += ms;
-                    stage.run_to(now);
+                    harness.run_to(now);
                 }
                 Op::Gone(ticket) => {
                     if let Some(entry) = asked.get_mut(&format!("q{ticket}")) {
                         entry.1 = true;
-                        stage.exchange.client_disconnected(ticket);
+                        harness.exchange.client_disconnected(ticket);
                     }
                 }
-                Op::List(replica, up, whole) => stage.exchange.update_endpoints(at(now), whole, vec![listed(replica, up)]),
+                Op::List(replica, up, whole) => harness.exchange.update_endpoints(at(now), whole, vec![listed(replica, up)]),
             }
-            stage.turn(now);
+            harness.turn(now);
             // Of calls given up the replica side tells nothing more.
-            out.retain(|(_, call, _, _)| !stage.ledger.given_up.contains(call));
-            stage.ledger.given_up.clear();
-            for released in stage.release(now) {
+            out.retain(|(_, call, _, _)| !harness.transport.cancelled.contains(call));
+            harness.transport.cancelled.clear();
+            for released in harness.release(now) {
                 let query = released.2.split('.').next().unwrap();
-                prop_assert!(stage.final_of(query).is_none(), "{} was over", released.2);
+                prop_assert!(harness.response_to(query).is_none(), "{} was over", released.2);
                 prop_assert!(now < asked[query].0);
                 out.push(released);
             }
             for (query, (ends, gone)) in &asked {
-                prop_assert!(*gone || now < *ends || stage.final_of(query).is_some(), "{query} has no answer");
+                prop_assert!(*gone || now < *ends || harness.response_to(query).is_some(), "{query} has no answer");
             }
         }
-        for (query, last) in stage.answers.borrow().iter() {
+        for (query, last) in harness.answers.borrow().iter() {
             if let QueryResponse::Answered { hits, .. } = last {
                 for (shard, value) in hits {
                     prop_assert!(given[&(query.clone(), *shard)].contains(value));
                 }
             }
         }
-        stage.run_to(now + 4000);
-        prop_assert!(stage.exchange.is_drained());
+        harness.run_to(now + 4000);
+        prop_assert!(harness.exchange.is_drained());
     }
 }
 
 #[test]
-fn a_call_still_queued_under_a_number_that_another_has_now_neither_goes_nor_ends_that_one() {
-    let mut stage = Stage::set();
-    let ticket = stage.ask("first", 2, 0..1, 4000);
-    stage.turn(10);
-    let (replica, queued) = stage.ledger.calls.remove(0);
+fn an_attempt_still_queued_under_an_id_that_another_has_now_is_neither_sent_nor_ends_that_one() {
+    let mut harness = Harness::new();
+    let ticket = harness.ask("first", 2, 0..1, 4000);
+    harness.turn(10);
+    let (replica, queued) = harness.transport.calls.remove(0);
     // Its client leaves while it waits for its first byte; the next query's part gets its number.
-    stage.exchange.client_disconnected(ticket);
-    stage.turn(20);
-    stage.ask("second", 2, 0..1, 4000);
-    stage.turn(30);
-    let (now_at, calls) = stage.ledger.calls.remove(0);
+    harness.exchange.client_disconnected(ticket);
+    harness.turn(20);
+    harness.ask("second", 2, 0..1, 4000);
+    harness.turn(30);
+    let (now_at, calls) = harness.transport.calls.remove(0);
     assert_eq!(calls, queued, "the number is used again");
-    assert_eq!(stage.exchange.authorize_send(at(31), now_at, &mut calls.clone()).len(), 1);
+    assert_eq!(harness.exchange.authorize_send(at(31), now_at, &mut calls.clone()).len(), 1);
     assert!(
-        stage.exchange.authorize_send(at(32), replica, &mut queued.clone()).is_empty(),
+        harness.exchange.authorize_send(at(32), replica, &mut queued.clone()).is_empty(),
         "once, to its own leaf"
     );
-    stage.exchange.attempt_never_started(replica, queued[0]);
-    stage.turn(33);
-    assert!(stage.ledger.calls.is_empty(), "a sale that is out is not sent again");
-    stage.exchange.attempt_ended(calls[0], AttemptOutcome::Success, Some("v".into()), None);
-    stage.turn(34);
-    assert_eq!(stage.answers.borrow().len(), 1);
+    harness.exchange.attempt_never_started(replica, queued[0]);
+    harness.turn(33);
+    assert!(harness.transport.calls.is_empty(), "a sale that is out is not sent again");
+    harness.exchange.attempt_ended(calls[0], AttemptOutcome::Success, Some("v".into()), None);
+    harness.turn(34);
+    assert_eq!(harness.answers.borrow().len(), 1);
 }
 
 /// What is known goes from one exchange to another, as it passes between processes.
-fn handed_over(stage: &mut Stage, ms: i64, longest: TimeSpan) -> Stage {
-    let snapshot = stage.exchange.begin_handover(at(ms), 0, Some(9), longest);
+fn successor_of(harness: &mut Harness, ms: i64, longest: TimeSpan) -> Harness {
+    let snapshot = harness.exchange.begin_handover(at(ms), 0, Some(9), longest);
     let bytes = snapshot.encode().unwrap();
-    let mut new = Stage::set();
+    let mut new = Harness::new();
     // The new one's clock began half a second ago.
     new.exchange.resume_from_predecessor(
         at(500),
@@ -524,32 +532,32 @@
 }
 
 #[test]
-fn a_drain_told_just_before_is_kept_by_who_goes_on() {
-    let mut stage = Stage::set();
-    stage.exchange.update_endpoints(at(900), false, vec![listed(1, false)]);
+fn a_drain_listed_just_before_a_handover_reaches_the_successor() {
+    let mut harness = Harness::new();
+    harness.exchange.update_endpoints(at(900), false, vec![listed(1, false)]);
     // Not looked at yet when it hands over.
-    let mut new = handed_over(&mut stage, 1000, TimeSpan::from_millis(4000));
+    let mut new = successor_of(&mut harness, 1000, TimeSpan::from_millis(4000));
     for n in 0..9 {
         new.ask(&format!("q{n}"), 0, 0..1, 4000);
     }
     new.turn(510);
     let drained: Vec<ReplicaId> =
-        new.ledger.met.iter().filter(|(_, a)| a.port() == 5001).map(|(l, _)| *l).collect();
-    assert!(!new.ledger.calls.is_empty());
-    assert!(new.ledger.calls.iter().all(|(replica, _)| !drained.contains(replica)), "no new work");
+        new.transport.met.iter().filter(|(_, a)| a.port() == 5001).map(|(l, _)| *l).collect();
+    assert!(!new.transport.calls.is_empty());
+    assert!(new.transport.calls.iter().all(|(replica, _)| !drained.contains(replica)), "no new work");
 }
 
 #[test]
-fn a_replica_left_out_as_faulty_stays_so_for_who_goes_on() {
-    let mut stage = Stage::set();
-    let shunned = stage.ledger.met.iter().find(|(_, a)| a.port() == 5000).map(|(l, _)| *l).unwrap();
+fn an_ejected_replica_stays_ejected_for_the_successor() {
+    let mut harness = Harness::new();
+    let shunned = harness.transport.met.iter().find(|(_, a)| a.port() == 5000).map(|(l, _)| *l).unwrap();
     for n in 0..40 {
-        stage.ask(&format!("q{n}"), 0, 0..1, 3000 + n * 10);
-        stage.turn(n * 10);
-        for (replica, calls) in std::mem::take(&mut stage.ledger.calls) {
+        harness.ask(&format!("q{n}"), 0, 0..1, 3000 + n * 10);
+        harness.turn(n * 10);
+        for (replica, calls) in std::mem::take(&mut harness.transport.calls) {
             let outcome = if replica == shunned { AttemptOutcome::Fault } else { AttemptOutcome::Success };
             calls.into_iter().for_each(|c| {
-                stage.exchange.attempt_ended(
+                harness.exchange.attempt_ended(
                     c,
                     outcome,
                     (outcome == AttemptOutcome::Success).then(|| "v".into()),
@@ -557,90 +565,93 @@
                 )
             });
         }
-        stage.turn(n * 10 + 5);
+        harness.turn(n * 10 + 5);
     }
-    let mut new = handed_over(&mut stage, 401, TimeSpan::from_millis(4000));
-    let shunned = new.ledger.met.iter().find(|(_, a)| a.port() == 5000).map(|(l, _)| *l).unwrap();
+    let mut new = successor_of(&mut harness, 401, TimeSpan::from_millis(4000));
+    let shunned = new.transport.met.iter().find(|(_, a)| a.port() == 5000).map(|(l, _)| *l).unwrap();
     for n in 0..8 {
         new.ask(&format!("q{n}"), 0, 0..1, 4000);
     }
     new.turn(505);
     assert!(
-        new.ledger.calls.iter().all(|(replica, _)| *replica != shunned),
+        new.transport.calls.iter().all(|(replica, _)| *replica != shunned),
         "two in a row were seen by the old one"
     );
-    let mut fresh = Stage::set();
+    let mut fresh = Harness::new();
     for n in 0..8 {
         fresh.ask(&format!("q{n}"), 0, 0..1, 4000);
     }
     fresh.turn(505);
-    assert!(fresh.ledger.calls.iter().any(|(replica, _)| *replica == shunned), "who knows nothing asks it");
+    assert!(
+        fresh.transport.calls.iter().any(|(replica, _)| *replica == shunned),
+        "who knows nothing asks it"
+    );
 }
 
 #[test]
-fn who_hands_over_sends_nothing_to_a_cold_replica_any_more() {
-    let mut stage = Stage::set();
+fn a_predecessor_sends_nothing_to_a_replica_in_slow_start() {
+    let mut harness = Harness::new();
     let cold = |n| Endpoint { started: Some(at(990)), ..listed(n, true) };
-    stage.exchange.update_endpoints(at(1000), true, (0..3).map(cold).collect());
-    stage.turn(1000);
-    stage.exchange.begin_handover(at(1001), 0, None, TimeSpan::from_millis(4000));
-    stage.ask("q", 0, 0..1, 4000);
-    (1002..1050).step_by(5).for_each(|ms| stage.turn(ms));
-    assert!(stage.ledger.calls.is_empty(), "the allowance is the new one's");
-    stage.exchange.resume_alone(at(1050));
-    (1055..2500).step_by(5).for_each(|ms| stage.turn(ms));
-    assert!(stage.ledger.calls.is_empty(), "what the other sent is not known for a window");
-    stage.ask("r", 0, 0..1, 5000);
-    (2551..2600).step_by(5).for_each(|ms| stage.turn(ms));
-    assert!(!stage.ledger.calls.is_empty(), "then it is as before");
+    harness.exchange.update_endpoints(at(1000), true, (0..3).map(cold).collect());
+    harness.turn(1000);
+    harness.exchange.begin_handover(at(1001), 0, None, TimeSpan::from_millis(4000));
+    harness.ask("q", 0, 0..1, 4000);
+    (1002..1050).step_by(5).for_each(|ms| harness.turn(ms));
+    assert!(harness.transport.calls.is_empty(), "the allowance is the new one's");
+    harness.exchange.resume_alone(at(1050));
+    (1055..2500).step_by(5).for_each(|ms| harness.turn(ms));
+    assert!(harness.transport.calls.is_empty(), "what the other sent is not known for a window");
+    harness.ask("r", 0, 0..1, 5000);
+    (2551..2600).step_by(5).for_each(|ms| harness.turn(ms));
+    assert!(!harness.transport.calls.is_empty(), "then it is as before");
 }
 
 #[test]
-fn a_far_site_gets_parts_only_at_a_known_cost_and_near_replicas_go_first() {
-    let mut stage = Stage::set();
-    let far = stage.exchange.add_remote_site(0, "south", 3);
-    let asked_of = |stage: &mut Stage, name: &str, ms: i64| {
-        stage.ask(name, 0, 0..1, ms + 3000);
-        stage.turn(ms);
-        let calls = std::mem::take(&mut stage.ledger.calls);
-        calls.iter().flat_map(|(_, calls)| calls).for_each(|c| stage.pass(*c, "v"));
-        stage.turn(ms + 1);
+fn a_remote_site_gets_parts_only_at_a_known_delay_and_local_replicas_go_first() {
+    let mut harness = Harness::new();
+    let far = harness.exchange.add_remote_site(0, "south", 3);
+    let asked_of = |harness: &mut Harness, name: &str, ms: i64| {
+        harness.ask(name, 0, 0..1, ms + 3000);
+        harness.turn(ms);
+        let calls = std::mem::take(&mut harness.transport.calls);
+        calls.iter().flat_map(|(_, calls)| calls).for_each(|c| harness.pass(*c, "v"));
+        harness.turn(ms + 1);
         calls.iter().map(|(replica, _)| *replica).collect::<Vec<_>>()
     };
-    let near_gone: Vec<Endpoint> = (0..3).map(|n| listed(n, false)).collect();
-    assert!(asked_of(&mut stage, "a", 10).iter().all(|l| !far.contains(l)), "closed");
-    stage.exchange.set_remote_delay(0, Some(TimeSpan::from_millis(100)));
+    let local_down: Vec<Endpoint> = (0..3).map(|n| listed(n, false)).collect();
+    assert!(asked_of(&mut harness, "a", 10).iter().all(|l| !far.contains(l)), "closed");
+    harness.exchange.set_remote_delay(0, Some(TimeSpan::from_millis(100)));
     for n in 0..5 {
         assert!(
-            asked_of(&mut stage, &format!("b{n}"), 20 + 2 * n).iter().all(|l| !far.contains(l)),
+            asked_of(&mut harness, &format!("b{n}"), 20 + 2 * n).iter().all(|l| !far.contains(l)),
             "near ones are free"
         );
     }
-    stage.exchange.update_endpoints(at(40), false, near_gone);
-    stage.turn(41);
-    assert!(!stage.exchange.can_serve(), "a far site alone is not ours to be up by");
+    harness.exchange.update_endpoints(at(40), false, local_down);
+    harness.turn(41);
+    assert!(!harness.exchange.can_serve(), "a far site alone is not ours to be up by");
     let (replica, mut calls) = {
-        stage.ask("c", 0, 0..1, 3000);
-        stage.turn(50);
-        stage.ledger.calls.remove(0)
+        harness.ask("c", 0, 0..1, 3000);
+        harness.turn(50);
+        harness.transport.calls.remove(0)
     };
     assert!(far.contains(&replica));
-    let going = stage.exchange.authorize_forward(at(51), replica, &mut calls);
+    let going = harness.exchange.authorize_forward(at(51), replica, &mut calls);
     assert_eq!((going.len(), &going[0].id[..], going[0].idempotent), (1, "c", true));
     // Discovery's next whole list does not name sites: they stay.
-    stage.exchange.update_endpoints(at(60), true, (0..3).map(|n| listed(n, false)).collect());
-    stage.turn(61);
-    assert!(far.contains(&asked_of(&mut stage, "d", 70)[0]));
-    stage.exchange.set_remote_delay(0, None);
-    assert!(asked_of(&mut stage, "e", 80).is_empty(), "closed again, and nobody near");
+    harness.exchange.update_endpoints(at(60), true, (0..3).map(|n| listed(n, false)).collect());
+    harness.turn(61);
+    assert!(far.contains(&asked_of(&mut harness, "d", 70)[0]));
+    harness.exchange.set_remote_delay(0, None);
+    assert!(asked_of(&mut harness, "e", 80).is_empty(), "closed again, and nobody near");
 }
 
 #[test]
-fn another_sites_query_goes_to_no_third_and_makes_no_more_calls_than_lent() {
+fn a_forwarded_query_goes_to_no_third_site_and_uses_no_more_retries_than_delegated() {
     for further in [0, 1, 2] {
-        let mut stage = Stage::set();
-        let far = stage.exchange.add_remote_site(0, "west", 3);
-        stage.exchange.set_remote_delay(0, Some(TimeSpan::from_millis(1)));
+        let mut harness = Harness::new();
+        let far = harness.exchange.add_remote_site(0, "west", 3);
+        harness.exchange.set_remote_delay(0, Some(TimeSpan::from_millis(1)));
         let parts = vec![QueryPart { shard: 0, weight: 1.0, work: None }];
         let asked = QueryRequest {
             id: "q@n".into(),
@@ -654,7 +665,7 @@
         let noted = seen.clone();
         let as_in =
             Box::new(move |shard: u32, value: &str| noted.borrow_mut().push((shard, value.to_string())));
-        stage.exchange.submit_forwarded(
+        harness.exchange.submit_forwarded(
             1,
             asked,
             DelegatedRequest { retries: further, retries_used: made.clone(), on_part: as_in },
@@ -662,13 +673,15 @@
         );
         let mut calls = 0;
         for ms in (0..2000).step_by(5) {
-            stage.turn(ms);
-            for (replica, parts) in std::mem::take(&mut stage.ledger.calls) {
+            harness.turn(ms);
+            for (replica, parts) in std::mem::take(&mut harness.transport.calls) {
                 assert!(!far.contains(&replica), "hops are bounded");
                 calls += parts.len() as u32;
                 let outcome = if calls <= further { AttemptOutcome::Fault } else { AttemptOutcome::Success };
                 let value = (outcome == AttemptOutcome::Success).then(|| "v".to_string());
-                parts.into_iter().for_each(|c| stage.exchange.attempt_ended(c, outcome, value.clone(), None));
+                parts
+                    .into_iter()
+                    .for_each(|c| harness.exchange.attempt_ended(c, outcome, value.clone(), None));
             }
         }
         assert_eq!((calls, made.get()), (1 + further, further));
@@ -679,30 +692,30 @@
 /// Further calls wait for their connections and come up late, beside those of the next window. The budget is of what goes out
 /// in any window, so each is counted as its first byte goes.
 #[test]
-fn further_calls_that_wait_for_a_connection_are_counted_as_they_go_out() {
-    let told = TOLD.replace(
+fn retries_that_wait_for_a_connection_are_counted_as_they_are_sent() {
+    let settings = SETTINGS.replace(
         r#""overload_factor":4.0"#,
         r#""overload_factor":4.0,"extra_free":2.0,"repeat_ratio":0.0,"budget_span_s":0.1"#,
     );
-    let mut stage = Stage::told(&told);
-    stage.ask("first", 0, 0..2, 4000);
-    stage.turn(10);
-    for (_, call, ..) in stage.release(10) {
-        stage.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
+    let mut harness = Harness::with_settings(&settings);
+    harness.ask("first", 0, 0..2, 4000);
+    harness.turn(10);
+    for (_, call, ..) in harness.release(10) {
+        harness.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
     }
-    stage.turn(20);
-    let waiting = std::mem::take(&mut stage.ledger.calls);
+    harness.turn(20);
+    let waiting = std::mem::take(&mut harness.transport.calls);
     assert_eq!(waiting.iter().map(|(_, parts)| parts.len()).sum::<usize>(), 2, "two are free");
     // Beyond the window from their decision; none has gone out yet.
-    stage.ask("second", 0, 4..6, 4000);
-    stage.turn(130);
-    for (_, call, ..) in stage.release(130) {
-        stage.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
+    harness.ask("second", 0, 4..6, 4000);
+    harness.turn(130);
+    for (_, call, ..) in harness.release(130) {
+        harness.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
     }
-    stage.turn(140);
-    assert_eq!(stage.counters.get("again", "after_cut"), 4, "those of the next window were decided");
-    stage.ledger.calls.extend(waiting);
-    let further = stage.release(150).into_iter().filter(|(_, call, ..)| call.number > 0).count();
+    harness.turn(140);
+    assert_eq!(harness.counters.get("again", "after_cut"), 4, "those of the next window were decided");
+    harness.transport.calls.extend(waiting);
+    let further = harness.release(150).into_iter().filter(|(_, call, ..)| call.number > 0).count();
     assert_eq!(further, 2, "in one window");
-    assert_eq!(stage.counters.get("not_sent", "budget_spent"), 2);
+    assert_eq!(harness.counters.get("not_sent", "budget_spent"), 2);
 }
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn what_is_told_at_start_is_read_and_variables_go_before_the_file() {
+fn the_node_configuration_is_read_and_variables_override_the_file() {
     let node_config = NodeConfig::parse(&told().to_string(), |_| None).unwrap();
     assert_eq!(
         (node_config.name(), node_config.streams_per_connection(), node_config.shards()),
@@ -247,7 +247,7 @@
 
 /// They may as well allow a connection as long to come up as it may stand idle.
 #[test]
-fn a_connection_that_is_up_is_kept_for_a_while_whatever_is_told() {
+fn a_connection_that_is_up_stays_open_for_a_while_whatever_the_settings() {
     let mut all = told();
     for (idle, dial) in [(1.0, 1.0), (1.0, 2.0), (2.0, 1.5), (30.0, 0.25)] {
         all["settings"]["allowed"]["conn_idle_s"] = idle.into();
