--- a/crates/pipitcrank-config/src/lib.rs
+++ b/crates/pipitcrank-config/src/lib.rs
@@ -5,8 +5,6 @@
 //! Without the file all of it is off. Each section has a module: its configuration, which the program uses, and its form
 //! in the file, with the file's keys, which is private and mapped to the configuration once.
 
-#![warn(missing_docs)]
-
 mod checks;
 mod error;
 mod gateway;
--- a/crates/pipitcrank-core/src/lib.rs
+++ b/crates/pipitcrank-core/src/lib.rs
@@ -3,8 +3,6 @@
 //! `coordinator::Coordinator` decides; it does no I/O and reads no clock. `config` makes one from settings,
 //! `output::CoordinatorOutput` is what it asks to be done, `ids` and `time` are the types that both sides share.
 
-#![warn(missing_docs)]
-
 pub mod config;
 pub mod coordinator;
 pub mod ids;
--- a/crates/pipitcrank-failover/src/lib.rs
+++ b/crates/pipitcrank-failover/src/lib.rs
@@ -11,8 +11,6 @@
 //!
 //! No sockets and no clock anywhere here: the program (`pipitcrank-cli`), the emulator and the tests drive the same code.
 
-#![warn(missing_docs)]
-
 mod constants;
 pub mod controller;
 pub mod decision;
--- a/crates/pipitcrank-gateway/src/lib.rs
+++ b/crates/pipitcrank-gateway/src/lib.rs
@@ -5,8 +5,6 @@
 //! [`received_forwards`] (what others sent us, so that nothing runs twice), [`flow_control`]. [`frames`] is the link's
 //! protocol. Drivers: [`link_client`] sends parts, [`link_server`] answers them.
 
-#![warn(missing_docs)]
-
 pub mod flow_control;
 mod forward_service;
 pub mod frames;
--- a/crates/pipitcrank-handover/src/lib.rs
+++ b/crates/pipitcrank-handover/src/lib.rs
@@ -9,8 +9,6 @@
 //! | `descriptor_passing` | a link that carries messages with descriptors; the only module with I/O |
 //! | `exact_decode`, `clock` | decoding of whole buffers; the machine's monotonic clock |
 
-#![warn(missing_docs)]
-
 pub mod clock;
 mod crash_history;
 pub mod descriptor_passing;
--- a/crates/pipitcrank-membership/src/lib.rs
+++ b/crates/pipitcrank-membership/src/lib.rs
@@ -3,8 +3,6 @@
 //!
 //! All of it is soft state: aged, and possibly wrong. What the nodes have agreed on belongs to `pipitcrank-failover`.
 
-#![warn(missing_docs)]
-
 pub mod envelope;
 pub mod evidence;
 pub mod members;
--- a/crates/pipitcrank-server/src/lib.rs
+++ b/crates/pipitcrank-server/src/lib.rs
@@ -4,8 +4,6 @@
 //! `pipitcrank-core`, `replicas` sends the attempts; the answers come back the same way. `discovery` keeps the endpoint
 //! list, `upgrade` replaces the process, `audit` checks the rules while it runs, `runtime` is what all of them stand on.
 
-#![warn(missing_docs)]
-
 pub mod audit;
 pub mod clients;
 pub mod discovery;
--- a/crates/pipitcrank-simulation/src/lib.rs
+++ b/crates/pipitcrank-simulation/src/lib.rs
@@ -8,8 +8,6 @@
 //! | `zones` | the experiment `zones` |
 //! | `plot` | time series as an SVG image |
 
-#![warn(missing_docs)]
-
 pub mod event_queue;
 pub mod network;
 pub mod plot;
--- a/crates/pipitcrank-testkit/src/lib.rs
+++ b/crates/pipitcrank-testkit/src/lib.rs
@@ -2,6 +2,8 @@
 //! knows how each query ended and how often each part ran; and the trials that are played on them. Never linked into
 //! what serves.
 
+#![allow(missing_docs)]
+
 pub mod client;
 pub mod datagram_network;
 pub mod demo;
