--- a/crates/pipitcrank-server/src/audit/rules.rs
+++ b/crates/pipitcrank-server/src/audit/rules.rs
@@ -3,6 +3,7 @@
 use pipitcrank_core::ids::Idempotency;
 use pipitcrank_core::time::TimeSpan;
 
+use crate::runtime::counter_names::group;
 use crate::runtime::counters::Counters;
 
 /// A rule.
@@ -59,7 +60,7 @@
 
 /// Counts one violation and logs it.
 pub fn violated(counters: &Counters, rule: Rule, request: &str, reason: &str) {
-    counters.add("violations", rule.name());
+    counters.add(group::VIOLATIONS, rule.name());
     tracing::error!(rule = rule.name(), request, reason, "a rule is broken");
 }
 
--- a/crates/pipitcrank-server/src/clients/accept_queue.rs
+++ b/crates/pipitcrank-server/src/clients/accept_queue.rs
@@ -7,6 +7,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
+use crate::runtime::counter_names::{accept_error, group};
 use crate::runtime::counters::Counters;
 use crate::runtime::system_errors::{ErrorPolicy, RETRY_PAUSE, accept_policy};
 
@@ -134,11 +135,11 @@
     fn record(&self, error: &io::Error) -> ErrorPolicy {
         let policy = accept_policy(error);
         let name = match policy {
-            ErrorPolicy::RetryAtOnce => "retried_at_once",
-            ErrorPolicy::RetryAfterPause | ErrorPolicy::RetryFew => "retried_after_pause",
-            ErrorPolicy::GiveUp => "given_up",
+            ErrorPolicy::RetryAtOnce => accept_error::RETRIED_AT_ONCE,
+            ErrorPolicy::RetryAfterPause | ErrorPolicy::RetryFew => accept_error::RETRIED_AFTER_PAUSE,
+            ErrorPolicy::GiveUp => accept_error::GIVEN_UP,
         };
-        self.counters.add("accept_errors", name);
+        self.counters.add(group::ACCEPT_ERRORS, name);
         if self.logged.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
             self.logged.set(Some(Instant::now()));
             tracing::warn!(policy = name, "accept failed: {error}");
--- a/crates/pipitcrank-server/src/clients/connection_server.rs
+++ b/crates/pipitcrank-server/src/clients/connection_server.rs
@@ -15,6 +15,7 @@
 use crate::audit::{Rule, violated};
 use crate::exchange::REQUESTS;
 use crate::runtime::connection_limits::{ConnectionLimiter, ConnectionPermit};
+use crate::runtime::counter_names::{client, group};
 use crate::runtime::counters::Counters;
 
 /// Clients without a permit that are rejected at a time: a descriptor each, of those that neither side has.
@@ -50,8 +51,8 @@
         adopted: AdoptedConnection,
         accept_wait: Option<Duration>,
     ) {
-        let kind = if accept_wait.is_some() { "accepted" } else { "adopted" };
-        self.counters.add("clients", kind);
+        let kind = if accept_wait.is_some() { client::ACCEPTED } else { client::ADOPTED };
+        self.counters.add(group::CLIENTS, kind);
         let (router, counters, mode) = (self.router.clone(), self.counters.clone(), self.mode.clone());
         let (connections, idle) = (self.connections.clone(), self.idle);
         let connection = connections.add(Instant::now());
@@ -61,7 +62,7 @@
         }
         tokio::task::spawn_local(async move {
             let end = serve(adopted, router, &connection, mode, idle).await;
-            counters.add("clients", end.name());
+            counters.add(group::CLIENTS, end.name());
             let phase = connection.phase();
             tracing::debug!(target: REQUESTS, why = end.name(), at = ?phase, "client connection ended");
             if end.is_local() && phase == ConnectionPhase::Answering {
@@ -88,7 +89,7 @@
             match queue.next() {
                 NextClient::Accepted(accepted) if permit.is_some() => self.serve_accepted(permit, accepted),
                 NextClient::Accepted(accepted) => {
-                    self.counters.add("clients", "turned_away_at_the_end");
+                    self.counters.add(group::CLIENTS, client::REJECTED_AT_SHUTDOWN);
                     let counted = rejecting.clone();
                     tokio::task::spawn_local(async move {
                         reject(accepted.stream).await;
--- a/crates/pipitcrank-server/src/clients/http.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -23,6 +23,7 @@
 use super::request_error::RequestError;
 use crate::exchange::{QueryRequest, QueryResponse};
 use crate::runtime::clock::{Clock, duration};
+use crate::runtime::counter_names::{group, query};
 use crate::runtime::counters::Counters;
 use crate::runtime::shutdown::ShutdownRequest;
 use crate::runtime::stall_detector::StallDetector;
@@ -130,7 +131,7 @@
     // After a stall of this process a wave of queries may lie here whose clients have long gone.
     let now = state.clock.now();
     if request.deadline <= now && state.stall_detector.unread_for(now) > TimeSpan::ZERO {
-        state.counters.add("queries", "unread_too_long");
+        state.counters.add(group::QUERIES, query::UNREAD_TOO_LONG);
         return encode(QueryResponse::Rejected { retry_after: TimeSpan::ZERO });
     }
     let ticket = state.tickets.fetch_add(1, Ordering::Relaxed);
@@ -148,7 +149,7 @@
 }
 
 fn refuse(state: &HttpState, error: RequestError) -> Response {
-    state.counters.add("bad_requests", error.name());
+    state.counters.add(group::BAD_REQUESTS, error.name());
     let mut response = last_on_connection((error.status(), error.to_string()).into_response());
     if error == RequestError::Method {
         response.headers_mut().insert(ALLOW, HeaderValue::from_static("POST"));
--- a/crates/pipitcrank-server/src/discovery/client.rs
+++ b/crates/pipitcrank-server/src/discovery/client.rs
@@ -14,6 +14,7 @@
 use super::http;
 use super::poll_pacing::PollPacing;
 use super::source::DiscoverySource;
+use crate::runtime::counter_names::{discovery, group};
 use crate::runtime::event_loop::EventLoop;
 
 /// Revision of the current endpoint list; none asks for the complete list.
@@ -47,7 +48,7 @@
             _ = source.poll_forever() => {}
             _ = source.watch_forever() => {}
             () = moved => {
-                event_loop.counters.add("discovery", "moved");
+                event_loop.counters.add(group::DISCOVERY, discovery::MOVED);
                 revision.set(None);
             }
         }
--- a/crates/pipitcrank-server/src/discovery/source.rs
+++ b/crates/pipitcrank-server/src/discovery/source.rs
@@ -18,6 +18,7 @@
 use super::poll_pacing::PollPacing;
 use crate::exchange::Endpoint;
 use crate::replicas::connection_end::ConnectionEnd;
+use crate::runtime::counter_names::group;
 use crate::runtime::event_loop::EventLoop;
 
 /// A watch that brings nothing whole for so long has died unnoticed, or never ends an object: an empty line is due every
@@ -169,7 +170,7 @@
 
     fn record_end(&self, what: &str, end: ConnectionEnd) {
         tracing::warn!("the {what} of discovery ended: {}", end.name());
-        self.event_loop.counters.add("discovery", end.name());
+        self.event_loop.counters.add(group::DISCOVERY, end.name());
     }
 
     /// Applies what a poll brought. `before`: the revision that was current when it began.
--- a/crates/pipitcrank-server/src/exchange/admission.rs
+++ b/crates/pipitcrank-server/src/exchange/admission.rs
@@ -12,6 +12,7 @@
 use super::request_table::{OpenPart, OpenQuery};
 use super::state::Exchange;
 use crate::audit::AdmittedQuery;
+use crate::runtime::counter_names::{group, query};
 
 impl Exchange {
     /// Opens a query, or answers it at once with a refusal.
@@ -25,7 +26,7 @@
         let QueryRequest { id, class, deadline, parts, idempotency_key, text } = request;
         let delegated_retries = delegated.as_ref().map(|delegated| delegated.retries);
         let table = &mut self.table;
-        table.counters.add("queries", "taken");
+        table.counters.add(group::QUERIES, query::ADMITTED);
         let query = QueryId(table.query_ids.intern(&id));
         let indices: Vec<u32> = part_ids.iter().map(|part| table.part_ids.intern(part)).collect();
         table.tickets.insert(ticket, query.0);
@@ -66,11 +67,11 @@
         let duplicate = table.query_ids.find(id).is_some()
             || part_ids.iter().any(|part| table.part_ids.find(part).is_some());
         if duplicate {
-            table.counters.add("queries", "repeated");
+            table.counters.add(group::QUERIES, query::DUPLICATE_ID);
             return Some(QueryResponse::DuplicateId);
         }
         if table.open_count() + self.open_in_peer >= self.max_open {
-            table.counters.add("queries", "turned_away_over_most_open");
+            table.counters.add(group::QUERIES, query::REJECTED_OVER_LIMIT);
             return Some(QueryResponse::Rejected { retry_after: TimeSpan::ZERO });
         }
         None
--- a/crates/pipitcrank-server/src/exchange/batch.rs
+++ b/crates/pipitcrank-server/src/exchange/batch.rs
@@ -12,6 +12,7 @@
 use super::transport::ReplicaTransport;
 use crate::replicas::connection_end::outcome_name;
 use crate::replicas::frames::LoadReport;
+use crate::runtime::counter_names::{group, query};
 
 impl Exchange {
     /// Runs one batch.
@@ -50,7 +51,7 @@
                 self.finish_attempt(now, attempt, outcome, value);
             }
             Event::LoadProbeEnded { replica, outcome, report } => {
-                self.table.counters.add("probes", outcome_name(outcome));
+                self.table.counters.add(group::LOAD_PROBES, outcome_name(outcome));
                 self.apply_load_report(now, replica, report);
                 self.coordinator.load_probe_ended(now, replica, outcome);
             }
@@ -65,7 +66,7 @@
     fn cancel_query(&mut self, now: Timestamp, ticket: u64) {
         self.disconnected.remove(&ticket);
         if let Some(&query) = self.table.tickets.get(&ticket) {
-            self.table.counters.add("queries", "client_gone");
+            self.table.counters.add(group::QUERIES, query::CLIENT_DISCONNECTED);
             let request = self.table.query_ids.name(query);
             tracing::debug!(target: REQUESTS, request, "client disconnected");
             self.coordinator.cancel_query(&mut self.table, now, QueryId(query));
@@ -96,7 +97,7 @@
         outcome: AttemptOutcome,
         value: Option<String>,
     ) {
-        self.table.counters.add("leaf_calls", outcome_name(outcome));
+        self.table.counters.add(group::ATTEMPTS, outcome_name(outcome));
         let Some(part) = self.table.parts.get_mut(&attempt.part.0) else { return };
         tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, outcome = outcome_name(outcome), "ended");
         part.last_outcome = Some(outcome);
--- a/crates/pipitcrank-server/src/exchange/coordinator_output.rs
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -7,11 +7,12 @@
 use super::query::{QueryResponse, REQUESTS};
 use super::request_table::{Command, InFlightAttempt, RequestTable};
 use crate::reasons::ResendReason;
+use crate::runtime::counter_names::{group, query};
 
 impl RequestTable {
     /// Hands the final response to the query's sink. `kind`: its key in `/counters`.
     fn finish(&mut self, query: QueryId, response: QueryResponse, kind: &'static str) {
-        self.counters.add("queries", kind);
+        self.counters.add(group::QUERIES, kind);
         tracing::debug!(target: REQUESTS, request = self.query_ids.name(query.0), outcome = kind, "answered");
         self.audit_response(query, &response);
         let entry = self.queries.get_mut(&query.0);
@@ -21,7 +22,7 @@
     }
 
     fn refuse(&mut self, query: QueryId, response: QueryResponse, kind: &'static str, reason: RejectReason) {
-        self.counters.add("refusals", reason.name());
+        self.counters.add(group::REFUSALS, reason.name());
         tracing::debug!(target: REQUESTS, request = self.query_ids.name(query.0), reason = reason.name(), "refused");
         self.finish(query, response, kind);
     }
@@ -55,7 +56,7 @@
 impl CoordinatorOutput for RequestTable {
     fn send_attempt(&mut self, part: PartId, replica: ReplicaId, until: Timestamp) {
         if let Some(reason) = self.resend_reason(part) {
-            self.counters.add("again", reason.name());
+            self.counters.add(group::RESENDS, reason.name());
             let part = self.part_ids.name(part.0);
             tracing::debug!(target: REQUESTS, part, replica = replica.0, reason = reason.name(), "resending");
         }
@@ -85,16 +86,16 @@
             Some((part.shard, part.value.take()?))
         });
         let hits = hits.collect();
-        let kind = if whole { "merged" } else { "merged_in_part" };
+        let kind = if whole { query::COMPLETE } else { query::PARTIAL };
         self.finish(query, QueryResponse::Answered { complete: whole, hits }, kind);
     }
 
     fn reject(&mut self, query: QueryId, retry_after: TimeSpan, why: RejectReason) {
-        self.refuse(query, QueryResponse::Rejected { retry_after }, "rejected", why);
+        self.refuse(query, QueryResponse::Rejected { retry_after }, query::REJECTED, why);
     }
 
     fn abort(&mut self, query: QueryId, why: RejectReason) {
-        self.refuse(query, QueryResponse::Aborted, "aborted", why);
+        self.refuse(query, QueryResponse::Aborted, query::ABORTED, why);
     }
 
     fn set_timer(&mut self, at: Timestamp, label: u64) {
--- a/crates/pipitcrank-server/src/exchange/endpoint_list.rs
+++ b/crates/pipitcrank-server/src/exchange/endpoint_list.rs
@@ -8,6 +8,7 @@
 use super::request_table::{Command, ReplicaEntry};
 use super::state::Exchange;
 use super::zones::zone_id;
+use crate::runtime::counter_names::{discovery, group};
 
 impl Exchange {
     /// Applies the changes that wait for the next batch.
@@ -54,7 +55,7 @@
         entry.zone = zone.or(entry.zone.take());
         let zone = zone_id(&self.zones, &entry.zone);
         if zone.is_none() && entry.zone.is_some() && !self.zones.is_empty() {
-            self.table.counters.add("discovery", "unknown_zone");
+            self.table.counters.add(group::DISCOVERY, discovery::UNKNOWN_ZONE);
         }
         entry.down_since = if up { None } else { entry.down_since.or(Some(at)) };
         if let Some(audit) = &mut self.table.audit {
--- a/crates/pipitcrank-server/src/exchange/send_guard.rs
+++ b/crates/pipitcrank-server/src/exchange/send_guard.rs
@@ -11,6 +11,7 @@
 use crate::audit::SentAttempt;
 use crate::reasons::SendDenied;
 use crate::replicas::frames::CallPart;
+use crate::runtime::counter_names::group;
 
 impl Exchange {
     /// Drops from `attempts` those that may not be sent any more; returns what to write for the others, in their order.
@@ -96,7 +97,7 @@
     }
 
     fn record_denied(&self, attempt: AttemptId, reason: SendDenied) {
-        self.table.counters.add("not_sent", reason.name());
+        self.table.counters.add(group::NOT_SENT, reason.name());
         let part = &self.table.parts[&attempt.part.0];
         tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, reason = reason.name(), "not sent");
     }
--- a/crates/pipitcrank-server/src/exchange/state.rs
+++ b/crates/pipitcrank-server/src/exchange/state.rs
@@ -13,6 +13,7 @@
 use super::request_table::{ReplicaEntry, RequestTable};
 use crate::audit::{Audit, AuditRules};
 use crate::replicas::frames::LoadReport;
+use crate::runtime::counter_names::{discovery, group};
 use crate::runtime::counters::Counters;
 
 /// Retries delegated with forwarded parts; removed when they return or expire.
@@ -134,7 +135,9 @@
 
     /// The endpoint list changed. `complete`: `endpoints` names all replicas there are.
     pub fn update_endpoints(&mut self, at: Timestamp, complete: bool, endpoints: Vec<Endpoint>) {
-        self.table.counters.add("discovery", if complete { "whole_list" } else { "changes" });
+        self.table
+            .counters
+            .add(group::DISCOVERY, if complete { discovery::COMPLETE_LISTS } else { discovery::CHANGES });
         self.events.push(Event::EndpointsUpdated(EndpointChange { at, complete, endpoints }));
     }
 
--- a/crates/pipitcrank-server/src/reload.rs
+++ b/crates/pipitcrank-server/src/reload.rs
@@ -10,6 +10,7 @@
 
 use crate::node_config::NodeConfig;
 use crate::runtime::clock::Clock;
+use crate::runtime::counter_names::{group, reload};
 use crate::runtime::counters::Counters;
 use crate::runtime::system_errors::retry_open_for;
 
@@ -30,13 +31,13 @@
         let text = retry_open_for(READ_TIMEOUT, async || std::fs::read_to_string(&path)).await;
         match text.map_err(unreadable).and_then(|text| discovery_address(&text, &clock)) {
             Ok(address) => {
-                counters.add("reloads", "taken");
+                counters.add(group::RELOADS, reload::LOADED);
                 tracing::info!("node configuration reloaded: discovery is at {address}");
                 // Also where it stays: changes of the endpoint list have to be known sooner after a SIGHUP.
                 discovery.send_replace(address);
             }
             Err(error) => {
-                counters.add("reloads", "faulty");
+                counters.add(group::RELOADS, reload::FAULTY);
                 tracing::error!("the new node configuration is faulty, the old one stays: {error}");
             }
         }
--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -13,6 +13,7 @@
 use super::connection_end::ConnectionEnd;
 use super::connection_state::{ConnectionCommand, ConnectionState};
 use super::frames::{self, LoadReport, ReplicaFrame};
+use crate::runtime::counter_names::{frame, group, replica_connection};
 use crate::runtime::dial::dial;
 use crate::runtime::event_loop::EventLoop;
 use crate::runtime::stream::{Expects, Stream};
@@ -48,7 +49,7 @@
 ) -> ClosedConnection {
     let end = match open(address, timeouts.connect).await {
         Ok(stream) => {
-            event_loop.counters.add("leaf_connections", "opened");
+            event_loop.counters.add(group::REPLICA_CONNECTIONS, replica_connection::OPENED);
             ConnectionTask::new(event_loop, state, &stream, timeouts).serve(&mut commands).await
         }
         Err(end) => end,
@@ -247,8 +248,8 @@
         if !frame.bytes.is_empty() {
             return Ok(Writing::Rest(frame));
         }
-        let kind = if frame.attempts.is_empty() { "small_sent" } else { "calls_sent" };
-        self.event_loop.counters.add("frames", kind);
+        let kind = if frame.attempts.is_empty() { frame::CONTROL } else { frame::CALLS };
+        self.event_loop.counters.add(group::FRAMES, kind);
         for assigned in self.state.assigned.borrow_mut().iter_mut() {
             assigned.written |= frame.attempts.contains(&assigned.attempt);
         }
@@ -348,7 +349,7 @@
         let mut assigned = state.assigned.borrow_mut();
         let Some(position) = assigned.iter().position(|a| a.part_id.as_deref() == Some(id)) else {
             if state.finished.borrow().contains(id) {
-                event_loop.counters.add("frames", "late_answers");
+                event_loop.counters.add(group::FRAMES, frame::LATE_ANSWERS);
                 return Ok(());
             }
             // The part whose id was garbled would be waited for in vain.
@@ -358,7 +359,7 @@
         let attempt = assigned.swap_remove(position).attempt;
         // A second answer to it is harmless.
         state.finished.borrow_mut().add(id);
-        event_loop.counters.add("frames", "answers");
+        event_loop.counters.add(group::FRAMES, frame::ANSWERS);
         let value = (outcome == AttemptOutcome::Success).then_some(value);
         event_loop.update(|e| e.attempt_ended(attempt, outcome, value, report));
         Ok(())
--- a/crates/pipitcrank-server/src/replicas/pool.rs
+++ b/crates/pipitcrank-server/src/replicas/pool.rs
@@ -15,6 +15,7 @@
 use super::connection_state::{AssignedAttempt, ConnectionCommand, ConnectionState};
 use crate::exchange::ReplicaTransport;
 use crate::runtime::connection_limits::ConnectionPermit;
+use crate::runtime::counter_names::{group, replica_connection};
 use crate::runtime::event_loop::EventLoop;
 
 /// One replica's connections.
@@ -74,7 +75,7 @@
             Some(connection) => retire([connection.clone()]),
             None => return false,
         }
-        self.event_loop.counters.add("leaf_connections", "given_back");
+        self.event_loop.counters.add(group::REPLICA_CONNECTIONS, replica_connection::RELEASED);
         true
     }
 
@@ -132,7 +133,7 @@
         let ClosedConnection { end, unsent } = closed;
         let replica = connection.replica;
         tracing::debug!("connection to replica {} ended: {}", replica.0, end.name());
-        self.event_loop.counters.add("leaf_connections", end.name());
+        self.event_loop.counters.add(group::REPLICA_CONNECTIONS, end.name());
         if let Some(connections) = self.replicas.get_mut(&replica) {
             connections.open.retain(|open| !Rc::ptr_eq(open, connection));
         }
@@ -207,7 +208,7 @@
                 let _ = connection.commands.send(ConnectionCommand::SendCall(attempts));
             }
             Err(end) => {
-                self.event_loop.counters.add("leaf_connections", end.name());
+                self.event_loop.counters.add(group::REPLICA_CONNECTIONS, end.name());
                 let event_loop = self.event_loop.clone();
                 // Later, since the exchange is within a batch.
                 tokio::task::spawn_local(async move {
--- a/crates/pipitcrank-server/src/runtime/counters.rs
+++ b/crates/pipitcrank-server/src/runtime/counters.rs
@@ -5,13 +5,11 @@
 use std::fmt::Write;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+use crate::runtime::counter_names::group;
 use pipitcrank_handover::messages::CounterValue;
 
 /// Entries taken from another process at most: far more than there are counters.
 const MAX_MERGED: usize = 1000;
-/// Group that the supervisor counts: it is set, never summed.
-const UPGRADES: &str = "upgrades";
-
 /// Group and name. Both are constants of this process or of one before it, so there are only so many.
 type Key = (Cow<'static, str>, Cow<'static, str>);
 
@@ -50,7 +48,7 @@
     /// Adds the counters of a process before this one.
     pub fn add_all(&self, values: Vec<CounterValue>) {
         for CounterValue { group, name, value } in
-            values.into_iter().take(MAX_MERGED).filter(|counter| counter.group != UPGRADES)
+            values.into_iter().take(MAX_MERGED).filter(|counter| counter.group != group::UPGRADES)
         {
             self.add_many(group.into(), name.into(), value);
         }
--- a/crates/pipitcrank-server/src/runtime/mod.rs
+++ b/crates/pipitcrank-server/src/runtime/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod clock;
 pub mod connection_limits;
+pub mod counter_names;
 pub mod counters;
 pub mod dial;
 pub mod event_loop;
--- a/crates/pipitcrank-server/src/server_parts.rs
+++ b/crates/pipitcrank-server/src/server_parts.rs
@@ -60,10 +60,10 @@
         let (for_replicas, client_connections) = ConnectionLimiter::shared(config.connection_limit()?);
         let event_loop = Rc::new(EventLoop::new(clock.clone(), counters, for_replicas, exchange));
         let replicas = make_replica_pool(config, &event_loop)?;
-        let (http_sender, http_events) = unbounded_channel();
-        let (shutdown, shutdown_requested) = watch::channel(None);
-        let (draining, is_draining) = watch::channel(false);
-        let (acceptor, acceptor_commands) = unbounded_channel();
+        let ((http_sender, http_events), (acceptor, acceptor_commands)) =
+            (unbounded_channel(), unbounded_channel());
+        let ((shutdown, shutdown_requested), (draining, is_draining)) =
+            (watch::channel(None), watch::channel(false));
         let tickets = Arc::new(AtomicU64::new(0));
         let classes: Arc<[String]> = config.classes()?.into();
         let max_deadline = config.max_deadline()?;
--- a/crates/pipitcrank-server/src/upgrade/predecessor.rs
+++ b/crates/pipitcrank-server/src/upgrade/predecessor.rs
@@ -21,6 +21,7 @@
 use crate::clients::connection::AdoptedConnection;
 use crate::exchange::{QueryResponse, ResponseSink};
 use crate::runtime::clock::duration;
+use crate::runtime::counter_names::{group, upgrade};
 
 /// Tickets here by the predecessor's.
 type TicketMap = Rc<RefCell<BTreeMap<u64, u64>>>;
@@ -159,7 +160,7 @@
         }
         Err(error) => {
             tracing::warn!("the predecessor's state is refused ({error}); using the initial list alone");
-            context.event_loop.counters.add("upgrades", "snapshots_refused");
+            context.event_loop.counters.add(group::UPGRADES, upgrade::SNAPSHOTS_REFUSED);
             context.use_initial_list();
             context.resume_alone();
             0
--- a/crates/pipitcrank-server/src/upgrade/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -13,6 +13,7 @@
 
 use super::relayed::{decode_response, encode_query};
 use crate::exchange::{QueryRequest, QueryResponse};
+use crate::runtime::counter_names::{group, query, upgrade};
 use crate::runtime::event_loop::EventLoop;
 
 /// How long before the client's deadline the successor's response has to be back: what the link and this thread may take. The
@@ -76,7 +77,7 @@
         tokio::task::spawn_local(async move {
             tokio::time::sleep_until(latest).await;
             if relay.respond_as_lost(ticket) {
-                relay.event_loop.counters.add("upgrades", "not_answered_in_time");
+                relay.event_loop.counters.add(group::UPGRADES, upgrade::NOT_ANSWERED_IN_TIME);
             }
         });
         let idempotency_key = request.idempotency_key.clone();
@@ -109,8 +110,8 @@
     fn respond_as_lost(&self, ticket: u64) -> bool {
         let Some(query) = self.pending.borrow_mut().remove(&ticket) else { return false };
         let response = self.event_loop.read(|e| e.response_if_lost(query.class));
-        let kind = if response == QueryResponse::Aborted { "aborted" } else { "rejected" };
-        self.event_loop.counters.add("queries", kind);
+        let kind = if response == QueryResponse::Aborted { query::ABORTED } else { query::REJECTED };
+        self.event_loop.counters.add(group::QUERIES, kind);
         let _ = query.response.send(response);
         true
     }
--- a/crates/pipitcrank-server/src/upgrade/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -22,6 +22,7 @@
 use crate::clients::acceptor::AcceptorCommand;
 use crate::clients::connection::AdoptedConnection;
 use crate::exchange::Exchange;
+use crate::runtime::counter_names::{group, upgrade};
 
 /// Interval of heartbeats and of checks whether a step is done: a small part of any timeout that operators may set.
 const TICK: Duration = Duration::from_millis(50);
@@ -165,8 +166,12 @@
 
     fn set_upgrade_counters(&self, counts: UpgradeCounts) {
         let UpgradeCounts { requested, completed, rolled_back } = counts;
-        for (name, value) in [("asked", requested), ("done", completed), ("undone", rolled_back)] {
-            self.context.event_loop.counters.set("upgrades", name, value);
+        for (name, value) in [
+            (upgrade::REQUESTED, requested),
+            (upgrade::COMPLETED, completed),
+            (upgrade::ROLLED_BACK, rolled_back),
+        ] {
+            self.context.event_loop.counters.set(group::UPGRADES, name, value);
         }
     }
 
