--- a/crates/pipitcrank-cli/tests/crossings.rs
+++ b/crates/pipitcrank-cli/tests/crossings.rs
@@ -12,17 +12,12 @@
 use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::{Pid, Resource, Rlimit, Signal, prlimit};
-use stand_ins::{Source, StandInReplica, node_config, program};
+use stand_ins::{Source, StandInReplica, node_config, one_part_query, program};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
 const LIMIT: Duration = Duration::from_secs(60);
 
-fn question(id: &str) -> QueryRequest {
-    let wait = Duration::from_secs(4);
-    QueryRequest { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
-}
-
 async fn one_replica(sockets: u32) -> Result<(StandInReplica, Source, Process)> {
     let replica = StandInReplica::start().await?;
     let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
@@ -33,7 +28,7 @@
 
 /// Asks on that connection; its answer comes from one of the replicas.
 async fn asks_on(stream: &mut BufReader<TcpStream>, id: &str, replica: &mut StandInReplica) -> u16 {
-    stream.get_mut().write_all(question(id).request().as_bytes()).await.unwrap();
+    stream.get_mut().write_all(one_part_query(id).request().as_bytes()).await.unwrap();
     let answer = async { read_response(stream).await.map_or(0, |a| a.status) };
     let mut answer = std::pin::pin!(answer);
     tokio::select! {
@@ -54,7 +49,7 @@
         process.signal(Signal::TERM)?;
         let mut nothing = [0; 1];
         assert_eq!(kept.read(&mut nothing).await?, 0, "closed in order");
-        let late = kept.get_mut().write_all(question("view-2").request().as_bytes()).await;
+        let late = kept.get_mut().write_all(one_part_query("view-2").request().as_bytes()).await;
         if late.is_ok() {
             // Neither an answer nor a word of it to the replica.
             let mut rest = Vec::new();
@@ -83,7 +78,7 @@
             }
             // On a resting connection, and as the first on one that nobody has accepted yet.
             for (n, stream) in [&mut kept, &mut new].into_iter().enumerate() {
-                let request = question(&format!("view-late-{n}")).request();
+                let request = one_part_query(&format!("view-late-{n}")).request();
                 stream.get_mut().write_all(request.as_bytes()).await?;
             }
             if round % 2 == 1 {
@@ -114,7 +109,7 @@
             // Some time after the last standstill.
             tokio::time::sleep(Duration::from_millis(400)).await;
             let wait = Duration::from_millis(1500);
-            let asked = QueryRequest { wait, ..question(&format!("view-{n}")) };
+            let asked = QueryRequest { wait, ..one_part_query(&format!("view-{n}")) };
             let mut kept = BufReader::new(connect(process.address).await?);
             let before = QueryRequest { id: format!("view-before-{n}"), ..asked.clone() };
             kept.get_mut().write_all(before.request().as_bytes()).await?;
@@ -171,7 +166,7 @@
             loop {
                 n += 1;
                 let id = format!("view-{n}");
-                kept.get_mut().write_all(question(&id).request().as_bytes()).await?;
+                kept.get_mut().write_all(one_part_query(&id).request().as_bytes()).await?;
                 let at_b = tokio::select! {
                     call = a.call() => { call.answers(); false }
                     call = b.call() => { call.answers(); true }
@@ -227,7 +222,8 @@
         loop {
             n += 1;
             let mut asking = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
-            let mut asking = std::pin::pin!(asking.ask_in_pieces(question(&format!("view-new-{n}")), &[]));
+            let mut asking =
+                std::pin::pin!(asking.ask_in_pieces(one_part_query(&format!("view-new-{n}")), &[]));
             let at_b = tokio::select! {
                 call = a.call() => { call.answers(); false }
                 call = b.call() => { call.answers(); true }
@@ -313,7 +309,7 @@
         let mut clients = Vec::new();
         for n in 0..places + 100 {
             let mut stream = BufReader::new(connect(process.address).await?);
-            let request = question(&format!("view-{n}")).request();
+            let request = one_part_query(&format!("view-{n}")).request();
             let some = if n < places { request.len() - 1 } else { request.len() };
             stream.get_mut().write_all(&request.as_bytes()[..some]).await?;
             clients.push(stream);
@@ -361,7 +357,7 @@
         let mut client = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
         for n in 0..3 {
             let shards = vec![0, 1];
-            let asked = QueryRequest { shards, ..question(&format!("view-{n}")) };
+            let asked = QueryRequest { shards, ..one_part_query(&format!("view-{n}")) };
             let mut asking = std::pin::pin!(client.ask_in_pieces(asked, &[]));
             for _ in 0..2 {
                 tokio::select! {
@@ -389,7 +385,7 @@
             let mut other = BufReader::new(connect(process.address).await?);
             let mut call = None;
             if held {
-                other.get_mut().write_all(question("view-held").request().as_bytes()).await?;
+                other.get_mut().write_all(one_part_query("view-held").request().as_bytes()).await?;
                 call = Some(replica.call().await);
             }
             let changes = async |n: u64| {
--- a/crates/pipitcrank-cli/tests/leaving.rs
+++ b/crates/pipitcrank-cli/tests/leaving.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use pipitcrank_testkit::client::{DedicatedConnection, QueryRequest, connect, get};
+use pipitcrank_testkit::client::{DedicatedConnection, connect, get};
 use pipitcrank_testkit::discovery::row;
 use pipitcrank_testkit::process::Process;
 use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
-use stand_ins::{Late, Source, StandInReplica, node_config, program};
+use stand_ins::{Late, Source, StandInReplica, node_config, one_part_query, program};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -21,11 +21,6 @@
 /// Well past the longest time after which an attempt may still begin, and past its own way.
 const LONG: Duration = Duration::from_millis(900);
 
-fn question(id: &str) -> QueryRequest {
-    let wait = Duration::from_secs(4);
-    QueryRequest { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
-}
-
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
 enum Replicas {
@@ -43,11 +38,11 @@
 /// Asks as that client does.
 async fn asks(process: &Process, id: &str, how: Replicas) -> Result<TcpStream> {
     let mut stream = connect(process.address).await?;
-    let mut bytes = question(id).request().into_bytes();
+    let mut bytes = one_part_query(id).request().into_bytes();
     match how {
         Replicas::ClosesBehindBytes => bytes.extend(vec![b'x'; 100_000]),
         Replicas::ClosesPipelined => {
-            (0..300).for_each(|n| bytes.extend(question(&format!("{id}-{n}")).request().into_bytes()));
+            (0..300).for_each(|n| bytes.extend(one_part_query(&format!("{id}-{n}")).request().into_bytes()));
         }
         _ => {}
     }
@@ -113,7 +108,7 @@
         on_one_thread(LIMIT, async {
             let ([mut a, mut b], _source, process) = two_replicas().await?;
             let mut client = connect(process.address).await?;
-            let plain = question("view-1").request();
+            let plain = one_part_query("view-1").request();
             let (head, body) = plain.split_once("\r\n\r\n").unwrap();
             let head = head.split("\r\n").filter(|l| !l.starts_with("Content-Length"));
             let head = head.collect::<Vec<_>>().join("\r\n");
@@ -161,7 +156,7 @@
             replicas(client, how)?;
             counted(&process, "queries client_gone", 1).await;
             let mut other = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
-            let mut asking = std::pin::pin!(other.ask_in_pieces(question("view-2"), &[]));
+            let mut asking = std::pin::pin!(other.ask_in_pieces(one_part_query("view-2"), &[]));
             tokio::select! {
                 () = counted(&process, "queries taken", 2) => {}
                 how = &mut asking => panic!("{how:?}: {}", process.log()),
@@ -188,7 +183,7 @@
     let mut warm = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
     let (mut at_a, mut at_b) = (false, false);
     for n in 0.. {
-        let mut asking = std::pin::pin!(warm.ask_in_pieces(question(&format!("{name}-warm-{n}")), &[]));
+        let mut asking = std::pin::pin!(warm.ask_in_pieces(one_part_query(&format!("{name}-warm-{n}")), &[]));
         tokio::select! {
             call = a.call() => { at_a = true; call.answers() }
             call = b.call() => { at_b = true; call.answers() }
--- /dev/null
+++ b/crates/pipitcrank-cli/tests/stand_ins/replica.rs
@@ -0,0 +1,176 @@
+//! Replicas whose answers a test gives, and a listener whose connections come up late.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use anyhow::Result;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+
+enum Say {
+    Bytes(Vec<u8>),
+    /// Closes in order, or with a reset.
+    Close,
+    Reset,
+}
+
+/// One part that came, whose answer the test gives.
+pub struct Asked {
+    pub id: String,
+    /// What stood behind `k=` in its list.
+    pub key: Option<String>,
+    /// The time that the co-ordinator says it waits.
+    pub told: Duration,
+    say: UnboundedSender<Say>,
+}
+
+impl Asked {
+    fn says(&self, rest: &str) {
+        let _ = self.say.send(Say::Bytes([&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat()));
+    }
+
+    pub fn answers(&self) {
+        self.says(&format!("A{} ok 7 -\nvalue", self.id));
+    }
+
+    pub fn fails(&self) {
+        self.says(&format!("A{} err 0 -\n", self.id));
+    }
+
+    /// The connection that it came on ends, in order or with a reset.
+    pub fn closes(&self) {
+        let _ = self.say.send(Say::Close);
+    }
+
+    pub fn resets(&self) {
+        let _ = self.say.send(Say::Reset);
+    }
+}
+
+pub struct StandInReplica {
+    pub address: SocketAddr,
+    calls: UnboundedReceiver<Asked>,
+    /// Ids given up.
+    pub given_up: Rc<RefCell<Vec<String>>>,
+}
+
+impl StandInReplica {
+    pub async fn start() -> Result<StandInReplica> {
+        Ok(StandInReplica::behind(TcpListener::bind("127.0.0.1:0").await?))
+    }
+
+    pub fn behind(listener: TcpListener) -> StandInReplica {
+        let address = listener.local_addr().expect("a listener has an address");
+        let (hand_out, calls) = unbounded_channel();
+        let given_up: Rc<RefCell<Vec<String>>> = Rc::default();
+        let noted = given_up.clone();
+        tokio::task::spawn_local(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                tokio::task::spawn_local(replica_connection(stream, hand_out.clone(), noted.clone()));
+            }
+        });
+        StandInReplica { address, calls, given_up }
+    }
+
+    /// The next part that comes.
+    pub async fn call(&mut self) -> Asked {
+        self.calls.recv().await.expect("the stand-in goes on")
+    }
+
+    /// What has come and was not taken yet.
+    pub fn came(&mut self) -> Option<Asked> {
+        self.calls.try_recv().ok()
+    }
+}
+
+async fn replica_connection(
+    stream: TcpStream,
+    hand_out: UnboundedSender<Asked>,
+    given_up: Rc<RefCell<Vec<String>>>,
+) {
+    let _ = stream.set_nodelay(true);
+    let (mut from, mut to) = stream.into_split();
+    let (say, mut said) = unbounded_channel();
+    // The connection ends with it.
+    let mut saying = tokio::task::spawn_local(async move {
+        while let Some(what) = said.recv().await {
+            match what {
+                Say::Bytes(bytes) => {
+                    if to.write_all(&bytes).await.is_err() {
+                        return;
+                    }
+                }
+                Say::Close => return drop(to),
+                Say::Reset => {
+                    let _ = to.as_ref().set_zero_linger();
+                    return to.forget();
+                }
+            }
+        }
+    });
+    loop {
+        let frame = async {
+            let mut rest = vec![0; from.read_u32().await? as usize];
+            from.read_exact(&mut rest).await?;
+            std::io::Result::Ok(rest)
+        };
+        let rest = tokio::select! {
+            frame = frame => match frame {
+                Ok(rest) => rest,
+                Err(_) => return,
+            },
+            _ = &mut saying => return,
+        };
+        let words = String::from_utf8_lossy(&rest[1..]).into_owned();
+        let frame =
+            |rest: &str| Say::Bytes([&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat());
+        match rest[0] {
+            b'L' => drop(say.send(frame("L-"))),
+            b'P' => drop(say.send(frame("Pok"))),
+            b'X' => given_up.borrow_mut().push(words),
+            _ => {
+                let mut call = &words[..];
+                while let Some((line, after)) = call.split_once('\n') {
+                    let words: Vec<&str> = line.split(' ').collect();
+                    let [id, _, list, length] = words[..] else { panic!("a part's line is '{line}'") };
+                    let key = list.split(',').find_map(|w| w.strip_prefix("k=")).map(str::to_string);
+                    let told = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok());
+                    let told = Duration::from_millis(told.expect("a time told"));
+                    let _ = hand_out.send(Asked { id: id.to_string(), key, told, say: say.clone() });
+                    call = &after[length.parse::<usize>().expect("a length")..];
+                }
+            }
+        }
+    }
+}
+
+/// A listener that takes up no connection until let: then those that wait come up when their own system tries again,
+/// a second after they began.
+pub struct Late {
+    listener: TcpListener,
+    pub address: SocketAddr,
+    _fillers: Vec<TcpStream>,
+}
+
+impl Late {
+    pub async fn start() -> Result<Late> {
+        let socket = TcpSocket::new_v4()?;
+        socket.bind("127.0.0.1:0".parse()?)?;
+        let listener = socket.listen(0)?;
+        let address = listener.local_addr()?;
+        // Until its queue is full.
+        let mut fillers = Vec::new();
+        while let Ok(up) = tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address)).await
+        {
+            fillers.push(up?);
+        }
+        Ok(Late { listener, address, _fillers: fillers })
+    }
+
+    pub fn let_up(self) -> StandInReplica {
+        StandInReplica::behind(self.listener)
+    }
+}
--- /dev/null
+++ b/crates/pipitcrank-cli/tests/threaded_stand_ins/mod.rs
@@ -0,0 +1,298 @@
+//! Stand-ins on threads of their own, for tests that block: replicas, a discovery that is fed line by line, the program,
+//! and clients' requests and answers.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::{Value, json};
+
+pub const LIMIT: Duration = Duration::from_secs(30);
+
+pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+    let start = Instant::now();
+    loop {
+        if let Some(found) = look() {
+            return found;
+        }
+        assert!(start.elapsed() < LIMIT, "waited in vain for {what}");
+        thread::sleep(Duration::from_millis(10));
+    }
+}
+
+/// What a replica stand-in does with a call, given its parts (id, shard).
+pub type Manner = fn(&mut TcpStream, &[(String, u32)], &Receiver<()>);
+
+pub fn send(to: &mut TcpStream, rest: &str) {
+    let _ = to.write_all(&[&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat());
+}
+
+pub fn answers(to: &mut TcpStream, parts: &[(String, u32)], _: &Receiver<()>) {
+    for (id, shard) in parts {
+        send(to, &format!("A{id} ok 7 -\nd{shard}"));
+    }
+}
+
+pub fn closes(to: &mut TcpStream, _: &[(String, u32)], _: &Receiver<()>) {
+    let _ = to.shutdown(std::net::Shutdown::Both);
+}
+
+pub fn babbles(to: &mut TcpStream, _: &[(String, u32)], _: &Receiver<()>) {
+    send(to, "?what");
+}
+
+pub fn held(to: &mut TcpStream, parts: &[(String, u32)], go: &Receiver<()>) {
+    let _ = go.recv_timeout(LIMIT);
+    answers(to, parts, go);
+}
+
+pub struct StandInReplica {
+    pub address: SocketAddr,
+    /// Frames as they came.
+    pub heard: Receiver<String>,
+    pub go: Sender<()>,
+}
+
+impl StandInReplica {
+    /// One connection after another; a second at the same time waits in the queue.
+    pub fn start(manner: Manner) -> StandInReplica {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let ((hears, heard), (go, gone)) = (channel(), channel());
+        thread::spawn(move || {
+            for mut stream in listener.incoming().flatten() {
+                let mut head = [0; 4];
+                while stream.read_exact(&mut head).is_ok() {
+                    let mut rest = vec![0; u32::from_be_bytes(head) as usize];
+                    if stream.read_exact(&mut rest).is_err() {
+                        break;
+                    }
+                    let frame = String::from_utf8(rest).unwrap();
+                    let _ = hears.send(frame.clone());
+                    if frame == "L" {
+                        send(&mut stream, "Lqueue=0");
+                    } else if let Some(call) = frame.strip_prefix('Q') {
+                        manner(&mut stream, &parts(call), &gone);
+                    }
+                }
+            }
+        });
+        StandInReplica { address, heard, go }
+    }
+
+    pub fn hear(&self, letter: char) -> String {
+        wait_for("a frame", || self.heard.try_recv().ok().filter(|f| f.starts_with(letter)))
+    }
+}
+
+pub fn parts(mut call: &str) -> Vec<(String, u32)> {
+    let mut found = Vec::new();
+    while let Some((line, rest)) = call.split_once('\n') {
+        let words: Vec<&str> = line.split(' ').collect();
+        let [id, shard, list, length] = words[..] else { panic!("a part's line is '{line}'") };
+        assert!(list.starts_with("d="), "{list}");
+        let (text, after) = rest.split_at(length.parse().unwrap());
+        assert_eq!(text, "c41e", "the query's text unchanged");
+        found.push((id.to_string(), shard.parse().unwrap()));
+        call = after;
+    }
+    assert_eq!(call, "");
+    found
+}
+
+/// A call that discovery got: its first line, and where lines are fed to its answer until that is dropped.
+pub type Called = (String, Sender<String>);
+
+/// A stand-in for discovery: each watch is told, with its index, and each look at the whole list; both are fed lines. A look
+/// that nobody feeds hangs.
+pub struct Discovery {
+    pub address: SocketAddr,
+    pub watches: Receiver<Called>,
+    pub looks: Receiver<Called>,
+}
+
+impl Discovery {
+    pub fn start() -> Discovery {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let ((tell, watches), (tell_look, looks)) = (channel(), channel());
+        thread::spawn(move || {
+            for mut stream in listener.incoming().flatten() {
+                let mut line = String::new();
+                let mut reader = BufReader::new(stream.try_clone().unwrap());
+                reader.read_line(&mut line).unwrap();
+                let (lines, fed) = channel::<String>();
+                let to = if line.contains("stream=1") { &tell } else { &tell_look };
+                let _ = to.send((line, lines));
+                thread::spawn(move || {
+                    let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    loop {
+                        let line = match fed.recv_timeout(Duration::from_secs(1)) {
+                            Ok(line) => line,
+                            Err(std::sync::mpsc::RecvTimeoutError::Timeout) => String::new(),
+                            Err(_) => {
+                                let _ = stream.write_all(b"0\r\n\r\n");
+                                break;
+                            }
+                        };
+                        if write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1).is_err() {
+                            break;
+                        }
+                    }
+                });
+            }
+        });
+        Discovery { address, watches, looks }
+    }
+
+    pub fn watch(&self) -> Called {
+        self.watches.recv_timeout(LIMIT).expect("a watch")
+    }
+
+    pub fn look(&self) -> Called {
+        self.looks.recv_timeout(LIMIT).expect("a look at the whole list")
+    }
+}
+
+pub fn list(rev: u32, all: bool, replicas: &[(u32, SocketAddr, &str)]) -> Value {
+    let targets: Vec<Value> = replicas
+        .iter()
+        .map(|(cell, endpoint, state)| {
+            json!({"uid": format!("s-{cell}"), "endpoint": endpoint.to_string(), "az": "a", "pod_group": cell,
+                "state": state, "capacity_hint": 1.0, "boot_ms": 0})
+        })
+        .collect();
+    json!({"rev": rev, "all": all, "targets": targets})
+}
+
+pub struct Node {
+    pub child: Child,
+    pub address: SocketAddr,
+    pub node_config: PathBuf,
+}
+
+impl Drop for Node {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_file(&self.node_config);
+    }
+}
+
+pub fn settings() -> Value {
+    json!({"allowed":{"cancel":true,"probing":true,"may_duplicate":true,"retry_after":true,"max_retry_after_s":2.0,
+            "try_limit":4,"conn_idle_s":60.0,"dial_timeout_s":1.0,"max_open":100,"streams_per_conn":8},
+        "classes":[{"aim_s":25.0,"hard_limit_s":30.0,"idempotency":"safe","name":"view"}],
+        "domain":{"call_cost_s":0.05,"complete_from":[1.0],"floor_by_class":[1.0],"follow_up":[0],
+            "parts_a_call":4,"sets":2,"shards":8,"span":2},
+        "rules":{"cold_from":0.27,"cold_s":18.0,"drain_grace_s":2.0,"fall_s":1.5,"overload_factor":4.0},
+        "tick_s":0.005})
+}
+
+impl Node {
+    /// `n` gives each test an address of its own.
+    pub fn start(n: u8, discovery: &Discovery, known: Value) -> Node {
+        Node::start_with(n, discovery, known, 256)
+    }
+
+    pub fn start_with(n: u8, discovery: &Discovery, known: Value, sockets: u32) -> Node {
+        let free = TcpListener::bind(SocketAddr::from(([127, 77, 1, n], 0))).unwrap();
+        let address = free.local_addr().unwrap();
+        drop(free);
+        let node_config = std::env::temp_dir().join(format!("pipitcrank-{}-{n}.json", std::process::id()));
+        let told = json!({"name":"n1","listen":address.to_string(),"discovery":discovery.address.to_string(),
+            "seed":"5","limits":{"sockets":sockets,"memory_mb":64,"cores":1.0},"known":known,"settings":settings()});
+        std::fs::write(&node_config, told.to_string()).unwrap();
+        let child = Command::new(env!("CARGO_BIN_EXE_pipitcrank"))
+            .arg("serve")
+            .env("NODE_CONFIG", &node_config)
+            .env("NODE_DISCOVERY", discovery.address.to_string())
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
+        Node { child, address, node_config }
+    }
+
+    pub fn up(&self) {
+        wait_for("/up", || self.try_get("/up").filter(|a| a.starts_with("HTTP/1.1 200")));
+    }
+
+    pub fn try_get(&self, path: &str) -> Option<String> {
+        let mut stream = TcpStream::connect(self.address).ok()?;
+        write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").ok()?;
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer).ok()?;
+        Some(answer)
+    }
+
+    pub fn send(&self, request: &str) -> TcpStream {
+        let mut stream = TcpStream::connect(self.address).unwrap();
+        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        stream.write_all(request.as_bytes()).unwrap();
+        stream
+    }
+
+    pub fn signal(&self, which: &str) {
+        let kill = Command::new("kill").arg(which).arg(self.child.id().to_string()).status().unwrap();
+        assert!(kill.success());
+    }
+
+    /// Changes one key of the node configuration and has it read again.
+    pub fn reload(&self, key: &str, value: Value) {
+        let mut told: Value = serde_json::from_slice(&std::fs::read(&self.node_config).unwrap()).unwrap();
+        *told.pointer_mut(key).unwrap() = value;
+        std::fs::write(&self.node_config, told.to_string()).unwrap();
+        self.signal("-HUP");
+    }
+
+    pub fn counted(&self, line: &str) {
+        wait_for(line, || self.try_get("/counters").filter(|c| c.lines().any(|l| l == line)));
+    }
+}
+
+pub fn post(id: &str, body: &str) -> String {
+    let length = body.len();
+    format!(
+        "POST /view HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 25000\r\nContent-Length: {length}\r\n\r\n{body}"
+    )
+}
+
+pub const ASK: &str =
+    r#"{"shards":[{"shard":0,"weight":0.5,"cost":9000},{"shard":1,"weight":0.5}],"q":"c41e"}"#;
+
+/// Status and whole body of one answer, and whether the connection ends with it.
+pub fn answer(stream: TcpStream) -> (u16, String, bool) {
+    let mut reader = BufReader::new(stream);
+    let (mut status, mut length, mut close) = (0, 0, false);
+    loop {
+        let mut line = String::new();
+        reader.read_line(&mut line).expect("an answer");
+        let lower = line.trim().to_lowercase();
+        if let Some(rest) = lower.strip_prefix("http/1.1 ") {
+            status = rest[..3].parse().unwrap();
+        } else if let Some(n) = lower.strip_prefix("content-length: ") {
+            length = n.parse().unwrap();
+        } else if lower.is_empty() {
+            break;
+        }
+        close |= lower == "connection: close";
+    }
+    let mut body = vec![0; length];
+    reader.read_exact(&mut body).unwrap();
+    (status, String::from_utf8(body).unwrap(), close)
+}
+
+pub fn hits(body: &str) -> (bool, Vec<(u64, String)>) {
+    let body: Value = serde_json::from_str(body).unwrap();
+    let hits = body["hits"].as_array().unwrap().iter();
+    let hits = hits.map(|h| (h["shard"].as_u64().unwrap(), h["doc"].as_str().unwrap().to_string()));
+    (body["complete"].as_bool().unwrap(), hits.collect())
+}
+
+pub fn whole() -> (bool, Vec<(u64, String)>) {
+    (true, vec![(0, "d0".into()), (1, "d1".into())])
+}
