--- a/crates/pipitcrank-cli/tests/crossings.rs
+++ b/crates/pipitcrank-cli/tests/crossings.rs
@@ -12,15 +12,15 @@
 use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::{Pid, Resource, Rlimit, Signal, prlimit};
-use stand_ins::{Source, StandInReplica, node_config, one_part_query, program};
+use stand_ins::{ScriptedDiscovery, StandInReplica, node_config, one_part_query, program};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
 const LIMIT: Duration = Duration::from_secs(60);
 
-async fn one_replica(sockets: u32) -> Result<(StandInReplica, Source, Process)> {
+async fn one_replica(sockets: u32) -> Result<(StandInReplica, ScriptedDiscovery, Process)> {
     let replica = StandInReplica::start().await?;
-    let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+    let source = ScriptedDiscovery::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
     let process = Process::start(program(), node_config(&source, 1, sockets)?, None).await?;
     source.until_watched().await;
     Ok((replica, source, process))
@@ -101,7 +101,7 @@
 /// The process stands still while a request comes: what lies unread counts from when it was written, so its replica is told
 /// no more time than its client has, but for the slack.
 #[test]
-fn a_request_read_late_is_told_no_more_time_than_its_client_has() {
+fn a_request_read_late_gets_no_more_time_than_its_client_has() {
     const SLACK: Duration = Duration::from_millis(150);
     on_one_thread(LIMIT, async {
         let (mut replica, _source, process) = one_replica(256).await?;
@@ -122,7 +122,11 @@
             process.signal(Signal::CONT)?;
             let call = replica.call().await;
             let left = wait.saturating_sub(written.elapsed());
-            assert!(call.told <= left + SLACK, "{stood_still} ms: told {:?}, left {left:?}", call.told);
+            assert!(
+                call.time_left <= left + SLACK,
+                "{stood_still} ms: told {:?}, left {left:?}",
+                call.time_left
+            );
             call.answers();
             assert_eq!(read_response(&mut kept).await.map(|a| a.status), Some(200));
         }
@@ -134,18 +138,18 @@
 /// What the list says while a process ends holds for what it still sends: told by the watch, and at a SIGHUP in its end by a
 /// look, where the watch is silent.
 #[test]
-fn a_drain_told_while_the_process_ends_is_kept() {
+fn a_drain_announced_during_shutdown_is_applied() {
     for silent in [false, true] {
         on_one_thread(LIMIT, async {
             let mut a = StandInReplica::start().await?;
             let mut b = StandInReplica::start().await?;
-            let source = Source::start(1, vec![row("a", a.address, 0, "active", 0)]).await?;
-            let mut told = node_config(&source, 1, 256)?;
+            let source = ScriptedDiscovery::start(1, vec![row("a", a.address, 0, "active", 0)]).await?;
+            let mut config = node_config(&source, 1, 256)?;
             // Long enough an end.
-            for class in told["settings"]["classes"].as_array_mut().unwrap() {
+            for class in config["settings"]["classes"].as_array_mut().unwrap() {
                 class["hard_limit_s"] = 9.0.into();
             }
-            let process = Process::start(program(), told, None).await?;
+            let process = Process::start(program(), config, None).await?;
             source.until_watched().await;
             let mut kept = BufReader::new(connect(process.address).await?);
             assert_eq!(asks_on(&mut kept, "view-1", &mut a).await, 200);
@@ -182,8 +186,8 @@
                 assert!(had.elapsed() < Duration::from_secs(3), "not told; {}", process.log());
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            if let Some(told) = process.counter(whole).await {
-                assert_eq!(told, wanted, "by the way that is forced here");
+            if let Some(counted) = process.counter(whole).await {
+                assert_eq!(counted, wanted, "by the way that is forced here");
             }
             Ok(())
         })
@@ -195,10 +199,10 @@
 /// then: the calls of discovery, the way to a new replica and a client that comes have what they need.
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
-    const TOLD: u32 = 96;
+    const SOCKETS: u32 = 96;
     on_one_thread(LIMIT, async {
-        let (mut a, source, process) = one_replica(TOLD).await?;
-        let limit = Rlimit { current: Some(u64::from(TOLD)), maximum: Some(u64::from(TOLD)) };
+        let (mut a, source, process) = one_replica(SOCKETS).await?;
+        let limit = Rlimit { current: Some(u64::from(SOCKETS)), maximum: Some(u64::from(SOCKETS)) };
         prlimit(Pid::from_raw(process.pid()), Resource::Nofile, limit)?;
         source.is_down(true);
         source.closes_watches();
@@ -213,7 +217,7 @@
             silent.push(connect(process.address).await?);
         }
         let descriptors = process.resource_usage().descriptors;
-        assert!(descriptors <= u64::from(TOLD), "{descriptors}");
+        assert!(descriptors <= u64::from(SOCKETS), "{descriptors}");
         let mut b = StandInReplica::start().await?;
         source.holds(2, vec![row("a", a.address, 0, "leaving", 0), row("b", b.address, 0, "active", 0)]);
         source.is_down(false);
@@ -249,17 +253,17 @@
     for silent in [true, false] {
         on_one_thread(LIMIT, async {
             let mut replica = StandInReplica::start().await?;
-            let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+            let source = ScriptedDiscovery::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
             if silent {
                 source.is_down(true);
             } else {
-                source.next_calls_are(&[stand_ins::Call::HeadOnly; 30]);
+                source.next_calls_are(&[stand_ins::CallFault::HeadOnly; 30]);
             }
             let mut starting = tokio::task::JoinSet::new();
             let begun = Instant::now();
             for _ in 0..10 {
-                let told = node_config(&source, 1, 256)?;
-                let address: std::net::SocketAddr = told["listen"].as_str().unwrap().parse()?;
+                let config = node_config(&source, 1, 256)?;
+                let address: std::net::SocketAddr = config["listen"].as_str().unwrap().parse()?;
                 starting.spawn_local(async move {
                     // Clients that try all along.
                     let knocking = tokio::task::spawn_local(async move {
@@ -268,7 +272,7 @@
                             tokio::time::sleep(Duration::from_millis(5)).await;
                         }
                     });
-                    let process = Process::start(program(), told, None).await;
+                    let process = Process::start(program(), config, None).await;
                     knocking.abort();
                     (process, begun.elapsed())
                 });
@@ -291,21 +295,21 @@
 /// At the end every place holds an open request, more clients wait in the accept queue than there are places, and there are
 /// fewer descriptors than all of them need: each is answered.
 #[test]
-fn more_clients_than_places_and_descriptors_wait_as_the_listening_ends() {
-    const TOLD: u32 = 96;
+fn more_clients_than_connection_permits_and_descriptors_wait_as_the_listening_ends() {
+    const SOCKETS: u32 = 96;
     on_one_thread(LIMIT, async {
         let mut replica = StandInReplica::start().await?;
-        let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
-        let mut told = node_config(&source, 1, TOLD)?;
+        let source = ScriptedDiscovery::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+        let mut config = node_config(&source, 1, SOCKETS)?;
         // The listening ends half a second after SIGTERM: well before half a request is given up on.
-        for class in told["settings"]["classes"].as_array_mut().unwrap() {
+        for class in config["settings"]["classes"].as_array_mut().unwrap() {
             class["hard_limit_s"] = 0.5.into();
         }
-        let process = Process::start(program(), told, None).await?;
-        let limit = Rlimit { current: Some(u64::from(TOLD)), maximum: Some(u64::from(TOLD)) };
+        let process = Process::start(program(), config, None).await?;
+        let limit = Rlimit { current: Some(u64::from(SOCKETS)), maximum: Some(u64::from(SOCKETS)) };
         prlimit(Pid::from_raw(process.pid()), Resource::Nofile, limit)?;
         // Two thirds of what is told less 24: half a request holds each.
-        let places = (TOLD as usize - 24) * 2 / 3;
+        let places = (SOCKETS as usize - 24) * 2 / 3;
         let mut clients = Vec::new();
         for n in 0..places + 100 {
             let mut stream = BufReader::new(connect(process.address).await?);
@@ -346,14 +350,14 @@
 fn a_connection_that_carries_one_part_and_may_be_as_long_idle_as_in_coming_up_serves() {
     on_one_thread(LIMIT, async {
         let mut replica = StandInReplica::start().await?;
-        let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
-        let mut told = node_config(&source, 2, 256)?;
+        let source = ScriptedDiscovery::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+        let mut config = node_config(&source, 2, 256)?;
         // Both shards are held by the one replica.
-        told["settings"]["domain"]["span"] = 2.into();
-        let allowed = &mut told["settings"]["allowed"];
+        config["settings"]["domain"]["span"] = 2.into();
+        let allowed = &mut config["settings"]["allowed"];
         (allowed["streams_per_conn"], allowed["probing"]) = (1.into(), false.into());
         (allowed["conn_idle_s"], allowed["dial_timeout_s"]) = (2.0.into(), 2.0.into());
-        let process = Process::start(program(), told, None).await?;
+        let process = Process::start(program(), config, None).await?;
         let mut client = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
         for n in 0..3 {
             let shards = vec![0, 1];
--- a/crates/pipitcrank-cli/tests/ending.rs
+++ b/crates/pipitcrank-cli/tests/ending.rs
@@ -79,11 +79,11 @@
     let (ledger, mut by_itself) = (QueryLog::default(), false);
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(5, WORK).await?;
-        let mut told = fleet.node_config(5, 1024, 3000)?;
-        for class in told["settings"]["classes"].as_array_mut().unwrap() {
+        let mut config = fleet.node_config(5, 1024, 3000)?;
+        for class in config["settings"]["classes"].as_array_mut().unwrap() {
             (class["aim_s"], class["hard_limit_s"]) = ((longest / 2.0).into(), longest.into());
         }
-        let mut process = Process::start(program(), told, None).await?;
+        let mut process = Process::start(program(), config, None).await?;
         fleet.replicas.iter().for_each(|replica| replica.set_behavior(ReplicaBehavior::Silent));
         let wait = Duration::from_secs_f64(longest);
         let asks = |name: &str| QueryRequest { wait, ..question(name.to_string()) };
@@ -195,7 +195,7 @@
 fn sigterm_before_the_node_config_is_read_ends_it_in_order() {
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(7, WORK).await?;
-        let told = fleet.node_config(7, 1024, 3000)?;
+        let config = fleet.node_config(7, 1024, 3000)?;
         let folder = pipitcrank_testkit::process::Folder::new("fifo")?;
         let path = folder.path().join("charter.json");
         assert!(std::process::Command::new("mkfifo").arg(&path).status()?.success());
@@ -212,7 +212,7 @@
         let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
         rustix::process::kill_process(pid, Signal::TERM)?;
         tokio::time::sleep(Duration::from_millis(100)).await;
-        std::io::Write::write_all(&mut node_config, told.to_string().as_bytes())?;
+        std::io::Write::write_all(&mut node_config, config.to_string().as_bytes())?;
         drop(node_config);
         let begun = Instant::now();
         let ended = loop {
--- a/crates/pipitcrank-cli/tests/leaving.rs
+++ b/crates/pipitcrank-cli/tests/leaving.rs
@@ -13,7 +13,7 @@
 use pipitcrank_testkit::query_log::{QueryLog, QueryOutcome};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
-use stand_ins::{Late, Source, StandInReplica, node_config, one_part_query, program};
+use stand_ins::{ScriptedDiscovery, SlowListener, StandInReplica, node_config, one_part_query, program};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -23,7 +23,7 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Replicas {
+enum Disconnect {
     Closes,
     Resets,
     /// With more bytes behind its request than are read with it.
@@ -32,16 +32,16 @@
     ClosesPipelined,
 }
 
-const WAYS: [Replicas; 4] =
-    [Replicas::Closes, Replicas::Resets, Replicas::ClosesBehindBytes, Replicas::ClosesPipelined];
+const WAYS: [Disconnect; 4] =
+    [Disconnect::Closes, Disconnect::Resets, Disconnect::ClosesBehindBytes, Disconnect::ClosesPipelined];
 
 /// Asks as that client does.
-async fn asks(process: &Process, id: &str, how: Replicas) -> Result<TcpStream> {
+async fn asks(process: &Process, id: &str, how: Disconnect) -> Result<TcpStream> {
     let mut stream = connect(process.address).await?;
     let mut bytes = one_part_query(id).request().into_bytes();
     match how {
-        Replicas::ClosesBehindBytes => bytes.extend(vec![b'x'; 100_000]),
-        Replicas::ClosesPipelined => {
+        Disconnect::ClosesBehindBytes => bytes.extend(vec![b'x'; 100_000]),
+        Disconnect::ClosesPipelined => {
             (0..300).for_each(|n| bytes.extend(one_part_query(&format!("{id}-{n}")).request().into_bytes()));
         }
         _ => {}
@@ -50,8 +50,8 @@
     Ok(stream)
 }
 
-fn replicas(stream: TcpStream, how: Replicas) -> Result<()> {
-    if matches!(how, Replicas::Resets) {
+fn disconnect(stream: TcpStream, how: Disconnect) -> Result<()> {
+    if matches!(how, Disconnect::Resets) {
         stream.set_zero_linger()?;
     }
     drop(stream);
@@ -68,14 +68,15 @@
 }
 
 /// Two replicas that hold the one shard.
-async fn two_replicas() -> Result<([StandInReplica; 2], Source, Process)> {
+async fn two_replicas() -> Result<([StandInReplica; 2], ScriptedDiscovery, Process)> {
     let replicas = [StandInReplica::start().await?, StandInReplica::start().await?];
     let [a, b] = [&replicas[0], &replicas[1]].map(|l| l.address);
-    let source = Source::start(1, vec![row("a", a, 0, "active", 0), row("b", b, 0, "active", 0)]).await?;
-    let mut told = node_config(&source, 1, 256)?;
+    let source =
+        ScriptedDiscovery::start(1, vec![row("a", a, 0, "active", 0), row("b", b, 0, "active", 0)]).await?;
+    let mut config = node_config(&source, 1, 256)?;
     // Probes would hold up what is forced to come at once.
-    told["settings"]["allowed"]["probing"] = false.into();
-    let process = Process::start(program(), told, None).await?;
+    config["settings"]["allowed"]["probing"] = false.into();
+    let process = Process::start(program(), config, None).await?;
     Ok((replicas, source, process))
 }
 
@@ -89,7 +90,7 @@
                 call = a.call() => call,
                 call = b.call() => call,
             };
-            replicas(client, how)?;
+            disconnect(client, how)?;
             counted(&process, "queries client_gone", 1).await;
             first.fails();
             tokio::time::sleep(LONG).await;
@@ -140,20 +141,21 @@
 /// then another query has the place of the one that ended. Its call went out, under the other's key.
 #[test]
 fn whoever_has_closed_while_its_call_waited_for_a_connection_is_not_sent_on() {
-    for (how, cancel) in WAYS.into_iter().zip([true, true, false, true]).chain([(Replicas::Closes, false)]) {
+    for (how, cancel) in WAYS.into_iter().zip([true, true, false, true]).chain([(Disconnect::Closes, false)])
+    {
         on_one_thread(LIMIT, async {
-            let late = Late::start().await?;
-            let source = Source::start(1, vec![row("a", late.address, 0, "active", 0)]).await?;
-            let mut told = node_config(&source, 1, 256)?;
-            let allowed = &mut told["settings"]["allowed"];
+            let late = SlowListener::start().await?;
+            let source = ScriptedDiscovery::start(1, vec![row("a", late.address, 0, "active", 0)]).await?;
+            let mut config = node_config(&source, 1, 256)?;
+            let allowed = &mut config["settings"]["allowed"];
             (allowed["dial_timeout_s"], allowed["probing"]) = (3.5.into(), false.into());
             allowed["cancel"] = cancel.into();
-            let process = Process::start(program(), told, None).await?;
+            let process = Process::start(program(), config, None).await?;
             let client = asks(&process, "view-1", how).await?;
             counted(&process, "queries taken", 1).await;
             // Its call waits.
             tokio::time::sleep(Duration::from_millis(50)).await;
-            replicas(client, how)?;
+            disconnect(client, how)?;
             counted(&process, "queries client_gone", 1).await;
             let mut other = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
             let mut asking = std::pin::pin!(other.ask_in_pieces(one_part_query("view-2"), &[]));
@@ -202,8 +204,8 @@
 enum Due {
     /// The replica says that it failed: a retry.
     Failure,
-    /// The replica says nothing for long: a second copy.
-    Copy,
+    /// The replica says nothing for long: a hedged request.
+    Hedge,
 }
 
 fn a_close_goes_first(due: Due) {
@@ -211,7 +213,7 @@
         for round in 0..8 {
             let ([mut a, mut b], _source, process) = two_replicas().await?;
             warm(&process, &mut a, &mut b, &format!("view-{round}")).await?;
-            let client = asks(&process, &format!("view-{round}"), Replicas::Closes).await?;
+            let client = asks(&process, &format!("view-{round}"), Disconnect::Closes).await?;
             let first = tokio::select! {
                 call = a.call() => call,
                 call = b.call() => call,
@@ -222,12 +224,12 @@
                 first.fails();
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            replicas(client, Replicas::Closes)?;
+            disconnect(client, Disconnect::Closes)?;
             tokio::time::sleep(Duration::from_millis(20)).await;
             if due == Due::Failure && round % 2 == 1 {
                 first.fails();
             }
-            // Past the moment in which a copy is due, before the SLO time of 1 s.
+            // Past the moment in which a hedged request is due, before the latency objective of 1 s.
             tokio::time::sleep(Duration::from_millis(700)).await;
             process.signal(Signal::CONT)?;
             counted(&process, "queries client_gone", 1).await;
@@ -246,27 +248,27 @@
 }
 
 #[test]
-fn a_close_during_a_standstill_goes_before_the_second_copy() {
-    a_close_goes_first(Due::Copy);
+fn a_close_during_a_standstill_goes_before_the_hedged_request() {
+    a_close_goes_first(Due::Hedge);
 }
 
 /// A client that asked and closed at once, by hundreds: none that was not sent on by then is.
 #[test]
 fn a_burst_of_closes_leaves_nothing_waiting() {
     on_one_thread(LIMIT, async {
-        let late = Late::start().await?;
-        let source = Source::start(1, vec![row("a", late.address, 0, "active", 0)]).await?;
-        let mut told = node_config(&source, 1, 1024)?;
-        told["settings"]["allowed"]["dial_timeout_s"] = 3.5.into();
-        told["settings"]["allowed"]["probing"] = false.into();
-        let process = Process::start(program(), told, None).await?;
+        let late = SlowListener::start().await?;
+        let source = ScriptedDiscovery::start(1, vec![row("a", late.address, 0, "active", 0)]).await?;
+        let mut config = node_config(&source, 1, 1024)?;
+        config["settings"]["allowed"]["dial_timeout_s"] = 3.5.into();
+        config["settings"]["allowed"]["probing"] = false.into();
+        let process = Process::start(program(), config, None).await?;
         let mut clients = Vec::new();
         for n in 0..200 {
-            clients.push(asks(&process, &format!("view-{n}"), Replicas::Closes).await?);
+            clients.push(asks(&process, &format!("view-{n}"), Disconnect::Closes).await?);
         }
         counted(&process, "queries taken", 200).await;
         for client in clients {
-            replicas(client, Replicas::Closes)?;
+            disconnect(client, Disconnect::Closes)?;
         }
         // Some had been given up on, as they had waited for long.
         let ended = async || {
@@ -287,15 +289,15 @@
 
 /// What is out already is given up, so that the replica need not run it.
 #[test]
-fn what_is_out_for_a_client_that_left_is_given_up() {
+fn attempts_for_a_client_that_left_are_cancelled() {
     on_one_thread(LIMIT, async {
         let ([mut a, mut b], _source, process) = two_replicas().await?;
-        let client = asks(&process, "view-1", Replicas::ClosesPipelined).await?;
+        let client = asks(&process, "view-1", Disconnect::ClosesPipelined).await?;
         let call = tokio::select! {
             call = a.call() => call,
             call = b.call() => call,
         };
-        replicas(client, Replicas::ClosesPipelined)?;
+        disconnect(client, Disconnect::ClosesPipelined)?;
         while a.given_up.borrow().is_empty() && b.given_up.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -311,7 +313,7 @@
 fn a_client_that_shuts_its_writing_side_has_left() {
     on_one_thread(LIMIT, async {
         let ([mut a, mut b], _source, process) = two_replicas().await?;
-        let mut client = asks(&process, "view-1", Replicas::Closes).await?;
+        let mut client = asks(&process, "view-1", Disconnect::Closes).await?;
         let first = tokio::select! {
             call = a.call() => call,
             call = b.call() => call,
--- a/crates/pipitcrank-cli/tests/lists.rs
+++ b/crates/pipitcrank-cli/tests/lists.rs
@@ -12,16 +12,16 @@
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
-use stand_ins::{Call, Source, StandInReplica, node_config, program};
+use stand_ins::{CallFault, ScriptedDiscovery, StandInReplica, node_config, program};
 
 const LIMIT: Duration = Duration::from_secs(60);
-/// The users' terms.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_AFTER_HUP: Duration = Duration::from_secs(4);
+/// Longest time until a change takes effect, as the users require it.
+const MAX_DELAY: Duration = Duration::from_secs(6);
+const MAX_DELAY_AFTER_HUP: Duration = Duration::from_secs(4);
 
 /// Two replicas of one cell; which of them a query's one part comes to.
 struct Scene {
-    source: Source,
+    source: ScriptedDiscovery,
     replicas: [StandInReplica; 2],
     process: Process,
     asked: u32,
@@ -34,10 +34,10 @@
 
     async fn set_with(change: impl Fn(&mut Value)) -> anyhow::Result<Scene> {
         let replicas = [StandInReplica::start().await?, StandInReplica::start().await?];
-        let source = Source::start(1, vec![row("a", replicas[0].address, 0, "active", 0)]).await?;
-        let mut told = node_config(&source, 1, 256)?;
-        change(&mut told);
-        let process = Process::start(program(), told, None).await?;
+        let source = ScriptedDiscovery::start(1, vec![row("a", replicas[0].address, 0, "active", 0)]).await?;
+        let mut config = node_config(&source, 1, 256)?;
+        change(&mut config);
+        let process = Process::start(program(), config, None).await?;
         let scene = Scene { source, replicas, process, asked: 0 };
         scene.source.until_watched().await;
         Ok(scene)
@@ -69,9 +69,9 @@
     }
 
     /// Asks all the time, until the change shows; how long after that moment.
-    async fn told_after(&mut self, had: Instant) -> Duration {
+    async fn delay_after(&mut self, had: Instant) -> Duration {
         while !self.goes_to_the_second().await {
-            assert!(had.elapsed() < 3 * TOLD, "never told; {}", self.process.log());
+            assert!(had.elapsed() < 3 * MAX_DELAY, "never told; {}", self.process.log());
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         had.elapsed()
@@ -79,14 +79,14 @@
 }
 
 /// What becomes of watches, and all calls but the last within the time come to nothing, each in another way.
-fn told_in_time(watches: impl Fn(&Source), spoilt: &'static [Call]) {
+fn applied_in_time(watches: impl Fn(&ScriptedDiscovery), spoilt: &'static [CallFault]) {
     on_one_thread(LIMIT, async {
         let mut scene = Scene::set().await?;
         watches(&scene.source);
         scene.source.next_calls_are(spoilt);
         let had = scene.moves_on(2);
-        let took = scene.told_after(had).await;
-        assert!(took < TOLD, "{took:?} after {spoilt:?}; {}", scene.process.log());
+        let took = scene.delay_after(had).await;
+        assert!(took < MAX_DELAY, "{took:?} after {spoilt:?}; {}", scene.process.log());
         // Said again and again, it stays so.
         for _ in 0..3 {
             assert!(scene.goes_to_the_second().await);
@@ -97,35 +97,44 @@
 }
 
 #[test]
-fn a_watch_gone_silent_alone() {
-    told_in_time(Source::silences_watches, &[]);
+fn a_watch_that_falls_silent_alone() {
+    applied_in_time(ScriptedDiscovery::silences_watches, &[]);
 }
 
 #[test]
 fn a_silent_watch_and_calls_that_hang() {
-    told_in_time(Source::silences_watches, &[Call::Hangs, Call::Hangs, Call::Hangs, Call::Hangs]);
+    applied_in_time(
+        ScriptedDiscovery::silences_watches,
+        &[CallFault::Hangs, CallFault::Hangs, CallFault::Hangs, CallFault::Hangs],
+    );
 }
 
 #[test]
 fn a_silent_watch_and_calls_that_end_in_all_ways() {
-    let all = &[Call::Refuses, Call::HeadOnly, Call::Half, Call::Resets, Call::HalfForEver];
-    told_in_time(Source::silences_watches, all);
+    let all = &[
+        CallFault::Refuses,
+        CallFault::HeadOnly,
+        CallFault::Half,
+        CallFault::Resets,
+        CallFault::HalfForEver,
+    ];
+    applied_in_time(ScriptedDiscovery::silences_watches, all);
 }
 
 /// Every new watch is silent as well, from its head on.
 #[test]
 fn all_watches_silent_from_then_on() {
-    let silent = |source: &Source| {
+    let silent = |source: &ScriptedDiscovery| {
         source.silences_watches();
         source.silences_new_watches();
     };
-    told_in_time(silent, &[]);
+    applied_in_time(silent, &[]);
 }
 
 /// A sign of life all the time, and never the change.
 #[test]
 fn a_watch_that_brings_empty_lines_and_never_its_change() {
-    told_in_time(Source::keeps_changes_from_watches, &[]);
+    applied_in_time(ScriptedDiscovery::keeps_changes_from_watches, &[]);
 }
 
 /// Bytes all the time, and never a whole object: the watch is left for a new one.
@@ -137,7 +146,7 @@
         scene.source.watches_bring_half_for_ever();
         let begun = Instant::now();
         while scene.source.watches() == before {
-            assert!(begun.elapsed() < TOLD, "it is not left; {}", scene.process.log());
+            assert!(begun.elapsed() < MAX_DELAY, "it is not left; {}", scene.process.log());
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         Ok(())
@@ -147,7 +156,7 @@
 
 /// Silent while it is down, discovery answers at its return: calls that hang meanwhile do not hold up those that come.
 #[test]
-fn what_discovery_has_at_its_return_is_told_at_once() {
+fn what_discovery_has_at_its_return_is_applied_at_once() {
     on_one_thread(LIMIT, async {
         let mut scene = Scene::set().await?;
         scene.source.is_down(true);
@@ -155,7 +164,7 @@
         tokio::time::sleep(Duration::from_secs(1)).await;
         let had = scene.moves_on(2);
         scene.source.is_down(false);
-        let took = scene.told_after(had).await;
+        let took = scene.delay_after(had).await;
         assert!(took < Duration::from_secs(2), "a drain's grace may be no longer: {took:?}");
         Ok(())
     })
@@ -164,7 +173,7 @@
 
 /// Versions begin anew, and the old life's watch is still open and brings one more change of its own.
 #[test]
-fn versions_that_go_back_are_followed_and_an_old_life_brings_nothing_over_them() {
+fn revisions_that_go_back_are_followed_and_an_older_incarnation_changes_nothing() {
     on_one_thread(LIMIT, async {
         let mut scene = Scene::set().await?;
         scene.source.holds_quietly(40, vec![row("a", scene.replicas[0].address, 0, "active", 0)]);
@@ -175,8 +184,8 @@
         // A new life: what there was of watches stays open and silent.
         scene.source.orphans_watches();
         let had = scene.moves_on(3);
-        let took = scene.told_after(had).await;
-        assert!(took < TOLD, "{took:?}; {}", scene.process.log());
+        let took = scene.delay_after(had).await;
+        assert!(took < MAX_DELAY, "{took:?}; {}", scene.process.log());
         scene.source.orphans_bring(41, vec![row("b", scene.replicas[1].address, 0, "leaving", 0)]);
         tokio::time::sleep(Duration::from_millis(200)).await;
         for _ in 0..3 {
@@ -189,14 +198,14 @@
 
 /// Versions begin anew, and come to the very number held, with other replicas behind it.
 #[test]
-fn a_new_life_of_discovery_at_the_version_held_is_followed() {
+fn a_new_incarnation_of_discovery_at_the_current_revision_is_followed() {
     on_one_thread(LIMIT, async {
         let mut scene = Scene::set().await?;
         assert!(!scene.goes_to_the_second().await);
         scene.source.orphans_watches();
         let had = scene.moves_on(1);
-        let took = scene.told_after(had).await;
-        assert!(took < TOLD, "{took:?}; {}", scene.process.log());
+        let took = scene.delay_after(had).await;
+        assert!(took < MAX_DELAY, "{took:?}; {}", scene.process.log());
         Ok(())
     })
     .unwrap();
@@ -204,18 +213,18 @@
 
 /// A look that was asked for before the watch brought more, and is answered after.
 #[test]
-fn a_look_overtaken_by_the_watch_brings_no_older_list() {
+fn a_poll_overtaken_by_the_watch_brings_no_older_list() {
     on_one_thread(LIMIT, async {
         let mut scene = Scene::set().await?;
         // Two, since one late answer alone would be asked for again.
         let held = [scene.source.holds_next_look().await, scene.source.holds_next_look().await];
         // They are the ones that bring an answer.
-        scene.source.next_calls_are(&[Call::Hangs; 6]);
+        scene.source.next_calls_are(&[CallFault::Hangs; 6]);
         let had = scene.moves_on(2);
         scene.source.tells_watches(2);
-        assert!(scene.told_after(had).await < TOLD);
+        assert!(scene.delay_after(had).await < MAX_DELAY);
         // As it was when they were asked for: the first replica alone, active.
-        held.into_iter().for_each(stand_ins::HeldLook::answers);
+        held.into_iter().for_each(stand_ins::HeldPoll::answers);
         tokio::time::sleep(Duration::from_millis(200)).await;
         for _ in 0..5 {
             assert!(
@@ -231,28 +240,39 @@
 
 /// After SIGHUP there are 4 s, at the same address and at another one, where the first calls hang.
 #[test]
-fn after_sighup_what_discovery_has_is_told_within_four_seconds() {
+fn after_sighup_what_discovery_has_is_applied_within_four_seconds() {
     for moved in [false, true] {
         on_one_thread(LIMIT, async {
             let mut scene = Scene::set().await?;
             scene.source.silences_watches();
             scene.source.silences_new_watches();
             let had = if moved {
-                let there = Source::start(9, Vec::new()).await?;
+                let there = ScriptedDiscovery::start(9, Vec::new()).await?;
                 let [a, b] = &scene.replicas;
                 let rows = vec![row("a", a.address, 0, "leaving", 0), row("b", b.address, 0, "active", 0)];
                 there.holds(9, rows);
-                there.next_calls_are(&[Call::Hangs, Call::Half, Call::Hangs, Call::Refuses, Call::HeadOnly]);
+                there.next_calls_are(&[
+                    CallFault::Hangs,
+                    CallFault::Half,
+                    CallFault::Hangs,
+                    CallFault::Refuses,
+                    CallFault::HeadOnly,
+                ]);
                 scene.process.override_node_config("/discovery", there.address.to_string().into())?;
                 scene.source = there;
                 Instant::now()
             } else {
-                scene.source.next_calls_are(&[Call::Hangs, Call::Half, Call::Hangs, Call::Refuses]);
+                scene.source.next_calls_are(&[
+                    CallFault::Hangs,
+                    CallFault::Half,
+                    CallFault::Hangs,
+                    CallFault::Refuses,
+                ]);
                 scene.moves_on(2)
             };
             scene.process.signal(Signal::HUP)?;
-            let took = scene.told_after(had).await;
-            assert!(took < TOLD_AFTER_HUP, "{took:?}, moved: {moved}; {}", scene.process.log());
+            let took = scene.delay_after(had).await;
+            assert!(took < MAX_DELAY_AFTER_HUP, "{took:?}, moved: {moved}; {}", scene.process.log());
             Ok(())
         })
         .unwrap();
@@ -261,7 +281,7 @@
 
 /// An unhelpful order costs calls, but no storm of them.
 #[test]
-fn a_source_that_answers_nothing_is_asked_twice_a_second_and_holds_few_connections() {
+fn a_discovery_that_answers_nothing_is_polled_twice_a_second_over_few_connections() {
     on_one_thread(LIMIT, async {
         let scene = Scene::set().await?;
         scene.source.silences_watches();
@@ -285,13 +305,13 @@
     on_one_thread(LIMIT, async {
         let replica = StandInReplica::start().await?;
         let rows = |state| vec![row("a", replica.address, 0, state, 0)];
-        let source = Source::start(1, rows("active")).await?;
+        let source = ScriptedDiscovery::start(1, rows("active")).await?;
         let mut copies = Vec::new();
         for _ in 0..COPIES {
-            let mut told = node_config(&source, 1, 256)?;
-            told["settings"]["registry_mode"] = "ask".into();
-            told["settings"]["balancers"] = COPIES.into();
-            copies.push(Process::start(program(), told, None).await?);
+            let mut config = node_config(&source, 1, 256)?;
+            config["settings"]["registry_mode"] = "ask".into();
+            config["settings"]["balancers"] = COPIES.into();
+            copies.push(Process::start(program(), config, None).await?);
         }
         while source.watches() < COPIES {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -304,15 +324,19 @@
         // Whoever has no replica left is not able to serve.
         for copy in &copies {
             while get(copy.address, "/up").await.is_some_and(|a| a.status == 200) {
-                assert!(had.elapsed() < TOLD, "not told, {} refused; {}", source.refused(), copy.log());
+                assert!(had.elapsed() < MAX_DELAY, "not told, {} refused; {}", source.refused(), copy.log());
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
         // All is quiet then: a look now and then.
         let before = source.calls();
-        tokio::time::sleep(2 * TOLD).await;
+        tokio::time::sleep(2 * MAX_DELAY).await;
         let calls = source.calls() - before;
-        assert!((COPIES..=6 * COPIES).contains(&calls), "{calls} calls of {COPIES} copies in {:?}", 2 * TOLD);
+        assert!(
+            (COPIES..=6 * COPIES).contains(&calls),
+            "{calls} calls of {COPIES} copies in {:?}",
+            2 * MAX_DELAY
+        );
         Ok(())
     })
     .unwrap();
@@ -320,14 +344,14 @@
 
 /// There a watch gone silent and a call that hangs stay within the time as well.
 #[test]
-fn a_silent_watch_and_a_call_that_hangs_where_lists_are_asked_for() {
+fn a_silent_watch_and_a_call_that_hangs_where_lists_are_polled() {
     on_one_thread(LIMIT, async {
-        let mut scene = Scene::set_with(|told| told["settings"]["registry_mode"] = "ask".into()).await?;
+        let mut scene = Scene::set_with(|config| config["settings"]["registry_mode"] = "ask".into()).await?;
         scene.source.silences_watches();
-        scene.source.next_calls_are(&[Call::Hangs]);
+        scene.source.next_calls_are(&[CallFault::Hangs]);
         let had = scene.moves_on(2);
-        let took = scene.told_after(had).await;
-        assert!(took < TOLD, "{took:?}; {}", scene.process.log());
+        let took = scene.delay_after(had).await;
+        assert!(took < MAX_DELAY, "{took:?}; {}", scene.process.log());
         Ok(())
     })
     .unwrap();
--- a/crates/pipitcrank-cli/tests/repeats.rs
+++ b/crates/pipitcrank-cli/tests/repeats.rs
@@ -12,7 +12,7 @@
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
 use serde_json::Value;
-use stand_ins::{Late, Source, StandInReplica, node_config, program};
+use stand_ins::{ScriptedDiscovery, SlowListener, StandInReplica, node_config, program};
 use tokio::io::{AsyncWriteExt, BufReader};
 
 const LIMIT: Duration = Duration::from_secs(60);
@@ -33,13 +33,13 @@
 }
 
 /// One request class is deduplicated within that window; connections may take so long to come up.
-fn told(source: &Source, window_s: f64, way_s: f64) -> Result<Value> {
-    let mut told = node_config(source, 1, 256)?;
-    let class = &mut told["settings"]["classes"][1];
+fn config_with_window(source: &ScriptedDiscovery, window_s: f64, way_s: f64) -> Result<Value> {
+    let mut config = node_config(source, 1, 256)?;
+    let class = &mut config["settings"]["classes"][1];
     (class["idempotency"], class["dedup_window_s"]) = ("keyed".into(), window_s.into());
-    told["settings"]["allowed"]["probing"] = false.into();
-    told["settings"]["allowed"]["dial_timeout_s"] = way_s.into();
-    Ok(told)
+    config["settings"]["allowed"]["probing"] = false.into();
+    config["settings"]["allowed"]["dial_timeout_s"] = way_s.into();
+    Ok(config)
 }
 
 #[test]
@@ -47,8 +47,8 @@
     on_one_thread(LIMIT, async {
         let (mut a, mut b) = (StandInReplica::start().await?, StandInReplica::start().await?);
         let rows = vec![row("a", a.address, 0, "active", 0), row("b", b.address, 0, "active", 0)];
-        let source = Source::start(1, rows).await?;
-        let process = Process::start(program(), told(&source, 3.0, 1.0)?, None).await?;
+        let source = ScriptedDiscovery::start(1, rows).await?;
+        let process = Process::start(program(), config_with_window(&source, 3.0, 1.0)?, None).await?;
         let mut asking = std::pin::pin!(asks(&process, request("rank-1", &["\"19dd61b8\""])));
         // One after the other, as the first is cut and may have run.
         for repeat in [false, true] {
@@ -67,11 +67,11 @@
 }
 
 #[test]
-fn a_deduplicated_query_without_one_sound_key_is_refused_and_no_other_needs_one() {
+fn a_query_idempotent_by_key_without_one_valid_key_is_rejected_and_no_other_needs_one() {
     on_one_thread(LIMIT, async {
         let mut replica = StandInReplica::start().await?;
-        let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
-        let process = Process::start(program(), told(&source, 3.0, 1.0)?, None).await?;
+        let source = ScriptedDiscovery::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+        let process = Process::start(program(), config_with_window(&source, 3.0, 1.0)?, None).await?;
         let long = "k".repeat(257);
         for keys in [&[][..], &["one", "two"], &["a,d=9"], &["a b"], &[""], &[&long]] {
             assert_eq!(asks(&process, request("rank-1", keys)).await?.status, 400, "{keys:?}");
@@ -98,9 +98,9 @@
 #[test]
 fn a_repeat_that_waited_beyond_the_window_does_not_go_out() {
     on_one_thread(LIMIT, async {
-        let (mut a, late) = (StandInReplica::start().await?, Late::start().await?);
-        let source = Source::start(1, vec![row("a", a.address, 0, "active", 0)]).await?;
-        let process = Process::start(program(), told(&source, 2.4, 1.8)?, None).await?;
+        let (mut a, late) = (StandInReplica::start().await?, SlowListener::start().await?);
+        let source = ScriptedDiscovery::start(1, vec![row("a", a.address, 0, "active", 0)]).await?;
+        let process = Process::start(program(), config_with_window(&source, 2.4, 1.8)?, None).await?;
         source.until_watched().await;
         let mut asking = std::pin::pin!(asks(&process, request("rank-1", &["mine"])));
         let first = tokio::select! {
@@ -136,8 +136,8 @@
     on_one_thread(LIMIT, async {
         let (mut a, mut b) = (StandInReplica::start().await?, StandInReplica::start().await?);
         let rows = vec![row("a", a.address, 0, "active", 0), row("b", b.address, 0, "active", 0)];
-        let source = Source::start(1, rows).await?;
-        let process = Process::start(program(), told(&source, 0.9, 0.8)?, None).await?;
+        let source = ScriptedDiscovery::start(1, rows).await?;
+        let process = Process::start(program(), config_with_window(&source, 0.9, 0.8)?, None).await?;
         let mut asking = std::pin::pin!(asks(&process, request("rank-1", &["mine"])));
         let first = tokio::select! {
             call = a.call() => call,
@@ -158,9 +158,9 @@
 fn the_key_goes_along_to_the_process_that_takes_over() {
     on_one_thread(LIMIT, async {
         let mut replica = StandInReplica::start().await?;
-        let source = Source::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
+        let source = ScriptedDiscovery::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
         let steps = UpgradeTimes { start: 3.0, settle: 1.5, silent: 0.5, finish: 8.0 };
-        let process = Process::start(program(), told(&source, 3.0, 1.0)?, steps.file()).await?;
+        let process = Process::start(program(), config_with_window(&source, 3.0, 1.0)?, steps.file()).await?;
         process.signal(Signal::USR2)?;
         let mut n = 0;
         while process.counter("upgrades done").await != Some(1) {
--- a/crates/pipitcrank-cli/tests/size.rs
+++ b/crates/pipitcrank-cli/tests/size.rs
@@ -66,9 +66,11 @@
             hosts.push(StandInReplica::start(n, WORK, ledger.clone()).await?);
         }
         let discovery = Discovery::start(rows(0, &hosts)).await?;
-        let told = node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, 6, 1024, 3000)?;
+        let config =
+            node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, 6, 1024, 3000)?;
         let steps = UpgradeTimes { start: 10.0, settle: 0.6, silent: 2.0, finish: 8.0 };
-        let process = Process::start(Path::new(env!("CARGO_BIN_EXE_pipitcrank")), told, steps.file()).await?;
+        let process =
+            Process::start(Path::new(env!("CARGO_BIN_EXE_pipitcrank")), config, steps.file()).await?;
         let clients = Clients::new(process.address, ledger.clone());
         serves("told", &clients).await;
 
--- a/crates/pipitcrank-cli/tests/sockets.rs
+++ b/crates/pipitcrank-cli/tests/sockets.rs
@@ -11,7 +11,7 @@
 use threaded_stand_ins::*;
 
 #[test]
-fn queries_are_served_and_bad_input_is_told_apart() {
+fn queries_are_served_and_kinds_of_bad_input_are_distinguished() {
     let (a, b) = (StandInReplica::start(answers), StandInReplica::start(answers));
     let discovery = Discovery::start();
     let node = Node::start(1, &discovery, list(1, true, &[]));
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn parts_lost_with_their_connection_are_asked_of_the_other_holder() {
+fn parts_lost_with_their_connection_are_retried_at_the_other_holder() {
     for (n, manner, counted) in [
-        (2, closes as Manner, "leaf_connections closed 1"),
-        (3, babbles as Manner, "leaf_connections bad_bytes 1"),
+        (2, closes as PartHandler, "leaf_connections closed 1"),
+        (3, babbles as PartHandler, "leaf_connections bad_bytes 1"),
     ] {
         let (bad, good) = (StandInReplica::start(manner), StandInReplica::start(answers));
         let discovery = Discovery::start();
@@ -326,9 +326,9 @@
 #[test]
 fn check_names_each_fault_by_its_key() {
     let path = std::env::temp_dir().join(format!("pipitcrank-{}-check.json", std::process::id()));
-    let told = json!({"name":"n1","listen":"nowhere","discovery":"127.0.0.1:1","seed":"5",
+    let config = json!({"name":"n1","listen":"nowhere","discovery":"127.0.0.1:1","seed":"5",
         "limits":{"sockets":2},"known":list(1, true, &[]),"settings":settings()});
-    std::fs::write(&path, told.to_string()).unwrap();
+    std::fs::write(&path, config.to_string()).unwrap();
     let check = |more: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pipitcrank"));
         let done = command.arg("check").args(more).env("NODE_CONFIG", &path).output().unwrap();
--- a/crates/pipitcrank-cli/tests/stand_ins/discovery.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/discovery.rs
@@ -15,7 +15,7 @@
 
 /// How a call ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Call {
+pub enum CallFault {
     Hangs,
     /// Closed without a word.
     Refuses,
@@ -38,7 +38,7 @@
     held: RefCell<(u64, Vec<Value>)>,
     /// The last changes, as watches are told.
     news: RefCell<String>,
-    script: RefCell<VecDeque<Call>>,
+    script: RefCell<VecDeque<CallFault>>,
     down: Cell<bool>,
     up_again: Notify,
     new_silent: Cell<bool>,
@@ -49,7 +49,7 @@
     calls: Cell<usize>,
     open: Cell<usize>,
     watched: Notify,
-    hold_look: RefCell<Option<oneshot::Sender<HeldLook>>>,
+    hold_look: RefCell<Option<oneshot::Sender<HeldPoll>>>,
     /// Calls that it bears in a second, and when those of late came.
     bears: Cell<Option<usize>>,
     came: RefCell<VecDeque<Instant>>,
@@ -70,15 +70,15 @@
 }
 
 /// A discovery that spoils its calls by script.
-pub struct Source {
+pub struct ScriptedDiscovery {
     pub address: SocketAddr,
     inside: Rc<Inside>,
 }
 
 /// A look at the list as it was, whose answer the test lets go.
-pub struct HeldLook(oneshot::Sender<()>);
+pub struct HeldPoll(oneshot::Sender<()>);
 
-impl HeldLook {
+impl HeldPoll {
     pub fn answers(self) {
         let _ = self.0.send(());
     }
@@ -88,8 +88,8 @@
     json!({"rev": rev, "all": all, "targets": rows}).to_string()
 }
 
-impl Source {
-    pub async fn start(rev: u64, rows: Vec<Value>) -> Result<Source> {
+impl ScriptedDiscovery {
+    pub async fn start(rev: u64, rows: Vec<Value>) -> Result<ScriptedDiscovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let inside = Rc::new(Inside { held: RefCell::new((rev, rows)), ..Inside::default() });
@@ -104,7 +104,7 @@
                 });
             }
         });
-        Ok(Source { address, inside })
+        Ok(ScriptedDiscovery { address, inside })
     }
 
     pub fn list(&self) -> Value {
@@ -168,7 +168,7 @@
         self.inside.orphans.borrow().lines.borrow().iter().for_each(|l| drop(l.send(line.clone())));
     }
 
-    pub fn next_calls_are(&self, script: &[Call]) {
+    pub fn next_calls_are(&self, script: &[CallFault]) {
         self.inside.script.borrow_mut().extend(script);
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// The next look, as the list is when it is asked for.
-    pub async fn holds_next_look(&self) -> HeldLook {
+    pub async fn holds_next_look(&self) -> HeldPoll {
         let (tell, told) = oneshot::channel();
         *self.inside.hold_look.borrow_mut() = Some(tell);
         told.await.expect("a look comes")
@@ -243,7 +243,7 @@
     let held = if is_watch { None } else { inside.hold_look.borrow_mut().take() };
     if let Some(held) = held {
         let (go, gone) = oneshot::channel();
-        let _ = held.send(HeldLook(go));
+        let _ = held.send(HeldPoll(go));
         let _ = gone.await;
         return looked(&mut stream, &body).await;
     }
@@ -254,22 +254,22 @@
     match spoilt {
         None if is_watch => watched(inside, stream, line, rev, body).await,
         None => looked(&mut stream, &body).await,
-        Some(Call::Hangs) => hangs(stream).await,
-        Some(Call::Refuses) => Ok(()),
-        Some(Call::HeadOnly) => {
+        Some(CallFault::Hangs) => hangs(stream).await,
+        Some(CallFault::Refuses) => Ok(()),
+        Some(CallFault::HeadOnly) => {
             stream.write_all(CHUNKED).await?;
             hangs(stream).await
         }
-        Some(Call::Half) => {
+        Some(CallFault::Half) => {
             stream.write_all(CHUNKED).await?;
             stream.write_all(&chunk(&body[..body.len() / 2])).await?;
             hangs(stream).await
         }
-        Some(Call::HalfForEver) => {
+        Some(CallFault::HalfForEver) => {
             stream.write_all(CHUNKED).await?;
             half_for_ever(&mut stream).await
         }
-        Some(Call::Resets) => {
+        Some(CallFault::Resets) => {
             stream.write_all(CHUNKED).await?;
             stream.get_ref().set_zero_linger()
         }
--- a/crates/pipitcrank-cli/tests/stand_ins/mod.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/mod.rs
@@ -13,15 +13,15 @@
 use pipitcrank_testkit::fleet::node_config_of;
 use serde_json::Value;
 
-pub use discovery::{Call, HeldLook, Source};
-pub use replica::{Asked, Late, StandInReplica};
+pub use discovery::{CallFault, HeldPoll, ScriptedDiscovery};
+pub use replica::{ReceivedPart, SlowListener, StandInReplica};
 
 pub fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_pipitcrank"))
 }
 
-/// What a co-ordinator is told of that discovery's replicas: one shard a cell, each held by two cells.
-pub fn node_config(source: &Source, cells: u32, sockets: u32) -> Result<Value> {
+/// Node configuration of a co-ordinator with that discovery and its replicas: one shard a cell, each held by two cells.
+pub fn node_config(source: &ScriptedDiscovery, cells: u32, sockets: u32) -> Result<Value> {
     node_config_of(source.address, source.list(), cells, cells, 5, sockets, 500)
 }
 
--- a/crates/pipitcrank-cli/tests/stand_ins/replica.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/replica.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-enum Say {
+enum ReplicaAction {
     Bytes(Vec<u8>),
     /// Closes in order, or with a reset.
     Close,
@@ -18,18 +18,20 @@
 }
 
 /// One part that came, whose answer the test gives.
-pub struct Asked {
+pub struct ReceivedPart {
     pub id: String,
     /// What stood behind `k=` in its list.
     pub key: Option<String>,
-    /// The time that the co-ordinator says it waits.
-    pub told: Duration,
-    say: UnboundedSender<Say>,
+    /// The time left, as the co-ordinator states it.
+    pub time_left: Duration,
+    say: UnboundedSender<ReplicaAction>,
 }
 
-impl Asked {
+impl ReceivedPart {
     fn says(&self, rest: &str) {
-        let _ = self.say.send(Say::Bytes([&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat()));
+        let _ = self
+            .say
+            .send(ReplicaAction::Bytes([&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat()));
     }
 
     pub fn answers(&self) {
@@ -42,17 +44,17 @@
 
     /// The connection that it came on ends, in order or with a reset.
     pub fn closes(&self) {
-        let _ = self.say.send(Say::Close);
+        let _ = self.say.send(ReplicaAction::Close);
     }
 
     pub fn resets(&self) {
-        let _ = self.say.send(Say::Reset);
+        let _ = self.say.send(ReplicaAction::Reset);
     }
 }
 
 pub struct StandInReplica {
     pub address: SocketAddr,
-    calls: UnboundedReceiver<Asked>,
+    calls: UnboundedReceiver<ReceivedPart>,
     /// Ids given up.
     pub given_up: Rc<RefCell<Vec<String>>>,
 }
@@ -76,19 +78,19 @@
     }
 
     /// The next part that comes.
-    pub async fn call(&mut self) -> Asked {
+    pub async fn call(&mut self) -> ReceivedPart {
         self.calls.recv().await.expect("the stand-in goes on")
     }
 
     /// What has come and was not taken yet.
-    pub fn came(&mut self) -> Option<Asked> {
+    pub fn came(&mut self) -> Option<ReceivedPart> {
         self.calls.try_recv().ok()
     }
 }
 
 async fn replica_connection(
     stream: TcpStream,
-    hand_out: UnboundedSender<Asked>,
+    hand_out: UnboundedSender<ReceivedPart>,
     given_up: Rc<RefCell<Vec<String>>>,
 ) {
     let _ = stream.set_nodelay(true);
@@ -98,13 +100,13 @@
     let mut saying = tokio::task::spawn_local(async move {
         while let Some(what) = said.recv().await {
             match what {
-                Say::Bytes(bytes) => {
+                ReplicaAction::Bytes(bytes) => {
                     if to.write_all(&bytes).await.is_err() {
                         return;
                     }
                 }
-                Say::Close => return drop(to),
-                Say::Reset => {
+                ReplicaAction::Close => return drop(to),
+                ReplicaAction::Reset => {
                     let _ = to.as_ref().set_zero_linger();
                     return to.forget();
                 }
@@ -125,8 +127,9 @@
             _ = &mut saying => return,
         };
         let words = String::from_utf8_lossy(&rest[1..]).into_owned();
-        let frame =
-            |rest: &str| Say::Bytes([&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat());
+        let frame = |rest: &str| {
+            ReplicaAction::Bytes([&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat())
+        };
         match rest[0] {
             b'L' => drop(say.send(frame("L-"))),
             b'P' => drop(say.send(frame("Pok"))),
@@ -137,9 +140,10 @@
                     let words: Vec<&str> = line.split(' ').collect();
                     let [id, _, list, length] = words[..] else { panic!("a part's line is '{line}'") };
                     let key = list.split(',').find_map(|w| w.strip_prefix("k=")).map(str::to_string);
-                    let told = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok());
-                    let told = Duration::from_millis(told.expect("a time told"));
-                    let _ = hand_out.send(Asked { id: id.to_string(), key, told, say: say.clone() });
+                    let time_left = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok());
+                    let time_left = Duration::from_millis(time_left.expect("the time left"));
+                    let _ =
+                        hand_out.send(ReceivedPart { id: id.to_string(), key, time_left, say: say.clone() });
                     call = &after[length.parse::<usize>().expect("a length")..];
                 }
             }
@@ -149,14 +153,14 @@
 
 /// A listener that takes up no connection until let: then those that wait come up when their own system tries again,
 /// a second after they began.
-pub struct Late {
+pub struct SlowListener {
     listener: TcpListener,
     pub address: SocketAddr,
     _fillers: Vec<TcpStream>,
 }
 
-impl Late {
-    pub async fn start() -> Result<Late> {
+impl SlowListener {
+    pub async fn start() -> Result<SlowListener> {
         let socket = TcpSocket::new_v4()?;
         socket.bind("127.0.0.1:0".parse()?)?;
         let listener = socket.listen(0)?;
@@ -167,7 +171,7 @@
         {
             fillers.push(up?);
         }
-        Ok(Late { listener, address, _fillers: fillers })
+        Ok(SlowListener { listener, address, _fillers: fillers })
     }
 
     pub fn let_up(self) -> StandInReplica {
--- a/crates/pipitcrank-cli/tests/system_calls.rs
+++ b/crates/pipitcrank-cli/tests/system_calls.rs
@@ -14,7 +14,7 @@
 use pipitcrank_testkit::syscall_faults::{FaultLibrary, ProcessFaults, SyscallFault};
 use pipitcrank_testkit::trial::on_one_thread;
 use rustix::process::Signal;
-use stand_ins::{Source, StandInReplica, node_config, program};
+use stand_ins::{ScriptedDiscovery, StandInReplica, node_config, program};
 
 const LIMIT: Duration = Duration::from_secs(90);
 const WORK: Work = Work { usual: Duration::from_millis(4), at_once: 32 };
@@ -31,8 +31,8 @@
         let fleet = Fleet::start_with(seed, WORK, QueryLog::with_arrivals()).await?;
         let shim = FaultLibrary::build()?;
         let faults = shim.for_process("one", seed)?;
-        let told = fleet.node_config(seed, 512, 3000)?;
-        let process = Process::start_with(program(), told, faults.variables())?;
+        let config = fleet.node_config(seed, 512, 3000)?;
+        let process = Process::start_with(program(), config, faults.variables())?;
         process.wait_until_ready().await?;
         Ok(Scene { fleet, process, faults, _shim: shim })
     }
@@ -100,7 +100,7 @@
 
 /// Accepts fail for a while: the time in the accept queue is the client's as well.
 #[test]
-fn a_request_that_waited_to_be_accepted_is_told_no_more_time_than_its_client_has() {
+fn a_request_that_waited_to_be_accepted_gets_no_more_time_than_its_client_has() {
     const SLACK: Duration = Duration::from_millis(150);
     on_one_thread(LIMIT, async {
         let scene = Scene::start(5).await?;
@@ -137,14 +137,14 @@
 /// Calls that the old and the new replica got, in each stretch so long after the new one was listed.
 async fn calls_after_a_step(step_s: f64, stretches: &[Duration]) -> Result<Vec<[usize; 2]>> {
     let (mut old, mut new) = (StandInReplica::start().await?, StandInReplica::start().await?);
-    let source = Source::start(1, vec![row("old", old.address, 0, "active", 0)]).await?;
-    let mut told = node_config(&source, 1, 256)?;
-    told["settings"]["allowed"]["probing"] = false.into();
-    told["settings"]["rules"] = serde_json::json!({"cold_from": 0.05, "cold_s": COLD.as_secs_f64(),
+    let source = ScriptedDiscovery::start(1, vec![row("old", old.address, 0, "active", 0)]).await?;
+    let mut config = node_config(&source, 1, 256)?;
+    config["settings"]["allowed"]["probing"] = false.into();
+    config["settings"]["rules"] = serde_json::json!({"cold_from": 0.05, "cold_s": COLD.as_secs_f64(),
         "drain_grace_s": 2.0, "fall_s": 0.5, "overload_factor": 1.0});
     let shim = FaultLibrary::build()?;
     let faults = shim.for_process("one", 1)?;
-    let process = Process::start_with(program(), told, faults.variables())?;
+    let process = Process::start_with(program(), config, faults.variables())?;
     process.wait_until_ready().await?;
     source.until_watched().await;
     let clients = Clients::new(process.address, QueryLog::default());
@@ -252,8 +252,8 @@
         {
             faults.set(fault, share)?;
         }
-        let told = fleet.node_config(7, 512, 3000)?;
-        let mut process = Process::start_with(program(), told, faults.variables())?;
+        let config = fleet.node_config(7, 512, 3000)?;
+        let mut process = Process::start_with(program(), config, faults.variables())?;
         let up = tokio::time::timeout(Duration::from_secs(10), process.wait_until_ready()).await;
         let ended = process.exit_status();
         assert!(matches!(up, Ok(Ok(()))) && ended.is_none(), "{ended:?}; {}", process.log());
@@ -268,7 +268,8 @@
     on_one_thread(LIMIT, async {
         let replica = StandInReplica::start().await?;
         let rows = || vec![row("a", replica.address, 0, "active", 0)];
-        let (old, new) = (Source::start(1, rows()).await?, Source::start(1, rows()).await?);
+        let (old, new) =
+            (ScriptedDiscovery::start(1, rows()).await?, ScriptedDiscovery::start(1, rows()).await?);
         let shim = FaultLibrary::build()?;
         let faults = shim.for_process("one", 8)?;
         let process = Process::start_with(program(), node_config(&old, 1, 256)?, faults.variables())?;
--- a/crates/pipitcrank-cli/tests/threaded_stand_ins/mod.rs
+++ b/crates/pipitcrank-cli/tests/threaded_stand_ins/mod.rs
@@ -25,7 +25,7 @@
 }
 
 /// What a replica stand-in does with a call, given its parts (id, shard).
-pub type Manner = fn(&mut TcpStream, &[(String, u32)], &Receiver<()>);
+pub type PartHandler = fn(&mut TcpStream, &[(String, u32)], &Receiver<()>);
 
 pub fn send(to: &mut TcpStream, rest: &str) {
     let _ = to.write_all(&[&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat());
@@ -59,7 +59,7 @@
 
 impl StandInReplica {
     /// One connection after another; a second at the same time waits in the queue.
-    pub fn start(manner: Manner) -> StandInReplica {
+    pub fn start(manner: PartHandler) -> StandInReplica {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let ((hears, heard), (go, gone)) = (channel(), channel());
@@ -105,14 +105,14 @@
 }
 
 /// A call that discovery got: its first line, and where lines are fed to its answer until that is dropped.
-pub type Called = (String, Sender<String>);
+pub type DiscoveryCall = (String, Sender<String>);
 
 /// A stand-in for discovery: each watch is told, with its index, and each look at the whole list; both are fed lines. A look
 /// that nobody feeds hangs.
 pub struct Discovery {
     pub address: SocketAddr,
-    pub watches: Receiver<Called>,
-    pub looks: Receiver<Called>,
+    pub watches: Receiver<DiscoveryCall>,
+    pub looks: Receiver<DiscoveryCall>,
 }
 
 impl Discovery {
@@ -149,11 +149,11 @@
         Discovery { address, watches, looks }
     }
 
-    pub fn watch(&self) -> Called {
+    pub fn watch(&self) -> DiscoveryCall {
         self.watches.recv_timeout(LIMIT).expect("a watch")
     }
 
-    pub fn look(&self) -> Called {
+    pub fn look(&self) -> DiscoveryCall {
         self.looks.recv_timeout(LIMIT).expect("a look at the whole list")
     }
 }
@@ -204,9 +204,9 @@
         let address = free.local_addr().unwrap();
         drop(free);
         let node_config = std::env::temp_dir().join(format!("pipitcrank-{}-{n}.json", std::process::id()));
-        let told = json!({"name":"n1","listen":address.to_string(),"discovery":discovery.address.to_string(),
+        let config = json!({"name":"n1","listen":address.to_string(),"discovery":discovery.address.to_string(),
             "seed":"5","limits":{"sockets":sockets,"memory_mb":64,"cores":1.0},"known":known,"settings":settings()});
-        std::fs::write(&node_config, told.to_string()).unwrap();
+        std::fs::write(&node_config, config.to_string()).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_pipitcrank"))
             .arg("serve")
             .env("NODE_CONFIG", &node_config)
@@ -243,9 +243,9 @@
 
     /// Changes one key of the node configuration and has it read again.
     pub fn reload(&self, key: &str, value: Value) {
-        let mut told: Value = serde_json::from_slice(&std::fs::read(&self.node_config).unwrap()).unwrap();
-        *told.pointer_mut(key).unwrap() = value;
-        std::fs::write(&self.node_config, told.to_string()).unwrap();
+        let mut config: Value = serde_json::from_slice(&std::fs::read(&self.node_config).unwrap()).unwrap();
+        *config.pointer_mut(key).unwrap() = value;
+        std::fs::write(&self.node_config, config.to_string()).unwrap();
         self.signal("-HUP");
     }
 
