--- a/crates/pipitcrank-cli/src/environment.rs
+++ b/crates/pipitcrank-cli/src/environment.rs
@@ -16,8 +16,9 @@
 
 /// The text of the node configuration that `NODE_CONFIG` names.
 pub(crate) fn node_config_text() -> Result<String> {
-    let (_, text) = serve::node_config_text().map_err(|error| anyhow!(error))?;
-    Ok(text)
+    // Without its sources: the error's text names them already.
+    let file = serve::node_config_file().map_err(|error| anyhow!("{error}"))?;
+    Ok(file.text)
 }
 
 /// The node configuration that `NODE_CONFIG` names.
