--- a/crates/pipitcrank-cli/tests/leaving.rs
+++ b/crates/pipitcrank-cli/tests/leaving.rs
@@ -298,10 +298,10 @@
             call = b.call() => call,
         };
         disconnect(client, Disconnect::ClosesPipelined)?;
-        while a.given_up.borrow().is_empty() && b.given_up.borrow().is_empty() {
+        while a.cancelled.borrow().is_empty() && b.cancelled.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let given_up = [a.given_up.borrow().clone(), b.given_up.borrow().clone()].concat();
+        let given_up = [a.cancelled.borrow().clone(), b.cancelled.borrow().clone()].concat();
         assert_eq!(given_up, [call.id]);
         Ok(())
     })
--- a/crates/pipitcrank-cli/tests/stand_ins/replica.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/replica.rs
@@ -7,6 +7,7 @@
 
 use anyhow::Result;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -55,8 +56,8 @@
 pub struct StandInReplica {
     pub address: SocketAddr,
     calls: UnboundedReceiver<ReceivedPart>,
-    /// Ids given up.
-    pub given_up: Rc<RefCell<Vec<String>>>,
+    /// Ids of cancelled attempts.
+    pub cancelled: Rc<RefCell<Vec<String>>>,
 }
 
 impl StandInReplica {
@@ -67,14 +68,14 @@
     pub fn behind(listener: TcpListener) -> StandInReplica {
         let address = listener.local_addr().expect("a listener has an address");
         let (hand_out, calls) = unbounded_channel();
-        let given_up: Rc<RefCell<Vec<String>>> = Rc::default();
-        let noted = given_up.clone();
+        let cancelled: Rc<RefCell<Vec<String>>> = Rc::default();
+        let noted = cancelled.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::task::spawn_local(replica_connection(stream, hand_out.clone(), noted.clone()));
             }
         });
-        StandInReplica { address, calls, given_up }
+        StandInReplica { address, calls, cancelled }
     }
 
     /// The next part that comes.
@@ -91,28 +92,13 @@
 async fn replica_connection(
     stream: TcpStream,
     hand_out: UnboundedSender<ReceivedPart>,
-    given_up: Rc<RefCell<Vec<String>>>,
+    cancelled: Rc<RefCell<Vec<String>>>,
 ) {
     let _ = stream.set_nodelay(true);
-    let (mut from, mut to) = stream.into_split();
-    let (say, mut said) = unbounded_channel();
+    let (mut from, to) = stream.into_split();
+    let (say, actions) = unbounded_channel();
     // The connection ends with it.
-    let mut saying = tokio::task::spawn_local(async move {
-        while let Some(what) = said.recv().await {
-            match what {
-                ReplicaAction::Bytes(bytes) => {
-                    if to.write_all(&bytes).await.is_err() {
-                        return;
-                    }
-                }
-                ReplicaAction::Close => return drop(to),
-                ReplicaAction::Reset => {
-                    let _ = to.as_ref().set_zero_linger();
-                    return to.forget();
-                }
-            }
-        }
-    });
+    let mut acting = tokio::task::spawn_local(act(to, actions));
     loop {
         let frame = async {
             let mut rest = vec![0; from.read_u32().await? as usize];
@@ -124,7 +110,7 @@
                 Ok(rest) => rest,
                 Err(_) => return,
             },
-            _ = &mut saying => return,
+            _ = &mut acting => return,
         };
         let words = String::from_utf8_lossy(&rest[1..]).into_owned();
         let frame = |rest: &str| {
@@ -133,24 +119,47 @@
         match rest[0] {
             b'L' => drop(say.send(frame("L-"))),
             b'P' => drop(say.send(frame("Pok"))),
-            b'X' => given_up.borrow_mut().push(words),
-            _ => {
-                let mut call = &words[..];
-                while let Some((line, after)) = call.split_once('\n') {
-                    let words: Vec<&str> = line.split(' ').collect();
-                    let [id, _, list, length] = words[..] else { panic!("a part's line is '{line}'") };
-                    let key = list.split(',').find_map(|w| w.strip_prefix("k=")).map(str::to_string);
-                    let time_left = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok());
-                    let time_left = Duration::from_millis(time_left.expect("the time left"));
-                    let _ =
-                        hand_out.send(ReceivedPart { id: id.to_string(), key, time_left, say: say.clone() });
-                    call = &after[length.parse::<usize>().expect("a length")..];
+            b'X' => cancelled.borrow_mut().push(words),
+            _ => hand_out_parts(&words, &say, &hand_out),
+        }
+    }
+}
+
+/// Carries out the test's actions on a connection.
+async fn act(mut to: OwnedWriteHalf, mut actions: UnboundedReceiver<ReplicaAction>) {
+    while let Some(action) = actions.recv().await {
+        match action {
+            ReplicaAction::Bytes(bytes) => {
+                if to.write_all(&bytes).await.is_err() {
+                    return;
                 }
             }
+            ReplicaAction::Close => return drop(to),
+            ReplicaAction::Reset => {
+                let _ = to.as_ref().set_zero_linger();
+                return to.forget();
+            }
         }
     }
 }
 
+/// Hands out the parts of one call.
+fn hand_out_parts(
+    mut call: &str,
+    say: &UnboundedSender<ReplicaAction>,
+    hand_out: &UnboundedSender<ReceivedPart>,
+) {
+    while let Some((line, after)) = call.split_once('\n') {
+        let words: Vec<&str> = line.split(' ').collect();
+        let [id, _, list, length] = words[..] else { panic!("a part's line is '{line}'") };
+        let key = list.split(',').find_map(|w| w.strip_prefix("k=")).map(str::to_string);
+        let time_left = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok());
+        let time_left = Duration::from_millis(time_left.expect("the time left"));
+        let _ = hand_out.send(ReceivedPart { id: id.to_string(), key, time_left, say: say.clone() });
+        call = &after[length.parse::<usize>().expect("a length")..];
+    }
+}
+
 /// A listener that takes up no connection until let: then those that wait come up when their own system tries again,
 /// a second after they began.
 pub struct SlowListener {
--- a/crates/pipitcrank-gateway/src/link_server.rs
+++ b/crates/pipitcrank-gateway/src/link_server.rs
@@ -21,7 +21,7 @@
 }
 
 impl LinkServer {
-    /// A server of the site `own_site`, whose process is told from others by `incarnation`. `peers` are the names of the
+    /// A server of the site `own_site`, whose process is distinguished from others by `incarnation`. `peers` are the names of the
     /// sites whose links are accepted.
     pub fn new(context: &ServerContext, own_site: &str, incarnation: u64, peers: Vec<String>) -> LinkServer {
         let sessions = SessionContext {
--- a/crates/pipitcrank-gateway/src/received_forwards.rs
+++ b/crates/pipitcrank-gateway/src/received_forwards.rs
@@ -14,7 +14,7 @@
 const MIN_TIME_LEFT: TimeSpan = TimeSpan::from_millis(5);
 /// Forwards recorded over all streams. Beyond that none is accepted: forgetting one that may be asked for is worse.
 pub const MAX_FORWARDS: usize = 20_000;
-/// What a peer is told to wait when too many forwards are recorded.
+/// Retry-after of a peer whose forward is rejected as too many are recorded.
 const RETRY_AFTER: TimeSpan = TimeSpan::from_millis(100);
 /// Bytes of answers kept for streams that may ask again; beyond it the oldest are reported as aborted.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
--- a/crates/pipitcrank-gateway/src/sent_forwards.rs
+++ b/crates/pipitcrank-gateway/src/sent_forwards.rs
@@ -9,7 +9,7 @@
 //! | the other site says that it failed | ran and failed, or may have |
 //!
 //! A part that is not idempotent and in doubt waits for a new connection to the same process, which is asked by number;
-//! until then, or its deadline, it is neither sent again nor given up.
+//! until then, or its deadline, it is neither retried nor cancelled.
 
 use std::collections::BTreeMap;
 
--- a/crates/pipitcrank-gateway/src/site_health.rs
+++ b/crates/pipitcrank-gateway/src/site_health.rs
@@ -5,7 +5,7 @@
 //! ```text
 //! no link, no round trip known           -> closed
 //! nothing received for too long          -> closed until something is
-//! told to retry later                    -> closed until then; no failure of the site (it is overloaded, not broken)
+//! asked to retry later                   -> closed until then; no failure of the site (it is overloaded, not broken)
 //! MAX_FAILURES forwards in a row failed  -> ejected, twice as long each time, then on trial: one forward at a time
 //! TRIALS_TO_RETURN trials answered       -> open
 //! else                                   -> open, at the bound of the round trip + the preference of local replicas
