--- a/crates/pipitcrank-server/src/lib.rs
+++ b/crates/pipitcrank-server/src/lib.rs
@@ -15,4 +15,6 @@
 pub mod runtime;
 pub mod serve;
 pub mod server_context;
+mod server_parts;
+mod start_error;
 pub mod upgrade;
--- a/crates/pipitcrank-server/src/upgrade/context.rs
+++ b/crates/pipitcrank-server/src/upgrade/context.rs
@@ -12,18 +12,10 @@
 use super::relay::Relay;
 use crate::clients::acceptor::AcceptorCommand;
 use crate::discovery::client::SharedRevision;
-use crate::exchange::Endpoint;
+use crate::discovery::endpoint_update::EndpointList;
 use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::event_loop::EventLoop;
 
-/// The endpoint list of the node configuration.
-pub struct InitialList {
-    /// Its revision.
-    pub revision: u64,
-    /// All replicas there are.
-    pub endpoints: Vec<Endpoint>,
-}
-
 /// The parts of the server that an upgrade concerns.
 pub struct UpgradeContext {
     /// The event loop, with the exchange.
@@ -34,12 +26,12 @@
     pub acceptor: UnboundedSender<AcceptorCommand>,
     /// Limits client connections.
     pub client_connections: ConnectionLimiter,
-    /// Revision of the endpoint list that is held.
+    /// Revision of the current endpoint list.
     pub revision: SharedRevision,
-    /// To be called once an endpoint list is held, from wherever it came.
+    /// To be called once there is an endpoint list, from wherever it came.
     pub start_discovery: Rc<dyn Fn()>,
-    /// The node configuration's list, until a list is held.
-    pub initial_list: Cell<Option<InitialList>>,
+    /// The node configuration's list, until there is a current list.
+    pub initial_list: Cell<Option<EndpointList>>,
     /// The next ticket.
     pub tickets: Arc<AtomicU64>,
     /// Number of request classes.
@@ -55,9 +47,9 @@
 }
 
 impl UpgradeContext {
-    /// Goes by the node configuration's list, unless a list is held already.
+    /// Goes by the node configuration's list, unless there is a list already.
     pub fn use_initial_list(&self) {
-        if let Some(InitialList { revision, endpoints }) = self.initial_list.take() {
+        if let Some(EndpointList { revision, endpoints }) = self.initial_list.take() {
             self.revision.set(Some(revision));
             let now = self.event_loop.clock.now();
             self.event_loop.update(|e| e.update_endpoints(now, true, endpoints));
@@ -65,7 +57,7 @@
         }
     }
 
-    /// Whether no list is held yet.
+    /// Whether there is no current list yet.
     pub fn has_initial_list(&self) -> bool {
         let list = self.initial_list.take();
         let is_there = list.is_some();
