--- a/crates/pipitcrank-server/src/server_parts.rs
+++ b/crates/pipitcrank-server/src/server_parts.rs
@@ -15,6 +15,7 @@
 use crate::clients::acceptor::AcceptorCommand;
 use crate::clients::http::{self, HttpEvent, HttpState};
 use crate::discovery::client::{self, SharedRevision};
+use crate::discovery::endpoint_update::EndpointList;
 use crate::discovery::poll_pacing::PollPacing;
 use crate::node_config::NodeConfig;
 use crate::replicas::pool::ReplicaPool;
@@ -54,11 +55,8 @@
 
 impl Server {
     pub(crate) fn new(clock: &Clock, config: &NodeConfig<EnvVariable>) -> Result<Server, ConfigError> {
-        let counters = Counters::default();
-        let exchange = config.exchange(counters.clone())?;
-        let initial_list = config.initial_endpoints(clock)?;
-        let (for_replicas, client_connections) = ConnectionLimiter::shared(config.connection_limit()?);
-        let event_loop = Rc::new(EventLoop::new(clock.clone(), counters, for_replicas, exchange));
+        let EventLoopParts { event_loop, client_connections, initial_list } =
+            EventLoopParts::new(clock, config)?;
         let replicas = make_replica_pool(config, &event_loop)?;
         let ((http_sender, http_events), (acceptor, acceptor_commands)) =
             (unbounded_channel(), unbounded_channel());
@@ -117,6 +115,24 @@
     }
 }
 
+/// The event loop with the exchange, and what else follows from the limits and the list.
+struct EventLoopParts {
+    event_loop: Rc<EventLoop>,
+    client_connections: ConnectionLimiter,
+    initial_list: EndpointList,
+}
+
+impl EventLoopParts {
+    fn new(clock: &Clock, config: &NodeConfig<EnvVariable>) -> Result<EventLoopParts, ConfigError> {
+        let counters = Counters::default();
+        let exchange = config.exchange(counters.clone())?;
+        let initial_list = config.initial_endpoints(clock)?;
+        let (for_replicas, client_connections) = ConnectionLimiter::shared(config.connection_limit()?);
+        let event_loop = Rc::new(EventLoop::new(clock.clone(), counters, for_replicas, exchange));
+        Ok(EventLoopParts { event_loop, client_connections, initial_list })
+    }
+}
+
 fn make_replica_pool(
     config: &NodeConfig<EnvVariable>,
     event_loop: &Rc<EventLoop>,
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -152,10 +152,10 @@
     }
 }
 
-fn rows(text: &str) -> Result<(bool, usize, usize), String> {
-    let news: EndpointUpdate = serde_json::from_str(text).map_err(|e| e.to_string())?;
+fn counts(text: &str) -> Result<(bool, usize, usize), String> {
+    let update: EndpointUpdate = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let Endpoints { complete, endpoints: rows } =
-        news.endpoints(&Clock::start()).map_err(|e| e.to_string())?;
+        update.endpoints(&Clock::start()).map_err(|e| e.to_string())?;
     Ok((complete, rows.len(), rows.iter().filter(|r| r.up).count()))
 }
 
@@ -168,8 +168,8 @@
     let leaving =
         row("b", r#""endpoint":"127.0.0.1:82","pod_group":0,"state":"leaving","boot_ms":1700000000000"#);
     let left = row("c", r#""state":"left""#);
-    assert_eq!(rows(&list(true, &[up.clone(), leaving, left])), Ok((true, 3, 1)));
-    assert_eq!(rows(&list(false, &[])), Ok((false, 0, 0)));
+    assert_eq!(counts(&list(true, &[up.clone(), leaving, left])), Ok((true, 3, 1)));
+    assert_eq!(counts(&list(false, &[])), Ok((false, 0, 0)));
     let bad = [
         list(true, &[row("a", r#""endpoint":"nowhere","pod_group":3,"state":"active""#)]),
         list(true, &[row("a", r#""endpoint":"127.0.0.1:81","state":"active""#)]),
@@ -178,7 +178,7 @@
         list(true, &[up]).replace("targets", "target"),
     ];
     for text in bad {
-        assert!(rows(&text).is_err(), "{text}");
+        assert!(counts(&text).is_err(), "{text}");
     }
 }
 
@@ -195,7 +195,7 @@
     assert!(clock.started_at(i64::MIN) < clock.now());
 }
 
-fn told() -> Value {
+fn node_config_file() -> Value {
     json!({"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
         "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":41,"all":true,"targets":[]},
         "settings":{
@@ -215,7 +215,7 @@
 
 #[test]
 fn the_node_configuration_is_read_and_variables_override_the_file() {
-    let node_config = NodeConfig::parse(&told().to_string(), |_| None).unwrap();
+    let node_config = NodeConfig::parse(&node_config_file().to_string(), |_| None).unwrap();
     assert_eq!(
         (node_config.name(), node_config.streams_per_connection(), node_config.shards()),
         (Ok("n1".into()), Ok(32), Ok(12))
@@ -226,14 +226,14 @@
     );
     assert_eq!(node_config.connection_limit(), Ok(1000), "of 1,024 some are neither a client's nor a leaf's");
     let named = |name: &str| (name == "NODE_NAME").then(|| "other".to_string());
-    assert_eq!(NodeConfig::parse(&told().to_string(), named).unwrap().name(), Ok("other".into()));
-    assert_eq!(read_all(&told().to_string()), Ok(()));
+    assert_eq!(NodeConfig::parse(&node_config_file().to_string(), named).unwrap().name(), Ok("other".into()));
+    assert_eq!(read_all(&node_config_file().to_string()), Ok(()));
 }
 
 /// Settings may allow calls larger than what a connection carries at once: they are cut.
 #[test]
 fn a_call_holds_no_more_parts_than_a_connection_carries() {
-    let mut all = told();
+    let mut all = node_config_file();
     for (streams, a_call) in [(1, 1), (3, 3), (4, 4), (32, 4)] {
         all["settings"]["allowed"]["streams_per_conn"] = streams.into();
         assert_eq!(read_all(&all.to_string()), Ok(()), "{streams}");
@@ -248,7 +248,7 @@
 /// They may as well allow a connection as long to come up as it may stand idle.
 #[test]
 fn a_connection_that_is_up_stays_open_for_a_while_whatever_the_settings() {
-    let mut all = told();
+    let mut all = node_config_file();
     for (idle, dial) in [(1.0, 1.0), (1.0, 2.0), (2.0, 1.5), (30.0, 0.25)] {
         all["settings"]["allowed"]["conn_idle_s"] = idle.into();
         all["settings"]["allowed"]["dial_timeout_s"] = dial.into();
@@ -298,7 +298,7 @@
         ("/settings/tick_s", Value::Null),
     ];
     for (key, value) in cases {
-        let mut all = told();
+        let mut all = node_config_file();
         match all.pointer_mut(key) {
             Some(place) => *place = value,
             None => {
@@ -327,7 +327,7 @@
         ("/settings/allowed/streams_per_conn", json!(1)),
     ];
     for (key, value) in cases {
-        let mut all = told();
+        let mut all = node_config_file();
         let (place, name) = key.rsplit_once('/').unwrap();
         all.pointer_mut(place).unwrap()[name] = value;
         assert_eq!(read_all(&all.to_string()), Ok(()), "{key}");
