--- /dev/null
+++ b/crates/pipitcrank-server/tests/exchange/harness.rs
@@ -0,0 +1,185 @@
+//! The exchange driven by hand: no socket, no clock but the one in the test.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use pipitcrank_core::config::SettingsReader;
+use pipitcrank_core::ids::{AttemptOutcome, ReplicaId, RequestClassId};
+use pipitcrank_core::time::{TimeSpan, Timestamp};
+use pipitcrank_server::audit;
+use pipitcrank_server::exchange::{
+    AttemptId, Endpoint, Exchange, QueryPart, QueryRequest, QueryResponse, ReplicaTransport,
+};
+use pipitcrank_server::runtime::counters::Counters;
+
+pub const SETTINGS: &str = r#"{"allowed":{"cancel":true,"probing":false,"may_duplicate":true,"retry_after":true,
+  "max_retry_after_s":2.0,"try_limit":4},"classes":[
+  {"aim_s":1.0,"hard_limit_s":4.0,"idempotency":"safe","name":"view"},
+  {"aim_s":1.0,"hard_limit_s":4.0,"idempotency":"safe","name":"rank"},
+  {"aim_s":1.0,"hard_limit_s":4.0,"idempotency":"unsafe","name":"sale"}],
+  "domain":{"call_cost_s":0.01,"complete_from":[1.0,1.0,1.0],"floor_by_class":[1.0,0.4,1.0],"follow_up":[0,0,0],
+  "parts_a_call":4,"sets":3,"shards":12,"span":2},
+  "rules":{"cold_from":0.3,"cold_s":9.0,"fall_s":1.5,"overload_factor":4.0},"tick_s":0.005}"#;
+pub const MAX_OPEN: usize = 9;
+
+pub fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
+}
+
+/// The replica side, written down.
+#[derive(Default)]
+pub struct RecordingTransport {
+    pub calls: Vec<(ReplicaId, Vec<AttemptId>)>,
+    pub cancelled: Vec<AttemptId>,
+    pub met: BTreeMap<ReplicaId, SocketAddr>,
+    pub probed: Vec<ReplicaId>,
+}
+
+impl ReplicaTransport for RecordingTransport {
+    fn set_address(&mut self, replica: ReplicaId, address: SocketAddr) {
+        self.met.insert(replica, address);
+    }
+    fn remove_replica(&mut self, replica: ReplicaId) {
+        self.met.remove(&replica);
+    }
+    fn send_attempts(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
+        self.calls.push((replica, parts));
+    }
+    fn cancel_attempt(&mut self, _replica: ReplicaId, call: AttemptId) {
+        self.cancelled.push(call);
+    }
+    fn send_load_probe(&mut self, replica: ReplicaId) {
+        self.probed.push(replica);
+    }
+}
+
+pub fn listed(n: u32, up: bool) -> Endpoint {
+    let address = Some(SocketAddr::from(([127, 0, 0, 1], 5000 + n as u16)));
+    Endpoint { uid: format!("leaf-{n}"), address, cell: n, zone: None, up, started: None }
+}
+
+/// The rules that the run-time check goes by, of those settings.
+pub fn audit_rules(settings: &serde_json::Value) -> audit::AuditRules {
+    let number = |key: &str| settings.pointer(key).and_then(serde_json::Value::as_f64);
+    let class = |n: usize| audit::ClassRules {
+        idempotency: SettingsReader::new(settings).idempotency(n).unwrap(),
+        dedup_window: TimeSpan::from_secs_f64(number(&format!("/classes/{n}/dedup_window_s")).unwrap_or(0.0)),
+        floor: number(&format!("/domain/floor_by_class/{n}")).unwrap(),
+        complete_from: number(&format!("/domain/complete_from/{n}")).unwrap(),
+    };
+    audit::AuditRules {
+        classes: (0..settings["classes"].as_array().unwrap().len()).map(class).collect(),
+        may_hedge: settings["allowed"]["may_duplicate"].as_bool().unwrap(),
+        max_attempts: number("/allowed/try_limit").unwrap() as u32,
+        drain_grace: TimeSpan::ZERO,
+        budget_free: number("/rules/extra_free").unwrap_or(0.0),
+        budget_ratio: number("/rules/repeat_ratio").unwrap_or(0.0),
+        budget_window: number("/rules/budget_span_s").map(TimeSpan::from_secs_f64),
+    }
+}
+
+pub type Answers = Rc<RefCell<Vec<(String, QueryResponse)>>>;
+
+pub struct Harness {
+    pub exchange: Exchange,
+    pub transport: RecordingTransport,
+    pub counters: Counters,
+    pub answers: Answers,
+    pub tickets: u64,
+}
+
+impl Drop for Harness {
+    fn drop(&mut self) {
+        if !std::thread::panicking() {
+            let all = self.counters.all();
+            let broken: Vec<_> = all.into_iter().filter(|counter| counter.group == "violations").collect();
+            assert!(broken.is_empty(), "rules broken: {broken:?}");
+        }
+    }
+}
+
+impl Harness {
+    /// Three replicas in a ring of three cells, each shard held by two.
+    pub fn new() -> Harness {
+        Harness::with_settings(SETTINGS)
+    }
+
+    pub fn with_settings(settings: &str) -> Harness {
+        let settings = serde_json::from_str(settings).unwrap();
+        let counters = Counters::default();
+        let coordinator = SettingsReader::new(&settings).coordinator(7).unwrap();
+        let mut exchange = Exchange::new(coordinator, MAX_OPEN, 4, counters.clone());
+        exchange.enable_audit(audit_rules(&settings));
+        exchange.update_endpoints(at(0), true, (0..3).map(|n| listed(n, true)).collect());
+        let mut harness = Harness {
+            exchange,
+            transport: RecordingTransport::default(),
+            counters,
+            answers: Answers::default(),
+            tickets: 0,
+        };
+        harness.turn(0);
+        harness
+    }
+
+    pub fn turn(&mut self, ms: i64) {
+        self.exchange.run_batch(at(ms), &mut self.transport);
+    }
+
+    pub fn ask(&mut self, id: &str, class: u16, shards: std::ops::Range<u32>, ends: i64) -> u64 {
+        let weight = 1.0 / shards.len() as f64;
+        let parts = shards.map(|shard| QueryPart { shard, weight, work: Some(0.02) }).collect();
+        let asked = QueryRequest {
+            id: id.into(),
+            class: RequestClassId(class),
+            deadline: at(ends),
+            parts,
+            idempotency_key: None,
+            text: "text".into(),
+        };
+        let (answers, name) = (self.answers.clone(), id.to_string());
+        self.tickets += 1;
+        self.exchange.submit(
+            self.tickets,
+            asked,
+            Box::new(move |last: QueryResponse| answers.borrow_mut().push((name, last))),
+        );
+        self.tickets
+    }
+
+    /// Lets all calls made so far go, as the connections would just before the first byte.
+    pub fn release(&mut self, ms: i64) -> Vec<(ReplicaId, AttemptId, String, u32)> {
+        let mut out = Vec::new();
+        for (replica, mut parts) in std::mem::take(&mut self.transport.calls) {
+            let going = self.exchange.authorize_send(at(ms), replica, &mut parts);
+            assert_eq!(going.len(), parts.len());
+            for (part, call) in going.into_iter().zip(parts) {
+                assert_eq!(&*part.text, "text");
+                out.push((replica, call, part.id.to_string(), part.shard));
+            }
+        }
+        out
+    }
+
+    pub fn pass(&mut self, call: AttemptId, value: &str) {
+        self.exchange.attempt_ended(call, AttemptOutcome::Success, Some(value.into()), None);
+    }
+
+    /// Turns at their times until `ms`.
+    pub fn run_to(&mut self, ms: i64) {
+        while let Some(next) = self.exchange.next_due().filter(|&t| t <= at(ms)) {
+            self.exchange.run_batch(next, &mut self.transport);
+        }
+        self.turn(ms);
+    }
+
+    pub fn response_to(&self, id: &str) -> Option<String> {
+        let answers = self.answers.borrow();
+        let mut mine = answers.iter().filter(|(name, _)| name == id);
+        let last = mine.next().map(|(_, last)| format!("{last:?}"));
+        assert!(mine.next().is_none(), "one final answer each");
+        last
+    }
+}
