--- a/crates/pipitcrank-testkit/src/client.rs
+++ b/crates/pipitcrank-testkit/src/client.rs
@@ -132,7 +132,7 @@
     /// Asks, waits for the answer, and keeps the connection where it goes on.
     pub async fn ask(&self, query: QueryRequest) -> Option<HttpResponse> {
         let begun = Instant::now();
-        self.query_log.asked(&query.id, query.shards.len());
+        self.query_log.query_sent(&query.id, query.shards.len());
         let (answer, how) = match tokio::time::timeout(query.wait + SLACK, self.exchange(&query)).await {
             Ok(Ok(answer)) => {
                 let how = ended(&answer);
@@ -141,7 +141,7 @@
             Ok(Err(how)) => (None, how),
             Err(_) => (None, QueryOutcome::Lost),
         };
-        self.query_log.ended(&query.id, how, begun.elapsed());
+        self.query_log.query_finished(&query.id, how, begun.elapsed());
         answer
     }
 
@@ -248,7 +248,7 @@
 
     /// Asks in pieces, cut at these bytes, waiting as told before each but the first.
     pub async fn ask_in_pieces(&mut self, query: QueryRequest, cuts: &[(usize, Duration)]) -> QueryOutcome {
-        self.query_log.asked(&query.id, query.shards.len());
+        self.query_log.query_sent(&query.id, query.shards.len());
         let request = query.request();
         let mut from = 0;
         let mut how = None;
@@ -267,7 +267,7 @@
         }
         let answered = tokio::time::timeout(query.wait + SLACK, read_response(&mut self.stream)).await;
         let how = how.unwrap_or_else(|| answered.ok().flatten().map_or(QueryOutcome::Lost, |a| ended(&a)));
-        self.query_log.ended(&query.id, how, begun.elapsed());
+        self.query_log.query_finished(&query.id, how, begun.elapsed());
         how
     }
 
--- a/crates/pipitcrank-testkit/src/datagram_network.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network.rs
@@ -33,6 +33,17 @@
         DatagramFaults { loss: 0.0, doubled: 0.0, delay: Duration::ZERO, silent: false };
 }
 
+/// What a network has passed on and dropped.
+#[derive(Clone, Copy, Debug)]
+pub struct DatagramCounts {
+    /// Datagrams passed on, duplicates included.
+    pub passed: u64,
+    /// Their bytes.
+    pub bytes: u64,
+    /// Datagrams dropped on purpose.
+    pub dropped: u64,
+}
+
 struct Shared {
     /// Where copies really listen, by place.
     real: RefCell<Vec<SocketAddr>>,
@@ -103,9 +114,9 @@
         self.0.all.set(DatagramFaults::NONE);
     }
 
-    /// Datagrams passed, their bytes, and datagrams lost on purpose.
-    pub fn counts(&self) -> (u64, u64, u64) {
-        (self.0.passed.get(), self.0.bytes.get(), self.0.lost.get())
+    /// What has passed and what was dropped so far.
+    pub fn counts(&self) -> DatagramCounts {
+        DatagramCounts { passed: self.0.passed.get(), bytes: self.0.bytes.get(), dropped: self.0.lost.get() }
     }
 }
 
--- a/crates/pipitcrank-testkit/src/datagram_network/tests.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network/tests.rs
@@ -20,8 +20,8 @@
         net.all(DatagramFaults { loss: 1.0, ..DatagramFaults::NONE });
         a.send_to(b"lost", to_b).await?;
         tokio::time::sleep(Duration::from_millis(20)).await;
-        assert_eq!((net.counts().0, net.counts().2), (3, 2));
+        assert_eq!((net.counts().passed, net.counts().dropped), (3, 2));
         Ok(())
     };
-    crate::trial::on_one_thread(Duration::from_secs(9), run).unwrap();
+    crate::runtime::on_one_thread(Duration::from_secs(9), run).unwrap();
 }
--- a/crates/pipitcrank-testkit/src/demo.rs
+++ b/crates/pipitcrank-testkit/src/demo.rs
@@ -13,7 +13,7 @@
 use crate::process::Process;
 use crate::query_log::{QueryLog, QueryOutcome};
 use crate::replica::Work;
-use crate::trial::on_one_thread;
+use crate::runtime::on_one_thread;
 
 const LIMIT: Duration = Duration::from_secs(60);
 const QUERIES: u64 = 400;
@@ -58,15 +58,15 @@
             let [whole, part, rejected, aborted] = ends;
             println!(
                 "{class:<10} {:>7} {whole:>7} {part:>7} {rejected:>8} {aborted:>8} {:>9.1} {:>9.1}",
-                l.all(),
-                l.within(0.5),
-                l.within(0.99)
+                l.total(),
+                l.response_time_ms(0.5),
+                l.response_time_ms(0.99)
             );
         }
         let calls = process.counter("frames calls_sent").await.unwrap_or(0);
         println!(
             "{calls} leaf calls carried {} parts to the leaves; {} sales ran twice",
-            fleet.query_log.runs(),
+            fleet.query_log.part_runs(),
             fleet.query_log.parts_run_again("sale-")
         );
         let held = answered == QUERIES && fleet.query_log.parts_run_again("sale-") == 0;
--- a/crates/pipitcrank-testkit/src/fleet.rs
+++ b/crates/pipitcrank-testkit/src/fleet.rs
@@ -13,7 +13,7 @@
 
 use crate::client::{Clients, QueryRequest};
 use crate::discovery::{Discovery, row};
-use crate::query_log::{QueryLog, QueryOutcome};
+use crate::query_log::QueryLog;
 use crate::replica::{StandInReplica, Work};
 
 /// Cells, and replicas a cell; a shard is held by two cells.
@@ -87,26 +87,6 @@
     }))
 }
 
-/// Utility of a request class's whole answer, and its SLO time as the node configuration has it.
-fn utility(class: &str) -> (f64, Duration) {
-    match class {
-        "rank" => (3.0, Duration::from_secs(1)),
-        "sale" => (1.0, Duration::from_secs(3)),
-        _ => (1.0, Duration::from_secs(1)),
-    }
-}
-
-/// What a query earned, and might have: whole within the SLO time all, in part nine tenths of the least share, late 0.3.
-pub fn worth(id: &str, how: QueryOutcome, took: Duration) -> (f64, f64) {
-    let (all, slo) = utility(id.split('-').next().unwrap_or(""));
-    let share = match how {
-        QueryOutcome::Complete => 1.0,
-        QueryOutcome::Partial => 0.9 * 0.8,
-        _ => 0.0,
-    };
-    (all * share * if took <= slo { 1.0 } else { 0.3 }, all)
-}
-
 /// An address that nobody else gets meanwhile: on a loopback address of this process's own, which no client's
 /// connection is made from.
 pub fn free_address() -> Result<SocketAddr> {
--- a/crates/pipitcrank-testkit/src/replica.rs
+++ b/crates/pipitcrank-testkit/src/replica.rs
@@ -49,6 +49,28 @@
     pub at_once: usize,
 }
 
+/// What a replica in slow start may be sent in any window: `overload_factor` times what it does in it at its present
+/// warmth, which rises evenly from `initial_fraction` to 1.
+#[derive(Clone, Copy, Debug)]
+pub struct SlowStartLimit {
+    /// Factor on what the replica does.
+    pub overload_factor: f64,
+    /// Fraction of its full capacity that the replica has at its start.
+    pub initial_fraction: f64,
+    /// Length of the window.
+    pub window: Duration,
+}
+
+/// Most parts and new connections that arrived at one replica in any stretch of some length.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct PeakArrivals {
+    /// Most parts.
+    pub parts: usize,
+    /// Most new connections.
+    pub connections: usize,
+}
+
+/// A stand-in replica that listens on an address of its own.
 pub struct StandInReplica {
     pub address: SocketAddr,
     shared: Rc<Shared>,
@@ -135,16 +157,17 @@
         *self.shared.cold.borrow_mut() = Some((Instant::now(), cold));
     }
 
-    /// Parts beyond what the rule on cold replicas allows in any window: `factor` times what a replica of that warmth does in
-    /// it, where it begins with the share `from` and warms evenly.
-    pub fn pushed_over(&self, factor: f64, from: f64, window: Duration) -> u64 {
+    /// Parts beyond what slow start allows in any window, over all its starts.
+    pub fn parts_over_slow_start(&self, limit: SlowStartLimit) -> u64 {
+        let SlowStartLimit { overload_factor, initial_fraction, window } = limit;
         let Some((_, cold)) = *self.shared.cold.borrow() else { return 0 };
         let warm = self.shared.work.at_once as f64 / self.shared.work.usual.as_secs_f64();
         let over = |came: &Vec<Duration>| {
             let each = came.iter().enumerate().map(|(n, &at)| {
                 let first = came.partition_point(|t| *t + window < at);
-                let warmth = from + (1.0 - from) * (at.as_secs_f64() / cold.as_secs_f64()).min(1.0);
-                let may = factor * warmth * warm * window.as_secs_f64();
+                let warmth = initial_fraction
+                    + (1.0 - initial_fraction) * (at.as_secs_f64() / cold.as_secs_f64()).min(1.0);
+                let may = overload_factor * warmth * warm * window.as_secs_f64();
                 ((n + 1 - first) as f64 - may).max(0.0) as u64
             });
             each.max().unwrap_or(0)
@@ -153,8 +176,8 @@
         earlier + over(&self.shared.came_cold.borrow())
     }
 
-    /// Most parts, and most new connections, that came in any stretch so long between two moments.
-    pub fn most_in(&self, stretch: Duration, from: Instant, to: Instant) -> (usize, usize) {
+    /// Most parts and new connections that arrived in any stretch of that length between two points in time.
+    pub fn peak_arrivals(&self, stretch: Duration, from: Instant, to: Instant) -> PeakArrivals {
         let shared = &self.shared;
         let (from, to) = (from - shared.start, to - shared.start);
         let most = |came: &[Duration]| {
@@ -162,7 +185,10 @@
             let first = |at: Duration| came.partition_point(|t| *t + stretch <= at);
             ends.map(|(n, &at)| n + 1 - first(at)).max().unwrap_or(0)
         };
-        (most(&shared.parts_came.borrow()), most(&shared.connections_came.borrow()))
+        PeakArrivals {
+            parts: most(&shared.parts_came.borrow()),
+            connections: most(&shared.connections_came.borrow()),
+        }
     }
 
     pub fn most_connections(&self) -> usize {
@@ -213,7 +239,7 @@
             b'Q' => {
                 for part in parts(&words) {
                     shared.came();
-                    shared.query_log.arrived(|| Arrival {
+                    shared.query_log.part_arrived(|| Arrival {
                         part: part.id.clone(),
                         at: Instant::now(),
                         replica: shared.address,
@@ -273,7 +299,7 @@
         if given_up.borrow_mut().remove(&part.id) {
             return;
         }
-        shared.query_log.ran(&part.id);
+        shared.query_log.part_started(&part.id);
         tokio::time::sleep(shared.lasts(&part.text)).await;
         drop(slot);
         let answer = match behavior {
--- /dev/null
+++ b/crates/pipitcrank-testkit/src/runtime.rs
@@ -0,0 +1,20 @@
+//! The runtime that trials and tests run on: one thread, with a limit on the whole run.
+
+use std::time::Duration;
+
+use anyhow::{Result, bail};
+
+/// Runs the future on a single-threaded runtime that allows local tasks.
+///
+/// # Errors
+///
+/// The future's own error, or that it did not end within `limit`.
+pub fn on_one_thread<T>(limit: Duration, run: impl Future<Output = Result<T>>) -> Result<T> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        match tokio::time::timeout(limit, run).await {
+            Ok(ended) => ended,
+            Err(_) => bail!("it did not end within {limit:?}"),
+        }
+    })
+}
--- a/crates/pipitcrank-testkit/src/soak/mod.rs
+++ b/crates/pipitcrank-testkit/src/soak/mod.rs
@@ -12,7 +12,7 @@
 
 use anyhow::Result;
 
-use crate::trial::Outcome;
+use crate::outcome::Outcome;
 
 /// How large a play is.
 #[derive(Clone, Copy, Debug)]
--- a/crates/pipitcrank-testkit/src/soak/verifier.rs
+++ b/crates/pipitcrank-testkit/src/soak/verifier.rs
@@ -11,8 +11,8 @@
     COLD, COLD_FROM, DEDUP_WINDOW, DRAIN_GRACE, FALL, Node, OVERLOAD_FACTOR, Replica, SoakCluster, WORK,
 };
 use super::script::PlayedFault;
+use crate::outcome::Outcome;
 use crate::query_log::Arrival;
-use crate::trial::Outcome;
 
 /// A final answer counts for so long after the client's time.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
--- a/crates/pipitcrank-testkit/src/trial/gateway.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway.rs
@@ -12,12 +12,12 @@
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
 
-use super::Outcome;
 use crate::client::Clients;
 use crate::fleet::{Fleet, Load, free_address, random_query};
 use crate::link::{Link, LinkConditions};
+use crate::outcome::Outcome;
 use crate::process::Process;
-use crate::query_log::{QueryLog, QueryOutcome};
+use crate::query_log::{QueryLog, QueryOutcome, RetryBudget};
 use crate::replica::{ReplicaBehavior, Work};
 
 const WORK: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
@@ -28,10 +28,13 @@
 /// How long a trouble lasts, and the rest after it.
 const FAULT_DURATION: Duration = Duration::from_millis(1500);
 const REST: Duration = Duration::from_millis(500);
-/// Of the budget as the stand-in node configuration tells it.
-const BUDGET: (f64, f64, Duration) = (5.0, 0.1, Duration::from_secs(10));
-/// How long a call may wait at a replica before it is seen to run.
-const SLACK: Duration = Duration::from_secs(2);
+/// Retry budget as the stand-in node configuration states it.
+const BUDGET: RetryBudget = RetryBudget {
+    free: 5.0,
+    fraction: 0.1,
+    window: Duration::from_secs(10),
+    run_delay: Duration::from_secs(2),
+};
 const NEAR_TRIP: Duration = Duration::from_millis(10);
 const FAR_TRIP: Duration = Duration::from_millis(40);
 
@@ -297,7 +300,7 @@
     let load = Load::start("load", seed ^ 2, RATE, SLOW_SALES, clients.clone());
     for (n, fault) in script.iter().enumerate() {
         if verbose {
-            let (asked, service) = (cluster.query_log.all(), cluster.query_log.service());
+            let (asked, service) = (cluster.query_log.total(), cluster.query_log.service());
             println!("{:>2}: {fault:?}, after {asked} queries, service {service:.3}", n + 1);
         }
         cluster
@@ -363,17 +366,16 @@
 
 fn promises(outcome: &mut Outcome, with: &RunReport) {
     let query_log = &with.query_log;
-    outcome.figure("queries", query_log.all() as f64);
+    outcome.figure("queries", query_log.total() as f64);
     outcome.expect_zero("lost", query_log.count(QueryOutcome::Lost) + query_log.open());
     outcome.expect_zero("refused connections", query_log.count(QueryOutcome::ConnectionRefused));
-    outcome.once_each(query_log);
-    let (free, share, window) = BUDGET;
-    let over = query_log.over_budget(free, share, window, SLACK);
+    outcome.expect_once_each(query_log);
+    let over = query_log.over_budget(BUDGET);
     outcome.figure("further runs over the budget of any window", over);
     outcome.promise(over <= 0.0, "further calls, near and far together, stay within the budget");
-    outcome.ends(query_log);
-    outcome.figure("answer ms, half", query_log.within(0.5));
-    outcome.figure("answer ms, 99 of 100", query_log.within(0.99));
+    outcome.query_outcomes(query_log);
+    outcome.figure("answer ms, half", query_log.response_time_ms(0.5));
+    outcome.figure("answer ms, 99 of 100", query_log.response_time_ms(0.99));
     outcome.figure("parts answered by other sites", with.parts_over as f64);
     outcome.figure("of them too late", with.late_parts as f64);
     outcome.promise(with.parts_over > 100, "other sites were needed");
@@ -383,7 +385,7 @@
     );
     outcome.figure(
         "processor time of all sites a query, microseconds",
-        with.cpu_seconds * 1e6 / query_log.all() as f64,
+        with.cpu_seconds * 1e6 / query_log.total() as f64,
     );
     let panicked = with.log.lines().find(|l| l.contains("panicked"));
     outcome.promise(panicked.is_none(), &format!("nothing panics: {panicked:?}"));
--- a/crates/pipitcrank-testkit/src/trial/returns.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns.rs
@@ -17,14 +17,15 @@
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
 
-use super::Outcome;
-use super::zones::{Observations, free_udp, section, tell, watch};
+use super::observer::{Observations, ObservedMember, free_udp_address, observe, send_order};
+use super::operators_file::zones_section;
 use crate::client::Clients;
 use crate::datagram_network::DatagramNetwork;
 use crate::fleet::Load;
+use crate::outcome::Outcome;
 use crate::process::{Folder, Process, signal_worker};
-use crate::query_log::{QueryLog, QueryOutcome};
-use crate::replica::Work;
+use crate::query_log::{QueryLog, QueryOutcome, RetryBudget, ServiceTotals};
+use crate::replica::{PeakArrivals, Work};
 use crate::zoned_fleet::ZonedFleet;
 
 const ZONES: [(&str, &str); 3] = [("a", "north"), ("b", "north"), ("c", "north")];
@@ -36,8 +37,12 @@
 /// Queries a second at each copy; a query has 5.7 parts. Two zones of six replicas are left: eight tenths of what they bear.
 const RATE: f64 = 22.0;
 /// Budget of one copy as the node configuration tells it, and how long a call may wait at a replica before it is seen to run.
-const BUDGET: (f64, f64, Duration) = (5.0, 0.1, Duration::from_secs(10));
-const SLACK: Duration = Duration::from_secs(2);
+const BUDGET: RetryBudget = RetryBudget {
+    free: 5.0,
+    fraction: 0.1,
+    window: Duration::from_secs(10),
+    run_delay: Duration::from_secs(2),
+};
 /// Full service: of what was served before, in each of the five seconds from then on.
 const FULL: f64 = 0.95;
 const HOLDS: u64 = 5;
@@ -126,7 +131,7 @@
     let store = store.map_or(String::new(), |path| {
         format!(", store = Some {{ path = \"{}\", every_s = 0.5, oldest_s = 30.0 }}", path.display())
     });
-    format!("{{ {}{store} }}", section(&ZONES, zone, listen, known_as, voters))
+    format!("{{ {}{store} }}", zones_section(&ZONES, zone, listen, known_as, voters))
 }
 
 impl RestartCluster {
@@ -135,7 +140,7 @@
         let (net, stores) = (DatagramNetwork::new(seed ^ 5), Folder::new("stores")?);
         let mut places = Vec::new();
         for _ in 0..COPIES {
-            let listen = free_udp().await?;
+            let listen = free_udp_address().await?;
             places.push((listen, net.relay(listen).await?));
         }
         let voters: Vec<SocketAddr> = places[..ZONES.len()].iter().map(|p| p.1).collect();
@@ -143,9 +148,9 @@
         for (n, &(listen, known_as)) in places.iter().enumerate() {
             let store = stores.path().join(format!("n{n}"));
             let file = file(zone_of(n), listen, known_as, &voters, kept.then_some(&store));
-            let mut told = fleet.node_config(zone_of(n), seed ^ n as u64, true)?;
-            told["name"] = format!("n{n}").into();
-            let process = Process::start(program, told, Some(file.clone())).await?;
+            let mut node_config = fleet.node_config(zone_of(n), seed ^ n as u64, true)?;
+            node_config["name"] = format!("n{n}").into();
+            let process = Process::start(program, node_config, Some(file.clone())).await?;
             members.push(Member { process, known_as, file, store, up: Rc::new(Cell::new(true)) });
         }
         let cluster = RestartCluster {
@@ -158,8 +163,12 @@
             program: program.into(),
         };
         let near = Proximity::new(&ZONES.map(|(_, region)| region.to_string()));
-        let addresses = cluster.members.iter().map(|m| (m.known_as, m.up.clone())).collect();
-        watch(cluster.observed.clone(), addresses, near).await?;
+        let observed_members = cluster
+            .members
+            .iter()
+            .map(|m| ObservedMember { address: m.known_as, up: m.up.clone() })
+            .collect();
+        observe(cluster.observed.clone(), observed_members, near).await?;
         ensure!(
             cluster.until(RestartCluster::all_follow, 15.0).await.is_some(),
             "copies do not find together: {}",
@@ -260,16 +269,20 @@
     /// Share of queries in the first ten seconds that got nothing that serves.
     errors: f64,
     /// Most parts and connections that came to a replica in a second: before, and after the start.
-    before: (usize, usize),
-    after: (usize, usize),
+    before: PeakArrivals,
+    after: PeakArrivals,
     missing: Vec<String>,
 }
 
 /// The share served of what was asked within that time, over all copies, and how many got nothing that serves.
 fn service(query_logs: &[QueryLog], from: Instant, to: Instant) -> (f64, u64) {
-    let sums = query_logs.iter().map(|l| l.between(from, to));
-    let (earned, all, failed) = sums.fold((0.0, 0.0, 0), |s, l| (s.0 + l.0, s.1 + l.1, s.2 + l.2));
-    (earned / all.max(1e-9), failed)
+    let each = query_logs.iter().map(|log| log.service_between(from, to));
+    let sum = each.fold(ServiceTotals::default(), |sum, one| ServiceTotals {
+        earned: sum.earned + one.earned,
+        offered: sum.offered + one.offered,
+        failed: sum.failed + one.failed,
+    });
+    (sum.earned / sum.offered.max(1e-9), sum.failed)
 }
 
 impl RestartCluster {
@@ -287,7 +300,7 @@
                 std::fs::copy(store, old)?;
             }
         }
-        match tell(&self.voters(), OperatorOrder::Drain(DRAINED as u16)).await? {
+        match send_order(&self.voters(), OperatorOrder::Drain(DRAINED as u16)).await? {
             OperatorAnswer::Decided(_) => {}
             answer => report.missing.push(format!("the zone was not drained: {answer:?}")),
         }
@@ -298,7 +311,7 @@
         tokio::time::sleep(secs(3)).await;
         let to = Instant::now();
         let usual = service(query_logs, from, to - ms(500)).0;
-        report.before = self.fleet.most_in(secs(1), from, to);
+        report.before = self.fleet.peak_arrivals(secs(1), from, to);
         let newest = self.observed.borrow().decisions.last_key_value().map_or(0, |(n, _)| *n);
         let mut order: Vec<usize> = (0..COPIES).collect();
         order.shuffle(&mut rng);
@@ -433,19 +446,19 @@
         let (_, failed) = service(query_logs, started, from(10_000));
         let asked = RATE * COPIES as f64 * 10.0;
         report.errors = failed as f64 / asked;
-        report.after = self.fleet.most_in(secs(1), started, end);
+        report.after = self.fleet.peak_arrivals(secs(1), started, end);
         // What was decided is not lost with the processes, where a majority of voters kept it.
         let keeps = self.kept && case != Case::Lost;
         if keeps && !self.all(|_, d| d.number >= newest && (self.drained(d) || case == Case::Failover)) {
             report.missing.push("what was decided before did not outlive the processes".to_string());
         }
         if case == Case::Stores {
-            let told = tell(&self.voters(), OperatorOrder::Return(DRAINED as u16)).await?;
+            let answer = send_order(&self.voters(), OperatorOrder::Return(DRAINED as u16)).await?;
             let home = |s: &RestartCluster| {
                 s.all(|_, d| d.zones.iter().all(|p| p.state == ZoneState::Serving && p.retained == 1000))
             };
-            if !matches!(told, OperatorAnswer::Decided(_)) || self.until(home, 15.0).await.is_none() {
-                report.missing.push(format!("the drained zone did not return: {told:?}"));
+            if !matches!(answer, OperatorAnswer::Decided(_)) || self.until(home, 15.0).await.is_none() {
+                report.missing.push(format!("the drained zone did not return: {answer:?}"));
             }
             let (planned, said) = self.command(1, &["restart-plan", "--share", "0.25"]).await?;
             let last = said.lines().last().unwrap_or("").to_string();
@@ -508,17 +521,20 @@
                 figure(report.full),
                 figure(report.agreed),
                 report.errors * 100.0,
-                report.before.0,
-                report.after.0,
-                report.before.1,
-                report.after.1
+                report.before.parts,
+                report.after.parts,
+                report.before.connections,
+                report.after.connections
             );
         }
         outcome.figure(&format!("{name}: full service, s"), report.full.unwrap_or(99.0));
         outcome.figure(&format!("{name}: one decision, s"), report.agreed.unwrap_or(99.0));
         outcome.figure(&format!("{name}: errors in ten seconds, %"), report.errors * 100.0);
-        outcome.figure(&format!("{name}: most parts at a leaf in a second"), report.after.0 as f64);
-        outcome.figure(&format!("{name}: most connections at a leaf in a second"), report.after.1 as f64);
+        outcome.figure(&format!("{name}: most parts at a leaf in a second"), report.after.parts as f64);
+        outcome.figure(
+            &format!("{name}: most connections at a leaf in a second"),
+            report.after.connections as f64,
+        );
         let promised = aims && kept && case != Case::Failover;
         outcome.promise(
             !promised || report.full.is_some_and(|s| s <= BACK_WITHIN),
@@ -528,8 +544,8 @@
             ),
         );
         outcome.promise(
-            !aims || report.after.0 as f64 <= MOST_PARTS,
-            &format!("at most {MOST_PARTS} parts a second come to a leaf ({name}: {})", report.after.0),
+            !aims || report.after.parts as f64 <= MOST_PARTS,
+            &format!("at most {MOST_PARTS} parts a second come to a leaf ({name}: {})", report.after.parts),
         );
         report.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
         // At copies that no fault touched; at those ended in order nothing that was accepted is lost either.
@@ -547,10 +563,10 @@
         let asked: Vec<&QueryLog> = query_logs.iter().collect();
         // A process that died leaves its budget to the next where it has a store; without, each start has one.
         let starts = if kept { COPIES } else { 2 * COPIES } as f64;
-        let (free, share, window) = BUDGET;
-        over = over.max(cluster.fleet.query_log.over_budget_of(&asked, free * starts, share, window, SLACK));
+        let budget = RetryBudget { free: BUDGET.free * starts, ..BUDGET };
+        over = over.max(cluster.fleet.query_log.over_budget_with_queries_of(&asked, budget));
         let observed = cluster.observed.borrow();
-        (under_one, back) = (under_one + observed.two_under_one, back + observed.went_back);
+        (under_one, back) = (under_one + observed.conflicting_decisions, back + observed.regressions);
         let logs: String = cluster.members.iter().map(|m| m.process.log()).collect();
         // The store's library gives some torn files up so; it is caught.
         let panicked = logs.lines().find(|l| l.contains("panicked") && !l.contains("'store'"));
--- a/crates/pipitcrank-testkit/src/trial/upgrade.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade.rs
@@ -15,9 +15,9 @@
 use rustix::process::Signal;
 use serde_json::json;
 
-use super::Outcome;
 use crate::client::{Clients, DedicatedConnection, QueryRequest, get};
 use crate::fleet::{Fleet, Load};
+use crate::outcome::Outcome;
 use crate::process::{Process, ResourceUsage, UpgradeTimes, signal_worker};
 use crate::query_log::{QueryLog, QueryOutcome};
 use crate::replica::{ReplicaBehavior, Work};
@@ -225,7 +225,7 @@
     let peak = PeakUsage::default();
     for (n, round) in script.iter().enumerate() {
         if verbose {
-            let (all, rejected) = (fleet.query_log.all(), fleet.query_log.count(QueryOutcome::Rejected));
+            let (all, rejected) = (fleet.query_log.total(), fleet.query_log.count(QueryOutcome::Rejected));
             println!("round {:>3}: {round:?}, after {all} queries, {rejected} rejected", n + 1);
         }
         let halves = half_written(&process, &fleet.query_log, n, &mut rng);
@@ -265,7 +265,7 @@
         asked_done == (Some(done), Some(undone)),
         &format!("upgrades done and undone are {asked_done:?}, not {:?}", (done, undone)),
     );
-    outcome.figure("queries", query_log.all() as f64);
+    outcome.figure("queries", query_log.total() as f64);
     // What a killed process held is lost with it, and no duty of who goes on.
     let killed = script.contains(&Round::OldKilled);
     let lost = query_log.count(QueryOutcome::Lost);
@@ -275,7 +275,7 @@
     }
     outcome.expect_zero("refused connections", query_log.count(QueryOutcome::ConnectionRefused));
     outcome.expect_zero("tries to connect without an answer", if killed { 0 } else { accepts.refused.get() });
-    outcome.once_each(query_log);
+    outcome.expect_once_each(query_log);
     let closed = idle.iter().filter(|l| l.is_closed()).count() as u64;
     if killed {
         outcome.figure("idle connections closed by the kill", closed as f64);
@@ -288,11 +288,11 @@
         outcome.figure("kept connections closed by the kill", by_kill as f64);
         outcome.promise(by_kill > 0, "none of the connections that rested was closed by the kill");
     }
-    outcome.ends(query_log);
+    outcome.query_outcomes(query_log);
     for (name, of) in [("with upgrades", query_log), ("without", &quiet)] {
-        outcome.figure(&format!("answer ms, half, {name}"), of.within(0.5));
-        outcome.figure(&format!("answer ms, 99 of 100, {name}"), of.within(0.99));
-        outcome.figure(&format!("answer ms, longest, {name}"), of.longest());
+        outcome.figure(&format!("answer ms, half, {name}"), of.response_time_ms(0.5));
+        outcome.figure(&format!("answer ms, 99 of 100, {name}"), of.response_time_ms(0.99));
+        outcome.figure(&format!("answer ms, longest, {name}"), of.longest_ms());
     }
     outcome.figure("longest time to accept and answer, ms", accepts.longest.get().as_secs_f64() * 1000.0);
     let peak = peak.0.get();
@@ -460,7 +460,7 @@
     }
     load.stop().await?;
     outcome.figure("beside it: restarts", RESTARTS);
-    outcome.figure("beside it: queries", fleet.query_log.all() as f64);
+    outcome.figure("beside it: queries", fleet.query_log.total() as f64);
     outcome.figure("beside it: lost", fleet.query_log.count(QueryOutcome::Lost) as f64);
     outcome.figure(
         "beside it: refused connections",
@@ -482,7 +482,7 @@
         let clients = Clients::new(process.address, QueryLog::default());
         let load = Load::start("warm", seed ^ 1, RATE, 0.0, clients.clone());
         tokio::time::sleep(Duration::from_secs_f64(QUIET_S)).await;
-        let before = clients.query_log.merged_within(SOON);
+        let before = clients.query_log.answered_within(SOON);
         if steps.is_some() {
             process.signal(Signal::USR2)?;
             wait_until("an upgrade", Duration::from_secs(20), async || {
@@ -507,9 +507,9 @@
         outcome.figure(&format!("merged soon before {name}, %"), before * 100.0);
         outcome.figure(
             &format!("merged soon in the first seconds after {name}, %"),
-            query_log.merged_within(SOON) * 100.0,
+            query_log.answered_within(SOON) * 100.0,
         );
-        outcome.figure(&format!("answer ms, 99 of 100, after {name}"), query_log.within(0.99));
+        outcome.figure(&format!("answer ms, 99 of 100, after {name}"), query_log.response_time_ms(0.99));
         if steps.is_some() {
             outcome.expect_zero("lost after an upgrade", query_log.count(QueryOutcome::Lost));
         } else {
--- /dev/null
+++ b/crates/pipitcrank-testkit/src/trial/zones/replica_faults.rs
@@ -0,0 +1,149 @@
+//! Faults of replicas and of the paths to them.
+
+use std::time::Duration;
+
+use anyhow::Result;
+use pipitcrank_failover::decision::{Decision, OperatorOrder, ZoneState};
+use pipitcrank_failover::node::OperatorAnswer;
+
+use super::cluster::{ALL_RETAINED, REPLICAS_PER_ZONE, SOUTH_ZONE, ZoneCluster};
+use super::report::FaultReport;
+use crate::datagram_network::DatagramFaults;
+use crate::replica::ReplicaBehavior;
+
+/// Half of a flapping zone's period.
+const FLAP_HALF_PERIOD: Duration = Duration::from_millis(1500);
+const FLAPS: usize = 4;
+/// Factor on the work time of a zone that answers late.
+const SLOW_FACTOR: f64 = 60.0;
+
+async fn sleep_s(seconds: u64) {
+    tokio::time::sleep(Duration::from_secs(seconds)).await;
+}
+
+impl ZoneCluster {
+    pub(super) async fn play_replicas(&mut self, zone: usize, report: &mut FaultReport) {
+        self.lose(zone, report, Duration::from_secs(2)).await;
+        self.wait_home(report, 25.0).await;
+    }
+
+    pub(super) async fn play_lossy(&mut self, zone: usize, report: &mut FaultReport) {
+        let delay = Duration::from_millis(60);
+        self.net.all(DatagramFaults { loss: 0.2, doubled: 0.1, delay, silent: false });
+        self.lose(zone, report, Duration::from_secs(1)).await;
+        self.net.heal();
+        self.wait_home(report, 25.0).await;
+    }
+
+    pub(super) async fn play_half(&mut self, zone: usize, report: &mut FaultReport) {
+        let begun = self.newest_decision();
+        self.fleet.vanish(zone, REPLICAS_PER_ZONE / 2, true);
+        sleep_s(5).await;
+        if self.moved_since(begun, Some(zone)) {
+            report.missing("a zone with half of its leaves was left whole");
+        }
+        self.fleet.vanish(zone, REPLICAS_PER_ZONE / 2, false);
+        self.wait_home(report, 15.0).await;
+    }
+
+    pub(super) async fn play_flaps(&mut self, zone: usize, report: &mut FaultReport) {
+        let begun = self.newest_decision();
+        for _ in 0..FLAPS {
+            self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+            tokio::time::sleep(FLAP_HALF_PERIOD).await;
+            self.fleet.vanish(zone, REPLICAS_PER_ZONE, false);
+            tokio::time::sleep(FLAP_HALF_PERIOD).await;
+        }
+        let history = self.decisions_since(begun);
+        let returns =
+            history.windows(2).filter(|w| w[0].zones[zone].retained == 0 && w[1].zones[zone].retained > 0);
+        if returns.count() > FLAPS - 1 {
+            report.missing("it was let in again at each flap");
+        }
+        self.wait_home(report, 40.0).await;
+    }
+
+    pub(super) async fn play_cut(&mut self, zone: usize, other: usize, report: &mut FaultReport) {
+        let begun = self.newest_decision();
+        self.fleet.cut(zone, other, true);
+        sleep_s(4).await;
+        if self.moved_since(begun, None) {
+            report.missing("a zone that the third reaches was left");
+        }
+        self.fleet.cut(zone, other, false);
+        self.wait_home(report, 15.0).await;
+    }
+
+    pub(super) async fn play_two(&mut self, [zone, other, third]: [usize; 3], report: &mut FaultReport) {
+        self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+        let half = self.until(|cluster| cluster.is_moving(zone), 8.0).await;
+        self.fleet.vanish(other, REPLICAS_PER_ZONE, true);
+        let moved = self.until(|cluster| cluster.is_out(zone) && cluster.is_out(other), 10.0).await;
+        report.moved = half.zip(moved).map(|(first, both)| first + both);
+        if moved.is_none() || !self.keeps_all(third) {
+            report.missing("two zones were not left for the third");
+        }
+        sleep_s(1).await;
+        self.heal(zone);
+        self.heal(other);
+        self.wait_home(report, 40.0).await;
+    }
+
+    pub(super) async fn play_slow(&mut self, zone: usize, report: &mut FaultReport) {
+        self.fleet.set_zone_behavior(zone, ReplicaBehavior::Slow(SLOW_FACTOR));
+        sleep_s(6).await;
+        self.fleet.set_zone_behavior(zone, ReplicaBehavior::Normal);
+        self.wait_home(report, 40.0).await;
+    }
+
+    pub(super) async fn play_sick(&mut self, report: &mut FaultReport) {
+        let begun = self.newest_decision();
+        self.fleet.sicken(true);
+        sleep_s(5).await;
+        let touched = |d: &Decision| d.zones.iter().any(|z| z.retained < ALL_RETAINED || z.cut_paths != 0);
+        if self.decisions_since(begun).iter().any(touched) {
+            report.missing(format!("one sick copy moved something: {}", self.history()));
+        }
+        self.fleet.sicken(false);
+        self.wait_home(report, 15.0).await;
+    }
+
+    pub(super) async fn play_region(&mut self, report: &mut FaultReport) {
+        self.lose(SOUTH_ZONE, report, Duration::from_secs(3)).await;
+        self.wait_home(report, 25.0).await;
+    }
+
+    pub(super) async fn play_drain(
+        &mut self,
+        [zone, other, third]: [usize; 3],
+        report: &mut FaultReport,
+    ) -> Result<()> {
+        self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+        self.until(|cluster| cluster.is_moving(zone), 8.0).await;
+        match self.order(OperatorOrder::Drain(other as u16)).await? {
+            OperatorAnswer::Decided(_) => {
+                if self.until(|cluster| cluster.is_out(other), 10.0).await.is_none() {
+                    report.missing("a drained zone was not left");
+                }
+            }
+            OperatorAnswer::Rejected(why) if why.contains("carry") => {}
+            answer => report.missing(format!("a drain during a failover was answered {answer:?}")),
+        }
+        if let OperatorAnswer::Decided(_) = self.order(OperatorOrder::Drain(third as u16)).await? {
+            report.missing("the last zone was let be drained");
+        }
+        self.heal(zone);
+        let serves = |cluster: &ZoneCluster| cluster.all_know(zone, |state, _| state == ZoneState::Serving);
+        if self.until(serves, 25.0).await.is_none() {
+            report.missing("the lost zone did not come home");
+        }
+        if self.is_out(other) {
+            let answer = self.order(OperatorOrder::Return(other as u16)).await?;
+            if !matches!(answer, OperatorAnswer::Decided(_)) {
+                report.missing("a drained zone that is well was not let return");
+            }
+        }
+        self.wait_home(report, 25.0).await;
+        Ok(())
+    }
+}
--- a/crates/pipitcrank-testkit/src/zoned_fleet.rs
+++ b/crates/pipitcrank-testkit/src/zoned_fleet.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::Result;
 use serde_json::{Value, json};
@@ -12,7 +12,7 @@
 use crate::fleet::{SHARDS, node_config_of};
 use crate::link::{Link, LinkConditions};
 use crate::query_log::QueryLog;
-use crate::replica::{ReplicaBehavior, StandInReplica, Work};
+use crate::replica::{PeakArrivals, ReplicaBehavior, SlowStartLimit, StandInReplica, Work};
 
 /// Cells, each with one replica a zone; a shard is held by two cells.
 pub const CELLS: u32 = 6;
@@ -146,7 +146,7 @@
         self.turn(b, a, silent);
     }
 
-    pub fn behavior(&self, zone: usize, behavior: ReplicaBehavior) {
+    pub fn set_zone_behavior(&self, zone: usize, behavior: ReplicaBehavior) {
         self.replicas[zone].iter().for_each(|l| l.set_behavior(behavior));
     }
 
@@ -167,20 +167,18 @@
         self.replicas[zone].iter().for_each(|l| l.starts_cold(cold));
     }
 
-    /// Most parts, and most new connections, that came to any one replica in a stretch between two moments.
-    pub fn most_in(
-        &self,
-        stretch: Duration,
-        from: std::time::Instant,
-        to: std::time::Instant,
-    ) -> (usize, usize) {
-        let each = self.replicas.iter().flatten().map(|l| l.most_in(stretch, from, to));
-        each.fold((0, 0), |most, one| (most.0.max(one.0), most.1.max(one.1)))
+    /// Most parts, and most new connections, that arrived at any one replica in a stretch between two points in time.
+    pub fn peak_arrivals(&self, stretch: Duration, from: Instant, to: Instant) -> PeakArrivals {
+        let each = self.replicas.iter().flatten().map(|replica| replica.peak_arrivals(stretch, from, to));
+        each.fold(PeakArrivals::default(), |most, one| PeakArrivals {
+            parts: most.parts.max(one.parts),
+            connections: most.connections.max(one.connections),
+        })
     }
 
-    /// Parts that came to a cold replica beyond what it may get in any window, over all replicas.
-    pub fn pushed_over(&self, factor: f64, from: f64, window: Duration) -> u64 {
-        self.replicas.iter().flatten().map(|l| l.pushed_over(factor, from, window)).sum()
+    /// Parts that arrived at a replica in slow start beyond what it may get in any window, over all replicas.
+    pub fn parts_over_slow_start(&self, limit: SlowStartLimit) -> u64 {
+        self.replicas.iter().flatten().map(|replica| replica.parts_over_slow_start(limit)).sum()
     }
 }
 
