--- a/crates/pipitcrank-testkit/src/soak/clients.rs
+++ b/crates/pipitcrank-testkit/src/soak/clients.rs
@@ -14,70 +14,12 @@
 use tokio::net::TcpStream;
 
 use super::cluster::{SHARDS, SoakCluster};
+use super::requests::{ClientBehavior, Request, RequestEnd};
 use crate::client::{HttpResponse, connect, read_response};
 
 /// A client waits so long beyond its time for an answer that came late.
 const PATIENCE: Duration = Duration::from_millis(1500);
 
-/// How a client behaves.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClientBehavior {
-    Plain,
-    /// Closes, or resets, before its answer.
-    Disconnects,
-    /// The same with bytes behind its request.
-    DisconnectsAfterExtraBytes,
-    /// The same behind a chunked body.
-    DisconnectsAfterExtraChunks,
-    /// Stops half way and stays.
-    PartialRequest,
-    /// Writes in pieces.
-    SlowWriter,
-    /// Sends several requests at once.
-    Pipelines,
-    /// Has very little time.
-    ShortDeadline,
-}
-
-/// How it ended for its client.
-#[derive(Clone, Debug, PartialEq)]
-pub enum RequestEnd {
-    Open,
-    Answered {
-        status: u16,
-        at: Instant,
-    },
-    /// The client closed.
-    Disconnected {
-        at: Instant,
-    },
-    /// Nobody listened, or a kept connection was found closed and the request went nowhere else.
-    NotAccepted,
-    /// A connection ended without an answer.
-    Interrupted {
-        at: Instant,
-        kept: bool,
-    },
-    /// Nothing came.
-    NoResponse,
-    /// Half a request: answered or closed.
-    Refused {
-        at: Instant,
-    },
-}
-
-pub struct Request {
-    pub id: String,
-    pub node: usize,
-    pub behavior: ClientBehavior,
-    /// When its last byte was written.
-    pub asked: Instant,
-    pub wait: Duration,
-    pub end: RequestEnd,
-    /// The answer was not what the replicas gave.
-    pub spoilt: bool,
-}
-
 pub struct Load {
     going: Rc<Cell<bool>>,
     task: tokio::task::JoinHandle<()>,
--- a/crates/pipitcrank-testkit/src/soak/cluster.rs
+++ b/crates/pipitcrank-testkit/src/soak/cluster.rs
@@ -12,8 +12,9 @@
 use serde_json::{Value, json};
 use tokio::sync::Mutex;
 
-use super::Size;
-use super::clients::Request;
+use super::periods::{Periods, ReplicaPeriods};
+use super::requests::Request;
+use super::size::Size;
 use crate::discovery::{Discovery, row};
 use crate::fleet::node_config_of;
 use crate::link::{Link, LinkConditions};
@@ -70,9 +71,9 @@
     /// When it was killed outright.
     pub kills: RefCell<Vec<Instant>>,
     /// From when to when it was ending, down or starting.
-    pub away: RefCell<Vec<(Instant, Option<Instant>)>>,
+    pub away: Periods,
     /// From when to when it was held up or its calls failed.
-    pub held_up: RefCell<Vec<(Instant, Option<Instant>)>>,
+    pub held_up: Periods,
     /// Times from a start until it served.
     pub ready: RefCell<Vec<Duration>>,
 }
@@ -89,11 +90,11 @@
     pub query_log: QueryLog,
     pub requests: RefCell<Vec<Request>>,
     /// When each replica address was told draining or gone, and until when.
-    pub drains: RefCell<Vec<(SocketAddr, Instant, Option<Instant>)>>,
+    pub drains: ReplicaPeriods,
     /// When lists could not be had: from, to.
-    pub lists_out: RefCell<Vec<(Instant, Option<Instant>)>>,
+    pub lists_out: Periods,
     /// When what was sent to a replica was kept on its way: from, to.
-    pub stalls: RefCell<Vec<(SocketAddr, Instant, Option<Instant>)>>,
+    pub stalls: ReplicaPeriods,
     /// How late this program itself was, and when.
     pub lags: RefCell<Vec<(Instant, Duration)>>,
     /// Replicas that some trouble drains or replaces.
@@ -130,8 +131,8 @@
                 process: Mutex::new(process),
                 faults,
                 kills: RefCell::default(),
-                away: RefCell::default(),
-                held_up: RefCell::default(),
+                away: Periods::default(),
+                held_up: Periods::default(),
                 ready: RefCell::default(),
             });
         }
@@ -147,9 +148,9 @@
             ways_to_discovery,
             query_log,
             requests: RefCell::default(),
-            drains: RefCell::default(),
-            lists_out: RefCell::default(),
-            stalls: RefCell::default(),
+            drains: ReplicaPeriods::default(),
+            lists_out: Periods::default(),
+            stalls: ReplicaPeriods::default(),
             lags: RefCell::default(),
             taken: RefCell::default(),
             wall_step: Cell::default(),
@@ -170,18 +171,14 @@
     pub fn drain(&self, n: usize) {
         let replicas = self.replicas.borrow();
         let replica = &replicas[n];
-        self.drains.borrow_mut().push((replica.replica.address, Instant::now(), None));
+        self.drains.begin(replica.replica.address);
         self.discovery.update_row(replica.row("leaving"));
     }
 
     pub fn undrain(&self, n: usize) {
         let replicas = self.replicas.borrow();
         let replica = &replicas[n];
-        let mut drains = self.drains.borrow_mut();
-        let drain = drains.iter_mut().rev().find(|d| d.0 == replica.replica.address && d.2.is_none());
-        if let Some((_, _, until)) = drain {
-            *until = Some(Instant::now());
-        }
+        self.drains.end_last(replica.replica.address);
         self.discovery.update_row(replica.row("active"));
     }
 
@@ -196,17 +193,15 @@
         };
         tokio::time::sleep(after).await;
         let number = self.next_replica.replace(self.next_replica.get() + 1);
-        let started = Some(Instant::now());
-        let mut new = replica(number, cell, self.seed, &self.query_log, started).await?;
+        let started = Instant::now();
+        let mut new = replica(number, cell, self.seed, &self.query_log, Some(started)).await?;
         new.boot_ms += (self.wall_step.get() * 1000.0) as i64;
         new.replica.starts_cold(COLD);
         // It may have got the address of one that is gone.
-        for drain in self.drains.borrow_mut().iter_mut().filter(|d| d.0 == new.replica.address) {
-            drain.2 = drain.2.or(started);
-        }
+        self.drains.end_all(new.replica.address, started);
         let new_row = new.row("active");
         let gone = self.replicas.borrow()[n].replica.address;
-        self.drains.borrow_mut().push((gone, Instant::now(), None));
+        self.drains.begin(gone);
         self.discovery.update_row(old_row);
         self.discovery.update_row(new_row);
         let old = std::mem::replace(&mut self.replicas.borrow_mut()[n], new);
@@ -243,13 +238,8 @@
 }
 
 impl Node {
-    /// Whether it was so at any time between.
-    pub fn overlaps(times: &[(Instant, Option<Instant>)], from: Instant, to: Instant) -> bool {
-        times.iter().any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
-    }
-
     pub fn was_held_up(&self, from: Instant, to: Instant) -> bool {
-        Node::overlaps(&self.held_up.borrow(), from, to)
+        self.held_up.overlap(from, to)
     }
 }
 
--- a/crates/pipitcrank-testkit/src/soak/mod.rs
+++ b/crates/pipitcrank-testkit/src/soak/mod.rs
@@ -4,36 +4,22 @@
 
 mod clients;
 mod cluster;
+mod fault_kind;
+mod inject;
+mod periods;
+mod requests;
 mod script;
+mod size;
 mod verifier;
 
 use std::path::Path;
-use std::time::Duration;
 
 use anyhow::Result;
 
-use crate::outcome::Outcome;
-
-/// How large a play is.
-#[derive(Clone, Copy, Debug)]
-pub struct Size {
-    pub processes: usize,
-    /// How long clients ask.
-    pub lasts: Duration,
-    /// Requests a second to each process.
-    pub rate: f64,
-    /// Troubles that are under way at once.
-    pub overlap: usize,
-}
+use fault_kind::FaultKind;
+pub use size::Size;
 
-impl Size {
-    /// Some dozens of processes: for seeds by hand.
-    pub const FULL: Size = Size { processes: 24, lasts: Duration::from_secs(16), rate: 8.0, overlap: 3 };
-    /// More of them, for longer, with more troubles at once.
-    pub const HARD: Size = Size { processes: 36, lasts: Duration::from_secs(24), rate: 8.0, overlap: 6 };
-    /// The same in short, for CI.
-    pub const SHORT: Size = Size { processes: 6, lasts: Duration::from_secs(8), rate: 6.0, overlap: 2 };
-}
+use crate::outcome::Outcome;
 
 /// Plays one seed. `only`: troubles of that kind alone.
 pub async fn play(
@@ -43,7 +29,7 @@
     only: Option<&str>,
     verbose: bool,
 ) -> Result<Outcome> {
-    let only = only.map(script::FaultKind::named).transpose()?;
+    let only = only.map(FaultKind::named).transpose()?;
     let cluster = cluster::SoakCluster::start(program, seed, size).await?;
     let load: Vec<_> =
         (0..size.processes).map(|n| clients::Load::start(cluster.clone(), n, seed, size.rate)).collect();
--- a/crates/pipitcrank-testkit/src/soak/verifier.rs
+++ b/crates/pipitcrank-testkit/src/soak/verifier.rs
@@ -6,10 +6,10 @@
 
 use anyhow::Result;
 
-use super::clients::{ClientBehavior, Request, RequestEnd};
 use super::cluster::{
     COLD, COLD_FROM, DEDUP_WINDOW, DRAIN_GRACE, FALL, Node, OVERLOAD_FACTOR, Replica, SoakCluster, WORK,
 };
+use super::requests::{ClientBehavior, Request, RequestEnd};
 use super::script::PlayedFault;
 use crate::outcome::Outcome;
 use crate::query_log::Arrival;
@@ -138,9 +138,9 @@
     /// What was on its way while that way was stalled came later than it was sent.
     fn was_stalled(&self, arrival: &Arrival) -> bool {
         let before = arrival.at - Duration::from_millis(50);
-        let stalls = self.cluster.stalls.borrow();
-        let mut of_replica = stalls.iter().filter(|s| s.0 == arrival.replica);
-        of_replica.any(|(_, from, to)| *from <= arrival.at && to.is_none_or(|to| to >= before))
+        self.cluster
+            .stalls
+            .any(arrival.replica, |stall| stall.from <= arrival.at && stall.to.is_none_or(|to| to >= before))
     }
 
     fn sent_for(&mut self, request: &Request, arrival: &Arrival) {
@@ -187,19 +187,16 @@
         }
         let told_by = |told: Instant| {
             let mut by = told;
-            for (from, to) in self.cluster.lists_out.borrow().iter() {
-                if *from <= by + TOLD_AFTER {
-                    by = by.max(to.unwrap_or(arrival.at));
+            for period in self.cluster.lists_out.all() {
+                if period.from <= by + TOLD_AFTER {
+                    by = by.max(period.to.unwrap_or(arrival.at));
                 }
             }
             by + TOLD_AFTER + DRAIN_GRACE + HELD_UP + SEEN_LATE
         };
-        let drains = self.cluster.drains.borrow();
-        let mut of_replica = drains.iter().filter(|d| d.0 == arrival.replica);
-        let sent = of_replica.any(|(_, told, until)| {
-            arrival.at > told_by(*told) && until.is_none_or(|until| arrival.at < until)
+        let sent = self.cluster.drains.any(arrival.replica, |drain| {
+            arrival.at > told_by(drain.from) && drain.to.is_none_or(|to| arrival.at < to)
         });
-        drop(drains);
         if sent {
             let detail = format!("{} at {:.3}", arrival.part, self.at(arrival.at));
             self.breaks("sent to a drained replica", detail);
--- /dev/null
+++ b/crates/pipitcrank-testkit/src/trial/returns/outage.rs
@@ -0,0 +1,213 @@
+//! The outages of the return trial: which members die or stop, and how they restart.
+
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+
+use anyhow::{Result, ensure};
+use rand::seq::SliceRandom;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64;
+use rustix::process::Signal;
+
+use super::case::Case;
+use super::cluster::{DRAINED_ZONE, MEMBERS, RestartCluster, ZONES};
+use super::report::CaseReport;
+use crate::process::signal_worker;
+
+/// The member whose file operators' commands use.
+const COMMAND_MEMBER: usize = 1;
+/// The voter that stays away in `Case::Begin`.
+const ABSENT_VOTER: usize = 0;
+/// Replicas of one zone.
+const REPLICAS_PER_ZONE: usize = 6;
+/// How long members are stopped in `Case::Stopped`.
+const STOPPED: Duration = Duration::from_secs(6);
+const TERM_LIMIT: Duration = Duration::from_secs(10);
+
+async fn sleep_ms(milliseconds: u64) {
+    tokio::time::sleep(Duration::from_millis(milliseconds)).await;
+}
+
+/// A member's store, and a copy of it made before the last decision.
+pub(super) struct StoreCopy {
+    store: PathBuf,
+    copy: PathBuf,
+}
+
+/// What the seed has drawn for a case.
+pub(super) struct Outage {
+    case: Case,
+    /// Members that die or are stopped.
+    dead: Vec<usize>,
+    /// The zone that is lost in `Case::Failover`.
+    lost_zone: usize,
+    rng: Pcg64,
+}
+
+impl Outage {
+    pub(super) fn draw(case: Case, seed: u64) -> Outage {
+        let mut rng = Pcg64::seed_from_u64(seed ^ case as u64);
+        let mut order: Vec<usize> = (0..MEMBERS).collect();
+        order.shuffle(&mut rng);
+        let dead: Vec<usize> = match case {
+            Case::Survivors => order.iter().copied().filter(|&n| n != MEMBERS - 1).collect(),
+            Case::Both => order[..9].to_vec(),
+            Case::Stopped => order[..8].to_vec(),
+            Case::Crasher => vec![ZONES.len() + rng.random_range(0..MEMBERS - ZONES.len())],
+            _ => order,
+        };
+        let lost_zone = rng.random_range(0..DRAINED_ZONE);
+        Outage { case, dead, lost_zone, rng }
+    }
+}
+
+impl RestartCluster {
+    /// Copies the stores of half of the members.
+    pub(super) async fn copy_stores(&self) -> Result<Vec<StoreCopy>> {
+        sleep_ms(1000).await;
+        let mut copies = Vec::new();
+        for n in (0..MEMBERS).filter(|n| n % 2 == 1) {
+            let store = self.members[n].store.clone();
+            let copy = self.stores.path().join(format!("old{n}"));
+            std::fs::copy(&store, &copy)?;
+            copies.push(StoreCopy { store, copy });
+        }
+        Ok(copies)
+    }
+
+    /// Plays the outage; when the last process was started, or went on. `newest` is the last decision before it.
+    pub(super) async fn play_outage(
+        &mut self,
+        mut outage: Outage,
+        copies: &[StoreCopy],
+        newest: u64,
+        report: &mut CaseReport,
+    ) -> Result<Instant> {
+        let started = match outage.case {
+            Case::Stopped => self.stop_for_a_while(&outage.dead).await,
+            Case::Rolling => self.restart_one_by_one(report).await?,
+            _ => self.kill_and_restart(&mut outage, copies).await?,
+        };
+        match outage.case {
+            Case::Begin => self.begin_anew(newest, report).await,
+            Case::Twice => {
+                tokio::time::sleep(Duration::from_secs(1).saturating_sub(started.elapsed())).await;
+                self.kill(&outage.dead);
+                self.restart(&outage.dead).await
+            }
+            Case::Crasher => self.crash_repeatedly(&outage.dead, started).await,
+            Case::Failover => {
+                sleep_ms(2000).await;
+                self.fleet.starts_cold(outage.lost_zone, Duration::from_secs(4));
+                self.fleet.vanish(outage.lost_zone, REPLICAS_PER_ZONE, false);
+                Ok(Instant::now())
+            }
+            _ => Ok(started),
+        }
+    }
+
+    async fn stop_for_a_while(&self, members: &[usize]) -> Instant {
+        let set_up = |up| members.iter().for_each(|&n| self.members[n].up.set(up));
+        let signal_all =
+            |signal| members.iter().for_each(|&n| signal_worker(self.members[n].process.pid(), signal));
+        set_up(false);
+        signal_all(Signal::STOP);
+        tokio::time::sleep(STOPPED).await;
+        signal_all(Signal::CONT);
+        set_up(true);
+        Instant::now()
+    }
+
+    async fn restart_one_by_one(&mut self, report: &mut CaseReport) -> Result<Instant> {
+        // With a zone drained nobody should; the plan says so.
+        let plan = self.command(COMMAND_MEMBER, &["restart-plan"]).await?;
+        if plan.done || !plan.text.contains("is not at home") {
+            report.missing(format!("a plan while a zone is drained: {}", plan.text));
+        }
+        for n in 0..MEMBERS {
+            self.members[n].up.set(false);
+            self.members[n].process.signal(Signal::TERM)?;
+            let exit = self.members[n].process.wait_for_exit(TERM_LIMIT).await;
+            ensure!(exit.is_some(), "its end after SIGTERM");
+            self.forget(n);
+            self.restart(&[n]).await?;
+        }
+        Ok(Instant::now())
+    }
+
+    async fn kill_and_restart(&mut self, outage: &mut Outage, copies: &[StoreCopy]) -> Result<Instant> {
+        if outage.case == Case::Failover {
+            self.fleet.vanish(outage.lost_zone, REPLICAS_PER_ZONE, true);
+            sleep_ms(700).await;
+        }
+        self.kill(&outage.dead);
+        self.damage_stores(outage.case, copies)?;
+        sleep_ms(500 + outage.rng.random_range(0..1000)).await;
+        let absent = (outage.case == Case::Begin).then_some(ABSENT_VOTER);
+        let returning: Vec<usize> = outage.dead.iter().copied().filter(|&n| Some(n) != absent).collect();
+        self.restart(&returning).await
+    }
+
+    fn damage_stores(&self, case: Case, copies: &[StoreCopy]) -> Result<()> {
+        match case {
+            Case::Old => {
+                for StoreCopy { store, copy } in copies {
+                    std::fs::copy(copy, store)?;
+                }
+            }
+            Case::Lost | Case::Begin => {
+                for voter in &self.members[..ZONES.len()] {
+                    std::fs::remove_file(&voter.store)?;
+                }
+            }
+            Case::Torn => {
+                for member in self.members.iter().step_by(2) {
+                    let store = std::fs::OpenOptions::new().write(true).open(&member.store)?;
+                    store.set_len(store.metadata()?.len() / 2)?;
+                }
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    async fn crash_repeatedly(&mut self, members: &[usize], mut started: Instant) -> Result<Instant> {
+        for _ in 0..5 {
+            sleep_ms(800).await;
+            self.kill(members);
+            started = self.restart(members).await?;
+        }
+        Ok(started)
+    }
+
+    /// Two of three voters have no store and the third is away: an operator has the decisions begun anew, and takes that
+    /// back when the third has returned.
+    async fn begin_anew(&mut self, newest: u64, report: &mut CaseReport) -> Result<Instant> {
+        // As long as founding takes, were it to begin without the third voter.
+        sleep_ms(6000).await;
+        let begun =
+            self.observed.borrow().decisions.last_key_value().is_some_and(|(n, _)| n >> 32 > newest >> 32);
+        if begun {
+            report.missing("two of three voters without memory began anew by themselves");
+        }
+        let absent = self.members[ABSENT_VOTER].known_as.to_string();
+        let begin = self.command(COMMAND_MEMBER, &["zones", "begin", &absent]).await?;
+        if !begin.done {
+            report.missing(format!("`zones begin` was not done: {}", begin.text));
+        }
+        if self.until(RestartCluster::all_follow, 15.0).await.is_none() {
+            report.missing("nothing was begun anew without the dead voter");
+        }
+        let again = self.command(COMMAND_MEMBER, &["zones", "begin", &absent]).await?;
+        if again.done || !again.text.contains("leader") {
+            report.missing(format!("`zones begin` with a leader: {}", again.text));
+        }
+        // It is back after all.
+        let started = self.restart(&[ABSENT_VOTER]).await?;
+        let back = self.command(COMMAND_MEMBER, &["zones", "begin"]).await?;
+        if !back.done {
+            report.missing(format!("`zones begin` was not taken back: {}", back.text));
+        }
+        Ok(started)
+    }
+}
