--- a/crates/pipitcrank-testkit/src/client.rs
+++ b/crates/pipitcrank-testkit/src/client.rs
@@ -14,18 +14,23 @@
 /// A final answer counts for so long after the client's time.
 const SLACK: Duration = Duration::from_millis(300);
 
-/// What a client asks.
+/// One query as a client sends it.
 #[derive(Clone)]
 pub struct QueryRequest {
+    /// Its id; the part before the first `-` is the request class.
     pub id: String,
+    /// Request class, as the node configuration names it.
     pub class: &'static str,
+    /// Shards to be queried, with equal weights.
     pub shards: Vec<u32>,
+    /// How long the client waits, stated as the deadline.
     pub wait: Duration,
+    /// Text that the replicas get; `lasts=MS` sets the work time of a part.
     pub text: String,
 }
 
 impl QueryRequest {
-    /// One that is answered soon.
+    /// A query that is answered soon.
     pub fn short(id: &str) -> QueryRequest {
         let wait = Duration::from_secs(4);
         QueryRequest {
@@ -37,6 +42,7 @@
         }
     }
 
+    /// The whole HTTP request.
     pub fn request(&self) -> String {
         let weight = 1.0 / self.shards.len() as f64;
         let shards: Vec<Value> = self.shards.iter().map(|s| json!({"shard": s, "weight": weight})).collect();
@@ -51,10 +57,13 @@
     }
 }
 
-/// One answer: its status, body, and whether the connection goes on.
+/// An HTTP response.
 pub struct HttpResponse {
+    /// HTTP status.
     pub status: u16,
+    /// The whole body.
     pub body: String,
+    /// The connection can be used again.
     pub keep_alive: bool,
 }
 
@@ -67,8 +76,8 @@
             return None;
         }
         let line = line.trim().to_lowercase();
-        if let Some(rest) = line.strip_prefix("http/1.1 ") {
-            status = rest.get(..3)?.parse().ok()?;
+        if let Some(open_idle) = line.strip_prefix("http/1.1 ") {
+            status = open_idle.get(..3)?.parse().ok()?;
         } else if let Some(n) = line.strip_prefix("content-length: ") {
             length = n.parse().ok()?;
         } else if line == "connection: close" {
@@ -82,9 +91,9 @@
     Some(HttpResponse { status, body: String::from_utf8(body).ok()?, keep_alive })
 }
 
-fn ended(answer: &HttpResponse) -> QueryOutcome {
-    match answer.status {
-        200 if answer.body.starts_with("{\"complete\":true") => QueryOutcome::Complete,
+fn outcome_of(response: &HttpResponse) -> QueryOutcome {
+    match response.status {
+        200 if response.body.starts_with("{\"complete\":true") => QueryOutcome::Complete,
         200 => QueryOutcome::Partial,
         503 => QueryOutcome::Rejected,
         500 => QueryOutcome::Aborted,
@@ -92,26 +101,27 @@
     }
 }
 
-/// Clients that share kept connections.
+/// Clients that share idle connections.
 #[derive(Clone)]
 pub struct Clients {
     address: SocketAddr,
+    /// Where queries are recorded.
     pub query_log: QueryLog,
-    kept: Rc<RefCell<Vec<Kept>>>,
-    /// Kept connections that were closed on them.
+    idle: Rc<RefCell<Vec<IdleConnection>>>,
+    /// Idle connections that the coordinator closed.
     pub closed: Rc<Cell<u64>>,
-    /// Those of them that a kill closed, and the kill that is being looked at.
+    /// Idle connections that a kill closed.
     pub closed_by_kill: Rc<Cell<u64>>,
     kill: Rc<Cell<Option<Instant>>>,
 }
 
-struct Kept {
+struct IdleConnection {
     opened: Instant,
     stream: BufReader<TcpStream>,
 }
 
-impl Kept {
-    /// Whether the other side has left it as it was.
+impl IdleConnection {
+    /// Whether the other side has neither closed it nor written to it.
     fn is_open(&self) -> bool {
         let read = self.stream.get_ref().try_read(&mut [0; 1]);
         read.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
@@ -119,33 +129,35 @@
 }
 
 impl Clients {
+    /// Clients of the coordinator at that address, without a connection yet.
     pub fn new(address: SocketAddr, query_log: QueryLog) -> Clients {
-        let (kept, closed, closed_by_kill, kill) = Default::default();
-        Clients { address, query_log, kept, closed, closed_by_kill, kill }
+        let (idle, closed, closed_by_kill, kill) = Default::default();
+        Clients { address, query_log, idle, closed, closed_by_kill, kill }
     }
 
-    /// The same connections, with the queries entered elsewhere.
-    pub fn entered_in(&self, query_log: QueryLog) -> Clients {
+    /// The same connections, with the queries recorded in another log.
+    pub fn recording_in(&self, query_log: QueryLog) -> Clients {
         Clients { query_log, ..self.clone() }
     }
 
-    /// Asks, waits for the answer, and keeps the connection where it goes on.
+    /// Sends the query, waits for the answer, and keeps the connection where it can be used again.
     pub async fn ask(&self, query: QueryRequest) -> Option<HttpResponse> {
         let begun = Instant::now();
         self.query_log.query_sent(&query.id, query.shards.len());
-        let (answer, how) = match tokio::time::timeout(query.wait + SLACK, self.exchange(&query)).await {
-            Ok(Ok(answer)) => {
-                let how = ended(&answer);
-                (Some(answer), how)
+        let (response, outcome) = match tokio::time::timeout(query.wait + SLACK, self.exchange(&query)).await
+        {
+            Ok(Ok(response)) => {
+                let outcome = outcome_of(&response);
+                (Some(response), outcome)
             }
-            Ok(Err(how)) => (None, how),
+            Ok(Err(outcome)) => (None, outcome),
             Err(_) => (None, QueryOutcome::Lost),
         };
-        self.query_log.query_finished(&query.id, how, begun.elapsed());
-        answer
+        self.query_log.query_finished(&query.id, outcome, begun.elapsed());
+        response
     }
 
-    /// Asks, and replicas after a while without having read anything.
+    /// Sends the query, and disconnects after a while without having read anything.
     pub async fn ask_and_disconnect(&self, query: QueryRequest, after: Duration) {
         if let Ok(mut stream) = connect(self.address).await {
             let _ = stream.write_all(query.request().as_bytes()).await;
@@ -153,20 +165,20 @@
         }
     }
 
-    /// So many connections that rest from now on, each asked on once.
-    pub async fn rest(&self, name: &str, many: usize) {
+    /// Opens that many idle connections, each of which has sent one query.
+    pub async fn open_idle(&self, name: &str, many: usize) {
         let mut asking = tokio::task::JoinSet::new();
         for n in 0..many {
-            let clients = Clients { kept: Rc::default(), ..self.clone() };
+            let clients = Clients { idle: Rc::default(), ..self.clone() };
             let id = format!("view-{name}-{n}");
             asking.spawn_local(async move {
                 clients.ask(QueryRequest::short(&id)).await;
-                clients.kept.take()
+                clients.idle.take()
             });
         }
-        while let Some(Ok(kept)) = asking.join_next().await {
+        while let Some(Ok(idle)) = asking.join_next().await {
             // Taken last: those in use stay on top.
-            self.kept.borrow_mut().splice(0..0, kept);
+            self.idle.borrow_mut().splice(0..0, idle);
         }
     }
 
@@ -176,11 +188,12 @@
         self.kill.set(Some(Instant::now()));
     }
 
-    /// The killed process is gone: what it held rests closed now, and goes.
+    /// The killed process has exited: idle connections that it held are closed now, and are dropped.
     pub fn kill_is_over(&self) {
-        let (open, closed): (Vec<_>, Vec<_>) = self.kept.take().into_iter().partition(Kept::is_open);
-        closed.iter().for_each(|kept| self.was_closed(kept.opened));
-        self.kept.replace(open);
+        let (open, closed): (Vec<_>, Vec<_>) =
+            self.idle.take().into_iter().partition(IdleConnection::is_open);
+        closed.iter().for_each(|idle| self.was_closed(idle.opened));
+        self.idle.replace(open);
         self.kill.set(None);
     }
 
@@ -194,81 +207,93 @@
     }
 
     /// A kept connection that was not closed meanwhile, as clients look before they use one again.
-    fn kept_open(&self) -> Option<Kept> {
+    fn take_idle(&self) -> Option<IdleConnection> {
         loop {
-            let kept = self.kept.borrow_mut().pop()?;
-            if kept.is_open() {
-                return Some(kept);
+            let idle = self.idle.borrow_mut().pop()?;
+            if idle.is_open() {
+                return Some(idle);
             }
-            self.was_closed(kept.opened);
+            self.was_closed(idle.opened);
         }
     }
 
     async fn exchange(&self, query: &QueryRequest) -> Result<HttpResponse, QueryOutcome> {
-        let mut kept = match self.kept_open() {
-            Some(kept) => kept,
+        let mut idle = match self.take_idle() {
+            Some(idle) => idle,
             None => {
                 let stream = connect(self.address).await.map_err(|_| QueryOutcome::ConnectionRefused)?;
-                Kept { opened: Instant::now(), stream: BufReader::new(stream) }
+                IdleConnection { opened: Instant::now(), stream: BufReader::new(stream) }
             }
         };
-        let stream = &mut kept.stream;
+        let stream = &mut idle.stream;
         stream.get_mut().write_all(query.request().as_bytes()).await.map_err(|_| QueryOutcome::Lost)?;
-        let answer = read_response(stream).await.ok_or(QueryOutcome::Lost)?;
-        if answer.keep_alive {
-            self.kept.borrow_mut().push(kept);
+        let response = read_response(stream).await.ok_or(QueryOutcome::Lost)?;
+        if response.keep_alive {
+            self.idle.borrow_mut().push(idle);
         } else {
             // In order, with an answer: no kill's.
             self.closed.set(self.closed.get() + 1);
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
+/// Connects without delaying small writes.
+///
+/// # Errors
+///
+/// That the connection can't be opened.
 pub async fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// A connection that a client holds for itself, to write to it as it likes.
+/// A connection that one client holds for itself.
 pub struct DedicatedConnection {
     stream: BufReader<TcpStream>,
     query_log: QueryLog,
 }
 
 impl DedicatedConnection {
+    /// Opens the connection.
+    ///
+    /// # Errors
+    ///
+    /// That it can't be opened.
     pub async fn connect(address: SocketAddr, query_log: QueryLog) -> std::io::Result<DedicatedConnection> {
         Ok(DedicatedConnection::on(connect(address).await?, query_log))
     }
 
+    /// The same on a stream that is open.
     pub fn on(stream: TcpStream, query_log: QueryLog) -> DedicatedConnection {
         DedicatedConnection { stream: BufReader::new(stream), query_log }
     }
 
-    /// Asks in pieces, cut at these bytes, waiting as told before each but the first.
+    /// Sends the query in pieces, cut at these bytes, with a pause after each.
     pub async fn ask_in_pieces(&mut self, query: QueryRequest, cuts: &[(usize, Duration)]) -> QueryOutcome {
         self.query_log.query_sent(&query.id, query.shards.len());
         let request = query.request();
         let mut from = 0;
-        let mut how = None;
+        let mut outcome = None;
         for &(cut, pause) in cuts {
             let cut = cut.clamp(from, request.len());
             if self.stream.get_mut().write_all(&request.as_bytes()[from..cut]).await.is_err() {
-                how = Some(QueryOutcome::Lost);
+                outcome = Some(QueryOutcome::Lost);
             }
             from = cut;
             tokio::time::sleep(pause).await;
         }
-        // What the client itself waited is not ours.
+        // The client's own pauses do not count.
         let begun = Instant::now();
         if self.stream.get_mut().write_all(&request.as_bytes()[from..]).await.is_err() {
-            how = Some(QueryOutcome::Lost);
+            outcome = Some(QueryOutcome::Lost);
         }
         let answered = tokio::time::timeout(query.wait + SLACK, read_response(&mut self.stream)).await;
-        let how = how.unwrap_or_else(|| answered.ok().flatten().map_or(QueryOutcome::Lost, |a| ended(&a)));
-        self.query_log.query_finished(&query.id, how, begun.elapsed());
-        how
+        let outcome =
+            outcome.unwrap_or_else(|| answered.ok().flatten().map_or(QueryOutcome::Lost, |a| outcome_of(&a)));
+        self.query_log.query_finished(&query.id, outcome, begun.elapsed());
+        outcome
     }
 
     /// Whether the other side has closed it.
@@ -279,11 +304,11 @@
 
 /// A plain GET; none where it is not answered in time.
 pub async fn get(address: SocketAddr, path: &str) -> Option<HttpResponse> {
-    let asked = async {
+    let request = async {
         let mut stream = BufReader::new(connect(address).await.ok()?);
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         stream.get_mut().write_all(request.as_bytes()).await.ok()?;
         read_response(&mut stream).await
     };
-    tokio::time::timeout(Duration::from_secs(3), asked).await.ok().flatten()
+    tokio::time::timeout(Duration::from_secs(3), request).await.ok().flatten()
 }
--- a/crates/pipitcrank-testkit/src/datagram_network.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network.rs
@@ -1,6 +1,6 @@
-//! The net between copies: each copy is known to the others by the address of a relay here, which passes datagrams on to
-//! where the copy really listens. Each pair and direction by itself can lose, delay, double, reorder or swallow them; sets
-//! can be parted and healed. From a seed.
+//! A faulty datagram network between members: each member is known to the others by the address of a relay, which passes
+//! datagrams on to where the member listens. Each pair and direction by itself can lose, delay, duplicate, reorder or
+//! block them; sets of members can be partitioned and healed. Faults follow from a seed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,21 +16,23 @@
 /// Longest datagram passed on.
 const LONGEST: usize = 2048;
 
-/// How the way from one copy to another is.
+/// Faults of the path from one member to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DatagramFaults {
-    /// Share lost, and share that comes twice.
+    /// Fraction that is lost.
     pub loss: f64,
-    pub doubled: f64,
-    /// Each is held for up to so long, by chance: they overtake each other.
+    /// Fraction that arrives twice.
+    pub duplicated: f64,
+    /// Each is delayed by up to that time at random, so that they are reordered.
     pub delay: Duration,
     /// Nothing passes.
     pub silent: bool,
 }
 
 impl DatagramFaults {
+    /// No faults.
     pub const NONE: DatagramFaults =
-        DatagramFaults { loss: 0.0, doubled: 0.0, delay: Duration::ZERO, silent: false };
+        DatagramFaults { loss: 0.0, duplicated: 0.0, delay: Duration::ZERO, silent: false };
 }
 
 /// What a network has passed on and dropped.
@@ -45,9 +47,9 @@
 }
 
 struct Shared {
-    /// Where copies really listen, by place.
-    real: RefCell<Vec<SocketAddr>>,
-    ways: RefCell<BTreeMap<(usize, usize), DatagramFaults>>,
+    /// Where members listen, by index.
+    listen_addresses: RefCell<Vec<SocketAddr>>,
+    paths: RefCell<BTreeMap<(usize, usize), DatagramFaults>>,
     all: Cell<DatagramFaults>,
     rng: RefCell<Pcg64>,
     passed: Cell<u64>,
@@ -55,14 +57,16 @@
     lost: Cell<u64>,
 }
 
+/// The relays between members; clones share them.
 #[derive(Clone)]
 pub struct DatagramNetwork(Rc<Shared>);
 
 impl DatagramNetwork {
+    /// A network without relays yet; faults follow from the seed.
     pub fn new(seed: u64) -> DatagramNetwork {
         DatagramNetwork(Rc::new(Shared {
-            real: RefCell::default(),
-            ways: RefCell::default(),
+            listen_addresses: RefCell::default(),
+            paths: RefCell::default(),
             all: Cell::new(DatagramFaults::NONE),
             rng: RefCell::new(Pcg64::seed_from_u64(seed)),
             passed: Cell::new(0),
@@ -71,17 +75,17 @@
         }))
     }
 
-    /// A relay for a copy that listens there; the address that others know it by.
-    pub async fn relay(&self, real: SocketAddr) -> Result<SocketAddr> {
-        let place = self.0.real.borrow().len();
-        self.0.real.borrow_mut().push(real);
+    /// Adds a relay for a member that listens there; the address that others know it by.
+    pub async fn relay(&self, listen_addresses: SocketAddr) -> Result<SocketAddr> {
+        let place = self.0.listen_addresses.borrow().len();
+        self.0.listen_addresses.borrow_mut().push(listen_addresses);
         let socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let address = socket.local_addr()?;
         let shared = self.0.clone();
         tokio::task::spawn_local(async move {
             let mut bytes = vec![0; LONGEST];
             loop {
-                // An error tells of a copy that is not there; the next may come.
+                // An error means that the member is not there; the next datagram may arrive.
                 let Ok((length, from)) = socket.recv_from(&mut bytes).await else { continue };
                 shared.pass(&socket, from, place, &bytes[..length]);
             }
@@ -89,28 +93,29 @@
         Ok(address)
     }
 
-    /// How the way from one copy to another is from now on.
-    pub fn way(&self, from: usize, to: usize, faults: DatagramFaults) {
-        self.0.ways.borrow_mut().insert((from, to), faults);
+    /// Sets the faults of the path from one member to another.
+    pub fn set_path(&self, from: usize, to: usize, faults: DatagramFaults) {
+        self.0.paths.borrow_mut().insert((from, to), faults);
     }
 
-    /// How all ways are that are not set by themselves.
-    pub fn all(&self, faults: DatagramFaults) {
+    /// Sets the faults of all paths that are not set by themselves.
+    pub fn set_all(&self, faults: DatagramFaults) {
         self.0.all.set(faults);
     }
 
-    /// Parts a set from all others, both ways.
-    pub fn part(&self, set: &[usize]) {
-        let count = self.0.real.borrow().len();
+    /// Partitions a set of members from all others, in both directions.
+    pub fn partition(&self, set: &[usize]) {
+        let count = self.0.listen_addresses.borrow().len();
         for a in 0..count {
             for b in (0..count).filter(|b| set.contains(&a) != set.contains(b)) {
-                self.way(a, b, DatagramFaults { silent: true, ..DatagramFaults::NONE });
+                self.set_path(a, b, DatagramFaults { silent: true, ..DatagramFaults::NONE });
             }
         }
     }
 
+    /// Removes all faults.
     pub fn heal(&self) {
-        self.0.ways.borrow_mut().clear();
+        self.0.paths.borrow_mut().clear();
         self.0.all.set(DatagramFaults::NONE);
     }
 
@@ -122,29 +127,31 @@
 
 impl Shared {
     fn pass(self: &Rc<Shared>, socket: &Rc<UdpSocket>, from: SocketAddr, to: usize, bytes: &[u8]) {
-        // Who is no copy, such as an operator's command, is not the faults' business.
-        let sender = self.real.borrow().iter().position(|real| *real == from);
-        let way = sender.and_then(|from| self.ways.borrow().get(&(from, to)).copied());
-        let faults = if sender.is_none() { DatagramFaults::NONE } else { way.unwrap_or(self.all.get()) };
+        // Senders that are no members, such as an operator's command, have no faults.
+        let sender =
+            self.listen_addresses.borrow().iter().position(|listen_addresses| *listen_addresses == from);
+        let path_faults = sender.and_then(|from| self.paths.borrow().get(&(from, to)).copied());
+        let faults =
+            if sender.is_none() { DatagramFaults::NONE } else { path_faults.unwrap_or(self.all.get()) };
         let mut rng = self.rng.borrow_mut();
         if faults.silent || rng.random_bool(faults.loss) {
             self.lost.set(self.lost.get() + 1);
             return;
         }
-        let copies = if rng.random_bool(faults.doubled) { 2 } else { 1 };
-        let real = self.real.borrow()[to];
-        for _ in 0..copies {
+        let count = if rng.random_bool(faults.duplicated) { 2 } else { 1 };
+        let listen_addresses = self.listen_addresses.borrow()[to];
+        for _ in 0..count {
             self.passed.set(self.passed.get() + 1);
             self.bytes.set(self.bytes.get() + bytes.len() as u64);
             if faults.delay == Duration::ZERO {
-                let _ = socket.try_send_to(bytes, real);
+                let _ = socket.try_send_to(bytes, listen_addresses);
                 continue;
             }
             let held = faults.delay.mul_f64(rng.random::<f64>());
             let (socket, bytes) = (socket.clone(), bytes.to_vec());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(held).await;
-                let _ = socket.try_send_to(&bytes, real);
+                let _ = socket.try_send_to(&bytes, listen_addresses);
             });
         }
     }
--- a/crates/pipitcrank-testkit/src/datagram_network/tests.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network/tests.rs
@@ -6,8 +6,8 @@
         let net = DatagramNetwork::new(1);
         let (a, b) = (UdpSocket::bind("127.0.0.1:0").await?, UdpSocket::bind("127.0.0.1:0").await?);
         let (to_a, to_b) = (net.relay(a.local_addr()?).await?, net.relay(b.local_addr()?).await?);
-        net.way(0, 1, DatagramFaults { silent: true, ..DatagramFaults::NONE });
-        net.way(1, 0, DatagramFaults { doubled: 1.0, ..DatagramFaults::NONE });
+        net.set_path(0, 1, DatagramFaults { silent: true, ..DatagramFaults::NONE });
+        net.set_path(1, 0, DatagramFaults { duplicated: 1.0, ..DatagramFaults::NONE });
         let mut bytes = [0; 9];
         a.send_to(b"lost", to_b).await?;
         b.send_to(b"twice", to_a).await?;
@@ -17,7 +17,7 @@
         net.heal();
         a.send_to(b"passes", to_b).await?;
         assert_eq!(b.recv(&mut bytes).await?, 6, "and what was lost stays lost");
-        net.all(DatagramFaults { loss: 1.0, ..DatagramFaults::NONE });
+        net.set_all(DatagramFaults { loss: 1.0, ..DatagramFaults::NONE });
         a.send_to(b"lost", to_b).await?;
         tokio::time::sleep(Duration::from_millis(20)).await;
         assert_eq!((net.counts().passed, net.counts().dropped), (3, 2));
--- a/crates/pipitcrank-testkit/src/demo.rs
+++ b/crates/pipitcrank-testkit/src/demo.rs
@@ -20,6 +20,11 @@
 /// Between two queries.
 const PAUSE: Duration = Duration::from_millis(8);
 
+/// Plays the demo and prints a table; the exit code, 0 if each query got one final answer.
+///
+/// # Errors
+///
+/// That the stand-ins or the program can't be started, or that the demo did not end in time.
 pub fn play(program: &Path, seed: u64) -> Result<i32> {
     on_one_thread(LIMIT, async {
         println!("starting 12 stand-in leaves, discovery and one co-ordinator on loopback");
@@ -36,7 +41,7 @@
             }
             let query = random_query("demo", n, 0.0, &mut rng);
             let query_log = query_logs.iter().find(|(v, _)| *v == query.class).map(|(_, l)| l.clone());
-            let clients = all.entered_in(query_log.unwrap_or_default());
+            let clients = all.recording_in(query_log.unwrap_or_default());
             tasks.spawn_local(async move { clients.ask(query).await });
             tokio::time::sleep(PAUSE).await;
         }
--- a/crates/pipitcrank-testkit/src/discovery.rs
+++ b/crates/pipitcrank-testkit/src/discovery.rs
@@ -12,9 +12,11 @@
 use tokio::sync::watch;
 
 /// An empty line is due every 2 s.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(1000);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
 
+/// A stand-in discovery that listens on an address of its own.
 pub struct Discovery {
+    /// Where it listens.
     pub address: SocketAddr,
     /// Changes so far, each its own version; version 1 is the first list.
     changes: Rc<RefCell<Vec<String>>>,
@@ -35,16 +37,21 @@
 }
 
 impl Discovery {
+    /// Starts it with those rows as its first list.
+    ///
+    /// # Errors
+    ///
+    /// That it can't listen.
     pub async fn start(rows: Vec<Value>) -> Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (newest, seen) = watch::channel(1);
+        let (newest, latest) = watch::channel(1);
         let changes: Rc<RefCell<Vec<String>>> = Rc::default();
         let now = Rc::new(RefCell::new(rows.clone()));
-        let (told, rows_held) = (changes.clone(), now.clone());
+        let (sent, rows_held) = (changes.clone(), now.clone());
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(answer(stream, rows_held.clone(), told.clone(), seen.clone()));
+                tokio::task::spawn_local(answer(stream, rows_held.clone(), sent.clone(), latest.clone()));
             }
         });
         Ok(Discovery { address, changes, newest, first: list(1, true, rows), now })
@@ -55,7 +62,7 @@
         self.first.clone()
     }
 
-    /// Watches are told of a changed row.
+    /// Changes a row; watches get it.
     pub fn update_row(&self, row: Value) {
         {
             let mut now = self.now.borrow_mut();
@@ -67,7 +74,7 @@
         self.publish(|rev| list(rev, false, vec![row]).to_string());
     }
 
-    /// Watches are told of a whole new list, indented.
+    /// Replaces the list; watches get the whole of it, indented.
     pub fn replace_list(&self, rows: Vec<Value>) {
         *self.now.borrow_mut() = rows.clone();
         self.publish(|rev| format!("{:#}", list(rev, true, rows)));
@@ -84,14 +91,14 @@
     stream: TcpStream,
     now: Rc<RefCell<Vec<Value>>>,
     changes: Rc<RefCell<Vec<String>>>,
-    mut seen: watch::Receiver<usize>,
+    mut latest: watch::Receiver<usize>,
 ) -> std::io::Result<()> {
     let (from, mut to) = stream.into_split();
     let mut from = BufReader::new(from);
     let mut line = String::new();
     from.read_line(&mut line).await?;
     let index = line.split("index=").nth(1).and_then(|r| r.split([' ', '&']).next()?.parse::<usize>().ok());
-    let Some(mut told) = index.filter(|_| line.contains("stream=1")) else {
+    let Some(mut sent) = index.filter(|_| line.contains("stream=1")) else {
         let rev = changes.borrow().len() + 1;
         let body = list(rev, true, now.borrow().clone()).to_string();
         let head =
@@ -100,10 +107,10 @@
     };
     to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     loop {
-        let news: Vec<String> = changes.borrow().iter().skip(told.saturating_sub(1)).cloned().collect();
-        told += news.len();
-        let lines = if news.is_empty() { "\n".to_string() } else { news.join("\n") + "\n" };
+        let updates: Vec<String> = changes.borrow().iter().skip(sent.saturating_sub(1)).cloned().collect();
+        sent += updates.len();
+        let lines = if updates.is_empty() { "\n".to_string() } else { updates.join("\n") + "\n" };
         to.write_all(format!("{:x}\r\n{lines}\r\n", lines.len()).as_bytes()).await?;
-        let _ = tokio::time::timeout(SIGN_OF_LIFE, seen.changed()).await;
+        let _ = tokio::time::timeout(KEEPALIVE_INTERVAL, latest.changed()).await;
     }
 }
--- a/crates/pipitcrank-testkit/src/fleet.rs
+++ b/crates/pipitcrank-testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of stand-in leaves with its discovery, the node configuration that a co-ordinator of it is told, and the load asked.
+//! A fleet of stand-in replicas with its discovery, the node configuration of its coordinator, and the load.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
@@ -19,20 +19,30 @@
 /// Cells, and replicas a cell; a shard is held by two cells.
 const CELLS: u32 = 6;
 const REPLICAS_A_CELL: u32 = 2;
+/// Shards of the fleet.
 pub const SHARDS: u32 = 12;
 
+/// Stand-in replicas and their discovery.
 pub struct Fleet {
+    /// The replicas, by cell in turn.
     pub replicas: Vec<StandInReplica>,
+    /// The discovery that lists them.
     pub discovery: Discovery,
+    /// Where the parts that they run are recorded.
     pub query_log: QueryLog,
 }
 
 impl Fleet {
+    /// Starts a fleet with a log of its own.
+    ///
+    /// # Errors
+    ///
+    /// That a stand-in can't listen.
     pub async fn start(seed: u64, work: Work) -> Result<Fleet> {
         Fleet::start_with(seed, work, QueryLog::default()).await
     }
 
-    /// With what its replicas run entered in a query log that others share.
+    /// The same with a query log that others share.
     pub async fn start_with(seed: u64, work: Work, query_log: QueryLog) -> Result<Fleet> {
         let (mut replicas, mut rows) = (Vec::new(), Vec::new());
         for n in 0..CELLS * REPLICAS_A_CELL {
@@ -43,20 +53,20 @@
         Ok(Fleet { replicas, discovery: Discovery::start(rows).await?, query_log })
     }
 
-    /// Tells that the replica drains, or is back.
+    /// Announces that the replica drains (`leaving`) or is back (`active`).
     pub fn set_replica_state(&self, replica: usize, state: &str) {
         let address = self.replicas[replica].address;
         self.discovery.update_row(row(&format!("leaf-{replica}"), address, replica as u32 % CELLS, state, 0));
     }
 
-    /// What a co-ordinator of this fleet is told; it listens on an address free a moment ago.
+    /// Node configuration of a coordinator of this fleet; it listens on an address that was free just before.
     pub fn node_config(&self, seed: u64, sockets: u32, max_open: u32) -> Result<Value> {
         let discovery = &self.discovery;
         node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, seed, sockets, max_open)
     }
 }
 
-/// What a co-ordinator is told that watches that discovery; it listens on an address free a moment ago.
+/// Node configuration of a coordinator that watches that discovery; it listens on an address that was free just before.
 pub fn node_config_of(
     discovery: SocketAddr,
     known: Value,
@@ -96,22 +106,22 @@
     Ok(TcpListener::bind(SocketAddr::from((ip, 0)))?.local_addr()?)
 }
 
-/// Asks on, as many a second as told, until stopped; arrivals by chance, not waiting for answers.
+/// Sends queries at a mean rate until stopped; they arrive at random, and do not wait for answers.
 pub struct Load {
-    going: Rc<Cell<bool>>,
+    running: Rc<Cell<bool>>,
     task: tokio::task::JoinHandle<u64>,
 }
 
 impl Load {
-    /// `slow_sales`: the share of sales whose part takes from one to two seconds.
+    /// Starts the load, at `rate` queries a second. `slow_sales`: the fraction of sales whose part takes one to two seconds.
     pub fn start(name: &str, seed: u64, rate: f64, slow_sales: f64, clients: Clients) -> Load {
-        let going = Rc::new(Cell::new(true));
-        let (name, on) = (name.to_string(), going.clone());
+        let running = Rc::new(Cell::new(true));
+        let (name, still_running) = (name.to_string(), running.clone());
         let task = tokio::task::spawn_local(async move {
             let mut rng = Pcg64::seed_from_u64(seed);
             let (start, mut due, mut n) = (Instant::now(), 0.0, 0);
             let mut tasks = tokio::task::JoinSet::new();
-            while on.get() {
+            while still_running.get() {
                 due += -(1.0 - rng.random::<f64>()).ln() / rate;
                 let query = random_query(&name, n, slow_sales, &mut rng);
                 n += 1;
@@ -125,16 +135,17 @@
             while tasks.join_next().await.is_some() {}
             n
         });
-        Load { going, task }
+        Load { running, task }
     }
 
-    /// Asks no more and waits for what is open; how many were asked.
+    /// Sends no more queries and waits for those that are open; how many were sent.
     pub async fn stop(self) -> Result<u64> {
-        self.going.set(false);
+        self.running.set(false);
         Ok(self.task.await?)
     }
 }
 
+/// A query of a random class and random shards; `slow_sales` is the fraction of sales whose part takes one to two seconds.
 pub fn random_query(name: &str, n: u64, slow_sales: f64, rng: &mut Pcg64) -> QueryRequest {
     let kind: f64 = rng.random();
     let some = |rng: &mut Pcg64, count: u32| {
--- a/crates/pipitcrank-testkit/src/lib.rs
+++ b/crates/pipitcrank-testkit/src/lib.rs
@@ -1,6 +1,8 @@
-//! Stand-ins written from the protocol, on loopback alone: replicas, discovery, clients; faults by script; a query log that
-//! knows how each query ended and how often each part ran; and the trials that are played on them. Never linked into
-//! what serves.
+//! Stand-ins written from the protocol, on loopback alone: replicas, discovery and clients; faults played by script; a
+//! query log that records how each query ended and how often each part ran; and the trials and the soak test that are
+//! played on them. Never linked into what serves.
+
+#![warn(missing_docs)]
 
 pub mod client;
 pub mod datagram_network;
--- a/crates/pipitcrank-testkit/src/link.rs
+++ b/crates/pipitcrank-testkit/src/link.rs
@@ -1,5 +1,5 @@
-//! A way between two places on loopback that can be slow, uneven, silent in one direction or both, cut, and healed, by
-//! command. Bytes keep their order, as on any connection.
+//! A link between two addresses on loopback that can be made slow, uneven, silent in one direction or both, or closed, and
+//! healed again. Bytes keep their order, as on any connection.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,53 +14,61 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc};
 
-/// Bytes on the way at most, in pieces: what a socket's buffer would hold.
+/// Bytes in transit at most, in pieces: what a socket's buffer would hold.
 const PIECE: usize = 16 * 1024;
 const PIECES: usize = 64;
 
-/// How the way is.
+/// Conditions of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
-    /// One way.
+    /// Delay in one direction.
     pub delay: Duration,
-    /// Up to so much more, by chance.
+    /// Up to that much more, at random.
     pub spread: Duration,
-    /// Nothing passes there, or back; what is on the way stays.
-    pub stalled_there: bool,
+    /// Nothing passes forward; what is in transit stays.
+    pub stalled_forward: bool,
+    /// Nothing passes back.
     pub stalled_back: bool,
 }
 
 impl LinkConditions {
+    /// Conditions of a healthy link of that round trip.
     pub fn of(round_trip: Duration) -> LinkConditions {
         let delay = round_trip / 2;
-        LinkConditions { delay, spread: delay / 10, stalled_there: false, stalled_back: false }
+        LinkConditions { delay, spread: delay / 10, stalled_forward: false, stalled_back: false }
     }
 }
 
 struct Shared {
-    way: Cell<LinkConditions>,
+    conditions: Cell<LinkConditions>,
     down: Cell<bool>,
     cut: Notify,
     changed: Notify,
     rng: RefCell<Pcg64>,
     bytes: Cell<u64>,
-    /// Of the next connection's bytes there so many pass, then it is cut.
+    /// Bytes that a new connection passes forward before it is closed.
     cut_after: Cell<Option<usize>>,
 }
 
+/// A relay of connections to one address; clones share it.
 #[derive(Clone)]
 pub struct Link {
+    /// Where it listens.
     pub address: SocketAddr,
     shared: Rc<Shared>,
 }
 
 impl Link {
-    /// From a new address to that one.
-    pub async fn start(seed: u64, to: SocketAddr, way: LinkConditions) -> Result<Link> {
+    /// Starts a link from a new address to that one.
+    ///
+    /// # Errors
+    ///
+    /// That it can't listen.
+    pub async fn start(seed: u64, to: SocketAddr, conditions: LinkConditions) -> Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let shared = Rc::new(Shared {
-            way: Cell::new(way),
+            conditions: Cell::new(conditions),
             down: Cell::new(false),
             cut: Notify::new(),
             changed: Notify::new(),
@@ -86,31 +94,34 @@
         Ok(Link { address, shared })
     }
 
-    pub fn set_conditions(&self, way: LinkConditions) {
-        self.shared.way.set(way);
+    /// Sets the conditions from now on, for open connections as well.
+    pub fn set_conditions(&self, conditions: LinkConditions) {
+        self.shared.conditions.set(conditions);
         self.shared.changed.notify_waiters();
     }
 
-    /// All connections end, and none comes up until it is healed.
+    /// Closes all connections and accepts none until it is healed.
     pub fn cut(&self) {
         self.shared.down.set(true);
         self.shared.cut.notify_waiters();
     }
 
+    /// Lets connections come up again after `cut`.
     pub fn heal(&self) {
         self.shared.down.set(false);
     }
 
-    /// All connections end; new ones come up.
+    /// Closes all connections; new ones are accepted.
     pub fn break_now(&self) {
         self.shared.cut.notify_waiters();
     }
 
-    /// Each connection from now on passes so many bytes there, then is cut; none passes all.
+    /// Each connection from now on passes that many bytes forward and is then closed; `None` sets no limit.
     pub fn cut_after(&self, bytes: Option<usize>) {
         self.shared.cut_after.set(bytes);
     }
 
+    /// Bytes passed in both directions.
     pub fn bytes(&self) -> u64 {
         self.shared.bytes.get()
     }
@@ -121,7 +132,7 @@
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((near_from, near_to), (far_from, far_to)) = (near.into_split(), far.into_split());
     tokio::select! {
-        () = direction(shared, near_from, far_to, |w| w.stalled_there, shared.cut_after.get()) => {}
+        () = direction(shared, near_from, far_to, |w| w.stalled_forward, shared.cut_after.get()) => {}
         () = direction(shared, far_from, near_to, |w| w.stalled_back, None) => {}
     }
 }
@@ -141,10 +152,10 @@
             let Ok(n @ 1..) = from.read(&mut piece).await else { return };
             piece.truncate(n);
             shared.bytes.set(shared.bytes.get() + n as u64);
-            let way = shared.way.get();
-            let more = way.spread.mul_f64(shared.rng.borrow_mut().random::<f64>());
+            let conditions = shared.conditions.get();
+            let more = conditions.spread.mul_f64(shared.rng.borrow_mut().random::<f64>());
             // Never before what went ahead of it.
-            latest = latest.max(Instant::now() + way.delay + more);
+            latest = latest.max(Instant::now() + conditions.delay + more);
             if way_in.send((latest, piece)).await.is_err() {
                 return;
             }
@@ -153,7 +164,7 @@
     let writing = async {
         while let Some((at, mut piece)) = way_out.recv().await {
             tokio::time::sleep_until(at.into()).await;
-            while stalled(&shared.way.get()) {
+            while stalled(&shared.conditions.get()) {
                 shared.changed.notified().await;
             }
             if let Some(left) = &mut passes {
@@ -166,7 +177,7 @@
         }
     };
     tokio::select! {
-        // What is on the way is through before the other side sees the end.
+        // What is in transit is passed on before the other side sees the end.
         () = async { reading.await; std::future::pending().await } => {}
         () = writing => {}
     }
--- a/crates/pipitcrank-testkit/src/outcome.rs
+++ b/crates/pipitcrank-testkit/src/outcome.rs
@@ -8,16 +8,19 @@
 /// Figures in their order, and promises that were not kept.
 #[derive(Default, Serialize)]
 pub struct Outcome {
+    /// Figures by name, in their order.
     pub figures: Vec<(String, f64)>,
+    /// Promises that were not kept.
     pub broken: Vec<String>,
 }
 
 impl Outcome {
+    /// Adds a figure.
     pub fn figure(&mut self, name: &str, value: impl Into<f64>) {
         self.figures.push((name.to_string(), value.into()));
     }
 
-    /// A figure that has to be nought.
+    /// Adds a figure that has to be zero.
     pub fn expect_zero(&mut self, name: &str, value: u64) {
         self.figure(name, value as f64);
         if value != 0 {
@@ -25,6 +28,7 @@
         }
     }
 
+    /// Notes the promise as broken unless it was kept.
     pub fn promise(&mut self, kept: bool, what: &str) {
         if !kept {
             self.broken.push(what.to_string());
--- a/crates/pipitcrank-testkit/src/process.rs
+++ b/crates/pipitcrank-testkit/src/process.rs
@@ -11,10 +11,15 @@
 
 use crate::client;
 
-/// A folder under the system's own for such, gone with this.
+/// A temporary folder, removed when dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
+    /// Creates the folder.
+    ///
+    /// # Errors
+    ///
+    /// That it can't be created.
     pub fn new(name: &str) -> Result<Folder> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -23,6 +28,7 @@
         Ok(Folder(path))
     }
 
+    /// Where it is.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -34,11 +40,16 @@
     }
 }
 
+/// One process of the program and its workers; killed when dropped.
 pub struct Process {
     child: Child,
+    /// Where it takes queries.
     pub address: SocketAddr,
+    /// The program's file.
     pub program: PathBuf,
+    /// File of its node configuration.
     pub node_config_path: PathBuf,
+    /// Its folder.
     pub folder: Folder,
     node_config: Value,
     /// Variables it is started with, beside its own.
@@ -57,9 +68,13 @@
 /// Times of an upgrade's steps, in seconds.
 #[derive(Clone, Copy)]
 pub struct UpgradeTimes {
+    /// Longest time for the new process to start, and again to take over, in seconds.
     pub start: f64,
+    /// Least trial of the new process, in seconds.
     pub settle: f64,
+    /// Longest silence of the new process in its trial, in seconds.
     pub silent: f64,
+    /// Longest time for the old process to finish its queries, in seconds.
     pub finish: f64,
 }
 
@@ -170,10 +185,16 @@
         bail!("it does not serve; its log: {}", self.log())
     }
 
+    /// Its process id.
     pub fn pid(&self) -> i32 {
         self.child.id() as i32
     }
 
+    /// Sends it a signal.
+    ///
+    /// # Errors
+    ///
+    /// That the process is gone.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         let pid = Pid::from_raw(self.pid()).context("a process has a number")?;
         kill_process(pid, signal).context("it can't be signalled")
@@ -205,6 +226,7 @@
         ticks as f64 / 100.0
     }
 
+    /// Waits for its exit; none where it did not end in time.
     pub async fn wait_for_exit(&mut self, within: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + within;
         while Instant::now() < until {
@@ -252,10 +274,16 @@
         Ok(std::fs::write(&self.node_config_path, node_config.to_string())?)
     }
 
+    /// Writes the node configuration as it was at the start.
+    ///
+    /// # Errors
+    ///
+    /// That the file can't be written.
     pub fn restore_node_config(&self) -> Result<()> {
         Ok(std::fs::write(&self.node_config_path, self.node_config.to_string())?)
     }
 
+    /// All that it has logged.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
--- a/crates/pipitcrank-testkit/src/replica.rs
+++ b/crates/pipitcrank-testkit/src/replica.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a replica: frames of four bytes of length, a letter and the rest. It works on so many parts at once,
-//! the others wait, and beyond its waiting room it is busy.
+//! A stand-in replica: frames of four bytes of length, a letter and the rest. It works on a number of parts at once, the
+//! others wait in a queue, and where the queue is full it is busy.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -23,18 +23,20 @@
 /// Longest frame taken from a co-ordinator.
 const LONGEST: usize = 1 << 20;
 
-/// What it does with a call.
+/// How a replica behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplicaBehavior {
+    /// Answers each part.
     Normal,
-    /// Takes so many times as long.
+    /// Takes that many times as long.
     Slow(f64),
-    /// Works, and says nothing.
+    /// Works, and does not answer.
     Silent,
-    /// Says that it has failed.
+    /// Answers that it has failed.
     Fails,
+    /// Rejects each part as busy.
     Busy,
-    /// Closes the connection when a call comes, without having run it.
+    /// Closes the connection when a call arrives, without having run it.
     Resets,
     /// Works, and answers with what is no frame.
     Malformed,
@@ -42,10 +44,12 @@
     Truncates,
 }
 
-/// How long a part takes: the most of a few parts by chance, and for some texts what they say.
+/// How long a part takes: half to one and a half times the usual time at random; a text can set the time itself.
 #[derive(Clone, Copy)]
 pub struct Work {
+    /// Work time of a part on average.
     pub usual: Duration,
+    /// Parts that it works on at once.
     pub at_once: usize,
 }
 
@@ -72,6 +76,7 @@
 
 /// A stand-in replica that listens on an address of its own.
 pub struct StandInReplica {
+    /// Where it listens.
     pub address: SocketAddr,
     shared: Rc<Shared>,
     accepting: tokio::task::JoinHandle<()>,
@@ -88,18 +93,23 @@
     killed: Notify,
     connections: Cell<usize>,
     most_connections: Cell<usize>,
-    /// Until when it is cold and since when, and when parts came meanwhile.
-    cold: RefCell<Option<(Instant, Duration)>>,
-    came_cold: RefCell<Vec<Duration>>,
-    /// The same of earlier starts.
-    before: RefCell<Vec<Vec<Duration>>>,
-    /// When parts and connections came, since its start.
+    /// Since when it is in slow start and for how long, and when parts arrived meanwhile.
+    slow_start: RefCell<Option<(Instant, Duration)>>,
+    slow_start_arrivals: RefCell<Vec<Duration>>,
+    /// The arrivals in earlier slow starts.
+    earlier_slow_starts: RefCell<Vec<Vec<Duration>>>,
+    /// When parts and connections arrived, since its start.
     start: Instant,
-    parts_came: RefCell<Vec<Duration>>,
-    connections_came: RefCell<Vec<Duration>>,
+    part_arrivals: RefCell<Vec<Duration>>,
+    connection_arrivals: RefCell<Vec<Duration>>,
 }
 
 impl StandInReplica {
+    /// Starts it; what it runs is recorded in the log.
+    ///
+    /// # Errors
+    ///
+    /// That it can't listen.
     pub async fn start(seed: u64, work: Work, query_log: QueryLog) -> Result<StandInReplica> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -114,19 +124,19 @@
             killed: Notify::new(),
             connections: Cell::new(0),
             most_connections: Cell::new(0),
-            cold: RefCell::new(None),
-            came_cold: RefCell::default(),
-            before: RefCell::default(),
+            slow_start: RefCell::new(None),
+            slow_start_arrivals: RefCell::default(),
+            earlier_slow_starts: RefCell::default(),
             start: Instant::now(),
-            parts_came: RefCell::default(),
-            connections_came: RefCell::default(),
+            part_arrivals: RefCell::default(),
+            connection_arrivals: RefCell::default(),
         });
         let ours = shared.clone();
         let accepting = tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let shared = ours.clone();
                 tokio::task::spawn_local(async move {
-                    shared.connections_came.borrow_mut().push(shared.start.elapsed());
+                    shared.connection_arrivals.borrow_mut().push(shared.start.elapsed());
                     shared.connections.set(shared.connections.get() + 1);
                     shared.most_connections.set(shared.most_connections.get().max(shared.connections.get()));
                     tokio::select! {
@@ -140,57 +150,59 @@
         Ok(StandInReplica { address, shared, accepting })
     }
 
+    /// Sets how it behaves from now on.
     pub fn set_behavior(&self, behavior: ReplicaBehavior) {
         self.shared.behavior.set(behavior);
     }
 
-    /// It is no more: the listener closes, and so do all connections.
+    /// Closes the listener and all connections for good.
     pub fn kill(&self) {
         self.accepting.abort();
         self.shared.killed.notify_waiters();
     }
 
-    /// It has just started and is cold for so long.
-    pub fn starts_cold(&self, cold: Duration) {
-        let came = std::mem::take(&mut *self.shared.came_cold.borrow_mut());
-        self.shared.before.borrow_mut().push(came);
-        *self.shared.cold.borrow_mut() = Some((Instant::now(), cold));
+    /// Begins a slow start of that length.
+    pub fn begin_slow_start(&self, slow_start: Duration) {
+        let arrivals = std::mem::take(&mut *self.shared.slow_start_arrivals.borrow_mut());
+        self.shared.earlier_slow_starts.borrow_mut().push(arrivals);
+        *self.shared.slow_start.borrow_mut() = Some((Instant::now(), slow_start));
     }
 
     /// Parts beyond what slow start allows in any window, over all its starts.
     pub fn parts_over_slow_start(&self, limit: SlowStartLimit) -> u64 {
         let SlowStartLimit { overload_factor, initial_fraction, window } = limit;
-        let Some((_, cold)) = *self.shared.cold.borrow() else { return 0 };
+        let Some((_, slow_start)) = *self.shared.slow_start.borrow() else { return 0 };
         let warm = self.shared.work.at_once as f64 / self.shared.work.usual.as_secs_f64();
-        let over = |came: &Vec<Duration>| {
-            let each = came.iter().enumerate().map(|(n, &at)| {
-                let first = came.partition_point(|t| *t + window < at);
+        let over = |arrivals: &Vec<Duration>| {
+            let each = arrivals.iter().enumerate().map(|(n, &at)| {
+                let first = arrivals.partition_point(|t| *t + window < at);
                 let warmth = initial_fraction
-                    + (1.0 - initial_fraction) * (at.as_secs_f64() / cold.as_secs_f64()).min(1.0);
+                    + (1.0 - initial_fraction) * (at.as_secs_f64() / slow_start.as_secs_f64()).min(1.0);
                 let may = overload_factor * warmth * warm * window.as_secs_f64();
                 ((n + 1 - first) as f64 - may).max(0.0) as u64
             });
             each.max().unwrap_or(0)
         };
-        let earlier: u64 = self.shared.before.borrow().iter().map(over).sum();
-        earlier + over(&self.shared.came_cold.borrow())
+        let earlier: u64 = self.shared.earlier_slow_starts.borrow().iter().map(over).sum();
+        earlier + over(&self.shared.slow_start_arrivals.borrow())
     }
 
     /// Most parts and new connections that arrived in any stretch of that length between two points in time.
     pub fn peak_arrivals(&self, stretch: Duration, from: Instant, to: Instant) -> PeakArrivals {
         let shared = &self.shared;
         let (from, to) = (from - shared.start, to - shared.start);
-        let most = |came: &[Duration]| {
-            let ends = came.iter().enumerate().filter(|(_, at)| (from..to).contains(*at));
-            let first = |at: Duration| came.partition_point(|t| *t + stretch <= at);
+        let most = |arrivals: &[Duration]| {
+            let ends = arrivals.iter().enumerate().filter(|(_, at)| (from..to).contains(*at));
+            let first = |at: Duration| arrivals.partition_point(|t| *t + stretch <= at);
             ends.map(|(n, &at)| n + 1 - first(at)).max().unwrap_or(0)
         };
         PeakArrivals {
-            parts: most(&shared.parts_came.borrow()),
-            connections: most(&shared.connections_came.borrow()),
+            parts: most(&shared.part_arrivals.borrow()),
+            connections: most(&shared.connection_arrivals.borrow()),
         }
     }
 
+    /// Most connections open at once so far.
     pub fn most_connections(&self) -> usize {
         self.shared.most_connections.get()
     }
@@ -221,7 +233,7 @@
             }
         }
     });
-    let given_up: Rc<RefCell<BTreeSet<String>>> = Rc::default();
+    let cancelled: Rc<RefCell<BTreeSet<String>>> = Rc::default();
     loop {
         let rest = read_frame(&mut from).await?;
         let words = String::from_utf8_lossy(&rest[1..]).into_owned();
@@ -233,19 +245,19 @@
                 let _ = out.send(frame(b"Pok"));
             }
             b'X' => {
-                given_up.borrow_mut().insert(words);
+                cancelled.borrow_mut().insert(words);
             }
             b'Q' if shared.behavior.get() == ReplicaBehavior::Resets => return Ok(()),
             b'Q' => {
                 for part in parts(&words) {
-                    shared.came();
+                    shared.arrivals();
                     shared.query_log.part_arrived(|| Arrival {
                         part: part.id.clone(),
                         at: Instant::now(),
                         replica: shared.address,
                         stated_deadline: part.stated_deadline,
                     });
-                    take(shared, part, out.clone(), given_up.clone());
+                    accept_part(shared, part, out.clone(), cancelled.clone());
                 }
             }
             _ => {
@@ -280,11 +292,11 @@
     found
 }
 
-fn take(
+fn accept_part(
     shared: &Rc<Shared>,
     part: Part,
     out: UnboundedSender<Vec<u8>>,
-    given_up: Rc<RefCell<BTreeSet<String>>>,
+    cancelled: Rc<RefCell<BTreeSet<String>>>,
 ) {
     let behavior = shared.behavior.get();
     if behavior == ReplicaBehavior::Busy || shared.waiting.get() >= WAITING {
@@ -296,11 +308,11 @@
         shared.waiting.set(shared.waiting.get() + 1);
         let slot = shared.slots.acquire().await;
         shared.waiting.set(shared.waiting.get() - 1);
-        if given_up.borrow_mut().remove(&part.id) {
+        if cancelled.borrow_mut().remove(&part.id) {
             return;
         }
         shared.query_log.part_started(&part.id);
-        tokio::time::sleep(shared.lasts(&part.text)).await;
+        tokio::time::sleep(shared.work_time(&part.text)).await;
         drop(slot);
         let answer = match behavior {
             ReplicaBehavior::Silent => return,
@@ -315,17 +327,17 @@
 }
 
 impl Shared {
-    fn came(&self) {
-        self.parts_came.borrow_mut().push(self.start.elapsed());
-        if let Some((since, cold)) = *self.cold.borrow()
-            && since.elapsed() < cold
+    fn arrivals(&self) {
+        self.part_arrivals.borrow_mut().push(self.start.elapsed());
+        if let Some((since, slow_start)) = *self.slow_start.borrow()
+            && since.elapsed() < slow_start
         {
-            self.came_cold.borrow_mut().push(since.elapsed());
+            self.slow_start_arrivals.borrow_mut().push(since.elapsed());
         }
     }
 
-    /// A text of `lasts=MS` says how long it takes.
-    fn lasts(&self, text: &str) -> Duration {
+    /// The work time of a part; a text of `lasts=MS` sets it.
+    fn work_time(&self, text: &str) -> Duration {
         if let Some(ms) = text.split(' ').find_map(|w| w.strip_prefix("lasts=")?.parse().ok()) {
             return Duration::from_millis(ms);
         }
--- a/crates/pipitcrank-testkit/src/soak/clients.rs
+++ b/crates/pipitcrank-testkit/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak test: most are plain, some leave early, stop half way, write slowly, send more than they should. Each
-//! request and its end are noted as its client saw them.
+//! Clients of a soak test: most are plain, some disconnect early, stop half way, write slowly, or send several requests at
+//! once. Each request and its end are recorded as its client saw them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 use super::requests::{ClientBehavior, Request, RequestEnd};
 use crate::client::{HttpResponse, connect, read_response};
 
-/// A client waits so long beyond its time for an answer that came late.
+/// How long a client waits beyond its deadline for a late answer.
 const PATIENCE: Duration = Duration::from_millis(1500);
 
 pub struct Load {
-    going: Rc<Cell<bool>>,
+    running: Rc<Cell<bool>>,
     task: tokio::task::JoinHandle<()>,
 }
 
@@ -34,8 +34,8 @@
 
 impl Load {
     pub fn start(cluster: Rc<SoakCluster>, node: usize, seed: u64, rate: f64) -> Load {
-        let going = Rc::new(Cell::new(true));
-        let on = going.clone();
+        let running = Rc::new(Cell::new(true));
+        let on = running.clone();
         let task = tokio::task::spawn_local(async move {
             let mut rng = Pcg64::seed_from_u64(seed ^ (node as u64 + 1) << 40);
             let address = cluster.nodes[node].address;
@@ -52,12 +52,12 @@
             }
             while tasks.join_next().await.is_some() {}
         });
-        Load { going, task }
+        Load { running, task }
     }
 
-    /// Asks no more and waits for what is open.
+    /// Sends no more requests and waits for those that are open.
     pub async fn stop(self) -> Result<()> {
-        self.going.set(false);
+        self.running.set(false);
         Ok(self.task.await?)
     }
 }
@@ -145,7 +145,7 @@
     let mut rng = Pcg64::seed_from_u64(seed);
     let query = query(clients.node, n, &mut rng);
     let place = clients.note(&query, Instant::now());
-    let (end, spoilt) = match query.behavior {
+    let (end, corrupted) = match query.behavior {
         ClientBehavior::Plain | ClientBehavior::ShortDeadline => clients.ask(&query, place).await,
         ClientBehavior::PartialRequest => {
             (clients.send_partial_request(&query, place, &mut rng).await, false)
@@ -156,27 +156,27 @@
         _ => (clients.ask_and_disconnect(&query, place, &mut rng).await, false),
     };
     let mut requests = clients.cluster.requests.borrow_mut();
-    (requests[place].end, requests[place].spoilt) = (end, spoilt);
+    (requests[place].end, requests[place].corrupted) = (end, corrupted);
 }
 
 impl Clients {
-    fn note(&self, query: &QueryRequest, asked: Instant) -> usize {
+    fn note(&self, query: &QueryRequest, sent_at: Instant) -> usize {
         let mut requests = self.cluster.requests.borrow_mut();
         requests.push(Request {
             id: query.id.clone(),
             node: self.node,
             behavior: query.behavior,
-            asked,
+            sent_at,
             wait: query.wait,
             end: RequestEnd::Open,
-            spoilt: false,
+            corrupted: false,
         });
         requests.len() - 1
     }
 
     /// Its last byte was written now.
-    fn asked_now(&self, place: usize) {
-        self.cluster.requests.borrow_mut()[place].asked = Instant::now();
+    fn sent_now(&self, place: usize) {
+        self.cluster.requests.borrow_mut()[place].sent_at = Instant::now();
     }
 
     /// A kept connection that was not closed meanwhile.
@@ -192,10 +192,10 @@
 
     async fn ask(&self, query: &QueryRequest, place: usize) -> (RequestEnd, bool) {
         if let Some(stream) = self.kept() {
-            let (end, spoilt) = self.ask_on(stream, query, place, true).await;
+            let (end, corrupted) = self.ask_on(stream, query, place, true).await;
             // Once more, on a new connection.
             if !matches!(end, RequestEnd::Interrupted { .. }) {
-                return (end, spoilt);
+                return (end, corrupted);
             }
         }
         self.ask_on_new_connection(query, place).await
@@ -219,18 +219,18 @@
         if self.write_request(&mut stream, query).await.is_err() {
             return cut(kept);
         }
-        self.asked_now(place);
+        self.sent_now(place);
         let answered = tokio::time::timeout(query.wait + PATIENCE, read_response(&mut stream)).await;
         match answered {
             Err(_) => (RequestEnd::NoResponse, false),
             Ok(None) => cut(kept),
             Ok(Some(answer)) => {
                 let at = Instant::now();
-                let spoilt = !query.is_answered_by(&answer);
+                let corrupted = !query.is_answered_by(&answer);
                 if answer.keep_alive && query.behavior == ClientBehavior::Plain {
                     self.kept.borrow_mut().push(stream);
                 }
-                (RequestEnd::Answered { status: answer.status, at }, spoilt)
+                (RequestEnd::Answered { status: answer.status, at }, corrupted)
             }
         }
     }
@@ -272,7 +272,7 @@
         if stream.write_all(bytes.as_bytes()).await.is_err() {
             return RequestEnd::Interrupted { at: Instant::now(), kept: false };
         }
-        self.asked_now(place);
+        self.sent_now(place);
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..400))).await;
         if rng.random_bool(0.4) {
             let _ = stream.set_zero_linger();
@@ -288,7 +288,7 @@
         if stream.write_all(&request.as_bytes()[..cut]).await.is_err() {
             return RequestEnd::Interrupted { at: Instant::now(), kept: false };
         }
-        self.asked_now(place);
+        self.sent_now(place);
         match tokio::time::timeout(Duration::from_secs(5), stream.read(&mut [0; 512])).await {
             Ok(_) => RequestEnd::Refused { at: Instant::now() },
             Err(_) => RequestEnd::NoResponse,
--- a/crates/pipitcrank-testkit/src/soak/cluster.rs
+++ b/crates/pipitcrank-testkit/src/soak/cluster.rs
@@ -1,5 +1,5 @@
-//! What a soak test is played on: processes, replicas behind ways that can be troubled, discovery behind two of them, and
-//! the record of all that happened.
+//! What a soak test is played on: processes, replicas behind links that can fail, discovery behind two of them, and the
+//! record of all that happened.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -31,35 +31,35 @@
 /// Part of a second's work that a replica does at once, and how long a part takes.
 pub const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
 
-/// Figures of rules that processes are told, as the judge needs them.
+/// Rules in the node configuration, as the verifier needs them.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 pub const DEDUP_WINDOW: Duration = Duration::from_millis(1200);
-pub const COLD: Duration = Duration::from_secs(8);
-pub const COLD_FROM: f64 = 0.05;
+pub const WARM_UP: Duration = Duration::from_secs(8);
+pub const INITIAL_FRACTION: f64 = 0.05;
 pub const OVERLOAD_FACTOR: f64 = 1.0;
-pub const FALL: Duration = Duration::from_millis(1000);
-/// SIGKILL comes so long after SIGTERM: the longest deadline told and 0.7 s more.
+pub const LOAD_WINDOW: Duration = Duration::from_millis(1000);
+/// Time from SIGTERM to SIGKILL: the longest deadline in the node configuration and 0.7 s more.
 pub const GRACE: Duration = Duration::from_millis(2700);
 pub const LONGEST_DEADLINE_S: f64 = 2.0;
-/// What this program did late shows for so long.
+/// How long this program's own lateness shows.
 const LAG_LASTS: Duration = Duration::from_millis(600);
 
-/// One replica: at work, or gone.
+/// One replica, alive or dead.
 pub struct Replica {
     pub name: String,
     pub cell: u32,
     pub replica: StandInReplica,
-    pub way: Link,
+    pub link: Link,
     /// Unix time of its start in milliseconds, 0 if long ago; and when that was.
     pub boot_ms: i64,
     pub started: Option<Instant>,
-    /// When it was gone.
-    pub gone: Option<Instant>,
+    /// When it died.
+    pub died: Option<Instant>,
 }
 
 impl Replica {
     fn row(&self, state: &str) -> Value {
-        row(&self.name, self.way.address, self.cell, state, self.boot_ms)
+        row(&self.name, self.link.address, self.cell, state, self.boot_ms)
     }
 }
 
@@ -70,9 +70,9 @@
     pub faults: ProcessFaults,
     /// When it was killed outright.
     pub kills: RefCell<Vec<Instant>>,
-    /// From when to when it was ending, down or starting.
-    pub away: Periods,
-    /// From when to when it was held up or its calls failed.
+    /// When it was shutting down, down or starting.
+    pub downtime: Periods,
+    /// When it was stopped or held up.
     pub held_up: Periods,
     /// Times from a start until it served.
     pub ready: RefCell<Vec<Duration>>,
@@ -82,22 +82,22 @@
     pub begun: Instant,
     pub nodes: Vec<Node>,
     pub replicas: RefCell<Vec<Replica>>,
-    /// Gone for good, as they were.
+    /// Replicas that died and were replaced.
     pub retired: RefCell<Vec<Replica>>,
     pub discovery: Discovery,
-    /// The ways to discovery that processes are told.
-    pub ways_to_discovery: [Link; 2],
+    /// The links to discovery that node configurations name.
+    pub discovery_links: [Link; 2],
     pub query_log: QueryLog,
     pub requests: RefCell<Vec<Request>>,
-    /// When each replica address was told draining or gone, and until when.
+    /// When each replica address was announced as draining or dead.
     pub drains: ReplicaPeriods,
-    /// When lists could not be had: from, to.
-    pub lists_out: Periods,
-    /// When what was sent to a replica was kept on its way: from, to.
+    /// When discovery could not be reached.
+    pub discovery_outages: Periods,
+    /// When the link to a replica was stalled.
     pub stalls: ReplicaPeriods,
     /// How late this program itself was, and when.
     pub lags: RefCell<Vec<(Instant, Duration)>>,
-    /// Replicas that some trouble drains or replaces.
+    /// Replicas that some fault drains or replaces.
     taken: RefCell<BTreeSet<usize>>,
     /// Seconds by which all wall clocks are off.
     wall_step: Cell<f64>,
@@ -119,11 +119,11 @@
         }
         let discovery = Discovery::start(replicas.iter().map(|r| r.row("active")).collect()).await?;
         let to_discovery = |n: u64| Link::start(seed ^ n, discovery.address, loopback());
-        let ways_to_discovery = [to_discovery(11).await?, to_discovery(12).await?];
+        let discovery_links = [to_discovery(11).await?, to_discovery(12).await?];
         let shim = FaultLibrary::build()?;
         let mut nodes = Vec::new();
         for n in 0..size.processes {
-            let node_config = node_config(&discovery, ways_to_discovery[0].address, seed, n, size.processes)?;
+            let node_config = node_config(&discovery, discovery_links[0].address, seed, n, size.processes)?;
             let faults = shim.for_process(&n.to_string(), seed ^ (n as u64) << 8)?;
             let process = Process::start_with(program, node_config, faults.variables())?;
             nodes.push(Node {
@@ -131,7 +131,7 @@
                 process: Mutex::new(process),
                 faults,
                 kills: RefCell::default(),
-                away: Periods::default(),
+                downtime: Periods::default(),
                 held_up: Periods::default(),
                 ready: RefCell::default(),
             });
@@ -145,11 +145,11 @@
             replicas: RefCell::new(replicas),
             retired: RefCell::default(),
             discovery,
-            ways_to_discovery,
+            discovery_links,
             query_log,
             requests: RefCell::default(),
             drains: ReplicaPeriods::default(),
-            lists_out: Periods::default(),
+            discovery_outages: Periods::default(),
             stalls: ReplicaPeriods::default(),
             lags: RefCell::default(),
             taken: RefCell::default(),
@@ -162,7 +162,7 @@
         Ok(cluster)
     }
 
-    /// One clock for all machines: processes read it, and replicas' starts are told by it.
+    /// One clock for all machines: processes read it, and replicas' starts are announced by it.
     pub fn step_all_wall_clocks(&self, seconds: f64) -> Result<()> {
         self.wall_step.set(seconds);
         self.nodes.iter().try_for_each(|node| node.faults.step_wall_clock(seconds))
@@ -182,13 +182,13 @@
         self.discovery.update_row(replica.row("active"));
     }
 
-    /// The replica is gone without a word, and a cold one comes in its place some time later.
+    /// The replica dies without notice, and one in slow start takes its place some time later.
     pub async fn replace(&self, n: usize, after: Duration) -> Result<()> {
         let (cell, old_row) = {
             let mut replicas = self.replicas.borrow_mut();
-            replicas[n].gone = Some(Instant::now());
+            replicas[n].died = Some(Instant::now());
             replicas[n].replica.kill();
-            replicas[n].way.cut();
+            replicas[n].link.cut();
             (replicas[n].cell, replicas[n].row("left"))
         };
         tokio::time::sleep(after).await;
@@ -196,12 +196,12 @@
         let started = Instant::now();
         let mut new = replica(number, cell, self.seed, &self.query_log, Some(started)).await?;
         new.boot_ms += (self.wall_step.get() * 1000.0) as i64;
-        new.replica.starts_cold(COLD);
-        // It may have got the address of one that is gone.
+        new.replica.begin_slow_start(WARM_UP);
+        // It may have got the address of one that died.
         self.drains.end_all(new.replica.address, started);
         let new_row = new.row("active");
-        let gone = self.replicas.borrow()[n].replica.address;
-        self.drains.begin(gone);
+        let died = self.replicas.borrow()[n].replica.address;
+        self.drains.begin(died);
         self.discovery.update_row(old_row);
         self.discovery.update_row(new_row);
         let old = std::mem::replace(&mut self.replicas.borrow_mut()[n], new);
@@ -209,13 +209,13 @@
         Ok(())
     }
 
-    /// How late this program was around that moment, all together.
+    /// How late this program was around that time, all together.
     pub fn lag_at(&self, at: Instant) -> Duration {
         let near = |t: Instant| t + LAG_LASTS >= at && t <= at + LAG_LASTS;
         self.lags.borrow().iter().filter(|(t, _)| near(*t)).map(|l| l.1).sum()
     }
 
-    /// The replica of that number, or the next that no other trouble drains or replaces; free again when dropped.
+    /// Reserves the replica of that number, or the next that no other fault drains or replaces; released when dropped.
     pub fn reserve_replica(&self, replica: usize) -> Option<ExclusiveReplica<'_>> {
         let count = self.replicas.borrow().len();
         let mut taken = self.taken.borrow_mut();
@@ -225,7 +225,7 @@
     }
 }
 
-/// A replica whose place in the list one trouble alone changes.
+/// A replica that one fault alone drains or replaces.
 pub struct ExclusiveReplica<'a> {
     cluster: &'a SoakCluster,
     pub replica: usize,
@@ -251,10 +251,10 @@
     started: Option<Instant>,
 ) -> Result<Replica> {
     let replica = StandInReplica::start(seed ^ (number as u64) << 32, WORK, query_log.clone()).await?;
-    let way = Link::start(seed ^ (number as u64) << 16, replica.address, loopback()).await?;
+    let link = Link::start(seed ^ (number as u64) << 16, replica.address, loopback()).await?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).context("the clock stands before 1970")?;
     let boot_ms = if started.is_some() { now.as_millis() as i64 } else { 0 };
-    Ok(Replica { name: format!("replica-{number}"), cell, replica, way, boot_ms, started, gone: None })
+    Ok(Replica { name: format!("replica-{number}"), cell, replica, link, boot_ms, started, died: None })
 }
 
 fn node_config(
@@ -279,8 +279,8 @@
     settings["domain"]["complete_from"] = json!([1.0, 1.0, 1.0, 1.0]);
     settings["domain"]["floor_by_class"] = json!([1.0, 0.5, 1.0, 1.0]);
     settings["domain"]["follow_up"] = json!([0, 0, 0, 0]);
-    settings["rules"] = json!({"cold_from": COLD_FROM, "cold_s": COLD.as_secs_f64(),
-        "drain_grace_s": DRAIN_GRACE.as_secs_f64(), "fall_s": FALL.as_secs_f64(),
+    settings["rules"] = json!({"cold_from": INITIAL_FRACTION, "cold_s": WARM_UP.as_secs_f64(),
+        "drain_grace_s": DRAIN_GRACE.as_secs_f64(), "fall_s": LOAD_WINDOW.as_secs_f64(),
         "overload_factor": OVERLOAD_FACTOR, "repeat_ratio": 0.2, "extra_free": 5, "budget_span_s": 2.0});
     Ok(node_config)
 }
--- a/crates/pipitcrank-testkit/src/soak/fault_kind.rs
+++ b/crates/pipitcrank-testkit/src/soak/fault_kind.rs
@@ -28,8 +28,8 @@
     ReplicaSlow,
     ReplicaReplaced,
     Drain,
-    WayStalls,
-    WayBreaks,
+    LinkStalls,
+    LinkBreaks,
     DiscoveryStalls,
     DiscoveryBreaks,
     DiscoveryDown,
@@ -64,8 +64,8 @@
     (FaultKind::ReplicaSlow, "replica-slow"),
     (FaultKind::ReplicaReplaced, "replica-replaced"),
     (FaultKind::Drain, "drain"),
-    (FaultKind::WayStalls, "way-stalls"),
-    (FaultKind::WayBreaks, "way-breaks"),
+    (FaultKind::LinkStalls, "way-stalls"),
+    (FaultKind::LinkBreaks, "way-breaks"),
     (FaultKind::DiscoveryStalls, "discovery-stalls"),
     (FaultKind::DiscoveryBreaks, "discovery-breaks"),
     (FaultKind::DiscoveryDown, "discovery-down"),
@@ -119,8 +119,8 @@
                 | ReplicaSlow
                 | ReplicaReplaced
                 | Drain
-                | WayStalls
-                | WayBreaks
+                | LinkStalls
+                | LinkBreaks
         )
     }
 }
--- a/crates/pipitcrank-testkit/src/soak/inject.rs
+++ b/crates/pipitcrank-testkit/src/soak/inject.rs
@@ -46,11 +46,11 @@
         FaultKind::ReplicaSlow => set_behavior(cluster, planned, ReplicaBehavior::Slow(15.0)).await,
         FaultKind::ReplicaReplaced => replace_replica(cluster, planned).await?,
         FaultKind::Drain => drain(cluster, planned).await,
-        FaultKind::WayStalls => stall_link(cluster, planned).await,
-        FaultKind::WayBreaks => break_link(cluster, planned).await,
+        FaultKind::LinkStalls => stall_link(cluster, planned).await,
+        FaultKind::LinkBreaks => break_link(cluster, planned).await,
         FaultKind::DiscoveryStalls => stall_discovery(cluster, planned).await,
-        FaultKind::DiscoveryBreaks => cluster.ways_to_discovery.iter().for_each(|way| way.break_now()),
-        FaultKind::DiscoveryDown => interrupt_discovery(cluster, planned, |way| way.cut()).await,
+        FaultKind::DiscoveryBreaks => cluster.discovery_links.iter().for_each(|link| link.break_now()),
+        FaultKind::DiscoveryDown => interrupt_discovery(cluster, planned, |link| link.cut()).await,
         FaultKind::ShortReads => fail_syscalls(node, planned, SyscallFault::ShortRead, 0.05).await?,
         FaultKind::ShortWrites => fail_syscalls(node, planned, SyscallFault::ShortWrite, 0.05).await?,
         FaultKind::Accepts => fail_syscalls(node, planned, SyscallFault::Accept, 0.6).await?,
@@ -89,14 +89,14 @@
 /// Breaks the connections to the replica three times.
 async fn break_link(cluster: &SoakCluster, planned: &PlannedFault) {
     for _ in 0..3 {
-        cluster.replicas.borrow()[planned.replica].way.break_now();
+        cluster.replicas.borrow()[planned.replica].link.break_now();
         tokio::time::sleep(planned.lasts / 3).await;
     }
 }
 
 /// Nothing passes to or from discovery.
 async fn stall_discovery(cluster: &SoakCluster, planned: &PlannedFault) {
-    interrupt_discovery(cluster, planned, |way| way.set_conditions(stalled(true, true))).await;
+    interrupt_discovery(cluster, planned, |link| link.set_conditions(stalled(true, true))).await;
 }
 
 /// Holds the process up before some of its writes.
@@ -148,7 +148,7 @@
 
 /// Steps all wall clocks, and replaces a replica meanwhile.
 async fn step_then_replace(cluster: &SoakCluster, planned: &PlannedFault) -> Result<()> {
-    // All machines read one clock: the replica's start is told by the stepped one.
+    // All machines read one clock: the replica's start is announced by the stepped one.
     let step = if planned.fraction < 0.5 { -3600.0 } else { 3600.0 };
     cluster.step_all_wall_clocks(step)?;
     if let Some(reserved) = cluster.reserve_replica(planned.replica) {
@@ -159,10 +159,10 @@
     Ok(())
 }
 
-/// SIGTERM, SIGKILL at the first moment allowed, and a new start.
+/// SIGTERM, SIGKILL at the earliest time allowed, and a new start.
 async fn restart(node: &Node) -> Result<()> {
     let mut process = node.process.lock().await;
-    node.away.begin();
+    node.downtime.begin();
     process.signal(Signal::TERM)?;
     if process.wait_for_exit(GRACE).await.is_none() {
         process.kill();
@@ -172,7 +172,7 @@
 
 async fn kill(node: &Node) -> Result<()> {
     let mut process = node.process.lock().await;
-    node.away.begin();
+    node.downtime.begin();
     node.kills.borrow_mut().push(Instant::now());
     process.kill();
     tokio::time::sleep(Duration::from_millis(200)).await;
@@ -186,14 +186,14 @@
     // What never serves is judged by that time.
     let took = if matches!(up, Ok(Ok(()))) { begun.elapsed() } else { START_LIMIT };
     node.ready.borrow_mut().push(took);
-    node.away.end();
+    node.downtime.end();
     Ok(())
 }
 
 /// A new configuration: discovery at one of its two addresses.
 async fn reload(cluster: &SoakCluster, node: &Node, second: bool) -> Result<()> {
     let process = node.process.lock().await;
-    let address = cluster.ways_to_discovery[usize::from(second)].address.to_string();
+    let address = cluster.discovery_links[usize::from(second)].address.to_string();
     process.override_node_config("/discovery", address.into())?;
     process.signal(Signal::HUP)?;
     Ok(())
@@ -231,33 +231,33 @@
 
 fn stalled(there: bool, back: bool) -> LinkConditions {
     LinkConditions {
-        stalled_there: there,
+        stalled_forward: there,
         stalled_back: back,
         ..LinkConditions::of(Duration::from_micros(400))
     }
 }
 
 async fn stall_link(cluster: &SoakCluster, planned: &PlannedFault) {
-    let (way, replica) = {
+    let (link, replica) = {
         let replicas = cluster.replicas.borrow();
-        (replicas[planned.replica].way.clone(), replicas[planned.replica].replica.address)
+        (replicas[planned.replica].link.clone(), replicas[planned.replica].replica.address)
     };
     cluster.stalls.begin(replica);
-    way.set_conditions(stalled(planned.fraction < 0.6, planned.fraction > 0.3));
+    link.set_conditions(stalled(planned.fraction < 0.6, planned.fraction > 0.3));
     tokio::time::sleep(planned.lasts).await;
-    way.set_conditions(stalled(false, false));
+    link.set_conditions(stalled(false, false));
     cluster.stalls.end_first(replica);
 }
 
 async fn interrupt_discovery(cluster: &SoakCluster, planned: &PlannedFault, fault: impl Fn(&Link)) {
-    cluster.lists_out.begin();
-    cluster.ways_to_discovery.iter().for_each(fault);
+    cluster.discovery_outages.begin();
+    cluster.discovery_links.iter().for_each(fault);
     tokio::time::sleep(planned.lasts).await;
-    for way in &cluster.ways_to_discovery {
-        way.set_conditions(stalled(false, false));
-        way.heal();
+    for link in &cluster.discovery_links {
+        link.set_conditions(stalled(false, false));
+        link.heal();
     }
-    cluster.lists_out.end();
+    cluster.discovery_outages.end();
 }
 
 async fn fail_syscalls(
--- a/crates/pipitcrank-testkit/src/soak/mod.rs
+++ b/crates/pipitcrank-testkit/src/soak/mod.rs
@@ -1,6 +1,6 @@
-//! The soak test: a few dozen processes of the program on loopback, with clients, replicas, discovery and ways between
-//! them of our own, under troubles that overlap. What happens is scripted from a seed; what came of it is judged by the
-//! rules (`docs/rules.md`) from outside, and by each process's own run-time check.
+//! The soak test: a few dozen processes of the program on loopback, with stand-in clients, replicas, discovery and links,
+//! under faults that overlap. What happens is scripted from a seed; the result is verified against the rules
+//! (`docs/rules.md`) from outside, and by each process's own run-time check.
 
 mod clients;
 mod cluster;
@@ -21,7 +21,11 @@
 
 use crate::outcome::Outcome;
 
-/// Plays one seed. `only`: troubles of that kind alone.
+/// Plays one seed. `only`: faults of that kind alone.
+///
+/// # Errors
+///
+/// A name in `only` that no kind has, or a stand-in or process that can't be started.
 pub async fn play(
     program: &Path,
     seed: u64,
--- a/crates/pipitcrank-testkit/src/soak/requests.rs
+++ b/crates/pipitcrank-testkit/src/soak/requests.rs
@@ -12,7 +12,7 @@
     DisconnectsAfterExtraBytes,
     /// The same behind a chunked body.
     DisconnectsAfterExtraChunks,
-    /// Stops half way and stays.
+    /// Sends half a request and keeps the connection open.
     PartialRequest,
     /// Writes in pieces.
     SlowWriter,
@@ -41,7 +41,7 @@
         at: Instant,
         kept: bool,
     },
-    /// Nothing came.
+    /// Nothing arrived.
     NoResponse,
     /// Half a request: answered or closed.
     Refused {
@@ -55,9 +55,9 @@
     pub node: usize,
     pub behavior: ClientBehavior,
     /// When its last byte was written.
-    pub asked: Instant,
+    pub sent_at: Instant,
     pub wait: Duration,
     pub end: RequestEnd,
     /// The answer is not what the replicas gave.
-    pub spoilt: bool,
+    pub corrupted: bool,
 }
--- a/crates/pipitcrank-testkit/src/soak/verifier.rs
+++ b/crates/pipitcrank-testkit/src/soak/verifier.rs
@@ -1,5 +1,5 @@
-//! What came of a soak test, judged by the rules: from outside, by what clients and replicas saw, and by each process's
-//! own run-time check. What this program saw late is not held against a process.
+//! Verifies a soak test against the rules: from outside, by what clients and replicas saw, and by each process's own
+//! run-time check. What this program saw late is not held against a process.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,7 +7,8 @@
 use anyhow::Result;
 
 use super::cluster::{
-    COLD, COLD_FROM, DEDUP_WINDOW, DRAIN_GRACE, FALL, Node, OVERLOAD_FACTOR, Replica, SoakCluster, WORK,
+    DEDUP_WINDOW, DRAIN_GRACE, INITIAL_FRACTION, LOAD_WINDOW, Node, OVERLOAD_FACTOR, Replica, SoakCluster,
+    WARM_UP, WORK,
 };
 use super::requests::{ClientBehavior, Request, RequestEnd};
 use super::script::PlayedFault;
@@ -16,16 +17,16 @@
 
 /// A final answer counts for so long after the client's time.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// What the way and this program's own timers may take.
+/// What the link and this program's own timers may take.
 const SEEN_LATE: Duration = Duration::from_millis(60);
 /// An attempt may begin so long after its client closed.
 const CLOSE_SLACK: Duration = Duration::from_millis(100);
 /// A process may be held up for so long between reading its clock and writing.
 const HELD_UP: Duration = Duration::from_millis(150);
-/// The time told may be so much more than the client has.
+/// The stated deadline may be that much more than the client has.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// What discovery has counts as told so long after.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// What discovery has counts as announced that long after.
+const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
 /// Half a request gets an error or a close within that.
 const HALF_LIMIT: Duration = Duration::from_secs(3);
 /// From a start until it serves.
@@ -68,14 +69,15 @@
 
     fn request(&mut self, request: &Request) {
         let node = &self.cluster.nodes[request.node];
-        let over = request.asked + request.wait + ANSWER_SLACK;
+        let over = request.sent_at + request.wait + ANSWER_SLACK;
         let killed = |until: Instant| {
             let kills = node.kills.borrow();
-            kills.iter().any(|k| *k + SEEN_LATE >= request.asked && *k <= until)
+            kills.iter().any(|k| *k + SEEN_LATE >= request.sent_at && *k <= until)
         };
-        let asked = format!("{} {:?} asked at {:.3}", request.id, request.behavior, self.at(request.asked));
-        let named = |how: &str| format!("{asked} {how}");
-        if request.spoilt {
+        let sent_at =
+            format!("{} {:?} asked at {:.3}", request.id, request.behavior, self.at(request.sent_at));
+        let named = |how: &str| format!("{sent_at} {how}");
+        if request.corrupted {
             self.breaks("answers not as replicas gave them", named(""));
         }
         match &request.end {
@@ -97,7 +99,7 @@
             }
             RequestEnd::NoResponse if !killed(over) => self.breaks("requests without an answer", named("")),
             RequestEnd::Refused { at } => {
-                let took = at.saturating_duration_since(request.asked);
+                let took = at.saturating_duration_since(request.sent_at);
                 if took > HALF_LIMIT + SEEN_LATE + self.cluster.lag_at(*at) {
                     self.breaks("halves left without a word", named(&format!("{took:?}")));
                 }
@@ -135,7 +137,7 @@
         SEEN_LATE + self.cluster.lag_at(at) + if held { HELD_UP } else { Duration::ZERO }
     }
 
-    /// What was on its way while that way was stalled came later than it was sent.
+    /// Whether the part was in transit while its link was stalled: it arrived later than it was sent.
     fn was_stalled(&self, arrival: &Arrival) -> bool {
         let before = arrival.at - Duration::from_millis(50);
         self.cluster
@@ -158,7 +160,7 @@
                 self.breaks("attempts begun after the client closed", named);
             }
         }
-        let left = (request.asked + request.wait).saturating_duration_since(arrival.at);
+        let left = (request.sent_at + request.wait).saturating_duration_since(arrival.at);
         if arrival.stated_deadline > left + DEADLINE_SLACK + slack {
             let named = named(self, format!("told {:?}, left {left:?}", arrival.stated_deadline));
             self.breaks("more time told than the client had", named);
@@ -185,17 +187,17 @@
         if self.was_stalled(arrival) {
             return;
         }
-        let told_by = |told: Instant| {
-            let mut by = told;
-            for period in self.cluster.lists_out.all() {
-                if period.from <= by + TOLD_AFTER {
+        let excluded_by = |announced: Instant| {
+            let mut by = announced;
+            for period in self.cluster.discovery_outages.all() {
+                if period.from <= by + ANNOUNCED_AFTER {
                     by = by.max(period.to.unwrap_or(arrival.at));
                 }
             }
-            by + TOLD_AFTER + DRAIN_GRACE + HELD_UP + SEEN_LATE
+            by + ANNOUNCED_AFTER + DRAIN_GRACE + HELD_UP + SEEN_LATE
         };
         let sent = self.cluster.drains.any(arrival.replica, |drain| {
-            arrival.at > told_by(drain.from) && drain.to.is_none_or(|to| arrival.at < to)
+            arrival.at > excluded_by(drain.from) && drain.to.is_none_or(|to| arrival.at < to)
         });
         if sent {
             let detail = format!("{} at {:.3}", arrival.part, self.at(arrival.at));
@@ -203,21 +205,21 @@
         }
     }
 
-    /// All that came to a replica in slow start, from all processes together.
+    /// All that arrived at a replica in slow start, from all processes together.
     fn slow_start(&mut self, replica: &Replica, arrivals: &[Arrival]) {
         let Some(started) = replica.started else { return };
-        let came: Vec<Duration> = arrivals
+        let arrivals: Vec<Duration> = arrivals
             .iter()
             .filter(|a| a.replica == replica.replica.address && !self.was_stalled(a))
-            .filter(|a| a.at >= started && replica.gone.is_none_or(|gone| a.at < gone))
+            .filter(|a| a.at >= started && replica.died.is_none_or(|died| a.at < died))
             .map(|a| a.at.saturating_duration_since(started))
             .collect();
         let capacity = WORK.at_once as f64 / WORK.usual.as_secs_f64();
-        for (n, &at) in came.iter().enumerate().filter(|(_, at)| **at < COLD) {
-            let first = came.partition_point(|t| *t + FALL < at);
-            let age = at.as_secs_f64() / COLD.as_secs_f64();
-            let warmth = COLD_FROM + (1.0 - COLD_FROM) * age;
-            let allowed = OVERLOAD_FACTOR * warmth * capacity * FALL.as_secs_f64();
+        for (n, &at) in arrivals.iter().enumerate().filter(|(_, at)| **at < WARM_UP) {
+            let first = arrivals.partition_point(|t| *t + LOAD_WINDOW < at);
+            let age = at.as_secs_f64() / WARM_UP.as_secs_f64();
+            let warmth = INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * age;
+            let allowed = OVERLOAD_FACTOR * warmth * capacity * LOAD_WINDOW.as_secs_f64();
             let spread = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
             let count = n + 1 - first;
             if count as f64 > allowed + spread {
--- a/crates/pipitcrank-testkit/src/syscall_faults.rs
+++ b/crates/pipitcrank-testkit/src/syscall_faults.rs
@@ -22,6 +22,7 @@
 pub enum SyscallFault {
     /// A read brings 1 to 40 bytes while more are there.
     ShortRead,
+    /// A write takes only a part of what is offered.
     ShortWrite,
     /// ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EINTR.
     Accept,
@@ -47,6 +48,11 @@
 }
 
 impl FaultLibrary {
+    /// Builds the library with the system's C compiler.
+    ///
+    /// # Errors
+    ///
+    /// That the compiler can't be started or fails.
     pub fn build() -> Result<FaultLibrary> {
         let folder = Folder::new("shim")?;
         let source = folder.path().join("faults.c");
@@ -95,9 +101,9 @@
         ]
     }
 
-    /// From now on this share of the calls fails.
-    pub fn set(&self, fault: SyscallFault, share: f64) -> Result<()> {
-        let rate = (share.clamp(0.0, 1.0) * MILLION) as u32;
+    /// Sets the fraction of the calls that fail from now on.
+    pub fn set(&self, fault: SyscallFault, fraction: f64) -> Result<()> {
+        let rate = (fraction.clamp(0.0, 1.0) * MILLION) as u32;
         Ok(self.file.write_all_at(&rate.to_ne_bytes(), fault as u64 * 4)?)
     }
 
--- a/crates/pipitcrank-testkit/src/trial/gateway/inject.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/inject.rs
@@ -36,7 +36,7 @@
             Fault::SlowWay => self.degrade(LinkConditions::of(Duration::from_millis(400))).await,
             Fault::Flaps => self.flap().await,
             Fault::Stalls => {
-                self.degrade(LinkConditions { stalled_there: true, stalled_back: true, ..near }).await;
+                self.degrade(LinkConditions { stalled_forward: true, stalled_back: true, ..near }).await;
             }
             Fault::StallsBack => self.degrade(LinkConditions { stalled_back: true, ..near }).await,
             Fault::Cut => {
--- a/crates/pipitcrank-testkit/src/trial/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/mod.rs
@@ -21,14 +21,18 @@
 const LONGEST: Duration = Duration::from_secs(60);
 const A_ROUND: Duration = Duration::from_secs(12);
 
+/// Names of all trials.
 pub const NAMES: &str = "upgrade, upgrade-overloaded, upgrade-known, gateway, gateway-table, zones, return, soak, soak-short, soak-hard";
 
-/// What of a trial can be told: the same seed plays the same script.
+/// Options of a trial: the same seed plays the same script.
 pub struct TrialOptions<'a> {
+    /// Seed of the script.
     pub seed: u64,
+    /// Rounds, where the trial has them.
     pub rounds: u32,
     /// One kind of round alone.
     pub only: Option<&'a str>,
+    /// Print JSON in place of a table.
     pub json: bool,
 }
 
--- a/crates/pipitcrank-testkit/src/trial/returns/outage.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/outage.rs
@@ -98,8 +98,8 @@
             Case::Crasher => self.crash_repeatedly(&outage.dead, started).await,
             Case::Failover => {
                 sleep_ms(2000).await;
-                self.fleet.starts_cold(outage.lost_zone, Duration::from_secs(4));
-                self.fleet.vanish(outage.lost_zone, REPLICAS_PER_ZONE, false);
+                self.fleet.begin_slow_start(outage.lost_zone, Duration::from_secs(4));
+                self.fleet.set_unreachable(outage.lost_zone, REPLICAS_PER_ZONE, false);
                 Ok(Instant::now())
             }
             _ => Ok(started),
@@ -137,7 +137,7 @@
 
     async fn kill_and_restart(&mut self, outage: &mut Outage, copies: &[StoreCopy]) -> Result<Instant> {
         if outage.case == Case::Failover {
-            self.fleet.vanish(outage.lost_zone, REPLICAS_PER_ZONE, true);
+            self.fleet.set_unreachable(outage.lost_zone, REPLICAS_PER_ZONE, true);
             sleep_ms(700).await;
         }
         self.kill(&outage.dead);
--- a/crates/pipitcrank-testkit/src/trial/upgrade/comparison.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/comparison.rs
@@ -77,7 +77,7 @@
             ensure!(process.wait_for_exit(TERM_LIMIT).await.is_some(), "it does not end after SIGTERM");
             process.restart(None).await?;
         }
-        let clients = clients.entered_in(QueryLog::default());
+        let clients = clients.recording_in(QueryLog::default());
         let load = Load::start("first", seed ^ 2, RATE, 0.0, clients.clone());
         tokio::time::sleep(Duration::from_secs_f64(FIRST_S)).await;
         load.stop().await?;
--- a/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
@@ -61,7 +61,7 @@
     async fn play(&mut self, n: usize, round: Round, rng: &mut Pcg64, outcome: &mut Outcome) -> Result<()> {
         let partial = send_partial_requests(self.process.address, &self.fleet.query_log, n, rng);
         if round == Round::OldKilled {
-            self.clients.rest(&format!("rest{n}"), RESTING).await;
+            self.clients.open_idle(&format!("rest{n}"), RESTING).await;
         }
         self.play_round(round)
             .await
--- a/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
@@ -160,7 +160,7 @@
         };
         let gateway = GatewayAddresses { listen: gateways[n], other_region: gateways[other] };
         let file = (mode == RoutingMode::Agreed).then(|| operators_file(address, &voters, gateway));
-        let view = if n == ISOLATED_MEMBER { fleet.apart() } else { zone };
+        let view = if n == ISOLATED_MEMBER { fleet.isolated_view() } else { zone };
         let node_config = node_config(fleet, view, seed ^ n as u64, mode)?;
         let process = Process::start(program, node_config, file.clone()).await?;
         let up = Rc::new(Cell::new(true));
@@ -315,7 +315,7 @@
 
     /// Makes all replicas of a zone unreachable, waits until all members have left it, and returns it in slow start.
     pub(super) async fn lose(&mut self, zone: usize, report: &mut FaultReport, out_for: Duration) {
-        self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+        self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, true);
         let moved = self.until(|cluster| cluster.is_out(zone), MOVE_LIMIT_S).await;
         report.moved = moved;
         report.late = moved.filter(|seconds| *seconds > MOVED_WITHIN_S).map(|_| self.history());
@@ -328,8 +328,8 @@
 
     /// Returns the replicas of a zone, in slow start.
     pub(super) fn heal(&self, zone: usize) {
-        self.fleet.starts_cold(zone, WARM_UP);
-        self.fleet.vanish(zone, REPLICAS_PER_ZONE, false);
+        self.fleet.begin_slow_start(zone, WARM_UP);
+        self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, false);
     }
 
     /// Waits until all zones serve again.
--- a/crates/pipitcrank-testkit/src/trial/zones/member_faults.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/member_faults.rs
@@ -64,7 +64,7 @@
     pub(super) async fn play_parted(&mut self, zone: usize, report: &mut FaultReport) {
         let begun = self.newest_decision();
         let members = self.live_members_of(zone);
-        self.net.part(&members);
+        self.net.partition(&members);
         sleep_ms(4000).await;
         if !members.iter().all(|&n| self.reports(n, |status| status.status == "holding")) {
             report.missing("copies that hear nobody do not hold what stands");
@@ -103,7 +103,7 @@
         dead.iter().for_each(|&n| self.kill(n));
         sleep_ms(1000).await;
         let before = self.newest_decision();
-        self.fleet.vanish(third, REPLICAS_PER_ZONE, true);
+        self.fleet.set_unreachable(third, REPLICAS_PER_ZONE, true);
         sleep_ms(4000).await;
         if self.newest_decision() != before {
             report.missing("a minority decided");
@@ -127,7 +127,7 @@
         let [ended, upgraded] = not_voting.collect::<Vec<_>>()[..] else {
             bail!("two copies of a zone do not vote");
         };
-        self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+        self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, true);
         self.until(|cluster| cluster.is_moving(zone), 8.0).await;
         self.members[ended].up.set(false);
         self.members[ended].process.signal(Signal::TERM)?;
--- a/crates/pipitcrank-testkit/src/trial/zones/replica_faults.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/replica_faults.rs
@@ -29,7 +29,7 @@
 
     pub(super) async fn play_lossy(&mut self, zone: usize, report: &mut FaultReport) {
         let delay = Duration::from_millis(60);
-        self.net.all(DatagramFaults { loss: 0.2, doubled: 0.1, delay, silent: false });
+        self.net.set_all(DatagramFaults { loss: 0.2, duplicated: 0.1, delay, silent: false });
         self.lose(zone, report, Duration::from_secs(1)).await;
         self.net.heal();
         self.wait_home(report, 25.0).await;
@@ -37,21 +37,21 @@
 
     pub(super) async fn play_half(&mut self, zone: usize, report: &mut FaultReport) {
         let begun = self.newest_decision();
-        self.fleet.vanish(zone, REPLICAS_PER_ZONE / 2, true);
+        self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE / 2, true);
         sleep_s(5).await;
         if self.moved_since(begun, Some(zone)) {
             report.missing("a zone with half of its leaves was left whole");
         }
-        self.fleet.vanish(zone, REPLICAS_PER_ZONE / 2, false);
+        self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE / 2, false);
         self.wait_home(report, 15.0).await;
     }
 
     pub(super) async fn play_flaps(&mut self, zone: usize, report: &mut FaultReport) {
         let begun = self.newest_decision();
         for _ in 0..FLAPS {
-            self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+            self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, true);
             tokio::time::sleep(FLAP_HALF_PERIOD).await;
-            self.fleet.vanish(zone, REPLICAS_PER_ZONE, false);
+            self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, false);
             tokio::time::sleep(FLAP_HALF_PERIOD).await;
         }
         let history = self.decisions_since(begun);
@@ -75,9 +75,9 @@
     }
 
     pub(super) async fn play_two(&mut self, [zone, other, third]: [usize; 3], report: &mut FaultReport) {
-        self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+        self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, true);
         let half = self.until(|cluster| cluster.is_moving(zone), 8.0).await;
-        self.fleet.vanish(other, REPLICAS_PER_ZONE, true);
+        self.fleet.set_unreachable(other, REPLICAS_PER_ZONE, true);
         let moved = self.until(|cluster| cluster.is_out(zone) && cluster.is_out(other), 10.0).await;
         report.moved = half.zip(moved).map(|(first, both)| first + both);
         if moved.is_none() || !self.keeps_all(third) {
@@ -98,13 +98,13 @@
 
     pub(super) async fn play_sick(&mut self, report: &mut FaultReport) {
         let begun = self.newest_decision();
-        self.fleet.sicken(true);
+        self.fleet.set_member_isolated(true);
         sleep_s(5).await;
         let touched = |d: &Decision| d.zones.iter().any(|z| z.retained < ALL_RETAINED || z.cut_paths != 0);
         if self.decisions_since(begun).iter().any(touched) {
             report.missing(format!("one sick copy moved something: {}", self.history()));
         }
-        self.fleet.sicken(false);
+        self.fleet.set_member_isolated(false);
         self.wait_home(report, 15.0).await;
     }
 
@@ -118,7 +118,7 @@
         [zone, other, third]: [usize; 3],
         report: &mut FaultReport,
     ) -> Result<()> {
-        self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+        self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, true);
         self.until(|cluster| cluster.is_moving(zone), 8.0).await;
         match self.order(OperatorOrder::Drain(other as u16)).await? {
             OperatorAnswer::Decided(_) => {
--- a/crates/pipitcrank-testkit/src/trial/zones/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/run.rs
@@ -136,7 +136,7 @@
         let zone = Targets::draw(seed, Fault::Replicas).zone;
         let load = ClusterLoad::start(self, seed, "blind");
         tokio::time::sleep(LEAD_IN).await;
-        self.fleet.vanish(zone, REPLICAS_PER_ZONE, true);
+        self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, true);
         tokio::time::sleep(Duration::from_secs(5)).await;
         self.heal(zone);
         tokio::time::sleep(Duration::from_secs(8)).await;
--- a/crates/pipitcrank-testkit/src/zoned_fleet.rs
+++ b/crates/pipitcrank-testkit/src/zoned_fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet in zones: each zone's replicas hold all shards, and copies of each zone reach each replica over a way of their own,
-//! so that a zone can vanish for all, or a way between two alone can be cut. Each zone has its own word of discovery.
+//! A fleet in zones: each zone's replicas hold all shards, and members of each zone reach each replica over a link of
+//! their own, so that a zone can be unreachable for all, or the path between two zones alone. Each zone has a discovery of
+//! its own.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,30 +21,38 @@
 const NEAR: Duration = Duration::from_micros(400);
 const ACROSS: Duration = Duration::from_millis(2);
 
+/// Replicas in zones, with links of their own from each zone's members.
 pub struct ZonedFleet {
+    /// Names of the zones.
     pub names: Vec<String>,
     regions: Vec<String>,
     /// `[zone][cell]`.
     pub replicas: Vec<Vec<Rc<StandInReplica>>>,
     /// `[view][zone][cell]`.
     links: Vec<Vec<Vec<Link>>>,
+    /// Discovery of each view.
     pub discoveries: Vec<Discovery>,
-    /// The zone that each view is from: one a zone, and one more of a copy that has ways of its own.
+    /// The zone of each view: one a zone, and one more for the member that has links of its own.
     views: Vec<usize>,
+    /// Where the parts that replicas run are recorded.
     pub query_log: QueryLog,
 }
 
-fn way(from: usize, to: usize) -> LinkConditions {
+fn healthy_link(from: usize, to: usize) -> LinkConditions {
     LinkConditions::of(if from == to { NEAR } else { ACROSS })
 }
 
 impl ZonedFleet {
-    /// Zones and the region of each: copies are told of replicas of their own region alone. One copy of zone `apart` has
-    /// ways of its own (`view`).
+    /// Starts the fleet: zones with the region of each, whose members know the replicas of their own region alone. One
+    /// member of zone `isolated_view` has links of its own.
+    ///
+    /// # Errors
+    ///
+    /// That a stand-in can't listen.
     pub async fn start(
         seed: u64,
         names: &[(&str, &str)],
-        apart: usize,
+        isolated_view: usize,
         work: Work,
         query_log: QueryLog,
     ) -> Result<ZonedFleet> {
@@ -59,7 +68,7 @@
         }
         let mut links = Vec::new();
         let mut discoveries = Vec::new();
-        let views: Vec<usize> = (0..zones).chain([apart]).collect();
+        let views: Vec<usize> = (0..zones).chain([isolated_view]).collect();
         for (view, &from) in views.iter().enumerate() {
             let mut to_zones = Vec::new();
             let mut rows = Vec::new();
@@ -67,9 +76,12 @@
                 let mut to_replicas = Vec::new();
                 for cell in 0..CELLS {
                     let replica = &replicas[zone][cell as usize];
-                    let link =
-                        Link::start(seed ^ (view * 64 + zone) as u64, replica.address, way(from, zone))
-                            .await?;
+                    let link = Link::start(
+                        seed ^ (view * 64 + zone) as u64,
+                        replica.address,
+                        healthy_link(from, zone),
+                    )
+                    .await?;
                     if names[zone].1 == names[from].1 {
                         rows.push(zoned_row(names[zone].0, cell, link.address, "active", 0));
                     }
@@ -85,23 +97,28 @@
         Ok(ZonedFleet { names, regions, replicas, links, discoveries, views, query_log })
     }
 
-    /// The view of the copy that has ways of its own.
-    pub fn apart(&self) -> usize {
+    /// The view of the member that has links of its own.
+    pub fn isolated_view(&self) -> usize {
         self.views.len() - 1
     }
 
-    /// The copy that has ways of its own reaches nothing, or all again.
-    pub fn sicken(&self, silent: bool) {
-        let view = self.apart();
+    /// Whether the member that has links of its own reaches no replica.
+    pub fn set_member_isolated(&self, silent: bool) {
+        let view = self.isolated_view();
         for (zone, links) in self.links[view].iter().enumerate() {
-            let way = way(self.views[view], zone);
+            let link_conditions = healthy_link(self.views[view], zone);
             links.iter().for_each(|l| {
-                l.set_conditions(LinkConditions { stalled_there: silent, stalled_back: silent, ..way })
+                l.set_conditions(LinkConditions {
+                    stalled_forward: silent,
+                    stalled_back: silent,
+                    ..link_conditions
+                })
             });
         }
     }
 
-    /// What a copy with that view is told. `platform`: whether the platform says where replicas and the copy stand.
+    /// Node configuration of a member with that view. `platform`: whether the platform states the zones of replicas and
+    /// member.
     pub fn node_config(&self, view: usize, seed: u64, platform: bool) -> Result<Value> {
         let (zone, discovery) = (self.views[view], &self.discoveries[view]);
         let mut node_config =
@@ -114,44 +131,45 @@
         Ok(node_config)
     }
 
-    /// The ways from one zone's copies to another zone's replicas.
-    fn turn(&self, from: usize, to: usize, silent: bool) {
+    /// Sets the links from one zone's members to another zone's replicas.
+    fn set_paths(&self, from: usize, to: usize, silent: bool) {
         for (view, _) in self.views.iter().enumerate().filter(|(_, zone)| **zone == from) {
             for link in &self.links[view][to] {
                 link.set_conditions(LinkConditions {
-                    stalled_there: silent,
+                    stalled_forward: silent,
                     stalled_back: silent,
-                    ..way(from, to)
+                    ..healthy_link(from, to)
                 });
             }
         }
     }
 
-    /// Machines of a zone, the first so many of its replicas, vanish without a word, or are back.
-    pub fn vanish(&self, zone: usize, replicas: usize, silent: bool) {
+    /// Whether the first replicas of a zone are unreachable, without a reset or a close.
+    pub fn set_unreachable(&self, zone: usize, replicas: usize, silent: bool) {
         for (view, &from) in self.views.iter().enumerate() {
             for link in &self.links[view][zone][..replicas] {
                 link.set_conditions(LinkConditions {
-                    stalled_there: silent,
+                    stalled_forward: silent,
                     stalled_back: silent,
-                    ..way(from, zone)
+                    ..healthy_link(from, zone)
                 });
             }
         }
     }
 
-    /// Nothing passes between copies of one zone and replicas of the other, either way round, or does again.
+    /// Whether members of either zone reach no replica of the other.
     pub fn cut(&self, a: usize, b: usize, silent: bool) {
-        self.turn(a, b, silent);
-        self.turn(b, a, silent);
+        self.set_paths(a, b, silent);
+        self.set_paths(b, a, silent);
     }
 
+    /// Sets how all replicas of a zone behave.
     pub fn set_zone_behavior(&self, zone: usize, behavior: ReplicaBehavior) {
         self.replicas[zone].iter().for_each(|l| l.set_behavior(behavior));
     }
 
-    /// The zone's replicas have just started, and all are told so; the stand-ins count what comes to them cold.
-    pub fn starts_cold(&self, zone: usize, cold: Duration) {
+    /// The zone's replicas have just started, and discovery announces it; they count what arrives in slow start.
+    pub fn begin_slow_start(&self, zone: usize, warm_up: Duration) {
         // A machine that starts knows of no connection: guards against what was written to the one before it.
         self.links.iter().flat_map(|to| &to[zone]).for_each(Link::break_now);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
@@ -164,7 +182,7 @@
                 discovery.update_row(zoned_row(&self.names[zone], cell, address, "active", now));
             }
         }
-        self.replicas[zone].iter().for_each(|l| l.starts_cold(cold));
+        self.replicas[zone].iter().for_each(|l| l.begin_slow_start(warm_up));
     }
 
     /// Most parts, and most new connections, that arrived at any one replica in a stretch between two points in time.
