--- a/crates/pipitcrank-core/src/coordinator/final_answers.rs
+++ b/crates/pipitcrank-core/src/coordinator/final_answers.rs
@@ -1,5 +1,5 @@
-//! How queries end: answered, completely or in part (rule 5); rejected where repeating is harmless, aborted otherwise
-//! (rule 2); or cancelled. A query has exactly one final answer.
+//! How queries end: answered, completely or in part (rule 12); rejected where repeating is harmless, aborted otherwise
+//! (rule 6); or cancelled. A query has exactly one final answer.
 
 use super::open_query::{OpenQuery, QueryStep};
 use super::state::State;
@@ -113,14 +113,14 @@
 
     /// The retry-after of a query that was lost with the process that held it; none if it is aborted.
     pub(super) fn retry_after_if_lost(&self, class: RequestClassId) -> Option<TimeSpan> {
-        let idempotency = self.classes[usize::from(class.0)].config.idempotency;
+        let idempotency = self.class_config(class).idempotency;
         (idempotency == Idempotency::Idempotent).then(|| self.retry_after(class))
     }
 
     /// As long as a query may wait for its first attempts, up to what may be stated.
     fn retry_after(&self, class: RequestClassId) -> TimeSpan {
         let longest = self.retry_policy.max_retry_after.unwrap_or(TimeSpan::ZERO);
-        let objective = self.classes[usize::from(class.0)].config.latency_objective;
+        let objective = self.class_config(class).latency_objective;
         (objective * Self::FIRST_ATTEMPT_FRACTION).min(longest)
     }
 
--- a/crates/pipitcrank-server/src/lib.rs
+++ b/crates/pipitcrank-server/src/lib.rs
@@ -14,4 +14,7 @@
 pub mod replicas;
 pub mod runtime;
 pub mod serve;
+pub mod server_context;
+mod server_parts;
+mod start_error;
 pub mod upgrade;
--- a/crates/pipitcrank-testkit/src/trial/upgrade/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/figures.rs
@@ -7,7 +7,7 @@
 
 use super::load::TERM_LIMIT;
 use super::round::Round;
-use super::run::UpgradeRun;
+use super::session::UpgradeRun;
 use crate::outcome::Outcome;
 use crate::process::ResourceUsage;
 use crate::query_log::QueryOutcome;
--- a/crates/pipitcrank-testkit/src/trial/upgrade/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/mod.rs
@@ -8,6 +8,7 @@
 mod probes;
 mod round;
 mod run;
+mod session;
 mod wait;
 
 use std::path::Path;
--- a/crates/pipitcrank-testkit/src/trial/upgrade/play_round.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/play_round.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::round::{Round, UpgradeCounts};
-use super::run::UpgradeRun;
+use super::session::UpgradeRun;
 use super::wait::wait_until;
 use crate::process::{Process, signal_worker};
 
@@ -105,7 +105,8 @@
         wait_until("a trial", TRIAL_LIMIT, async || {
             let log = self.process.log();
             new.set(self.process.workers().into_iter().find(|pid| !old.contains(pid)));
-            new.get().is_some() && log.rfind("going on from") > log.rfind("hands over")
+            new.get().is_some()
+                && log.rfind("continuing with the predecessor's state") > log.rfind("handover begins")
         })
         .await?;
         Ok(new.get())
--- a/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
@@ -4,19 +4,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-use anyhow::{Context, Result, ensure};
+use anyhow::{Context, Result};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use tokio::task::JoinHandle;
 
 use super::figures;
-use super::load::{LoadProfile, QUIET_S, SLOW_SALES, UPGRADE_TIMES};
-use super::probes::{AcceptProbe, PeakUsage};
-use super::round::{Round, UpgradeCounts};
-use crate::client::{Clients, DedicatedConnection, QueryRequest};
-use crate::fleet::{Fleet, Load};
+use super::load::{LoadProfile, SLOW_SALES};
+use super::round::Round;
+use super::session::UpgradeRun;
+use crate::client::{DedicatedConnection, QueryRequest};
+use crate::fleet::Load;
 use crate::outcome::Outcome;
-use crate::process::{Process, ResourceUsage};
 use crate::query_log::{QueryLog, QueryOutcome};
 
 /// Idle connections held where a process is killed: some of them with it, whatever the load takes from them.
@@ -28,36 +27,7 @@
 /// Lines of the process's log that an error quotes.
 const LOG_TAIL: usize = 40;
 
-/// One process under load.
-pub(super) struct UpgradeRun {
-    pub fleet: Fleet,
-    pub process: Process,
-    pub clients: Clients,
-    pub idle: Vec<DedicatedConnection>,
-    pub accepts: AcceptProbe,
-    pub peak: PeakUsage,
-    /// The same load before the first upgrade.
-    pub quiet: QueryLog,
-    /// What the process held then.
-    pub before: ResourceUsage,
-    /// Upgrades that the rounds played so far should have counted.
-    pub expected: UpgradeCounts,
-}
-
 impl UpgradeRun {
-    async fn start(program: &Path, seed: u64, profile: LoadProfile) -> Result<UpgradeRun> {
-        let fleet = Fleet::start(seed, profile.work).await?;
-        let node_config = fleet.node_config(seed, 1024, 3000)?;
-        let process = Process::start(program, node_config, UPGRADE_TIMES.file()).await?;
-        let quiet = quiet_load(&process, seed, profile.rate).await?;
-        let before = process.resource_usage();
-        let clients = Clients::new(process.address, fleet.query_log.clone());
-        let idle = connect_idle(process.address, &fleet.query_log, profile.idle_clients).await?;
-        let accepts = AcceptProbe::start(process.address);
-        let (peak, expected) = (PeakUsage::default(), UpgradeCounts::default());
-        Ok(UpgradeRun { fleet, process, clients, idle, accepts, peak, quiet, before, expected })
-    }
-
     async fn play(&mut self, n: usize, round: Round, rng: &mut Pcg64, outcome: &mut Outcome) -> Result<()> {
         let partial = send_partial_requests(self.process.address, &self.fleet.query_log, n, rng);
         if round == Round::OldKilled {
@@ -120,31 +90,6 @@
     Ok(outcome)
 }
 
-/// The load without any upgrade, on clients of its own.
-async fn quiet_load(process: &Process, seed: u64, rate: f64) -> Result<QueryLog> {
-    let clients = Clients::new(process.address, QueryLog::default());
-    let load = Load::start("quiet", seed ^ 1, rate, SLOW_SALES, clients.clone());
-    tokio::time::sleep(Duration::from_secs_f64(QUIET_S)).await;
-    load.stop().await?;
-    Ok(clients.query_log)
-}
-
-/// Connections that have sent one query each.
-async fn connect_idle(
-    address: SocketAddr,
-    query_log: &QueryLog,
-    count: usize,
-) -> Result<Vec<DedicatedConnection>> {
-    let mut idle = Vec::new();
-    for n in 0..count {
-        let mut connection = DedicatedConnection::connect(address, query_log.clone()).await?;
-        let ended = connection.ask_in_pieces(QueryRequest::short(&format!("view-idle{n}-0")), &[]).await;
-        ensure!(ended == QueryOutcome::Complete, "a client's first query: {ended}");
-        idle.push(connection);
-    }
-    Ok(idle)
-}
-
 /// Clients that have sent a part of their head, or of their body, while the round goes on.
 fn send_partial_requests(
     address: SocketAddr,
--- a/crates/pipitcrank-testkit/src/trial/zones/member_faults.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/member_faults.rs
@@ -177,7 +177,7 @@
         if rejected < sent {
             report.missing(format!("{rejected} of {sent} bad datagrams were counted"));
         }
-        if process.log().lines().filter(|line| line.contains("a datagram is left")).count() > 2 {
+        if process.log().lines().filter(|line| line.contains("rejected a datagram")).count() > 2 {
             report.missing("bad datagrams flood the log");
         }
         if self.newest_decision() > newest + 1 {
