--- a/crates/pipitcrank-testkit/src/demo.rs
+++ b/crates/pipitcrank-testkit/src/demo.rs
@@ -13,13 +13,18 @@
 use crate::process::Process;
 use crate::query_log::{QueryLog, QueryOutcome};
 use crate::replica::Work;
-use crate::trial::on_one_thread;
+use crate::runtime::on_one_thread;
 
 const LIMIT: Duration = Duration::from_secs(60);
 const QUERIES: u64 = 400;
 /// Between two queries.
 const PAUSE: Duration = Duration::from_millis(8);
 
+/// Plays the demo and prints a table; the exit code, 0 if each query got one final answer.
+///
+/// # Errors
+///
+/// That the stand-ins or the program can't be started, or that the demo did not end in time.
 pub fn play(program: &Path, seed: u64) -> Result<i32> {
     on_one_thread(LIMIT, async {
         println!("starting 12 stand-in leaves, discovery and one co-ordinator on loopback");
@@ -36,7 +41,7 @@
             }
             let query = random_query("demo", n, 0.0, &mut rng);
             let query_log = query_logs.iter().find(|(v, _)| *v == query.class).map(|(_, l)| l.clone());
-            let clients = all.entered_in(query_log.unwrap_or_default());
+            let clients = all.recording_in(query_log.unwrap_or_default());
             tasks.spawn_local(async move { clients.ask(query).await });
             tokio::time::sleep(PAUSE).await;
         }
@@ -58,15 +63,15 @@
             let [whole, part, rejected, aborted] = ends;
             println!(
                 "{class:<10} {:>7} {whole:>7} {part:>7} {rejected:>8} {aborted:>8} {:>9.1} {:>9.1}",
-                l.all(),
-                l.within(0.5),
-                l.within(0.99)
+                l.total(),
+                l.response_time_ms(0.5),
+                l.response_time_ms(0.99)
             );
         }
         let calls = process.counter("frames calls_sent").await.unwrap_or(0);
         println!(
             "{calls} leaf calls carried {} parts to the leaves; {} sales ran twice",
-            fleet.query_log.runs(),
+            fleet.query_log.part_runs(),
             fleet.query_log.parts_run_again("sale-")
         );
         let held = answered == QUERIES && fleet.query_log.parts_run_again("sale-") == 0;
--- a/crates/pipitcrank-testkit/src/lib.rs
+++ b/crates/pipitcrank-testkit/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins written from the protocol, on loopback alone: replicas, discovery, clients; faults by script; a query log that
-//! knows how each query ended and how often each part ran; and the trials that are played on them. Never linked into
-//! what serves.
+//! Stand-ins written from the protocol, on loopback alone: replicas, discovery and clients; faults played by script; a
+//! query log that records how each query ended and how often each part ran; and the trials and the soak test that are
+//! played on them. Never linked into what serves.
 
-#![allow(missing_docs)]
+#![warn(missing_docs)]
 
 pub mod client;
 pub mod datagram_network;
@@ -10,9 +10,13 @@
 pub mod discovery;
 pub mod fleet;
 pub mod link;
+pub mod outcome;
 pub mod process;
 pub mod query_log;
+pub mod query_outcome;
+mod query_utility;
 pub mod replica;
+pub mod runtime;
 pub mod soak;
 pub mod syscall_faults;
 pub mod trial;
--- a/crates/pipitcrank-testkit/src/soak/mod.rs
+++ b/crates/pipitcrank-testkit/src/soak/mod.rs
@@ -1,41 +1,31 @@
-//! The soak test: a few dozen processes of the program on loopback, with clients, replicas, discovery and ways between
-//! them of our own, under troubles that overlap. What happens is scripted from a seed; what came of it is judged by the
-//! rules (`docs/rules.md`) from outside, and by each process's own run-time check.
+//! The soak test: a few dozen processes of the program on loopback, with stand-in clients, replicas, discovery and links,
+//! under faults that overlap. What happens is scripted from a seed; the result is verified against the rules
+//! (`docs/rules.md`) from outside, and by each process's own run-time check.
 
 mod clients;
 mod cluster;
+mod fault_kind;
+mod inject;
+mod periods;
+mod requests;
 mod script;
+mod size;
 mod verifier;
 
 use std::path::Path;
-use std::time::Duration;
 
 use anyhow::Result;
 
-use crate::trial::Outcome;
+use fault_kind::FaultKind;
+pub use size::Size;
 
-/// How large a play is.
-#[derive(Clone, Copy, Debug)]
-pub struct Size {
-    pub processes: usize,
-    /// How long clients ask.
-    pub lasts: Duration,
-    /// Requests a second to each process.
-    pub rate: f64,
-    /// Troubles that are under way at once.
-    pub overlap: usize,
-}
-
-impl Size {
-    /// Some dozens of processes: for seeds by hand.
-    pub const FULL: Size = Size { processes: 24, lasts: Duration::from_secs(16), rate: 8.0, overlap: 3 };
-    /// More of them, for longer, with more troubles at once.
-    pub const HARD: Size = Size { processes: 36, lasts: Duration::from_secs(24), rate: 8.0, overlap: 6 };
-    /// The same in short, for CI.
-    pub const SHORT: Size = Size { processes: 6, lasts: Duration::from_secs(8), rate: 6.0, overlap: 2 };
-}
+use crate::outcome::Outcome;
 
-/// Plays one seed. `only`: troubles of that kind alone.
+/// Plays one seed. `only`: faults of that kind alone.
+///
+/// # Errors
+///
+/// A name in `only` that no kind has, or a stand-in or process that can't be started.
 pub async fn play(
     program: &Path,
     seed: u64,
@@ -43,7 +33,7 @@
     only: Option<&str>,
     verbose: bool,
 ) -> Result<Outcome> {
-    let only = only.map(script::FaultKind::named).transpose()?;
+    let only = only.map(FaultKind::named).transpose()?;
     let cluster = cluster::SoakCluster::start(program, seed, size).await?;
     let load: Vec<_> =
         (0..size.processes).map(|n| clients::Load::start(cluster.clone(), n, seed, size.rate)).collect();
