--- a/deploy/operators.dhall
+++ b/deploy/operators.dhall
@@ -74,7 +74,7 @@
 let Logs =
       { Type =
           { json : Bool -- one JSON object a line, else plain lines
-          , levels : Text -- by module: "info", or "info,pipitcrank_server::wire=debug"
+          , levels : Text -- by module: "info", or "info,pipitcrank_server::replicas::connection=debug"
           }
       , default = { json = False, levels = "info" }
       }
