--- a/crates/pipitcrank-cli/src/evidence_collector.rs
+++ b/crates/pipitcrank-cli/src/evidence_collector.rs
@@ -24,7 +24,7 @@
 
 /// Replicas of a zone to be probed now, so that its state is known; none where it is.
 pub(crate) fn probes_needed(observed: &ZoneObservation, is_closed: bool) -> Option<usize> {
-    let is_quiet = observed.recently_heard * QUIET_RATIO < observed.listed;
+    let is_quiet = observed.recently_responded * QUIET_RATIO < observed.listed;
     let is_suspected = observed.suspected * SUSPECTED_RATIO >= observed.listed && observed.suspected > 0;
     if is_closed || is_suspected {
         return Some(PROBES_OF_DOUBTFUL_ZONE);
@@ -130,8 +130,8 @@
     let small = |n: u32| n.min(u32::from(u16::MAX)) as u16;
     ReplicaCounts {
         listed: small(observed.listed),
-        answering: small(observed.answering),
-        silent: small(observed.silent),
+        answering: small(observed.responsive),
+        silent: small(observed.unresponsive),
         failing: small(observed.failing),
         saturated: small(observed.overloaded),
         warming_up: small(observed.in_slow_start),
--- a/crates/pipitcrank-core/src/config.rs
+++ b/crates/pipitcrank-core/src/config.rs
@@ -67,8 +67,8 @@
         }
         Ok(SetCoverConfig {
             cells,
-            cells_per_shard: self.count_from_1("/domain/span")?,
-            call_size: self.count_from_1("/domain/parts_a_call")? as usize,
+            cells_per_shard: self.positive_count("/domain/span")?,
+            call_size: self.positive_count("/domain/parts_a_call")? as usize,
             call_cost: self.span("/domain/call_cost_s")?,
         })
     }
@@ -122,8 +122,8 @@
             // Settings written before the key was read have none.
             late_weight: self.number_up_to_or(&class("late_worth"), 1.0, 1.0)?,
             hard_limit: self.span(&class("hard_limit_s"))?,
-            complete_from: self.number_within(&domain("complete_from"), 0.0, 1.0)?,
-            partial_from: self.number_within(&domain("floor_by_class"), 0.0, 1.0)?,
+            complete_threshold: self.number_within(&domain("complete_from"), 0.0, 1.0)?,
+            partial_threshold: self.number_within(&domain("floor_by_class"), 0.0, 1.0)?,
             has_second_step: self.number(&domain("follow_up"))? > 0.0,
         })
     }
--- a/crates/pipitcrank-core/src/config/settings_reader.rs
+++ b/crates/pipitcrank-core/src/config/settings_reader.rs
@@ -22,7 +22,7 @@
     }
 
     /// Reads what stands under that key.
-    pub fn under(&self, prefix: &'static str) -> Result<SettingsReader<'a>, ConfigError> {
+    pub fn section(&self, prefix: &'static str) -> Result<SettingsReader<'a>, ConfigError> {
         Ok(SettingsReader { values: self.get(prefix, Some, "is missing")?, prefix })
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// A whole number from 1.
-    pub fn count_from_1(&self, key: &str) -> Result<u32, ConfigError> {
+    pub fn positive_count(&self, key: &str) -> Result<u32, ConfigError> {
         match self.count(key)? {
             0 => Err(self.error(key, "is 0; accepted: 1 and more")),
             count => Ok(count),
--- a/crates/pipitcrank-core/src/coordinator.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -302,8 +302,8 @@
     }
 
     /// The other process has ended, and what it did is not known.
-    pub fn resume_alone(&mut self, now: Timestamp) {
-        self.state.resume_alone(now);
+    pub fn resume_without_peer(&mut self, now: Timestamp) {
+        self.state.resume_without_peer(now);
     }
 }
 
--- a/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
@@ -56,7 +56,7 @@
         if attempt.number == 0 || is_forwarded {
             return Ok(());
         }
-        if !self.retry_budget.begins(part.attempts[index].counted_at, now) {
+        if !self.retry_budget.try_begin_retry(part.attempts[index].counted_at, now) {
             return Err(AttemptDenied::RetryBudgetSpent);
         }
         let part = self.parts.get_mut(&attempt.part).expect("attempts that begin have their parts");
--- a/crates/pipitcrank-core/src/coordinator/config_form.rs
+++ b/crates/pipitcrank-core/src/coordinator/config_form.rs
@@ -10,7 +10,7 @@
 fn settings_with_every_key_are_read_as_by_an_earlier_version() {
     let text = std::fs::read_to_string(FILE).unwrap();
     let all: serde_json::Value = serde_json::from_str(&text).unwrap();
-    let coordinator = SettingsReader::new(&all).under("/settings").unwrap().coordinator(5).unwrap();
+    let coordinator = SettingsReader::new(&all).section("/settings").unwrap().coordinator(5).unwrap();
     let state = &coordinator.state;
     let (index, call) = (&state.replica_index, &state.call_limits);
     assert_eq!((index.cells, index.cells_per_shard, call.max_parts, call.cost), (12, 2, 8, 0.001));
@@ -49,8 +49,8 @@
             stretch,
             late_weight,
             hard_limit,
-            complete_from,
-            partial_from,
+            complete_threshold,
+            partial_threshold,
         ) = expected;
         assert_eq!((&*config.name, config.idempotency, config.has_second_step), (name, idempotency, false));
         assert_eq!(
@@ -59,6 +59,9 @@
         );
         assert_eq!((config.objective_stretch, config.late_weight), (stretch, late_weight));
         assert_eq!(config.hard_limit, TimeSpan::from_millis(hard_limit));
-        assert_eq!((config.complete_from, config.partial_from), (complete_from, partial_from));
+        assert_eq!(
+            (config.complete_threshold, config.partial_threshold),
+            (complete_threshold, partial_threshold)
+        );
     }
 }
--- a/crates/pipitcrank-core/src/coordinator/final_answers.rs
+++ b/crates/pipitcrank-core/src/coordinator/final_answers.rs
@@ -29,9 +29,9 @@
 
     pub(super) fn thresholds(&self, open: &OpenQuery) -> AnswerThresholds {
         let class = self.class_of(open);
-        let complete = if open.step == QueryStep::First { class.complete_from } else { 1.0 };
-        let allows_partial = class.partial_from < class.complete_from;
-        let partial = if allows_partial { class.partial_from } else { complete };
+        let complete = if open.step == QueryStep::First { class.complete_threshold } else { 1.0 };
+        let allows_partial = class.partial_threshold < class.complete_threshold;
+        let partial = if allows_partial { class.partial_threshold } else { complete };
         AnswerThresholds {
             partial: partial - Self::WEIGHT_TOLERANCE,
             complete: complete - Self::WEIGHT_TOLERANCE,
--- a/crates/pipitcrank-core/src/coordinator/learned_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state.rs
@@ -58,7 +58,7 @@
 
 impl LearnedState {
     /// Whether all numbers are finite and within their bounds, and all ages are of the past.
-    pub fn sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.classes.iter().all(LearnedClassState::is_sound)
             && self.replicas.iter().all(|(_, replica)| replica.is_sound())
             && self.delegated_retries.iter().all(|(_, left)| is_past(*left))
--- a/crates/pipitcrank-core/src/coordinator/learned_state/stored_forms.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state/stored_forms.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn learned_state_of_an_earlier_version_is_read_and_written_alike() {
-    assert!(learned_state().sound());
+    assert!(learned_state().is_valid());
     fixtures::check(
         "learned_state.hex",
         &[("learned_state", learned_state())],
--- a/crates/pipitcrank-core/src/coordinator/process_handover.rs
+++ b/crates/pipitcrank-core/src/coordinator/process_handover.rs
@@ -23,7 +23,7 @@
 
     /// What the other process did is not known: it is held to have spent all it might, so nothing of a kind goes until
     /// the window in which that counts has passed.
-    pub(super) fn resume_alone(&mut self, now: Timestamp) {
+    pub(super) fn resume_without_peer(&mut self, now: Timestamp) {
         self.retry_budget.reclaim(now, Self::PREDECESSOR);
         self.slow_start.reopen(now);
         self.needs_dispatch = true;
--- a/crates/pipitcrank-core/src/coordinator/request_class.rs
+++ b/crates/pipitcrank-core/src/coordinator/request_class.rs
@@ -22,9 +22,9 @@
     /// Longest the latency objective may be stretched.
     pub hard_limit: TimeSpan,
     /// Weight of the parts from which an answer is complete, 0 to 1.
-    pub complete_from: f64,
-    /// Weight of the parts from which a partial answer is allowed, 0 to 1; none are if it is `complete_from` or more.
-    pub partial_from: f64,
+    pub complete_threshold: f64,
+    /// Weight of the parts from which a partial answer is allowed, 0 to 1; none are if it is `complete_threshold` or more.
+    pub partial_threshold: f64,
     /// Whether its queries have a second step, which is asked for with further parts after the first is answered.
     pub has_second_step: bool,
 }
--- a/crates/pipitcrank-core/src/coordinator/retry_budget.rs
+++ b/crates/pipitcrank-core/src/coordinator/retry_budget.rs
@@ -89,7 +89,7 @@
 
     /// A retry that was counted at `counted_at` goes out now; false where it may not. Attempts may wait for their
     /// connections, and would otherwise go out beside the retries of the next window.
-    pub fn begins(&mut self, counted_at: Timestamp, now: Timestamp) -> bool {
+    pub fn try_begin_retry(&mut self, counted_at: Timestamp, now: Timestamp) -> bool {
         if self.is_unlimited() {
             return true;
         }
--- a/crates/pipitcrank-core/src/coordinator/zone_observation.rs
+++ b/crates/pipitcrank-core/src/coordinator/zone_observation.rs
@@ -34,18 +34,18 @@
     fn observe_replica(&self, now: Timestamp, replica: &ReplicaState, observation: &mut ZoneObservation) {
         let health = &replica.health;
         observation.listed += 1;
-        observation.recently_heard += u32::from(health.heard_within(now, RECENTLY));
+        observation.recently_responded += u32::from(health.heard_within(now, RECENTLY));
         observation.suspected += u32::from(is_suspected(now, replica));
         observation.in_slow_start += u32::from(self.slow_start.is_warming_up(replica.started, now));
         observation.outstanding += replica.load.outstanding.len() as u32;
         if replica.site == Site::RemoteClosed || health.is_failing(now) {
             observation.failing += 1;
         } else if self.is_silent(now, replica) {
-            observation.silent += 1;
+            observation.unresponsive += 1;
         } else if replica.load.lag().remaining(now) >= OVERLOADED_LAG_S {
             observation.overloaded += 1;
         } else if health.heard_within(now, ANSWERING) {
-            observation.answering += 1;
+            observation.responsive += 1;
         }
     }
 
--- a/crates/pipitcrank-core/src/coordinator/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -56,9 +56,9 @@
     /// All replicas listed.
     pub listed: u32,
     /// Heard of lately and none of the following.
-    pub answering: u32,
+    pub responsive: u32,
     /// Attempts or probes came to nothing.
-    pub silent: u32,
+    pub unresponsive: u32,
     /// Ejected for faults, or out of reach.
     pub failing: u32,
     /// With a lag as of a replica that rejects attempts for lack of capacity.
@@ -66,7 +66,7 @@
     /// Warming up.
     pub in_slow_start: u32,
     /// Heard of within half a second.
-    pub recently_heard: u32,
+    pub recently_responded: u32,
     /// At least one attempt or probe came to nothing of late, which may be too little for `silent`.
     pub suspected: u32,
     /// Attempts out.
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -89,18 +89,18 @@
 /// What the request classes of the tests differ in.
 pub struct ClassRules {
     pub idempotency: Idempotency,
-    pub partial_from: f64,
-    pub complete_from: f64,
+    pub partial_threshold: f64,
+    pub complete_threshold: f64,
     pub late_weight: f64,
 }
 
 const fn class(
     idempotency: Idempotency,
-    partial_from: f64,
-    complete_from: f64,
+    partial_threshold: f64,
+    complete_threshold: f64,
     late_weight: f64,
 ) -> ClassRules {
-    ClassRules { idempotency, partial_from, complete_from, late_weight }
+    ClassRules { idempotency, partial_threshold, complete_threshold, late_weight }
 }
 
 /// By request class: idempotent; with partial answers; idempotent by key; non-idempotent; with a second step; and one
@@ -161,8 +161,8 @@
                 objective_stretch: 0.0,
                 late_weight: rules.late_weight,
                 hard_limit: ms(4000),
-                complete_from: rules.complete_from,
-                partial_from: rules.partial_from,
+                complete_threshold: rules.complete_threshold,
+                partial_threshold: rules.partial_threshold,
                 has_second_step: index == TWO_STEP_CLASS,
             });
         }
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -251,11 +251,11 @@
         prop_assert!(open.is_some(), "a second final answer");
         let open = open.unwrap();
         let rules = &helper::CLASSES[open.class];
-        let complete_from = if open.step == 0 { rules.complete_from } else { 1.0 };
+        let complete_threshold = if open.step == 0 { rules.complete_threshold } else { 1.0 };
         let own_parts = || self.parts.values().filter(|p| p.query == query && p.step == open.step);
         let weight: f64 = own_parts().filter(|p| p.is_answered).map(|p| p.weight).sum();
-        prop_assert!(weight >= rules.partial_from - 1e-4, "answered from {weight}, too little");
-        let may = weight >= complete_from - 1e-4
+        prop_assert!(weight >= rules.partial_threshold - 1e-4, "answered from {weight}, too little");
+        let may = weight >= complete_threshold - 1e-4
             && open.is_first_complete
             && (open.step == 0 || own_parts().all(|p| p.is_answered));
         prop_assert!(!is_complete || may, "marked complete at {weight}");
--- a/crates/pipitcrank-core/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -155,7 +155,7 @@
     let (mut coordinator, _) = two_zones(3, true);
     coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[THERE]));
     let nothing = coordinator.observe_zone(at(0), THERE);
-    assert_eq!((nothing.listed, nothing.answering, nothing.silent), (6, 0, 0), "none was probed");
+    assert_eq!((nothing.listed, nothing.responsive, nothing.unresponsive), (6, 0, 0), "none was probed");
     let probe = |coordinator: &mut Coordinator, t: i64, answer: &dyn Fn(u32) -> Option<AttemptOutcome>| {
         let mut output = RecordedOutput::default();
         coordinator.probe_zone(&mut output, at(t), THERE, 6);
@@ -173,10 +173,10 @@
     };
     (0..3).for_each(|n| probe(&mut coordinator, n * 400, &some));
     let seen = coordinator.observe_zone(at(850), THERE);
-    assert_eq!((seen.answering, seen.silent, seen.failing), (3, 2, 1));
+    assert_eq!((seen.responsive, seen.unresponsive, seen.failing), (3, 2, 1));
     (3..5).for_each(|n| probe(&mut coordinator, n * 400, &|_| Some(AttemptOutcome::Success)));
     let seen = coordinator.observe_zone(at(1700), THERE);
-    assert_eq!((seen.answering + seen.failing, seen.silent), (6, 0), "one answer is enough");
+    assert_eq!((seen.responsive + seen.failing, seen.unresponsive), (6, 0), "one answer is enough");
 }
 
 #[test]
@@ -184,10 +184,10 @@
     let (mut coordinator, _) = two_zones(3, false);
     coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
     let (replicas, _) = send_query(&mut coordinator, 1, 0, 0);
-    assert_eq!(coordinator.observe_zone(at(300), HERE).silent, 0);
-    assert_eq!(coordinator.observe_zone(at(2600), HERE).silent, 1, "{replicas:?}");
+    assert_eq!(coordinator.observe_zone(at(300), HERE).unresponsive, 0);
+    assert_eq!(coordinator.observe_zone(at(2600), HERE).unresponsive, 1, "{replicas:?}");
     answer(&mut coordinator, 1, 2700);
-    assert_eq!(coordinator.observe_zone(at(2701), HERE).silent, 0);
+    assert_eq!(coordinator.observe_zone(at(2701), HERE).unresponsive, 0);
 }
 
 #[test]
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -119,7 +119,7 @@
         let replica_is_valid = |replica: &ReplicaRecord| {
             !replica.uid.is_empty() && replica.draining_for.is_none_or(|age| age >= TimeSpan::ZERO)
         };
-        entries <= MAX_ENTRIES && self.replicas.iter().all(replica_is_valid) && learned.sound()
+        entries <= MAX_ENTRIES && self.replicas.iter().all(replica_is_valid) && learned.is_valid()
     }
 }
 
--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -63,7 +63,7 @@
     pub fn restore(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
         self.apply_pending_endpoint_changes();
         self.apply_snapshot(now, age, use_list, snapshot);
-        self.coordinator.resume_alone(now);
+        self.coordinator.resume_without_peer(now);
     }
 
     fn apply_snapshot(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
@@ -109,7 +109,7 @@
 
     /// The other process has exited, and what it sent is not known.
     pub fn resume_alone(&mut self, now: Timestamp) {
-        self.coordinator.resume_alone(now);
+        self.coordinator.resume_without_peer(now);
         self.open_in_peer = 0;
     }
 
--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -41,7 +41,7 @@
     }
 
     fn settings(&self) -> Result<SettingsReader<'_>, ConfigError> {
-        self.reader().under("/settings")
+        self.reader().section("/settings")
     }
 
     fn text(&self, key: &str, variable: &str) -> Result<String, ConfigError> {
@@ -199,7 +199,7 @@
             *value = parts_per_call.into();
         }
         let mut exchange = Exchange::new(
-            SettingsReader::new(&all).under("/settings")?.coordinator(seed)?,
+            SettingsReader::new(&all).section("/settings")?.coordinator(seed)?,
             settings.count("/allowed/max_open")? as usize,
             parts_per_call as usize,
             counters,
@@ -263,12 +263,12 @@
 
     /// Parts that a connection to a replica carries at once.
     pub fn streams_per_connection(&self) -> Result<usize, ConfigError> {
-        Ok(self.settings()?.count_from_1("/allowed/streams_per_conn")? as usize)
+        Ok(self.settings()?.positive_count("/allowed/streams_per_conn")? as usize)
     }
 
     /// Parts that one call carries: settings may allow more than a connection carries at once.
     pub fn parts_per_call(&self) -> Result<u32, ConfigError> {
-        let parts = self.settings()?.count_from_1("/domain/parts_a_call")?;
+        let parts = self.settings()?.positive_count("/domain/parts_a_call")?;
         Ok(parts.min(self.streams_per_connection()? as u32))
     }
 
