--- a/crates/pipitcrank-cost/src/scenarios.rs
+++ b/crates/pipitcrank-cost/src/scenarios.rs
@@ -132,7 +132,7 @@
     buffer.extend_from_slice(&(answer.len() as u32).to_be_bytes());
     buffer.extend_from_slice(answer.as_bytes());
     let counted = measure(|| {
-        let taken = frames::take(&mut buffer);
+        let taken = frames::take_frame(&mut buffer);
         assert!(matches!(taken, Ok(Some(_))), "an answer of our own is one");
     });
     all.insert("answer of 60 kB taken: blocks".into(), counted.count_total as f64);
--- a/crates/pipitcrank-server/src/clients/connection_server.rs
+++ b/crates/pipitcrank-server/src/clients/connection_server.rs
@@ -13,7 +13,7 @@
 use super::connection::{AdoptedConnection, ConnectionMode, serve};
 use super::linger::reject;
 use crate::audit::{Rule, violated};
-use crate::exchange::REQUESTS;
+use crate::exchange::REQUEST_LOG_TARGET;
 use crate::runtime::connection_limits::{ConnectionLimiter, ConnectionPermit};
 use crate::runtime::counter_names::{client, group};
 use crate::runtime::counters::Counters;
@@ -64,7 +64,7 @@
             let end = serve(adopted, router, &connection, mode, idle).await;
             counters.add(group::CLIENTS, end.name());
             let phase = connection.phase();
-            tracing::debug!(target: REQUESTS, why = end.name(), at = ?phase, "client connection ended");
+            tracing::debug!(target: REQUEST_LOG_TARGET, why = end.name(), at = ?phase, "client connection ended");
             if end.is_local() && phase == ConnectionPhase::Answering {
                 violated(&counters, Rule::NoCloseUnanswered, "of a connection", end.name());
             }
--- a/crates/pipitcrank-server/src/exchange/admission.rs
+++ b/crates/pipitcrank-server/src/exchange/admission.rs
@@ -8,7 +8,7 @@
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use super::event::Submission;
-use super::query::{QueryPart, QueryRequest, QueryResponse, REQUESTS};
+use super::query::{QueryPart, QueryRequest, QueryResponse, REQUEST_LOG_TARGET};
 use super::request_table::{OpenPart, OpenQuery};
 use super::state::Exchange;
 use crate::audit::AdmittedQuery;
@@ -30,7 +30,7 @@
         let query = QueryId(table.query_ids.intern(&id));
         let indices: Vec<u32> = part_ids.iter().map(|part| table.part_ids.intern(part)).collect();
         table.tickets.insert(ticket, query.0);
-        tracing::debug!(target: REQUESTS, request = id, parts = parts.len(), left_s = (deadline - now).as_secs_f64(), "admitted");
+        tracing::debug!(target: REQUEST_LOG_TARGET, request = id, parts = parts.len(), left_s = (deadline - now).as_secs_f64(), "admitted");
         if let Some(audit) = &mut table.audit {
             let parts: Vec<PartId> = indices.iter().map(|&part| PartId(part)).collect();
             let forwarded = delegated.is_some();
--- a/crates/pipitcrank-server/src/exchange/batch.rs
+++ b/crates/pipitcrank-server/src/exchange/batch.rs
@@ -6,7 +6,7 @@
 use pipitcrank_core::time::Timestamp;
 
 use super::event::{EndedAttempt, EndpointChange, Event};
-use super::query::REQUESTS;
+use super::query::REQUEST_LOG_TARGET;
 use super::request_table::Command;
 use super::state::Exchange;
 use super::transport::ReplicaTransport;
@@ -68,7 +68,7 @@
         if let Some(&query) = self.table.tickets.get(&ticket) {
             self.table.counters.add(group::QUERIES, query::CLIENT_DISCONNECTED);
             let request = self.table.query_ids.name(query);
-            tracing::debug!(target: REQUESTS, request, "client disconnected");
+            tracing::debug!(target: REQUEST_LOG_TARGET, request, "client disconnected");
             self.coordinator.cancel_query(&mut self.table, now, QueryId(query));
         }
     }
@@ -99,7 +99,7 @@
     ) {
         self.table.counters.add(group::ATTEMPTS, outcome_name(outcome));
         let Some(part) = self.table.parts.get_mut(&attempt.part.0) else { return };
-        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, outcome = outcome_name(outcome), "ended");
+        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, outcome = outcome_name(outcome), "ended");
         part.last_outcome = Some(outcome);
         if outcome == AttemptOutcome::Success && part.value.is_none() {
             let query = part.query.and_then(|query| self.table.queries.get_mut(&query));
--- a/crates/pipitcrank-server/src/exchange/coordinator_output.rs
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -4,7 +4,7 @@
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use super::query::{QueryResponse, REQUESTS};
+use super::query::{QueryResponse, REQUEST_LOG_TARGET};
 use super::request_table::{Command, InFlightAttempt, RequestTable};
 use crate::reasons::ResendReason;
 use crate::runtime::counter_names::{group, query};
@@ -13,7 +13,7 @@
     /// Hands the final response to the query's sink. `kind`: its key in `/counters`.
     fn finish(&mut self, query: QueryId, response: QueryResponse, kind: &'static str) {
         self.counters.add(group::QUERIES, kind);
-        tracing::debug!(target: REQUESTS, request = self.query_ids.name(query.0), outcome = kind, "answered");
+        tracing::debug!(target: REQUEST_LOG_TARGET, request = self.query_ids.name(query.0), outcome = kind, "answered");
         self.audit_response(query, &response);
         let entry = self.queries.get_mut(&query.0);
         if let Some(sink) = entry.and_then(|entry| entry.response.take()) {
@@ -23,7 +23,7 @@
 
     fn refuse(&mut self, query: QueryId, response: QueryResponse, kind: &'static str, reason: RejectReason) {
         self.counters.add(group::REFUSALS, reason.name());
-        tracing::debug!(target: REQUESTS, request = self.query_ids.name(query.0), reason = reason.name(), "refused");
+        tracing::debug!(target: REQUEST_LOG_TARGET, request = self.query_ids.name(query.0), reason = reason.name(), "refused");
         self.finish(query, response, kind);
     }
 
@@ -58,7 +58,7 @@
         if let Some(reason) = self.resend_reason(part) {
             self.counters.add(group::RESENDS, reason.name());
             let part = self.part_ids.name(part.0);
-            tracing::debug!(target: REQUESTS, part, replica = replica.0, reason = reason.name(), "resending");
+            tracing::debug!(target: REQUEST_LOG_TARGET, part, replica = replica.0, reason = reason.name(), "resending");
         }
         let entry = self.parts.get_mut(&part.0).expect("a part that is sent is open");
         let attempt = AttemptId { part, number: entry.attempts };
--- a/crates/pipitcrank-server/src/exchange/mod.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -25,7 +25,9 @@
 
 pub use endpoint::Endpoint;
 pub use pipitcrank_core::ids::AttemptId;
-pub use query::{DelegatedRequest, PartSink, QueryPart, QueryRequest, QueryResponse, REQUESTS, ResponseSink};
+pub use query::{
+    DelegatedRequest, PartSink, QueryPart, QueryRequest, QueryResponse, REQUEST_LOG_TARGET, ResponseSink,
+};
 pub use remote_sites::{OutgoingForward, OutgoingPart};
 pub use state::Exchange;
 pub use transport::ReplicaTransport;
--- a/crates/pipitcrank-server/src/exchange/query.rs
+++ b/crates/pipitcrank-server/src/exchange/query.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 /// Log target of one line per step of a request, with its id: admitted, sent, not sent, ended, answered.
-pub const REQUESTS: &str = "pipitcrank::requests";
+pub const REQUEST_LOG_TARGET: &str = "pipitcrank::requests";
 
 /// A query as a client asked it.
 pub struct QueryRequest {
--- a/crates/pipitcrank-server/src/exchange/send_guard.rs
+++ b/crates/pipitcrank-server/src/exchange/send_guard.rs
@@ -6,7 +6,7 @@
 use pipitcrank_core::ids::{AttemptId, AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-use super::query::REQUESTS;
+use super::query::REQUEST_LOG_TARGET;
 use super::state::Exchange;
 use crate::audit::SentAttempt;
 use crate::reasons::SendDenied;
@@ -90,7 +90,7 @@
 
     fn record_sent(&mut self, now: Timestamp, replica: ReplicaId, attempt: AttemptId, time_left: TimeSpan) {
         let part = &self.table.parts[&attempt.part.0];
-        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, replica = replica.0, left_s = time_left.as_secs_f64(), "sent");
+        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, replica = replica.0, left_s = time_left.as_secs_f64(), "sent");
         if let Some(audit) = &mut self.table.audit {
             audit.sent(now, SentAttempt { attempt, replica, time_left });
         }
@@ -99,7 +99,7 @@
     fn record_denied(&self, attempt: AttemptId, reason: SendDenied) {
         self.table.counters.add(group::NOT_SENT, reason.name());
         let part = &self.table.parts[&attempt.part.0];
-        tracing::debug!(target: REQUESTS, part = &*part.id, attempt = attempt.number, reason = reason.name(), "not sent");
+        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, reason = reason.name(), "not sent");
     }
 
     /// An attempt queued for that replica will never be sent. One that another part's attempt shares its number with by now, and
--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -199,7 +199,7 @@
             self.frame_begun = self.last_used;
         }
         loop {
-            match frames::take(&mut self.received) {
+            match frames::take_frame(&mut self.received) {
                 Ok(None) => break,
                 Ok(Some(frame)) => {
                     self.frame_begun = self.last_used;
--- a/crates/pipitcrank-server/src/replicas/frames.rs
+++ b/crates/pipitcrank-server/src/replicas/frames.rs
@@ -133,7 +133,7 @@
 }
 
 /// Takes the first whole frame out of the buffer, if there is one.
-pub fn take(buffer: &mut BytesMut) -> Result<Option<ReplicaFrame>, FrameError> {
+pub fn take_frame(buffer: &mut BytesMut) -> Result<Option<ReplicaFrame>, FrameError> {
     let Some(head) = buffer.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
     if length == 0 || length > MAX_FRAME {
--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -18,7 +18,7 @@
 }
 
 fn take(bytes: &[u8]) -> Result<Option<ReplicaFrame>, String> {
-    frames::take(&mut BytesMut::from(bytes)).map_err(|bad| bad.to_string())
+    frames::take_frame(&mut BytesMut::from(bytes)).map_err(|bad| bad.to_string())
 }
 
 #[test]
@@ -46,7 +46,7 @@
     let mut buffer = BytesMut::new();
     for byte in &answer[..answer.len() - 1] {
         buffer.extend_from_slice(&[*byte]);
-        assert_eq!(frames::take(&mut buffer), Ok(None));
+        assert_eq!(frames::take_frame(&mut buffer), Ok(None));
     }
     buffer.extend_from_slice(&answer[answer.len() - 1..]);
     buffer.extend_from_slice(&load);
@@ -57,9 +57,12 @@
         report,
         value: "5be2a07c\n19".into(),
     };
-    assert_eq!(frames::take(&mut buffer), Ok(Some(wanted)));
+    assert_eq!(frames::take_frame(&mut buffer), Ok(Some(wanted)));
     let report = Some(LoadReport { queued: Some(2.5), in_flight: None });
-    assert_eq!(frames::take(&mut buffer), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report))));
+    assert_eq!(
+        frames::take_frame(&mut buffer),
+        Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report)))
+    );
     let report = Some(LoadReport { queued: Some(4.364), in_flight: Some(5.0) });
     let wanted = ReplicaFrame::Load(AttemptOutcome::Success, report);
     assert_eq!(take(&framed(b"Lbacklog=4.364,eps=0,outstanding=5")), Ok(Some(wanted)));
@@ -140,11 +143,11 @@
     #[test]
     fn no_bytes_bring_the_decoder_down(bytes in proptest::collection::vec(any::<u8>(), 0..200), letter in 0..6usize) {
         let mut buffer = BytesMut::from(&bytes[..]);
-        while let Ok(Some(_)) = frames::take(&mut buffer) {}
+        while let Ok(Some(_)) = frames::take_frame(&mut buffer) {}
         let mut known = vec![b"APLEQX"[letter]];
         known.extend(&bytes);
         let mut buffer = BytesMut::from(&framed(&known)[..]);
-        let left = match frames::take(&mut buffer) {
+        let left = match frames::take_frame(&mut buffer) {
             Ok(found) => found.is_none(),
             Err(_) => false,
         };
