--- a/crates/pipitcrank-cli/src/event_log.rs
+++ b/crates/pipitcrank-cli/src/event_log.rs
@@ -28,10 +28,10 @@
     pub(crate) fn record(&mut self, now: Timestamp, event: NodeEvent, counters: &Counters) {
         match event {
             NodeEvent::Decided(decision) => self.decided(&decision, counters),
-            NodeEvent::Proposed { cause, zone, finding, reporters, voters } => {
+            NodeEvent::Proposed { cause, zone, health, reporters, voters } => {
                 counters.add("zones", "proposed");
                 let zone = &self.topology.names[usize::from(zone)];
-                let (cause, evidence) = (cause.name(), finding.name());
+                let (cause, evidence) = (cause.name(), health.name());
                 tracing::info!(cause, zone, evidence, reporters, voters, "proposing a zone decision");
             }
             NodeEvent::Membership(event) => self.membership_changed(event, counters),
--- a/crates/pipitcrank-cli/src/failover_driver.rs
+++ b/crates/pipitcrank-cli/src/failover_driver.rs
@@ -99,7 +99,7 @@
         let now = self.event_loop.clock.now();
         let mut node = new_node(now, &self.zones, self.topology.own);
         if store.is_some() {
-            node.require_durable_memory();
+            node.require_durable_state();
             restore(now, &mut node, state);
         }
         let is_voter = self.zones.voter_slot(self.zones.advertised).is_some();
@@ -142,7 +142,7 @@
         suspect_after: time_span(zones.suspect_time),
         hold_down: time_span(zones.hold_down),
         max_hold_down: time_span(zones.hold_down_max),
-        calm_after: time_span(zones.hold_down_reset),
+        hold_down_reset_after: time_span(zones.hold_down_reset),
     };
     let (zone, zone_count) = (own as u16, zones.zones.len());
     let lease = time_span(zones.decision_lease);
@@ -268,11 +268,11 @@
 
     fn save(&mut self, now: Timestamp) {
         let Some(store) = &mut self.store else { return };
-        if let Some(memory) = self.node.take_memory() {
+        if let Some(memory) = self.node.take_persistent_state() {
             store.save_voter_memory(&memory);
         }
         if self.node.awaits_persistence() && store.is_memory_saved() {
-            self.node.memory_persisted(now);
+            self.node.state_persisted(now);
         }
         let restart_state = || self.node.restart_state();
         store.save_learned_state_if_due(now, &self.event_loop, &self.revision, restart_state);
--- a/crates/pipitcrank-cli/src/store_driver.rs
+++ b/crates/pipitcrank-cli/src/store_driver.rs
@@ -8,7 +8,7 @@
 use pipitcrank_config::StoreConfig;
 use pipitcrank_core::time::Timestamp;
 use pipitcrank_failover::node::RestartState;
-use pipitcrank_failover::voter::VoterMemory;
+use pipitcrank_failover::voter::PersistentVoterState;
 use pipitcrank_handover::clock::monotonic_micros;
 use pipitcrank_recovery::last_known_state::{ClockReading, LastKnownState, RecoveredState};
 use pipitcrank_recovery::store::{Store, StoreError, StoredValues, WriteStatus};
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct StoredState {
     pub(crate) recovered: RecoveredState,
-    pub(crate) voter_memory: Option<VoterMemory>,
+    pub(crate) voter_memory: Option<PersistentVoterState>,
 }
 
 /// A store, if there is one, and what a process before this one left in it.
@@ -132,8 +132,8 @@
         StoredState { recovered, voter_memory }
     }
 
-    fn decode_voter_memory(&self, bytes: &[u8]) -> Option<VoterMemory> {
-        let memory = VoterMemory::decode(bytes);
+    fn decode_voter_memory(&self, bytes: &[u8]) -> Option<PersistentVoterState> {
+        let memory = PersistentVoterState::decode(bytes);
         if memory.is_none() {
             let path = self.config.path.display();
             tracing::warn!("/store/path {path}: voter memory can't be read; returning as a new voter");
@@ -162,7 +162,7 @@
     }
 
     /// Has the voter memory written.
-    pub(crate) fn save_voter_memory(&mut self, memory: &VoterMemory) {
+    pub(crate) fn save_voter_memory(&mut self, memory: &PersistentVoterState) {
         self.memory_sequence = self.store.save_voter_memory(memory.encode());
     }
 
--- a/crates/pipitcrank-cli/src/zones_command.rs
+++ b/crates/pipitcrank-cli/src/zones_command.rs
@@ -99,7 +99,7 @@
     if let Some(leader) = status.leader {
         let leader = zones.voters.get(usize::from(leader));
         let leader = leader.map_or("?".to_string(), |voter| voter.address.to_string());
-        println!("{} of {} voters are heard, {leader} leads", status.voters_heard, zones.voters.len());
+        println!("{} of {} voters are heard, {leader} leads", status.reachable_voters, zones.voters.len());
     }
     let Some(decision) = &status.decision else {
         println!("nothing is decided");
@@ -134,7 +134,7 @@
         if decided.capacity == UNKNOWN_CAPACITY { "?".to_string() } else { decided.capacity.to_string() };
     let evidence = status.evidence.get(index).map_or("this copy is no voter".to_string(), |evidence| {
         let (reporters, healthy) = (evidence.reporters, evidence.healthy_replicas);
-        format!("{}: {reporters} copies speak, {healthy} leaves well", evidence.finding)
+        format!("{}: {reporters} copies speak, {healthy} leaves well", evidence.health)
     });
     let drained = if decided.drained { "; drained" } else { "" };
     println!(
--- a/crates/pipitcrank-failover/src/controller.rs
+++ b/crates/pipitcrank-failover/src/controller.rs
@@ -11,7 +11,7 @@
 //! Returning    -- each RETURN_STEP_INTERVAL, twice that while
 //!                 warming up                                       --> retains one return step more; at all Serving
 //!              -- evidence against it                              --> Draining, hold-down doubled
-//! Serving for `calm_after` without a fault                         --> hold-down at its shortest
+//! Serving for `hold_down_reset_after` without a fault                         --> hold-down at its shortest
 //! ```
 //!
 //! Whatever the evidence: no step while no other zone is known to be healthy; a zone that still answers (slow, or drained)
--- a/crates/pipitcrank-failover/src/controller/capacity.rs
+++ b/crates/pipitcrank-failover/src/controller/capacity.rs
@@ -23,7 +23,7 @@
             decided.demand = whole_parts(matrix.demand[zone]);
         }
         // A zone that is not usable at all is drained in steps, whatever its capacity.
-        if watch.configured_replica_capacity > 0.0 && matrix.finding(zone).is_usable() {
+        if watch.configured_replica_capacity > 0.0 && matrix.zone_health(zone).is_usable() {
             decided.capacity = whole_parts(capacity(watch, matrix, zone, decided.capacity));
         }
     }
@@ -88,7 +88,7 @@
 pub(super) fn another_zone_serves(matrix: &EvidenceMatrix, current: &Decision, without: usize) -> bool {
     (0..current.zones.len()).filter(|&zone| zone != without).any(|zone| {
         let decided = &current.zones[zone];
-        matrix.finding(zone).is_usable()
+        matrix.zone_health(zone).is_usable()
             && matrix.reporters(zone) > 0
             && decided.retained > 0
             && !decided.drained
--- a/crates/pipitcrank-failover/src/controller/orders.rs
+++ b/crates/pipitcrank-failover/src/controller/orders.rs
@@ -1,6 +1,6 @@
 //! Operators' orders.
 
-use pipitcrank_membership::evidence::{EvidenceMatrix, Finding};
+use pipitcrank_membership::evidence::{EvidenceMatrix, ZoneHealth};
 
 use super::capacity::{another_zone_serves, capacity_without, total_demand};
 use super::timing::{DRAIN_STEP, RETURN_STEP};
@@ -31,7 +31,7 @@
     NotOutOfService(ZoneState),
     /// Only a zone that is known to be usable can be returned.
     #[error("evidence on it is {}, not that it is well", .0.name())]
-    NotUsable(Finding),
+    NotUsable(ZoneHealth),
     /// All zones were frozen before.
     #[error("it is frozen already")]
     AlreadyFrozen,
@@ -111,9 +111,9 @@
     if !matches!(state, ZoneState::Draining | ZoneState::OutOfService) {
         return Err(OrderError::NotOutOfService(state));
     }
-    let finding = matrix.finding(index);
-    if !finding.is_usable() {
-        return Err(OrderError::NotUsable(finding));
+    let health = matrix.zone_health(index);
+    if !health.is_usable() {
+        return Err(OrderError::NotUsable(health));
     }
     let returned = &mut next.zones[index];
     (returned.drained, returned.state) = (false, ZoneState::Returning);
--- a/crates/pipitcrank-failover/src/controller/steps.rs
+++ b/crates/pipitcrank-failover/src/controller/steps.rs
@@ -1,7 +1,7 @@
 //! The steps of one zone.
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
-use pipitcrank_membership::evidence::{EvidenceMatrix, Finding};
+use pipitcrank_membership::evidence::{EvidenceMatrix, ZoneHealth};
 
 use super::capacity::another_zone_serves;
 use super::timing::{
@@ -45,9 +45,10 @@
             next.state = ZoneState::Suspected;
             return Some(self.cause_against(zone));
         }
-        if decided.hold_down_level > 0 && self.now - watch.serving_since >= self.timing.calm_after {
+        if decided.hold_down_level > 0 && self.now - watch.serving_since >= self.timing.hold_down_reset_after
+        {
             next.hold_down_level = 0;
-            return Some(DecisionCause::Calm);
+            return Some(DecisionCause::HoldDownReset);
         }
         None
     }
@@ -123,9 +124,9 @@
     }
 
     fn cause_against(&self, zone: usize) -> DecisionCause {
-        match self.matrix.finding(zone) {
-            Finding::Dead => DecisionCause::Dead,
-            Finding::CutOff => DecisionCause::CutOff,
+        match self.matrix.zone_health(zone) {
+            ZoneHealth::Dead => DecisionCause::Dead,
+            ZoneHealth::CutOff => DecisionCause::CutOff,
             _ => DecisionCause::Slow,
         }
     }
@@ -139,7 +140,7 @@
     /// of the others; one that still answers only as far as they have capacity.
     fn drain_step(&self, next: &mut Decision, zone: usize) -> bool {
         let before = next.zones[zone].clone();
-        let answers_nothing = matches!(self.matrix.finding(zone), Finding::Dead | Finding::CutOff);
+        let answers_nothing = matches!(self.matrix.zone_health(zone), ZoneHealth::Dead | ZoneHealth::CutOff);
         if answers_nothing || before.retained == 0 {
             drain_by_one_step(&mut next.zones[zone]);
             return true;
--- a/crates/pipitcrank-failover/src/controller/tests.rs
+++ b/crates/pipitcrank-failover/src/controller/tests.rs
@@ -10,7 +10,7 @@
     suspect_after: TimeSpan::from_millis(500),
     hold_down: TimeSpan::from_millis(2000),
     max_hold_down: TimeSpan::from_millis(16_000),
-    calm_after: TimeSpan::from_millis(30_000),
+    hold_down_reset_after: TimeSpan::from_millis(30_000),
 };
 
 /// Three zones of ten replicas that answer 100 parts per second each, with a demand of 300 in each.
--- a/crates/pipitcrank-failover/src/controller/timing.rs
+++ b/crates/pipitcrank-failover/src/controller/timing.rs
@@ -12,7 +12,7 @@
     /// The longest hold-down.
     pub max_hold_down: TimeSpan,
     /// For how long a zone must serve without a fault before its hold-down is at its shortest again.
-    pub calm_after: TimeSpan,
+    pub hold_down_reset_after: TimeSpan,
 }
 
 /// For how long evidence must hold before anything is decided from it: two reports of each reporter.
--- a/crates/pipitcrank-failover/src/controller/watch.rs
+++ b/crates/pipitcrank-failover/src/controller/watch.rs
@@ -1,7 +1,7 @@
 //! Since when the evidence on zones and on the paths between them has been as it is.
 
 use pipitcrank_core::time::Timestamp;
-use pipitcrank_membership::evidence::{EvidenceMatrix, Finding};
+use pipitcrank_membership::evidence::{EvidenceMatrix, ZoneHealth};
 
 use super::timing::{FailoverTiming, OBSERVED_FOR};
 use crate::constants::DISTANT_PAST;
@@ -90,7 +90,7 @@
         let passed = (now - self.updated_at).as_secs_f64().clamp(0.0, MAX_RECOVERY_SECONDS);
         self.updated_at = now;
         for zone in 0..self.zones.len() {
-            self.zones[zone].update(now, matrix.finding(zone), current.zones[zone].state);
+            self.zones[zone].update(now, matrix.zone_health(zone), current.zones[zone].state);
             self.update_capacity(passed, matrix, zone);
             for to in 0..self.zones.len() {
                 self.paths[zone][to].update(now, matrix, zone, to);
@@ -127,7 +127,7 @@
             let mut cut_paths = current.zones[from].cut_paths;
             for (to, path) in self.paths[from].iter().enumerate() {
                 // Where a zone is unreachable for all, none of the paths is at fault.
-                let unreachable = matches!(matrix.finding(to), Finding::Dead | Finding::CutOff);
+                let unreachable = matches!(matrix.zone_health(to), ZoneHealth::Dead | ZoneHealth::CutOff);
                 if from == to || unreachable {
                     continue;
                 }
@@ -143,10 +143,10 @@
 }
 
 impl ZoneWatch {
-    fn update(&mut self, now: Timestamp, finding: Finding, state: ZoneState) {
-        let unhealthy = matches!(finding, Finding::Dead | Finding::CutOff | Finding::Slow);
+    fn update(&mut self, now: Timestamp, health: ZoneHealth, state: ZoneState) {
+        let unhealthy = matches!(health, ZoneHealth::Dead | ZoneHealth::CutOff | ZoneHealth::Slow);
         self.unhealthy_since = unhealthy.then(|| self.unhealthy_since.unwrap_or(now));
-        self.healthy_since = finding.is_usable().then(|| self.healthy_since.unwrap_or(now));
+        self.healthy_since = health.is_usable().then(|| self.healthy_since.unwrap_or(now));
         if unhealthy || state != ZoneState::Serving {
             self.serving_since = now;
         }
--- a/crates/pipitcrank-failover/src/decision.rs
+++ b/crates/pipitcrank-failover/src/decision.rs
@@ -77,7 +77,7 @@
     /// Demand or capacity changed by enough to matter.
     LoadChanged,
     /// No fault for long: the hold-down is at its shortest again.
-    Calm,
+    HoldDownReset,
     /// An operator drained a zone.
     Drained,
     /// An operator returned a zone.
@@ -100,7 +100,7 @@
             DecisionCause::NextStep => "step",
             DecisionCause::PathChanged => "way",
             DecisionCause::LoadChanged => "figures",
-            DecisionCause::Calm => "calm",
+            DecisionCause::HoldDownReset => "calm",
             DecisionCause::Drained => "drained",
             DecisionCause::Returned => "returned",
             DecisionCause::Frozen => "frozen",
--- a/crates/pipitcrank-failover/src/follower.rs
+++ b/crates/pipitcrank-failover/src/follower.rs
@@ -9,7 +9,7 @@
 //!             `RESYNC_TIMEOUT`
 //! Following   heard from the voters within `FRESH_FOR`: the decision is acted on as it is
 //! Holding     not heard from them for up to the hold time: the decision is acted on as it is
-//! Isolated    for longer: from that decision, at most `MAX_OWN_SHIFT` of a zone's fraction is moved by own evidence
+//! Isolated    for longer: from that decision, at most `MAX_ISOLATED_SHIFT` of a zone's fraction is moved by own evidence
 //! ```
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -33,7 +33,7 @@
 /// all their memory found a new group in less.
 const RESTORE_AFTER: TimeSpan = TimeSpan::from_millis(4000);
 /// Thousandths of a zone's fraction that an isolated node moves at most, away or back.
-pub const MAX_OWN_SHIFT: u16 = 500;
+pub const MAX_ISOLATED_SHIFT: u16 = 500;
 
 /// How a node stands to the current decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -328,7 +328,7 @@
             && let Some(&nearest) =
                 healthy.iter().min_by_key(|&&zone| (self.proximity.distance(self.zone, zone), zone))
         {
-            row[nearest] = MAX_OWN_SHIFT;
+            row[nearest] = MAX_ISOLATED_SHIFT;
         }
         closed_zones.retain(|&zone| row[usize::from(zone)] == 0);
         for zone in 0..row.len() {
@@ -354,7 +354,7 @@
     if targets.is_empty() {
         return;
     }
-    let moved = (u32::from(row[from]) * u32::from(MAX_OWN_SHIFT) / u32::from(FULL_PERMILLE)) as u16;
+    let moved = (u32::from(row[from]) * u32::from(MAX_ISOLATED_SHIFT) / u32::from(FULL_PERMILLE)) as u16;
     let each = moved / targets.len() as u16;
     for &target in targets {
         row[target] += each;
--- a/crates/pipitcrank-failover/src/node.rs
+++ b/crates/pipitcrank-failover/src/node.rs
@@ -50,7 +50,7 @@
 use crate::constants::LONGER_THAN_ANY_INTERVAL;
 use crate::decision::{Decision, OperatorOrder};
 use crate::follower::{DecisionFollower, DecisionStatus, LeaderHeartbeat, RoutingPlan};
-use crate::voter::{AddressedOutput, VoterMemory, VoterOutput};
+use crate::voter::{AddressedOutput, PersistentVoterState, VoterOutput};
 
 /// One node.
 pub struct FailoverNode {
@@ -103,7 +103,7 @@
         now: Timestamp,
         decision: Option<Decision>,
         members: Vec<Peer>,
-        memory: Option<VoterMemory>,
+        memory: Option<PersistentVoterState>,
     ) {
         if let Some(DurableVoter { voter, .. }) = &mut self.voter {
             if let Some(memory) = memory {
@@ -129,27 +129,27 @@
     }
 
     /// From now on what this voter says, and what it knows was decided, waits until its memory is persisted: the caller asks
-    /// for `take_memory` after each event, and calls `memory_persisted` when that is done.
-    pub fn require_durable_memory(&mut self) {
+    /// for `take_persistent_state` after each event, and calls `state_persisted` when that is done.
+    pub fn require_durable_state(&mut self) {
         if let Some(voter) = &mut self.voter {
-            voter.require_durable_memory();
+            voter.require_durable_state();
         }
     }
 
     /// What a voter must not forget, where it has changed.
-    pub fn take_memory(&mut self) -> Option<VoterMemory> {
-        self.voter.as_mut().and_then(DurableVoter::take_memory)
+    pub fn take_persistent_state(&mut self) -> Option<PersistentVoterState> {
+        self.voter.as_mut().and_then(DurableVoter::take_persistent_state)
     }
 
-    /// The last memory that `take_memory` returned is persisted.
-    pub fn memory_persisted(&mut self, now: Timestamp) {
+    /// The last memory that `take_persistent_state` returned is persisted.
+    pub fn state_persisted(&mut self, now: Timestamp) {
         if let Some(voter) = &mut self.voter {
-            voter.memory_persisted();
+            voter.state_persisted();
         }
         self.settle(now);
     }
 
-    /// Whether anything waits for `memory_persisted`.
+    /// Whether anything waits for `state_persisted`.
     pub fn awaits_persistence(&self) -> bool {
         self.voter.as_ref().is_some_and(DurableVoter::awaits_persistence)
     }
@@ -380,7 +380,7 @@
             fractions: self.follower.plan(now).fractions,
             evidence: if self.voter.is_some() { ZoneEvidence::of_zones(&matrix) } else { Vec::new() },
             leader: self.leader_slot(),
-            voters_heard: self.voter.as_ref().map_or(0, |voter| voter.voter.voters_heard(now) as u8),
+            reachable_voters: self.voter.as_ref().map_or(0, |voter| voter.voter.reachable_voters(now) as u8),
             members: self.members.live_members().count() as u16 + 1,
         }
     }
--- a/crates/pipitcrank-failover/src/node/durable_voter.rs
+++ b/crates/pipitcrank-failover/src/node/durable_voter.rs
@@ -5,7 +5,7 @@
 use super::config::FailoverNodeConfig;
 use super::message::RequestError;
 use crate::decision::Decision;
-use crate::voter::{AddressedOutput, Voter, VoterMemory};
+use crate::voter::{AddressedOutput, PersistentVoterState, Voter};
 
 pub(super) struct DurableVoter {
     pub(super) voter: Voter,
@@ -26,20 +26,20 @@
         Some(DurableVoter { voter, own_slot, slot_count, is_durable: false, awaits_persistence: false })
     }
 
-    pub(super) fn require_durable_memory(&mut self) {
+    pub(super) fn require_durable_state(&mut self) {
         self.is_durable = true;
     }
 
-    pub(super) fn take_memory(&mut self) -> Option<VoterMemory> {
+    pub(super) fn take_persistent_state(&mut self) -> Option<PersistentVoterState> {
         if !self.is_durable {
             return None;
         }
-        let memory = self.voter.take_memory();
+        let memory = self.voter.take_persistent_state();
         self.awaits_persistence |= memory.is_some();
         memory
     }
 
-    pub(super) fn memory_persisted(&mut self) {
+    pub(super) fn state_persisted(&mut self) {
         self.awaits_persistence = false;
     }
 
--- a/crates/pipitcrank-failover/src/node/event.rs
+++ b/crates/pipitcrank-failover/src/node/event.rs
@@ -1,7 +1,7 @@
 //! What a node's driver logs and counts.
 
 use pipitcrank_membership::envelope::DatagramRejection;
-use pipitcrank_membership::evidence::Finding;
+use pipitcrank_membership::evidence::ZoneHealth;
 use pipitcrank_membership::members::MembershipEvent;
 
 use super::message::OperatorAnswer;
@@ -20,7 +20,7 @@
         /// The zone that it is about.
         zone: u16,
         /// The evidence on that zone.
-        finding: Finding,
+        health: ZoneHealth,
         /// Nodes of that zone whose reports count.
         reporters: usize,
         /// Voters heard lately, this one included.
--- a/crates/pipitcrank-failover/src/node/leadership.rs
+++ b/crates/pipitcrank-failover/src/node/leadership.rs
@@ -155,9 +155,9 @@
         let event = NodeEvent::Proposed {
             cause: next.cause,
             zone: next.zone,
-            finding: matrix.finding(zone),
+            health: matrix.zone_health(zone),
             reporters: matrix.reporters(zone),
-            voters: voter.voters_heard(now),
+            voters: voter.reachable_voters(now),
         };
         self.proposal = Some(PendingProposal { base, at: now });
         voter.propose(base, next);
--- a/crates/pipitcrank-failover/src/node/message.rs
+++ b/crates/pipitcrank-failover/src/node/message.rs
@@ -98,7 +98,7 @@
     /// The slot of the leader, where it is known.
     pub leader: Option<u8>,
     /// Voters heard lately, this one included; 0 where this node is no voter.
-    pub voters_heard: u8,
+    pub reachable_voters: u8,
     /// Live members, this node included.
     pub members: u16,
 }
@@ -106,8 +106,8 @@
 /// The evidence on one zone, as a voter has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneEvidence {
-    /// `Finding::name` of the zone.
-    pub finding: String,
+    /// `ZoneHealth::name` of the zone.
+    pub health: String,
     /// Nodes of the zone whose reports count.
     pub reporters: u16,
     /// Replicas of the zone that were observed to be healthy.
@@ -117,7 +117,7 @@
 impl ZoneEvidence {
     pub(super) fn of_zones(matrix: &EvidenceMatrix) -> Vec<ZoneEvidence> {
         let of_zone = |zone: usize| ZoneEvidence {
-            finding: matrix.finding(zone).name().to_string(),
+            health: matrix.zone_health(zone).name().to_string(),
             reporters: matrix.reporters(zone) as u16,
             healthy_replicas: matrix.healthy_replicas(zone).round() as u16,
         };
--- a/crates/pipitcrank-failover/src/node/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/node/stored_forms.rs
@@ -27,9 +27,9 @@
         decision: Some(Decision::initial(2, 7 << 32)),
         status: "follows".into(),
         fractions: vec![ZoneFraction { zone: 0, permille: 900 }, ZoneFraction { zone: 1, permille: 100 }],
-        evidence: vec![ZoneEvidence { finding: "Well".into(), reporters: 5, healthy_replicas: 40 }],
+        evidence: vec![ZoneEvidence { health: "Well".into(), reporters: 5, healthy_replicas: 40 }],
         leader: Some(1),
-        voters_heard: 3,
+        reachable_voters: 3,
         members: 20,
     }
 }
@@ -61,7 +61,7 @@
     check(
         "node_messages.hex",
         &[
-            ("voter", Message::Voter(VoterMessage::Found { generation: 9 })),
+            ("voter", Message::Voter(VoterMessage::RequestPromise { generation: 9 })),
             ("evidence", Message::Evidence(evidence)),
             ("look", Message::DecisionQuery(17)),
             ("stands", current_decision),
--- a/crates/pipitcrank-failover/src/voter.rs
+++ b/crates/pipitcrank-failover/src/voter.rs
@@ -7,7 +7,7 @@
 //! | `message.rs` | what voters send each other |
 //! | `outbox.rs` | what waits to be sent |
 //! | `identity.rs` | ids and incarnations |
-//! | `memory.rs` | what a voter must not forget |
+//! | `persistent_state.rs` | what a voter must not forget |
 //! | `peers.rs` | heartbeats of the other voters |
 //! | `founding.rs` | who belongs to the voters; a generation that is being founded |
 //! | `admission.rs` | who is admitted to a group |
@@ -18,10 +18,10 @@
 mod admission;
 mod founding;
 mod identity;
-mod memory;
 mod message;
 mod outbox;
 mod peers;
+mod persistent_state;
 mod raft_group;
 mod storage;
 mod timing;
@@ -32,11 +32,11 @@
 use self::founding::{Electorate, Founding, KnownHistory, OwnPromise, believed_generation, next_generation};
 pub use self::identity::{Incarnation, KnownIncarnation};
 use self::identity::{IncarnationTable, Placement, VoterIdentity, slot_of};
-use self::memory::GroupMemory;
-pub use self::memory::VoterMemory;
 pub use self::message::{AddressedOutput, NewGroup, Promise, VoterHeartbeat, VoterMessage, VoterOutput};
 use self::outbox::Outbox;
 use self::peers::{PeerHeartbeat, PeerTable};
+use self::persistent_state::PersistentGroupState;
+pub use self::persistent_state::PersistentVoterState;
 use self::raft_group::{GroupEffects, RaftGroup};
 use self::storage::GroupLog;
 use self::timing::{FOUND_AFTER, HEARTBEAT_INTERVAL, PROMISE_AFTER, TICK};
@@ -98,7 +98,7 @@
 
     /// Goes on from the memory of an earlier process in this slot. A memory of another slot, or one that is inconsistent, is
     /// not used.
-    pub fn restore(&mut self, now: Timestamp, memory: VoterMemory) {
+    pub fn restore(&mut self, now: Timestamp, memory: PersistentVoterState) {
         if !memory.fits(self.placement.slot, self.placement.slot_count) {
             return;
         }
@@ -110,12 +110,12 @@
             // Its id may still be counted on.
             self.identity.abandon_id();
         } else if let Some(group) = memory.group {
-            self.identity.is_unproven = true;
+            self.identity.is_unconfirmed = true;
             self.restore_group(now, group);
         }
     }
 
-    fn restore_group(&mut self, now: Timestamp, memory: GroupMemory) {
+    fn restore_group(&mut self, now: Timestamp, memory: PersistentGroupState) {
         let generation = memory.generation;
         match GroupLog::restore(memory, self.placement.zone_count) {
             Some(log) => {
@@ -135,11 +135,11 @@
 
     /// What must not be forgotten, if that has changed since the last call. Nothing that was said since may be sent before
     /// it is persisted.
-    pub fn take_memory(&mut self) -> Option<VoterMemory> {
+    pub fn take_persistent_state(&mut self) -> Option<PersistentVoterState> {
         if !std::mem::take(&mut self.memory_changed) {
             return None;
         }
-        Some(VoterMemory {
+        Some(PersistentVoterState {
             slot: self.placement.slot,
             instance: self.identity.instance,
             abandoned_ids: self.identity.abandoned_ids,
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Whether `take_memory` would return something.
+    /// Whether `take_persistent_state` would return something.
     pub fn has_changed(&self) -> bool {
         self.memory_changed
     }
@@ -209,7 +209,7 @@
         self.ticked_at = now;
         self.outbox.drop_excess();
         self.prove_incarnation(now);
-        if let Some(group) = self.group.as_mut().filter(|_| !self.identity.is_unproven) {
+        if let Some(group) = self.group.as_mut().filter(|_| !self.identity.is_unconfirmed) {
             group.tick();
         }
         self.process_ready();
@@ -259,7 +259,7 @@
         self.history.highest_generation = generation;
         self.leave_group_for(now, generation, self.placement.slot);
         self.founding = Some(Founding::new(now, self.placement.slot, self.promise_to(generation)));
-        self.outbox.send_to_all(VoterMessage::Found { generation });
+        self.outbox.send_to_all(VoterMessage::RequestPromise { generation });
         self.start_group_if_complete(now);
     }
 
@@ -324,9 +324,9 @@
         }
         match message {
             VoterMessage::Heartbeat(heartbeat) => self.handle_heartbeat(now, slot, heartbeat),
-            VoterMessage::Found { generation } => self.handle_found(now, slot, generation),
+            VoterMessage::RequestPromise { generation } => self.handle_found(now, slot, generation),
             VoterMessage::Promise(promise) => self.handle_promise(now, slot, promise),
-            VoterMessage::Start(group) => self.handle_start(now, slot, group),
+            VoterMessage::StartGroup(group) => self.handle_start(now, slot, group),
         }
     }
 
@@ -383,7 +383,8 @@
     pub fn handle_raft(&mut self, now: Timestamp, generation: u64, bytes: &[u8]) {
         let message = raft_group::decode(bytes, self.identity.id());
         // A message to an earlier process is not for this one, which may have promised otherwise.
-        let Some(message) = message.filter(|_| self.promise.is_none() && !self.identity.is_unproven) else {
+        let Some(message) = message.filter(|_| self.promise.is_none() && !self.identity.is_unconfirmed)
+        else {
             self.discarded_messages += 1;
             return;
         };
@@ -472,8 +473,8 @@
     }
 
     /// Whether it waits for a majority to record its incarnation.
-    pub fn is_unproven(&self) -> bool {
-        self.identity.is_unproven
+    pub fn is_unconfirmed(&self) -> bool {
+        self.identity.is_unconfirmed
     }
 
     /// Whether this process is among the voters of its group.
@@ -482,7 +483,7 @@
     }
 
     /// Voters heard lately, this one included.
-    pub fn voters_heard(&self, now: Timestamp) -> usize {
+    pub fn reachable_voters(&self, now: Timestamp) -> usize {
         1 + self.peers.recent(now).count()
     }
 }
--- a/crates/pipitcrank-failover/src/voter/founding.rs
+++ b/crates/pipitcrank-failover/src/voter/founding.rs
@@ -1,6 +1,6 @@
 //! A generation of voters that is being founded.
 //!
-//! A process that was given no `VoterMemory` must never vote as if it had one. Each process has an id of its own, made of
+//! A process that was given no `PersistentVoterState` must never vote as if it had one. Each process has an id of its own, made of
 //! its slot and its start, and abandons it for good when it leaves a group. One that was given the memory of an earlier
 //! process goes on under that id, once a majority has recorded that it is a later incarnation of it: so an older memory that
 //! somebody restored is recognized by any majority, and its process returns as one without memory.
@@ -137,8 +137,8 @@
     /// What the others are told, until they have all joined.
     pub(super) fn message(&self) -> VoterMessage {
         match self.group.clone() {
-            Some(group) => VoterMessage::Start(group),
-            None => VoterMessage::Found { generation: self.generation },
+            Some(group) => VoterMessage::StartGroup(group),
+            None => VoterMessage::RequestPromise { generation: self.generation },
         }
     }
 
--- a/crates/pipitcrank-failover/src/voter/identity.rs
+++ b/crates/pipitcrank-failover/src/voter/identity.rs
@@ -89,13 +89,13 @@
     pub(super) abandoned_ids: u64,
     pub(super) incarnation: Incarnation,
     /// It uses a memory, and no majority has recorded its incarnation yet: it neither votes nor stands for election.
-    pub(super) is_unproven: bool,
+    pub(super) is_unconfirmed: bool,
 }
 
 impl VoterIdentity {
     pub(super) fn new(slot: usize, instance: u64) -> VoterIdentity {
         let incarnation = Incarnation { count: 1, started: instance };
-        VoterIdentity { slot, instance, abandoned_ids: 0, incarnation, is_unproven: false }
+        VoterIdentity { slot, instance, abandoned_ids: 0, incarnation, is_unconfirmed: false }
     }
 
     /// Goes on under the id of an earlier process.
@@ -119,7 +119,7 @@
     /// Whether another voter knows of a later process of its id, while it is unproven.
     pub(super) fn is_superseded(&self, recorded: &[KnownIncarnation]) -> bool {
         let own = self.known_incarnation();
-        self.is_unproven && recorded.iter().any(|recorded| own.is_superseded_by(recorded))
+        self.is_unconfirmed && recorded.iter().any(|recorded| own.is_superseded_by(recorded))
     }
 
     /// It is proven once a majority, itself included, has recorded its incarnation.
@@ -127,7 +127,7 @@
         let own = self.known_incarnation();
         let confirmations = 1 + recorded.iter().filter(|recorded| **recorded == own).count();
         if confirmations * 2 > slot_count {
-            self.is_unproven = false;
+            self.is_unconfirmed = false;
         }
     }
 
@@ -140,6 +140,6 @@
     pub(super) fn leave_group(&mut self) {
         self.abandon_id();
         self.incarnation.count = 1;
-        self.is_unproven = false;
+        self.is_unconfirmed = false;
     }
 }
--- a/crates/pipitcrank-failover/src/voter/message.rs
+++ b/crates/pipitcrank-failover/src/voter/message.rs
@@ -11,14 +11,14 @@
     /// Sent to all others at short intervals.
     Heartbeat(VoterHeartbeat),
     /// Asks for a promise to join a new generation.
-    Found {
+    RequestPromise {
         /// The new generation.
         generation: u64,
     },
     /// The sender has left its group and will join the new generation.
     Promise(Promise),
     /// All have promised: the new generation begins.
-    Start(NewGroup),
+    StartGroup(NewGroup),
 }
 
 /// What a voter tells all others at short intervals.
--- a/crates/pipitcrank-failover/src/voter/memory.rs
+++ b/crates/pipitcrank-failover/src/voter/persistent_state.rs
@@ -8,7 +8,7 @@
 /// What a voter must not forget: to be stored where no crash loses it, before anything that was said after it is sent. Valid
 /// for the same slot alone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct VoterMemory {
+pub struct PersistentVoterState {
     pub(super) slot: usize,
     /// The process whose start the id is made of.
     pub(super) instance: u64,
@@ -18,17 +18,17 @@
     pub(super) has_promised: bool,
     /// By slot.
     pub(super) known_incarnations: Vec<KnownIncarnation>,
-    pub(super) group: Option<GroupMemory>,
+    pub(super) group: Option<PersistentGroupState>,
 }
 
-impl VoterMemory {
+impl PersistentVoterState {
     /// The stored form.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// What was encoded; none unless all bytes belong to it.
-    pub fn decode(bytes: &[u8]) -> Option<VoterMemory> {
+    pub fn decode(bytes: &[u8]) -> Option<PersistentVoterState> {
         let (memory, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(memory)
     }
@@ -57,7 +57,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(super) struct GroupMemory {
+pub(super) struct PersistentGroupState {
     pub(super) generation: u64,
     /// The last applied entry.
     pub(super) applied: LogPosition,
--- a/crates/pipitcrank-failover/src/voter/raft_group.rs
+++ b/crates/pipitcrank-failover/src/voter/raft_group.rs
@@ -8,8 +8,8 @@
 
 use super::admission::{Newcomer, replacement};
 use super::identity::{Placement, slot_of};
-use super::memory::{GroupMemory, LogPosition, StoredHardState};
 use super::message::{AddressedOutput, VoterOutput};
+use super::persistent_state::{LogPosition, PersistentGroupState, StoredHardState};
 use super::storage::{GroupLog, VoterStorage};
 use super::timing::ADMISSION_INTERVAL;
 use crate::decision::Decision;
@@ -128,7 +128,7 @@
 
     /// What must not be forgotten; none until a voter that was admitted is sent a decision: before, it has promised nothing
     /// that matters but its term and vote.
-    pub(super) fn memory(&self) -> Option<GroupMemory> {
+    pub(super) fn memory(&self) -> Option<PersistentGroupState> {
         let (storage, log) = (self.node.store(), &self.node.raft.raft_log);
         let applied = log.applied;
         let last = storage.last_index().ok()?;
@@ -138,7 +138,7 @@
             Vec::new()
         };
         let hard_state = storage.initial_state().ok()?.hard_state;
-        Some(GroupMemory {
+        Some(PersistentGroupState {
             generation: self.generation,
             applied: LogPosition { index: applied, term: log.term(applied).ok()? },
             decision: self.decision.clone(),
--- a/crates/pipitcrank-failover/src/voter/storage.rs
+++ b/crates/pipitcrank-failover/src/voter/storage.rs
@@ -7,7 +7,7 @@
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage};
 
-use super::memory::{GroupMemory, StoredHardState};
+use super::persistent_state::{PersistentGroupState, StoredHardState};
 use crate::decision::Decision;
 
 /// Position of the snapshot with which a founded group begins: not 0, so that a member that was not there is sent it.
@@ -38,8 +38,8 @@
     }
 
     /// From a voter's memory; none where it is inconsistent, which the library would take for a fault of its own.
-    pub(super) fn restore(memory: GroupMemory, zone_count: usize) -> Option<GroupLog> {
-        let GroupMemory { applied, decision, voters, hard_state, entries, .. } = memory;
+    pub(super) fn restore(memory: PersistentGroupState, zone_count: usize) -> Option<GroupLog> {
+        let PersistentGroupState { applied, decision, voters, hard_state, entries, .. } = memory;
         let entries: Vec<Entry> = entries.iter().filter_map(|e| Entry::parse_from_bytes(e).ok()).collect();
         let mut positions = entries.iter().zip(applied.index + 1..);
         let is_contiguous =
--- a/crates/pipitcrank-failover/src/voter/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/voter/stored_forms.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::memory::{LogPosition, StoredHardState};
+use super::persistent_state::{LogPosition, StoredHardState};
 use super::raft_group::Proposal;
 use super::*;
 use crate::decision::{DecisionCause, FULL_PERMILLE, OperatorOrder, ZoneDecision, ZoneState};
@@ -57,7 +57,7 @@
         ("step", DecisionCause::NextStep),
         ("way", DecisionCause::PathChanged),
         ("figures", DecisionCause::LoadChanged),
-        ("calm", DecisionCause::Calm),
+        ("calm", DecisionCause::HoldDownReset),
         ("drained", DecisionCause::Drained),
         ("returned", DecisionCause::Returned),
         ("frozen", DecisionCause::Frozen),
@@ -95,16 +95,16 @@
         "voter_messages.hex",
         &[
             ("hello", VoterMessage::Heartbeat(heartbeat)),
-            ("found", VoterMessage::Found { generation: 9 }),
+            ("found", VoterMessage::RequestPromise { generation: 9 }),
             ("joins", VoterMessage::Promise(promise)),
-            ("begin", VoterMessage::Start(group)),
+            ("begin", VoterMessage::StartGroup(group)),
         ],
     );
 }
 
 #[test]
 fn a_voters_memory_is_read_and_written_as_by_an_earlier_version() {
-    let group = GroupMemory {
+    let group = PersistentGroupState {
         generation: 7,
         applied: LogPosition { index: 11, term: 4 },
         decision: Some(decision()),
@@ -112,7 +112,7 @@
         hard_state: StoredHardState { term: 5, vote: 0x301, commit: 12 },
         entries: vec![vec![1, 2], vec![3]],
     };
-    let memory = VoterMemory {
+    let memory = PersistentVoterState {
         slot: 1,
         instance: 1 << 50,
         abandoned_ids: 2,
@@ -122,8 +122,8 @@
         known_incarnations: vec![known_incarnation(0x301, 2, 6), known_incarnation(0x402, 1, 5)],
         group: Some(group),
     };
-    let values = [("in_a_group", memory), ("new", VoterMemory::default())];
-    fixtures::check("voter_memory.hex", &values, VoterMemory::encode, |bytes| {
-        VoterMemory::decode(bytes).unwrap()
+    let values = [("in_a_group", memory), ("new", PersistentVoterState::default())];
+    fixtures::check("voter_memory.hex", &values, PersistentVoterState::encode, |bytes| {
+        PersistentVoterState::decode(bytes).unwrap()
     });
 }
--- a/crates/pipitcrank-failover/tests/voter/main.rs
+++ b/crates/pipitcrank-failover/tests/voter/main.rs
@@ -3,7 +3,7 @@
 mod network;
 
 use network::SimulatedNetwork;
-use pipitcrank_failover::voter::{Voter, VoterMemory};
+use pipitcrank_failover::voter::{PersistentVoterState, Voter};
 use rand::Rng;
 
 #[test]
@@ -185,7 +185,7 @@
         let memory = memories.last().unwrap();
         let bytes = postcard::to_allocvec(memory).unwrap();
         assert!(bytes.len() < 4000, "{} bytes", bytes.len());
-        assert_eq!(postcard::from_bytes::<VoterMemory>(&bytes).unwrap(), *memory);
+        assert_eq!(postcard::from_bytes::<PersistentVoterState>(&bytes).unwrap(), *memory);
     }
     let (mine, others) = (
         network.persisted_memories[0].last().unwrap().clone(),
@@ -219,7 +219,8 @@
     network.start_from_memory(2, later);
     network.run_for(100);
     assert!(
-        !network.voters[2].as_ref().unwrap().is_voter() || network.voters[2].as_ref().unwrap().is_unproven()
+        !network.voters[2].as_ref().unwrap().is_voter()
+            || network.voters[2].as_ref().unwrap().is_unconfirmed()
     );
     network.assert_progress(5000, "an older memory was restored");
     let voter = network.voters[2].as_ref().unwrap();
--- a/crates/pipitcrank-failover/tests/voter/network.rs
+++ b/crates/pipitcrank-failover/tests/voter/network.rs
@@ -5,7 +5,7 @@
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_failover::decision::Decision;
-use pipitcrank_failover::voter::{AddressedOutput, Voter, VoterMemory, VoterOutput};
+use pipitcrank_failover::voter::{AddressedOutput, PersistentVoterState, Voter, VoterOutput};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -55,7 +55,7 @@
     /// Decisions that are older than an earlier one of the same process.
     regressions: u64,
     /// By slot: everything that was persisted, oldest first.
-    pub persisted_memories: Vec<Vec<VoterMemory>>,
+    pub persisted_memories: Vec<Vec<PersistentVoterState>>,
     /// Without disks nothing is persisted.
     pub has_disks: bool,
 }
@@ -158,7 +158,7 @@
             self.record_decisions(slot);
             let Some(voter) = &mut self.voters[slot] else { continue };
             // Persisted before anything is sent.
-            if let Some(memory) = voter.take_memory()
+            if let Some(memory) = voter.take_persistent_state()
                 && self.has_disks
             {
                 self.persisted_memories[slot].push(memory);
--- a/crates/pipitcrank-membership/src/evidence.rs
+++ b/crates/pipitcrank-membership/src/evidence.rs
@@ -15,7 +15,7 @@
 mod reporters;
 mod table;
 
-pub use matrix::{EvidenceCell, EvidenceMatrix, Finding, HEALTHY_FRACTION, UNHEALTHY_FRACTION};
+pub use matrix::{EvidenceCell, EvidenceMatrix, HEALTHY_FRACTION, UNHEALTHY_FRACTION, ZoneHealth};
 pub use report::{EvidenceReport, ReplicaCounts};
 pub use reporters::{REPORT_INTERVAL, REPORTERS_PER_ZONE, is_reporter};
 pub use table::{EvidenceTable, REPORT_LIFETIME};
--- a/crates/pipitcrank-membership/src/evidence/matrix.rs
+++ b/crates/pipitcrank-membership/src/evidence/matrix.rs
@@ -28,7 +28,7 @@
 
 /// The condition of one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum ZoneHealth {
     /// Nobody has observed enough of it.
     Unknown,
     /// Nearly all of its replicas answer.
@@ -43,22 +43,22 @@
     CutOff,
 }
 
-impl Finding {
+impl ZoneHealth {
     /// As it is shown to operators and written to logs.
     pub fn name(self) -> &'static str {
         match self {
-            Finding::Unknown => "Unknown",
-            Finding::Healthy => "Well",
-            Finding::Degraded => "Part",
-            Finding::Slow => "Slow",
-            Finding::Dead => "Dead",
-            Finding::CutOff => "CutOff",
+            ZoneHealth::Unknown => "Unknown",
+            ZoneHealth::Healthy => "Well",
+            ZoneHealth::Degraded => "Part",
+            ZoneHealth::Slow => "Slow",
+            ZoneHealth::Dead => "Dead",
+            ZoneHealth::CutOff => "CutOff",
         }
     }
 
     /// Whether the zone can be given work: it is healthy, or degraded.
     pub fn is_usable(self) -> bool {
-        matches!(self, Finding::Healthy | Finding::Degraded)
+        matches!(self, ZoneHealth::Healthy | ZoneHealth::Degraded)
     }
 }
 
@@ -99,7 +99,7 @@
 
     /// The condition of one zone. Where its own nodes do not report, the other zones decide; where only they observe it,
     /// they do.
-    pub fn finding(&self, zone: usize) -> Finding {
+    pub fn zone_health(&self, zone: usize) -> ZoneHealth {
         let others: Vec<Condition> = (0..self.zone_count())
             .filter(|from| *from != zone)
             .filter_map(|f| self.condition(f, zone))
@@ -107,14 +107,14 @@
         let own = self.condition(zone, zone);
         let unhealthy_to_others = !others.is_empty() && others.iter().all(Condition::is_unhealthy);
         match own {
-            Some(own) if own.is_unhealthy() && (unhealthy_to_others || others.is_empty()) => Finding::Dead,
+            Some(own) if own.is_unhealthy() && (unhealthy_to_others || others.is_empty()) => ZoneHealth::Dead,
             // Where its own nodes get answers, only the paths to it are cut: it still serves its own clients.
-            None if unhealthy_to_others => Finding::CutOff,
-            None if others.is_empty() => Finding::Unknown,
+            None if unhealthy_to_others => ZoneHealth::CutOff,
+            None if others.is_empty() => ZoneHealth::Unknown,
             _ => {
                 // Only those who reach it count: a cut path says nothing of the zone.
                 let reaching = others.into_iter().chain(own).filter(|c| !c.is_unhealthy()).collect();
-                finding_of_reachable(reaching)
+                health_of_reachable(reaching)
             }
         }
     }
@@ -157,15 +157,15 @@
     }
 }
 
-fn finding_of_reachable(reaching: Vec<Condition>) -> Finding {
+fn health_of_reachable(reaching: Vec<Condition>) -> ZoneHealth {
     let unhealthy = median(reaching.iter().map(|c| c.unhealthy_fraction)).unwrap_or(1.0);
     let saturated = median(reaching.iter().map(|c| c.saturated_fraction)).unwrap_or(0.0);
     if saturated >= UNHEALTHY_FRACTION {
-        Finding::Slow
+        ZoneHealth::Slow
     } else if unhealthy > HEALTHY_FRACTION {
-        Finding::Degraded
+        ZoneHealth::Degraded
     } else {
-        Finding::Healthy
+        ZoneHealth::Healthy
     }
 }
 
--- a/crates/pipitcrank-membership/src/evidence/tests.rs
+++ b/crates/pipitcrank-membership/src/evidence/tests.rs
@@ -29,15 +29,21 @@
 #[test]
 fn four_faults_are_distinguished() {
     let well = matrix_of([[0, 0, 0], [0, 0, 0], [0, 0, 0]]);
-    assert!((0..3).all(|z| well.finding(z) == Finding::Healthy));
+    assert!((0..3).all(|z| well.zone_health(z) == ZoneHealth::Healthy));
     assert_eq!(well.demand, [30.0, 30.0, 30.0]);
     let dead = matrix_of([[0, 10, 0], [0, 10, 0], [0, 10, 0]]);
-    assert_eq!([0, 1, 2].map(|z| dead.finding(z)), [Finding::Healthy, Finding::Dead, Finding::Healthy]);
+    assert_eq!(
+        [0, 1, 2].map(|z| dead.zone_health(z)),
+        [ZoneHealth::Healthy, ZoneHealth::Dead, ZoneHealth::Healthy]
+    );
     let one_way = matrix_of([[0, 10, 0], [10, 0, 0], [0, 0, 0]]);
-    assert!((0..3).all(|z| one_way.finding(z) == Finding::Healthy), "the third reaches both");
+    assert!((0..3).all(|z| one_way.zone_health(z) == ZoneHealth::Healthy), "the third reaches both");
     assert!(one_way.is_path_cut(0, 1) && one_way.is_path_cut(1, 0) && !one_way.is_path_cut(2, 1));
     let cut_off = matrix_of([[0, 10, 0], [10, 0, 10], [0, 10, 0]]);
-    assert!((0..3).all(|z| cut_off.finding(z) == Finding::Healthy), "it is healthy for its own clients");
+    assert!(
+        (0..3).all(|z| cut_off.zone_health(z) == ZoneHealth::Healthy),
+        "it is healthy for its own clients"
+    );
     assert!(
         cut_off.is_path_cut(0, 1)
             && cut_off.is_path_cut(2, 1)
@@ -45,7 +51,7 @@
             && !cut_off.is_path_cut(1, 1)
     );
     let half = matrix_of([[0, 5, 0], [0, 5, 0], [0, 5, 0]]);
-    assert_eq!(half.finding(1), Finding::Degraded);
+    assert_eq!(half.zone_health(1), ZoneHealth::Degraded);
     assert_eq!(half.healthy_replicas(1), 5.0);
 }
 
@@ -64,7 +70,7 @@
     }
     let matrix = table.matrix(Timestamp::default());
     assert_eq!(matrix.isolated_reporters, [at(2)]);
-    assert_eq!(matrix.finding(1), Finding::Healthy);
+    assert_eq!(matrix.zone_health(1), ZoneHealth::Healthy);
     assert_eq!(matrix.reporters(0), 2);
 }
 
@@ -72,7 +78,7 @@
 fn reporters_of_a_zone_with_dead_replicas_are_counted() {
     // All nodes of zone 1 observe their own replicas as dead, and the others' as healthy.
     let matrix = matrix_of([[0, 10, 0], [0, 10, 0], [0, 10, 0]]);
-    assert_eq!((matrix.finding(1), matrix.reporters(1)), (Finding::Dead, 3));
+    assert_eq!((matrix.zone_health(1), matrix.reporters(1)), (ZoneHealth::Dead, 3));
     // The other way round: its replicas are healthy, and none of its nodes reports.
     let mut table = EvidenceTable::new(2);
     table.record(
@@ -82,7 +88,7 @@
         EvidenceReport { zone: 0, sequence: 1, replica_counts: vec![counts(9, 0); 2], demand: 1, nodes: 1 },
     );
     let matrix = table.matrix(Timestamp::default());
-    assert_eq!((matrix.finding(1), matrix.reporters(1)), (Finding::Healthy, 0));
+    assert_eq!((matrix.zone_health(1), matrix.reporters(1)), (ZoneHealth::Healthy, 0));
 }
 
 #[test]
@@ -101,7 +107,7 @@
             nodes: 1,
         },
     );
-    assert_eq!(table.matrix(Timestamp::default()).finding(1), Finding::Slow);
+    assert_eq!(table.matrix(Timestamp::default()).zone_health(1), ZoneHealth::Slow);
 }
 
 #[test]
@@ -134,7 +140,7 @@
         EvidenceReport { replica_counts: vec![over; 2], ..report(1, 1) }
     ));
     let later = Timestamp::default() + REPORT_LIFETIME + TimeSpan::from_millis(1);
-    assert_eq!(table.matrix(later).finding(1), Finding::Unknown);
+    assert_eq!(table.matrix(later).zone_health(1), ZoneHealth::Unknown);
 }
 
 proptest! {
@@ -157,7 +163,7 @@
         }
         let matrix = table.matrix(Timestamp::default());
         for zone in 0..3 {
-            prop_assert_eq!(matrix.finding(zone), honest.finding(zone));
+            prop_assert_eq!(matrix.zone_health(zone), honest.zone_health(zone));
         }
     }
 
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pipitcrank_failover::decision::Decision;
-use pipitcrank_failover::voter::VoterMemory;
+use pipitcrank_failover::voter::PersistentVoterState;
 use pipitcrank_handover::snapshot::Snapshot;
 use pipitcrank_membership::peer::Peer;
 use pipitcrank_recovery::last_known_state::{ClockReading, LastKnownState};
@@ -49,7 +49,7 @@
     let mut store = Store::open(path.clone(), OWNER.into(), || {});
     let stored = store.stored_values(SOON).unwrap();
     assert_eq!(stored.voter_memory.as_ref(), Some(memory));
-    assert_eq!(&VoterMemory::decode(memory).unwrap().encode(), memory);
+    assert_eq!(&PersistentVoterState::decode(memory).unwrap().encode(), memory);
     assert_eq!(stored.learned_state, Some(state().encode()));
     store.save_voter_memory(vec![1]);
     drop(store);
--- a/crates/pipitcrank-simulation/src/zones/parameters.rs
+++ b/crates/pipitcrank-simulation/src/zones/parameters.rs
@@ -40,5 +40,5 @@
     suspect_after: TimeSpan::from_millis(600),
     hold_down: TimeSpan::from_millis(2000),
     max_hold_down: TimeSpan::from_millis(60_000),
-    calm_after: TimeSpan::from_millis(60_000),
+    hold_down_reset_after: TimeSpan::from_millis(60_000),
 };
