--- a/crates/pipitcrank-cli/src/store_driver.rs
+++ b/crates/pipitcrank-cli/src/store_driver.rs
@@ -205,7 +205,7 @@
         if error != self.logged_error {
             match &error {
                 Some(error) => {
-                    counters.add("store_faults", error.name());
+                    counters.add("store_faults", error.counter_name());
                     tracing::warn!("/store/path {path}: {error}");
                 }
                 None => tracing::info!("/store/path {path}: writes succeed again"),
--- a/crates/pipitcrank-cli/src/worker_process.rs
+++ b/crates/pipitcrank-cli/src/worker_process.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Result;
 use pipitcrank_handover::descriptor_passing::{LinkError, LinkReceiver, LinkSender, open_link, socket_pair};
-use pipitcrank_handover::messages::{ToSupervisor, ToWorker, VERSION};
+use pipitcrank_handover::messages::{PROTOCOL_VERSION, ToSupervisor, ToWorker};
 use pipitcrank_handover::upgrade_event::{UpgradeEvent, WorkerId};
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::{Child, Command};
@@ -34,7 +34,7 @@
         }
         let child = command.spawn()?;
         let (link, receiver) = open_link(ours)?;
-        link.send(&ToWorker::Hello { version: VERSION }, None);
+        link.send(&ToWorker::Hello { version: PROTOCOL_VERSION }, None);
         let (signals, signals_to_send) = unbounded_channel();
         tracing::info!(worker = id.0, pid = child.id(), "worker started");
         tokio::task::spawn_local(forward_messages(id, receiver, events.clone()));
@@ -55,9 +55,9 @@
 async fn forward_messages(id: WorkerId, mut link: LinkReceiver, events: UnboundedSender<UpgradeEvent>) {
     loop {
         let event = match link.receive::<ToSupervisor>().await.map(|received| received.message) {
-            Ok(ToSupervisor::Hello { version: VERSION }) => continue,
+            Ok(ToSupervisor::Hello { version: PROTOCOL_VERSION }) => continue,
             Ok(ToSupervisor::Hello { version }) => {
-                tracing::error!(worker = id.0, "worker speaks version {version}, not {VERSION}");
+                tracing::error!(worker = id.0, "worker speaks version {version}, not {PROTOCOL_VERSION}");
                 UpgradeEvent::ProtocolError(id)
             }
             Ok(ToSupervisor::Ready) => UpgradeEvent::Ready(id),
--- a/crates/pipitcrank-handover/src/messages.rs
+++ b/crates/pipitcrank-handover/src/messages.rs
@@ -8,14 +8,14 @@
 use crate::upgrade_event::UpgradeCounts;
 
 /// Protocol version, raised with each change of a message's form. Each side sends it first.
-pub const VERSION: u16 = 1;
+pub const PROTOCOL_VERSION: u16 = 1;
 
 /// From the supervisor to a worker.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToWorker {
     /// The first message.
     Hello {
-        /// The sender's [`VERSION`].
+        /// The sender's [`PROTOCOL_VERSION`].
         version: u16,
     },
     /// Serve. Carries the listener's descriptor.
@@ -37,7 +37,7 @@
 pub enum ToSupervisor {
     /// The first message.
     Hello {
-        /// The sender's [`VERSION`].
+        /// The sender's [`PROTOCOL_VERSION`].
         version: u16,
     },
     /// The configuration is validated; the worker could serve.
@@ -57,7 +57,7 @@
 pub enum ToSuccessor {
     /// The first message.
     Hello {
-        /// The sender's [`VERSION`].
+        /// The sender's [`PROTOCOL_VERSION`].
         version: u16,
     },
     /// An encoded snapshot; empty where none could be made.
@@ -81,7 +81,7 @@
     /// A client's connection. Carries its descriptor.
     ClientConnection {
         /// Bytes already read from it.
-        read: Vec<u8>,
+        buffered: Vec<u8>,
         /// Time left for the request that these bytes begin.
         request_timeout: Option<TimeSpan>,
     },
@@ -106,7 +106,7 @@
 pub enum ToPredecessor {
     /// The first message.
     Hello {
-        /// The sender's [`VERSION`].
+        /// The sender's [`PROTOCOL_VERSION`].
         version: u16,
     },
     /// The final answer to a relayed query.
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -12,7 +12,7 @@
 
 const MAGIC: [u8; 4] = *b"pckn";
 /// Version of the body's form, raised with each change of it.
-pub const VERSION: u16 = 2;
+pub const FORMAT_VERSION: u16 = 2;
 /// Longest body, in bytes: some twenty thousand replicas.
 pub const MAX_BODY_LENGTH: usize = 4 << 20;
 const VERSION_OFFSET: usize = 4;
@@ -60,7 +60,7 @@
     /// Name of its zone, where discovery states one.
     pub zone: Option<String>,
     /// How long ago it started.
-    pub started: Option<TimeSpan>,
+    pub uptime: Option<TimeSpan>,
     /// How long ago it was removed from the list, or began to drain.
     pub draining_for: Option<TimeSpan>,
 }
@@ -72,7 +72,7 @@
     #[error("it is no snapshot")]
     BadMagic,
     /// It is of another version.
-    #[error("its version is {0}, not {VERSION}")]
+    #[error("its version is {0}, not {FORMAT_VERSION}")]
     UnsupportedVersion(u16),
     /// The length differs from the header's, or is over [`MAX_BODY_LENGTH`].
     #[error("its length is not the stated one, or too large")]
@@ -97,7 +97,7 @@
         }
         let mut out = Vec::with_capacity(HEADER_LENGTH + body.len());
         out.extend_from_slice(&MAGIC);
-        out.extend_from_slice(&VERSION.to_be_bytes());
+        out.extend_from_slice(&FORMAT_VERSION.to_be_bytes());
         out.extend_from_slice(&(body.len() as u32).to_be_bytes());
         out.extend_from_slice(&crc32fast::hash(&body).to_be_bytes());
         out.extend_from_slice(&body);
@@ -130,7 +130,7 @@
         return Err(SnapshotError::BadMagic);
     }
     let version = u16::from_be_bytes([header[VERSION_OFFSET], header[VERSION_OFFSET + 1]]);
-    if version != VERSION {
+    if version != FORMAT_VERSION {
         return Err(SnapshotError::UnsupportedVersion(version));
     }
     if body.len() != word_at(header, LENGTH_OFFSET) as usize || body.len() > MAX_BODY_LENGTH {
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -9,7 +9,7 @@
         address: Some(([127, 0, 0, 1], n as u16).into()),
         cell: n,
         zone: (n > 2).then(|| "a".to_string()),
-        started: (n > 1).then(|| TimeSpan::from_millis(70)),
+        uptime: (n > 1).then(|| TimeSpan::from_millis(70)),
         draining_for: (n == 3).then(|| TimeSpan::from_millis(5)),
     };
     // A default state is not valid: the fill target starts between its bounds.
@@ -36,7 +36,7 @@
     assert_eq!(Snapshot::decode(&bytes), Ok(sample()));
     let mut other = bytes.clone();
     other[5] += 1;
-    assert_eq!(Snapshot::decode(&other), Err(SnapshotError::UnsupportedVersion(VERSION + 1)));
+    assert_eq!(Snapshot::decode(&other), Err(SnapshotError::UnsupportedVersion(FORMAT_VERSION + 1)));
     let mut foreign = bytes.clone();
     foreign[0] = b'x';
     assert_eq!(Snapshot::decode(&foreign), Err(SnapshotError::BadMagic));
--- a/crates/pipitcrank-handover/tests/descriptor_passing.rs
+++ b/crates/pipitcrank-handover/tests/descriptor_passing.rs
@@ -8,7 +8,7 @@
 use pipitcrank_handover::descriptor_passing::{
     LinkError, LinkReceiver, LinkSender, Received, open_link, socket_pair,
 };
-use pipitcrank_handover::messages::{ToPredecessor, ToSuccessor, ToSupervisor, VERSION};
+use pipitcrank_handover::messages::{PROTOCOL_VERSION, ToPredecessor, ToSuccessor, ToSupervisor};
 use proptest::prelude::*;
 
 fn run_local<T>(scenario: impl AsyncFnOnce() -> T) -> T {
@@ -67,16 +67,18 @@
             let (ours, mut theirs) = UnixStream::pair().unwrap();
             theirs.write_all(&n.to_be_bytes()).unwrap();
             let with = n % 3 != 1;
-            let read = vec![n as u8; (n as usize * 7919) % 300_000];
+            let buffered = vec![n as u8; (n as usize * 7919) % 300_000];
             to.send(
-                &ToSuccessor::ClientConnection { read, request_timeout: None },
+                &ToSuccessor::ClientConnection { buffered, request_timeout: None },
                 with.then(|| OwnedFd::from(ours)),
             );
         }
         for n in 0..40u32 {
             let Received { message, descriptor } = from.receive::<ToSuccessor>().await.unwrap();
-            let ToSuccessor::ClientConnection { read, .. } = message else { panic!("another message") };
-            assert!(read.len() == (n as usize * 7919) % 300_000 && read.iter().all(|b| *b == n as u8));
+            let ToSuccessor::ClientConnection { buffered, .. } = message else { panic!("another message") };
+            assert!(
+                buffered.len() == (n as usize * 7919) % 300_000 && buffered.iter().all(|b| *b == n as u8)
+            );
             assert_eq!(descriptor.is_some(), n % 3 != 1);
             if let Some(descriptor) = descriptor {
                 let mut content = [0; 4];
@@ -90,7 +92,7 @@
 #[test]
 fn a_closed_link_is_distinguished_from_a_truncated_message() {
     assert!(matches!(error_after(b""), LinkError::Closed));
-    let hello = encoded(&ToSupervisor::Hello { version: VERSION });
+    let hello = encoded(&ToSupervisor::Hello { version: PROTOCOL_VERSION });
     assert!(matches!(error_after(&hello), LinkError::Closed));
     for cut in 1..hello.len() {
         assert!(matches!(error_after(&hello[..cut]), LinkError::Truncated), "cut at {cut}");
@@ -120,7 +122,10 @@
         for _ in 0..70 {
             let (ours, _) = UnixStream::pair().unwrap();
             // A message that announces no descriptor: this one stays in the receiver's queue.
-            to.send_with_unannounced_descriptor(&ToPredecessor::Hello { version: VERSION }, ours.into());
+            to.send_with_unannounced_descriptor(
+                &ToPredecessor::Hello { version: PROTOCOL_VERSION },
+                ours.into(),
+            );
         }
         let error = loop {
             match from.receive::<ToPredecessor>().await {
--- a/crates/pipitcrank-handover/tests/stored_forms.rs
+++ b/crates/pipitcrank-handover/tests/stored_forms.rs
@@ -33,7 +33,7 @@
                 address: Some(([127, 0, 0, 1], 7010).into()),
                 cell: 5,
                 zone: Some("a".into()),
-                started: Some(TimeSpan::from_millis(70)),
+                uptime: Some(TimeSpan::from_millis(70)),
                 draining_for: Some(TimeSpan::from_millis(6)),
             },
             ReplicaRecord {
@@ -42,7 +42,7 @@
                 address: None,
                 cell: 1,
                 zone: None,
-                started: None,
+                uptime: None,
                 draining_for: None,
             },
         ],
@@ -117,11 +117,14 @@
             (
                 "connection",
                 ToSuccessor::ClientConnection {
-                    read: b"POST".to_vec(),
+                    buffered: b"POST".to_vec(),
                     request_timeout: Some(TimeSpan::from_millis(2500)),
                 },
             ),
-            ("idle_connection", ToSuccessor::ClientConnection { read: Vec::new(), request_timeout: None }),
+            (
+                "idle_connection",
+                ToSuccessor::ClientConnection { buffered: Vec::new(), request_timeout: None },
+            ),
             (
                 "bye",
                 ToSuccessor::Finished {
--- a/crates/pipitcrank-recovery/src/store/error.rs
+++ b/crates/pipitcrank-recovery/src/store/error.rs
@@ -57,7 +57,7 @@
 
 impl StoreError {
     /// Its name in the counters.
-    pub fn name(&self) -> &'static str {
+    pub fn counter_name(&self) -> &'static str {
         match self {
             StoreError::InUse => "in_use",
             StoreError::OtherOwner(_) => "other_owner",
--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -45,7 +45,7 @@
             address: entry.address,
             cell: entry.cell,
             zone: entry.zone.clone(),
-            started: entry.started.map(|at| now - at),
+            uptime: entry.started.map(|at| now - at),
             draining_for: entry.down_since.map(|at| now - at),
         });
         records.collect()
@@ -71,7 +71,9 @@
         let mut indices = BTreeMap::new();
         let mut endpoints = Vec::new();
         let mut down = Vec::new();
-        for ReplicaRecord { index, uid, address, cell, zone, started, draining_for } in snapshot.replicas {
+        for ReplicaRecord { index, uid, address, cell, zone, uptime: started, draining_for } in
+            snapshot.replicas
+        {
             // A replica that is not listed any more gets no index: nobody would release it.
             let uids = &mut self.table.replica_uids;
             let own = if use_list { Some(uids.intern(&uid)) } else { uids.find(&uid) };
--- a/crates/pipitcrank-server/src/upgrade/predecessor.rs
+++ b/crates/pipitcrank-server/src/upgrade/predecessor.rs
@@ -10,7 +10,7 @@
 use pipitcrank_handover::clock::monotonic_micros;
 use pipitcrank_handover::descriptor_passing::LinkSender;
 use pipitcrank_handover::messages::{
-    RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor, VERSION,
+    PROTOCOL_VERSION, RelayedQuery, RelayedResponse, ToPredecessor, ToSuccessor, ToSupervisor,
 };
 use pipitcrank_handover::snapshot::Snapshot;
 use tokio::net::TcpStream;
@@ -67,9 +67,9 @@
         descriptor: Option<OwnedFd>,
     ) {
         match message {
-            ToSuccessor::Hello { version: VERSION } => {}
+            ToSuccessor::Hello { version: PROTOCOL_VERSION } => {}
             ToSuccessor::Hello { version } => {
-                tracing::error!("the predecessor speaks version {version}, not {VERSION}");
+                tracing::error!("the predecessor speaks version {version}, not {PROTOCOL_VERSION}");
                 // Nothing more is sent: the supervisor's timeout ends this upgrade.
                 self.retries_reserved = None;
             }
@@ -91,7 +91,7 @@
                 context.client_connections.reserve_for_peer(client_connections as usize);
                 context.event_loop.update(|e| e.set_open_in_peer(open_queries as usize));
             }
-            ToSuccessor::ClientConnection { read, request_timeout } => {
+            ToSuccessor::ClientConnection { buffered: read, request_timeout } => {
                 adopt(context, descriptor, read, request_timeout);
             }
             ToSuccessor::Finished { delegated_retries_used, counters } => {
--- a/crates/pipitcrank-server/src/upgrade/successor.rs
+++ b/crates/pipitcrank-server/src/upgrade/successor.rs
@@ -67,7 +67,7 @@
         let AdoptedConnection { stream, read, request_timeout } = connection;
         if let Ok(stream) = stream.into_std() {
             let request_timeout = request_timeout.map(|time| TimeSpan::from_secs_f64(time.as_secs_f64()));
-            let message = ToSuccessor::ClientConnection { read: read.to_vec(), request_timeout };
+            let message = ToSuccessor::ClientConnection { buffered: read.to_vec(), request_timeout };
             self.link.send(&message, Some(stream.into()));
         }
     }
--- a/crates/pipitcrank-server/src/upgrade/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pipitcrank_handover::descriptor_passing::{LinkError, LinkReceiver, LinkSender, Received, open_link};
-use pipitcrank_handover::messages::{ToPredecessor, ToSuccessor, ToSupervisor, ToWorker, VERSION};
+use pipitcrank_handover::messages::{PROTOCOL_VERSION, ToPredecessor, ToSuccessor, ToSupervisor, ToWorker};
 use pipitcrank_handover::upgrade_event::UpgradeCounts;
 use serde::de::DeserializeOwned;
 use tokio::net::TcpListener;
@@ -70,7 +70,7 @@
 impl Worker {
     fn start(context: Rc<UpgradeContext>, supervisor: StdStream) -> Result<Worker, LinkError> {
         let (supervisor, from_supervisor) = open_link(supervisor)?;
-        supervisor.send(&ToSupervisor::Hello { version: VERSION }, None);
+        supervisor.send(&ToSupervisor::Hello { version: PROTOCOL_VERSION }, None);
         supervisor.send(&ToSupervisor::Ready, None);
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -117,18 +117,18 @@
 
     fn handle_supervisor(&mut self, message: ToWorker, descriptor: Option<OwnedFd>) -> Result<(), LinkError> {
         match message {
-            ToWorker::Hello { version: VERSION } => {}
+            ToWorker::Hello { version: PROTOCOL_VERSION } => {}
             ToWorker::Hello { .. } => return Err(LinkError::Malformed),
             ToWorker::Serve => self.serve(descriptor)?,
             ToWorker::TakeOver => {
                 let (link, receiver) = open_peer_link(descriptor)?;
-                link.send(&ToPredecessor::Hello { version: VERSION }, None);
+                link.send(&ToPredecessor::Hello { version: PROTOCOL_VERSION }, None);
                 self.from_predecessor = Some(receiver);
                 self.peer = Peer::Predecessor(Predecessor::new(link));
             }
             ToWorker::HandOver => {
                 let (link, receiver) = open_peer_link(descriptor)?;
-                link.send(&ToSuccessor::Hello { version: VERSION }, None);
+                link.send(&ToSuccessor::Hello { version: PROTOCOL_VERSION }, None);
                 self.from_successor = Some(receiver);
                 self.peer = Peer::Successor(Successor::new(link));
             }
@@ -196,7 +196,7 @@
     fn handle_successor(&mut self, received: Result<Received<ToPredecessor>, LinkError>) {
         let message = received.map(|received| received.message);
         match (message, &mut self.peer) {
-            (Ok(ToPredecessor::Hello { version: VERSION }), Peer::Successor(successor)) => {
+            (Ok(ToPredecessor::Hello { version: PROTOCOL_VERSION }), Peer::Successor(successor)) => {
                 successor.hand_over(&self.context);
             }
             (Ok(ToPredecessor::Response { ticket, response }), _) => {
