--- a/crates/pipitcrank-core/src/coordinator.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -1,14 +1,15 @@
-//! The decision module: which replica answers which part of a query, when, how often, and how the query ends.
+//! Decides which replica answers which part of a query, when attempts are made, how many there are, and how
+//! the query ends.
 //!
-//! A caller makes one `Coordinator` from its configuration, adds the request classes in order with `add_request_class`,
-//! and hands in each event as it comes: `begin_endpoint_list`, `list_replica` and `finish_endpoint_list` for the endpoint
-//! list, `start_query` and `add_part` for arrivals, `attempt_ended` for each attempt, `load_probe_ended` and
-//! `load_report`, `cancel_query`, `timer_fired`. After the events of one moment it calls `dispatch` once. All that is to be
-//! done goes out through `CoordinatorOutput`; ids are small indices (`ids.rs`) that the caller may use again once they
-//! are released.
+//! A caller creates one `Coordinator` from its configuration and adds the request classes in order with
+//! `add_request_class`. It passes in events as they occur: `begin_endpoint_list`, `list_replica` and
+//! `finish_endpoint_list` for the endpoint list, `start_query` and `add_part` for arrivals, `attempt_ended`
+//! for each attempt, `load_probe_ended` and `load_report` for load probes, `cancel_query` and `timer_fired`.
+//! After all events of one point in time it calls `dispatch` once. All resulting actions are issued through
+//! `CoordinatorOutput`. Ids are small indices (`ids.rs`) that the caller may reuse once they are released.
 //!
-//! `Coordinator` only sequences: each rule stands in a module of its own. Rules are numbered as in docs/rules.md, and the
-//! reasons for the values of constants stand in docs/capacity.md.
+//! `Coordinator` only delegates: each rule is implemented in a module of its own. Rule numbers refer to
+//! docs/rules.md, and docs/capacity.md explains the values of the constants.
 
 mod admission;
 mod attempt_rules;
@@ -58,7 +59,7 @@
 use crate::output::CoordinatorOutput;
 use crate::time::{TimeSpan, Timestamp};
 
-/// Decides for one co-ordinator; see the module's documentation.
+/// The decision logic of one co-ordinator; see the module documentation.
 #[derive(Default)]
 pub struct Coordinator {
     state: State,
@@ -66,22 +67,22 @@
 
 /// Configuration and timers.
 impl Coordinator {
-    /// A coordinator without request classes or replicas.
+    /// Creates a co-ordinator without request classes or replicas.
     pub fn new(config: CoordinatorConfig) -> Coordinator {
         Coordinator { state: State::new(config) }
     }
 
-    /// Adds a request class; its id is the number of those added before.
+    /// Adds a request class. Its id is the number of request classes added before it.
     pub fn add_request_class(&mut self, config: RequestClassConfig) {
         self.state.classes.push(RequestClassState::new(config));
     }
 
-    /// Starts what runs by itself: the watch of the endpoint list, where it is configured.
+    /// Starts the watch on the endpoint list if one is configured.
     pub fn start(&mut self, output: &mut dyn CoordinatorOutput) {
         self.state.start(output);
     }
 
-    /// A timer set by `CoordinatorOutput::set_timer` is due.
+    /// Handles the expiry of a timer that was set by `CoordinatorOutput::set_timer`.
     pub fn timer_fired(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, label: u64) {
         let Some(timer) = self.state.timers.remove(&label) else { return };
         match timer {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Places what waits. To be called once after the events of a moment.
+    /// Places all waiting parts. Must be called once after the events of one point in time.
     pub fn dispatch(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         self.state.dispatch(output, now);
     }
@@ -99,22 +100,23 @@
 
 /// The endpoint list.
 impl Coordinator {
-    /// A list follows. Replicas that a complete one does not name are no longer listed.
+    /// Begins an update of the endpoint list. A complete update removes the replicas that it does not
+    /// contain.
     pub fn begin_endpoint_list(&mut self, is_complete: bool) {
         self.state.begin_endpoint_list(is_complete);
     }
 
-    /// One replica of the list: its cell, whether it takes attempts, and when it started, where that is known.
+    /// Adds or updates one replica: its cell, whether it accepts attempts, and its start time if known.
     pub fn list_replica(&mut self, id: ReplicaId, cell: u32, is_up: bool, started: Option<Timestamp>) {
         self.state.list_replica(id, cell, is_up, started);
     }
 
-    /// The list has ended.
+    /// Completes the update of the endpoint list.
     pub fn finish_endpoint_list(&mut self, output: &mut dyn CoordinatorOutput) {
         self.state.finish_endpoint_list(output);
     }
 
-    /// The list could not be had, or the watch broke; the old list stands.
+    /// Handles a failed fetch or a broken watch of the endpoint list. The previous list stays in use.
     pub fn endpoint_list_failed(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         self.state.endpoint_list_failed(output, now);
     }
@@ -122,27 +124,28 @@
 
 /// Queries.
 impl Coordinator {
-    /// A query has arrived; its parts follow.
+    /// Admits a new query. Its parts are added afterwards with `add_part`.
     pub fn start_query(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, query: NewQuery) {
         self.state.start_query(output, now, query);
     }
 
-    /// A part of a query. It is released at once if the query has ended.
+    /// Adds a part to a query. The part is released at once if the query has already ended.
     pub fn add_part(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, part: NewPart) {
         self.state.add_part(output, now, part);
     }
 
-    /// The client has closed, or the query was ended from outside.
+    /// Ends a query whose client has closed its connection, or that was cancelled by the caller.
     pub fn cancel_query(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: QueryId) {
         self.state.cancel_query(output, now, id);
     }
 
-    /// All queries held end by then at the latest: this process is to be stopped.
+    /// Caps the deadlines of all open queries at `latest`, because this process is about to be stopped.
     pub fn cap_deadlines(&mut self, latest: Timestamp) {
         self.state.cap_deadlines(latest);
     }
 
-    /// The retry-after of a query that was lost with the process that held it; none if it is aborted (rule 6).
+    /// Returns the retry-after for a query that was lost together with its process, or `None` if the query
+    /// has to be aborted (rule 6).
     pub fn retry_after_if_lost(&self, class: RequestClassId) -> Option<TimeSpan> {
         self.state.retry_after_if_lost(class)
     }
@@ -150,13 +153,14 @@
 
 /// Attempts and probes.
 impl Coordinator {
-    /// The attempt's first byte is about to be written: whether that may be, as of now. To be called once for each
-    /// attempt by callers whose attempts may wait before they go out; with others they begin as they are decided.
+    /// Returns whether the attempt may still be sent, just before its first byte is written. Must be called
+    /// once per attempt by callers that queue attempts before they send them; other callers send attempts as
+    /// soon as they are decided.
     pub fn begin_attempt(&mut self, now: Timestamp, attempt: AttemptId) -> Result<(), AttemptDenied> {
         self.state.begin_attempt(now, attempt)
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub fn attempt_ended(
         &mut self,
         output: &mut dyn CoordinatorOutput,
@@ -167,12 +171,13 @@
         self.state.attempt_ended(output, now, attempt, outcome);
     }
 
-    /// A load probe has ended; its report comes before by `load_report`.
+    /// Records the end of a load probe. Its report, if any, is passed to `load_report` first.
     pub fn load_probe_ended(&mut self, now: Timestamp, replica: ReplicaId, outcome: AttemptOutcome) {
         self.state.load_probe_ended(now, replica, outcome);
     }
 
-    /// A replica reports its load: the parts queued there, and all parts it holds, where it says so.
+    /// Records a load report of a replica: the number of parts queued there and, if reported, the number of
+    /// all parts in flight there.
     pub fn load_report(
         &mut self,
         now: Timestamp,
@@ -188,58 +193,62 @@
 
 /// Zones.
 impl Coordinator {
-    /// The replica stands in that zone; none where none is known.
+    /// Sets the zone of a replica, or `None` if it is unknown.
     pub fn set_replica_zone(&mut self, replica: ReplicaId, zone: Option<ZoneId>) {
         if let Some(state) = self.state.replicas.get_mut(&replica) {
             state.zone = zone;
         }
     }
 
-    /// From now on queries are routed to zones like that.
+    /// Replaces the routing of queries to zones.
     pub fn set_zone_routing(&mut self, routing: ZoneRouting) {
         self.state.needs_dispatch |= self.state.zones.set_routing(routing);
     }
 
-    /// What was counted since the start of the process.
+    /// Returns the traffic counters since the start of the process.
     pub fn zone_traffic(&self) -> &ZoneTraffic {
         self.state.zones.traffic()
     }
 
-    /// What was seen of a zone's replicas, from here.
+    /// Returns what this co-ordinator has observed of the replicas of a zone.
     pub fn observe_zone(&self, now: Timestamp, zone: ZoneId) -> ZoneObservation {
         self.state.observe_zone(now, zone)
     }
 
-    /// Probes up to `most` replicas of a zone, so that evidence of one that nothing is sent to stays recent.
+    /// Probes up to `max_probes` replicas of a zone, so that observations of a zone without traffic stay
+    /// recent.
     pub fn probe_zone(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         zone: ZoneId,
-        most: usize,
+        max_probes: usize,
     ) {
-        self.state.probe_zone(output, now, zone, most);
+        self.state.probe_zone(output, now, zone, max_probes);
     }
 }
 
 /// Other sites.
 impl Coordinator {
-    /// The replica stands for a cell of another site, at that round-trip time; none while nothing may go there.
+    /// Marks the replica as standing for a cell of another site, reached with this round-trip time. `None`
+    /// means that nothing may be forwarded there.
     pub fn set_remote_delay(&mut self, replica: ReplicaId, delay: Option<TimeSpan>) {
         self.state.set_remote_delay(replica, delay);
     }
 
-    /// The query just started was forwarded by another site, which counts it and delegates so many retries with it.
+    /// Marks a query just started as forwarded by another site, which counts it in its own retry budget and
+    /// delegates this many retries with it.
     pub fn mark_forwarded(&mut self, id: QueryId, delegated_retries: u32) {
         self.state.mark_forwarded(id, delegated_retries);
     }
 
-    /// Whether a part of the request class that may have run may be attempted again at all.
+    /// Returns whether parts of the request class may be attempted again after an attempt that may have run.
     pub fn may_retry(&self, class: RequestClassId) -> bool {
         self.state.may_retry(class)
     }
 
-    /// Parts are forwarded to another site: returns how many retries it may make for them until they expire.
+    /// Records that parts are forwarded to another site, and returns how many retries that site may make for
+    /// them before `expires_at`.
     pub fn delegate_retries(
         &mut self,
         now: Timestamp,
@@ -250,7 +259,7 @@
         self.state.delegate_retries(now, delegation_id, parts, expires_at)
     }
 
-    /// The other site made so many of the retries delegated with the parts, and will make no more.
+    /// Records how many of the delegated retries the other site made. It will make no more.
     pub fn delegation_returned(
         &mut self,
         now: Timestamp,
@@ -263,45 +272,48 @@
     }
 }
 
-/// Handing over to another process.
+/// Handover to another process.
 impl Coordinator {
-    /// All that was learned, as of now.
+    /// Returns a copy of the learned state as of `now`.
     pub fn learned_state(&mut self, now: Timestamp) -> LearnedState {
         self.state.learned_state(now)
     }
 
-    /// Restores what another process had learned `age` ago. Replicas are by the indices of this one.
+    /// Restores state that another process learned `age` ago. Replicas are identified by the indices of this
+    /// process.
     pub fn restore_learned_state(&mut self, now: Timestamp, age: TimeSpan, learned: LearnedState) {
         self.state.restore_learned_state(now, age, learned);
     }
 
-    /// What the retry budget is configured to be.
+    /// Returns the configuration of the retry budget.
     pub fn retry_budget_config(&self) -> RetryBudgetConfig {
         self.state.retry_budget.config()
     }
 
-    /// From now on at most so many retries, none after `expires_at`, and nothing to replicas warming up: another process
-    /// has the rest.
+    /// Limits this process to `count` retries before `expires_at` and stops sending to replicas in slow
+    /// start. The other process holds the rest of both budgets.
     pub fn limit_to_delegated_retries(&mut self, count: u32, expires_at: Timestamp) {
         self.state.limit_to_delegated_retries(count, expires_at);
     }
 
-    /// How many of those are left.
+    /// Returns how many of the retries set by `limit_to_delegated_retries` remain.
     pub fn delegated_retries_left(&self) -> u32 {
         self.state.retry_budget.allotment_left()
     }
 
-    /// The process that hands over may make so many retries until they expire.
+    /// Delegates `count` retries to the predecessor process until `expires_at`.
     pub fn delegate_to_predecessor(&mut self, count: u32, expires_at: Timestamp) {
         self.state.delegate_to_predecessor(count, expires_at);
     }
 
-    /// It has ended and made so many.
+    /// Records that the predecessor has exited, after it made `made` of the delegated retries.
     pub fn settle_with_predecessor(&mut self, now: Timestamp, made: u32) {
         self.state.settle_with_predecessor(now, made);
     }
 
-    /// The other process has ended, and what it did is not known.
+    /// Resumes on its own after the other process has exited without a report of what it spent. Retries and
+    /// slow-start sends are blocked until everything that the other process may have sent has left their
+    /// windows.
     pub fn resume_without_peer(&mut self, now: Timestamp) {
         self.state.resume_without_peer(now);
     }
--- a/crates/pipitcrank-core/src/coordinator/admission.rs
+++ b/crates/pipitcrank-core/src/coordinator/admission.rs
@@ -1,4 +1,4 @@
-//! Arrivals: queries and their parts.
+//! Admission of queries and their parts.
 
 use super::open_query::{OpenQuery, PartState};
 use super::state::State;
@@ -9,41 +9,41 @@
 /// A query that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct NewQuery {
-    /// Its index, free until now.
+    /// Unused index.
     pub id: QueryId,
-    /// Its request class.
+    /// Request class.
     pub class: RequestClassId,
-    /// Time until its client's deadline.
+    /// Time until the client's deadline.
     pub time_left: TimeSpan,
-    /// Hint of the work of all its parts, in the unit of the hints.
+    /// Hint of the total work of its parts, in the unit of the hints.
     pub work_hint: Option<f64>,
-    /// Number of its parts.
+    /// Number of parts.
     pub part_count: f64,
 }
 
 /// A part of a query that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct NewPart {
-    /// Its index, free until now.
+    /// Unused index.
     pub id: PartId,
-    /// The query that it belongs to.
+    /// Query that the part belongs to.
     pub query: QueryId,
-    /// The shard that it reads.
+    /// Shard that the part reads.
     pub shard: u32,
-    /// Its fraction of the whole answer.
+    /// Fraction of the whole answer.
     pub weight: f64,
-    /// Hint of its work, in the unit of the hints.
+    /// Hint of the work of the part, in the unit of the hints.
     pub work_hint: Option<f64>,
 }
 
-/// Ticks before the end of the latency objective at which a partial answer is given.
+/// Number of ticks before the end of the latency objective at which a partial answer is given.
 const ANSWER_AHEAD_TICKS: f64 = 3.0;
-/// Bounds of a part's hint relative to the mean part of its query.
+/// Bounds of the ratio of a part's hint to the mean part hint of its query.
 const MIN_RELATIVE_HINT: f64 = 0.2;
 const MAX_RELATIVE_HINT: f64 = 5.0;
 
 impl State {
-    /// Admits the query, or sheds it at once.
+    /// Admits the query, or sheds it immediately.
     pub(super) fn start_query(
         &mut self,
         output: &mut dyn CoordinatorOutput,
@@ -58,7 +58,7 @@
         let serial = open.serial;
         self.queries.insert(query.id, OpenQuery { zone, ..open });
         if self.zones.draw_shed(&mut self.rng, class) {
-            return self.give_up(output, now, query.id, RejectReason::ZoneOverCapacity);
+            return self.end_without_answer(output, now, query.id, RejectReason::ZoneOverCapacity);
         }
         self.review_query(output, now, query.id, serial);
     }
@@ -72,7 +72,8 @@
         let stretch = TimeSpan::from_secs_f64(class.config.objective_stretch * work_hint.unwrap_or(0.0));
         let objective = (class.effective_objective() + stretch).min(class.config.hard_limit);
         let deadline = now + time_left;
-        // A deadline before the objective takes its place: all fractions of the objective are of that.
+        // A deadline before the end of the objective replaces it, so that all fractions of the objective
+        // refer to the time that is available.
         let objective_at = (now + objective).min(deadline);
         let answer_by = (objective_at - self.tick * ANSWER_AHEAD_TICKS).min(deadline - self.tick);
         OpenQuery {
@@ -96,13 +97,13 @@
         }
         open.parts.push(part.id);
         let class = open.class;
-        // Hints compare the parts of a query well, but queries badly.
-        let usual_work = self.classes[usize::from(class.0)].usual_work();
+        // Hints are accurate between the parts of one query and inaccurate between queries.
+        let typical_work = self.classes[usize::from(class.0)].typical_work();
         let relative_hint = part
             .work_hint
             .zip(open.mean_part_hint)
             .map_or(1.0, |(hint, mean)| (hint / mean).clamp(MIN_RELATIVE_HINT, MAX_RELATIVE_HINT));
-        let work = usual_work * relative_hint * open.relative_work;
+        let work = typical_work * relative_hint * open.relative_work;
         let NewPart { id, query, shard, weight, .. } = part;
         self.parts.insert(id, PartState { query, class, shard, weight, work, ..PartState::default() });
         self.enqueue(id);
--- a/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
@@ -1,12 +1,12 @@
-//! Whether one more attempt of a part may be made: within its query's time (rule 1), without a forbidden repeat (rule 6),
-//! and within the retry budget (rule 11).
+//! Decides whether a part may be attempted once more: within the deadline of its query (rule 1), without a
+//! forbidden repeat (rule 6), and within the retry budget (rule 11).
 
 use super::state::State;
 use crate::ids::{AttemptDenied, AttemptId, Idempotency, PartId};
 use crate::time::Timestamp;
 
 impl State {
-    /// Rules 1, 6, 7 and 11 for one more attempt.
+    /// Applies rules 1, 6, 7 and 11 to one more attempt.
     pub(super) fn may_attempt(&mut self, now: Timestamp, id: PartId) -> bool {
         if !self.could_attempt(now, id) {
             return false;
@@ -19,7 +19,7 @@
         delegated.map_or_else(|| self.retry_budget.remaining(now), f64::from) >= 1.0
     }
 
-    /// Rules 1, 6 and 7 alone: a retry budget that is spent refills.
+    /// Applies rules 1, 6 and 7 only. The retry budget is left out because it refills.
     pub(super) fn could_attempt(&self, now: Timestamp, id: PartId) -> bool {
         let part = &self.parts[&id];
         let Some(open) = self.queries.get(&part.query) else { return false };
@@ -30,8 +30,8 @@
             && (part.outstanding_count() == 0 || self.retry_policy.may_hedge)
     }
 
-    /// Rule 6 for the attempt after `earlier` others. A repeat counts as it reaches the replica, and may reach none that
-    /// no longer knows the key.
+    /// Applies rule 6 to the attempt that follows `earlier` others. The time at which a repeat reaches the
+    /// replica counts, and by then the replica must still recognise the idempotency key.
     fn may_repeat(&self, now: Timestamp, id: PartId, earlier: usize) -> bool {
         let part = &self.parts[&id];
         let may_have_run = part.attempts.iter().take(earlier).find(|a| !a.never_ran);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Rules 6 and 11 as they stand when the attempt goes out.
+    /// Applies rules 6 and 11 at the time the attempt is sent.
     pub(super) fn begin_attempt(&mut self, now: Timestamp, attempt: AttemptId) -> Result<(), AttemptDenied> {
         let index = attempt.number as usize;
         if !self.may_repeat(now, attempt.part, index) {
@@ -59,8 +59,8 @@
         if !self.retry_budget.try_begin_retry(part.attempts[index].counted_at, now) {
             return Err(AttemptDenied::RetryBudgetSpent);
         }
-        let part = self.parts.get_mut(&attempt.part).expect("attempts that begin have their parts");
-        // The caller may take the attempt back and begin it once more.
+        let part = self.parts.get_mut(&attempt.part).expect("a part outlives its attempts");
+        // The caller may requeue the attempt and begin it again.
         part.attempts[index].counted_at = now;
         Ok(())
     }
--- a/crates/pipitcrank-core/src/coordinator/attempts.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sending them, and what their ends mean for their replica and for their query.
+//! Attempts: sends them, and applies their outcomes to the estimates of the replica and to the query.
 
 use super::final_answers::PossibleAnswer;
 use super::open_query::{AttemptContext, AttemptRecord};
@@ -11,18 +11,21 @@
 use crate::output::CoordinatorOutput;
 use crate::time::Timestamp;
 
-/// Lag of a replica that rejects an attempt for lack of capacity, in seconds: about what a full queue takes to drain.
-/// Without it parts go straight on to the next full replica (docs/incidents/i695bd0.md).
+/// Lag assigned to a replica that rejects an attempt for lack of capacity, in seconds: about the time a full
+/// queue takes to drain. Without it, rejected parts move straight on to the next full replica
+/// (docs/incidents/i695bd0.md).
 pub(super) const NO_CAPACITY_LAG_S: f64 = 2.0;
 /// Weight of the newest answer in a replica's lag.
 const LAG_WEIGHT: f64 = 0.2;
-/// Bounds that keep quotients of times and work within reason: least seconds taken, least work, most seconds for a unit.
+/// Bounds that keep ratios of service time to work finite: minimum service time, minimum work, and maximum
+/// seconds per unit of work.
 const MIN_SERVICE_S: f64 = 1e-6;
 const MIN_WORK: f64 = 1e-3;
-const MAX_PACE: f64 = 20.0;
-/// Work ahead, relative to an attempt's own, up to which nothing else was ahead of it; above 1 for rounding.
+const MAX_TIME_PER_WORK: f64 = 20.0;
+/// Ratio of the work ahead to an attempt's own work up to which no other work was ahead of it. Slightly above
+/// 1 to allow for rounding.
 const OWN_WORK_TOLERANCE: f64 = 1.01;
-/// Least fraction of the time taken that counts as the part's work, whatever the call costs.
+/// Minimum fraction of the service time that is attributed to the part rather than to the call.
 const MIN_WORK_FRACTION: f64 = 0.1;
 
 /// An attempt that was answered.
@@ -41,8 +44,8 @@
         id: PartId,
         replica: ReplicaId,
     ) {
-        let part = self.parts.get_mut(&id).expect("parts that are sent are held");
-        let open = self.queries.get_mut(&part.query).expect("parts that are sent have open queries");
+        let part = self.parts.get_mut(&id).expect("a part to be sent has state");
+        let open = self.queries.get_mut(&part.query).expect("a part to be sent has an open query");
         let number = part.attempts.len() as u32;
         let is_retry = number > 0;
         match &mut open.delegated_retries {
@@ -67,7 +70,7 @@
 
     /// Counts the attempt at its replica and its zone.
     fn record_send(&mut self, now: Timestamp, replica: ReplicaId, attempt: AttemptId, work: f64) {
-        let state = self.replicas.get_mut(&replica).expect("candidates are held");
+        let state = self.replicas.get_mut(&replica).expect("a candidate has state");
         state.load.add(NewAttempt { id: attempt, now, work, pass: self.pass }, self.call_limits);
         if self.slow_start.is_warming_up(state.started, now) {
             let window = self.slow_start.config.window;
@@ -85,17 +88,18 @@
         outcome: AttemptOutcome,
     ) {
         if let Some(context) = self.attempts.remove(&attempt) {
-            self.learn_from_end(now, attempt, context, outcome);
+            self.update_replica(now, attempt, context, outcome);
             if self.replicas[&context.replica].is_unused() {
                 self.remove_replica(output, context.replica);
             }
             self.needs_dispatch = true;
-            self.proceed_after_end(output, now, attempt, outcome);
+            self.update_query(output, now, attempt, outcome);
         }
     }
 
-    /// What the end of an attempt tells of the replica, whether or not the query still waits for it.
-    fn learn_from_end(
+    /// Updates the estimates of the replica from an ended attempt, whether or not the query still waits for
+    /// it.
+    fn update_replica(
         &mut self,
         now: Timestamp,
         id: AttemptId,
@@ -104,14 +108,15 @@
     ) {
         let replica = context.replica;
         let class = self.parts[&id.part].class;
-        let state = self.replicas.get_mut(&replica).expect("replicas outlive their attempts");
+        let state = self.replicas.get_mut(&replica).expect("a replica outlives its attempts");
         let attempt = state.load.remove(id);
         let is_overdue = now - attempt.sent_at > self.service.overdue_after(attempt.work_ahead);
         state.health.record_end(now, outcome, is_overdue);
         match outcome {
-            AttemptOutcome::Success => self.learn_from_answer(Answer { now, replica, class, attempt }),
+            AttemptOutcome::Success => self.update_estimates(Answer { now, replica, class, attempt }),
             AttemptOutcome::Fault => state.health.record_fault(now),
-            // Says little: some replicas close connections often, and one that is gone is unreachable soon.
+            // Low weight: some replicas close connections often, and a replica that has exited soon becomes
+            // unreachable.
             AttemptOutcome::Disconnected => state.health.record_disconnect(now),
             AttemptOutcome::Unreachable => state.health.record_unreachable(now),
             AttemptOutcome::NoCapacity => {
@@ -121,40 +126,50 @@
         }
     }
 
-    /// An answer tells the replica's lag; that of a local replica tells of how all replicas work as well.
-    fn learn_from_answer(&mut self, answer: Answer) {
+    /// Updates the lag of the replica from an answer. An answer of a local replica also updates the estimates
+    /// over all replicas.
+    fn update_estimates(&mut self, answer: Answer) {
         let Answer { now, replica, class, attempt } = answer;
-        let state = self.replicas.get_mut(&replica).expect("replicas outlive their attempts");
+        let state = self.replicas.get_mut(&replica).expect("a replica outlives its attempts");
         self.zones.count_answered(state.zone);
         state.health.record_success();
         let service_time = now - attempt.sent_at - state.network_delay;
-        let taken = service_time.as_secs_f64().max(MIN_SERVICE_S);
-        let pace = (taken / attempt.work_ahead.max(MIN_WORK)).min(MAX_PACE);
-        // What a remote site takes beyond its network delay is its lag; it tells nothing of how replicas work.
+        let service_seconds = service_time.as_secs_f64().max(MIN_SERVICE_S);
+        let time_per_work = (service_seconds / attempt.work_ahead.max(MIN_WORK)).min(MAX_TIME_PER_WORK);
+        // The service time of a remote site beyond its network delay counts as lag and does not affect the
+        // estimates of local replicas.
         let is_local = state.is_local();
-        let first_pace = if is_local { pace } else { 1.0 };
-        let seconds_per_work = self.service.seconds_per_work.value().unwrap_or(first_pace);
-        let lag = (taken - seconds_per_work * attempt.work_ahead).max(0.0);
+        let initial_time_per_work = if is_local { time_per_work } else { 1.0 };
+        let seconds_per_work = self.service.seconds_per_work.value().unwrap_or(initial_time_per_work);
+        let lag = (service_seconds - seconds_per_work * attempt.work_ahead).max(0.0);
         let model = LoadModel { seconds_per_work, ..self.service.load_model(now) };
-        let known_lag = if is_local { state.expected_lag(model) } else { state.load.lag().seconds };
-        state.load.set_lag(Lag { seconds: known_lag + LAG_WEIGHT * (lag - known_lag), observed_at: now });
+        let previous_lag = if is_local { state.expected_lag(model) } else { state.load.lag().seconds };
+        state
+            .load
+            .set_lag(Lag { seconds: previous_lag + LAG_WEIGHT * (lag - previous_lag), observed_at: now });
         if is_local {
-            self.service.observe(now, ServiceSample { pace, lag, work: attempt.work });
-            self.learn_part_work(class, &attempt, taken);
+            self.service.observe(now, ServiceSample { time_per_work, lag, work: attempt.work });
+            self.update_part_work(class, &attempt, service_seconds);
         }
     }
 
-    /// Only an attempt with nothing of ours ahead of it tells the work of its part.
-    fn learn_part_work(&mut self, class: RequestClassId, attempt: &OutstandingAttempt, taken: f64) {
+    /// Updates the work of a typical part. Only an attempt with no other work of this co-ordinator ahead of
+    /// it is used.
+    fn update_part_work(
+        &mut self,
+        class: RequestClassId,
+        attempt: &OutstandingAttempt,
+        service_seconds: f64,
+    ) {
         let cost = self.call_limits.cost;
         if attempt.work_ahead < (attempt.work + cost) * OWN_WORK_TOLERANCE {
-            let work = (taken - cost).max(taken * MIN_WORK_FRACTION);
+            let work = (service_seconds - cost).max(service_seconds * MIN_WORK_FRACTION);
             self.classes[usize::from(class.0)].part_work.observe(work, QuantileEstimator::LOW);
         }
     }
 
-    /// What the end of an attempt means for its query.
-    fn proceed_after_end(
+    /// Applies the outcome of an attempt to its query.
+    fn update_query(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
@@ -162,7 +177,7 @@
         outcome: AttemptOutcome,
     ) {
         let id = attempt.part;
-        let part = self.parts.get_mut(&id).expect("parts outlive their attempts");
+        let part = self.parts.get_mut(&id).expect("a part outlives its attempts");
         let record = &mut part.attempts[attempt.number as usize];
         record.is_outstanding = false;
         record.never_ran = matches!(
@@ -182,14 +197,14 @@
         self.check_reachable(output, now, query);
     }
 
-    /// The part is answered; so is its query if it waits for no more.
+    /// Marks the part as answered, and answers the query if it needs no more parts.
     fn part_answered(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: PartId) {
-        let part = self.parts.get_mut(&id).expect("parts outlive their attempts");
+        let part = self.parts.get_mut(&id).expect("a part outlives its attempts");
         part.is_done = true;
         part.is_waiting = false;
         let (query, weight) = (part.query, part.weight);
         self.cancel_attempts(output, id);
-        let open = self.queries.get_mut(&query).expect("unanswered parts have open queries");
+        let open = self.queries.get_mut(&query).expect("an unanswered part has an open query");
         open.answered_weight += weight;
         open.answered_parts += 1;
         let open = &self.queries[&query];
--- a/crates/pipitcrank-core/src/coordinator/config_form.rs
+++ b/crates/pipitcrank-core/src/coordinator/config_form.rs
@@ -1,4 +1,5 @@
-//! What the decision module takes of a node configuration with every key, as an earlier version did.
+//! Checks that a node configuration with every key, as written by an earlier version, is mapped to the same
+//! settings.
 
 use super::*;
 use crate::config::SettingsReader;
--- a/crates/pipitcrank-core/src/coordinator/delegated_retries.rs
+++ b/crates/pipitcrank-core/src/coordinator/delegated_retries.rs
@@ -1,18 +1,18 @@
-//! Retries that others may make for this co-ordinator: the process that hands over in an upgrade, or another site for the
-//! parts forwarded to it. They may be made at any time until they expire.
+//! Retries that others may make on behalf of this co-ordinator: the predecessor process during an upgrade, or
+//! another site for the parts forwarded to it. They may be made at any time until they expire.
 
 use std::collections::BTreeMap;
 
 use crate::time::Timestamp;
 
-/// Retries delegated at one time.
+/// A number of retries delegated together.
 #[derive(Clone, Copy)]
 pub(super) struct Delegation {
     pub(super) count: u32,
     pub(super) expires_at: Timestamp,
 }
 
-/// All delegations, by id. An entry ends when it is settled or expires.
+/// All delegations by id. An entry is removed when it is settled or has expired.
 #[derive(Default)]
 pub(super) struct DelegatedRetries {
     by_id: BTreeMap<u64, Delegation>,
@@ -27,7 +27,7 @@
         self.by_id.remove(&delegation_id)
     }
 
-    /// Removes what has expired and was not settled.
+    /// Removes and returns the delegations that have expired without being settled.
     pub(super) fn take_expired(&mut self, now: Timestamp) -> impl Iterator<Item = Delegation> + '_ {
         self.by_id.extract_if(.., move |_, d| d.expires_at <= now).map(|(_, d)| d)
     }
@@ -36,7 +36,7 @@
         self.by_id.values().copied()
     }
 
-    /// Retries delegated at present.
+    /// Returns the number of retries currently delegated.
     pub(super) fn total(&self) -> u32 {
         self.iter().map(|d| d.count).sum()
     }
--- a/crates/pipitcrank-core/src/coordinator/endpoint_list.rs
+++ b/crates/pipitcrank-core/src/coordinator/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which replicas there are.
+//! Maintains the set of replicas from the endpoint list.
 
 use super::state::{State, Timer};
 use crate::ids::ReplicaId;
@@ -6,7 +6,7 @@
 use crate::time::{TimeSpan, Timestamp};
 
 impl State {
-    /// Time after which a broken watch is started again.
+    /// Time after which a broken watch is restarted.
     const WATCH_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(2000);
 
     pub(super) fn start(&mut self, output: &mut dyn CoordinatorOutput) {
@@ -30,7 +30,7 @@
         replica.cell = cell;
         replica.is_listed = is_up;
         replica.started = started;
-        self.slow_start.note_start(started);
+        self.slow_start.record_start(started);
     }
 
     pub(super) fn finish_endpoint_list(&mut self, output: &mut dyn CoordinatorOutput) {
@@ -47,7 +47,8 @@
         self.needs_dispatch = true;
     }
 
-    /// The list could not be had, or the watch broke; the old list stands.
+    /// Schedules a restart of the watch after a failed fetch or a broken watch. The previous list stays in
+    /// use.
     pub(super) fn endpoint_list_failed(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         if self.watch_endpoints {
             self.set_timer(output, now + Self::WATCH_RETRY_AFTER, Timer::WatchEndpoints);
--- a/crates/pipitcrank-core/src/coordinator/final_answers.rs
+++ b/crates/pipitcrank-core/src/coordinator/final_answers.rs
@@ -1,5 +1,5 @@
-//! How queries end: answered, completely or in part (rule 12); rejected where repeating is harmless, aborted otherwise
-//! (rule 6); or cancelled. A query has exactly one final answer.
+//! Final answers of queries: answered completely or partially (rule 12), rejected if a repeat is harmless and
+//! otherwise aborted (rule 6), or cancelled. Each query has exactly one final answer.
 
 use super::open_query::{OpenQuery, QueryStep};
 use super::state::State;
@@ -7,13 +7,13 @@
 use crate::output::CoordinatorOutput;
 use crate::time::{TimeSpan, Timestamp};
 
-/// Weight of the parts from which a query may be answered, in the step that it is in.
+/// Weight of the answered parts from which a query may be answered in its current step.
 pub(super) struct AnswerThresholds {
     pub(super) partial: f64,
     pub(super) complete: f64,
 }
 
-/// The best answer that the parts answered so far allow.
+/// Best answer that the parts answered so far allow.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PossibleAnswer {
     None,
@@ -22,9 +22,10 @@
 }
 
 impl State {
-    /// By how much sums of weights may fall short of a threshold.
+    /// Tolerance for rounding when sums of weights are compared with a threshold.
     const WEIGHT_TOLERANCE: f64 = 1e-4;
-    /// Fraction of the latency objective for which a query may wait for its first attempts; also its retry-after.
+    /// Fraction of the latency objective that a query may wait for its first attempts. It also determines the
+    /// retry-after.
     const FIRST_ATTEMPT_FRACTION: f64 = 0.1;
 
     pub(super) fn thresholds(&self, open: &OpenQuery) -> AnswerThresholds {
@@ -53,33 +54,34 @@
         }
     }
 
-    /// Answers the query, or its first step. `is_last_chance`: its deadline leaves no time for a second step.
+    /// Answers the query, or its first step. If `is_deadline_near` is set, there is no time left for a second
+    /// step.
     pub(super) fn answer_query(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         id: QueryId,
         is_complete: bool,
-        is_last_chance: bool,
+        is_deadline_near: bool,
     ) {
         output.answer(id, is_complete);
         let open = &self.queries[&id];
         let has_second_step = open.step == QueryStep::First && self.class_of(open).has_second_step;
         self.target_utilization.record_query(now <= open.objective_at);
-        self.classes[usize::from(open.class.0)].client_stayed(now - open.arrived);
+        self.classes[usize::from(open.class.0)].record_delivery(now - open.arrived);
         if !has_second_step {
             return self.end_query(output, id);
         }
         let parts = self.begin_second_step(id, is_complete);
         self.end_parts(output, parts);
-        if is_last_chance {
-            self.give_up(output, now, id, RejectReason::DeadlineExceeded);
+        if is_deadline_near {
+            self.end_without_answer(output, now, id, RejectReason::DeadlineExceeded);
         }
     }
 
-    /// Returns the parts of the first step.
+    /// Starts the second step and returns the parts of the first one.
     fn begin_second_step(&mut self, id: QueryId, is_first_complete: bool) -> Vec<PartId> {
-        let open = self.queries.get_mut(&id).expect("answered queries are open");
+        let open = self.queries.get_mut(&id).expect("an answered query is open");
         open.step = QueryStep::Second;
         open.is_first_step_complete = is_first_complete;
         open.answered_weight = 0.0;
@@ -87,8 +89,9 @@
         std::mem::take(&mut open.parts)
     }
 
-    /// Ends the query without an answer: rejected with a retry-after where repeating it is harmless, aborted otherwise.
-    pub(super) fn give_up(
+    /// Ends the query without an answer. It is rejected with a retry-after if a repeat is harmless, and
+    /// aborted otherwise.
+    pub(super) fn end_without_answer(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
@@ -96,41 +99,43 @@
         reason: RejectReason,
     ) {
         let open = &self.queries[&id];
-        // Rejections count as well: when no answer is in time, they alone tell of clients that stayed.
-        self.classes[usize::from(open.class.0)].client_stayed(now - open.arrived);
+        // Rejections count as well: when no answer is in time, they are the only evidence of clients that
+        // stay connected.
+        self.classes[usize::from(open.class.0)].record_delivery(now - open.arrived);
         let is_idempotent = self.class_of(open).idempotency == Idempotency::Idempotent;
-        let is_begun = open.parts.iter().any(|p| !self.parts[p].attempts.is_empty());
+        let was_attempted = open.parts.iter().any(|p| !self.parts[p].attempts.is_empty());
         if is_idempotent || open.parts.iter().all(|p| self.parts[p].never_ran()) {
             output.reject(id, self.retry_after(open.class), reason);
         } else {
             output.abort(id, reason);
         }
-        if is_begun {
+        if was_attempted {
             self.target_utilization.record_query(false);
         }
         self.end_query(output, id);
     }
 
-    /// The retry-after of a query that was lost with the process that held it; none if it is aborted.
+    /// Returns the retry-after for a query that was lost together with its process, or `None` if the query
+    /// has to be aborted.
     pub(super) fn retry_after_if_lost(&self, class: RequestClassId) -> Option<TimeSpan> {
         let idempotency = self.class_config(class).idempotency;
         (idempotency == Idempotency::Idempotent).then(|| self.retry_after(class))
     }
 
-    /// As long as a query may wait for its first attempts, up to what may be stated.
+    /// Returns the time that a query may wait for its first attempts, capped at the configured maximum.
     fn retry_after(&self, class: RequestClassId) -> TimeSpan {
         let longest = self.retry_policy.max_retry_after.unwrap_or(TimeSpan::ZERO);
         let objective = self.class_config(class).latency_objective;
         (objective * Self::FIRST_ATTEMPT_FRACTION).min(longest)
     }
 
-    /// Whether the query has waited for its first attempts for too long.
+    /// Returns whether the query has waited too long for its first attempts.
     pub(super) fn is_first_attempt_late(&self, now: Timestamp, open: &OpenQuery) -> bool {
-        let longest_wait = (open.objective_at - open.arrived) * Self::FIRST_ATTEMPT_FRACTION;
-        now - open.arrived > longest_wait && open.parts.iter().all(|p| self.parts[p].attempts.is_empty())
+        let max_wait = (open.objective_at - open.arrived) * Self::FIRST_ATTEMPT_FRACTION;
+        now - open.arrived > max_wait && open.parts.iter().all(|p| self.parts[p].attempts.is_empty())
     }
 
-    /// Gives up the query when the parts that can still be answered do not reach an answer.
+    /// Ends the query if the parts that can still be answered are not enough for an answer.
     pub(super) fn check_reachable(
         &mut self,
         output: &mut dyn CoordinatorOutput,
@@ -144,22 +149,22 @@
         };
         let reachable: f64 = open.parts.iter().filter(may_be_answered).map(|p| self.parts[p].weight).sum();
         if reachable < self.thresholds(open).partial {
-            self.give_up(output, now, id, RejectReason::AnswerUnreachable);
+            self.end_without_answer(output, now, id, RejectReason::AnswerUnreachable);
         }
     }
 
-    /// The client has closed, or the query was ended from outside.
+    /// Ends a query whose client has closed its connection, or that was cancelled by the caller.
     pub(super) fn cancel_query(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, id: QueryId) {
         let Some(open) = self.queries.get(&id) else { return };
         let (class, age) = (&mut self.classes[usize::from(open.class.0)], now - open.arrived);
         if age < class.config.latency_objective {
-            class.client_left(age);
+            class.record_abandonment(age);
         }
         self.end_query(output, id);
     }
 
-    /// All queries held end by then at the latest. The platform may kill this process before their clients' deadlines,
-    /// and what was answered in part would be lost.
+    /// Caps the deadlines of all open queries. The platform may kill this process before the clients'
+    /// deadlines, and partial results would be lost.
     pub(super) fn cap_deadlines(&mut self, latest: Timestamp) {
         for open in self.queries.values_mut().filter(|open| latest < open.deadline) {
             open.deadline = latest;
@@ -169,7 +174,7 @@
     }
 
     fn end_query(&mut self, output: &mut dyn CoordinatorOutput, id: QueryId) {
-        let open = self.queries.remove(&id).expect("queries that end are open");
+        let open = self.queries.remove(&id).expect("a query that ends is open");
         self.end_parts(output, open.parts);
         output.release_query(id);
     }
@@ -177,7 +182,7 @@
     fn end_parts(&mut self, output: &mut dyn CoordinatorOutput, parts: Vec<PartId>) {
         for id in parts {
             self.cancel_attempts(output, id);
-            let part = self.parts.get_mut(&id).expect("parts outlive their query");
+            let part = self.parts.get_mut(&id).expect("a part outlives its query");
             part.is_waiting = false;
             part.is_done = true;
             self.release_part_if_unused(output, id);
@@ -194,7 +199,8 @@
         }
     }
 
-    /// Releases the part if its query has ended or moved on and none of its attempts is out.
+    /// Releases the part if its query has ended or moved on to the next step, and no attempt of the part is
+    /// outstanding.
     pub(super) fn release_part_if_unused(&mut self, output: &mut dyn CoordinatorOutput, id: PartId) {
         let part = &self.parts[&id];
         let is_in_use = self.queries.get(&part.query).is_some_and(|q| q.parts.contains(&id));
--- a/crates/pipitcrank-core/src/coordinator/forwarding.rs
+++ b/crates/pipitcrank-core/src/coordinator/forwarding.rs
@@ -1,5 +1,6 @@
-//! Other sites: replicas that stand for a cell elsewhere, queries forwarded by another site, and retries delegated with the
-//! parts forwarded to one. Which remote replicas a part may go to is decided beside the other candidates.
+//! Forwarding between sites: replicas that stand for a cell of another site, queries forwarded by another
+//! site, and retries delegated with the parts forwarded to one. Remote replicas are selected together with
+//! the other candidates (`candidates.rs`).
 
 use super::replica_state::Site;
 use super::state::State;
@@ -7,8 +8,8 @@
 use crate::time::{TimeSpan, Timestamp};
 
 impl State {
-    /// The query just started is counted by the site that forwarded it: it adds nothing to the retry budget here, and
-    /// has the delegated retries in its place.
+    /// Marks a query just started as counted by the site that forwarded it. It does not add to the local
+    /// retry budget, and uses the delegated retries instead.
     pub(super) fn mark_forwarded(&mut self, id: QueryId, delegated_retries: u32) {
         self.retry_budget.undo_admission();
         if let Some(open) = self.queries.get_mut(&id) {
@@ -20,8 +21,9 @@
         self.class_config(class).idempotency != Idempotency::NonIdempotent
     }
 
-    /// The parts are forwarded: returns how many retries the other site may make for them until they expire. They count
-    /// as made, for the budget and for each part, until `delegation_returned`.
+    /// Records that the parts are forwarded, and returns how many retries the other site may make for them
+    /// until `expires_at`. They count as made, for the budget and for each part, until `delegation_returned`
+    /// is called.
     pub(super) fn delegate_retries(
         &mut self,
         now: Timestamp,
@@ -32,8 +34,8 @@
         let max_attempts = self.retry_policy.max_attempts;
         let attempts_left =
             |p: &PartId| self.parts.get(p).map_or(0, |p| max_attempts.saturating_sub(p.attempt_count()));
-        let most = parts.iter().map(attempts_left).min().unwrap_or(0).min(parts.len() as u32);
-        let count = self.retry_budget.delegate_up_to(now, delegation_id, most, expires_at);
+        let max_count = parts.iter().map(attempts_left).min().unwrap_or(0).min(parts.len() as u32);
+        let count = self.retry_budget.delegate_up_to(now, delegation_id, max_count, expires_at);
         for id in parts {
             if let Some(part) = self.parts.get_mut(id) {
                 part.remote_attempts += count;
@@ -42,7 +44,7 @@
         count
     }
 
-    /// Of the retries delegated with the parts so many were made.
+    /// Records that `made` of the retries delegated with the parts were made.
     pub(super) fn delegation_returned(
         &mut self,
         now: Timestamp,
@@ -59,7 +61,8 @@
         }
     }
 
-    /// The replica stands for a cell of another site, at that delay; none while nothing may go there.
+    /// Marks the replica as standing for a cell of another site, reached with this delay. `None` means that
+    /// nothing may be forwarded there.
     pub(super) fn set_remote_delay(&mut self, replica: ReplicaId, delay: Option<TimeSpan>) {
         let site = if delay.is_some() { Site::Remote } else { Site::RemoteClosed };
         let network_delay = delay.unwrap_or(TimeSpan::ZERO);
--- a/crates/pipitcrank-core/src/coordinator/learned_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state.rs
@@ -1,87 +1,89 @@
-//! What a coordinator has learned, in the form that another process restores. Points in time stand as ages, so that they
-//! can be placed on another clock. Open queries and outstanding attempts are not in it.
+//! Learned state of a co-ordinator in the form that another process restores. Points in time are stored as
+//! ages, so that they can be mapped to another clock. Open queries and outstanding attempts are not included.
 //!
-//! The forms are stored by position (postcard): neither the order nor the type of a field may change.
+//! The types are encoded by position (postcard): neither the order nor the type of a field may change.
 
 use serde::{Deserialize, Serialize};
 
 use super::target_utilization::TargetUtilization;
 use crate::time::TimeSpan;
 
-/// All that a coordinator has learned.
+/// All learned state of a co-ordinator.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    /// What was learned of each request class.
+    /// State of each request class.
     pub classes: Vec<LearnedClassState>,
-    /// What was learned of each replica, by its index in the process that wrote it.
+    /// State of each replica, by its index in the process that wrote it.
     pub replicas: Vec<(u32, LearnedReplicaState)>,
-    /// Ages of the queries and parts that count for the retry budget, oldest first.
+    /// Ages of the admitted queries and parts that count towards the retry budget, oldest first.
     pub admitted: Vec<TimeSpan>,
-    /// Ages of the retries that count against it, oldest first.
+    /// Ages of the retries charged to the retry budget, oldest first.
     pub retries: Vec<TimeSpan>,
-    /// Retries delegated to other sites with parts, and the time until they expire. How many were made is not in it.
+    /// Numbers of retries delegated to other sites, each with the time until it expires. How many of them
+    /// were made is not stored.
     pub delegated_retries: Vec<(u32, TimeSpan)>,
-    pub(super) overdue_pace: Option<f64>,
+    pub(super) overdue_time_per_work: Option<f64>,
     pub(super) seconds_per_work: Option<f64>,
     pub(super) target_utilization: f64,
-    /// Work a second, and its age.
-    pub(super) carried: (f64, TimeSpan),
-    /// Seconds, and their age.
+    /// Work answered per second, and the age of that estimate.
+    pub(super) throughput: (f64, TimeSpan),
+    /// Lag over all local replicas in seconds, and the age of that estimate.
     pub(super) lag: (f64, TimeSpan),
 }
 
-/// What was learned of one request class.
+/// Learned state of one request class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedClassState {
-    /// Empty from a process that did not write it: then the request classes are taken in their order.
+    /// Name of the class. Empty if the writing process did not store names; request classes are then matched
+    /// by position.
     #[serde(default)]
     pub(super) name: String,
     pub(super) part_work: Option<f64>,
-    pub(super) usual_hint_ln: Option<f64>,
-    pub(super) early_leave_rate: f64,
-    pub(super) early_leave_age: TimeSpan,
+    pub(super) typical_hint_ln: Option<f64>,
+    pub(super) abandonment_rate: f64,
+    pub(super) abandonment_age: TimeSpan,
 }
 
-/// What was learned of one replica.
+/// Learned state of one replica.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedReplicaState {
-    /// Time since it started, where that is known.
+    /// Age of the replica's process, if known.
     pub started: Option<TimeSpan>,
     pub(super) fault_rate: f64,
-    /// Seconds, and their age.
+    /// Lag of the replica in seconds, and the age of that estimate.
     pub(super) lag: (f64, TimeSpan),
-    /// Time until its ejection ends.
+    /// Time until the end of its ejection.
     pub(super) ejected_for: Option<TimeSpan>,
-    /// Ages of what was sent to it during slow start, and the work of each.
+    /// Age and work of each send during slow start.
     pub slow_start_sends: Vec<(TimeSpan, f64)>,
 }
 
 impl LearnedState {
-    /// Whether all numbers are finite and within their bounds, and all ages are of the past.
+    /// Returns whether all numbers are finite and within bounds, and all ages are non-negative.
     pub fn is_valid(&self) -> bool {
-        self.classes.iter().all(LearnedClassState::is_sound)
-            && self.replicas.iter().all(|(_, replica)| replica.is_sound())
+        self.classes.iter().all(LearnedClassState::is_valid)
+            && self.replicas.iter().all(|(_, replica)| replica.is_valid())
             && self.delegated_retries.iter().all(|(_, left)| is_past(*left))
             && self.admitted.iter().chain(&self.retries).all(|&age| is_past(age))
-            && is_positive_or_none(self.overdue_pace)
+            && is_positive_or_none(self.overdue_time_per_work)
             && is_positive_or_none(self.seconds_per_work)
             && TargetUtilization::is_valid(self.target_utilization)
-            && is_aged_amount(self.carried)
+            && is_aged_amount(self.throughput)
             && is_aged_amount(self.lag)
     }
 }
 
 impl LearnedClassState {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         is_positive_or_none(self.part_work)
-            && self.usual_hint_ln.is_none_or(f64::is_finite)
-            && is_rate(self.early_leave_rate)
-            && is_past(self.early_leave_age)
+            && self.typical_hint_ln.is_none_or(f64::is_finite)
+            && is_rate(self.abandonment_rate)
+            && is_past(self.abandonment_age)
     }
 }
 
 impl LearnedReplicaState {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         is_rate(self.fault_rate)
             && is_aged_amount(self.lag)
             && self.slow_start_sends.iter().all(|&(age, work)| is_past(age) && is_amount(work))
--- a/crates/pipitcrank-core/src/coordinator/learned_state/stored_forms.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state/stored_forms.rs
@@ -1,4 +1,4 @@
-//! The stored form of the learned state, against bytes of an earlier version.
+//! Checks the stored form of the learned state against bytes written by an earlier version.
 
 use super::*;
 
@@ -11,9 +11,9 @@
             LearnedClassState {
                 name: "view".into(),
                 part_work: Some(0.25),
-                usual_hint_ln: Some(-1.5),
-                early_leave_rate: 0.125,
-                early_leave_age: TimeSpan::from_millis(700),
+                typical_hint_ln: Some(-1.5),
+                abandonment_rate: 0.125,
+                abandonment_age: TimeSpan::from_millis(700),
             },
             LearnedClassState::default(),
         ],
@@ -33,10 +33,10 @@
         admitted: vec![TimeSpan::from_millis(31), TimeSpan::from_millis(30)],
         retries: vec![TimeSpan::from_millis(29)],
         delegated_retries: vec![(4, TimeSpan::from_millis(28))],
-        overdue_pace: Some(3.5),
+        overdue_time_per_work: Some(3.5),
         seconds_per_work: Some(1.75),
         target_utilization: 0.375,
-        carried: (17.5, TimeSpan::from_millis(13)),
+        throughput: (17.5, TimeSpan::from_millis(13)),
         lag: (0.875, TimeSpan::from_millis(14)),
     }
 }
--- a/crates/pipitcrank-core/src/coordinator/load_estimate.rs
+++ b/crates/pipitcrank-core/src/coordinator/load_estimate.rs
@@ -1,4 +1,4 @@
-//! When replicas should have answered work that is planned for them. Nothing is decided here.
+//! Estimates when replicas will have answered the work planned for them. No decisions are made here.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,44 +7,44 @@
 use crate::ids::{PartId, QueryId, ReplicaId};
 use crate::time::{TimeSpan, Timestamp};
 
-/// The parts that a set cover gives to each replica, before anything is sent.
+/// The parts that a set cover assigns to each replica, before anything is sent.
 pub(super) type CoverPlan = BTreeMap<ReplicaId, Vec<PartId>>;
 
-/// When a replica should have answered.
+/// Expected completion time of work at a replica.
 pub(super) struct CompletionEstimate {
     lag: f64,
     seconds_per_work: f64,
-    /// Own work out and planned, calls' costs counted.
+    /// Work of this co-ordinator that is outstanding or planned, including the cost of calls.
     work_before: f64,
     network_delay: TimeSpan,
 }
 
 impl CompletionEstimate {
-    /// Time until it should have answered that much more work.
+    /// Time until the replica is expected to have answered this much additional work.
     pub(super) fn after(&self, work: f64) -> TimeSpan {
         let seconds = self.lag + self.seconds_per_work * (self.work_before + work);
         TimeSpan::from_secs_f64(seconds) + self.network_delay
     }
 
-    /// Time until it should come to more work.
+    /// Time until the replica is expected to start on additional work.
     pub(super) fn until_ready(&self) -> TimeSpan {
         self.after(0.0)
     }
 }
 
 impl State {
-    /// Longest level that is distinguished, in seconds.
-    const MAX_LEVEL_S: f64 = 1e6;
-    /// A replica outside the zone that a query is routed to is held to be later by this fraction of the latency
-    /// objective: more than the delay that is no reason against a candidate, little enough that overload in the zone
-    /// sends work to others.
+    /// Upper bound of the balanced completion time, in seconds.
+    const MAX_BALANCED_TIME_S: f64 = 1e6;
+    /// Penalty for a replica outside the zone that a query is routed to, as a fraction of the latency
+    /// objective. It exceeds the delay at which a candidate is still accepted, and is small enough that
+    /// overload in the zone moves work to other zones.
     const CROSS_ZONE_FRACTION: f64 = 0.1;
 
     pub(super) fn work_of(&self, parts: &[PartId]) -> f64 {
         parts.iter().map(|p| self.parts[p].work).sum()
     }
 
-    /// Work of the first part, of the first two, and so on.
+    /// Work of the first part, of the first two parts, and so on.
     pub(super) fn cumulative_work(&self, parts: &[PartId]) -> Vec<f64> {
         let mut sum = 0.0;
         let next = |p: &PartId| {
@@ -54,7 +54,7 @@
         parts.iter().map(next).collect()
     }
 
-    /// When the replica should have answered more work on top of what the plan gives it.
+    /// Estimates when the replica will have answered additional work on top of what the plan assigns to it.
     pub(super) fn completion(
         &self,
         now: Timestamp,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Time until the replica should come to more work, with the cost of crossing zones.
+    /// Time until the replica is expected to start on additional work, including the cross-zone penalty.
     pub(super) fn ready_in(
         &self,
         now: Timestamp,
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Time until all holders of the parts would have answered if the work could be spread evenly over them.
-    pub(super) fn level(&self, now: Timestamp, parts: &[PartId]) -> TimeSpan {
+    /// Time until all holders of the parts would have answered if the work were spread evenly over them.
+    pub(super) fn balanced_time(&self, now: Timestamp, parts: &[PartId]) -> TimeSpan {
         let is_forwarded = parts.first().is_some_and(|p| self.is_forwarded(self.parts[p].query));
         let is_usable = |r: &ReplicaId| {
             self.is_reachable(*r, is_forwarded) && self.replicas[r].health.ejected_until.is_none()
@@ -105,18 +105,18 @@
             .collect();
         ready.sort_by(f64::total_cmp);
         let mut sum = self.work_of(parts) * self.service.seconds_per_work();
-        let mut level = f64::INFINITY;
+        let mut balanced_time = f64::INFINITY;
         for (index, at) in ready.into_iter().enumerate() {
-            if at >= level {
+            if at >= balanced_time {
                 break;
             }
             sum += at;
-            level = sum / (index + 1) as f64;
+            balanced_time = sum / (index + 1) as f64;
         }
-        TimeSpan::from_secs_f64(level.min(Self::MAX_LEVEL_S))
+        TimeSpan::from_secs_f64(balanced_time.min(Self::MAX_BALANCED_TIME_S))
     }
 
-    /// All replicas that hold the shard of one of the parts.
+    /// All replicas that hold the shard of at least one of the parts.
     pub(super) fn holders(&self, parts: &[PartId]) -> BTreeSet<ReplicaId> {
         parts.iter().flat_map(|p| self.replica_index.holders(self.parts[p].shard)).collect()
     }
@@ -125,7 +125,8 @@
         self.queries[&query].delegated_retries.is_some()
     }
 
-    /// Whether parts may go to the replica at all; those of a forwarded query go to no third site.
+    /// Returns whether parts may be sent to the replica at all. Parts of a forwarded query are not forwarded
+    /// to a third site.
     pub(super) fn is_reachable(&self, replica: ReplicaId, is_forwarded: bool) -> bool {
         let state = &self.replicas[&replica];
         let is_site_open = match state.site {
--- a/crates/pipitcrank-core/src/coordinator/open_query.rs
+++ b/crates/pipitcrank-core/src/coordinator/open_query.rs
@@ -1,4 +1,4 @@
-//! Queries that are open, their parts, and the attempts of these.
+//! Open queries, their parts, and the attempts of those parts.
 
 use super::zones::ZoneId;
 use crate::ids::{PartId, QueryId, ReplicaId, RequestClassId};
@@ -8,10 +8,10 @@
 pub(super) struct AttemptRecord {
     pub(super) replica: ReplicaId,
     pub(super) sent_at: Timestamp,
-    /// When the retry budget counts it: as it was decided, or as it went out.
+    /// Time at which the retry budget counts the attempt: when it was decided, or when it was sent.
     pub(super) counted_at: Timestamp,
     pub(super) is_outstanding: bool,
-    /// It has ended, and certainly without any effect.
+    /// Whether the attempt has ended without running at the replica.
     pub(super) never_ran: bool,
 }
 
@@ -21,16 +21,16 @@
     pub(super) query: QueryId,
     pub(super) class: RequestClassId,
     pub(super) shard: u32,
-    /// Its fraction of the whole answer.
+    /// Fraction of the whole answer.
     pub(super) weight: f64,
-    /// Seconds of work that it is expected to take.
+    /// Expected seconds of work.
     pub(super) work: f64,
     pub(super) attempts: Vec<AttemptRecord>,
-    /// It is to be placed by the next dispatch pass.
+    /// Whether the part waits for placement in the next dispatch pass.
     pub(super) is_waiting: bool,
-    /// It is answered, or its query has ended.
+    /// Whether the part is answered or its query has ended.
     pub(super) is_done: bool,
-    /// Attempts that another site made for it, or may make.
+    /// Attempts that another site has made or may make for this part.
     pub(super) remote_attempts: u32,
 }
 
@@ -43,7 +43,7 @@
         self.attempts.iter().filter(|a| a.is_outstanding).count()
     }
 
-    /// Whether none of its attempts can have had an effect.
+    /// Returns whether no attempt of the part has run at a replica.
     pub(super) fn never_ran(&self) -> bool {
         self.attempts.iter().all(|a| a.never_ran)
     }
@@ -57,51 +57,52 @@
     }
 }
 
-/// The step that a query is in.
+/// Current step of a query.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum QueryStep {
     #[default]
     First,
-    /// After the first was answered, with further parts.
+    /// The second step, which follows the answer to the first with further parts.
     Second,
 }
 
-/// A query without its final answer.
+/// A query without a final answer.
 #[derive(Default)]
 pub(super) struct OpenQuery {
-    /// Tells queries apart that had the same id one after another.
+    /// Distinguishes queries that used the same id one after another.
     pub(super) serial: u64,
     pub(super) class: RequestClassId,
     pub(super) arrived: Timestamp,
     /// End of the latency objective.
     pub(super) objective_at: Timestamp,
-    /// From then on a partial answer is given: it needs some time to arrive by the objective.
+    /// Time from which a partial answer is given. It lies before the objective, so that the answer arrives in
+    /// time.
     pub(super) answer_by: Timestamp,
-    /// The client's deadline.
+    /// Deadline of the client.
     pub(super) deadline: Timestamp,
-    /// Hinted work of a mean part, in the unit of the hints.
+    /// Hinted work per part, averaged over the parts, in the unit of the hints.
     pub(super) mean_part_hint: Option<f64>,
-    /// Work relative to a usual query of the request class.
+    /// Work relative to a typical query of the request class.
     pub(super) relative_work: f64,
     pub(super) parts: Vec<PartId>,
     pub(super) answered_weight: f64,
     pub(super) answered_parts: usize,
     pub(super) step: QueryStep,
     pub(super) is_first_step_complete: bool,
-    /// The zone that it is routed to, where zones are regarded.
+    /// Zone that the query is routed to, if zones are configured.
     pub(super) zone: Option<ZoneId>,
-    /// Forwarded by another site: the retries left of those delegated with it.
+    /// For a query forwarded by another site: how many of the delegated retries remain.
     pub(super) delegated_retries: Option<u32>,
 }
 
-/// A query some part of which may have to be placed; ordered by age.
+/// A query that may have waiting parts. Ordered by arrival.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WaitingQuery {
     pub(super) serial: u64,
     pub(super) query: QueryId,
 }
 
-/// What the end of an attempt is handled with.
+/// State needed when an attempt ends.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptContext {
     pub(super) replica: ReplicaId,
--- a/crates/pipitcrank-core/src/coordinator/probing.rs
+++ b/crates/pipitcrank-core/src/coordinator/probing.rs
@@ -1,4 +1,4 @@
-//! Load probes: which replicas are asked for their load, and what their reports tell.
+//! Load probes: selects the replicas to probe and applies their load reports.
 
 use super::replica_health::ReplicaHealth;
 use super::replica_load::Lag;
@@ -10,19 +10,22 @@
 use crate::time::Timestamp;
 
 impl State {
-    /// Probes the local holders of the parts whose load reports are no longer valid; true once all have reported, or
-    /// will not. One co-ordinator of many sees overloaded, slow and silent replicas too rarely by its own attempts.
-    pub(super) fn have_load_reports(
+    /// Probes the local holders of the parts whose load reports have expired. Returns true once every holder
+    /// has answered its probe or the probe has timed out.
+    ///
+    /// With many co-ordinators, the attempts of a single one are too few to detect overloaded, slow and
+    /// unresponsive replicas.
+    pub(super) fn collect_load_reports(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         parts: &[PartId],
     ) -> bool {
         let (mut is_any_sent, mut are_all_done) = (false, true);
-        // Remote sites are measured on their links.
+        // The delay of remote sites is measured on their links.
         let is_local = |r: &ReplicaId| self.replicas[r].is_local();
         for replica in self.holders(parts).into_iter().filter(is_local).collect::<Vec<_>>() {
-            let health = &mut self.replicas.get_mut(&replica).expect("holders are held").health;
+            let health = &mut self.replicas.get_mut(&replica).expect("a holder of a shard has state").health;
             if health.needs_probe(now) {
                 health.probe_sent(now);
                 output.send_load_probe(replica);
@@ -47,32 +50,33 @@
         self.needs_dispatch = true;
     }
 
-    /// The replica reports how many parts it holds, of all co-ordinators.
+    /// Applies a load report: the number of parts that the replica holds for all co-ordinators.
     pub(super) fn load_report(&mut self, now: Timestamp, replica: ReplicaId, parts_held: f64) {
-        let seconds_per_part = self.usual_part_work() * self.service.seconds_per_work();
+        let seconds_per_part = self.typical_part_work() * self.service.seconds_per_work();
         let Some(state) = self.replicas.get_mut(&replica) else { return };
         let parts_of_others = (parts_held - state.load.outstanding.len() as f64).max(0.0);
-        // Reports that come with answers are older than the answers themselves: only those of probes set the lag.
+        // A report that arrives with an answer is older than the answer, so only reports of probes update the
+        // lag.
         if self.retry_policy.may_probe {
             state.load.set_lag(Lag { seconds: parts_of_others * seconds_per_part, observed_at: now });
         }
     }
 
-    /// Probes up to `most` replicas of a zone, those first whose last probe is longest ago, so that evidence of a zone
-    /// that nothing is sent to stays recent.
+    /// Probes up to `max_probes` replicas of a zone, least recently probed first, so that observations of a
+    /// zone without traffic stay recent.
     pub(super) fn probe_zone(
         &mut self,
         output: &mut dyn CoordinatorOutput,
         now: Timestamp,
         zone: ZoneId,
-        most: usize,
+        max_probes: usize,
     ) {
         if !self.retry_policy.may_probe {
             return;
         }
         let last_probe = |state: &ReplicaState| state.health.last_probe.map(|p| p.sent_at);
         let is_due = |state: &ReplicaState| {
-            // Remote sites are measured on their links.
+            // The delay of remote sites is measured on their links.
             state.is_listed && state.is_local() && state.zone == Some(zone) && state.health.needs_probe(now)
         };
         let mut due: Vec<(Option<Timestamp>, ReplicaId)> = (self.replicas.iter())
@@ -80,8 +84,8 @@
             .map(|(&id, state)| (last_probe(state), id))
             .collect();
         due.sort();
-        for (_, replica) in due.into_iter().take(most) {
-            self.replicas.get_mut(&replica).expect("just listed").health.probe_sent(now);
+        for (_, replica) in due.into_iter().take(max_probes) {
+            self.replicas.get_mut(&replica).expect("a selected replica has state").health.probe_sent(now);
             output.send_load_probe(replica);
         }
     }
--- a/crates/pipitcrank-core/src/coordinator/process_handover.rs
+++ b/crates/pipitcrank-core/src/coordinator/process_handover.rs
@@ -1,11 +1,11 @@
-//! Two processes as one co-ordinator, while one hands over to the other. What each may spend is divided by
-//! `pipitcrank_handover`.
+//! Two processes that act as one co-ordinator during a handover. `pipitcrank_handover` splits the budgets
+//! between them.
 
 use super::state::State;
 use crate::time::Timestamp;
 
 impl State {
-    /// Id of the delegation to the process that hands over.
+    /// Id of the delegation to the predecessor process.
     pub(super) const PREDECESSOR: u64 = u64::MAX;
 
     pub(super) fn limit_to_delegated_retries(&mut self, count: u32, expires_at: Timestamp) {
@@ -21,8 +21,9 @@
         self.retry_budget.settle_delegation(now, Self::PREDECESSOR, made);
     }
 
-    /// What the other process did is not known: it is held to have spent all it might, so nothing of a kind goes until
-    /// the window in which that counts has passed.
+    /// Ends the split of the budgets when it is not known what the other process spent. That process is
+    /// assumed to have spent all it was allowed, so retries and slow-start sends are blocked until they have
+    /// left their windows.
     pub(super) fn resume_without_peer(&mut self, now: Timestamp) {
         self.retry_budget.reclaim(now, Self::PREDECESSOR);
         self.slow_start.reopen(now);
--- a/crates/pipitcrank-core/src/coordinator/quantile.rs
+++ b/crates/pipitcrank-core/src/coordinator/quantile.rs
@@ -1,22 +1,22 @@
-//! A running estimate of a quantile.
+//! A streaming estimate of a quantile.
 
-/// Follows a quantile of the values observed, in small multiplicative steps.
+/// Tracks a quantile of the observed values in small multiplicative steps.
 #[derive(Default)]
 pub(super) struct QuantileEstimator(Option<f64>);
 
 impl QuantileEstimator {
-    /// Quantile that stands for work done with nothing else in its way: waiting hardly enters it.
+    /// Low quantile, used for the service time without queueing, because waiting time hardly affects it.
     pub(super) const LOW: f64 = 0.1;
-    /// Quantile of the response time past which an attempt is hedged.
+    /// High quantile of the response time, beyond which an attempt is hedged.
     pub(super) const HIGH: f64 = 0.985;
-    /// Size of a step, as a fraction of the estimate.
+    /// Step size as a fraction of the estimate.
     const STEP: f64 = 0.03;
 
     pub(super) fn new(initial: Option<f64>) -> QuantileEstimator {
         QuantileEstimator(initial)
     }
 
-    /// The estimate; none before the first observation.
+    /// Returns the estimate, or `None` before the first observation.
     pub(super) fn value(&self) -> Option<f64> {
         self.0
     }
--- a/crates/pipitcrank-core/src/coordinator/replica_health.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_health.rs
@@ -1,53 +1,55 @@
-//! The health of one replica: faults, ejection as an outlier, and silence.
+//! Health of one replica: fault rate, ejection as an outlier, and unresponsiveness.
 
 use crate::ids::AttemptOutcome;
 use crate::time::{TimeSpan, Timestamp};
 
-/// The last load probe sent.
+/// The most recent load probe.
 #[derive(Clone, Copy)]
 pub(super) struct LoadProbe {
     pub(super) sent_at: Timestamp,
     pub(super) is_outstanding: bool,
 }
 
-/// What attempts and probes tell of a replica's health.
+/// Health of a replica, derived from its attempts and probes.
 #[derive(Default)]
 pub(super) struct ReplicaHealth {
-    /// Moving average of faults among the attempts, 0 to 1.
+    /// Moving average of the fraction of attempts that end in a fault, 0 to 1.
     pub(super) fault_rate: f64,
-    /// Ejected as an outlier, and to be tried again from then on.
+    /// End of the ejection as an outlier, after which the replica is tried again.
     pub(super) ejected_until: Option<Timestamp>,
-    /// Attempts and probes in a row that nothing was heard of.
-    unheard_in_a_row: u32,
-    /// When something was last heard of it.
-    pub(super) last_heard: Option<Timestamp>,
+    /// Consecutive attempts and probes without any response.
+    consecutive_unanswered: u32,
+    /// Time of the last response of any kind.
+    pub(super) last_response: Option<Timestamp>,
     pub(super) last_probe: Option<LoadProbe>,
 }
 
 impl ReplicaHealth {
-    /// Fault rate from which a replica is ejected: two faults in a row, not a single one.
+    /// Fault rate from which a replica is ejected: two faults in a row reach it, a single one does not.
     const EJECTION_RATE: f64 = 0.3;
     /// Weight of the newest answer or fault in the fault rate.
     const NEWEST_WEIGHT: f64 = 0.2;
-    /// Weight of a part whose connection was closed: some replicas close connections often.
+    /// Weight of a closed connection in the fault rate. It is low because some replicas close connections
+    /// often.
     const DISCONNECT_WEIGHT: f64 = 0.03;
-    /// Time for which an outlier is ejected.
+    /// Duration of an ejection.
     const EJECTION_TIME: TimeSpan = TimeSpan::from_millis(1000);
-    /// A load report is valid for so long: replicas renew theirs about as often.
+    /// Validity of a load report. Replicas refresh their reports at about this interval.
     pub(super) const REPORT_VALID_FOR: TimeSpan = TimeSpan::from_millis(300);
-    /// A probe out for longer is held to be unanswered.
+    /// Time after which an outstanding probe counts as unanswered.
     pub(super) const PROBE_TIMEOUT: TimeSpan = TimeSpan::from_millis(30);
-    /// A probe out for longer was lost, whatever regions it had to cross.
+    /// Time after which an outstanding probe counts as lost, even across regions.
     const PROBE_LOST_AFTER: TimeSpan = TimeSpan::from_millis(200);
-    /// Attempts and probes in a row that nothing was heard of and that make a replica silent: one may be lost.
-    const SILENT_FROM: u32 = 2;
+    /// Consecutive unanswered attempts and probes from which a replica is unresponsive. A single one may have
+    /// been lost on the network.
+    const UNRESPONSIVE_THRESHOLD: u32 = 2;
 
-    /// A new process runs at the replica's address.
+    /// Clears the state because a new process runs at the replica's address.
     pub(super) fn reset(&mut self) {
         self.fault_rate = 0.0;
         self.ejected_until = None;
-        self.unheard_in_a_row = 0;
-        self.last_heard = None;
+        self.consecutive_unanswered = 0;
+        self.last_response = None;
     }
 
     pub(super) fn record_success(&mut self) {
@@ -83,15 +85,15 @@
         self.ejected_until.is_some_and(|t| t > now)
     }
 
-    /// Ejected, or with faults enough to be.
+    /// Returns whether the replica is ejected or its fault rate reaches the ejection rate.
     pub(super) fn is_failing(&self, now: Timestamp) -> bool {
         self.is_ejected(now) || self.fault_rate >= Self::EJECTION_RATE
     }
 
-    /// A probe goes out; one before it may still be unanswered.
+    /// Records that a probe is sent. The previous one may still be unanswered.
     pub(super) fn probe_sent(&mut self, now: Timestamp) {
-        let is_unheard = self.last_probe.is_some_and(|p| self.nothing_heard_since(p.sent_at));
-        self.unheard_in_a_row += u32::from(is_unheard);
+        let is_unanswered = self.last_probe.is_some_and(|p| self.no_response_since(p.sent_at));
+        self.consecutive_unanswered += u32::from(is_unanswered);
         self.last_probe = Some(LoadProbe { sent_at: now, is_outstanding: true });
     }
 
@@ -101,58 +103,59 @@
         }
     }
 
-    /// Whether it has to be probed again for its load.
+    /// Returns whether the last load report has expired, so that a new probe is needed.
     pub(super) fn needs_probe(&self, now: Timestamp) -> bool {
         self.last_probe.is_none_or(|p| now - p.sent_at >= Self::REPORT_VALID_FOR)
     }
 
-    /// The last probe has been answered, or has been out for too long to be waited for.
+    /// Returns whether the last probe has been answered or has timed out.
     pub(super) fn is_probe_done(&self, now: Timestamp) -> bool {
         self.last_probe.is_some_and(|p| !p.is_outstanding || now - p.sent_at >= Self::PROBE_TIMEOUT)
     }
 
-    /// The last probe was not answered in time: gone, stalled, or out of reach.
-    pub(super) fn is_silent_to_probe(&self, now: Timestamp) -> bool {
+    /// Returns whether the last probe has timed out, because the replica has exited, is stalled or cannot be
+    /// reached.
+    pub(super) fn is_probe_timed_out(&self, now: Timestamp) -> bool {
         self.last_probe.is_some_and(|p| p.is_outstanding && now - p.sent_at >= Self::PROBE_TIMEOUT)
     }
 
-    /// An attempt or a probe ended. An overdue attempt that was cancelled or cut off left nothing to be heard either; a
-    /// probe that came to nothing is counted when the next goes out.
+    /// Records the end of an attempt or probe. An overdue attempt that was cancelled or disconnected counts
+    /// as unanswered. An unanswered probe is counted when the next one is sent.
     pub(super) fn record_end(&mut self, now: Timestamp, outcome: AttemptOutcome, is_overdue: bool) {
         match outcome {
             AttemptOutcome::Success | AttemptOutcome::Fault | AttemptOutcome::NoCapacity => {
-                self.unheard_in_a_row = 0;
-                self.last_heard = Some(now);
+                self.consecutive_unanswered = 0;
+                self.last_response = Some(now);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Disconnected
                 if is_overdue =>
             {
-                self.unheard_in_a_row += 1;
+                self.consecutive_unanswered += 1;
             }
             _ => {}
         }
     }
 
-    pub(super) fn nothing_heard_since(&self, since: Timestamp) -> bool {
-        self.last_heard.is_none_or(|heard| heard < since)
+    pub(super) fn no_response_since(&self, since: Timestamp) -> bool {
+        self.last_response.is_none_or(|responded_at| responded_at < since)
     }
 
-    pub(super) fn heard_within(&self, now: Timestamp, span: TimeSpan) -> bool {
-        self.last_heard.is_some_and(|heard| now - heard < span)
+    pub(super) fn responded_within(&self, now: Timestamp, span: TimeSpan) -> bool {
+        self.last_response.is_some_and(|responded_at| now - responded_at < span)
     }
 
     fn is_probe_lost(&self, now: Timestamp) -> bool {
         self.last_probe
-            .is_some_and(|p| now - p.sent_at > Self::PROBE_LOST_AFTER && self.nothing_heard_since(p.sent_at))
+            .is_some_and(|p| now - p.sent_at > Self::PROBE_LOST_AFTER && self.no_response_since(p.sent_at))
     }
 
-    /// Enough attempts and probes in a row came to nothing.
-    pub(super) fn is_silent(&self, now: Timestamp) -> bool {
-        self.unheard_in_a_row + u32::from(self.is_probe_lost(now)) >= Self::SILENT_FROM
+    /// Returns whether enough consecutive attempts and probes were unanswered.
+    pub(super) fn is_unresponsive(&self, now: Timestamp) -> bool {
+        self.consecutive_unanswered + u32::from(self.is_probe_lost(now)) >= Self::UNRESPONSIVE_THRESHOLD
     }
 
-    /// At least one of them came to nothing.
+    /// Returns whether at least the last attempt or probe was unanswered.
     pub(super) fn is_suspected(&self, now: Timestamp) -> bool {
-        self.unheard_in_a_row > 0 || self.is_probe_lost(now)
+        self.consecutive_unanswered > 0 || self.is_probe_lost(now)
     }
 }
--- a/crates/pipitcrank-core/src/coordinator/replica_index.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_index.rs
@@ -1,4 +1,5 @@
-//! Which replicas hold a shard. Cells stand in a ring; a shard is held by a run of consecutive cells.
+//! Index of the replicas that hold a shard. Cells form a ring, and each shard is held by a run of consecutive
+//! cells.
 
 use crate::ids::ReplicaId;
 use crate::time::TimeSpan;
@@ -6,22 +7,22 @@
 /// The ring of cells and the limits of one call.
 #[derive(Clone, Debug, Default)]
 pub struct SetCoverConfig {
-    /// Cells of the ring.
+    /// Number of cells in the ring.
     pub cells: u32,
-    /// Consecutive cells that hold one shard.
+    /// Number of consecutive cells that hold one shard.
     pub cells_per_shard: u32,
-    /// Most parts in one call.
+    /// Maximum number of parts in one call.
     pub call_size: usize,
-    /// Work of a call beside its parts'.
+    /// Work of a call in addition to the work of its parts.
     pub call_cost: TimeSpan,
 }
 
-/// How attempts of one pass to one replica are grouped into calls.
+/// Limits on grouping the attempts of one dispatch pass to one replica into calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CallLimits {
-    /// Most parts in one call.
+    /// Maximum number of parts in one call.
     pub(super) max_parts: usize,
-    /// Work of a call beside its parts', in seconds.
+    /// Work of a call in addition to the work of its parts, in seconds.
     pub(super) cost: f64,
 }
 
@@ -31,12 +32,12 @@
     }
 }
 
-/// The listed replicas by cell.
+/// Listed replicas by cell.
 #[derive(Default)]
 pub(super) struct ReplicaIndex {
     pub(super) cells: u32,
     pub(super) cells_per_shard: u32,
-    /// Rebuilt at each change of the endpoint list.
+    /// Rebuilt on each change of the endpoint list.
     by_cell: Vec<Vec<ReplicaId>>,
 }
 
@@ -54,12 +55,12 @@
         self.by_cell[(cell % self.cells) as usize].push(replica);
     }
 
-    /// Whether replicas of the cell hold the shard.
+    /// Returns whether the replicas of the cell hold the shard.
     pub(super) fn holds(&self, cell: u32, shard: u32) -> bool {
         (cell + self.cells - shard % self.cells) % self.cells < self.cells_per_shard
     }
 
-    /// The replicas that hold the shard.
+    /// Returns the replicas that hold the shard.
     pub(super) fn holders(&self, shard: u32) -> impl Iterator<Item = ReplicaId> + '_ {
         (0..self.cells_per_shard.min(self.cells))
             .flat_map(move |offset| self.by_cell[((shard + offset) % self.cells) as usize].iter().copied())
--- a/crates/pipitcrank-core/src/coordinator/replica_load.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_load.rs
@@ -1,5 +1,5 @@
-//! The load of one replica as this co-ordinator estimates it: its own attempts out there, and the time lost behind the work
-//! of others.
+//! Load of one replica as estimated by this co-ordinator: its own outstanding attempts, and the delay caused
+//! by the work of other co-ordinators.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,8 @@
 use crate::ids::AttemptId;
 use crate::time::{TimeSpan, Timestamp};
 
-/// Seconds of delay behind others' work, when last observed. It drains as time passes, as the queue behind it does.
+/// Delay caused by the work of other co-ordinators, as last observed. It decreases as time passes, because
+/// the queue at the replica drains.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Lag {
     pub(super) seconds: f64,
@@ -16,7 +17,7 @@
 }
 
 impl Lag {
-    /// Time for which an observed lag counts for more than what is usual.
+    /// Time for which an observed lag is used instead of the typical lag.
     const VALID_FOR: TimeSpan = TimeSpan::from_millis(2000);
 
     pub(super) fn is_recent(self, now: Timestamp) -> bool {
@@ -28,23 +29,24 @@
     }
 }
 
-/// A call: parts that one dispatch pass sends to one replica share calls.
+/// A call. The parts that one dispatch pass sends to one replica share calls.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallId {
     pass: u64,
     index: usize,
 }
 
-/// An attempt out at the replica.
+/// An attempt that is outstanding at the replica.
 pub(super) struct OutstandingAttempt {
     pub(super) sent_at: Timestamp,
     pub(super) work: f64,
-    /// All own work out at the replica when it was sent, itself counted.
+    /// Work of this co-ordinator that was outstanding at the replica when the attempt was sent, including the
+    /// attempt itself.
     pub(super) work_ahead: f64,
     call: CallId,
 }
 
-/// An attempt about to go out.
+/// An attempt that is about to be sent.
 pub(super) struct NewAttempt {
     pub(super) id: AttemptId,
     pub(super) now: Timestamp,
@@ -53,46 +55,46 @@
     pub(super) pass: u64,
 }
 
-/// Parts sent by the newest dispatch pass that sent any here.
+/// Number of parts sent by the latest dispatch pass that sent any to this replica.
 #[derive(Default)]
 struct LastPass {
     number: u64,
     parts: usize,
 }
 
-/// What an estimate rests on beside the replica's own state.
+/// Inputs of a load estimate apart from the state of the replica.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) struct LoadModel {
     pub(super) now: Timestamp,
-    /// Seconds that a replica takes for a unit of work with nothing else in its way.
+    /// Seconds that a replica takes per unit of work without queueing.
     pub(super) seconds_per_work: f64,
-    /// Seconds of lag where nothing was heard of the replica of late.
-    pub(super) usual_lag: f64,
+    /// Seconds of lag assumed for a replica without recent observations.
+    pub(super) typical_lag: f64,
 }
 
-/// The load at one moment.
+/// Estimated load at one point in time.
 #[derive(Clone, Copy)]
 pub(super) struct LoadEstimate {
-    /// Seconds lost behind others' work.
+    /// Seconds of delay caused by the work of other co-ordinators.
     pub(super) lag: f64,
-    /// Own work out, calls' costs counted.
+    /// Outstanding work of this co-ordinator, including the cost of calls.
     pub(super) outstanding_work: f64,
     pub(super) outstanding_calls: usize,
 }
 
-/// Attempts out at a replica and its lag.
+/// Outstanding attempts at a replica, and its lag.
 #[derive(Default)]
 pub(super) struct ReplicaLoad {
-    /// Emptied as the attempts end.
+    /// Outstanding attempts. Entries are removed as their attempts end.
     pub(super) outstanding: BTreeMap<AttemptId, OutstandingAttempt>,
     last_pass: LastPass,
     lag: Lag,
-    /// The last estimate; void when what it rests on changes.
+    /// The last estimate. Cleared whenever one of its inputs changes.
     cached: Cell<Option<(LoadModel, LoadEstimate)>>,
 }
 
 impl ReplicaLoad {
-    /// The attempt goes out.
+    /// Adds an attempt that is sent now.
     pub(super) fn add(&mut self, attempt: NewAttempt, limits: CallLimits) {
         let NewAttempt { id, now, work, pass } = attempt;
         let parts_before = if self.last_pass.number == pass { self.last_pass.parts } else { 0 };
@@ -105,10 +107,10 @@
         self.invalidate();
     }
 
-    /// The attempt has ended.
+    /// Removes an attempt that has ended.
     pub(super) fn remove(&mut self, attempt: AttemptId) -> OutstandingAttempt {
         self.invalidate();
-        self.outstanding.remove(&attempt).expect("attempts that end are outstanding")
+        self.outstanding.remove(&attempt).expect("an attempt that ends is outstanding")
     }
 
     pub(super) fn lag(&self) -> Lag {
@@ -120,12 +122,13 @@
         self.lag = lag;
     }
 
-    /// What an estimate rests on has changed.
+    /// Clears the cached estimate because one of its inputs has changed.
     pub(super) fn invalidate(&mut self) {
         self.cached.take();
     }
 
-    /// The load now. It is asked for again and again within one pass, so the last one is kept.
+    /// Returns the load at present. The last estimate is cached, because it is requested many times within
+    /// one pass.
     pub(super) fn estimate(&self, model: LoadModel, network_delay: TimeSpan, call_cost: f64) -> LoadEstimate {
         if let Some((_, estimate)) = self.cached.get().filter(|(key, _)| *key == model) {
             return estimate;
@@ -139,17 +142,18 @@
         estimate
     }
 
-    /// Seconds of lag expected now: what was observed, drained, or what the attempts out are late.
+    /// Returns the lag expected at present, in seconds: the observed lag less the time since then, or the
+    /// delay of the most overdue outstanding attempt if that is longer.
     pub(super) fn expected_lag(&self, model: LoadModel, network_delay: TimeSpan) -> f64 {
-        let LoadModel { now, seconds_per_work, usual_lag } = model;
-        let observed = if self.lag.is_recent(now) { self.lag.remaining(now) } else { usual_lag };
+        let LoadModel { now, seconds_per_work, typical_lag } = model;
+        let observed = if self.lag.is_recent(now) { self.lag.remaining(now) } else { typical_lag };
         self.outstanding
             .values()
             .map(|o| (now - o.sent_at - network_delay).as_secs_f64() - seconds_per_work * o.work_ahead)
             .fold(observed, f64::max)
     }
 
-    /// Own calls out; parts that share a call count once.
+    /// Outstanding calls of this co-ordinator. Parts that share a call count once.
     fn outstanding_calls(&self) -> BTreeSet<CallId> {
         self.outstanding.values().map(|o| o.call).collect()
     }
--- a/crates/pipitcrank-core/src/coordinator/replica_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_state.rs
@@ -1,4 +1,4 @@
-//! What is known of one replica, from the endpoint list and from this co-ordinator's own attempts.
+//! State of one replica, from the endpoint list and from the attempts of this co-ordinator.
 
 use std::collections::VecDeque;
 
@@ -8,31 +8,31 @@
 use super::zones::ZoneId;
 use crate::time::{TimeSpan, Timestamp};
 
-/// Where a replica is reached.
+/// Site at which a replica is reached.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum Site {
     #[default]
     Local,
-    /// It stands for a cell of another site.
+    /// The replica stands for a cell of another site.
     Remote,
-    /// It stands for a cell of another site, and nothing may go there.
+    /// The replica stands for a cell of another site to which nothing may be forwarded.
     RemoteClosed,
 }
 
-/// What is known of one replica.
+/// State of one replica.
 #[derive(Default)]
 pub(super) struct ReplicaState {
     pub(super) cell: u32,
     pub(super) is_listed: bool,
     pub(super) started: Option<Timestamp>,
     pub(super) site: Site,
-    /// Round-trip time to it that is the network's and not the replica's; none is regarded of local replicas.
+    /// Round-trip time of the network, which is not attributed to the replica. Zero for local replicas.
     pub(super) network_delay: TimeSpan,
-    /// None where none is configured.
+    /// Zone of the replica, or `None` if no zone is configured.
     pub(super) zone: Option<ZoneId>,
     pub(super) health: ReplicaHealth,
     pub(super) load: ReplicaLoad,
-    /// Work sent during slow start, oldest first; entries older than the slow-start window are removed.
+    /// Work sent during slow start, oldest first. Entries older than the slow-start window are removed.
     pub(super) slow_start_sends: VecDeque<SlowStartSend>,
 }
 
@@ -49,7 +49,7 @@
         self.load.expected_lag(model, self.network_delay)
     }
 
-    /// Neither listed nor with attempts out.
+    /// Returns whether the replica is neither listed nor has outstanding attempts.
     pub(super) fn is_unused(&self) -> bool {
         !self.is_listed && self.load.outstanding.is_empty()
     }
--- a/crates/pipitcrank-core/src/coordinator/retry_budget.rs
+++ b/crates/pipitcrank-core/src/coordinator/retry_budget.rs
@@ -1,71 +1,73 @@
-//! The retry budget: how many attempts beyond a part's first may be made, relative to the queries and parts admitted
-//! (rule 11). Both are counted over one sliding window.
+//! The retry budget: limits attempts beyond the first of each part, relative to the admitted queries and
+//! parts (rule 11). Both are counted over the same sliding window.
 
 use std::collections::VecDeque;
 
 use super::delegated_retries::{DelegatedRetries, Delegation};
 use crate::time::{TimeSpan, Timestamp};
 
-/// How many retries are allowed in any window.
+/// Limits on the number of retries in any window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries for each query or part admitted.
+    /// Retries allowed per admitted query or part.
     pub fraction: f64,
-    /// Retries beside these.
+    /// Retries allowed in addition, independent of admissions.
     pub free: f64,
-    /// Length of the sliding window; zero is no budget, and retries are not limited.
+    /// Length of the sliding window. Zero disables the budget, so that retries are not limited.
     pub window: TimeSpan,
 }
 
-/// All that this process may still spend while another process has the budget.
+/// Upper bound of what this process may still spend while another process holds the budget.
 #[derive(Clone, Copy)]
 struct Allotment {
     remaining: f64,
     expires_at: Timestamp,
 }
 
-/// Counts admissions and retries, and says how many retries remain.
+/// Counts admissions and retries, and computes how many retries remain.
 #[derive(Default)]
 pub struct RetryBudget {
     config: RetryBudgetConfig,
-    /// Times of admissions; emptied as they leave the window.
+    /// Times of admissions within the window.
     pub(super) admissions: VecDeque<Timestamp>,
-    /// Times of retries; emptied as they leave the window.
+    /// Times of retries within the window.
     pub(super) retries: VecDeque<Timestamp>,
-    /// Counted as made when they expire unsettled.
+    /// Delegations. Those that expire unsettled count as made.
     pub(super) delegated: DelegatedRetries,
     allotment: Option<Allotment>,
-    /// No retries before then.
+    /// No retries are allowed before this time.
     closed_until: Timestamp,
 }
 
 impl RetryBudget {
-    /// Largest fraction of what remains that is delegated at once: this process's own parts may need retries as well.
+    /// Largest fraction of the remaining retries that is delegated at once. The rest is kept for the parts of
+    /// this process.
     const DELEGATED_FRACTION: f64 = 0.25;
 
-    /// A budget with nothing counted yet.
+    /// Creates a budget with empty counts.
     pub fn from_config(config: RetryBudgetConfig) -> RetryBudget {
         RetryBudget { config, closed_until: Timestamp::from_micros(i64::MIN), ..RetryBudget::default() }
     }
 
-    /// The same from single values; without a window retries are not limited.
+    /// Creates a budget from single values. Without a window retries are not limited.
     pub fn new(fraction: f64, free: f64, window: Option<TimeSpan>) -> RetryBudget {
         let window = window.unwrap_or(TimeSpan::ZERO);
         RetryBudget::from_config(RetryBudgetConfig { fraction, free, window })
     }
 
-    /// What it was made from.
+    /// Returns the configuration of the budget.
     pub fn config(&self) -> RetryBudgetConfig {
         self.config
     }
 
-    /// Retries that may be made now. Delegated retries may be made at any time until they expire, so only admissions
-    /// count that are still in the window then: otherwise both together could exceed the budget of one window.
+    /// Returns the number of retries that may be made now. Delegated retries may be made at any time until
+    /// they expire. Therefore only those admissions count that will still be in the window at the last
+    /// expiry; otherwise local and delegated retries together could exceed the budget of one window.
     pub fn remaining(&mut self, now: Timestamp) -> f64 {
         for delegation in self.delegated.take_expired(now) {
             (0..delegation.count).for_each(|_| self.retries.push_back(delegation.expires_at));
         }
-        // An admission on the window's edge counts as out of it, a retry on the edge as in it.
+        // An admission at the edge of the window is outside it, a retry at the edge is inside.
         self.admissions.retain(|&t| now - t < self.config.window);
         self.retries.retain(|&t| now - t <= self.config.window);
         if self.is_unlimited() {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// One retry is made.
+    /// Charges one retry.
     pub fn spend(&mut self, now: Timestamp) {
         self.retries.push_back(now);
         if let Some(allotment) = &mut self.allotment {
@@ -87,16 +89,17 @@
         }
     }
 
-    /// A retry that was counted at `counted_at` goes out now; false where it may not. Attempts may wait for their
-    /// connections, and would otherwise go out beside the retries of the next window.
+    /// Re-charges a retry that was counted at `counted_at` and is sent now. Returns false if it may no longer
+    /// be sent. Attempts may wait for a connection, and would otherwise be sent in addition to the retries of
+    /// the next window.
     pub fn try_begin_retry(&mut self, counted_at: Timestamp, now: Timestamp) -> bool {
         if self.is_unlimited() {
             return true;
         }
-        if let Some(place) = self.retries.iter().position(|&t| t == counted_at) {
-            self.retries.remove(place);
+        if let Some(position) = self.retries.iter().position(|&t| t == counted_at) {
+            self.retries.remove(position);
         }
-        // A retry from an allotment was counted when it was decided.
+        // A retry from an allotment was already charged when it was decided.
         let may_begin = self.allotment.map_or_else(|| self.remaining(now) >= 1.0, |a| now < a.expires_at);
         if may_begin {
             self.retries.push_back(now);
@@ -104,30 +107,30 @@
         may_begin
     }
 
-    /// A query or a part is admitted.
+    /// Records the admission of a query or a part.
     pub fn record_admission(&mut self, now: Timestamp) {
         self.remaining(now);
         self.admissions.push_back(now);
     }
 
-    /// The newest admission is counted elsewhere.
+    /// Removes the newest admission, because it is counted elsewhere.
     pub(super) fn undo_admission(&mut self) {
         self.admissions.pop_back();
     }
 
-    /// Delegates up to `most` retries under that id until they expire, which has to be within the window; returns
-    /// how many.
+    /// Delegates up to `max_count` retries under this id until `expires_at`, which must lie within the
+    /// window. Returns the number delegated.
     pub fn delegate_up_to(
         &mut self,
         now: Timestamp,
         delegation_id: u64,
-        most: u32,
+        max_count: u32,
         expires_at: Timestamp,
     ) -> u32 {
         if self.is_unlimited() {
-            return most;
+            return max_count;
         }
-        // An allotment is for the parts of this process alone.
+        // An allotment covers only the parts of this process.
         if self.allotment.is_some() {
             return 0;
         }
@@ -138,37 +141,38 @@
         } else {
             self.remaining_until(last_expiry)
         };
-        let count = ((remaining * Self::DELEGATED_FRACTION).floor().max(0.0) as u32).min(most);
+        let count = ((remaining * Self::DELEGATED_FRACTION).floor().max(0.0) as u32).min(max_count);
         if count > 0 {
             self.delegate(delegation_id, count, expires_at);
         }
         count
     }
 
-    /// Delegates exactly so many retries until they expire.
+    /// Delegates exactly `count` retries until `expires_at`.
     pub fn delegate(&mut self, delegation_id: u64, count: u32, expires_at: Timestamp) {
         self.delegated.insert(delegation_id, Delegation { count, expires_at });
     }
 
-    /// So many of the delegated retries were made, and no more will be. Nothing happens after their expiry, when all were
-    /// counted as made.
+    /// Settles a delegation of which `made` retries were used. Has no effect after its expiry, when all of
+    /// its retries were counted as made.
     pub fn settle_delegation(&mut self, now: Timestamp, delegation_id: u64, made: u32) {
         if let Some(delegation) = self.delegated.remove(delegation_id) {
             (0..made.min(delegation.count)).for_each(|_| self.retries.push_back(now));
         }
     }
 
-    /// From now on at most so many retries, none after `expires_at`: another process has the budget.
+    /// Limits this process to `count` retries before `expires_at`, because another process holds the budget.
     pub(super) fn limit_to(&mut self, count: u32, expires_at: Timestamp) {
         self.allotment = Some(Allotment { remaining: f64::from(count), expires_at });
     }
 
-    /// How many of those are left.
+    /// Returns how many retries of the allotment remain, or 0 without one.
     pub(super) fn allotment_left(&self) -> u32 {
         self.allotment.map_or(0, |a| a.remaining.max(0.0) as u32)
     }
 
-    /// This process has the whole budget again; how many were made is not known, so no retries for a window.
+    /// Returns the whole budget to this process. The number of retries made under the delegation is unknown,
+    /// so no retries are allowed for one window.
     pub(super) fn reclaim(&mut self, now: Timestamp, delegation_id: u64) {
         self.allotment = None;
         self.delegated.remove(delegation_id);
@@ -179,7 +183,8 @@
         self.config.window == TimeSpan::ZERO
     }
 
-    /// What remains if only those admissions count that are still in the window at `until`.
+    /// Returns how many retries remain if only those admissions count that are still in the window at
+    /// `until`.
     fn remaining_until(&self, until: Timestamp) -> f64 {
         let admitted = self.admissions.iter().filter(|&&t| until - t < self.config.window).count();
         self.config.free + self.config.fraction * admitted as f64
--- a/crates/pipitcrank-core/src/coordinator/retry_policy.rs
+++ b/crates/pipitcrank-core/src/coordinator/retry_policy.rs
@@ -1,20 +1,20 @@
-//! What attempts, hedged requests and probes are allowed, by configuration.
+//! Configured limits on attempts, hedged requests and probes.
 
 use crate::time::TimeSpan;
 
-/// What attempts, hedged requests and probes are allowed.
+/// Configured limits on attempts, hedged requests and probes.
 #[derive(Clone, Debug, Default)]
 pub struct RetryPolicy {
-    /// Most attempts of one part.
+    /// Maximum number of attempts of one part.
     pub max_attempts: u32,
-    /// Whether a part may have several attempts out at a time.
+    /// Whether a part may have several outstanding attempts.
     pub may_hedge: bool,
-    /// Whether attempts out may be cancelled.
+    /// Whether outstanding attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether load probes may be sent.
     pub may_probe: bool,
-    /// Longest retry-after that may be stated; none where none may be.
+    /// Maximum retry-after, or `None` if no retry-after may be sent.
     pub max_retry_after: Option<TimeSpan>,
-    /// Longest time that an attempt may take to reach its replica.
+    /// Maximum time that an attempt may take to reach its replica.
     pub max_network_delay: TimeSpan,
 }
--- a/crates/pipitcrank-core/src/coordinator/set_cover.rs
+++ b/crates/pipitcrank-core/src/coordinator/set_cover.rs
@@ -1,5 +1,6 @@
-//! Placing the waiting parts of a query: a modified greedy set cover (docs/design.md). Each round draws a part, asks which of
-//! its holders would answer it together with the most other parts in time, and picks one of the best.
+//! Placement of the waiting parts of a query by a modified greedy set cover (docs/design.md). Each round
+//! draws one part, determines which of its holders would answer it in time together with the most other
+//! parts, and picks one of the best.
 
 use super::candidates::Bundle;
 use super::load_estimate::CoverPlan;
@@ -11,34 +12,35 @@
 use crate::output::CoordinatorOutput;
 use crate::time::{TimeSpan, Timestamp};
 
-/// Most rounds of one query in a pass; what is left is placed in the next.
+/// Maximum number of rounds per query in one pass. The remaining parts are placed in the next pass.
 const MAX_ROUNDS: usize = 128;
 /// Fraction of the latency objective within which bundles are never cut.
-const SOON_FRACTION: f64 = 0.1;
-/// A holder that is ready later than the first by more than this fraction of the latency objective is no candidate.
-const BEHIND_FRACTION: f64 = 0.05;
-/// A hedged request must promise an answer within this fraction of the first attempt's age.
+const SHORT_WAIT_FRACTION: f64 = 0.1;
+/// Fraction of the latency objective by which a holder may be ready later than the earliest one and still be
+/// a candidate.
+const MAX_BEHIND_FRACTION: f64 = 0.05;
+/// Fraction of the first attempt's age within which a hedged request must be expected to be answered.
 const HEDGE_FRACTION: f64 = 0.5;
 
-/// What the rounds of one query go by.
+/// Limits that apply to all rounds of one query.
 struct CoverBounds {
     now: Timestamp,
     query: QueryId,
-    /// None of its parts has been sent.
+    /// Whether no part of the query has been sent.
     is_first: bool,
     time_left: TimeSpan,
-    soon: TimeSpan,
-    behind: TimeSpan,
-    /// Time in which the work would be done if it could be spread evenly; bundles are cut to it.
-    level: TimeSpan,
-    /// Weight needed for a partial answer, where one is allowed.
+    short_wait: TimeSpan,
+    max_behind: TimeSpan,
+    /// Time in which the work would be done if it were spread evenly. Bundles are cut to it.
+    balanced_time: TimeSpan,
+    /// Weight needed for a partial answer, if partial answers are allowed.
     partial_threshold: Option<f64>,
     model: LoadModel,
 }
 
 impl State {
-    /// Places what waits, the oldest query first. Called once a moment, after its events, so that what arrived together
-    /// shares calls.
+    /// Places the waiting parts, oldest query first. Called once after all events of one point in time, so
+    /// that parts that arrived together share calls.
     pub(super) fn dispatch(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         if !std::mem::take(&mut self.needs_dispatch) {
             return;
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Places the parts, all of one query. Its first attempts go only when those of parts enough for an answer can: the
-    /// work would be lost otherwise.
+    /// Places parts of one query. First attempts are sent only if enough parts for an answer can be placed,
+    /// because the work would be wasted otherwise.
     fn place(
         &mut self,
         output: &mut dyn CoordinatorOutput,
@@ -68,8 +70,9 @@
     ) {
         parts.retain(|&p| self.may_attempt(now, p));
         self.slow_start.draw_threshold(now, &mut self.rng);
-        let may_go = !self.wants_load_reports(now, query) || self.have_load_reports(output, now, &parts);
-        if !may_go {
+        let may_place =
+            !self.needs_load_reports(now, query) || self.collect_load_reports(output, now, &parts);
+        if !may_place {
             return;
         }
         let bounds = self.cover_bounds(now, query, &parts);
@@ -92,29 +95,31 @@
         self.queries[&query].parts.iter().all(|p| self.parts[p].attempts.is_empty())
     }
 
-    /// Probes have their price: there are none for first attempts while replicas that answered were in time.
-    fn wants_load_reports(&self, now: Timestamp, query: QueryId) -> bool {
+    /// Returns whether load probes are needed. To save their cost, none are sent for first attempts while
+    /// recent answers show little lag.
+    fn needs_load_reports(&self, now: Timestamp, query: QueryId) -> bool {
         let open = &self.queries[&query];
-        let soon = (open.objective_at - open.arrived) * SOON_FRACTION;
+        let short_wait = (open.objective_at - open.arrived) * SHORT_WAIT_FRACTION;
         let lag = self.service.lag;
-        let is_calm = self.is_unsent(query) && lag.seconds < soon.as_secs_f64() && lag.is_recent(now);
-        self.retry_policy.may_probe && !is_calm
+        let may_skip_probes =
+            self.is_unsent(query) && lag.seconds < short_wait.as_secs_f64() && lag.is_recent(now);
+        self.retry_policy.may_probe && !may_skip_probes
     }
 
     fn cover_bounds(&self, now: Timestamp, query: QueryId, parts: &[PartId]) -> CoverBounds {
         let open = &self.queries[&query];
         let objective = open.objective_at - open.arrived;
         let due = if now < open.objective_at { open.objective_at } else { open.deadline };
-        let soon = objective * SOON_FRACTION;
+        let short_wait = objective * SHORT_WAIT_FRACTION;
         let thresholds = self.thresholds(open);
         CoverBounds {
             now,
             query,
             is_first: self.is_unsent(query),
             time_left: due - now,
-            soon,
-            behind: objective * BEHIND_FRACTION,
-            level: self.level(now, parts).max(soon),
+            short_wait,
+            max_behind: objective * MAX_BEHIND_FRACTION,
+            balanced_time: self.balanced_time(now, parts).max(short_wait),
             partial_threshold: (thresholds.partial < thresholds.complete).then_some(thresholds.partial),
             model: self.service.load_model(now),
         }
@@ -130,7 +135,7 @@
             let first = uncovered[self.rng.below(uncovered.len())];
             let mut best = self.best_bundles(bounds, first, &uncovered, &plan, unplaced_weight);
             if best.is_empty() {
-                // No replica can take it now; it waits for a later pass.
+                // No replica can accept the part now. It waits for a later pass.
                 unplaced_weight += self.parts[&first].weight;
                 uncovered.retain(|&p| p != first);
                 continue;
@@ -142,7 +147,8 @@
         Cover { plan, unplaced_weight, is_incomplete: !uncovered.is_empty() }
     }
 
-    /// The bundles that cover the most parts, to within one, at the replicas with the fewest own calls out.
+    /// Returns the bundles that cover the most parts, or one fewer, at the replicas with the fewest calls of
+    /// this co-ordinator.
     fn best_bundles(
         &self,
         bounds: &CoverBounds,
@@ -160,15 +166,16 @@
         bundles
     }
 
-    /// Whether the query can be answered in part without this one. Such a part must not keep a busy replica from queries
-    /// that need theirs.
+    /// Returns whether the query can be partially answered without this part. Such a part must not occupy a
+    /// busy replica that other queries need.
     fn is_optional(&self, bounds: &CoverBounds, part: PartId, unplaced_weight: f64) -> bool {
         let weight = self.parts[&part].weight;
         bounds.partial_threshold.is_some_and(|threshold| 1.0 - unplaced_weight - weight >= threshold)
     }
 
-    /// One bundle for each candidate that would answer the first part in time, cut to what it would answer by the level:
-    /// a query is as slow as its slowest bundle.
+    /// Returns one bundle for each candidate that would answer the first part in time. Bundles are cut to the
+    /// parts that would be answered within the balanced time, because a query is as slow as its slowest
+    /// bundle.
     fn bundles_in_time(
         &self,
         bounds: &CoverBounds,
@@ -178,26 +185,26 @@
         is_optional: bool,
     ) -> Vec<Bundle> {
         let now = bounds.now;
-        let most_time = self.most_time(bounds, first);
+        let max_completion_time = self.max_completion_time(bounds, first);
         let mut candidates = self.candidates(now, first, plan);
         let ready_in = |replica: ReplicaId| self.ready_in(now, replica, bounds.query, plan);
         let soonest = candidates.iter().map(|c| ready_in(c.replica)).min().unwrap_or_default();
-        candidates.retain(|c| ready_in(c.replica) <= soonest + bounds.behind);
+        candidates.retain(|c| ready_in(c.replica) <= soonest + bounds.max_behind);
         let mut bundles = Vec::new();
         for candidate in candidates {
             let waiting_time = self.completion(now, candidate.replica, &CoverPlan::new()).until_ready();
-            if is_optional && waiting_time > bounds.soon {
+            if is_optional && waiting_time > bounds.short_wait {
                 continue;
             }
             let bundle = self.bundle(&candidate, first, uncovered);
-            let time = most_time.min(self.usable_time(bounds, waiting_time));
+            let time = max_completion_time.min(self.usable_time(bounds, waiting_time));
             bundles.extend(self.cut_to_time(bounds, bundle, plan, time));
         }
         bundles
     }
 
-    /// Time in which an attempt of the part has to be answered, what waits at the replica aside.
-    fn most_time(&self, bounds: &CoverBounds, part: PartId) -> TimeSpan {
+    /// Time within which an attempt of the part must be answered, without regard to the queue at the replica.
+    fn max_completion_time(&self, bounds: &CoverBounds, part: PartId) -> TimeSpan {
         let attempts = self.parts[&part].attempts.iter().filter(|a| a.is_outstanding);
         let oldest_age = attempts.map(|a| bounds.now - a.sent_at).max();
         oldest_age
@@ -205,12 +212,14 @@
             .min(bounds.time_left * TargetUtilization::MAX)
     }
 
-    /// What waits at the replica may fill the target utilization of the time left beside this query's own work.
+    /// Time left for this query's own work if the queue at the replica may fill only the target utilization
+    /// of the total.
     fn usable_time(&self, bounds: &CoverBounds, waiting_time: TimeSpan) -> TimeSpan {
         bounds.time_left - waiting_time * (1.0 / self.target_utilization.value() - 1.0)
     }
 
-    /// None if not even the first part would be answered in time.
+    /// Cuts the bundle to the parts that would be answered in time. Returns `None` if not even the first part
+    /// would be.
     fn cut_to_time(
         &self,
         bounds: &CoverBounds,
@@ -220,14 +229,14 @@
     ) -> Option<Bundle> {
         let completion = self.completion(bounds.now, bundle.replica, plan);
         let work = self.cumulative_work(&bundle.parts);
-        let taken = |parts: usize| completion.after(work[parts - 1]);
-        while bundle.parts.len() > 1 && taken(bundle.parts.len()) > time.min(bounds.level) {
+        let completion_time = |parts: usize| completion.after(work[parts - 1]);
+        while bundle.parts.len() > 1 && completion_time(bundle.parts.len()) > time.min(bounds.balanced_time) {
             bundle.parts.pop();
         }
-        (taken(bundle.parts.len()) <= time).then_some(bundle)
+        (completion_time(bundle.parts.len()) <= time).then_some(bundle)
     }
 
-    /// Own calls out and planned.
+    /// Number of calls of this co-ordinator at the replica, outstanding and planned.
     fn call_count(&self, bounds: &CoverBounds, replica: ReplicaId, plan: &CoverPlan) -> usize {
         let limits = self.call_limits;
         let planned = plan.get(&replica).map_or(0, |parts| parts.len().div_ceil(limits.max_parts));
@@ -236,11 +245,11 @@
     }
 }
 
-/// The parts of one query given to replicas.
+/// Assignment of the parts of one query to replicas.
 struct Cover {
     plan: CoverPlan,
-    /// Weight of the parts that no replica can take now.
+    /// Weight of the parts that no replica can accept now.
     unplaced_weight: f64,
-    /// The rounds did not suffice.
+    /// Whether parts remain because the maximum number of rounds was reached.
     is_incomplete: bool,
 }
--- a/crates/pipitcrank-core/src/coordinator/slow_start.rs
+++ b/crates/pipitcrank-core/src/coordinator/slow_start.rs
@@ -1,22 +1,22 @@
-//! Slow start: how much work may go to a replica that has just started (rule 10).
+//! Slow start: limits the work sent to a replica that has just started (rule 10).
 
 use std::collections::VecDeque;
 
 use crate::rng::Rng;
 use crate::time::{TimeSpan, Timestamp};
 
-/// What this co-ordinator may send to a replica that has just started.
+/// Limits on the work that this co-ordinator may send to a replica that has just started.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStartConfig {
-    /// Fraction of its capacity that a replica has at its start.
+    /// Fraction of its full capacity that a replica has when it starts.
     pub initial_capacity: f64,
-    /// Time in which the capacity rises to all of it.
+    /// Time in which the capacity rises to its full value.
     pub warm_up: TimeSpan,
-    /// Multiple of its capacity that a replica bears.
+    /// Multiple of its current capacity that a replica can sustain.
     pub overload_factor: f64,
-    /// Length of the sliding window over which work sent is counted.
+    /// Length of the sliding window over which sent work is counted.
     pub window: TimeSpan,
-    /// How many co-ordinators there are, this one counted.
+    /// Number of co-ordinators, including this one.
     pub coordinators: u32,
 }
 
@@ -27,10 +27,11 @@
     pub(super) work: f64,
 }
 
-/// The random threshold of one window: the fraction of a part for which there has to be room.
+/// Random threshold of one window, as a fraction of a part: the budget must exceed this fraction before a
+/// part is sent.
 enum Threshold {
     Drawn(f64),
-    /// Not needed yet; the windows that have passed without one.
+    /// Not drawn yet. Holds the number of windows that have passed without a draw.
     Pending {
         idle_windows: f64,
     },
@@ -39,11 +40,12 @@
 /// The slow-start budget.
 pub(super) struct SlowStart {
     pub(super) config: SlowStartConfig,
-    /// Nothing goes to replicas warming up before then: another process has the budget, or had it.
+    /// Nothing is sent to replicas in slow start before this time, because another process holds the budget
+    /// or has held it.
     closed_until: Timestamp,
-    /// Until then some replica may be warming up.
+    /// No known replica is in slow start after this time.
     warming_until: Timestamp,
-    window_began: Timestamp,
+    window_start: Timestamp,
     threshold: Threshold,
 }
 
@@ -53,18 +55,19 @@
             config: SlowStartConfig::default(),
             closed_until: Timestamp::default(),
             warming_until: Timestamp::default(),
-            window_began: Timestamp::default(),
+            window_start: Timestamp::default(),
             threshold: Threshold::Drawn(0.0),
         }
     }
 }
 
 impl SlowStart {
-    /// Fraction of the budget that is used; the rest is for co-ordinators of uneven load and for small replicas.
+    /// Fraction of the budget that is used. The rest allows for uneven load among co-ordinators and for small
+    /// replicas.
     const USED_FRACTION: f64 = 0.8;
-    /// Least length of a span that is divided by, in seconds.
+    /// Lower bound of divisors that are time spans, in seconds.
     const MIN_SPAN_S: f64 = 1e-6;
-    /// Most idle windows whose budget is saved.
+    /// Maximum number of idle windows whose budget is carried over.
     const MAX_IDLE_WINDOWS: f64 = 2.0;
 
     pub(super) fn new(config: SlowStartConfig) -> SlowStart {
@@ -75,8 +78,8 @@
         started.is_some_and(|t| now - t < self.config.warm_up)
     }
 
-    /// A replica is listed with that start.
-    pub(super) fn note_start(&mut self, started: Option<Timestamp>) {
+    /// Records the start time of a listed replica.
+    pub(super) fn record_start(&mut self, started: Option<Timestamp>) {
         if let Some(started) = started {
             self.warming_until = self.warming_until.max(started + self.config.warm_up);
         }
@@ -86,18 +89,18 @@
         self.closed_until = Timestamp::from_micros(i64::MAX);
     }
 
-    /// Opens it again when all that another process may have sent has left the window.
+    /// Reopens the budget once all work that the other process may have sent has left the window.
     pub(super) fn reopen(&mut self, now: Timestamp) {
         self.closed_until = now + self.config.window;
     }
 
-    /// Draws the threshold of a new window once some replica may be warming up. Windows without a query lower it: with
-    /// hundreds of co-ordinators each is asked in few of them.
+    /// Draws the threshold of a new window if any replica may be in slow start. Windows without a query lower
+    /// the threshold, because with hundreds of co-ordinators each one receives a query in few of the windows.
     pub(super) fn draw_threshold(&mut self, now: Timestamp, rng: &mut Rng) {
         let window = self.config.window.as_secs_f64().max(Self::MIN_SPAN_S);
-        let windows = (now - self.window_began).as_secs_f64() / window;
+        let windows = (now - self.window_start).as_secs_f64() / window;
         if windows > 1.0 {
-            self.window_began = now;
+            self.window_start = now;
             self.threshold = Threshold::Pending { idle_windows: windows.min(Self::MAX_IDLE_WINDOWS) };
         }
         if let Threshold::Pending { idle_windows } = self.threshold
@@ -107,16 +110,19 @@
         }
     }
 
-    /// Work that may go to the replica now, infinite where it is not warming up. `carried` is the work a second that a
-    /// replica carries for this co-ordinator, an estimate of its share of the capacity that errs low; `part_work` is the
-    /// work of a usual part of the query. The slowest legal warm-up is assumed; at least one part may be out at a time.
-    /// A fraction of a part is allowed by chance, by one threshold for all replicas: a query needs all of its replicas.
+    /// Returns the work that may be sent to the replica now, or infinity if it is not in slow start.
+    ///
+    /// `throughput` is the work per second that a replica completes for this co-ordinator. It is a low
+    /// estimate of this co-ordinator's share of the capacity. `part_work` is the work of a typical part of
+    /// the query. The slowest permitted warm-up is assumed, and at least one part may be outstanding at a
+    /// time. A fraction of a part is allowed with the matching probability. All replicas share one threshold,
+    /// because a query needs all of its replicas.
     pub(super) fn allowance(
         &self,
         now: Timestamp,
         started: Option<Timestamp>,
         sends: &VecDeque<SlowStartSend>,
-        carried: f64,
+        throughput: f64,
         part_work: f64,
     ) -> f64 {
         let Some(started) = started.filter(|_| self.is_warming_up(started, now)) else {
@@ -129,15 +135,19 @@
         let threshold = self.threshold() * part_work;
         let window = self.config.window;
         let sent = sends.iter().filter(|s| now - s.at <= window).map(|s| s.work).sum::<f64>();
-        let budget = |carried: f64| {
-            Self::USED_FRACTION * self.config.overload_factor * capacity * carried * window.as_secs_f64()
+        let budget = |throughput: f64| {
+            Self::USED_FRACTION * self.config.overload_factor * capacity * throughput * window.as_secs_f64()
         };
-        let least_carried = 1.0 / f64::from(self.config.coordinators.max(1));
-        let is_first = sent == 0.0 && threshold < budget(carried.max(least_carried));
-        if is_first { budget(carried).max(f64::MIN_POSITIVE) } else { budget(carried) - sent - threshold }
+        let min_throughput = 1.0 / f64::from(self.config.coordinators.max(1));
+        let is_first = sent == 0.0 && threshold < budget(throughput.max(min_throughput));
+        if is_first {
+            budget(throughput).max(f64::MIN_POSITIVE)
+        } else {
+            budget(throughput) - sent - threshold
+        }
     }
 
-    /// Fraction of its capacity that a replica has at that age.
+    /// Returns the fraction of its full capacity that a replica has at this age.
     fn capacity(&self, age: TimeSpan) -> f64 {
         let progress =
             (age.as_secs_f64() / self.config.warm_up.as_secs_f64().max(Self::MIN_SPAN_S)).clamp(0.0, 1.0);
@@ -147,7 +157,7 @@
     fn threshold(&self) -> f64 {
         match self.threshold {
             Threshold::Drawn(fraction) => fraction,
-            // Drawn before any replica that is warming up is looked at.
+            // Unreachable for replicas in slow start: their threshold is drawn before the budget is checked.
             Threshold::Pending { .. } => 0.0,
         }
     }
--- a/crates/pipitcrank-core/src/coordinator/state.rs
+++ b/crates/pipitcrank-core/src/coordinator/state.rs
@@ -1,4 +1,4 @@
-//! All that a coordinator holds. The rules stand in the modules that extend `State`, one job each.
+//! The complete state of a co-ordinator. Each rule extends `State` in a module of its own.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,37 +17,37 @@
 use crate::rng::Rng;
 use crate::time::{TimeSpan, Timestamp};
 
-/// All that a coordinator is configured with, its request classes aside.
+/// Configuration of a co-ordinator, without its request classes.
 #[derive(Default)]
 pub struct CoordinatorConfig {
-    /// Source of all random choice.
+    /// Source of all random choices.
     pub rng: Rng,
     /// The ring of cells and the limits of one call.
     pub set_cover: SetCoverConfig,
-    /// How many retries are allowed.
+    /// Limits on retries.
     pub retry_budget: RetryBudgetConfig,
-    /// Work that a replica just started may be sent.
+    /// Limits on the work sent to replicas that have just started.
     pub slow_start: SlowStartConfig,
-    /// What attempts, hedged requests and probes are allowed.
+    /// Limits on attempts, hedged requests and probes.
     pub retry_policy: RetryPolicy,
     /// Whether the endpoint list is watched.
     pub watch_endpoints: bool,
-    /// Longest time between an event and the `dispatch` after it.
+    /// Longest time between an event and the `dispatch` that follows it.
     pub tick: TimeSpan,
 }
 
-/// What happens when a timer fires.
+/// Action to take when a timer fires.
 #[derive(Clone, Copy)]
 pub(super) enum Timer {
-    /// The endpoint list is watched again.
+    /// Restarts the watch on the endpoint list.
     WatchEndpoints,
-    /// The query is reviewed, if it is still open.
+    /// Reviews the query if it is still open.
     ReviewQuery { query: QueryId, serial: u64 },
-    /// Probes have had their time; what waits for them is placed.
+    /// Places the parts that wait for load probes, which have timed out.
     ProbesTimedOut,
 }
 
-/// All that a coordinator holds.
+/// The complete state of a co-ordinator.
 #[derive(Default)]
 pub(super) struct State {
     pub(super) rng: Rng,
@@ -59,26 +59,26 @@
     pub(super) watch_endpoints: bool,
     pub(super) tick: TimeSpan,
     pub(super) classes: Vec<RequestClassState>,
-    /// One per replica listed or with attempts out; an entry ends when it is neither.
+    /// Replicas that are listed or have outstanding attempts. Other entries are removed.
     pub(super) replicas: BTreeMap<ReplicaId, ReplicaState>,
     pub(super) listed_replicas: usize,
-    /// Open queries; an entry ends with the query's final answer.
+    /// Open queries. An entry is removed with the final answer of its query.
     pub(super) queries: BTreeMap<QueryId, OpenQuery>,
-    /// An entry ends when the part's query and its attempts have.
+    /// Parts of open queries and parts with outstanding attempts. Other entries are removed.
     pub(super) parts: BTreeMap<PartId, PartState>,
-    /// Attempts out; an entry ends with the attempt.
+    /// Outstanding attempts.
     pub(super) attempts: BTreeMap<AttemptId, AttemptContext>,
-    /// By label; an entry ends as the timer fires.
+    /// Pending timers by label.
     pub(super) timers: BTreeMap<u64, Timer>,
     sequence: u64,
-    /// Number of the present dispatch pass.
+    /// Number of the current dispatch pass.
     pub(super) pass: u64,
-    /// An entry ends at a dispatch pass that finds no part of the query waiting.
+    /// Queries that may have waiting parts. An entry is removed by a dispatch pass that finds none.
     pub(super) waiting: BTreeSet<WaitingQuery>,
     pub(super) service: ServiceEstimates,
     pub(super) target_utilization: TargetUtilization,
     pub(super) zones: ZoneRouter,
-    /// Something has happened since the last dispatch pass.
+    /// Whether any event has occurred since the last dispatch pass.
     pub(super) needs_dispatch: bool,
 }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The next number of the sequence from which queries have their serials and timers their labels.
+    /// Returns the next number of the sequence that provides serials of queries and labels of timers.
     pub(super) fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
@@ -119,17 +119,17 @@
         self.class_config(query.class)
     }
 
-    /// Marks the part to be placed by the next dispatch pass.
+    /// Marks the part for placement in the next dispatch pass.
     pub(super) fn enqueue(&mut self, part: PartId) {
-        let state = self.parts.get_mut(&part).expect("parts to be placed are held");
+        let state = self.parts.get_mut(&part).expect("an enqueued part has state");
         state.is_waiting = true;
         let query = state.query;
         self.waiting.extend(self.queries.get(&query).map(|q| WaitingQuery { serial: q.serial, query }));
     }
 
-    /// Seconds of work of a usual part, over all request classes.
-    pub(super) fn usual_part_work(&self) -> f64 {
-        let sum: f64 = self.classes.iter().map(RequestClassState::usual_work).sum();
+    /// Seconds of work of a typical part, averaged over all request classes.
+    pub(super) fn typical_part_work(&self) -> f64 {
+        let sum: f64 = self.classes.iter().map(RequestClassState::typical_work).sum();
         sum / self.classes.len().max(1) as f64
     }
 }
--- a/crates/pipitcrank-core/src/coordinator/state_transfer.rs
+++ b/crates/pipitcrank-core/src/coordinator/state_transfer.rs
@@ -1,4 +1,4 @@
-//! Writing down what was learned, and restoring it in another process.
+//! Export of the learned state and its import in another process.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,19 +7,19 @@
 use super::replica_load::Lag;
 use super::replica_state::ReplicaState;
 use super::request_class::RequestClassState;
-use super::service_estimates::CarriedRate;
+use super::service_estimates::ThroughputEstimate;
 use super::slow_start::SlowStartSend;
 use super::state::State;
 use super::target_utilization::TargetUtilization;
 use crate::ids::ReplicaId;
 use crate::time::{TimeSpan, Timestamp};
 
-/// Two starts of a replica that are no further apart are the same one: they are placed by the wall clock, which may have
-/// been set in between.
+/// Start times of a replica that differ by less than this belong to the same process. They are derived from
+/// the wall clock, which may have been adjusted in between.
 const SAME_START: TimeSpan = TimeSpan::from_millis(500);
 
 impl State {
-    /// All that was learned, as of now. What has left its window is not in it.
+    /// Returns the learned state as of `now`, without entries that have left their window.
     pub(super) fn learned_state(&mut self, now: Timestamp) -> LearnedState {
         self.retry_budget.remaining(now);
         let ages = |times: &VecDeque<Timestamp>| times.iter().map(|&t| now - t).collect();
@@ -33,15 +33,16 @@
             delegated_retries: (self.retry_budget.delegated.iter())
                 .map(|delegation| (delegation.count, delegation.expires_at - now))
                 .collect(),
-            overdue_pace: service.overdue_pace.value(),
+            overdue_time_per_work: service.overdue_time_per_work.value(),
             seconds_per_work: service.seconds_per_work.value(),
             target_utilization: self.target_utilization.value(),
-            carried: (service.carried.work_per_second, now - service.carried.observed_at),
+            throughput: (service.throughput.work_per_second, now - service.throughput.observed_at),
             lag: (service.lag.seconds, now - service.lag.observed_at),
         }
     }
 
-    /// Restores what another process had learned `age` ago. Replicas are by the indices of this one.
+    /// Restores state that another process learned `age` ago. Replicas are identified by the indices of this
+    /// process.
     pub(super) fn restore_learned_state(&mut self, now: Timestamp, age: TimeSpan, learned: LearnedState) {
         let written_at = now - age;
         self.restore_classes(&learned.classes);
@@ -53,18 +54,19 @@
             let delegation_id = Self::PREDECESSOR - 1 - index as u64;
             self.retry_budget.delegate(delegation_id, count, written_at + left);
         }
-        let overdue_pace = learned.overdue_pace.or(self.service.overdue_pace.value());
-        self.service.overdue_pace = QuantileEstimator::new(overdue_pace);
+        let overdue_time_per_work =
+            learned.overdue_time_per_work.or(self.service.overdue_time_per_work.value());
+        self.service.overdue_time_per_work = QuantileEstimator::new(overdue_time_per_work);
         self.service.seconds_per_work = QuantileEstimator::new(learned.seconds_per_work);
         self.target_utilization = TargetUtilization::restored(learned.target_utilization);
-        let (work_per_second, age) = learned.carried;
-        self.service.carried = CarriedRate { work_per_second, observed_at: written_at - age };
+        let (work_per_second, age) = learned.throughput;
+        self.service.throughput = ThroughputEstimate { work_per_second, observed_at: written_at - age };
         self.service.lag = restored_lag(written_at, learned.lag);
         self.needs_dispatch = true;
     }
 
-    /// Request classes by name, so that after a change of configuration none takes another's; by their order from a
-    /// process that wrote no names.
+    /// Restores request classes by name, so that after a configuration change no class gets the state of
+    /// another. State of a process that stored no names is restored by position.
     fn restore_classes(&mut self, learned: &[LearnedClassState]) {
         let is_unnamed = learned.iter().all(|l| l.name.is_empty());
         let is_same_count = learned.len() == self.classes.len();
@@ -76,14 +78,15 @@
             };
             if let Some(learned) = learned {
                 class.part_work = QuantileEstimator::new(learned.part_work);
-                class.usual_hint_ln = learned.usual_hint_ln;
-                class.early_leave_rate = learned.early_leave_rate;
-                class.early_leave_age = learned.early_leave_age;
+                class.typical_hint_ln = learned.typical_hint_ln;
+                class.abandonment_rate = learned.abandonment_rate;
+                class.abandonment_age = learned.abandonment_age;
             }
         }
     }
 
-    /// Nothing is restored of a replica that has started since: it is another process.
+    /// Restores replicas, except those that have been restarted since, because their state belongs to another
+    /// process.
     fn restore_replicas(&mut self, written_at: Timestamp, learned: Vec<(u32, LearnedReplicaState)>) {
         let mut learned: BTreeMap<u32, LearnedReplicaState> = learned.into_iter().collect();
         for (ReplicaId(index), replica) in &mut self.replicas {
@@ -105,9 +108,9 @@
     LearnedClassState {
         name: class.config.name.clone(),
         part_work: class.part_work.value(),
-        usual_hint_ln: class.usual_hint_ln,
-        early_leave_rate: class.early_leave_rate,
-        early_leave_age: class.early_leave_age,
+        typical_hint_ln: class.typical_hint_ln,
+        abandonment_rate: class.abandonment_rate,
+        abandonment_age: class.abandonment_age,
     }
 }
 
--- a/crates/pipitcrank-core/src/coordinator/target_utilization.rs
+++ b/crates/pipitcrank-core/src/coordinator/target_utilization.rs
@@ -1,14 +1,15 @@
-//! How much of the time left may be filled with work waiting at a replica.
+//! Limit on the queued work at a replica, relative to the time left for a query.
 
-/// A fraction of the time left. It rises a little with each query in time and falls with each that is late.
+/// Fraction of the time left that queued work may fill. It is raised in small steps by queries that end in
+/// time and cut by those that are late.
 #[derive(Default)]
 pub(super) struct TargetUtilization(f64);
 
 impl TargetUtilization {
     pub(super) const MIN: f64 = 0.2;
-    /// Below 1: room for the spread of the estimates.
+    /// Below 1, to leave room for estimation errors.
     pub(super) const MAX: f64 = 0.7;
-    /// Low, as reports of overload come late and to all co-ordinators at once.
+    /// Low, because signs of overload arrive late and at all co-ordinators at once.
     const INITIAL: f64 = 0.25;
     const INCREASE: f64 = 0.01;
     const DECREASE_FACTOR: f64 = 0.8;
@@ -29,7 +30,7 @@
         (Self::MIN..=Self::MAX).contains(&value)
     }
 
-    /// A query that was begun has ended.
+    /// Records whether a query that was sent to replicas has ended in time.
     pub(super) fn record_query(&mut self, is_in_time: bool) {
         let value = if is_in_time { self.0 + Self::INCREASE } else { self.0 * Self::DECREASE_FACTOR };
         self.0 = value.clamp(Self::MIN, Self::MAX);
--- a/crates/pipitcrank-core/src/coordinator/zone_observation.rs
+++ b/crates/pipitcrank-core/src/coordinator/zone_observation.rs
@@ -1,4 +1,5 @@
-//! What this co-ordinator, and it alone, has seen of a zone's replicas: evidence for decisions on zones.
+//! Observations of a zone's replicas by this co-ordinator alone. They are the evidence for failover
+//! decisions.
 
 use super::attempts::NO_CAPACITY_LAG_S;
 use super::replica_load::OutstandingAttempt;
@@ -7,15 +8,18 @@
 use super::zones::{ZoneId, ZoneObservation};
 use crate::time::{TimeSpan, Timestamp};
 
-/// Heard of within this, a replica needs no probe.
-const RECENTLY: TimeSpan = TimeSpan::from_millis(500);
-/// Heard of within this, a replica answers.
-const ANSWERING: TimeSpan = TimeSpan::from_millis(2000);
-/// An attempt out for longer than its usual time and this, with nothing heard since, makes a replica silent.
-const SILENT_AFTER: TimeSpan = TimeSpan::from_millis(700);
-/// The same whatever its usual time.
-const SILENT_AFTER_AT_MOST: TimeSpan = TimeSpan::from_millis(2000);
-/// An attempt out for longer, with nothing heard since, makes a replica suspected.
+/// A replica that responded within this time needs no probe.
+const RECENT_WINDOW: TimeSpan = TimeSpan::from_millis(500);
+/// A replica that responded within this time counts as responsive.
+const RESPONSIVE_WINDOW: TimeSpan = TimeSpan::from_millis(2000);
+/// Time beyond the typical duration of an outstanding attempt after which its replica is unresponsive, if the
+/// replica has sent no response since the attempt was sent.
+const UNRESPONSIVE_AFTER: TimeSpan = TimeSpan::from_millis(700);
+/// Upper bound of the age at which an unanswered attempt makes its replica unresponsive, whatever the typical
+/// duration.
+const MAX_UNRESPONSIVE_AFTER: TimeSpan = TimeSpan::from_millis(2000);
+/// Age from which an outstanding attempt makes a replica suspected, if the replica has sent no response since
+/// the attempt was sent.
 const SUSPECTED_AFTER: TimeSpan = TimeSpan::from_millis(200);
 /// Lag from which a replica is overloaded, in seconds.
 const OVERLOADED_LAG_S: f64 = NO_CAPACITY_LAG_S / 2.0;
@@ -27,42 +31,42 @@
         for replica in self.replicas.values().filter(is_in_zone) {
             self.observe_replica(now, replica, &mut observation);
         }
-        observation.part_work_ms = (self.usual_part_work() * 1000.0) as u32;
+        observation.part_work_ms = (self.typical_part_work() * 1000.0) as u32;
         observation
     }
 
     fn observe_replica(&self, now: Timestamp, replica: &ReplicaState, observation: &mut ZoneObservation) {
         let health = &replica.health;
         observation.listed += 1;
-        observation.recently_responded += u32::from(health.heard_within(now, RECENTLY));
+        observation.recently_responded += u32::from(health.responded_within(now, RECENT_WINDOW));
         observation.suspected += u32::from(is_suspected(now, replica));
         observation.in_slow_start += u32::from(self.slow_start.is_warming_up(replica.started, now));
         observation.outstanding += replica.load.outstanding.len() as u32;
         if replica.site == Site::RemoteClosed || health.is_failing(now) {
             observation.failing += 1;
-        } else if self.is_silent(now, replica) {
+        } else if self.is_unresponsive(now, replica) {
             observation.unresponsive += 1;
         } else if replica.load.lag().remaining(now) >= OVERLOADED_LAG_S {
             observation.overloaded += 1;
-        } else if health.heard_within(now, ANSWERING) {
+        } else if health.responded_within(now, RESPONSIVE_WINDOW) {
             observation.responsive += 1;
         }
     }
 
-    fn is_silent(&self, now: Timestamp, replica: &ReplicaState) -> bool {
-        let pace = self.service.overdue_pace();
-        let is_unheard = |attempt: &OutstandingAttempt| {
-            let usual_time = TimeSpan::from_secs_f64(attempt.work_ahead * pace);
-            now - attempt.sent_at > (SILENT_AFTER + usual_time).min(SILENT_AFTER_AT_MOST)
-                && replica.health.nothing_heard_since(attempt.sent_at)
+    fn is_unresponsive(&self, now: Timestamp, replica: &ReplicaState) -> bool {
+        let time_per_work = self.service.overdue_time_per_work();
+        let is_unanswered = |attempt: &OutstandingAttempt| {
+            let typical_time = TimeSpan::from_secs_f64(attempt.work_ahead * time_per_work);
+            now - attempt.sent_at > (UNRESPONSIVE_AFTER + typical_time).min(MAX_UNRESPONSIVE_AFTER)
+                && replica.health.no_response_since(attempt.sent_at)
         };
-        replica.health.is_silent(now) || replica.load.outstanding.values().any(is_unheard)
+        replica.health.is_unresponsive(now) || replica.load.outstanding.values().any(is_unanswered)
     }
 }
 
 fn is_suspected(now: Timestamp, replica: &ReplicaState) -> bool {
     let is_late = |attempt: &OutstandingAttempt| {
-        now - attempt.sent_at > SUSPECTED_AFTER && replica.health.nothing_heard_since(attempt.sent_at)
+        now - attempt.sent_at > SUSPECTED_AFTER && replica.health.no_response_since(attempt.sent_at)
     };
     replica.health.is_suspected(now) || replica.load.outstanding.values().any(is_late)
 }
--- a/crates/pipitcrank-core/src/coordinator/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -1,48 +1,49 @@
-//! Zones: which one a query is routed to, which are closed, and what is counted for each. The fractions are decided
-//! elsewhere: by all co-ordinators in common (`pipitcrank-failover`), or by configuration.
+//! Zones: selects the zone that a query is routed to, excludes closed zones, and counts the traffic per zone.
+//! The fractions come from elsewhere: from the common decision of all co-ordinators (`pipitcrank-failover`)
+//! or from the configuration.
 
 use crate::rng::Rng;
 
-/// A zone, by its index in the list of zones configured.
+/// A zone, by its index in the configured list of zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
 
-/// The fraction of queries that is routed to a zone.
+/// Fraction of the queries that are routed to a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFraction {
     /// The zone.
     pub zone: ZoneId,
-    /// From 0 to 1.
+    /// Fraction of the queries, from 0 to 1.
     pub fraction: f64,
 }
 
-/// How queries are routed to zones from here.
+/// Routing of queries to zones by this co-ordinator.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneRouting {
-    /// The zones in use, the nearest first. Empty: zones are not regarded.
+    /// Zones in use, nearest first. If empty, zones are ignored.
     pub fractions: Vec<ZoneFraction>,
-    /// Zones that nothing is sent to.
+    /// Zones to which nothing is sent.
     pub closed: Vec<ZoneId>,
-    /// Fraction of queries, 0 to 1, that is rejected before anything is sent for it, by request class in their order:
-    /// load that the zones left can't carry.
+    /// Fraction of queries, 0 to 1, that are rejected before anything is sent for them, by request class in
+    /// their order. It sheds load that the remaining zones cannot carry.
     pub shed_fractions: Vec<f64>,
 }
 
-/// Queries and their parts, counted.
+/// Counts of queries and their parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestTraffic {
     /// Queries that arrived.
     pub queries: u64,
-    /// Their parts.
+    /// Parts of those queries.
     pub parts: u64,
 }
 
-/// Counts since the start of the process, for callers that derive rates from them.
+/// Counters since the start of the process, from which callers derive rates.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneTraffic {
-    /// What arrived, by request class; what was shed is counted.
+    /// Arrivals by request class, including queries that were shed.
     pub requested: Vec<RequestTraffic>,
-    /// Parts answered, by zone of the replica.
+    /// Answered parts by zone of the replica.
     pub answered_parts: Vec<u64>,
     /// Parts sent to replicas of the nearest zone.
     pub same_zone_parts: u64,
@@ -50,32 +51,34 @@
     pub cross_zone_parts: u64,
 }
 
-/// Replicas of one zone by what this co-ordinator last saw of each. Replicas not contacted of late are in `listed` alone.
+/// Replicas of one zone, classified by the latest observations of this co-ordinator. Replicas not contacted
+/// recently are counted in `listed` only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneObservation {
-    /// All replicas listed.
+    /// All listed replicas.
     pub listed: u32,
-    /// Heard of lately and none of the following.
+    /// Replicas that responded recently and are not unresponsive, failing or overloaded.
     pub responsive: u32,
-    /// Attempts or probes came to nothing.
+    /// Replicas that did not respond to attempts or probes.
     pub unresponsive: u32,
-    /// Ejected for faults, or out of reach.
+    /// Replicas that are ejected for faults or cannot be reached.
     pub failing: u32,
-    /// With a lag as of a replica that rejects attempts for lack of capacity.
+    /// Replicas with a lag similar to that of a replica that rejects attempts for lack of capacity.
     pub overloaded: u32,
-    /// Warming up.
+    /// Replicas in slow start.
     pub in_slow_start: u32,
-    /// Heard of within half a second.
+    /// Replicas that responded within the last half second.
     pub recently_responded: u32,
-    /// At least one attempt or probe came to nothing of late, which may be too little for `silent`.
+    /// Replicas with at least one recent unanswered attempt or probe, which may not be enough for
+    /// `unresponsive`.
     pub suspected: u32,
-    /// Attempts out.
+    /// Outstanding attempts.
     pub outstanding: u32,
-    /// Work of a usual part, in milliseconds.
+    /// Work of a typical part, in milliseconds.
     pub part_work_ms: u32,
 }
 
-/// Routes queries to zones and counts what goes where.
+/// Routes queries to zones and counts the traffic.
 #[derive(Default)]
 pub(super) struct ZoneRouter {
     routing: ZoneRouting,
@@ -83,10 +86,10 @@
 }
 
 impl ZoneRouter {
-    /// Steps in which fractions are drawn: finer than what any co-ordinator sends in a second.
+    /// Resolution of drawn fractions: finer than the number of queries that a co-ordinator sends in a second.
     const FRACTION_STEPS: usize = 1000;
 
-    /// Returns whether anything changed.
+    /// Replaces the routing and returns whether it changed.
     pub(super) fn set_routing(&mut self, routing: ZoneRouting) -> bool {
         let is_changed = self.routing != routing;
         self.routing = routing;
@@ -97,7 +100,7 @@
         &self.traffic
     }
 
-    /// Draws the zone that a query is routed to. Nothing is drawn where there is but one.
+    /// Draws the zone for a query. No random number is consumed if there is at most one zone.
     pub(super) fn draw_zone(&self, rng: &mut Rng) -> Option<ZoneId> {
         let fractions = &self.routing.fractions;
         if fractions.len() < 2 {
@@ -110,11 +113,12 @@
             }
             drawn -= fraction;
         }
-        // The fractions may fall short of one by rounding.
+        // The fractions may add up to slightly less than one because of rounding.
         fractions.iter().max_by(|a, b| a.fraction.total_cmp(&b.fraction)).map(|f| f.zone)
     }
 
-    /// Draws whether a query of the request class is shed. Nothing is drawn where none are.
+    /// Draws whether a query of the request class is shed. No random number is consumed if the class sheds
+    /// nothing.
     pub(super) fn draw_shed(&self, rng: &mut Rng, class: usize) -> bool {
         let fraction = self.routing.shed_fractions.get(class).copied().unwrap_or(0.0);
         let steps = Self::FRACTION_STEPS as f64;
@@ -131,7 +135,7 @@
         traffic.parts += parts.max(0.0) as u64;
     }
 
-    /// A part is sent to a replica of that zone.
+    /// Counts a part sent to a replica of the zone.
     pub(super) fn count_sent(&mut self, zone: Option<ZoneId>) {
         let (Some(zone), Some(nearest)) = (zone, self.nearest()) else { return };
         if zone == nearest {
@@ -141,7 +145,8 @@
         }
     }
 
-    /// A part was answered by a replica of that zone. Zones are few (`config::MAX_ZONES`).
+    /// Counts a part answered by a replica of the zone. The number of zones is bounded by
+    /// `config::MAX_ZONES`.
     pub(super) fn count_answered(&mut self, zone: Option<ZoneId>) {
         if let Some(zone) = zone {
             *entry(&mut self.traffic.answered_parts, usize::from(zone.0)) += 1;
@@ -153,7 +158,7 @@
     }
 }
 
-/// The entry at the index, with all before it made where they are missing.
+/// Returns the entry at the index, and extends the list with default entries if needed.
 fn entry<T: Clone + Default>(list: &mut Vec<T>, index: usize) -> &mut T {
     if list.len() <= index {
         list.resize(index + 1, T::default());
