--- a/crates/pipitcrank-core/src/config.rs
+++ b/crates/pipitcrank-core/src/config.rs
@@ -1,6 +1,6 @@
-//! The configuration of a coordinator: read from the settings, checked and given defaults here, for all callers alike.
+//! Configuration of a co-ordinator. Settings are read, validated and given defaults here for all callers.
 //!
-//! The settings' keys keep their spelling; this is the one place where they are mapped to the names in the code.
+//! This is the only place where keys of the settings are mapped to names in the code.
 
 mod error;
 mod settings_reader;
@@ -18,11 +18,11 @@
 use crate::ids::Idempotency;
 use crate::rng::Rng;
 
-/// Largest count or multiple accepted: sums of such numbers stay exact.
+/// Largest accepted count or factor. Sums of such numbers are exact.
 const MAX_NUMBER: f64 = 1e9;
 
 impl SettingsReader<'_> {
-    /// A coordinator as configured.
+    /// Creates a co-ordinator from the settings.
     pub fn coordinator(&self, seed: u64) -> Result<Coordinator, ConfigError> {
         let mut coordinator = Coordinator::new(CoordinatorConfig {
             rng: Rng::new(seed),
@@ -43,13 +43,13 @@
         Ok(coordinator)
     }
 
-    /// The names of the request classes, in their order.
+    /// Returns the names of the request classes, in configuration order.
     pub fn classes(&self) -> Result<Vec<String>, ConfigError> {
         let count = self.list("/classes")?.len();
         (0..count).map(|index| Ok(self.text(&format!("/classes/{index}/name"))?.to_string())).collect()
     }
 
-    /// What a second run of a part of the request class at that index would do.
+    /// Returns the idempotency of the request class at the index.
     pub fn idempotency(&self, index: usize) -> Result<Idempotency, ConfigError> {
         let key = format!("/classes/{index}/idempotency");
         match self.text(&key)? {
@@ -101,7 +101,7 @@
                 .flag("/allowed/retry_after")?
                 .then(|| self.span("/allowed/max_retry_after_s"))
                 .transpose()?,
-            // The connect timeout is the longest delay that anybody states.
+            // The connect timeout is the longest network delay that the settings state.
             max_network_delay: self.span_or_zero("/allowed/dial_timeout_s")?,
         })
     }
@@ -119,7 +119,7 @@
             idempotency_window: self.span_or_zero(&class("dedup_window_s"))?,
             latency_objective: self.span(&class("aim_s"))?,
             objective_stretch: self.number_up_to_or(&class("aim_stretch"), MAX_NUMBER, 0.0)?,
-            // Settings written before the key was read have none.
+            // The key is missing in settings of earlier versions.
             late_weight: self.number_up_to_or(&class("late_worth"), 1.0, 1.0)?,
             hard_limit: self.span(&class("hard_limit_s"))?,
             complete_threshold: self.number_within(&domain("complete_from"), 0.0, 1.0)?,
--- a/crates/pipitcrank-core/src/config/error.rs
+++ b/crates/pipitcrank-core/src/config/error.rs
@@ -1,11 +1,11 @@
-//! The error of configuration.
+//! Configuration errors.
 
-/// A key whose value is missing or not accepted.
+/// A key whose value is missing or invalid.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{key} {reason}")]
 pub struct ConfigError {
     /// The key, as a JSON pointer.
     pub key: String,
-    /// What is wrong with its value.
+    /// Description of the problem with the value.
     pub reason: String,
 }
--- a/crates/pipitcrank-core/src/config/zone_names.rs
+++ b/crates/pipitcrank-core/src/config/zone_names.rs
@@ -1,23 +1,23 @@
-//! The zones that are configured.
+//! The configured zones.
 
 use super::error::ConfigError;
 use super::settings_reader::SettingsReader;
 use crate::coordinator::zones::ZoneId;
 
-/// Most zones that may be configured: co-ordinators send each other a row and a column for each.
+/// Maximum number of zones. Co-ordinators send each other a row and a column for each zone.
 pub const MAX_ZONES: usize = 16;
 
-/// The zones that are configured.
+/// The configured zones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneNames {
-    /// The zone of this co-ordinator.
+    /// Zone of this co-ordinator.
     pub own: ZoneId,
-    /// All zones, in their order.
+    /// Names of all zones, in configuration order.
     pub names: Vec<String>,
 }
 
 impl SettingsReader<'_> {
-    /// The zones that are configured; none where neither key is there.
+    /// Reads the zones, or returns `None` if neither key is present.
     pub fn zones(&self) -> Result<Option<ZoneNames>, ConfigError> {
         if self.is_absent("/zones") && self.is_absent("/zone") {
             return Ok(None);
--- a/crates/pipitcrank-core/src/ids.rs
+++ b/crates/pipitcrank-core/src/ids.rs
@@ -1,78 +1,78 @@
-//! Small indices for what the caller names at length, and the outcomes and reasons that both sides share. The caller may
-//! use an index again once it is released (`CoordinatorOutput::release_*`).
+//! Small indices that stand for external names, and the outcomes and reasons shared with the caller. The
+//! caller may reuse an index once it is released (`CoordinatorOutput::release_*`).
 
-/// A query.
+/// Index of a query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u32);
 
-/// A part of a query.
+/// Index of a part of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u32);
 
-/// A replica.
+/// Index of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u32);
 
-/// A request class, by its index in the configuration.
+/// Index of a request class in the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestClassId(pub u16);
 
-/// One attempt at a part: attempts of a part are numbered from 0.
+/// One attempt of a part. The attempts of a part are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The part that was sent.
+    /// The part.
     pub part: PartId,
-    /// 0 for the first attempt of the part.
+    /// Number of the attempt; 0 is the first.
     pub number: u32,
 }
 
-/// How an attempt or a probe ended.
+/// Outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered.
+    /// The replica answered.
     Success,
     /// The replica answered with an error.
     Fault,
-    /// The replica rejected it for lack of capacity; it did not run.
+    /// The replica rejected the attempt for lack of capacity, without running it.
     NoCapacity,
-    /// Not answered in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// No connection could be made; it did not run.
+    /// No connection could be established, so the attempt did not run.
     Unreachable,
     /// The connection was closed before the answer.
     Disconnected,
-    /// Cancelled by the coordinator.
+    /// The co-ordinator cancelled the attempt.
     Cancelled,
-    /// It did not go out.
+    /// The attempt was not sent.
     NeverSent,
 }
 
-/// Why an attempt that was decided may not begin after all.
+/// Reason why an attempt that was already decided may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptDenied {
-    /// An earlier attempt may have run, and this one may not follow it now (rule 6).
+    /// An earlier attempt may have run, and a repeat is not permitted now (rule 6).
     RepeatForbidden,
-    /// Retries that went out meanwhile have spent the budget (rule 11).
+    /// Retries sent since the decision have used up the budget (rule 11).
     RetryBudgetSpent,
 }
 
-/// Why a query ended without an answer from its parts.
+/// Reason why a query ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// It was shed: the zones left can't carry the load.
+    /// The query was shed because the remaining zones cannot carry the load.
     ZoneOverCapacity,
-    /// No replica could take its first attempts in time.
+    /// No replica could accept its first attempts in time.
     NoReplicaInTime,
-    /// Its deadline has all but passed.
+    /// Its deadline is about to pass.
     DeadlineExceeded,
     /// Its latency objective has passed, and a late answer earns nothing.
     ObjectiveMissed,
-    /// The parts that can still be answered do not reach an answer.
+    /// The parts that can still be answered are not enough for an answer.
     AnswerUnreachable,
 }
 
 impl RejectReason {
-    /// Its name in counters and logs.
+    /// Returns the name used in counters and logs.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::ZoneOverCapacity => "turned_away",
@@ -84,13 +84,13 @@
     }
 }
 
-/// What a second run of a part would do.
+/// Effect of running a part twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// No harm.
+    /// A second run is harmless.
     Idempotent,
-    /// No harm while the replicas recognise it by its key.
+    /// A second run is harmless while the replicas still recognise the idempotency key.
     IdempotentByKey,
-    /// An effect may happen twice.
+    /// A second run may repeat the effect.
     NonIdempotent,
 }
--- a/crates/pipitcrank-core/src/interner.rs
+++ b/crates/pipitcrank-core/src/interner.rs
@@ -1,8 +1,8 @@
-//! Names of the outside and the small indices that stand for them inside (`ids.rs`).
+//! Maps external names to the small indices that identify them within the process (`ids.rs`).
 
 use std::collections::BTreeMap;
 
-/// Names and their indices. An entry ends when it is released; its index is then used again.
+/// Names and their indices. The index of a released name is reused.
 #[derive(Default)]
 pub struct Interner {
     indices: BTreeMap<String, u32>,
@@ -11,12 +11,12 @@
 }
 
 impl Interner {
-    /// The index of a name that has one.
+    /// Returns the index of a name, if it has one.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.indices.get(name).copied()
     }
 
-    /// The index of the name, given now if it has none.
+    /// Returns the index of a name, and assigns one if it has none.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(known) = self.find(name) {
             return known;
@@ -30,14 +30,14 @@
         index
     }
 
-    /// Frees the index. Freeing one that is free does nothing.
+    /// Releases the index. Has no effect if the index is already free.
     pub fn release(&mut self, index: u32) {
         if self.indices.remove(&self.names[index as usize]).is_some() {
             self.free.push(index);
         }
     }
 
-    /// The name that the index has, or had last.
+    /// Returns the name that the index has, or had last.
     pub fn name(&self, index: u32) -> &str {
         &self.names[index as usize]
     }
--- a/crates/pipitcrank-core/src/lib.rs
+++ b/crates/pipitcrank-core/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of a co-ordinator that reads many shards for one query.
+//! Decision logic of a co-ordinator that reads many shards for one query.
 //!
-//! `coordinator::Coordinator` decides; it does no I/O and reads no clock. `config` makes one from settings,
-//! `output::CoordinatorOutput` is what it asks to be done, `ids` and `time` are the types that both sides share.
+//! `coordinator::Coordinator` makes the decisions; it does no I/O and reads no clock. `config` creates one
+//! from settings, `output::CoordinatorOutput` receives the actions that it requests, and `ids` and `time`
+//! define the types shared with the caller.
 
 pub mod config;
 pub mod coordinator;
--- a/crates/pipitcrank-core/src/rng.rs
+++ b/crates/pipitcrank-core/src/rng.rs
@@ -1,6 +1,6 @@
-//! A lag-1 multiply-with-carry random number generator (32-bit words, 64-bit state).
+//! A lag-1 multiply-with-carry random number generator with 32-bit words and 64 bits of state.
 
-/// The generator.
+/// The random number generator.
 pub struct Rng(u64);
 
 impl Default for Rng {
@@ -10,13 +10,13 @@
 }
 
 impl Rng {
-    /// Fractional part of the golden ratio, in 64 bits.
+    /// Fractional part of the golden ratio as a 64-bit fraction.
     const GOLDEN_RATIO: u64 = 0x9E37_79B9_7F4A_7C15;
-    /// A safe-prime multiplier of Marsaglia's.
+    /// A safe-prime multiplier published by Marsaglia.
     const MULTIPLIER: u64 = 4_294_957_665;
 
-    /// A generator for the seed. One set low bit and one clear high bit avoid both states that the generator never
-    /// leaves.
+    /// Creates a generator from a seed. The lowest bit is set and the highest bit is cleared, which excludes
+    /// the two states that the generator never leaves.
     pub fn new(seed: u64) -> Rng {
         Rng((seed ^ (seed >> 31)).wrapping_mul(Self::GOLDEN_RATIO) >> 1 | 1)
     }
@@ -26,12 +26,12 @@
         self.0 as u32
     }
 
-    /// A number from 0 to below 1.
+    /// Returns a number in [0, 1).
     pub fn fraction(&mut self) -> f64 {
         f64::from(self.next_word()) / 4_294_967_296.0
     }
 
-    /// An index below `n`, which is at least 1.
+    /// Returns an index below `n`, which must be at least 1.
     pub fn below(&mut self, n: usize) -> usize {
         ((u64::from(self.next_word()) * n as u64) >> 32) as usize
     }
--- a/crates/pipitcrank-core/src/time.rs
+++ b/crates/pipitcrank-core/src/time.rs
@@ -1,4 +1,5 @@
-//! Points in time and spans between them, in whole microseconds. Sums saturate; only those that mean something compile.
+//! Points in time and time spans in whole microseconds. Arithmetic saturates, and only meaningful
+//! combinations compile.
 
 use std::ops::{Add, Mul, Sub};
 
@@ -8,52 +9,52 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(i64);
 
-/// A span of time, in microseconds; it may be negative.
+/// A time span in microseconds. It may be negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct TimeSpan(i64);
 
 impl Timestamp {
-    /// That many seconds after the epoch, to the nearest microsecond.
+    /// Creates a point in time from seconds since the epoch, rounded to the nearest microsecond.
     pub fn from_secs_f64(s: f64) -> Timestamp {
         Timestamp((s * 1e6).round() as i64)
     }
 
-    /// That many microseconds after the epoch.
+    /// Creates a point in time from microseconds since the epoch.
     pub const fn from_micros(us: i64) -> Timestamp {
         Timestamp(us)
     }
 
-    /// Seconds since the epoch.
+    /// Returns the seconds since the epoch.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// Microseconds since the epoch.
+    /// Returns the microseconds since the epoch.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 }
 
 impl TimeSpan {
-    /// No time.
+    /// The empty time span.
     pub const ZERO: TimeSpan = TimeSpan(0);
 
-    /// That many milliseconds.
+    /// Creates a time span from milliseconds.
     pub const fn from_millis(ms: i64) -> TimeSpan {
         TimeSpan(ms.saturating_mul(1000))
     }
 
-    /// In microseconds.
+    /// Returns the time span in microseconds.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 
-    /// That many seconds, to the nearest microsecond.
+    /// Creates a time span from seconds, rounded to the nearest microsecond.
     pub fn from_secs_f64(s: f64) -> TimeSpan {
         TimeSpan((s * 1e6).round() as i64)
     }
 
-    /// In seconds.
+    /// Returns the time span in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
