--- a/crates/pipitcrank-core/tests/client_patience.rs
+++ b/crates/pipitcrank-core/tests/client_abandonment.rs
@@ -1,4 +1,4 @@
-//! Clients that leave before their deadline, and deadlines before the latency objective.
+//! Clients that close the connection before their deadline, and deadlines before the latency objective.
 
 mod helper;
 
@@ -8,9 +8,9 @@
 use pipitcrank_core::ids::{AttemptOutcome, PartId, QueryId, RequestClassId};
 
 #[test]
-fn where_clients_leave_early_a_partial_answer_comes_before_they_do() {
-    // See docs/incidents/i85cd7c.md: clients left after a third of the latency objective; the request class that allows
-    // partial answers has one by then.
+fn partial_answer_is_given_before_clients_leave() {
+    // See docs/incidents/i85cd7c.md: clients closed the connection after a third of the latency objective. A
+    // request class that allows partial answers must answer before that.
     let (mut coordinator, mut output) = listed_coordinator(7);
     for n in 0..4 {
         start_query(&mut coordinator, &mut output, n * 1000, 1, 0, &[0, 1, 2, 3, 4]);
@@ -31,9 +31,10 @@
 }
 
 #[test]
-fn two_early_leavers_do_not_shorten_the_objective() {
-    // Two clients in a row left early by chance, and all others of the request class were rejected for 100 s: the
-    // objective was shortened below any answer's time, and only answers told of clients that stayed.
+fn two_abandoned_queries_do_not_shorten_the_objective() {
+    // Two clients in a row closed early by chance, and all other queries of the request class were rejected
+    // for 100 s: the objective was shortened below the time of any answer, and only answers counted as
+    // evidence that clients stay connected.
     let (mut coordinator, mut output) = listed_coordinator(7);
     let mut sent = 0;
     for n in 0..60 {
@@ -50,16 +51,17 @@
             let seen = helper::advance_to(&mut coordinator, &started.0, at(t + 900)).0;
             assert!(
                 seen.contains(&Action::Reject(QueryId(0))),
-                "not begun, so it is rejected early: {seen:?}"
+                "an unsent query is rejected early: {seen:?}"
             );
         }
     }
-    assert!(sent >= 26, "{sent} of 28 sent");
+    assert!(sent >= 26, "only {sent} of 28 queries sent");
 }
 
 #[test]
 fn a_query_with_little_time_left_is_rejected_early() {
-    // Fractions of the objective are of the client's time where that is shorter (docs/incidents/i9ec2ef.md).
+    // Limits given as fractions of the objective refer to the client's time limit if that is shorter
+    // (docs/incidents/i9ec2ef.md).
     let (mut coordinator, mut output) = (Setup::with_seed(1).build(), RecordedOutput::default());
     let query = NewQuery {
         id: QueryId(0),
@@ -72,5 +74,9 @@
     let part = NewPart { id: PartId(0), query: QueryId(0), shard: 0, weight: 1.0, work_hint: None };
     coordinator.add_part(&mut output, at(0), part);
     let seen = helper::advance_to(&mut coordinator, &output.0, at(60));
-    assert!(seen.0.contains(&Action::Reject(QueryId(0))), "no replica is listed: {:?}", seen.0);
+    assert!(
+        seen.0.contains(&Action::Reject(QueryId(0))),
+        "not rejected although no replica is listed: {:?}",
+        seen.0
+    );
 }
--- a/crates/pipitcrank-core/tests/helper/driver.rs
+++ b/crates/pipitcrank-core/tests/helper/driver.rs
@@ -1,10 +1,10 @@
-//! Drives a coordinator through queries of one part a shard.
+//! Drives a co-ordinator through queries with one part per shard.
 
 use super::{RecordedOutput, Setup, at, list_replicas, ms};
 use pipitcrank_core::coordinator::{Coordinator, NewPart, NewQuery};
 use pipitcrank_core::ids::{AttemptId, AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 
-/// Starts a query of request class `class` with one part a shard; part ids follow from `base`.
+/// Starts a query of request class `class` with one part per shard. Part ids count up from `base`.
 pub fn start_query(
     coordinator: &mut Coordinator,
     output: &mut RecordedOutput,
@@ -59,7 +59,7 @@
     output
 }
 
-/// Starts a query of shard 2 at each of the times, and counts the attempts at the replica.
+/// Starts a query of shard 2 at each of the times, and counts the attempts sent to the replica.
 pub fn count_sent_to(
     coordinator: &mut Coordinator,
     output: &mut RecordedOutput,
@@ -74,7 +74,7 @@
     count
 }
 
-/// A coordinator that has learned that parts take little time, so that no bundle is cut.
+/// A co-ordinator that has learned that parts take little time, so that no bundle is cut.
 pub fn coordinator_with_history(seed: u64) -> (Coordinator, RecordedOutput) {
     let (mut coordinator, mut output) = listed_coordinator(seed);
     for n in 0..80 {
@@ -86,7 +86,7 @@
     (coordinator, output)
 }
 
-/// A coordinator of so many replicas, each the only holder of its shards.
+/// A co-ordinator with `count` replicas, each the only holder of its shard.
 pub fn coordinator_of_single_holders(count: u32) -> (Coordinator, RecordedOutput) {
     let (mut coordinator, mut output) = (
         Setup { cells: count, cells_per_shard: 1, ..Setup::with_seed(1) }.build(),
--- a/crates/pipitcrank-core/tests/helper/mod.rs
+++ b/crates/pipitcrank-core/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! An output that records what a coordinator asks for, and a coordinator over a small ring of replicas.
+//! An output that records the actions of a co-ordinator, and a co-ordinator over a small ring of replicas.
 
 #![allow(dead_code)] // no test file uses all of it
 
@@ -69,7 +69,7 @@
 }
 
 impl RecordedOutput {
-    /// The attempts sent, in their order.
+    /// Returns the attempts sent, in order.
     pub fn attempts(&self) -> Vec<(PartId, ReplicaId)> {
         let attempt = |a: &Action| if let Action::SendAttempt(p, r) = a { Some((*p, *r)) } else { None };
         self.0.iter().filter_map(attempt).collect()
@@ -86,7 +86,7 @@
 pub const IDEMPOTENCY_WINDOW: TimeSpan = TimeSpan::from_millis(700);
 pub const MAX_NETWORK_DELAY: TimeSpan = TimeSpan::from_millis(80);
 
-/// What the request classes of the tests differ in.
+/// Parameters in which the request classes of the tests differ.
 pub struct ClassRules {
     pub idempotency: Idempotency,
     pub partial_threshold: f64,
@@ -103,8 +103,8 @@
     ClassRules { idempotency, partial_threshold, complete_threshold, late_weight }
 }
 
-/// By request class: idempotent; with partial answers; idempotent by key; non-idempotent; with a second step; and one
-/// that earns nothing after its latency objective.
+/// Request classes: idempotent; with partial answers; idempotent by key; non-idempotent; with a second step;
+/// and without late weight.
 pub const CLASSES: [ClassRules; 6] = [
     class(Idempotency::Idempotent, 1.0, 1.0, 0.3),
     class(Idempotency::Idempotent, 0.6, 1.0, 0.3),
@@ -113,7 +113,7 @@
     class(Idempotency::Idempotent, 0.5, 0.8, 0.3),
     class(Idempotency::Idempotent, 1.0, 1.0, 0.0),
 ];
-/// The request class with a second step.
+/// Index of the request class with a second step.
 pub const TWO_STEP_CLASS: usize = 4;
 
 pub fn ms(n: i64) -> TimeSpan {
@@ -124,7 +124,7 @@
     Timestamp::from_secs_f64(1000.0) + ms(n)
 }
 
-/// What the coordinators of the tests differ in.
+/// Parameters in which the co-ordinators of the tests differ.
 pub struct Setup {
     pub cells: u32,
     pub cells_per_shard: u32,
@@ -204,7 +204,8 @@
     }
 }
 
-/// Lists one replica a cell; those named started at that time, the others long ago.
+/// Lists one replica per cell. Those in `started` have the given start time; the start time of the others is
+/// unknown.
 pub fn list_replicas(
     coordinator: &mut Coordinator,
     output: &mut RecordedOutput,
@@ -218,8 +219,8 @@
     coordinator.finish_endpoint_list(output);
 }
 
-/// Fires the timers set by the actions, and those set meanwhile, up to a time, with a dispatch after each. What was
-/// done.
+/// Fires all timers that are due by `until`, including those set meanwhile, with a dispatch after each one.
+/// Returns the resulting actions.
 pub fn advance_to(coordinator: &mut Coordinator, actions: &[Action], until: Timestamp) -> RecordedOutput {
     let mut done = RecordedOutput::default();
     let mut pending = actions.to_vec();
--- a/crates/pipitcrank-core/tests/retries.rs
+++ b/crates/pipitcrank-core/tests/retries.rs
@@ -11,13 +11,13 @@
     let (mut coordinator, mut output) = listed_coordinator(5);
     start_query(&mut coordinator, &mut output, 0, 0, 0, &[2]);
     let first = dispatch_at(&mut coordinator, 0).attempts()[0].1;
-    let again = end_attempt(&mut coordinator, 5, PartId(0), 0, AttemptOutcome::Fault).attempts();
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0].1, first);
+    let retries = end_attempt(&mut coordinator, 5, PartId(0), 0, AttemptOutcome::Fault).attempts();
+    assert_eq!(retries.len(), 1);
+    assert_ne!(retries[0].1, first);
 }
 
 #[test]
-fn a_query_begun_is_not_rejected_because_one_part_waits() {
+fn query_with_sent_parts_is_not_rejected_for_a_waiting_part() {
     let (mut coordinator, mut output) = listed_coordinator(2);
     start_query(&mut coordinator, &mut output, 0, 0, 0, &[0, 3]);
     assert_eq!(dispatch_at(&mut coordinator, 0).attempts().len(), 2);
@@ -27,8 +27,9 @@
 }
 
 #[test]
-fn an_overdue_part_is_hedged_although_its_first_replica_was_released() {
-    // A part may name a replica that is no longer listed and was released; looking it up panicked.
+fn overdue_part_is_hedged_after_replica_release() {
+    // A part may refer to a replica that is no longer listed and has been released. Looking up that replica
+    // used to panic.
     let (mut coordinator, mut output) = listed_coordinator(4);
     start_query(&mut coordinator, &mut output, 0, 0, 0, &[2]);
     let first = dispatch_at(&mut coordinator, 0).attempts()[0].1;
@@ -39,13 +40,14 @@
     assert!(after.0.contains(&Action::ReleaseReplica(first)));
     assert_eq!(after.attempts().len(), 1);
     after.0.extend(output.0);
-    let copies = helper::advance_to(&mut coordinator, &after.0, at(1400)).attempts().len();
-    assert_eq!(copies, 1, "the last holder is attempted once the second attempt is overdue");
+    let hedged_attempts = helper::advance_to(&mut coordinator, &after.0, at(1400)).attempts().len();
+    assert_eq!(hedged_attempts, 1, "the last holder is attempted once the second attempt is overdue");
 }
 
 #[test]
-fn the_last_of_many_parts_is_overdue_before_the_rest_would_be() {
-    // See docs/incidents/id3caa8.md: queries with all but one or two parts answered waited until their clients left.
+fn last_unanswered_parts_are_hedged_early() {
+    // See docs/incidents/id3caa8.md: queries with all but one or two parts answered waited until their
+    // clients closed the connection.
     for (answered, hedged) in [(9, 1), (5, 0)] {
         let (mut coordinator, mut output) = listed_coordinator(3);
         start_query(&mut coordinator, &mut output, 0, 0, 0, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
--- a/crates/pipitcrank-core/tests/rng.rs
+++ b/crates/pipitcrank-core/tests/rng.rs
@@ -3,7 +3,7 @@
 use pipitcrank_core::rng::Rng;
 
 #[test]
-fn the_generator_is_even_and_follows_its_seed() {
+fn generator_is_uniform_and_deterministic() {
     let draw = |seed| {
         let mut rng = Rng::new(seed);
         (0..6000).map(|_| rng.below(6)).collect::<Vec<_>>()
@@ -12,6 +12,6 @@
     assert_ne!(draw(7), draw(8));
     for n in 0..6 {
         let share = draw(7).iter().filter(|&&d| d == n).count();
-        assert!((850..1150).contains(&share), "{n} came {share} times of 6000");
+        assert!((850..1150).contains(&share), "{n} drawn {share} times in 6000");
     }
 }
--- a/crates/pipitcrank-core/tests/rules.rs
+++ b/crates/pipitcrank-core/tests/rules.rs
@@ -1,4 +1,5 @@
-//! A plain model of the six rules, on generated events: whatever the coordinator does, the model must allow.
+//! Checks every action of a co-ordinator against a simple model of six rules, on generated sequences of
+//! events.
 
 mod helper;
 
@@ -59,7 +60,7 @@
 
 struct ModelAttempt {
     sent_at: Timestamp,
-    /// None while it is out.
+    /// `None` while the attempt is outstanding.
     outcome: Option<AttemptOutcome>,
 }
 
@@ -77,7 +78,7 @@
     is_first_complete: bool,
 }
 
-/// The model: what is known from the events alone.
+/// Model of the rules, which depends on the events alone.
 struct Model {
     now: Timestamp,
     coordinator: Coordinator,
@@ -156,37 +157,37 @@
                 Action::CancelAttempt(AttemptId { part, number }) => {
                     prop_assert!(
                         (number as usize) < self.parts[&part].attempts.len(),
-                        "cancels what was never sent"
+                        "cancelled an attempt that was not sent"
                     )
                 }
                 Action::Answer(query, is_complete) => self.check_answer(query, is_complete)?,
                 Action::Reject(query) => {
                     let open = self.queries.remove(&query);
-                    prop_assert!(open.is_some(), "a second final answer");
+                    prop_assert!(open.is_some(), "second final answer of a query");
                     let ran = |p: &ModelPart| p.attempts.iter().any(ModelAttempt::may_have_run);
                     let mut own_parts = self.parts.values().filter(|p| p.query == query);
                     let is_idempotent =
                         helper::CLASSES[open.unwrap().class].idempotency == Idempotency::Idempotent;
                     prop_assert!(
                         is_idempotent || !own_parts.any(ran),
-                        "rejected though something may have run"
+                        "rejected although an attempt may have run"
                     );
                 }
                 Action::Abort(query) => {
-                    prop_assert!(self.queries.remove(&query).is_some(), "a second final answer")
+                    prop_assert!(self.queries.remove(&query).is_some(), "second final answer of a query")
                 }
                 Action::SetTimer(at, label) => {
                     self.timers.insert((at, label), ());
                 }
                 Action::ReleasePart(part) => {
-                    let part_state = self.parts.remove(&part).expect("released twice");
+                    let part_state = self.parts.remove(&part).expect("part released twice");
                     prop_assert!(
                         part_state.attempts.iter().all(|a| a.outcome.is_some()),
-                        "released with an attempt out"
+                        "part released with an outstanding attempt"
                     );
                 }
                 Action::ReleaseQuery(query) => {
-                    prop_assert!(!self.queries.contains_key(&query), "released while open")
+                    prop_assert!(!self.queries.contains_key(&query), "query released while open")
                 }
                 Action::WatchEndpoints | Action::ReleaseReplica(_) | Action::SendLoadProbe(_) => {}
             }
@@ -196,15 +197,15 @@
 
     fn check_attempt(&mut self, part: PartId, replica: ReplicaId) -> Result<(), TestCaseError> {
         let now = self.now;
-        let part_state = self.parts.get_mut(&part).expect("sends what it released");
+        let part_state = self.parts.get_mut(&part).expect("attempt sent for a released part");
         let open = self.queries.get(&part_state.query);
         prop_assert!(
             open.is_some_and(|a| a.step == part_state.step && now < a.deadline),
-            "sent after the end"
+            "sent after the query or its step had ended"
         );
         let open = open.unwrap();
-        prop_assert!(!part_state.is_answered, "sent though it is answered");
-        prop_assert!(self.is_up[replica.0 as usize], "sent to a replica that is not listed");
+        prop_assert!(!part_state.is_answered, "sent although the part is answered");
+        prop_assert!(self.is_up[replica.0 as usize], "sent to an unlisted replica");
         prop_assert!(
             (replica.0 + helper::CELLS - part_state.shard % helper::CELLS) % helper::CELLS
                 < helper::CELLS_PER_SHARD
@@ -212,15 +213,15 @@
         prop_assert!(part_state.attempts.len() < helper::MAX_ATTEMPTS);
         prop_assert!(
             self.may_hedge || part_state.attempts.iter().all(|a| a.outcome.is_some()),
-            "two attempts out"
+            "more than one outstanding attempt"
         );
         let may_have_run_at = part_state.attempts.iter().find(|a| a.may_have_run()).map(|a| a.sent_at);
         match (helper::CLASSES[open.class].idempotency, may_have_run_at) {
-            (Idempotency::NonIdempotent, Some(_)) => prop_assert!(false, "an effect may happen twice"),
+            (Idempotency::NonIdempotent, Some(_)) => prop_assert!(false, "repeated a non-idempotent part"),
             (Idempotency::IdempotentByKey, Some(first)) => {
                 prop_assert!(
                     now - first + helper::MAX_NETWORK_DELAY <= helper::IDEMPOTENCY_WINDOW,
-                    "too late"
+                    "repeated after the idempotency window"
                 )
             }
             _ => {}
@@ -232,15 +233,16 @@
             let retries = self.retries.iter().filter(within).count() as f64;
             prop_assert!(
                 retries <= helper::FREE_RETRIES + helper::RETRY_FRACTION * admissions,
-                "over the budget"
+                "retry budget exceeded"
             );
         }
         part_state.attempts.push(ModelAttempt { sent_at: now, outcome: None });
-        // Before any answer nothing is known of what replicas carry: one part a window for each that is warming up.
+        // Before the first answer the throughput of replicas is unknown, so each replica in slow start may
+        // get one part per window.
         if self.started[replica.0 as usize].is_some_and(|t| now - t < ms(10_000)) && !self.has_success {
             let near =
                 self.slow_start_sends.iter().filter(|(t, l)| *l == replica && now - *t <= ms(2000)).count();
-            prop_assert!(near == 0, "too much is sent to a replica warming up");
+            prop_assert!(near == 0, "second part in one slow-start window");
             self.slow_start_sends.push((now, replica));
         }
         Ok(())
@@ -248,13 +250,13 @@
 
     fn check_answer(&mut self, query: QueryId, is_complete: bool) -> Result<(), TestCaseError> {
         let open = self.queries.get_mut(&query);
-        prop_assert!(open.is_some(), "a second final answer");
+        prop_assert!(open.is_some(), "second final answer of a query");
         let open = open.unwrap();
         let rules = &helper::CLASSES[open.class];
         let complete_threshold = if open.step == 0 { rules.complete_threshold } else { 1.0 };
         let own_parts = || self.parts.values().filter(|p| p.query == query && p.step == open.step);
         let weight: f64 = own_parts().filter(|p| p.is_answered).map(|p| p.weight).sum();
-        prop_assert!(weight >= rules.partial_threshold - 1e-4, "answered from {weight}, too little");
+        prop_assert!(weight >= rules.partial_threshold - 1e-4, "answered at weight {weight}");
         let may = weight >= complete_threshold - 1e-4
             && open.is_first_complete
             && (open.step == 0 || own_parts().all(|p| p.is_answered));
@@ -288,7 +290,7 @@
         );
     }
 
-    /// One event, then the dispatch that ends its moment.
+    /// Applies one event, followed by the dispatch for its point in time.
     fn event(&mut self, event: impl FnOnce(&mut Model, &mut RecordedOutput)) -> Result<(), TestCaseError> {
         let mut output = RecordedOutput::default();
         event(self, &mut output);
@@ -344,7 +346,7 @@
         let part_state = self.parts.get_mut(&id).unwrap();
         let number = out(part_state).unwrap();
         part_state.attempts[number].outcome = Some(outcome);
-        // An answer counts only while its query waits for it.
+        // An answer counts only if its query is still in the step of the part.
         let waited = self.queries.get(&part_state.query).is_some_and(|a| a.step == part_state.step);
         part_state.is_answered |= outcome == AttemptOutcome::Success && waited;
         self.has_success |= outcome == AttemptOutcome::Success;
@@ -368,11 +370,12 @@
         }
         self.now = until;
         let lost = self.queries.values().any(|a| self.now >= a.deadline);
-        prop_assert!(!lost, "a query has had no answer in its time");
-        // A query that can earn nothing more ends within one review after its latency objective of 1.5 s.
-        let worthless = |a: &ModelQuery| helper::CLASSES[a.class].late_weight == 0.0;
-        let held = self.queries.values().any(|a| worthless(a) && self.now > a.arrived + ms(1500 + 50 + 5));
-        prop_assert!(!held, "a query worth nothing more is held past its objective");
+        prop_assert!(!lost, "query without a final answer at its deadline");
+        // A query without late weight ends within one review after its latency objective of 1.5 s.
+        let has_no_late_weight = |a: &ModelQuery| helper::CLASSES[a.class].late_weight == 0.0;
+        let held =
+            self.queries.values().any(|a| has_no_late_weight(a) && self.now > a.arrived + ms(1500 + 50 + 5));
+        prop_assert!(!held, "query without late weight open past its objective");
         Ok(())
     }
 }
@@ -400,6 +403,6 @@
         while model.parts.values().any(|p| p.attempts.iter().any(|a| a.outcome.is_none())) {
             model.end_attempt(0, AttemptOutcome::Cancelled)?;
         }
-        prop_assert!(model.parts.is_empty(), "parts are held for ever");
+        prop_assert!(model.parts.is_empty(), "some parts were not released");
     }
 }
--- a/crates/pipitcrank-core/tests/set_cover.rs
+++ b/crates/pipitcrank-core/tests/set_cover.rs
@@ -1,4 +1,4 @@
-//! The set cover: which replicas the parts of a query are sent to.
+//! Set cover: selection of the replicas that the parts of a query are sent to.
 
 mod helper;
 
@@ -23,9 +23,10 @@
 }
 
 #[test]
-fn coverage_decides_within_one_part_of_the_best() {
-    // Of shards 0 to 2 replica 2 holds all, 1 and 3 hold two, 0 and 4 one: whichever is drawn, two parts or three
-    // go to one replica, and replica 0 or 4 comes in only for what is left after that.
+fn bundles_within_one_part_of_the_best_are_near_ties() {
+    // Of shards 0 to 2, replica 2 holds all, replicas 1 and 3 hold two, and replicas 0 and 4 hold one.
+    // Whichever shard is drawn, two or three parts go to one replica, and replica 0 or 4 only gets what is
+    // left after that.
     let (mut single, mut split) = (0, 0);
     for seed in 0..200 {
         let (mut coordinator, mut output) = coordinator_with_history(seed);
@@ -36,11 +37,11 @@
         assert!(most >= 2, "{attempts:?}");
         if most == 3 { single += 1 } else { split += 1 }
     }
-    assert!(single > 50 && split > 50, "both near-ties are taken: {single} and {split}");
+    assert!(single > 50 && split > 50, "both near-ties occur: {single} and {split}");
 }
 
 #[test]
-fn rounds_in_a_pass_are_limited_and_the_rest_is_placed_in_the_next() {
+fn rounds_per_pass_are_limited() {
     let (mut coordinator, mut output) = coordinator_of_single_holders(160);
     let shards: Vec<u32> = (0..160).collect();
     start_query(&mut coordinator, &mut output, 0, 0, 0, &shards);
@@ -55,7 +56,7 @@
 fn among_near_ties_the_fewest_outstanding_calls_decide() {
     for seed in 0..50 {
         let (mut coordinator, mut output) = listed_coordinator(seed);
-        // A replica without a call out is next.
+        // Each further query goes to a replica without an outstanding call.
         start_query(&mut coordinator, &mut output, 0, 0, 0, &[2]);
         let first = dispatch_at(&mut coordinator, 0).attempts()[0].1;
         start_query(&mut coordinator, &mut output, 1, 0, 10, &[2]);
@@ -71,7 +72,7 @@
 
 #[test]
 fn many_parts_are_spread_over_their_holders() {
-    // Uncut, two replicas of six would have taken six parts each and held the query up.
+    // Without the cut, two of six replicas would have received six parts each and delayed the query.
     let (mut coordinator, mut output) = listed_coordinator(3);
     let shards: Vec<u32> = (0..12).collect();
     start_query(&mut coordinator, &mut output, 0, 0, 0, &shards);
@@ -98,12 +99,12 @@
 }
 
 #[test]
-fn an_optional_part_is_not_sent_to_a_busy_replica_and_a_required_one_is() {
-    // Queries of 200 parts that may be answered in part filled the one good holder of each shard whose other holder was
-    // stalled; three of four queries that need every part were rejected unsent.
+fn only_required_parts_are_sent_to_busy_replicas() {
+    // Queries of 200 parts that allow partial answers filled the one good holder of each shard whose other
+    // holder was stalled. Three of four queries that need every part were rejected without being sent.
     for (class, is_sent) in [(1, false), (0, true)] {
         let (mut coordinator, mut output) = listed_coordinator(3);
-        // All holders of shard 2 have an attempt out, which takes a sixth of the objective.
+        // Each holder of shard 2 gets an attempt, which takes a sixth of the objective.
         for n in 0..3 {
             start_query(&mut coordinator, &mut output, n, 2, n as u32, &[2]);
             dispatch_at(&mut coordinator, n);
@@ -111,17 +112,17 @@
         start_query(&mut coordinator, &mut output, 100, class, 50, &[2, 5, 0]);
         let attempts = dispatch_at(&mut coordinator, 100).attempts();
         assert_eq!(attempts.iter().any(|c| c.0 == PartId(50)), is_sent, "{attempts:?}");
-        assert!(attempts.iter().any(|c| c.0 == PartId(51)), "others are sent in any case: {attempts:?}");
+        assert!(attempts.iter().any(|c| c.0 == PartId(51)), "parts with idle holders are sent: {attempts:?}");
     }
 }
 
 #[test]
-fn waiting_work_is_bounded_and_a_long_part_itself_is_not() {
-    // A bound on all work, its own included, kept queries of long parts from ever being sent.
+fn only_queued_work_is_bounded() {
+    // A bound on all work, including the query's own, kept queries with long parts from ever being sent.
     let (mut coordinator, mut output) = listed_coordinator(3);
     start_query(&mut coordinator, &mut output, 0, 0, 0, &[2]);
     dispatch_at(&mut coordinator, 0);
-    // A part takes over a fifth of the objective; there are no other queries.
+    // The part takes more than a fifth of the objective, and there are no other queries.
     end_attempt(&mut coordinator, 330, PartId(0), 0, AttemptOutcome::Success);
     for n in 1..20 {
         let t = n * 5000;
--- a/crates/pipitcrank-core/tests/slow_start.rs
+++ b/crates/pipitcrank-core/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start, as one co-ordinator decides it.
+//! Slow start as decided by a single co-ordinator.
 
 mod helper;
 
@@ -9,7 +9,7 @@
 use pipitcrank_core::ids::{AttemptOutcome, PartId, ReplicaId};
 
 #[test]
-fn a_replica_warming_up_gets_one_part_a_window_until_more_is_known() {
+fn one_part_per_window_in_slow_start_without_estimates() {
     let (mut coordinator, mut output) = (Setup::with_seed(9).build(), RecordedOutput::default());
     list_replicas(&mut coordinator, &mut output, &[(2, at(0)), (3, at(0)), (4, at(0))]);
     for n in 0..6 {
@@ -20,29 +20,31 @@
     assert_eq!((attempts.len(), to.len()), (3, 3), "{attempts:?}");
 }
 
-/// When each of 300 co-ordinators sent one part a window, 178 went in a second and the replica failed. A replica with one
-/// worker bears 12 of these parts in the window; each query needs two replicas, both of them warming up.
+/// When each of 300 co-ordinators sent one part per window, 178 parts were sent within a second and the
+/// replica failed. A replica with one worker can sustain 12 of these parts per window. Each query needs two
+/// replicas, both of them in slow start.
 #[test]
-fn of_hundreds_of_coordinators_few_send_to_replicas_warming_up_and_those_whole_queries() {
-    check_that_few_send(false);
+fn few_of_many_coordinators_send_in_slow_start() {
+    check_few_coordinators_send(false);
 }
 
-/// The same of co-ordinators that have had answers before: with a threshold only where nothing was carried, all sent.
+/// Checks the same limit for co-ordinators that received answers before. All of them sent when the random
+/// threshold was applied only without earlier throughput.
 #[test]
-fn few_send_to_replicas_warming_up_also_where_work_was_carried_before() {
-    check_that_few_send(true);
+fn few_of_many_coordinators_send_in_slow_start_after_answers() {
+    check_few_coordinators_send(true);
 }
 
-fn check_that_few_send(served_before: bool) {
-    let (mut whole, mut most) = (0, BTreeMap::new());
+fn check_few_coordinators_send(has_history: bool) {
+    let (mut sent_queries, mut most) = (0, BTreeMap::new());
     for seed in 0..300 {
         let (mut coordinator, mut output) =
             (Setup { coordinators: 300, ..Setup::with_seed(seed) }.build(), RecordedOutput::default());
-        if served_before {
+        if has_history {
             list_replicas(&mut coordinator, &mut output, &[]);
             start_query(&mut coordinator, &mut output, 0, 0, 100, &[0, 3]);
             dispatch_at(&mut coordinator, 0);
-            // The initial estimate of the work of a part, and the call's cost.
+            // The answers take the initial estimate of the work of a part plus the cost of a call.
             for part in [100, 101] {
                 end_attempt(&mut coordinator, 150, PartId(part), 0, AttemptOutcome::Success);
             }
@@ -54,10 +56,10 @@
         );
         start_query(&mut coordinator, &mut output, 160, 0, 0, &[0, 3]);
         let attempts = dispatch_at(&mut coordinator, 160).attempts();
-        whole += usize::from(attempts.len() == 2);
-        assert!(attempts.is_empty() || attempts.len() == 2, "the whole query or nothing");
+        sent_queries += usize::from(attempts.len() == 2);
+        assert!(attempts.is_empty() || attempts.len() == 2, "the query is sent in part");
         attempts.into_iter().for_each(|(_, replica)| *most.entry(replica).or_insert(0) += 1);
     }
-    assert!(most.values().all(|&n| n <= 20), "12 and what is chance, 2 sqrt(12) + 2: {most:?}");
-    assert!(whole >= 3, "some send all the same: {whole}");
+    assert!(most.values().all(|&n| n <= 20), "more than 12 + 2 sqrt(12) + 2 parts: {most:?}");
+    assert!(sent_queries >= 3, "too few queries were sent: {sent_queries}");
 }
--- a/crates/pipitcrank-core/tests/slow_start_fleet.rs
+++ b/crates/pipitcrank-core/tests/slow_start_fleet.rs
@@ -1,6 +1,6 @@
-//! What replicas warming up get from all co-ordinators together, each of which knows of no other: over many seeds, for few
-//! busy ones, many quiet ones, and one far busier than the rest. Of N parts that a replica may get in a window,
-//! 2 sqrt(N) + 2 more are chance.
+//! Total work sent to replicas in slow start by co-ordinators that do not know of each other, over many
+//! seeds: a few busy co-ordinators, many quiet ones, and one far busier than the others. If a replica may
+//! receive N parts in a window, up to 2 sqrt(N) + 2 more are attributed to chance.
 
 mod helper;
 
@@ -15,24 +15,24 @@
 /// Work of a part.
 const WORK_MS: i64 = 100;
 const CALL_COST_MS: i64 = 50;
-/// The slow start of the helper's coordinators.
+/// Slow-start configuration of the co-ordinators built by the test helper.
 const WINDOW_MS: i64 = 2000;
 const WARM_UP_MS: i64 = 10_000;
 const OVERLOAD_FACTOR: f64 = 3.0;
 const INITIAL_CAPACITY: f64 = 0.2;
 const STEP_MS: i64 = 20;
-/// The replicas start anew after so long, and are observed until they are warm.
+/// Time at which replicas restart. They are observed until the end of their warm-up.
 const START_MS: i64 = 6000;
 
-/// How many co-ordinators there are and how busy they are.
+/// Number and load of the co-ordinators.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
     coordinators: usize,
-    /// Load of the first relative to the mean of the others.
+    /// Load of the first co-ordinator relative to the mean of the others.
     first_load: f64,
-    /// Fraction of the replicas' capacity that is requested.
+    /// Requested fraction of the capacity of the replicas.
     load: f64,
-    /// By how much the load is multiplied from the start of the replicas on.
+    /// Factor applied to the load once the replicas have restarted.
     surge: f64,
 }
 
@@ -41,13 +41,13 @@
     queries_per_step: f64,
     timers: VecDeque<(Timestamp, u64)>,
     query_count: u32,
-    /// Number of each part's newest attempt.
+    /// Number of the newest attempt of each part.
     attempts: BTreeMap<PartId, u32>,
 }
 
 impl SimulatedCoordinator {
     fn new(fleet: Fleet, index: usize, seed: u64) -> SimulatedCoordinator {
-        // Each replica does a second's work in a second.
+        // Each replica completes one second of work per second.
         let all = f64::from(helper::CELLS) * fleet.load * STEP_MS as f64 / WORK_MS as f64;
         let mean = all / (fleet.coordinators as f64 - 1.0 + fleet.first_load);
         let setup = Setup::with_seed(seed * 1000 + index as u64);
@@ -95,16 +95,16 @@
     }
 }
 
-/// Times, in milliseconds after its start, of the parts that each replica got while warming up.
+/// Arrival times of the parts that each replica received in slow start, in milliseconds after its start.
 type Arrivals = BTreeMap<ReplicaId, Vec<i64>>;
 
 struct Simulation {
     fleet: Fleet,
-    /// So many of the replicas start anew.
+    /// Number of replicas that restart.
     warming_up: u32,
     rng: Rng,
     coordinators: Vec<SimulatedCoordinator>,
-    /// Attempts that end at a time, with the index of their co-ordinator.
+    /// Attempts by the time at which they end, with the index of their co-ordinator.
     ends: BTreeMap<i64, Vec<(usize, AttemptId)>>,
     arrivals: Arrivals,
 }
@@ -130,7 +130,7 @@
         simulation.arrivals
     }
 
-    /// One step of one co-ordinator.
+    /// Runs one step of one co-ordinator.
     fn step(&mut self, now_ms: i64, index: usize, due: &[(usize, AttemptId)]) {
         let now = at(now_ms);
         let mut output = RecordedOutput::default();
@@ -166,10 +166,10 @@
     }
 }
 
-/// The worst window of any replica.
+/// The window of any replica with the highest ratio of parts to the limit.
 struct WorstWindow {
     parts: usize,
-    /// Parts that there may be, with what is chance.
+    /// Maximum number of parts, including the allowance for chance.
     limit: f64,
 }
 
@@ -191,28 +191,29 @@
 }
 
 fn check_limits(fleet: Fleet, seeds: u64) {
-    let mut nearest: f64 = 0.0;
+    let mut max_ratio: f64 = 0.0;
     for warming_up in [1, 3, helper::CELLS] {
         for seed in 0..seeds {
             let arrivals = Simulation::run(fleet, warming_up, seed);
             let WorstWindow { parts, limit } = worst_window(&arrivals);
             assert!(
                 parts as f64 <= limit,
-                "{parts} of {limit:.1}: {fleet:?}, {warming_up} warming up, seed {seed}"
+                "{parts} parts exceed the limit of {limit:.1}: {fleet:?}, {warming_up} warming up, seed {seed}"
             );
-            nearest = nearest.max(parts as f64 / limit);
-            // Where no other replica holds a shard, those warming up get work from their first windows on.
+            max_ratio = max_ratio.max(parts as f64 / limit);
+            // If no other replica holds a shard, replicas in slow start must receive work from their first
+            // windows on.
             let early = arrivals.values().flatten().filter(|&&t| t <= 2 * WINDOW_MS).count();
             assert!(
                 early > 0 || warming_up < helper::CELLS,
-                "nothing in the first windows: {fleet:?}, seed {seed}"
+                "no parts in the first two windows: {fleet:?}, seed {seed}"
             );
         }
     }
-    println!("{fleet:?}: {nearest:.2} of the limit at most");
+    println!("{fleet:?}: at most {max_ratio:.2} of the limit");
 }
 
-/// With little and much load before, and with a surge.
+/// Checks low and high load before the restart, with and without a surge.
 fn check_all_loads(coordinators: usize, first_load: f64, seeds: u64) {
     for (load, surge) in [(0.3, 1.0), (0.95, 1.0), (0.3, 4.0), (0.6, 3.0), (0.95, 2.5)] {
         check_limits(Fleet { coordinators, first_load, load, surge }, seeds);
--- a/crates/pipitcrank-core/tests/zones.rs
+++ b/crates/pipitcrank-core/tests/zones.rs
@@ -1,5 +1,5 @@
-//! Zones: the nearest first, others when it is overloaded, nothing to a closed one, fractions drawn, and what is observed
-//! of a zone's replicas.
+//! Zones: preference for the nearest zone, overflow to other zones, closed zones, drawn fractions, and
+//! observation of the replicas of a zone.
 
 mod helper;
 
@@ -10,17 +10,18 @@
 use pipitcrank_core::ids::{AttemptId, AttemptOutcome, PartId, QueryId, ReplicaId, RequestClassId};
 use serde_json::json;
 
-const HERE: ZoneId = ZoneId(0);
-const THERE: ZoneId = ZoneId(1);
+const OWN_ZONE: ZoneId = ZoneId(0);
+const OTHER_ZONE: ZoneId = ZoneId(1);
 
-/// Six cells; replicas 0 to 5 stand here, 6 to 11 there, one a cell each.
+/// A ring of six cells with replicas 0 to 5 in the own zone and replicas 6 to 11 in the other, one per cell
+/// in each zone.
 fn two_zones(seed: u64, may_probe: bool) -> (Coordinator, RecordedOutput) {
     let (mut coordinator, mut output) =
         (Setup { may_probe, ..Setup::with_seed(seed) }.build(), RecordedOutput::default());
     coordinator.begin_endpoint_list(true);
     for n in 0..12 {
         coordinator.list_replica(ReplicaId(n), n % 6, true, None);
-        coordinator.set_replica_zone(ReplicaId(n), Some(if n < 6 { HERE } else { THERE }));
+        coordinator.set_replica_zone(ReplicaId(n), Some(if n < 6 { OWN_ZONE } else { OTHER_ZONE }));
     }
     coordinator.finish_endpoint_list(&mut output);
     (coordinator, output)
@@ -31,7 +32,7 @@
     ZoneRouting { fractions, closed: closed.to_vec(), ..ZoneRouting::default() }
 }
 
-/// Starts a query of one shard; where it was sent.
+/// Starts a query of one shard, and returns the replicas that it was sent to and all actions.
 fn send_query(coordinator: &mut Coordinator, n: u32, t: i64, class: u16) -> (Vec<ReplicaId>, Vec<Action>) {
     let mut output = RecordedOutput::default();
     let query = NewQuery {
@@ -58,12 +59,12 @@
 }
 
 #[test]
-fn the_nearest_zone_goes_first_and_without_routing_both_are_used() {
+fn nearest_zone_is_preferred_if_queries_are_routed() {
     for (is_routed, is_cross_zone_expected) in [(true, false), (false, true)] {
         let mut cross_zone = 0;
         let (mut coordinator, _) = two_zones(3, false);
         if is_routed {
-            coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
+            coordinator.set_zone_routing(routing(&[(OWN_ZONE, 1.0)], &[]));
         }
         for n in 0..60 {
             let (replicas, _) = send_query(&mut coordinator, n, i64::from(n) * 50, 0);
@@ -90,8 +91,9 @@
 #[test]
 fn overload_in_the_nearest_zone_sends_work_to_others() {
     let (mut coordinator, _) = two_zones(3, false);
-    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
-    // Every replica here has an attempt out for longer than the cost of crossing zones.
+    coordinator.set_zone_routing(routing(&[(OWN_ZONE, 1.0)], &[]));
+    // Gives every replica of the own zone an attempt that is outstanding for longer than the cross-zone
+    // penalty.
     for n in 0..12 {
         send_query(&mut coordinator, n, 0, 0);
     }
@@ -100,16 +102,16 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_closed_zone_even_where_no_other_holds_the_shard() {
+fn closed_zone_gets_nothing_as_the_only_holder() {
     let (mut coordinator, mut output) = two_zones(3, false);
-    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[THERE]));
+    coordinator.set_zone_routing(routing(&[(OWN_ZONE, 1.0)], &[OTHER_ZONE]));
     coordinator.begin_endpoint_list(false);
     (0..6).for_each(|n| coordinator.list_replica(ReplicaId(n), n, false, None));
     coordinator.finish_endpoint_list(&mut output);
     let (replicas, _) = send_query(&mut coordinator, 1, 0, 0);
     assert_eq!(replicas, []);
-    // Open again, it is sent to.
-    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
+    // Once the zone is open again, the query is sent there.
+    coordinator.set_zone_routing(routing(&[(OWN_ZONE, 1.0)], &[]));
     let mut output = RecordedOutput::default();
     coordinator.dispatch(&mut output, at(5));
     assert_eq!(output.attempts().len(), 1);
@@ -118,7 +120,7 @@
 #[test]
 fn zones_are_drawn_by_their_fractions() {
     let (mut coordinator, _) = two_zones(9, false);
-    coordinator.set_zone_routing(routing(&[(HERE, 0.7), (THERE, 0.3)], &[]));
+    coordinator.set_zone_routing(routing(&[(OWN_ZONE, 0.7), (OTHER_ZONE, 0.3)], &[]));
     let mut cross_zone = 0;
     for n in 0..1000 {
         let (replicas, _) = send_query(&mut coordinator, n, i64::from(n) * 50, 0);
@@ -137,7 +139,7 @@
     let (mut coordinator, _) = two_zones(3, false);
     let shed_fractions = vec![1.0, 0.0];
     coordinator.set_zone_routing(ZoneRouting {
-        fractions: vec![ZoneFraction { zone: HERE, fraction: 1.0 }],
+        fractions: vec![ZoneFraction { zone: OWN_ZONE, fraction: 1.0 }],
         shed_fractions,
         ..ZoneRouting::default()
     });
@@ -151,14 +153,18 @@
 }
 
 #[test]
-fn silent_failing_and_answering_replicas_are_told_apart() {
+fn replicas_are_classified_by_probe_outcome() {
     let (mut coordinator, _) = two_zones(3, true);
-    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[THERE]));
-    let nothing = coordinator.observe_zone(at(0), THERE);
-    assert_eq!((nothing.listed, nothing.responsive, nothing.unresponsive), (6, 0, 0), "none was probed");
+    coordinator.set_zone_routing(routing(&[(OWN_ZONE, 1.0)], &[OTHER_ZONE]));
+    let nothing = coordinator.observe_zone(at(0), OTHER_ZONE);
+    assert_eq!(
+        (nothing.listed, nothing.responsive, nothing.unresponsive),
+        (6, 0, 0),
+        "no replica was probed"
+    );
     let probe = |coordinator: &mut Coordinator, t: i64, answer: &dyn Fn(u32) -> Option<AttemptOutcome>| {
         let mut output = RecordedOutput::default();
-        coordinator.probe_zone(&mut output, at(t), THERE, 6);
+        coordinator.probe_zone(&mut output, at(t), OTHER_ZONE, 6);
         for action in output.0 {
             let Action::SendLoadProbe(replica) = action else { continue };
             if let Some(outcome) = answer(replica.0) {
@@ -172,22 +178,26 @@
         _ => Some(AttemptOutcome::Success),
     };
     (0..3).for_each(|n| probe(&mut coordinator, n * 400, &some));
-    let seen = coordinator.observe_zone(at(850), THERE);
+    let seen = coordinator.observe_zone(at(850), OTHER_ZONE);
     assert_eq!((seen.responsive, seen.unresponsive, seen.failing), (3, 2, 1));
     (3..5).for_each(|n| probe(&mut coordinator, n * 400, &|_| Some(AttemptOutcome::Success)));
-    let seen = coordinator.observe_zone(at(1700), THERE);
-    assert_eq!((seen.responsive + seen.failing, seen.unresponsive), (6, 0), "one answer is enough");
+    let seen = coordinator.observe_zone(at(1700), OTHER_ZONE);
+    assert_eq!(
+        (seen.responsive + seen.failing, seen.unresponsive),
+        (6, 0),
+        "one answer makes a replica responsive"
+    );
 }
 
 #[test]
-fn an_unanswered_attempt_makes_a_replica_silent_until_it_answers() {
+fn unanswered_attempt_makes_a_replica_unresponsive() {
     let (mut coordinator, _) = two_zones(3, false);
-    coordinator.set_zone_routing(routing(&[(HERE, 1.0)], &[]));
+    coordinator.set_zone_routing(routing(&[(OWN_ZONE, 1.0)], &[]));
     let (replicas, _) = send_query(&mut coordinator, 1, 0, 0);
-    assert_eq!(coordinator.observe_zone(at(300), HERE).unresponsive, 0);
-    assert_eq!(coordinator.observe_zone(at(2600), HERE).unresponsive, 1, "{replicas:?}");
+    assert_eq!(coordinator.observe_zone(at(300), OWN_ZONE).unresponsive, 0);
+    assert_eq!(coordinator.observe_zone(at(2600), OWN_ZONE).unresponsive, 1, "{replicas:?}");
     answer(&mut coordinator, 1, 2700);
-    assert_eq!(coordinator.observe_zone(at(2701), HERE).unresponsive, 0);
+    assert_eq!(coordinator.observe_zone(at(2701), OWN_ZONE).unresponsive, 0);
 }
 
 #[test]
