--- a/crates/pipitcrank-core/src/config.rs
+++ b/crates/pipitcrank-core/src/config.rs
@@ -119,7 +119,7 @@
             idempotency_window: self.span_or_zero(&class("dedup_window_s"))?,
             latency_objective: self.span(&class("aim_s"))?,
             objective_stretch: self.number_up_to_or(&class("aim_stretch"), MAX_NUMBER, 0.0)?,
-            // The key is missing in settings of earlier versions.
+            // Settings of earlier versions do not have `late_worth`.
             late_weight: self.number_up_to_or(&class("late_worth"), 1.0, 1.0)?,
             hard_limit: self.span(&class("hard_limit_s"))?,
             complete_threshold: self.number_within(&domain("complete_from"), 0.0, 1.0)?,
--- a/crates/pipitcrank-core/src/config/error.rs
+++ b/crates/pipitcrank-core/src/config/error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{key} {reason}")]
 pub struct ConfigError {
-    /// The key, as a JSON pointer.
+    /// Key of the value, as a JSON pointer.
     pub key: String,
     /// Description of the problem with the value.
     pub reason: String,
--- a/crates/pipitcrank-core/src/coordinator.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -65,7 +65,7 @@
     state: State,
 }
 
-/// Configuration and timers.
+/// Methods for configuration and timers.
 impl Coordinator {
     /// Creates a co-ordinator without request classes or replicas.
     pub fn new(config: CoordinatorConfig) -> Coordinator {
@@ -98,7 +98,7 @@
     }
 }
 
-/// The endpoint list.
+/// Methods for the endpoint list.
 impl Coordinator {
     /// Begins an update of the endpoint list. A complete update removes the replicas that it does not
     /// contain.
@@ -122,7 +122,7 @@
     }
 }
 
-/// Queries.
+/// Methods for queries.
 impl Coordinator {
     /// Admits a new query. Its parts are added afterwards with `add_part`.
     pub fn start_query(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp, query: NewQuery) {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Attempts and probes.
+/// Methods for attempts and load probes.
 impl Coordinator {
     /// Returns whether the attempt may still be sent, just before its first byte is written. Must be called
     /// once per attempt by callers that queue attempts before they send them; other callers send attempts as
@@ -191,7 +191,7 @@
     }
 }
 
-/// Zones.
+/// Methods for zones.
 impl Coordinator {
     /// Sets the zone of a replica, or `None` if it is unknown.
     pub fn set_replica_zone(&mut self, replica: ReplicaId, zone: Option<ZoneId>) {
@@ -228,7 +228,7 @@
     }
 }
 
-/// Other sites.
+/// Methods for forwarding to other sites.
 impl Coordinator {
     /// Marks the replica as standing for a cell of another site, reached with this round-trip time. `None`
     /// means that nothing may be forwarded there.
@@ -272,7 +272,7 @@
     }
 }
 
-/// Handover to another process.
+/// Methods for the handover to another process.
 impl Coordinator {
     /// Returns a copy of the learned state as of `now`.
     pub fn learned_state(&mut self, now: Timestamp) -> LearnedState {
--- a/crates/pipitcrank-core/src/coordinator/admission.rs
+++ b/crates/pipitcrank-core/src/coordinator/admission.rs
@@ -9,28 +9,28 @@
 /// A query that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct NewQuery {
-    /// Unused index.
+    /// Index of the query, unused until now.
     pub id: QueryId,
-    /// Request class.
+    /// Request class of the query.
     pub class: RequestClassId,
     /// Time until the client's deadline.
     pub time_left: TimeSpan,
     /// Hint of the total work of its parts, in the unit of the hints.
     pub work_hint: Option<f64>,
-    /// Number of parts.
+    /// Number of parts of the query.
     pub part_count: f64,
 }
 
 /// A part of a query that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct NewPart {
-    /// Unused index.
+    /// Index of the part, unused until now.
     pub id: PartId,
     /// Query that the part belongs to.
     pub query: QueryId,
     /// Shard that the part reads.
     pub shard: u32,
-    /// Fraction of the whole answer.
+    /// Weight of the part as a fraction of the whole answer.
     pub weight: f64,
     /// Hint of the work of the part, in the unit of the hints.
     pub work_hint: Option<f64>,
--- a/crates/pipitcrank-core/src/coordinator/attempts.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempts.rs
@@ -115,8 +115,8 @@
         match outcome {
             AttemptOutcome::Success => self.update_estimates(Answer { now, replica, class, attempt }),
             AttemptOutcome::Fault => state.health.record_fault(now),
-            // Low weight: some replicas close connections often, and a replica that has exited soon becomes
-            // unreachable.
+            // A disconnect has little weight, because some replicas close connections often, and a replica
+            // that has exited soon becomes unreachable.
             AttemptOutcome::Disconnected => state.health.record_disconnect(now),
             AttemptOutcome::Unreachable => state.health.record_unreachable(now),
             AttemptOutcome::NoCapacity => {
--- a/crates/pipitcrank-core/src/coordinator/learned_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/learned_state.rs
@@ -52,7 +52,7 @@
     pub(super) fault_rate: f64,
     /// Lag of the replica in seconds, and the age of that estimate.
     pub(super) lag: (f64, TimeSpan),
-    /// Time until the end of its ejection.
+    /// Time until the end of the replica's ejection.
     pub(super) ejected_for: Option<TimeSpan>,
     /// Age and work of each send during slow start.
     pub slow_start_sends: Vec<(TimeSpan, f64)>,
--- a/crates/pipitcrank-core/src/coordinator/open_query.rs
+++ b/crates/pipitcrank-core/src/coordinator/open_query.rs
@@ -21,9 +21,9 @@
     pub(super) query: QueryId,
     pub(super) class: RequestClassId,
     pub(super) shard: u32,
-    /// Fraction of the whole answer.
+    /// Weight of the part as a fraction of the whole answer.
     pub(super) weight: f64,
-    /// Expected seconds of work.
+    /// Expected work of the part, in seconds.
     pub(super) work: f64,
     pub(super) attempts: Vec<AttemptRecord>,
     /// Whether the part waits for placement in the next dispatch pass.
--- a/crates/pipitcrank-core/src/coordinator/replica_index.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_index.rs
@@ -37,7 +37,7 @@
 pub(super) struct ReplicaIndex {
     pub(super) cells: u32,
     pub(super) cells_per_shard: u32,
-    /// Rebuilt on each change of the endpoint list.
+    /// Replicas of each cell, rebuilt on each change of the endpoint list.
     by_cell: Vec<Vec<ReplicaId>>,
 }
 
--- a/crates/pipitcrank-core/src/coordinator/replica_load.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_load.rs
@@ -51,7 +51,7 @@
     pub(super) id: AttemptId,
     pub(super) now: Timestamp,
     pub(super) work: f64,
-    /// Number of the dispatch pass that sends it.
+    /// Number of the dispatch pass that sends the attempt.
     pub(super) pass: u64,
 }
 
--- a/crates/pipitcrank-core/src/coordinator/request_class.rs
+++ b/crates/pipitcrank-core/src/coordinator/request_class.rs
@@ -10,7 +10,7 @@
 pub struct RequestClassConfig {
     /// Name of the class. Learned state is restored by this name only.
     pub name: String,
-    /// Effect of running one of its parts twice.
+    /// Effect of running a part of this class twice.
     pub idempotency: Idempotency,
     /// Time for which replicas recognise a repeated part by its key.
     pub idempotency_window: TimeSpan,
@@ -28,8 +28,8 @@
     /// Weight of the answered parts from which a partial answer is allowed, 0 to 1. Partial answers are not
     /// allowed if this is not below `complete_threshold`.
     pub partial_threshold: f64,
-    /// Whether its queries have a second step, which the client requests with further parts after the first
-    /// step is answered.
+    /// Whether queries of this class have a second step, which the client requests with further parts after
+    /// the first step is answered.
     pub has_second_step: bool,
 }
 
--- a/crates/pipitcrank-core/src/coordinator/service_estimates.rs
+++ b/crates/pipitcrank-core/src/coordinator/service_estimates.rs
@@ -53,7 +53,8 @@
     const INITIAL_OVERDUE_TIME_PER_WORK: f64 = 3.0;
     /// Weight of the newest answer in the lag.
     const LAG_WEIGHT: f64 = 0.03;
-    /// Added to the time after which an attempt is overdue, for short stalls of healthy replicas.
+    /// Grace period added to the time after which an attempt is overdue, for short stalls of healthy
+    /// replicas.
     const OVERDUE_GRACE: TimeSpan = TimeSpan::from_millis(100);
 
     pub(super) fn new() -> ServiceEstimates {
--- a/crates/pipitcrank-core/src/coordinator/set_cover.rs
+++ b/crates/pipitcrank-core/src/coordinator/set_cover.rs
@@ -19,7 +19,8 @@
 /// Fraction of the latency objective by which a holder may be ready later than the earliest one and still be
 /// a candidate.
 const MAX_BEHIND_FRACTION: f64 = 0.05;
-/// Fraction of the first attempt's age within which a hedged request must be expected to be answered.
+/// Fraction of the age of the oldest outstanding attempt within which a hedged request must be expected to be
+/// answered.
 const HEDGE_FRACTION: f64 = 0.5;
 
 /// Limits that apply to all rounds of one query.
--- a/crates/pipitcrank-core/src/coordinator/slow_start.rs
+++ b/crates/pipitcrank-core/src/coordinator/slow_start.rs
@@ -31,7 +31,7 @@
 /// part is sent.
 enum Threshold {
     Drawn(f64),
-    /// Not drawn yet. Holds the number of windows that have passed without a draw.
+    /// A threshold that is not drawn yet, with the number of windows since the last draw.
     Pending {
         idle_windows: f64,
     },
@@ -157,7 +157,7 @@
     fn threshold(&self) -> f64 {
         match self.threshold {
             Threshold::Drawn(fraction) => fraction,
-            // Unreachable for replicas in slow start: their threshold is drawn before the budget is checked.
+            // Not used for replicas in slow start, whose threshold is drawn before the budget is checked.
             Threshold::Pending { .. } => 0.0,
         }
     }
--- a/crates/pipitcrank-core/src/coordinator/state.rs
+++ b/crates/pipitcrank-core/src/coordinator/state.rs
@@ -43,7 +43,7 @@
     WatchEndpoints,
     /// Reviews the query if it is still open.
     ReviewQuery { query: QueryId, serial: u64 },
-    /// Places the parts that wait for load probes, which have timed out.
+    /// Places the parts that waited for load probes which have now timed out.
     ProbesTimedOut,
 }
 
--- a/crates/pipitcrank-core/src/coordinator/target_utilization.rs
+++ b/crates/pipitcrank-core/src/coordinator/target_utilization.rs
@@ -7,9 +7,9 @@
 
 impl TargetUtilization {
     pub(super) const MIN: f64 = 0.2;
-    /// Below 1, to leave room for estimation errors.
+    /// Maximum utilization. It is below 1 to leave room for estimation errors.
     pub(super) const MAX: f64 = 0.7;
-    /// Low, because signs of overload arrive late and at all co-ordinators at once.
+    /// Initial utilization. It is low because signs of overload arrive late and at all co-ordinators at once.
     const INITIAL: f64 = 0.25;
     const INCREASE: f64 = 0.01;
     const DECREASE_FACTOR: f64 = 0.8;
--- a/crates/pipitcrank-core/src/coordinator/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -11,7 +11,7 @@
 /// Fraction of the queries that are routed to a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFraction {
-    /// The zone.
+    /// Zone that the fraction applies to.
     pub zone: ZoneId,
     /// Fraction of the queries, from 0 to 1.
     pub fraction: f64,
@@ -34,7 +34,7 @@
 pub struct RequestTraffic {
     /// Queries that arrived.
     pub queries: u64,
-    /// Parts of those queries.
+    /// Parts of the queries that arrived.
     pub parts: u64,
 }
 
--- a/crates/pipitcrank-core/src/ids.rs
+++ b/crates/pipitcrank-core/src/ids.rs
@@ -20,7 +20,7 @@
 /// One attempt of a part. The attempts of a part are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The part.
+    /// Part that the attempt belongs to.
     pub part: PartId,
     /// Number of the attempt; 0 is the first.
     pub number: u32,
@@ -61,11 +61,11 @@
 pub enum RejectReason {
     /// The query was shed because the remaining zones cannot carry the load.
     ZoneOverCapacity,
-    /// No replica could accept its first attempts in time.
+    /// No replica could accept the first attempts of the query in time.
     NoReplicaInTime,
-    /// Its deadline is about to pass.
+    /// The deadline of the query is about to pass.
     DeadlineExceeded,
-    /// Its latency objective has passed, and a late answer earns nothing.
+    /// The latency objective of the query has passed, and a late answer earns nothing.
     ObjectiveMissed,
     /// The parts that can still be answered are not enough for an answer.
     AnswerUnreachable,
