--- a/crates/pipitcrank-core/src/coordinator/open_query.rs
+++ b/crates/pipitcrank-core/src/coordinator/open_query.rs
@@ -91,7 +91,7 @@
     pub(super) is_first_step_complete: bool,
     /// Zone that the query is routed to, if zones are configured.
     pub(super) zone: Option<ZoneId>,
-    /// For a query forwarded by another site: how many of the delegated retries remain.
+    /// Number of delegated retries that remain, if the query was forwarded by another site.
     pub(super) delegated_retries: Option<u32>,
 }
 
--- a/crates/pipitcrank-core/src/coordinator/process_handover.rs
+++ b/crates/pipitcrank-core/src/coordinator/process_handover.rs
@@ -22,8 +22,8 @@
     }
 
     /// Ends the split of the budgets when it is not known what the other process spent. That process is
-    /// assumed to have spent all it was allowed, so retries and slow-start sends are blocked until they have
-    /// left their windows.
+    /// assumed to have spent all it was allowed, so retries and slow-start sends are blocked for the length
+    /// of their windows.
     pub(super) fn resume_without_peer(&mut self, now: Timestamp) {
         self.retry_budget.reclaim(now, Self::PREDECESSOR);
         self.slow_start.reopen(now);
--- a/crates/pipitcrank-core/src/coordinator/replica_health.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_health.rs
@@ -34,7 +34,7 @@
     const DISCONNECT_WEIGHT: f64 = 0.03;
     /// Duration of an ejection.
     const EJECTION_TIME: TimeSpan = TimeSpan::from_millis(1000);
-    /// Validity of a load report. Replicas refresh their reports at about this interval.
+    /// Time for which a load report is valid. Replicas refresh their reports at about this interval.
     pub(super) const REPORT_VALID_FOR: TimeSpan = TimeSpan::from_millis(300);
     /// Time after which an outstanding probe counts as unanswered.
     pub(super) const PROBE_TIMEOUT: TimeSpan = TimeSpan::from_millis(30);
@@ -113,8 +113,7 @@
         self.last_probe.is_some_and(|p| !p.is_outstanding || now - p.sent_at >= Self::PROBE_TIMEOUT)
     }
 
-    /// Returns whether the last probe has timed out, because the replica has exited, is stalled or cannot be
-    /// reached.
+    /// Returns whether the last probe has timed out: the replica has exited, is stalled or cannot be reached.
     pub(super) fn is_probe_timed_out(&self, now: Timestamp) -> bool {
         self.last_probe.is_some_and(|p| p.is_outstanding && now - p.sent_at >= Self::PROBE_TIMEOUT)
     }
--- a/crates/pipitcrank-core/src/coordinator/replica_load.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_load.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// A call. The parts that one dispatch pass sends to one replica share calls.
+/// Identifies a call. The parts that one dispatch pass sends to one replica share calls.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallId {
     pass: u64,
@@ -89,7 +89,7 @@
     pub(super) outstanding: BTreeMap<AttemptId, OutstandingAttempt>,
     last_pass: LastPass,
     lag: Lag,
-    /// The last estimate. Cleared whenever one of its inputs changes.
+    /// The last estimate, cleared whenever one of its inputs changes.
     cached: Cell<Option<(LoadModel, LoadEstimate)>>,
 }
 
--- a/crates/pipitcrank-core/src/coordinator/set_cover.rs
+++ b/crates/pipitcrank-core/src/coordinator/set_cover.rs
@@ -32,7 +32,7 @@
     time_left: TimeSpan,
     short_wait: TimeSpan,
     max_behind: TimeSpan,
-    /// Time in which the work would be done if it were spread evenly. Bundles are cut to it.
+    /// Time in which the work would be done if it were spread evenly; bundles are cut to this time.
     balanced_time: TimeSpan,
     /// Weight needed for a partial answer, if partial answers are allowed.
     partial_threshold: Option<f64>,
