--- a/crates/pipitcrank-core/src/coordinator/attempts.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempts.rs
@@ -44,8 +44,8 @@
         id: PartId,
         replica: ReplicaId,
     ) {
-        let part = self.parts.get_mut(&id).expect("a part to be sent has state");
-        let open = self.queries.get_mut(&part.query).expect("a part to be sent has an open query");
+        let part = self.parts.get_mut(&id).expect("the part to be sent is tracked");
+        let open = self.queries.get_mut(&part.query).expect("the part to be sent has an open query");
         let number = part.attempts.len() as u32;
         let is_retry = number > 0;
         match &mut open.delegated_retries {
@@ -70,7 +70,7 @@
 
     /// Counts the attempt at its replica and its zone.
     fn record_send(&mut self, now: Timestamp, replica: ReplicaId, attempt: AttemptId, work: f64) {
-        let state = self.replicas.get_mut(&replica).expect("a candidate has state");
+        let state = self.replicas.get_mut(&replica).expect("a candidate replica is tracked");
         state.load.add(NewAttempt { id: attempt, now, work, pass: self.pass }, self.call_limits);
         if self.slow_start.is_warming_up(state.started, now) {
             let window = self.slow_start.config.window;
--- a/crates/pipitcrank-core/src/coordinator/probing.rs
+++ b/crates/pipitcrank-core/src/coordinator/probing.rs
@@ -25,7 +25,7 @@
         // The delay of remote sites is measured on their links.
         let is_local = |r: &ReplicaId| self.replicas[r].is_local();
         for replica in self.holders(parts).into_iter().filter(is_local).collect::<Vec<_>>() {
-            let health = &mut self.replicas.get_mut(&replica).expect("a holder of a shard has state").health;
+            let health = &mut self.replicas.get_mut(&replica).expect("a listed replica is tracked").health;
             if health.needs_probe(now) {
                 health.probe_sent(now);
                 output.send_load_probe(replica);
@@ -85,7 +85,7 @@
             .collect();
         due.sort();
         for (_, replica) in due.into_iter().take(max_probes) {
-            self.replicas.get_mut(&replica).expect("a selected replica has state").health.probe_sent(now);
+            self.replicas.get_mut(&replica).expect("a selected replica is tracked").health.probe_sent(now);
             output.send_load_probe(replica);
         }
     }
--- a/crates/pipitcrank-core/src/coordinator/state.rs
+++ b/crates/pipitcrank-core/src/coordinator/state.rs
@@ -121,7 +121,7 @@
 
     /// Marks the part for placement in the next dispatch pass.
     pub(super) fn enqueue(&mut self, part: PartId) {
-        let state = self.parts.get_mut(&part).expect("an enqueued part has state");
+        let state = self.parts.get_mut(&part).expect("an enqueued part is tracked");
         state.is_waiting = true;
         let query = state.query;
         self.waiting.extend(self.queries.get(&query).map(|q| WaitingQuery { serial: q.serial, query }));
