--- a/crates/pipitcrank-recovery/src/last_known_state/tests.rs
+++ b/crates/pipitcrank-recovery/src/last_known_state/tests.rs
@@ -27,12 +27,12 @@
     for (now, learned, members) in [
         (clocks(1_000_010, 510), true, true),
         (clocks(1_000_100, 600), false, true),
-        // The machine was restarted ten seconds ago.
+        // The machine was rebooted ten seconds before.
         (clocks(1_000_020, 10), true, true),
-        // The wall clock was set back, without and with a restart of the machine.
+        // The wall clock was set back, without and with a reboot.
         (clocks(999_000, 510), false, false),
         (clocks(999_000, 10), false, false),
-        // The wall clock was set ahead: the state is taken for that old.
+        // The wall clock was set forward, which makes the state look older than it is.
         (clocks(2_000_000, 510), false, true),
     ] {
         let stored = LastKnownState::decode(&state(written).encode()).unwrap();
@@ -50,15 +50,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Never younger than by the clock that was not set.
+    /// The computed age is never below the time that passed, whichever clock was set or reset.
     #[test]
-    fn age_is_never_underestimated(passed in 0i64..100_000, set in -50_000i64..50_000, booted in any::<bool>()) {
+    fn age_is_never_underestimated(passed_s in 0i64..100_000, set_by_s in -50_000i64..50_000, rebooted in any::<bool>()) {
         let written = clocks(1_000_000, 5_000);
-        let now = clocks(1_000_000 + passed + set, if booted { 1 } else { 5_000 + passed });
+        let now = clocks(1_000_000 + passed_s + set_by_s, if rebooted { 1 } else { 5_000 + passed_s });
         let age = elapsed(written, now);
-        // A restart together with a wall clock set back by less than has passed can't be noticed.
-        if let Some(age) = age.filter(|_| !booted || set >= 0) {
-            prop_assert!(age.as_secs_f64() >= passed as f64 - 2.0, "{age:?} for {passed}");
+        // A reboot hides a wall clock that was set back by less than the time that passed, which excludes this case.
+        if let Some(age) = age.filter(|_| !rebooted || set_by_s >= 0) {
+            prop_assert!(age.as_secs_f64() >= passed_s as f64 - 2.0, "computed age {age:?} after {passed_s} s");
         }
     }
 
@@ -70,7 +70,7 @@
     }
 
     #[test]
-    fn random_bytes_do_no_harm(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bytes_never_yield_too_many_members(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Some(state) = LastKnownState::decode(&noise) {
             prop_assert!(state.recover(clocks(9, 9), MAX_AGE).members.len() <= MAX_MEMBERS);
         }
--- a/crates/pipitcrank-recovery/src/lib.rs
+++ b/crates/pipitcrank-recovery/src/lib.rs
@@ -1,10 +1,10 @@
-//! Return to service after a restart.
+//! Recovery after a restart: persistent state, its reuse, and the order of a rolling restart.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `store` | what is kept on disk, written by a thread of its own |
-//! | `last_known_state` | which parts of the state kept on disk are recent enough to be used; no I/O, no clock |
-//! | `restart_waves` | which nodes may be restarted at once in a rolling restart; no I/O, no clock |
+//! | `store` | persistent state in one file, written by a dedicated thread |
+//! | `last_known_state` | selects the parts of the stored state that are recent enough to be used; no I/O, no clock |
+//! | `restart_waves` | groups the nodes of a rolling restart into waves; no I/O, no clock |
 
 pub mod last_known_state;
 pub mod restart_waves;
--- a/crates/pipitcrank-recovery/src/restart_waves.rs
+++ b/crates/pipitcrank-recovery/src/restart_waves.rs
@@ -1,58 +1,60 @@
-//! Which nodes may be restarted at once in a rolling restart, and in which order. No I/O, no clock.
+//! Groups and orders the nodes of a rolling restart. No I/O, no clock.
 //!
-//! A wave holds nodes that are restarted together. It keeps three limits: a voter is restarted alone, and only while the
-//! other voters are a majority; of each zone at most a fraction of its nodes, and never all unless it has but one; of all
-//! nodes at most the same fraction, whose load the others can take over.
+//! A wave is a set of nodes that are restarted at the same time. Three limits apply to each wave:
+//!
+//! - A voter is restarted alone, and only while the other voters form a majority.
+//! - At most a given fraction of a zone's nodes is restarted, and never all of them unless the zone has a single node.
+//! - At most the same fraction of all nodes is restarted, so that the other nodes can take over the load.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One node, as the others know it.
+/// A node to be restarted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RestartNode {
-    /// The address by which the others know it.
+    /// Address at which the other nodes reach it.
     pub address: SocketAddr,
-    /// Index of its zone in the operators' list.
+    /// Index of its zone in the operators' list of zones.
     pub zone: u16,
     /// Whether it is a voter.
     pub is_voter: bool,
 }
 
-/// What a plan is to be made for.
+/// Input of the plan for a rolling restart.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartRequest<'a> {
-    /// The nodes present.
+    /// Nodes that are running.
     pub nodes: &'a [RestartNode],
-    /// How many voters are configured.
+    /// Number of configured voters.
     pub configured_voters: usize,
-    /// The voter that leads.
+    /// Address of the leader, if known.
     pub leader: Option<SocketAddr>,
-    /// By zone, whether it serves all of its load.
+    /// For each zone, whether it serves all of its own load.
     pub zone_serves: &'a [bool],
-    /// Most nodes restarted at once, as a fraction of all and of each zone's.
+    /// Maximum fraction of nodes that are restarted at once, of all nodes and of each zone.
     pub max_fraction: f64,
 }
 
-/// Why there is no plan.
+/// Reason why a rolling restart can't be planned.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestartPlanError {
-    /// Without one more voter there would be no majority.
+    /// The restart of one voter would leave no majority.
     #[error("{present} of {configured} voters are there: one more away, and nothing could be decided")]
     NoMajority {
-        /// Voters present.
+        /// Number of voters that are running.
         present: usize,
-        /// Voters configured.
+        /// Number of configured voters.
         configured: usize,
     },
-    /// There is no other node.
+    /// There is no other node that could serve during the restart.
     #[error("one copy alone: nobody would serve while it is away")]
     SingleNode,
-    /// The zone of this index does not serve all of its load.
+    /// The zone with the given index does not serve all of its own load.
     #[error("zone {0} is not at home: wait until it is, or return it")]
     ZoneNotServing(u16),
 }
 
-/// The waves in their order: voters last, one at a time, the leader at the very end.
+/// Returns the waves in order. Voters are restarted last, one at a time, and the leader after the other voters.
 pub fn plan_waves(request: &RestartRequest) -> Result<Vec<Vec<RestartNode>>, RestartPlanError> {
     check(request)?;
     let mut nodes = request.nodes.to_vec();
@@ -63,10 +65,10 @@
     }
     let (mut voters, others): (Vec<_>, Vec<_>) = nodes.into_iter().partition(|node| node.is_voter);
     voters.sort_by_key(|node| Some(node.address) == request.leader);
-    // While a zone's only node restarts, all of the zone's clients depend on other zones: it goes by itself.
+    // Clients of a single-node zone depend on other zones during its restart: such a node is a wave of its own.
     let (single, grouped): (Vec<_>, Vec<_>) =
         others.into_iter().partition(|node| zone_sizes[&node.zone] == 1);
-    let mut waves = group(grouped, &zone_sizes, request);
+    let mut waves = group_into_waves(grouped, &zone_sizes, request);
     waves.extend(single.into_iter().chain(voters).map(|node| vec![node]));
     Ok(waves)
 }
@@ -80,34 +82,34 @@
     }
     let configured = request.configured_voters;
     let present = request.nodes.iter().filter(|node| node.is_voter).count();
-    // A single voter can't be restarted without a pause of decisions, so that it does not block the plan.
+    // Decisions always pause while a single voter restarts; rejecting the plan would make that restart impossible.
     if configured > 1 && present.saturating_sub(1) * 2 <= configured {
         return Err(RestartPlanError::NoMajority { present, configured });
     }
     Ok(())
 }
 
-/// Nodes of zones that have several, in waves within the limits.
-fn group(
-    mut left: Vec<RestartNode>,
+/// Groups the nodes of zones with several nodes into waves within the limits.
+fn group_into_waves(
+    mut remaining: Vec<RestartNode>,
     zone_sizes: &BTreeMap<u16, usize>,
     request: &RestartRequest,
 ) -> Vec<Vec<RestartNode>> {
     let fraction_of = |count: usize| (count as f64 * request.max_fraction).floor() as usize;
     let max_wave = fraction_of(request.nodes.len()).max(1);
-    let max_of_zone = |zone: u16| {
+    let max_in_zone = |zone: u16| {
         let size = zone_sizes[&zone];
         fraction_of(size).clamp(1, (size - 1).max(1))
     };
     let mut waves = Vec::new();
-    while !left.is_empty() {
+    while !remaining.is_empty() {
         let mut wave: Vec<RestartNode> = Vec::new();
-        let mut of_zone: BTreeMap<u16, usize> = BTreeMap::new();
-        left.retain(|node| {
-            let in_wave = of_zone.entry(node.zone).or_default();
-            let joins = wave.len() < max_wave && *in_wave < max_of_zone(node.zone);
+        let mut wave_zone_counts: BTreeMap<u16, usize> = BTreeMap::new();
+        remaining.retain(|node| {
+            let zone_count = wave_zone_counts.entry(node.zone).or_default();
+            let joins = wave.len() < max_wave && *zone_count < max_in_zone(node.zone);
             if joins {
-                *in_wave += 1;
+                *zone_count += 1;
                 wave.push(node.clone());
             }
             !joins
--- a/crates/pipitcrank-recovery/src/store.rs
+++ b/crates/pipitcrank-recovery/src/store.rs
@@ -1,19 +1,22 @@
-//! One file on disk, in an embedded database (`redb`). A thread of its own writes, so that serving never waits for a disk.
+//! Persistent store of a node: one file of the embedded database `redb`. A dedicated thread writes the file, so that
+//! queries never wait for the disk.
 //!
-//! Two values are kept. The *voter's memory* is what a voter must not forget: nothing that it says is sent before the
-//! memory is synced. The *learned state* is written now and then; losing some of it costs nothing but time.
+//! The store holds two values. The *voter memory* is the state that a voter must not lose: the voter sends a message only
+//! after the memory behind it is synced. The *learned state* is written at intervals; the loss of a write only
+//! prolongs the learning after a restart.
 //!
-//! | fault | what is done |
+//! | fault | handling |
 //! | --- | --- |
-//! | in use by another process; of another node or version | the file is left as it is, and nothing is kept |
-//! | corrupt | the file is renamed, and a new one begun |
-//! | not writable (read-only, full, missing directory) | pending values wait, tried again each second |
+//! | the file is open in another process | the file stays unchanged; pending writes are retried every second |
+//! | the file belongs to another node, or has another format version | the file stays unchanged; nothing is stored |
+//! | the file is corrupt | the file is renamed, and a new one is created |
+//! | the file is not writable (read-only, disk full, missing directory) | pending writes are retried every second |
 //!
-//! In no case is half of a file used, and none ends serving.
+//! A file is used as a whole or not at all, and no fault of the store stops the node from serving.
 //!
-//! Why `redb`: one file, synced commits, no thread and no log of its own. A plain file that is renamed into place can't
-//! tell a truncated file from a whole one, and does not keep two processes apart; `fjall` is made for a high rate of
-//! writes, and needs a directory and threads.
+//! `redb` was chosen because it needs a single file, syncs its commits, and runs no threads or logs of its own. A plain
+//! file that is replaced by renaming neither detects truncation nor excludes a second process. `fjall` is designed for
+//! high write rates, and needs a directory and threads.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -35,10 +38,10 @@
 use shared::Shared;
 pub use shared::WriteStatus;
 
-/// The database's cache, in bytes: all values take some ten thousand.
-const CACHE_SIZE: usize = 512 * 1024;
+/// Size of the database's cache. All stored values together take about 10 kB.
+const CACHE_BYTES: usize = 512 * 1024;
 
-/// One node's store. Dropped, it writes what is pending and closes the file.
+/// Store of one node. Dropping it writes the pending values and closes the file.
 pub struct Store {
     shared: Arc<Shared>,
     writer: Option<JoinHandle<()>>,
@@ -46,15 +49,15 @@
 }
 
 impl Store {
-    /// Opens the file at `path`, of the node `owner`, from a thread of its own. `notify` is called from there each time
-    /// that something was synced, or failed.
+    /// Starts a thread that opens the file at `path` for the node `owner`. The thread calls `notify` after it has opened
+    /// the file, and after each successful or failed write.
     pub fn open(path: PathBuf, owner: String, notify: impl Fn() + Send + 'static) -> Store {
         let opener: DatabaseOpener =
-            Box::new(|path| Database::builder().set_cache_size(CACHE_SIZE).create(path));
+            Box::new(|path| Database::builder().set_cache_size(CACHE_BYTES).create(path));
         Store::open_with(opener, path, owner, notify)
     }
 
-    /// Like [`Store::open`], with another way to open the database.
+    /// Like [`Store::open`], with a custom function that opens the database.
     pub fn open_with(
         opener: DatabaseOpener,
         path: PathBuf,
@@ -62,9 +65,9 @@
         notify: impl Fn() + Send + 'static,
     ) -> Store {
         let shared = Arc::new(Shared::default());
-        let writers = shared.clone();
+        let writer_shared = shared.clone();
         let file = DatabaseFile::new(opener, path, owner);
-        let run = move || writer::run(file, &writers, &notify);
+        let run = move || writer::run(file, &writer_shared, &notify);
         let spawned = std::thread::Builder::new().name("store".into()).spawn(run);
         if let Err(error) = &spawned {
             shared.lock().opened = Some(Err(StoreError::NotWritable(error.to_string())));
@@ -72,30 +75,30 @@
         Store { shared, writer: spawned.ok(), last_sequence: 0 }
     }
 
-    /// The values found on opening, waited for no longer than `timeout`.
+    /// Values read when the file was opened. Waits for the opening for at most `timeout`.
     pub fn stored_values(&self, timeout: Duration) -> Result<StoredValues, StoreError> {
         self.shared.wait_until_opened(Instant::now() + timeout)
     }
 
-    /// Queues a voter's memory, in place of one that is still pending. Returns the sequence number that
-    /// [`Store::synced_sequence`] reaches once it is synced.
+    /// Queues a voter memory, which replaces a pending one. Returns the sequence number that [`Store::synced_sequence`]
+    /// reaches once the memory is synced.
     pub fn save_voter_memory(&mut self, bytes: Vec<u8>) -> u64 {
         self.last_sequence += 1;
         self.shared.queue_voter_memory(self.last_sequence, bytes);
         self.last_sequence
     }
 
-    /// Queues a learned state, in place of one that is still pending.
+    /// Queues a learned state, which replaces a pending one.
     pub fn save_learned_state(&mut self, bytes: Vec<u8>) {
         self.shared.queue_learned_state(bytes);
     }
 
-    /// Sequence number of the last voter's memory that is synced.
+    /// Sequence number of the last synced voter memory.
     pub fn synced_sequence(&self) -> u64 {
         self.shared.lock().synced_sequence
     }
 
-    /// Whether writing fails, and for how long something has been pending.
+    /// Error of the last write, and how long values have been pending.
     pub fn write_status(&self) -> WriteStatus {
         self.shared.lock().write_status()
     }
--- a/crates/pipitcrank-recovery/src/store/database_file.rs
+++ b/crates/pipitcrank-recovery/src/store/database_file.rs
@@ -1,4 +1,4 @@
-//! The database file: opening, checking, reading and writing it.
+//! Opens, checks, reads and writes the store's database file.
 
 use std::panic::AssertUnwindSafe;
 use std::path::{Path, PathBuf};
@@ -7,22 +7,22 @@
 
 use super::error::{Corruption, StoreError};
 use super::format::{
-    FORMAT_VERSION, HEADER_KEY, LEARNED_STATE_KEY, TABLE, VOTER_MEMORY_KEY, verified, with_checksum,
+    FORMAT_VERSION, HEADER_KEY, LEARNED_STATE_KEY, TABLE, VOTER_MEMORY_KEY, prepend_checksum, verify_checksum,
 };
 
-/// Opens or creates the database; replaced in tests by one that fails.
+/// Opens or creates the database. Tests pass one that simulates disk faults.
 pub type DatabaseOpener = Box<dyn FnMut(&Path) -> Result<Database, DatabaseError> + Send>;
 
-/// What an earlier process has stored.
+/// Values stored by an earlier process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredValues {
-    /// The voter's memory.
+    /// Encoded voter memory.
     pub voter_memory: Option<Vec<u8>>,
-    /// The learned state.
+    /// Encoded learned state.
     pub learned_state: Option<Vec<u8>>,
 }
 
-/// The file of the node `owner`, open or not.
+/// Database file of the node `owner`, open or closed.
 pub struct DatabaseFile {
     opener: DatabaseOpener,
     path: PathBuf,
@@ -42,7 +42,7 @@
     match error {
         DatabaseError::DatabaseAlreadyOpen => StoreError::InUse,
         DatabaseError::UpgradeRequired(_) | DatabaseError::RepairAborted => Corruption::DatabaseFormat.into(),
-        // A file that is no database at all.
+        // The database library reports files of another type by these I/O errors.
         DatabaseError::Storage(StorageError::Io(error))
             if matches!(error.kind(), InvalidData | UnexpectedEof) =>
         {
@@ -55,12 +55,13 @@
 }
 
 impl DatabaseFile {
-    /// A file that is not open yet.
+    /// Returns a file that is not open yet.
     pub fn new(opener: DatabaseOpener, path: PathBuf, owner: String) -> DatabaseFile {
         DatabaseFile { opener, path, owner, database: None }
     }
 
-    /// Opens the file, and reads its values. A corrupt one is renamed and a new one opened; the error tells of that.
+    /// Opens the file and reads its values. Renames a corrupt file, creates a new one in its place, and returns
+    /// [`StoreError::Corrupt`] with the new path of the corrupt file.
     pub fn open(&mut self) -> Result<StoredValues, StoreError> {
         match self.open_existing() {
             Err(StoreError::Corrupt { cause, .. }) => {
@@ -77,7 +78,7 @@
     fn open_existing(&mut self) -> Result<StoredValues, StoreError> {
         let opener = AssertUnwindSafe(&mut self.opener);
         let path = self.path.clone();
-        // The database panics on some corrupt files.
+        // The database library panics on some corrupt files.
         let opened = std::panic::catch_unwind(move || {
             let opener = opener;
             (opener.0)(&path)
@@ -92,7 +93,7 @@
         let transaction = database.begin_read().map_err(StoreError::not_writable)?;
         let table = match transaction.open_table(TABLE) {
             Ok(table) => table,
-            // A new file.
+            // A new file has no table.
             Err(TableError::TableDoesNotExist(_)) => return Ok(StoredValues::default()),
             Err(error) => return Err(Corruption::Database(error.to_string()).into()),
         };
@@ -116,14 +117,14 @@
         Ok(())
     }
 
-    /// Writes the values given, all or none; they are synced when it returns.
+    /// Writes the given values in one transaction, which is synced when the function returns.
     pub fn write(
         &mut self,
         voter_memory: Option<&[u8]>,
         learned_state: Option<&[u8]>,
     ) -> Result<(), StoreError> {
         if self.database.is_none() {
-            // Another node's file may have been put in its place meanwhile: it is checked again before it is written.
+            // Another node's file may have replaced this one while it was closed; reopening checks the header again.
             self.open()?;
         }
         let Some(database) = &self.database else { return Err(StoreError::InUse) };
@@ -135,7 +136,7 @@
         ];
         let written = write_values(database, &values);
         if written.is_err() {
-            // After a failed write the database accepts no other: the file is opened anew.
+            // After a failed write the database rejects all others until the file is reopened.
             self.database = None;
         }
         written
@@ -147,7 +148,7 @@
     key: &str,
 ) -> Result<Option<Vec<u8>>, StoreError> {
     let Some(stored) = table.get(key).map_err(|error| storage_error(&error))? else { return Ok(None) };
-    let value = verified(stored.value()).ok_or_else(|| Corruption::Checksum(key.to_string()))?;
+    let value = verify_checksum(stored.value()).ok_or_else(|| Corruption::Checksum(key.to_string()))?;
     Ok(Some(value))
 }
 
@@ -157,7 +158,7 @@
         let mut table = transaction.open_table(TABLE).map_err(StoreError::not_writable)?;
         for &(key, value) in values {
             let Some(value) = value else { continue };
-            table.insert(key, &with_checksum(value)[..]).map_err(StoreError::not_writable)?;
+            table.insert(key, &prepend_checksum(value)[..]).map_err(StoreError::not_writable)?;
         }
     }
     transaction.commit().map_err(StoreError::not_writable)
--- a/crates/pipitcrank-recovery/src/store/error.rs
+++ b/crates/pipitcrank-recovery/src/store/error.rs
@@ -1,62 +1,62 @@
-//! Why a store is not used, or not written.
+//! Errors of opening, reading and writing the store.
 
 use std::path::PathBuf;
 
 use super::format::FORMAT_VERSION;
 
-/// Why a store is not used, or not written.
+/// Error of opening, reading or writing the store file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Another process has the file open.
-    #[error("another process has it open")]
+    /// The file is open in another process.
+    #[error("the store file is open in another process")]
     InUse,
-    /// The file is the store of another node, of this name.
-    #[error("it is the store of '{0}'")]
+    /// The file belongs to another node, whose name is given.
+    #[error("the store file belongs to node '{0}', not to this node")]
     OtherOwner(String),
-    /// The file has another format version.
-    #[error("its format version is {0}, not {FORMAT_VERSION}")]
+    /// The file has the given format version, which is not supported.
+    #[error("the store file has format version {0}, expected {FORMAT_VERSION}")]
     UnsupportedVersion(u16),
-    /// The file can't be read.
-    #[error("it can't be read: {cause}{}", renamed(.moved_to))]
+    /// The file is corrupt.
+    #[error("the store file is corrupt: {cause}{}", describe_rename(.moved_to))]
     Corrupt {
-        /// What is wrong with it.
+        /// Cause of the corruption.
         cause: Corruption,
-        /// Where the file is now.
+        /// New path of the file, if it was renamed.
         moved_to: Option<PathBuf>,
     },
-    /// The file can't be opened or written; the operating system's or the database's reason.
-    #[error("it can't be written: {0}")]
+    /// The file can't be opened or written, with the error of the operating system or of the database.
+    #[error("the store file can't be opened or written: {0}")]
     NotWritable(String),
-    /// The file is not open yet.
-    #[error("it did not open in time")]
+    /// The file was not opened within the timeout.
+    #[error("the store file was not opened within the timeout")]
     OpenTimeout,
 }
 
-/// What is wrong with a corrupt file.
+/// Cause of a corrupt file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
-    /// The checksum of the value under this key does not match.
-    #[error("the checksum of '{0}' does not match")]
+    /// The value under the given key does not match its checksum, or has an invalid length.
+    #[error("the value of key '{0}' does not match its checksum, or has an invalid length")]
     Checksum(String),
-    /// There is no header.
-    #[error("it has no header")]
+    /// The header is missing.
+    #[error("the table has no header")]
     NoHeader,
-    /// The header is too short.
-    #[error("its header is truncated")]
+    /// The header is shorter than the format version.
+    #[error("the header is truncated: expected at least the 2 bytes of the format version")]
     TruncatedHeader,
-    /// The file has an old format of the database, or can't be repaired.
-    #[error("its database format is outdated, or can't be repaired")]
+    /// The file has an outdated format of the database library, or its repair was aborted.
+    #[error("the database file has an outdated format, or its repair was aborted")]
     DatabaseFormat,
-    /// The database's code panicked on the file.
-    #[error("the database panicked")]
+    /// The database library panicked while it opened the file.
+    #[error("the database library panicked while it opened the file")]
     DatabasePanic,
-    /// The database refuses the file, for this reason.
-    #[error("{0}")]
+    /// The database library rejected the file with the given error.
+    #[error("the database library rejected the file: {0}")]
     Database(String),
 }
 
 impl StoreError {
-    /// Its name in the counters.
+    /// Name under which the error is counted.
     pub fn counter_name(&self) -> &'static str {
         match self {
             StoreError::InUse => "in_use",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether nothing is kept for as long as this process runs.
+    /// Whether the error lasts until the process ends; other errors may disappear when a write is retried.
     pub(super) fn is_permanent(&self) -> bool {
         matches!(self, StoreError::OtherOwner(_) | StoreError::UnsupportedVersion(_))
     }
@@ -84,6 +84,6 @@
     }
 }
 
-fn renamed(path: &Option<PathBuf>) -> String {
-    path.as_ref().map(|path| format!("; it is now {}", path.display())).unwrap_or_default()
+fn describe_rename(path: &Option<PathBuf>) -> String {
+    path.as_ref().map(|path| format!("; the file was renamed to {}", path.display())).unwrap_or_default()
 }
--- a/crates/pipitcrank-recovery/src/store/shared.rs
+++ b/crates/pipitcrank-recovery/src/store/shared.rs
@@ -1,4 +1,4 @@
-//! What the store's owner and its writer thread share.
+//! State shared between the store's owner and the writer thread.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -6,23 +6,23 @@
 use super::database_file::StoredValues;
 use super::error::StoreError;
 
-/// Whether writing fails, and for how long something has been pending.
+/// Error of the last write, and how long values have been pending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriteStatus {
-    /// Why the last write failed; `None` once one succeeded.
+    /// Error of opening the file or of the last write; `None` after a successful write.
     pub error: Option<StoreError>,
-    /// How long values have been pending; zero where none are.
+    /// How long values have been pending; zero without pending values.
     pub pending_for: Duration,
 }
 
-/// A voter's memory and its sequence number.
+/// Encoded voter memory with its sequence number.
 #[derive(Clone)]
 pub struct SequencedValue {
     pub sequence: u64,
     pub bytes: Vec<u8>,
 }
 
-/// Values to be written: only the newest of each, which bounds them.
+/// Values to be written. Only the newest value of each kind is kept, which bounds the size of the queue.
 #[derive(Clone, Default)]
 pub struct PendingWrites {
     pub voter_memory: Option<SequencedValue>,
@@ -34,7 +34,7 @@
         self.voter_memory.is_none() && self.learned_state.is_none()
     }
 
-    /// Removes what of `written` has not been replaced by a newer value since.
+    /// Removes the values of `written`, except those that a newer value has replaced.
     fn remove_written(&mut self, written: &PendingWrites) {
         if let Some(synced) = &written.voter_memory {
             self.voter_memory = self.voter_memory.take().filter(|newer| newer.sequence > synced.sequence);
@@ -50,7 +50,7 @@
     pub synced_sequence: u64,
     pub error: Option<StoreError>,
     pub pending_since: Option<Instant>,
-    /// What opening the file came to; `None` until then.
+    /// Result of opening the file; `None` while the file is being opened.
     pub opened: Option<Result<StoredValues, StoreError>>,
     pub shutting_down: bool,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The shared state, and a signal of its changes.
+/// Shared state, with a condition variable for its changes.
 #[derive(Default)]
 pub struct Shared {
     state: Mutex<State>,
@@ -74,7 +74,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // The owner's side.
+    // Functions for the store's owner.
 
     pub fn queue_voter_memory(&self, sequence: u64, bytes: Vec<u8>) {
         self.queue(|pending| pending.voter_memory = Some(SequencedValue { sequence, bytes }));
@@ -91,7 +91,7 @@
         self.changed.notify_all();
     }
 
-    /// What opening the file came to, waited for until `deadline`.
+    /// Waits until `deadline` for the result of opening the file.
     pub fn wait_until_opened(&self, deadline: Instant) -> Result<StoredValues, StoreError> {
         let mut state = self.lock();
         loop {
@@ -114,7 +114,7 @@
         self.changed.notify_all();
     }
 
-    // The writer's side.
+    // Functions for the writer thread.
 
     pub fn set_opened(&self, opened: Result<StoredValues, StoreError>) {
         let mut state = self.lock();
@@ -123,7 +123,7 @@
         self.changed.notify_all();
     }
 
-    /// Waits for pending values; `None` once the store shuts down and none are left.
+    /// Waits for pending values. Returns `None` once the store shuts down and no value is pending.
     pub fn wait_for_pending(&self) -> Option<PendingWrites> {
         let mut state = self.lock();
         while state.pending.is_empty() && !state.shutting_down {
@@ -132,7 +132,7 @@
         (!state.pending.is_empty()).then(|| state.pending.clone())
     }
 
-    /// Drops what is pending, so that it does not appear to wait. Whether the store goes on.
+    /// Discards the pending values, so that they are not reported as pending. Returns whether the store keeps running.
     pub fn discard_pending(&self) -> bool {
         let mut state = self.lock();
         state.pending = PendingWrites::default();
@@ -153,7 +153,8 @@
         self.lock().error = Some(error);
     }
 
-    /// Waits for `delay`, or until the store shuts down. Whether it goes on.
+    /// Waits for `delay`, or until the store shuts down. Returns `false` if the shutdown began before the wait; after a
+    /// shutdown during the wait, the write is still retried once.
     pub fn wait_before_retry(&self, delay: Duration) -> bool {
         let state = self.lock();
         if state.shutting_down {
--- a/crates/pipitcrank-recovery/src/store/tests.rs
+++ b/crates/pipitcrank-recovery/src/store/tests.rs
@@ -4,21 +4,21 @@
 use redb::backends::FileBackend;
 use redb::{StorageBackend, StorageError};
 
-use super::format::{HEADER_KEY, TABLE, with_checksum};
+use super::format::{HEADER_KEY, TABLE, prepend_checksum};
 use super::*;
 
-const SOON: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn open(path: &Path, owner: &str) -> (Store, Result<StoredValues, StoreError>) {
     let store = Store::open(path.to_path_buf(), owner.to_string(), || {});
-    let found = store.stored_values(SOON);
+    let found = store.stored_values(TEST_TIMEOUT);
     (store, found)
 }
 
-fn wait(what: impl Fn() -> bool) {
-    let until = Instant::now() + SOON;
-    while !what() {
-        assert!(Instant::now() < until, "in time");
+fn wait_until(condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "condition not met within {TEST_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -26,7 +26,7 @@
 fn write_voter_memory(path: &Path, bytes: &[u8]) {
     let (mut store, _) = open(path, "n1");
     let sequence = store.save_voter_memory(bytes.to_vec());
-    wait(|| store.synced_sequence() >= sequence);
+    wait_until(|| store.synced_sequence() >= sequence);
 }
 
 #[test]
@@ -59,7 +59,7 @@
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!((second.synced_sequence(), second.write_status().error), (0, Some(StoreError::InUse)));
     drop(first);
-    wait(|| second.synced_sequence() >= sequence);
+    wait_until(|| second.synced_sequence() >= sequence);
 }
 
 #[test]
@@ -74,18 +74,18 @@
     drop(store);
     assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(b"mine".to_vec()));
     assert_eq!(before.len(), std::fs::read(&path).unwrap().len());
-    // As a later version would write it.
+    // A file with the header of a later format version.
     let database = Database::create(&path).unwrap();
     let writing = database.begin_write().unwrap();
-    let head = [&(FORMAT_VERSION + 1).to_be_bytes()[..], b"n1"].concat();
-    writing.open_table(TABLE).unwrap().insert(HEADER_KEY, &with_checksum(&head)[..]).unwrap();
+    let header = [&(FORMAT_VERSION + 1).to_be_bytes()[..], b"n1"].concat();
+    writing.open_table(TABLE).unwrap().insert(HEADER_KEY, &prepend_checksum(&header)[..]).unwrap();
     writing.commit().unwrap();
     drop(database);
     assert_eq!(open(&path, "n1").1, Err(StoreError::UnsupportedVersion(FORMAT_VERSION + 1)));
 }
 
 #[test]
-fn corrupt_and_foreign_files_are_renamed_and_never_half_used() {
+fn corrupt_and_foreign_files_are_renamed_and_not_used() {
     let directory = tempfile::tempdir().unwrap();
     for (n, damage) in [0usize, 1, 2, 3, 4].into_iter().enumerate() {
         let path = directory.path().join(format!("store{n}"));
@@ -96,7 +96,7 @@
             1 => bytes.truncate(100),
             2 => bytes = b"this is a text, and long enough to be read as something".repeat(200),
             3 => bytes[..4096].fill(0),
-            // One bit of the stored value.
+            // Flips one bit of the stored value.
             _ => {
                 let at = bytes.windows(64).position(|w| w == [7; 64]).unwrap();
                 bytes[at + 5] ^= 1;
@@ -106,21 +106,21 @@
         let (mut store, found) = open(&path, "n1");
         match found {
             Err(StoreError::Corrupt { .. }) => {
-                assert!(path.with_added_extension("torn").exists(), "renamed");
+                assert!(path.with_added_extension("torn").exists(), "the corrupt file was not renamed");
             }
             Err(StoreError::NotWritable(_)) => {}
-            other => panic!("damaged by {damage}: {other:?}"),
+            other => panic!("damage {damage}: expected a corrupt or unwritable file, got {other:?}"),
         }
         let sequence = store.save_voter_memory(b"anew".to_vec());
         if store.write_status().error.is_none() || damage != 1 {
-            wait(|| store.synced_sequence() >= sequence);
+            wait_until(|| store.synced_sequence() >= sequence);
             drop(store);
             assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(b"anew".to_vec()));
         }
     }
 }
 
-/// A file on a disk that can be made full, or very slow.
+/// Storage backend on a simulated disk, which can be full or slow.
 #[derive(Debug)]
 struct Disk {
     file: FileBackend,
@@ -131,7 +131,7 @@
 const SLOW: u8 = 2;
 
 impl Disk {
-    fn simulate(&self) -> Result<(), std::io::Error> {
+    fn inject_fault(&self) -> Result<(), std::io::Error> {
         match self.state.load(Ordering::Relaxed) {
             FULL => Err(std::io::Error::from(std::io::ErrorKind::StorageFull)),
             SLOW => {
@@ -151,20 +151,20 @@
         self.file.read(offset, out)
     }
     fn set_len(&self, len: u64) -> Result<(), std::io::Error> {
-        self.simulate().and_then(|()| self.file.set_len(len))
+        self.inject_fault().and_then(|()| self.file.set_len(len))
     }
     fn sync_data(&self) -> Result<(), std::io::Error> {
-        self.simulate().and_then(|()| self.file.sync_data())
+        self.inject_fault().and_then(|()| self.file.sync_data())
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), std::io::Error> {
-        self.simulate().and_then(|()| self.file.write(offset, data))
+        self.inject_fault().and_then(|()| self.file.write(offset, data))
     }
     fn close(&self) -> Result<(), std::io::Error> {
         self.file.close()
     }
 }
 
-fn on_disk(path: &Path, state: &Arc<AtomicU8>) -> Store {
+fn open_on_disk(path: &Path, state: &Arc<AtomicU8>) -> Store {
     let state = state.clone();
     let opener: DatabaseOpener = Box::new(move |path| {
         let options =
@@ -180,17 +180,17 @@
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
     let state = Arc::new(AtomicU8::new(0));
-    let mut store = on_disk(&path, &state);
-    assert_eq!(store.stored_values(SOON), Ok(StoredValues::default()));
+    let mut store = open_on_disk(&path, &state);
+    assert_eq!(store.stored_values(TEST_TIMEOUT), Ok(StoredValues::default()));
     let first = store.save_voter_memory(vec![1; 64]);
-    wait(|| store.synced_sequence() >= first);
+    wait_until(|| store.synced_sequence() >= first);
     state.store(FULL, Ordering::Relaxed);
     let second = store.save_voter_memory(vec![2; 64]);
-    wait(|| matches!(store.write_status().error, Some(StoreError::NotWritable(_))));
-    assert_eq!(store.synced_sequence(), first, "only what is on the disk is reported synced");
+    wait_until(|| matches!(store.write_status().error, Some(StoreError::NotWritable(_))));
+    assert_eq!(store.synced_sequence(), first, "a voter memory that is not on disk was reported as synced");
     assert!(store.write_status().pending_for > Duration::ZERO);
     state.store(0, Ordering::Relaxed);
-    wait(|| store.synced_sequence() >= second);
+    wait_until(|| store.synced_sequence() >= second);
     assert_eq!(store.write_status(), WriteStatus { error: None, pending_for: Duration::ZERO });
     drop(store);
     assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(vec![2; 64]));
@@ -202,14 +202,14 @@
     let path = directory.path().join("store");
     write_voter_memory(&path, &[1]);
     let state = Arc::new(AtomicU8::new(SLOW));
-    let mut store = on_disk(&path, &state);
-    let _ = store.stored_values(SOON);
-    let began = Instant::now();
+    let mut store = open_on_disk(&path, &state);
+    let _ = store.stored_values(TEST_TIMEOUT);
+    let start = Instant::now();
     let last = (0..100).map(|n| store.save_voter_memory(vec![n; 64])).last().unwrap();
-    assert!(began.elapsed() < Duration::from_millis(100), "saving does not wait for the disk");
-    wait(|| store.write_status().pending_for > Duration::from_millis(50));
+    assert!(start.elapsed() < Duration::from_millis(100), "saving a voter memory waited for the disk");
+    wait_until(|| store.write_status().pending_for > Duration::from_millis(50));
     state.store(0, Ordering::Relaxed);
-    wait(|| store.synced_sequence() == last);
+    wait_until(|| store.synced_sequence() == last);
 }
 
 #[test]
@@ -220,5 +220,5 @@
     assert!(matches!(found, Err(StoreError::NotWritable(_))), "{found:?}");
     let sequence = store.save_voter_memory(vec![1]);
     std::fs::create_dir(path.parent().unwrap()).unwrap();
-    wait(|| store.synced_sequence() >= sequence);
+    wait_until(|| store.synced_sequence() >= sequence);
 }
--- a/crates/pipitcrank-recovery/src/store/writer.rs
+++ b/crates/pipitcrank-recovery/src/store/writer.rs
@@ -1,4 +1,4 @@
-//! The writer thread: opens the file, then writes what is pending until the store shuts down.
+//! Writer thread of the store: opens the file, then writes pending values until the store shuts down.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use super::error::StoreError;
 use super::shared::Shared;
 
-/// Delay before a failed write is tried again: a disk that is full for a moment costs a voter a second.
+/// Delay before a failed write is retried. A disk that is full for a moment blocks a voter for one second.
 const RETRY_DELAY: Duration = Duration::from_millis(1000);
 
-/// Runs until the store shuts down. `notify` is called each time that something was synced, or failed.
+/// Runs until the store shuts down. Calls `notify` after opening the file, and after each successful or failed write.
 pub fn run(mut file: DatabaseFile, shared: &Shared, notify: &dyn Fn()) {
     let opened = file.open();
     let unusable = opened.as_ref().err().is_some_and(StoreError::is_permanent);
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! The store on disk and the values in it, against files of an earlier version.
+//! Checks that the store file and its values, written by an earlier version, are still read and written.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 mod fixtures;
 
 const OWNER: &str = "n1";
-const SOON: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn state() -> LastKnownState {
     let snapshot = Snapshot::decode(&fixtures::read("snapshot.hex")["snapshot"]).unwrap();
@@ -33,7 +33,7 @@
     );
 }
 
-/// A store with a voter's memory and learned state, as an earlier version left it on disk.
+/// The fixture is a store file of an earlier version with a voter memory and a learned state.
 #[test]
 fn store_of_an_earlier_version_is_read_and_written() {
     let memory = &fixtures::read("voter_memory.hex")["in_a_group"];
@@ -47,12 +47,12 @@
     let path = directory.path().join("store");
     std::fs::copy(&file, &path).unwrap();
     let mut store = Store::open(path.clone(), OWNER.into(), || {});
-    let stored = store.stored_values(SOON).unwrap();
+    let stored = store.stored_values(TEST_TIMEOUT).unwrap();
     assert_eq!(stored.voter_memory.as_ref(), Some(memory));
     assert_eq!(&VoterMemory::decode(memory).unwrap().encode(), memory);
     assert_eq!(stored.learned_state, Some(state().encode()));
     store.save_voter_memory(vec![1]);
     drop(store);
-    let stored = Store::open(path, OWNER.into(), || {}).stored_values(SOON).unwrap();
+    let stored = Store::open(path, OWNER.into(), || {}).stored_values(TEST_TIMEOUT).unwrap();
     assert_eq!((stored.voter_memory, stored.learned_state), (Some(vec![1]), Some(state().encode())));
 }
