--- a/crates/pipitcrank-handover/src/descriptor_passing.rs
+++ b/crates/pipitcrank-handover/src/descriptor_passing.rs
@@ -1,8 +1,11 @@
-//! Messages with descriptors over a private pair of Unix sockets, made by the supervisor and inherited by workers: no name
-//! in a file system stands for it, and the peer's user is checked all the same. A frame is four bytes of length and a
-//! message in postcard's form; a descriptor travels with the frame's first byte (SCM_RIGHTS, unix(7)).
+//! Links that carry messages and file descriptors between processes. A link is a pair of connected Unix sockets, created
+//! by the supervisor and inherited by workers. The sockets have no name in the file system; the user of the peer process
+//! is checked nevertheless.
 //!
-//! A message that is too long, truncated or malformed, or that lacks its descriptor, ends the link with its reason.
+//! A frame consists of a length of four bytes and a message in postcard encoding. A file descriptor is sent with the
+//! first byte of its frame (SCM_RIGHTS, see unix(7)).
+//!
+//! A message that is too long, truncated, malformed or without its descriptor ends the link with an error.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -23,53 +26,57 @@
 
 use crate::exact_decode::decode_exact;
 
-/// Longest message, in bytes: an answer of 200 parts at the protocol's longest value.
-const MAX_MESSAGE_LENGTH: usize = 16 << 20;
-/// Most descriptors received ahead of the messages that they belong to.
+/// Longest message: an answer of 200 parts with values of the protocol's maximum length.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
+/// Maximum number of descriptors received before the messages that carry them are complete.
 const MAX_PENDING_DESCRIPTORS: usize = 64;
-/// Most descriptors taken by one call of `recvmsg`.
+/// Maximum number of descriptors received by one call of `recvmsg`.
 const MAX_DESCRIPTORS_PER_READ: usize = 8;
-/// Most bytes taken by one call of `recvmsg`.
-const READ_LENGTH: usize = 64 * 1024;
-const LENGTH_PREFIX: usize = 4;
+/// Maximum number of bytes received by one call of `recvmsg`.
+const READ_BYTES: usize = 64 * 1024;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why a link has ended.
+/// Reason why a link ended.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The peer closed it between two messages.
+    /// The peer closed the link between two messages.
     #[error("the peer closed the link")]
     Closed,
-    /// The peer closed it within a message.
-    #[error("the link ended within a message")]
+    /// The peer closed the link within a message.
+    #[error("the peer closed the link before the end of a message")]
     Truncated,
-    /// A frame states a length over the limit, in bytes.
-    #[error("a message of {0} bytes was announced")]
+    /// A frame has the given length in bytes, which is over the limit.
+    #[error(
+        "received a message header with a length of {0} bytes, over the limit of {MAX_MESSAGE_BYTES} bytes"
+    )]
     MessageTooLong(usize),
-    /// A message can't be decoded.
-    #[error("a message is malformed")]
+    /// A message can't be decoded, or states another protocol version.
+    #[error("received a message that can't be decoded or states another protocol version")]
     Malformed,
-    /// A message lacks its descriptor, or descriptors came that belong to no message.
-    #[error("descriptors do not match the messages")]
+    /// A message arrived without its descriptor, or too many descriptors arrived that belong to no message.
+    #[error(
+        "a message lacks its descriptor, or more than {MAX_PENDING_DESCRIPTORS} descriptors have no message"
+    )]
     DescriptorMismatch,
-    /// The peer is a process of another user, with this user id.
-    #[error("the peer runs as user {0}")]
+    /// The peer process runs as another user, with the given user id.
+    #[error("the peer process runs as user id {0}, not as the user of this process")]
     ForeignUser(u32),
-    /// The operating system failed.
-    #[error("{0}")]
+    /// The operating system reported an error.
+    #[error("socket error on the link: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Both ends of a link as files, to be given to two processes.
+/// Creates the two sockets of a link, one for each process.
 pub fn socket_pair() -> io::Result<(StdStream, StdStream)> {
     StdStream::pair()
 }
 
-/// A message as received.
+/// A received message with its descriptor.
 #[derive(Debug)]
 pub struct Received<M> {
     /// The message.
     pub message: M,
-    /// The descriptor that it carried.
+    /// The file descriptor sent with it.
     pub descriptor: Option<OwnedFd>,
 }
 
@@ -78,19 +85,19 @@
     descriptor: Option<OwnedFd>,
 }
 
-/// The sending side; messages go out in order. Dropped, it closes its direction once all is sent. The queue is bounded by
-/// what the sender holds open: each message belongs to a connection, a query or a step.
+/// Sending side of a link, which sends messages in order. Dropping it closes this direction once all messages are sent.
+/// The number of queued messages is bounded, as each belongs to an open connection, an open query or an upgrade step.
 #[derive(Clone)]
 pub struct LinkSender(UnboundedSender<Frame>);
 
-/// The receiving side.
+/// Receiving side of a link.
 pub struct LinkReceiver {
     stream: Rc<UnixStream>,
     buffer: Vec<u8>,
     descriptors: VecDeque<OwnedFd>,
 }
 
-/// Opens this end of a link, within a `LocalSet`. Fails where the peer is a process of another user.
+/// Opens one end of a link within a `LocalSet`. Fails if the peer process runs as another user.
 pub fn open_link(stream: StdStream) -> Result<(LinkSender, LinkReceiver), LinkError> {
     let peer = sockopt::socket_peercred(&stream).map_err(io::Error::from)?;
     if peer.uid != rustix::process::geteuid() {
@@ -111,7 +118,7 @@
             let send = || send_bytes(&stream, rest, descriptor.as_ref());
             match stream.async_io(Interest::WRITABLE, send).await {
                 Ok(sent) => rest = &rest[sent..],
-                // The receiving side reports the end of the link.
+                // The receiving side of the link reports the error.
                 Err(_) => return,
             }
             descriptor = None;
@@ -131,12 +138,12 @@
 }
 
 impl LinkSender {
-    /// Queues a message. Whether the peer receives it is not known here; the end of the link shows at the receiver.
+    /// Queues a message. Delivery is not confirmed; only the [`LinkReceiver`] reports the end of the link.
     pub fn send(&self, message: &impl Serialize, descriptor: Option<OwnedFd>) {
         self.send_frame(message, descriptor.is_some(), descriptor);
     }
 
-    /// Sends a descriptor that its message does not announce: for tests of what the peer does then.
+    /// Sends a descriptor that its message does not announce, for tests of the peer's error handling.
     pub fn send_with_unannounced_descriptor(&self, message: &impl Serialize, descriptor: OwnedFd) {
         self.send_frame(message, false, Some(descriptor));
     }
@@ -149,7 +156,7 @@
 }
 
 impl LinkReceiver {
-    /// The next message. Cancel safe: a dropped call loses nothing.
+    /// Receives the next message. Cancel safe: dropping the future loses no data.
     pub async fn receive<M: DeserializeOwned>(&mut self) -> Result<Received<M>, LinkError> {
         loop {
             if let Some(received) = self.take_message()? {
@@ -171,13 +178,13 @@
     }
 
     fn take_message<M: DeserializeOwned>(&mut self) -> Result<Option<Received<M>>, LinkError> {
-        let Some(prefix) = self.buffer.first_chunk::<LENGTH_PREFIX>() else { return Ok(None) };
+        let Some(prefix) = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*prefix) as usize;
-        if length > MAX_MESSAGE_LENGTH {
+        if length > MAX_MESSAGE_BYTES {
             return Err(LinkError::MessageTooLong(length));
         }
-        let frame_end = LENGTH_PREFIX + length;
-        let Some(body) = self.buffer.get(LENGTH_PREFIX..frame_end) else { return Ok(None) };
+        let frame_end = LENGTH_PREFIX_BYTES + length;
+        let Some(body) = self.buffer.get(LENGTH_PREFIX_BYTES..frame_end) else { return Ok(None) };
         let (announced, message): (bool, M) = decode_exact(body).map_err(|_| LinkError::Malformed)?;
         let descriptor = match announced {
             true => Some(self.descriptors.pop_front().ok_or(LinkError::DescriptorMismatch)?),
@@ -193,7 +200,7 @@
     buffer: &mut Vec<u8>,
     descriptors: &mut VecDeque<OwnedFd>,
 ) -> io::Result<usize> {
-    let mut bytes = vec![0; READ_LENGTH];
+    let mut bytes = vec![0; READ_BYTES];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
     let received =
--- a/crates/pipitcrank-handover/src/lib.rs
+++ b/crates/pipitcrank-handover/src/lib.rs
@@ -1,13 +1,13 @@
-//! Upgrade under load: one worker process hands over to its successor without a lost request.
+//! Upgrade under load: a worker process hands over to its successor without losing a request.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `upgrade_event`, `upgrade_state` | which worker serves, and when that changes: a state machine without I/O |
-//! | `resource_split` | what each of two processes may use while both live |
-//! | `snapshot` | the form in which learned state passes to the successor, and is stored |
-//! | `messages` | what supervisor, predecessor and successor send each other |
-//! | `descriptor_passing` | a link that carries messages with descriptors; the only module with I/O |
-//! | `exact_decode`, `clock` | decoding of whole buffers; the machine's monotonic clock |
+//! | `upgrade_event`, `upgrade_state` | state machine that decides which worker serves; no I/O |
+//! | `resource_split` | division of retries and connections between two running processes |
+//! | `snapshot` | encoding of the learned state, for the successor and for the store |
+//! | `messages` | messages between supervisor, predecessor and successor |
+//! | `descriptor_passing` | links that carry messages and file descriptors; the only module with socket I/O |
+//! | `exact_decode`, `clock` | decoding of complete buffers; the machine's monotonic clock |
 
 pub mod clock;
 mod crash_history;
--- a/crates/pipitcrank-handover/src/messages.rs
+++ b/crates/pipitcrank-handover/src/messages.rs
@@ -1,16 +1,16 @@
 //! Messages of an upgrade: between the supervisor and a worker, and between predecessor and successor.
 //!
-//! All travel in postcard's form, which encodes by position: variants and fields keep their order and types.
+//! All messages are encoded with postcard, by position: the order and types of variants and fields must not change.
 
 use pipitcrank_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
 use crate::upgrade_event::UpgradeCounts;
 
-/// Protocol version, raised with each change of a message's form. Each side sends it first.
+/// Protocol version, incremented with each change of a message. Both sides send it in their first message.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// From the supervisor to a worker.
+/// Messages from the supervisor to a worker.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToWorker {
     /// The first message.
@@ -18,21 +18,21 @@
         /// The sender's [`PROTOCOL_VERSION`].
         version: u16,
     },
-    /// Serve. Carries the listener's descriptor.
+    /// Request to serve. Carries the descriptor of the listener.
     Serve,
-    /// Take over from the process at the other end of the socket whose descriptor this carries.
+    /// Request to take over from the predecessor. Carries the descriptor of a socket connected to the predecessor.
     TakeOver,
-    /// Hand over to the process at the other end of the socket whose descriptor this carries.
+    /// Request to hand over to the successor. Carries the descriptor of a socket connected to the successor.
     HandOver,
-    /// The other worker is out of the upgrade: continue alone.
+    /// The other worker takes no further part in the upgrade, and this worker continues alone.
     ContinueAlone,
-    /// The trial has passed: transfer the listener and the connections, then exit.
+    /// The trial has passed: the worker transfers the listener and the connections, and exits.
     TransferConnections,
-    /// How many upgrades were requested, and what became of them.
+    /// Numbers of requested, completed and rolled back upgrades.
     UpgradeCounts(UpgradeCounts),
 }
 
-/// From a worker to the supervisor.
+/// Messages from a worker to the supervisor.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToSupervisor {
     /// The first message.
@@ -40,19 +40,19 @@
         /// The sender's [`PROTOCOL_VERSION`].
         version: u16,
     },
-    /// The configuration is validated; the worker could serve.
+    /// The configuration is valid, and the worker is able to serve.
     Ready,
-    /// The predecessor's state is loaded, or found unusable; the worker accepts queries.
+    /// The predecessor's state is loaded or was rejected as unusable, and the worker accepts queries.
     StateLoaded,
     /// Sent regularly by a worker on trial.
     Heartbeat,
-    /// None of the worker's own queries is open.
+    /// The worker has no open queries of its own.
     Drained,
-    /// All is transferred.
+    /// The listener and all connections are transferred.
     HandedOver,
 }
 
-/// From the predecessor to the successor.
+/// Messages from the predecessor to the successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToSuccessor {
     /// The first message.
@@ -60,48 +60,48 @@
         /// The sender's [`PROTOCOL_VERSION`].
         version: u16,
     },
-    /// An encoded snapshot; empty where none could be made.
+    /// Encoded snapshot; empty if the encoding failed.
     Snapshot(Vec<u8>),
-    /// A query to answer on the predecessor's behalf.
+    /// Query to be answered for a client of the predecessor.
     Query(RelayedQuery),
-    /// The client of this query has disconnected.
+    /// The client of the query has disconnected.
     CancelQuery {
-        /// The predecessor's ticket.
+        /// Ticket of the query, as in [`RelayedQuery::ticket`].
         ticket: u64,
     },
-    /// What the predecessor still holds, to be counted against the common limits.
+    /// Resources that the predecessor still holds, which count against the limits shared with the successor.
     HeldResources {
-        /// Open connections to replicas.
+        /// Number of open connections to replicas.
         replica_connections: u32,
-        /// Open connections of clients.
+        /// Number of open client connections.
         client_connections: u32,
-        /// Open queries and parts.
+        /// Number of open queries and parts.
         open_queries: u32,
     },
-    /// A client's connection. Carries its descriptor.
+    /// Client connection. Carries the descriptor of its socket.
     ClientConnection {
-        /// Bytes already read from it.
+        /// Bytes already read from the socket.
         buffered: Vec<u8>,
-        /// Time left for the request that these bytes begin.
+        /// Time left for the client to complete the request whose start is buffered.
         request_timeout: Option<TimeSpan>,
     },
-    /// The predecessor's last message.
+    /// Last message of the predecessor.
     Finished {
-        /// How many of the delegated retries it has used.
+        /// Number of delegated retries that the predecessor has used.
         delegated_retries_used: u32,
-        /// Its counters.
+        /// Counters of the predecessor.
         counters: Vec<CounterValue>,
     },
-    /// A query with an idempotency key. The last variant, so that the older ones keep their form.
+    /// Like `Query`, with an idempotency key. New variants come last, so that older ones keep their encoding.
     QueryWithKey {
         /// The query.
         query: RelayedQuery,
-        /// Its idempotency key.
+        /// Idempotency key of the query.
         idempotency_key: String,
     },
 }
 
-/// From the successor to the predecessor.
+/// Messages from the successor to the predecessor.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToPredecessor {
     /// The first message.
@@ -109,40 +109,40 @@
         /// The sender's [`PROTOCOL_VERSION`].
         version: u16,
     },
-    /// The final answer to a relayed query.
+    /// Final response to a relayed query.
     Response {
-        /// The predecessor's ticket.
+        /// Ticket of the query, as in [`RelayedQuery::ticket`].
         ticket: u64,
-        /// The answer.
+        /// The response.
         response: RelayedResponse,
     },
 }
 
-/// A counter as `/counters` shows it.
+/// Value of a counter in `/counters`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterValue {
-    /// What is counted.
+    /// Group of the counter.
     pub group: String,
-    /// Which of the group.
+    /// Name of the counter within its group.
     pub name: String,
-    /// The count.
+    /// Value of the counter.
     pub value: u64,
 }
 
 /// A query whose client is connected to the predecessor while the successor answers it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RelayedQuery {
-    /// The predecessor's number of it.
+    /// Number that the predecessor has assigned to the query.
     pub ticket: u64,
-    /// The client's id of it.
+    /// Id that the client has assigned to the query.
     pub id: String,
-    /// Index of its request class.
+    /// Index of the query's request class.
     pub class: u16,
-    /// Time left until its deadline.
+    /// Time left until the query's deadline.
     pub time_left: TimeSpan,
-    /// Its parts, one for each shard.
+    /// Parts of the query, one for each shard.
     pub parts: Vec<RelayedPart>,
-    /// The query's text.
+    /// Text of the query.
     pub text: String,
 }
 
@@ -151,38 +151,38 @@
 pub struct RelayedPart {
     /// Index of the shard.
     pub shard: u32,
-    /// The part's share of the answer.
+    /// Weight of the part in the answer.
     pub weight: f64,
-    /// The work that the client expects, if stated.
+    /// Expected work of the part, if the client states it.
     pub work: Option<f64>,
 }
 
-/// The final answer to a relayed query.
+/// Final response to a relayed query.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RelayedResponse {
-    /// Answered.
+    /// The query was answered in full or in part.
     Answered {
-        /// Whether all parts are answered.
+        /// Whether all parts were answered.
         complete: bool,
-        /// The answered parts.
+        /// Answers of the shards.
         hits: Vec<RelayedHit>,
     },
-    /// Rejected before any work was done.
+    /// The query was rejected before any work was done.
     Rejected {
-        /// When the client may try again.
+        /// Time after which the client may retry.
         retry_after: TimeSpan,
     },
-    /// Given up after work may have been done.
+    /// The query was aborted, possibly after some work was done.
     Aborted,
-    /// A query with that id is open already.
+    /// Another query with the same id is open.
     DuplicateId,
 }
 
-/// One shard's answer.
+/// Answer of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedHit {
     /// Index of the shard.
     pub shard: u32,
-    /// The replica's answer.
+    /// Answer of the replica.
     pub value: String,
 }
--- a/crates/pipitcrank-handover/src/resource_split/tests.rs
+++ b/crates/pipitcrank-handover/src/resource_split/tests.rs
@@ -27,7 +27,7 @@
     RetryBudgetConfig { fraction, free, window }
 }
 
-/// The retry budget's definition for one coordinator: all queries and all retries of either process.
+/// Checks the retry budget of a single coordinator against the queries and retries of both processes.
 fn within_budget(
     free: f64,
     fraction: f64,
@@ -44,8 +44,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 600, ..ProptestConfig::default() })]
 
-    /// Before the split one process retries as its budget allows; then two do, each by its own budget alone. At each
-    /// retry of either the budget holds for both together.
+    /// One process retries within its budget, then two processes after a split, each within its own budget. The budget
+    /// must hold for both processes together at each retry.
     #[test]
     fn two_processes_never_retry_more_than_one_could(
         before in proptest::collection::vec(step(), 0..120),
@@ -70,7 +70,7 @@
         learned.retries = retries.iter().map(|&t| now - t).filter(|&s| s <= window).collect();
         let delegated = split_retry_budget(budget(free, fraction, window), TimeSpan::from_millis(drain_ms), &mut learned);
         let (mut retries_left, until) = (delegated.count, now + delegated.valid_for);
-        // The successor's clock differs a little.
+        // The clocks of the two processes differ by up to 5 ms.
         let skew = TimeSpan::from_secs_f64(skew_us as f64 / 1e6);
         let mut successor = RetryBudget::new(fraction, free, Some(window));
         for (&age, is_retry) in learned.admitted.iter().map(|a| (a, false)).chain(learned.retries.iter().map(|a| (a, true))) {
@@ -90,12 +90,12 @@
                 Step::PredecessorRetries if !settled && retries_left > 0 && now < until => {
                     retries_left -= 1;
                     retries.push(now);
-                    prop_assert!(within_budget(free, fraction, window, now, &queries, &retries), "the predecessor's retry");
+                    prop_assert!(within_budget(free, fraction, window, now, &queries, &retries), "a retry of the predecessor exceeds the budget");
                 }
                 Step::SuccessorRetries if successor.remaining(now + skew) >= 1.0 => {
                     successor.spend(now + skew);
                     retries.push(now);
-                    prop_assert!(within_budget(free, fraction, window, now, &queries, &retries), "the successor's retry");
+                    prop_assert!(within_budget(free, fraction, window, now, &queries, &retries), "a retry of the successor exceeds the budget");
                 }
                 _ => {}
             }
@@ -127,7 +127,7 @@
         )
         .count,
         0,
-        "all is delegated already"
+        "all retries are delegated already, but some were delegated again"
     );
     learned.delegated_retries.clear();
     learned.retries = vec![TimeSpan::ZERO; 3];
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! Learned state as it passes from one process to another, or to disk: a header with version, length and checksum, and a
-//! body in postcard's form. It is used whole or not at all.
+//! Snapshot of the learned state, for a successor process or for storage on disk. A snapshot consists of a header with
+//! version, length and checksum, and of a body in postcard encoding. It is used as a whole or not at all.
 
 use std::net::SocketAddr;
 
@@ -11,85 +11,85 @@
 use crate::resource_split::DelegatedRetries;
 
 const MAGIC: [u8; 4] = *b"pckn";
-/// Version of the body's form, raised with each change of it.
+/// Version of the body's format, incremented with each change.
 pub const FORMAT_VERSION: u16 = 2;
-/// Longest body, in bytes: some twenty thousand replicas.
+/// Longest body, in bytes: about 20,000 replicas.
 pub const MAX_BODY_LENGTH: usize = 4 << 20;
 const VERSION_OFFSET: usize = 4;
 const LENGTH_OFFSET: usize = 6;
 const CHECKSUM_OFFSET: usize = 10;
 const HEADER_LENGTH: usize = 14;
-/// Most entries of each list: far above what any configured limit allows.
+/// Maximum number of entries of each list; all limits in the configuration are far lower.
 const MAX_ENTRIES: usize = 1 << 18;
 
-/// What a process has learned. Points in time are stored as ages at `taken_us`.
+/// Learned state of a process. Points in time are stored as ages at `taken_us`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// When it was taken, in microseconds of the machine's monotonic clock.
+    /// Time of the snapshot, in microseconds of the machine's monotonic clock.
     pub taken_us: i64,
-    /// Revision of discovery's endpoint list, where one is held.
+    /// Revision of the endpoint list from discovery, if there is one.
     pub revision: Option<u64>,
-    /// The replicas listed.
+    /// Replicas of the endpoint list.
     pub replicas: Vec<ReplicaRecord>,
-    /// What the coordinator has learned; it names replicas by [`ReplicaRecord::index`].
+    /// Learned state of the coordinator. It refers to replicas by [`ReplicaRecord::index`].
     pub learned: LearnedState,
-    /// Retries that stay with the process that took the snapshot.
+    /// Retries that are reserved for the process that took the snapshot.
     pub delegated_retries: DelegatedRetries,
 }
 
-/// A snapshot, and how long ago it was taken.
+/// A snapshot and its age.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgedSnapshot {
-    /// Time since it was taken.
+    /// Time since the snapshot was taken.
     pub age: TimeSpan,
     /// The snapshot.
     pub snapshot: Snapshot,
 }
 
-/// One replica of the endpoint list.
+/// A replica of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaRecord {
-    /// Index by which [`Snapshot::learned`] names it.
+    /// Index of the replica in [`Snapshot::learned`].
     pub index: u32,
-    /// Discovery's unique id of it.
+    /// Unique id of the replica in discovery.
     pub uid: String,
-    /// Where it listens, if known.
+    /// Address at which the replica listens, if known.
     pub address: Option<SocketAddr>,
-    /// Its cell of the ring.
+    /// Cell of the replica in the ring.
     pub cell: u32,
-    /// Name of its zone, where discovery states one.
+    /// Name of the replica's zone, if discovery provides one.
     pub zone: Option<String>,
-    /// How long ago it started.
+    /// Time since the start of the replica, if known.
     pub uptime: Option<TimeSpan>,
-    /// How long ago it was removed from the list, or began to drain.
+    /// Time since the replica was removed from the list or began to drain.
     pub draining_for: Option<TimeSpan>,
 }
 
-/// Why bytes are not used as a snapshot, or a snapshot can't be encoded.
+/// Error of encoding or decoding a snapshot.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum SnapshotError {
-    /// The magic number differs.
-    #[error("it is no snapshot")]
+    /// The header does not start with the magic bytes.
+    #[error("the snapshot header does not start with the magic bytes")]
     BadMagic,
-    /// It is of another version.
-    #[error("its version is {0}, not {FORMAT_VERSION}")]
+    /// The snapshot has the given format version, which is not supported.
+    #[error("the snapshot has format version {0}, expected {FORMAT_VERSION}")]
     UnsupportedVersion(u16),
-    /// The length differs from the header's, or is over [`MAX_BODY_LENGTH`].
-    #[error("its length is not the stated one, or too large")]
+    /// The header is truncated, or the body differs from the stated length or exceeds [`MAX_BODY_LENGTH`].
+    #[error("the snapshot is truncated, differs from its stated length, or exceeds {MAX_BODY_LENGTH} bytes")]
     BadLength,
-    /// The checksum differs from the header's.
-    #[error("its checksum does not match")]
+    /// The body does not match the checksum in the header.
+    #[error("the snapshot body does not match the checksum in its header")]
     BadChecksum,
-    /// The body can't be decoded or encoded.
-    #[error("its body is malformed")]
+    /// The body can't be encoded or decoded.
+    #[error("the snapshot body can't be encoded or decoded")]
     Malformed,
-    /// The body holds values that can't be.
-    #[error("it holds invalid values")]
+    /// The body holds values out of range, or further bytes after the snapshot.
+    #[error("the snapshot body holds values out of range or trailing bytes")]
     Invalid,
 }
 
 impl Snapshot {
-    /// The snapshot with its header.
+    /// Encodes the snapshot with its header.
     pub fn encode(&self) -> Result<Vec<u8>, SnapshotError> {
         let body = postcard::to_allocvec(self).map_err(|_| SnapshotError::Malformed)?;
         if body.len() > MAX_BODY_LENGTH {
@@ -104,7 +104,7 @@
         Ok(out)
     }
 
-    /// Reads a snapshot, which has to be whole and valid.
+    /// Decodes a snapshot. Fails unless the snapshot is complete and valid.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
         let snapshot: Snapshot = decode_exact(checked_body(bytes)?).map_err(|error| match error {
             DecodeError::Malformed => SnapshotError::Malformed,
@@ -123,7 +123,7 @@
     }
 }
 
-/// The body behind a header that fits it.
+/// Returns the body, if it matches the header.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let (header, body) = bytes.split_first_chunk::<HEADER_LENGTH>().ok_or(SnapshotError::BadLength)?;
     if header[..VERSION_OFFSET] != MAGIC {
@@ -133,16 +133,16 @@
     if version != FORMAT_VERSION {
         return Err(SnapshotError::UnsupportedVersion(version));
     }
-    if body.len() != word_at(header, LENGTH_OFFSET) as usize || body.len() > MAX_BODY_LENGTH {
+    if body.len() != u32_at(header, LENGTH_OFFSET) as usize || body.len() > MAX_BODY_LENGTH {
         return Err(SnapshotError::BadLength);
     }
-    if crc32fast::hash(body) != word_at(header, CHECKSUM_OFFSET) {
+    if crc32fast::hash(body) != u32_at(header, CHECKSUM_OFFSET) {
         return Err(SnapshotError::BadChecksum);
     }
     Ok(body)
 }
 
-fn word_at(header: &[u8; HEADER_LENGTH], offset: usize) -> u32 {
+fn u32_at(header: &[u8; HEADER_LENGTH], offset: usize) -> u32 {
     u32::from_be_bytes([header[offset], header[offset + 1], header[offset + 2], header[offset + 3]])
 }
 
--- a/crates/pipitcrank-handover/src/snapshot/tests.rs
+++ b/crates/pipitcrank-handover/src/snapshot/tests.rs
@@ -12,7 +12,7 @@
         uptime: (n > 1).then(|| TimeSpan::from_millis(70)),
         draining_for: (n == 3).then(|| TimeSpan::from_millis(5)),
     };
-    // A default state is not valid: the fill target starts between its bounds.
+    // `LearnedState::default()` is not valid, since its target utilization is out of bounds.
     let mut coordinator =
         pipitcrank_core::coordinator::Coordinator::new(pipitcrank_core::coordinator::CoordinatorConfig {
             rng: pipitcrank_core::rng::Rng::new(1),
@@ -48,16 +48,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Truncated at any byte, longer by a few, or with any bit flipped.
+    /// Snapshots that are truncated at any byte, extended by a few bytes, or have one bit flipped are rejected.
     #[test]
-    fn truncated_and_corrupted_snapshots_are_rejected(cut in 0usize..10_000, at in 0usize..10_000, bit in 0u8..8, more in 1usize..9) {
+    fn truncated_and_corrupted_snapshots_are_rejected(cut in 0usize..10_000, at in 0usize..10_000, bit in 0u8..8, extra_bytes in 1usize..9) {
         let bytes = sample().encode().unwrap();
         prop_assert!(Snapshot::decode(&bytes[..cut % bytes.len()]).is_err());
         let mut corrupted = bytes.clone();
         let at = at % bytes.len();
         corrupted[at] ^= 1 << bit;
         prop_assert!(Snapshot::decode(&corrupted).is_err());
-        prop_assert!(Snapshot::decode(&[&bytes[..], &vec![0; more][..]].concat()).is_err());
+        prop_assert!(Snapshot::decode(&[&bytes[..], &vec![0; extra_bytes][..]].concat()).is_err());
     }
 
     #[test]
--- a/crates/pipitcrank-handover/src/upgrade_event.rs
+++ b/crates/pipitcrank-handover/src/upgrade_event.rs
@@ -7,39 +7,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
 
-/// What happened to the supervisor or to one of its workers.
+/// Event for the state machine, from the operators or from a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpgradeEvent {
-    /// The operators request an upgrade.
+    /// The operators requested an upgrade.
     UpgradeRequested,
-    /// The operators request a graceful shutdown.
+    /// The operators requested a graceful shutdown.
     ShutdownRequested,
     /// The worker's process could not be created.
     StartFailed(WorkerId),
-    /// The worker has validated its configuration and could serve.
+    /// The worker has validated its configuration and is able to serve.
     Ready(WorkerId),
     /// The worker has loaded its predecessor's state and accepts queries.
     StateLoaded(WorkerId),
     /// The worker sent a heartbeat.
     Heartbeat(WorkerId),
-    /// The worker has none of its own queries open.
+    /// The worker has no open queries of its own.
     Drained(WorkerId),
-    /// The worker has transferred all it held.
+    /// The worker has transferred the listener and all connections.
     HandedOver(WorkerId),
-    /// The worker sent an unreadable message, or speaks another protocol version.
+    /// The worker sent an unreadable message, or uses another protocol version.
     ProtocolError(WorkerId),
-    /// The worker's process has ended, with its exit code unless a signal ended it.
+    /// The worker's process has ended; the exit code is `None` if a signal ended it.
     Exited(WorkerId, Option<i32>),
-    /// Time has passed.
+    /// The time of the next tick has come.
     Tick,
 }
 
-/// What the supervisor is to do, in the order given.
+/// Action of the supervisor. Actions are executed in the order in which they are returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpgradeAction {
     /// Start the worker's process.
     Start(WorkerId),
-    /// Give the worker the listener, with the request to serve.
+    /// Send the listener to the worker, with the request to serve.
     Serve(WorkerId),
     /// Create a link over which the predecessor hands over to the successor.
     Connect {
@@ -48,21 +48,21 @@
         /// The worker that takes over.
         successor: WorkerId,
     },
-    /// Notify the worker that the other one is out of the upgrade: it continues alone.
+    /// Notify the worker that the other worker takes no further part in the upgrade.
     ContinueAlone(WorkerId),
-    /// Have the worker transfer its listener and its clients' connections to its successor.
+    /// Request the worker to transfer its listener and its client connections to its successor.
     TransferConnections(WorkerId),
     /// Kill the worker's process.
     Kill(WorkerId),
-    /// Request the worker's graceful shutdown.
+    /// Request a graceful shutdown of the worker.
     Terminate(WorkerId),
-    /// Send the counts of upgrades to the worker.
+    /// Send the upgrade counts to the worker.
     ReportCounts(WorkerId),
-    /// End the supervisor with this exit code.
+    /// Exit the supervisor with the given exit code.
     Exit(i32),
 }
 
-/// Why an upgrade was rolled back.
+/// Reason why an upgrade was rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RollbackReason {
     /// The successor's process could not be created.
@@ -73,32 +73,32 @@
     Crashed,
     /// The successor sent no heartbeat within [`UpgradeTimeouts::heartbeat`].
     HeartbeatLost,
-    /// The successor sent what can't be read.
+    /// The successor sent an unreadable message, or uses another protocol version.
     ProtocolError,
-    /// The operators requested a shutdown meanwhile.
+    /// The operators requested a shutdown during the upgrade.
     ShutdownRequested,
 }
 
-/// Limits of an upgrade's steps, as the operators set them.
+/// Configured time limits of the steps of an upgrade.
 #[derive(Clone, Copy, Debug)]
 pub struct UpgradeTimeouts {
-    /// For a new worker to get ready, and again to load its predecessor's state.
+    /// Time limit for a new worker to get ready, and the same limit again to load its predecessor's state.
     pub start: TimeSpan,
     /// Minimum length of a trial.
     pub trial: TimeSpan,
-    /// Longest time between two heartbeats in a trial.
+    /// Maximum time between two heartbeats in a trial.
     pub heartbeat: TimeSpan,
-    /// For the predecessor's own queries in a trial, and again for its last answers during the transfer.
+    /// Time limit for the predecessor's own queries in a trial, and the same limit again for the transfer.
     pub drain: TimeSpan,
 }
 
-/// How many upgrades were requested, and what became of them.
+/// Numbers of requested, completed and rolled back upgrades.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpgradeCounts {
-    /// Requested by the operators.
+    /// Number of upgrades requested by the operators.
     pub requested: u64,
-    /// Completed: the successor serves.
+    /// Number of completed upgrades, after which the successor serves.
     pub completed: u64,
-    /// Rolled back or refused.
+    /// Number of upgrades that were rolled back or rejected.
     pub rolled_back: u64,
 }
--- a/crates/pipitcrank-handover/src/upgrade_state.rs
+++ b/crates/pipitcrank-handover/src/upgrade_state.rs
@@ -1,5 +1,5 @@
-//! Which worker serves, and when that changes: the upgrade supervisor's state machine. Events and times come in,
-//! actions go out; no I/O.
+//! State machine of the upgrade supervisor, which decides which worker serves. Its inputs are events with their times,
+//! its outputs are actions; it does no I/O.
 //!
 //! ```text
 //!  Idle --requested--> Starting --ready--> Loading --loaded--> Trial --drained, trial over--> Transferring
@@ -9,16 +9,16 @@
 //!   +--- completed ------------------------------------------------ predecessor's exit --------+
 //! ```
 //!
-//! | state | listener, clients' connections | new queries handled by | open queries | way back |
+//! | state | listener and client connections | new queries | open queries | rollback |
 //! | --- | --- | --- | --- | --- |
 //! | `Starting` | predecessor | predecessor | predecessor | kill the successor |
-//! | `Loading` | predecessor | predecessor; successor once it has the snapshot | predecessor | kill the successor; the predecessor answers what it had forwarded |
-//! | `Trial` | predecessor | successor, forwarded by the predecessor | predecessor | the same |
-//! | `Transferring` | move one by one | successor | predecessor | none for what was transferred; the predecessor continues with the rest |
-//! | `Idle` | the worker that serves | the same | the same | - |
+//! | `Loading` | predecessor | predecessor; successor once it has the snapshot | predecessor | kill the successor; the predecessor answers the queries it had forwarded |
+//! | `Trial` | predecessor | successor, forwarded by the predecessor | predecessor | as in `Loading` |
+//! | `Transferring` | transferred one by one | successor | predecessor | not for transferred connections; the predecessor continues with the others |
+//! | `Idle` | serving worker | serving worker | serving worker | - |
 //!
-//! The supervisor holds a duplicate of the listener throughout, so that a client always finds a listening socket while
-//! any process lives.
+//! The supervisor holds a duplicate of the listener in all states. The socket therefore keeps listening as long as any
+//! process runs.
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
@@ -27,19 +27,19 @@
     RollbackReason, UpgradeAction, UpgradeCounts, UpgradeEvent, UpgradeTimeouts, WorkerId,
 };
 
-/// Exit code of the supervisor where a worker's process could not be created.
+/// Exit code of the supervisor after a worker's process could not be created.
 const START_FAILED_EXIT_CODE: i32 = 2;
-/// Exit code of the supervisor where a signal ended the worker.
+/// Exit code of the supervisor after a signal ended the worker.
 const KILLED_EXIT_CODE: i32 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// No upgrade. Where no worker serves, one is started at `restart_at`.
+    /// No upgrade is in progress. Without a serving worker, one is started at `restart_at`.
     Idle {
         serving: Option<WorkerId>,
         restart_at: Option<Timestamp>,
     },
-    /// Without a predecessor this is the first start, or a restart after a crash.
+    /// A worker is being started. Without a predecessor, this is the first start or a restart after a crash.
     Starting {
         predecessor: Option<WorkerId>,
         successor: WorkerId,
@@ -70,12 +70,12 @@
 
 /// The two workers of an upgrade.
 #[derive(Clone, Copy)]
-struct Pair {
+struct WorkerPair {
     predecessor: WorkerId,
     successor: WorkerId,
 }
 
-/// How a worker's process ended, or that it never began.
+/// End of a worker's process, or the failure to create it.
 #[derive(Clone, Copy)]
 struct WorkerExit {
     worker: WorkerId,
@@ -83,11 +83,11 @@
     reason: RollbackReason,
 }
 
-/// Decides which worker serves; see the module's description.
+/// State machine that decides which worker serves; see the module documentation.
 pub struct UpgradeStateMachine {
     timeouts: UpgradeTimeouts,
     state: State,
-    /// Workers that were started and have not exited; two at most.
+    /// Workers that were started and have not exited; at most two.
     running: Vec<WorkerId>,
     next_worker: u32,
     crashes: CrashHistory,
@@ -96,7 +96,7 @@
 }
 
 impl UpgradeStateMachine {
-    /// A state machine that starts its first worker by the actions returned.
+    /// Creates a state machine. The returned actions start the first worker.
     pub fn start(now: Timestamp, timeouts: UpgradeTimeouts) -> (UpgradeStateMachine, Vec<UpgradeAction>) {
         let mut machine = UpgradeStateMachine {
             timeouts,
@@ -117,15 +117,15 @@
         self.timeouts = timeouts;
     }
 
-    /// When [`UpgradeEvent::Tick`] is due unless another event changes that.
+    /// Time at which the next [`UpgradeEvent::Tick`] is due. Any other event may change it.
     pub fn next_tick(&self) -> Option<Timestamp> {
         match self.state {
             State::Idle { restart_at, .. } => restart_at,
             State::Starting { since, .. } | State::Loading { since, .. } => Some(since + self.timeouts.start),
             State::Trial { since, last_heartbeat, drained, .. } => {
                 let trial_over = since + self.trial_length(drained);
-                // A process that hangs must not pass the trial before its silence is noticed: a heartbeat has to follow
-                // the trial's end.
+                // A heartbeat after the trial's end confirms that the successor runs. Otherwise a hung successor could
+                // pass the trial before its missing heartbeats are detected.
                 let confirmed = last_heartbeat >= trial_over;
                 Some(if confirmed { trial_over } else { last_heartbeat + self.timeouts.heartbeat })
             }
@@ -140,17 +140,17 @@
         if drained { self.timeouts.trial } else { self.timeouts.trial.max(self.timeouts.drain) }
     }
 
-    /// Why the last upgrade that did not complete was rolled back.
+    /// Reason of the last rollback.
     pub fn last_rollback(&self) -> Option<RollbackReason> {
         self.last_rollback
     }
 
-    /// How many upgrades were requested, and what became of them.
+    /// Numbers of requested, completed and rolled back upgrades.
     pub fn counts(&self) -> UpgradeCounts {
         self.counts
     }
 
-    /// The worker that was last asked to serve, or holds the listener for the one on trial.
+    /// Worker that was last requested to serve. Up to the end of a trial this is the predecessor.
     pub fn serving(&self) -> Option<WorkerId> {
         match self.state {
             State::Idle { serving, .. } => serving,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Whether an upgrade is under way.
+    /// Whether an upgrade is in progress.
     pub fn is_upgrading(&self) -> bool {
         !matches!(
             self.state,
@@ -174,7 +174,7 @@
         &self.running
     }
 
-    /// Takes an event at `now`, and returns what the supervisor is to do about it.
+    /// Handles an event at `now`, and returns the resulting actions.
     pub fn handle(&mut self, now: Timestamp, event: UpgradeEvent) -> Vec<UpgradeAction> {
         let mut actions = Vec::new();
         match event {
@@ -194,7 +194,7 @@
             UpgradeEvent::StateLoaded(worker) => self.on_state_loaded(now, worker),
             UpgradeEvent::Heartbeat(worker) => self.on_heartbeat(now, worker, &mut actions),
             UpgradeEvent::Drained(worker) => self.on_drained(now, worker, &mut actions),
-            // It exits by itself; otherwise it is terminated once the transfer takes too long.
+            // The predecessor now exits by itself, or is terminated when the time limit of the transfer expires.
             UpgradeEvent::HandedOver(_) => {}
         }
         actions
@@ -213,12 +213,12 @@
         actions.push(UpgradeAction::Start(successor));
     }
 
-    /// The workers of an upgrade that can still be rolled back as if it had never begun.
-    fn reversible_upgrade(&self) -> Option<Pair> {
+    /// Workers of an upgrade that can still be rolled back without losing a connection.
+    fn reversible_upgrade(&self) -> Option<WorkerPair> {
         match self.state {
             State::Starting { predecessor: Some(predecessor), successor, .. }
             | State::Loading { predecessor, successor, .. }
-            | State::Trial { predecessor, successor, .. } => Some(Pair { predecessor, successor }),
+            | State::Trial { predecessor, successor, .. } => Some(WorkerPair { predecessor, successor }),
             _ => None,
         }
     }
@@ -229,8 +229,8 @@
             State::Idle { serving: Some(serving), .. } if self.running == [serving] => {
                 self.start_worker(now, Some(serving), actions);
             }
-            // One upgrade at a time. A request during another one is refused rather than queued: run later, it would
-            // start a program after its operators have stopped watching it.
+            // Only one upgrade runs at a time. A request during an upgrade is rejected rather than queued: a queued one
+            // would start a program after its operators have stopped watching it.
             _ => self.counts.rolled_back += 1,
         }
         actions.extend(self.serving().map(UpgradeAction::ReportCounts));
@@ -283,18 +283,18 @@
         }
         match self.state {
             State::Idle { serving: None, .. } => self.start_worker(now, None, actions),
-            // There is no predecessor to roll back to; the exit that follows decides on a restart.
+            // A rollback needs a predecessor. Without one, the worker is killed; its exit leads to a restart or shutdown.
             State::Starting { predecessor: None, successor, .. } => {
                 actions.push(UpgradeAction::Kill(successor));
             }
             State::Starting { predecessor: Some(predecessor), successor, .. }
             | State::Loading { predecessor, successor, .. } => {
-                self.roll_back(Pair { predecessor, successor }, RollbackReason::TimedOut, actions);
+                self.roll_back(WorkerPair { predecessor, successor }, RollbackReason::TimedOut, actions);
             }
             State::Trial { predecessor, successor, last_heartbeat, .. }
                 if now >= last_heartbeat + self.timeouts.heartbeat =>
             {
-                self.roll_back(Pair { predecessor, successor }, RollbackReason::HeartbeatLost, actions);
+                self.roll_back(WorkerPair { predecessor, successor }, RollbackReason::HeartbeatLost, actions);
             }
             State::Trial { predecessor, successor, .. } => {
                 self.state =
@@ -312,9 +312,9 @@
         }
     }
 
-    /// Back to the predecessor, which still has the listener and all clients.
-    fn roll_back(&mut self, upgrade: Pair, reason: RollbackReason, actions: &mut Vec<UpgradeAction>) {
-        let Pair { predecessor, successor } = upgrade;
+    /// Ends the upgrade. The predecessor continues to serve, as it still has the listener and all client connections.
+    fn roll_back(&mut self, upgrade: WorkerPair, reason: RollbackReason, actions: &mut Vec<UpgradeAction>) {
+        let WorkerPair { predecessor, successor } = upgrade;
         self.counts.rolled_back += 1;
         self.last_rollback = Some(reason);
         self.state = State::Idle { serving: Some(predecessor), restart_at: None };
@@ -329,14 +329,14 @@
             Some(upgrade) if worker == upgrade.successor => {
                 self.roll_back(upgrade, RollbackReason::ProtocolError, actions);
             }
-            // Any other worker that can't be understood can't be controlled either; its exit is handled as it comes.
+            // A worker with unreadable messages can't be controlled. It is killed, and its exit is handled as usual.
             _ if self.running.contains(&worker) => actions.push(UpgradeAction::Kill(worker)),
             _ => {}
         }
     }
 
     fn on_exit(&mut self, now: Timestamp, exit: WorkerExit, actions: &mut Vec<UpgradeAction>) {
-        // An exit may be reported twice; only the first report counts.
+        // An exit may be reported twice; the second report is ignored.
         if !self.running.contains(&exit.worker) {
             return;
         }
@@ -350,7 +350,7 @@
             State::Starting { predecessor: Some(predecessor), successor, since }
                 if exit.worker == predecessor =>
             {
-                // The successor knows nothing yet: what remains is a plain start, under way already.
+                // The successor has no state of the predecessor yet: it continues as a start without a predecessor.
                 self.crashes.record(now);
                 self.counts.completed += 1;
                 self.state = State::Starting { predecessor: None, successor, since };
@@ -381,14 +381,15 @@
         }
     }
 
-    /// The predecessor has exited; the successor continues with what it has.
+    /// Completes the upgrade after the predecessor's exit. The successor continues alone.
     fn complete(&mut self, successor: WorkerId, actions: &mut Vec<UpgradeAction>) {
         self.counts.completed += 1;
         self.state = State::Idle { serving: Some(successor), restart_at: None };
         actions.extend([UpgradeAction::ContinueAlone(successor), UpgradeAction::ReportCounts(successor)]);
     }
 
-    /// What was transferred is lost; the predecessor takes the listener again, with all it still holds.
+    /// Rolls back after the successor's exit during the transfer. The connections already transferred are lost; the
+    /// predecessor gets the listener again and keeps the other connections.
     fn on_successor_lost_in_transfer(
         &mut self,
         predecessor: WorkerId,
@@ -405,7 +406,8 @@
         ]);
     }
 
-    /// No worker serves any more: restarts one, or shuts down. `during_start`: it had not begun to serve.
+    /// Starts a new worker or shuts down after the exit of the only worker. `during_start` states that the worker had
+    /// not begun to serve.
     fn on_last_worker_lost(
         &mut self,
         now: Timestamp,
@@ -414,9 +416,10 @@
         actions: &mut Vec<UpgradeAction>,
     ) {
         self.crashes.expire(now);
-        // The exit code of the very first start says what is wrong, and a worker that exits with 0 was asked to.
-        let deliberate = during_start && self.crashes.is_empty() || code == Some(0);
-        if deliberate || self.crashes.limit_reached() {
+        // A failed first start is not restarted, as its exit code gives the cause. Neither is a worker that exits with
+        // code 0, which it only does on request.
+        let no_restart = during_start && self.crashes.is_empty() || code == Some(0);
+        if no_restart || self.crashes.limit_reached() {
             return self.shut_down(code.unwrap_or(KILLED_EXIT_CODE), actions);
         }
         let delay = self.crashes.next_restart_delay();
@@ -437,13 +440,14 @@
     }
 
     fn on_shutdown_requested(&mut self, actions: &mut Vec<UpgradeAction>) {
-        // Before the transfer the predecessor has everything: it shuts down as if there had been no upgrade.
+        // Before the transfer the predecessor has all connections: the upgrade is rolled back before the shutdown.
         if let Some(upgrade) = self.reversible_upgrade() {
             self.roll_back(upgrade, RollbackReason::ShutdownRequested, actions);
         }
-        // During the transfer both shut down gracefully: each answers what it holds.
-        let killed = actions.clone();
-        let others = self.running.iter().filter(|&&worker| !killed.contains(&UpgradeAction::Kill(worker)));
+        // During the transfer both workers shut down gracefully, and each answers its open queries.
+        let earlier_actions = actions.clone();
+        let others =
+            self.running.iter().filter(|&&worker| !earlier_actions.contains(&UpgradeAction::Kill(worker)));
         actions.extend(others.map(|&worker| UpgradeAction::Terminate(worker)));
         self.state = State::ShuttingDown { exit_code: 0 };
         if self.running.is_empty() {
--- a/crates/pipitcrank-handover/tests/descriptor_passing.rs
+++ b/crates/pipitcrank-handover/tests/descriptor_passing.rs
@@ -1,4 +1,5 @@
-//! The link between processes: whole messages with their descriptors; any bad input ends it with a typed error.
+//! Tests of links between processes: messages arrive complete with their descriptors, and invalid input ends a link with
+//! a typed error.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -21,15 +22,15 @@
     (open_link(a).unwrap(), open_link(b).unwrap())
 }
 
-/// The error with which the receiver ends after these bytes and the end of the stream.
+/// Returns the receiver's error after it has read `bytes` and the end of the stream.
 fn error_after(bytes: &[u8]) -> LinkError {
     run_local(async || {
         let (a, mut b) = socket_pair().unwrap();
-        let (_to, mut from) = open_link(a).unwrap();
+        let (_sender, mut receiver) = open_link(a).unwrap();
         b.write_all(bytes).unwrap();
         drop(b);
         loop {
-            match from.receive::<ToSupervisor>().await {
+            match receiver.receive::<ToSupervisor>().await {
                 Ok(_) => {}
                 Err(error) => return error,
             }
@@ -40,17 +41,17 @@
 fn encoded(message: &ToSupervisor) -> Vec<u8> {
     run_local(async || {
         let (a, mut b) = socket_pair().unwrap();
-        let (to, _from) = open_link(a).unwrap();
-        to.send(message, None);
-        drop(to);
+        let (sender, _receiver) = open_link(a).unwrap();
+        sender.send(message, None);
+        drop(sender);
         tokio::task::yield_now().await;
         let mut bytes = Vec::new();
         tokio::task::spawn_blocking(move || {
-            let mut head = [0; 4];
-            b.read_exact(&mut head).unwrap();
-            let mut rest = vec![0; u32::from_be_bytes(head) as usize];
-            b.read_exact(&mut rest).unwrap();
-            [&head[..], &rest].concat()
+            let mut length = [0; 4];
+            b.read_exact(&mut length).unwrap();
+            let mut body = vec![0; u32::from_be_bytes(length) as usize];
+            b.read_exact(&mut body).unwrap();
+            [&length[..], &body].concat()
         })
         .await
         .map(|all| bytes.extend(all))
@@ -62,20 +63,22 @@
 #[test]
 fn descriptors_arrive_with_their_messages_of_any_size() {
     run_local(async || {
-        let ((to, _a), (_b, mut from)) = linked_pair();
+        let ((sender, _a), (_b, mut receiver)) = linked_pair();
         for n in 0..40u32 {
-            let (ours, mut theirs) = UnixStream::pair().unwrap();
-            theirs.write_all(&n.to_be_bytes()).unwrap();
-            let with = n % 3 != 1;
+            let (passed, mut other_end) = UnixStream::pair().unwrap();
+            other_end.write_all(&n.to_be_bytes()).unwrap();
+            let has_descriptor = n % 3 != 1;
             let buffered = vec![n as u8; (n as usize * 7919) % 300_000];
-            to.send(
+            sender.send(
                 &ToSuccessor::ClientConnection { buffered, request_timeout: None },
-                with.then(|| OwnedFd::from(ours)),
+                has_descriptor.then(|| OwnedFd::from(passed)),
             );
         }
         for n in 0..40u32 {
-            let Received { message, descriptor } = from.receive::<ToSuccessor>().await.unwrap();
-            let ToSuccessor::ClientConnection { buffered, .. } = message else { panic!("another message") };
+            let Received { message, descriptor } = receiver.receive::<ToSuccessor>().await.unwrap();
+            let ToSuccessor::ClientConnection { buffered, .. } = message else {
+                panic!("expected a ClientConnection message")
+            };
             assert!(
                 buffered.len() == (n as usize * 7919) % 300_000 && buffered.iter().all(|b| *b == n as u8)
             );
@@ -83,7 +86,11 @@
             if let Some(descriptor) = descriptor {
                 let mut content = [0; 4];
                 File::from(descriptor).read_exact(&mut content).unwrap();
-                assert_eq!(u32::from_be_bytes(content), n, "each message has its own descriptor");
+                assert_eq!(
+                    u32::from_be_bytes(content),
+                    n,
+                    "message {n} arrived with the descriptor of another message"
+                );
             }
         }
     });
@@ -95,22 +102,22 @@
     let hello = encoded(&ToSupervisor::Hello { version: PROTOCOL_VERSION });
     assert!(matches!(error_after(&hello), LinkError::Closed));
     for cut in 1..hello.len() {
-        assert!(matches!(error_after(&hello[..cut]), LinkError::Truncated), "cut at {cut}");
+        assert!(matches!(error_after(&hello[..cut]), LinkError::Truncated), "truncated to {cut} bytes");
     }
 }
 
 #[test]
 fn too_long_malformed_and_descriptorless_messages_end_the_link() {
     assert!(matches!(error_after(&u32::MAX.to_be_bytes()), LinkError::MessageTooLong(_)));
-    let hello = encoded(&ToSupervisor::Ready);
-    let mut with_descriptor = hello.clone();
+    let ready = encoded(&ToSupervisor::Ready);
+    let mut with_descriptor = ready.clone();
     with_descriptor[4] = 1;
     assert!(matches!(error_after(&with_descriptor), LinkError::DescriptorMismatch));
-    let mut longer = hello.clone();
+    let mut longer = ready.clone();
     longer.push(0);
     longer[3] += 1;
     assert!(matches!(error_after(&longer), LinkError::Malformed));
-    let mut unknown = hello;
+    let mut unknown = ready;
     unknown[5] = 99;
     assert!(matches!(error_after(&unknown), LinkError::Malformed));
 }
@@ -118,22 +125,25 @@
 #[test]
 fn unannounced_descriptors_do_not_accumulate() {
     run_local(async || {
-        let ((to, _a), (_b, mut from)) = linked_pair();
+        let ((sender, _a), (_b, mut receiver)) = linked_pair();
         for _ in 0..70 {
-            let (ours, _) = UnixStream::pair().unwrap();
-            // A message that announces no descriptor: this one stays in the receiver's queue.
-            to.send_with_unannounced_descriptor(
+            let (passed, _) = UnixStream::pair().unwrap();
+            // The message announces no descriptor, so that the descriptor stays in the receiver's queue.
+            sender.send_with_unannounced_descriptor(
                 &ToPredecessor::Hello { version: PROTOCOL_VERSION },
-                ours.into(),
+                passed.into(),
             );
         }
         let error = loop {
-            match from.receive::<ToPredecessor>().await {
+            match receiver.receive::<ToPredecessor>().await {
                 Ok(received) => assert!(received.descriptor.is_none()),
                 Err(error) => break error,
             }
         };
-        assert!(matches!(error, LinkError::DescriptorMismatch), "{error}");
+        assert!(
+            matches!(error, LinkError::DescriptorMismatch),
+            "expected a descriptor mismatch, got: {error}"
+        );
     });
 }
 
@@ -142,7 +152,7 @@
 
     #[test]
     fn random_bytes_end_the_link_with_a_typed_error(noise in proptest::collection::vec(any::<u8>(), 1..200)) {
-        // Any input ends the link with one of its own errors, without a panic.
+        // `error_after` returns a `LinkError` for any input; the test fails if it panics.
         let _ = error_after(&noise);
     }
 }
--- a/crates/pipitcrank-handover/tests/stored_forms.rs
+++ b/crates/pipitcrank-handover/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! Snapshots and the messages between the processes of an upgrade, against bytes of an earlier version.
+//! Checks the encoding of snapshots and of upgrade messages against bytes written by an earlier version.
 
 use std::fmt::Debug;
 
--- a/crates/pipitcrank-handover/tests/upgrade_state.rs
+++ b/crates/pipitcrank-handover/tests/upgrade_state.rs
@@ -1,4 +1,4 @@
-//! The upgrade state machine on events of any kind and order, checked against a plain model of the workers.
+//! Tests of the upgrade state machine: random events in any order are checked against a simple model of the workers.
 
 use std::collections::BTreeSet;
 
@@ -16,38 +16,39 @@
     drain: TimeSpan::from_millis(2000),
 };
 
-struct World {
+/// State machine with a model of its workers, which checks every action.
+struct Harness {
     now: Timestamp,
     machine: UpgradeStateMachine,
-    /// Processes that were started and have not exited.
-    alive: BTreeSet<WorkerId>,
-    /// Asked to serve, and not to transfer since.
+    /// Workers that were started and have not exited.
+    running: BTreeSet<WorkerId>,
+    /// Workers that were requested to serve, and not yet to transfer their connections.
     serving: BTreeSet<WorkerId>,
-    /// Terminated or killed: their processes exit sooner or later.
+    /// Workers that were terminated or killed and have not exited.
     terminating: BTreeSet<WorkerId>,
     state_loaded: Option<(WorkerId, Timestamp)>,
     exit: Option<i32>,
     shutdown_requested: bool,
-    performed: Vec<UpgradeAction>,
+    actions_taken: Vec<UpgradeAction>,
 }
 
-impl World {
-    fn new() -> World {
+impl Harness {
+    fn new() -> Harness {
         let now = Timestamp::from_micros(0);
         let (machine, actions) = UpgradeStateMachine::start(now, TIMEOUTS);
-        let mut world = World {
+        let mut harness = Harness {
             now,
             machine,
-            alive: BTreeSet::new(),
+            running: BTreeSet::new(),
             serving: BTreeSet::new(),
             terminating: BTreeSet::new(),
             state_loaded: None,
             exit: None,
             shutdown_requested: false,
-            performed: Vec::new(),
+            actions_taken: Vec::new(),
         };
-        world.perform(actions);
-        world
+        harness.apply(actions);
+        harness
     }
 
     fn counts(&self) -> (u64, u64, u64) {
@@ -55,67 +56,69 @@
         (counts.requested, counts.completed, counts.rolled_back)
     }
 
-    fn on(&mut self, event: UpgradeEvent) {
+    fn handle(&mut self, event: UpgradeEvent) {
         if self.exit.is_some() {
             return;
         }
         match event {
-            UpgradeEvent::Exited(who, _) | UpgradeEvent::StartFailed(who) => {
-                if !self.alive.remove(&who) {
+            UpgradeEvent::Exited(worker, _) | UpgradeEvent::StartFailed(worker) => {
+                if !self.running.remove(&worker) {
                     return;
                 }
-                self.serving.remove(&who);
-                self.terminating.remove(&who);
+                self.serving.remove(&worker);
+                self.terminating.remove(&worker);
             }
-            UpgradeEvent::StateLoaded(who) if self.state_loaded.is_none_or(|(w, _)| w != who) => {
-                self.state_loaded = Some((who, self.now))
+            UpgradeEvent::StateLoaded(worker) if self.state_loaded.is_none_or(|(w, _)| w != worker) => {
+                self.state_loaded = Some((worker, self.now))
             }
             UpgradeEvent::ShutdownRequested => self.shutdown_requested = true,
             _ => {}
         }
         let actions = self.machine.handle(self.now, event);
-        self.perform(actions);
+        self.apply(actions);
         self.check();
     }
 
-    fn perform(&mut self, actions: Vec<UpgradeAction>) {
+    fn apply(&mut self, actions: Vec<UpgradeAction>) {
         for action in actions {
-            self.performed.push(action);
+            self.actions_taken.push(action);
             match action {
-                UpgradeAction::Start(who) => {
-                    assert!(self.alive.len() < 2, "never three at once");
-                    assert!(!self.shutdown_requested, "no start after a shutdown request");
-                    self.alive.insert(who);
+                UpgradeAction::Start(worker) => {
+                    assert!(self.running.len() < 2, "a third worker was started");
+                    assert!(!self.shutdown_requested, "a worker was started after a shutdown request");
+                    self.running.insert(worker);
                 }
-                UpgradeAction::Serve(who) => {
-                    assert!(self.alive.contains(&who));
-                    self.serving.insert(who);
+                UpgradeAction::Serve(worker) => {
+                    assert!(self.running.contains(&worker));
+                    self.serving.insert(worker);
                 }
                 UpgradeAction::Connect { predecessor, successor } => {
                     assert!(
                         predecessor != successor
                             && self.serving.contains(&predecessor)
-                            && self.alive.contains(&successor)
+                            && self.running.contains(&successor)
                     );
                 }
                 UpgradeAction::TransferConnections(predecessor) => {
-                    let (successor, at) = self.state_loaded.expect("a successor has loaded the state");
+                    let (successor, at) = self
+                        .state_loaded
+                        .expect("connections were transferred before a successor had loaded the state");
                     assert!(
-                        successor != predecessor && self.alive.contains(&successor),
-                        "a transfer needs a successor"
+                        successor != predecessor && self.running.contains(&successor),
+                        "connections were transferred without a running successor"
                     );
-                    assert!(self.now - at >= TIMEOUTS.trial, "the trial was not cut short");
+                    assert!(self.now - at >= TIMEOUTS.trial, "the trial was shorter than its minimum length");
                     self.serving.remove(&predecessor);
                 }
-                UpgradeAction::Kill(who) | UpgradeAction::Terminate(who) => {
-                    assert!(self.alive.contains(&who));
-                    self.terminating.insert(who);
+                UpgradeAction::Kill(worker) | UpgradeAction::Terminate(worker) => {
+                    assert!(self.running.contains(&worker));
+                    self.terminating.insert(worker);
                 }
-                UpgradeAction::ContinueAlone(who) | UpgradeAction::ReportCounts(who) => {
-                    assert!(self.alive.contains(&who))
+                UpgradeAction::ContinueAlone(worker) | UpgradeAction::ReportCounts(worker) => {
+                    assert!(self.running.contains(&worker))
                 }
                 UpgradeAction::Exit(code) => {
-                    assert!(self.alive.is_empty(), "no worker is left running");
+                    assert!(self.running.is_empty(), "the supervisor exited while a worker was running");
                     self.exit = Some(code);
                 }
             }
@@ -123,55 +126,58 @@
     }
 
     fn check(&self) {
-        assert_eq!(self.machine.running().iter().copied().collect::<BTreeSet<_>>(), self.alive);
+        assert_eq!(self.machine.running().iter().copied().collect::<BTreeSet<_>>(), self.running);
         if self.exit.is_some() || self.shutdown_requested {
             return;
         }
-        // A worker serves that is not terminating, or a start is under way, or due.
+        // At least one worker serves or completes its shutdown, or a start is in progress or due.
         let serves = self.serving.iter().any(|w| !self.terminating.contains(w));
         let starting = self.machine.serving().is_none()
-            && (!self.alive.is_empty() || self.machine.next_tick().is_some());
+            && (!self.running.is_empty() || self.machine.next_tick().is_some());
         let draining = self.serving.iter().any(|w| self.terminating.contains(w));
-        assert!(serves || starting || draining, "{:?}", self.performed);
+        assert!(serves || starting || draining, "{:?}", self.actions_taken);
         let (requested, completed, rolled_back) = self.counts();
-        let under_way = u64::from(self.machine.is_upgrading());
-        assert!(requested <= completed + rolled_back + under_way, "an upgrade is forgotten");
+        let in_progress = u64::from(self.machine.is_upgrading());
+        assert!(
+            requested <= completed + rolled_back + in_progress,
+            "a requested upgrade is missing from the counts"
+        );
     }
 
-    /// Terminated processes exit and time passes, until nothing more is due.
+    /// Lets terminated workers exit and time pass until no tick is due.
     fn settle(&mut self) {
         for _ in 0..50 {
-            if let Some(&who) = self.terminating.iter().next() {
-                self.on(UpgradeEvent::Exited(who, None));
+            if let Some(&worker) = self.terminating.iter().next() {
+                self.handle(UpgradeEvent::Exited(worker, None));
             } else if let Some(due) = self.machine.next_tick().filter(|_| self.exit.is_none()) {
                 self.now = self.now.max(due);
-                self.on(UpgradeEvent::Tick);
+                self.handle(UpgradeEvent::Tick);
             } else {
                 return;
             }
         }
-        panic!("it does not settle: {:?}", self.performed);
+        panic!("the state machine has not settled after 50 events: {:?}", self.actions_taken);
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Wait(i64),
-    Happens(u8, u32),
+    Event(u8, u32),
 }
 
-fn event(kind: u8, who: WorkerId) -> UpgradeEvent {
+fn event(kind: u8, worker: WorkerId) -> UpgradeEvent {
     match kind {
         0 | 1 => UpgradeEvent::UpgradeRequested,
-        2 | 3 => UpgradeEvent::Ready(who),
-        4 | 5 => UpgradeEvent::StateLoaded(who),
-        6 | 7 => UpgradeEvent::Heartbeat(who),
-        8 | 9 => UpgradeEvent::Drained(who),
-        10 => UpgradeEvent::Exited(who, None),
-        11 => UpgradeEvent::Exited(who, Some(2)),
-        12 => UpgradeEvent::ProtocolError(who),
-        13 => UpgradeEvent::HandedOver(who),
-        14 => UpgradeEvent::StartFailed(who),
+        2 | 3 => UpgradeEvent::Ready(worker),
+        4 | 5 => UpgradeEvent::StateLoaded(worker),
+        6 | 7 => UpgradeEvent::Heartbeat(worker),
+        8 | 9 => UpgradeEvent::Drained(worker),
+        10 => UpgradeEvent::Exited(worker, None),
+        11 => UpgradeEvent::Exited(worker, Some(2)),
+        12 => UpgradeEvent::ProtocolError(worker),
+        13 => UpgradeEvent::HandedOver(worker),
+        14 => UpgradeEvent::StartFailed(worker),
         _ => UpgradeEvent::ShutdownRequested,
     }
 }
@@ -180,161 +186,164 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 3000, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_events_leave_a_serving_worker_and_settle(steps in proptest::collection::vec(
+    fn random_events_keep_a_worker_serving_and_settle(steps in proptest::collection::vec(
         prop_oneof![
             2 => (1i64..900).prop_map(Step::Wait),
-            6 => (0u8..15, 0u32..3).prop_map(|(k, w)| Step::Happens(k, w)),
-            1 => Just(Step::Happens(15, 0)).prop_filter("rarely", |_| true),
+            6 => (0u8..15, 0u32..3).prop_map(|(k, w)| Step::Event(k, w)),
+            1 => Just(Step::Event(15, 0)).prop_filter("accepts every value", |_| true),
         ], 0..60), with_shutdown in any::<bool>())
     {
-        let mut world = World::new();
+        let mut harness = Harness::new();
         for step in steps {
             match step {
                 Step::Wait(ms) => {
-                    world.now = world.now + TimeSpan::from_millis(ms);
-                    world.on(UpgradeEvent::Tick);
+                    harness.now = harness.now + TimeSpan::from_millis(ms);
+                    harness.handle(UpgradeEvent::Tick);
                 }
-                Step::Happens(15, _) if !with_shutdown => {}
-                // Mostly of a running worker, counted back from the newest; sometimes of none.
-                Step::Happens(kind, back) => {
-                    let newest = world.alive.iter().next_back().map_or(0, |w| w.0);
-                    world.on(event(kind, WorkerId(newest.saturating_sub(back))));
+                Step::Event(15, _) if !with_shutdown => {}
+                // The event belongs to the newest worker or an earlier one, which may no longer run.
+                Step::Event(kind, offset) => {
+                    let newest = harness.running.iter().next_back().map_or(0, |w| w.0);
+                    harness.handle(event(kind, WorkerId(newest.saturating_sub(offset))));
                 }
             }
         }
-        world.settle();
-        prop_assert!(world.exit.is_some() || world.shutdown_requested || !world.machine.is_upgrading());
-        prop_assert!(world.exit.is_some() || !world.shutdown_requested, "the supervisor exits after a shutdown request");
+        harness.settle();
+        prop_assert!(harness.exit.is_some() || harness.shutdown_requested || !harness.machine.is_upgrading());
+        prop_assert!(harness.exit.is_some() || !harness.shutdown_requested, "the supervisor has not exited after a shutdown request");
     }
 }
 
-fn served() -> World {
-    let mut world = World::new();
-    world.on(UpgradeEvent::Ready(WorkerId(0)));
+fn serving_first_worker() -> Harness {
+    let mut harness = Harness::new();
+    harness.handle(UpgradeEvent::Ready(WorkerId(0)));
     assert_eq!(
-        world.performed,
+        harness.actions_taken,
         [
             UpgradeAction::Start(WorkerId(0)),
             UpgradeAction::Serve(WorkerId(0)),
             UpgradeAction::ReportCounts(WorkerId(0))
         ]
     );
-    world.performed.clear();
-    world
+    harness.actions_taken.clear();
+    harness
 }
 
-fn wait(world: &mut World, ms: i64) {
-    world.now = world.now + TimeSpan::from_millis(ms);
-    world.on(UpgradeEvent::Tick);
+fn wait(harness: &mut Harness, ms: i64) {
+    harness.now = harness.now + TimeSpan::from_millis(ms);
+    harness.handle(UpgradeEvent::Tick);
 }
 
-fn in_trial() -> World {
-    let mut world = served();
-    world.on(UpgradeEvent::UpgradeRequested);
-    world.on(UpgradeEvent::Ready(WorkerId(1)));
-    world.on(UpgradeEvent::StateLoaded(WorkerId(1)));
-    world.performed.clear();
-    world
+fn in_trial() -> Harness {
+    let mut harness = serving_first_worker();
+    harness.handle(UpgradeEvent::UpgradeRequested);
+    harness.handle(UpgradeEvent::Ready(WorkerId(1)));
+    harness.handle(UpgradeEvent::StateLoaded(WorkerId(1)));
+    harness.actions_taken.clear();
+    harness
 }
 
 #[test]
-fn an_upgrade_step_by_step() {
+fn completed_upgrade_step_by_step() {
     let (predecessor, successor) = (WorkerId(0), WorkerId(1));
-    let mut world = served();
-    world.on(UpgradeEvent::UpgradeRequested);
-    assert_eq!(world.performed, [UpgradeAction::Start(successor), UpgradeAction::ReportCounts(predecessor)]);
-    world.on(UpgradeEvent::Ready(successor));
-    assert_eq!(world.performed[2..], [UpgradeAction::Connect { predecessor, successor }]);
-    world.on(UpgradeEvent::StateLoaded(successor));
-    world.on(UpgradeEvent::Drained(predecessor));
+    let mut harness = serving_first_worker();
+    harness.handle(UpgradeEvent::UpgradeRequested);
+    assert_eq!(
+        harness.actions_taken,
+        [UpgradeAction::Start(successor), UpgradeAction::ReportCounts(predecessor)]
+    );
+    harness.handle(UpgradeEvent::Ready(successor));
+    assert_eq!(harness.actions_taken[2..], [UpgradeAction::Connect { predecessor, successor }]);
+    harness.handle(UpgradeEvent::StateLoaded(successor));
+    harness.handle(UpgradeEvent::Drained(predecessor));
     for _ in 0..4 {
-        wait(&mut world, 120);
-        world.on(UpgradeEvent::Heartbeat(successor));
+        wait(&mut harness, 120);
+        harness.handle(UpgradeEvent::Heartbeat(successor));
     }
-    assert_eq!(world.performed.len(), 3, "still on trial");
-    wait(&mut world, 20);
-    assert_eq!(world.performed.len(), 3, "trial over, but no heartbeat since");
-    world.on(UpgradeEvent::Heartbeat(successor));
+    assert_eq!(harness.actions_taken.len(), 3, "no action is expected during the trial");
+    wait(&mut harness, 20);
+    assert_eq!(harness.actions_taken.len(), 3, "no action is expected without a heartbeat after the trial");
+    harness.handle(UpgradeEvent::Heartbeat(successor));
     assert_eq!(
-        world.performed[3..],
+        harness.actions_taken[3..],
         [UpgradeAction::TransferConnections(predecessor), UpgradeAction::Serve(successor)]
     );
-    world.on(UpgradeEvent::HandedOver(predecessor));
-    world.on(UpgradeEvent::Exited(predecessor, Some(0)));
+    harness.handle(UpgradeEvent::HandedOver(predecessor));
+    harness.handle(UpgradeEvent::Exited(predecessor, Some(0)));
     assert_eq!(
-        world.performed[5..],
+        harness.actions_taken[5..],
         [UpgradeAction::ContinueAlone(successor), UpgradeAction::ReportCounts(successor)]
     );
-    assert_eq!(world.counts(), (1, 1, 0));
-    assert_eq!(world.machine.serving(), Some(successor));
+    assert_eq!(harness.counts(), (1, 1, 0));
+    assert_eq!(harness.machine.serving(), Some(successor));
 }
 
 #[test]
 fn each_fault_before_the_transfer_rolls_back_to_the_predecessor() {
-    type Fault = (fn(&mut World), RollbackReason);
+    type Fault = (fn(&mut Harness), RollbackReason);
     let faults: [Fault; 6] = [
-        (|w| w.on(UpgradeEvent::Exited(WorkerId(1), None)), RollbackReason::Crashed),
-        (|w| w.on(UpgradeEvent::StartFailed(WorkerId(1))), RollbackReason::StartFailed),
-        (|w| w.on(UpgradeEvent::ProtocolError(WorkerId(1))), RollbackReason::ProtocolError),
+        (|w| w.handle(UpgradeEvent::Exited(WorkerId(1), None)), RollbackReason::Crashed),
+        (|w| w.handle(UpgradeEvent::StartFailed(WorkerId(1))), RollbackReason::StartFailed),
+        (|w| w.handle(UpgradeEvent::ProtocolError(WorkerId(1))), RollbackReason::ProtocolError),
         (|w| wait(w, 1000), RollbackReason::TimedOut),
         (
             |w| {
-                w.on(UpgradeEvent::Ready(WorkerId(1)));
+                w.handle(UpgradeEvent::Ready(WorkerId(1)));
                 wait(w, 1000);
             },
             RollbackReason::TimedOut,
         ),
         (
             |w| {
-                w.on(UpgradeEvent::Ready(WorkerId(1)));
-                w.on(UpgradeEvent::StateLoaded(WorkerId(1)));
+                w.handle(UpgradeEvent::Ready(WorkerId(1)));
+                w.handle(UpgradeEvent::StateLoaded(WorkerId(1)));
                 wait(w, 300);
             },
             RollbackReason::HeartbeatLost,
         ),
     ];
-    for (fault, why) in faults {
-        let mut world = served();
-        world.on(UpgradeEvent::UpgradeRequested);
-        fault(&mut world);
-        assert_eq!(world.machine.last_rollback(), Some(why));
-        assert_eq!((world.machine.serving(), world.machine.counts().rolled_back), (Some(WorkerId(0)), 1));
-        assert!(world.performed.contains(&UpgradeAction::ContinueAlone(WorkerId(0))));
-        world.settle();
-        world.on(UpgradeEvent::UpgradeRequested);
+    for (fault, reason) in faults {
+        let mut harness = serving_first_worker();
+        harness.handle(UpgradeEvent::UpgradeRequested);
+        fault(&mut harness);
+        assert_eq!(harness.machine.last_rollback(), Some(reason));
+        assert_eq!((harness.machine.serving(), harness.machine.counts().rolled_back), (Some(WorkerId(0)), 1));
+        assert!(harness.actions_taken.contains(&UpgradeAction::ContinueAlone(WorkerId(0))));
+        harness.settle();
+        harness.handle(UpgradeEvent::UpgradeRequested);
         assert!(
-            world.performed.contains(&UpgradeAction::Start(WorkerId(2))),
-            "a rolled back upgrade does not prevent the next"
+            harness.actions_taken.contains(&UpgradeAction::Start(WorkerId(2))),
+            "no worker was started for the upgrade after a rollback"
         );
     }
 }
 
 #[test]
 fn a_second_request_during_an_upgrade_counts_as_rolled_back() {
-    let mut world = in_trial();
-    world.on(UpgradeEvent::UpgradeRequested);
-    assert_eq!(world.performed, [UpgradeAction::ReportCounts(WorkerId(0))]);
-    assert_eq!((world.machine.counts().requested, world.machine.counts().rolled_back), (2, 1));
+    let mut harness = in_trial();
+    harness.handle(UpgradeEvent::UpgradeRequested);
+    assert_eq!(harness.actions_taken, [UpgradeAction::ReportCounts(WorkerId(0))]);
+    assert_eq!((harness.machine.counts().requested, harness.machine.counts().rolled_back), (2, 1));
 }
 
 #[test]
 fn shutdown_during_a_trial_terminates_the_predecessor_and_kills_the_successor() {
-    let mut world = in_trial();
-    world.on(UpgradeEvent::ShutdownRequested);
+    let mut harness = in_trial();
+    harness.handle(UpgradeEvent::ShutdownRequested);
     assert!(
-        world.performed.contains(&UpgradeAction::Kill(WorkerId(1)))
-            && world.performed.contains(&UpgradeAction::Terminate(WorkerId(0)))
+        harness.actions_taken.contains(&UpgradeAction::Kill(WorkerId(1)))
+            && harness.actions_taken.contains(&UpgradeAction::Terminate(WorkerId(0)))
     );
-    world.settle();
-    assert_eq!(world.exit, Some(0));
+    harness.settle();
+    assert_eq!(harness.exit, Some(0));
 }
 
 #[test]
-fn a_predecessor_that_exits_in_the_trial_leaves_the_listener_to_the_successor() {
-    let mut world = in_trial();
-    world.on(UpgradeEvent::Exited(WorkerId(0), None));
+fn successor_serves_after_predecessor_exits_in_trial() {
+    let mut harness = in_trial();
+    harness.handle(UpgradeEvent::Exited(WorkerId(0), None));
     assert_eq!(
-        world.performed,
+        harness.actions_taken,
         [
             UpgradeAction::Serve(WorkerId(1)),
             UpgradeAction::ContinueAlone(WorkerId(1)),
@@ -345,41 +354,41 @@
 
 #[test]
 fn a_predecessor_that_does_not_drain_transfers_and_is_terminated_once() {
-    let mut world = in_trial();
+    let mut harness = in_trial();
     for _ in 0..9 {
-        wait(&mut world, 200);
-        world.on(UpgradeEvent::Heartbeat(WorkerId(1)));
+        wait(&mut harness, 200);
+        harness.handle(UpgradeEvent::Heartbeat(WorkerId(1)));
     }
-    assert_eq!(world.performed, [], "the predecessor has open queries");
-    wait(&mut world, 200);
-    world.on(UpgradeEvent::Heartbeat(WorkerId(1)));
+    assert_eq!(harness.actions_taken, [], "no action is expected while the predecessor has open queries");
+    wait(&mut harness, 200);
+    harness.handle(UpgradeEvent::Heartbeat(WorkerId(1)));
     assert_eq!(
-        world.performed,
+        harness.actions_taken,
         [UpgradeAction::TransferConnections(WorkerId(0)), UpgradeAction::Serve(WorkerId(1))]
     );
-    wait(&mut world, 2000);
-    assert_eq!(world.performed[2..], [UpgradeAction::Terminate(WorkerId(0))]);
-    wait(&mut world, 9000);
-    assert_eq!(world.performed.len(), 3, "terminated once");
+    wait(&mut harness, 2000);
+    assert_eq!(harness.actions_taken[2..], [UpgradeAction::Terminate(WorkerId(0))]);
+    wait(&mut harness, 9000);
+    assert_eq!(harness.actions_taken.len(), 3, "the predecessor was terminated twice");
 }
 
 #[test]
 fn a_crashing_worker_is_restarted_up_to_the_limit() {
-    let mut world = served();
+    let mut harness = serving_first_worker();
     for n in 0..3 {
-        world.on(UpgradeEvent::Exited(WorkerId(n), None));
-        world.now = world.now + TimeSpan::from_millis(400);
-        world.on(UpgradeEvent::Tick);
-        assert!(world.performed.contains(&UpgradeAction::Start(WorkerId(n + 1))));
-        world.on(UpgradeEvent::Ready(WorkerId(n + 1)));
+        harness.handle(UpgradeEvent::Exited(WorkerId(n), None));
+        harness.now = harness.now + TimeSpan::from_millis(400);
+        harness.handle(UpgradeEvent::Tick);
+        assert!(harness.actions_taken.contains(&UpgradeAction::Start(WorkerId(n + 1))));
+        harness.handle(UpgradeEvent::Ready(WorkerId(n + 1)));
     }
-    world.on(UpgradeEvent::Exited(WorkerId(3), Some(101)));
-    assert_eq!(world.exit, Some(101));
+    harness.handle(UpgradeEvent::Exited(WorkerId(3), Some(101)));
+    assert_eq!(harness.exit, Some(101));
 }
 
 #[test]
 fn a_failed_first_start_exits_with_its_code() {
-    let mut world = World::new();
-    world.on(UpgradeEvent::Exited(WorkerId(0), Some(2)));
-    assert_eq!(world.exit, Some(2));
+    let mut harness = Harness::new();
+    harness.handle(UpgradeEvent::Exited(WorkerId(0), Some(2)));
+    assert_eq!(harness.exit, Some(2));
 }
--- a/crates/pipitcrank-recovery/src/store.rs
+++ b/crates/pipitcrank-recovery/src/store.rs
@@ -1,9 +1,9 @@
 //! Persistent store of a node: one file of the embedded database `redb`. A dedicated thread writes the file, so that
 //! queries never wait for the disk.
 //!
-//! The store holds two values. The *voter memory* is the state that a voter must not lose: the voter sends a message only
-//! after the memory behind it is synced. The *learned state* is written at intervals; the loss of a write only
-//! prolongs the learning after a restart.
+//! The store holds two values. The *voter memory* is the state that a voter must not lose: a voter sends a message only
+//! after the memory behind it is synced. The *learned state* is written at intervals; the loss of a write only prolongs
+//! the learning after a restart.
 //!
 //! | fault | handling |
 //! | --- | --- |
@@ -80,8 +80,8 @@
         self.shared.wait_until_opened(Instant::now() + timeout)
     }
 
-    /// Queues a voter memory, which replaces a pending one. Returns the sequence number that [`Store::synced_sequence`]
-    /// reaches once the memory is synced.
+    /// Queues a voter memory, which replaces a pending one. Returns the sequence number that
+    /// [`Store::synced_sequence`] reaches once the memory is synced.
     pub fn save_voter_memory(&mut self, bytes: Vec<u8>) -> u64 {
         self.last_sequence += 1;
         self.shared.queue_voter_memory(self.last_sequence, bytes);
