--- a/crates/pipitcrank-handover/src/descriptor_passing.rs
+++ b/crates/pipitcrank-handover/src/descriptor_passing.rs
@@ -1,5 +1,5 @@
-//! Links that carry messages and file descriptors between processes. A link is a pair of connected Unix sockets, created
-//! by the supervisor and inherited by workers. The sockets have no name in the file system; the user of the peer process
+//! Links that carry messages and file descriptors between processes. A link is a pair of connected Unix sockets, which
+//! the supervisor creates and workers inherit. The sockets have no name in the file system; the user of the peer process
 //! is checked nevertheless.
 //!
 //! A frame consists of a length of four bytes and a message in postcard encoding. A file descriptor is sent with the
--- a/crates/pipitcrank-handover/src/messages.rs
+++ b/crates/pipitcrank-handover/src/messages.rs
@@ -13,9 +13,9 @@
 /// Messages from the supervisor to a worker.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToWorker {
-    /// The first message.
+    /// First message on the link, with the protocol version.
     Hello {
-        /// The sender's [`PROTOCOL_VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u16,
     },
     /// Request to serve. Carries the descriptor of the listener.
@@ -35,16 +35,16 @@
 /// Messages from a worker to the supervisor.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToSupervisor {
-    /// The first message.
+    /// First message on the link, with the protocol version.
     Hello {
-        /// The sender's [`PROTOCOL_VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u16,
     },
     /// The configuration is valid, and the worker is able to serve.
     Ready,
     /// The predecessor's state is loaded or was rejected as unusable, and the worker accepts queries.
     StateLoaded,
-    /// Sent regularly by a worker on trial.
+    /// Heartbeat of a worker on trial, sent at regular intervals.
     Heartbeat,
     /// The worker has no open queries of its own.
     Drained,
@@ -55,9 +55,9 @@
 /// Messages from the predecessor to the successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToSuccessor {
-    /// The first message.
+    /// First message on the link, with the protocol version.
     Hello {
-        /// The sender's [`PROTOCOL_VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u16,
     },
     /// Encoded snapshot; empty if the encoding failed.
@@ -71,11 +71,11 @@
     },
     /// Resources that the predecessor still holds, which count against the limits shared with the successor.
     HeldResources {
-        /// Number of open connections to replicas.
+        /// Number of the predecessor's open connections to replicas.
         replica_connections: u32,
-        /// Number of open client connections.
+        /// Number of the predecessor's open client connections.
         client_connections: u32,
-        /// Number of open queries and parts.
+        /// Number of the predecessor's open queries and parts.
         open_queries: u32,
     },
     /// Client connection. Carries the descriptor of its socket.
@@ -94,7 +94,7 @@
     },
     /// Like `Query`, with an idempotency key. New variants come last, so that older ones keep their encoding.
     QueryWithKey {
-        /// The query.
+        /// Query to be answered for a client of the predecessor.
         query: RelayedQuery,
         /// Idempotency key of the query.
         idempotency_key: String,
@@ -104,16 +104,16 @@
 /// Messages from the successor to the predecessor.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToPredecessor {
-    /// The first message.
+    /// First message on the link, with the protocol version.
     Hello {
-        /// The sender's [`PROTOCOL_VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u16,
     },
     /// Final response to a relayed query.
     Response {
         /// Ticket of the query, as in [`RelayedQuery::ticket`].
         ticket: u64,
-        /// The response.
+        /// Response for the client.
         response: RelayedResponse,
     },
 }
--- a/crates/pipitcrank-handover/src/resource_split.rs
+++ b/crates/pipitcrank-handover/src/resource_split.rs
@@ -2,13 +2,13 @@
 //! both processes together.
 //!
 //! **Retries.** Within any window, the number of attempts beyond the first of each part is at most
-//! `free + fraction * queries`. The predecessor keeps its open queries and accepts no new ones; it gets a fixed number of
-//! retries, which expire after a time. The successor takes over the window, with these retries counted as used. It only
-//! receives queries that still count when the predecessor's retries expire. With any other query, the successor's limit
-//! could fall while the predecessor may still retry.
+//! `free + fraction * queries`. The predecessor keeps its open queries and accepts no new ones; it gets a fixed number
+//! of retries, which expire after a time. The successor takes over the window, with these retries counted as used. The
+//! window passed on is restricted to queries that still count when the predecessor's retries expire; otherwise the
+//! successor's limit could fall while the predecessor may still retry.
 //!
-//! **Slow start.** The successor gets the whole allowance for replicas in slow start, less the attempts already sent. The
-//! predecessor sends nothing to these replicas.
+//! **Slow start.** The successor gets the whole allowance for replicas in slow start, less the attempts already sent.
+//! The predecessor sends nothing to these replicas.
 //!
 //! **Connections and open queries.** The predecessor keeps its connections and open queries, and reports their falling
 //! numbers to the successor.
@@ -41,7 +41,7 @@
     pub successor: usize,
 }
 
-/// Divides a retry budget. Returns the retries of the predecessor, and changes `learned` to the state for the successor.
+/// Divides a retry budget. Returns the predecessor's retries, and changes `learned` to the state for the successor.
 /// `drain_limit` is the maximum time that the predecessor needs for its open queries.
 pub fn split_retry_budget(
     budget: RetryBudgetConfig,
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -69,7 +69,7 @@
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum SnapshotError {
     /// The header does not start with the magic bytes.
-    #[error("the snapshot header does not start with the magic bytes")]
+    #[error("the header does not start with the magic bytes of a snapshot")]
     BadMagic,
     /// The snapshot has the given format version, which is not supported.
     #[error("the snapshot has format version {0}, expected {FORMAT_VERSION}")]
--- a/crates/pipitcrank-handover/src/upgrade_state.rs
+++ b/crates/pipitcrank-handover/src/upgrade_state.rs
@@ -283,7 +283,8 @@
         }
         match self.state {
             State::Idle { serving: None, .. } => self.start_worker(now, None, actions),
-            // A rollback needs a predecessor. Without one, the worker is killed; its exit leads to a restart or shutdown.
+            // A rollback needs a predecessor. Without one, the worker is killed; its exit leads to a restart or to a
+            // shutdown.
             State::Starting { predecessor: None, successor, .. } => {
                 actions.push(UpgradeAction::Kill(successor));
             }
--- a/crates/pipitcrank-handover/tests/descriptor_passing.rs
+++ b/crates/pipitcrank-handover/tests/descriptor_passing.rs
@@ -1,5 +1,5 @@
-//! Tests of links between processes: messages arrive complete with their descriptors, and invalid input ends a link with
-//! a typed error.
+//! Tests of links between processes: messages arrive complete with their descriptors, and invalid input ends a link
+//! with a typed error.
 
 use std::fs::File;
 use std::io::{Read, Write};
--- a/crates/pipitcrank-recovery/src/last_known_state.rs
+++ b/crates/pipitcrank-recovery/src/last_known_state.rs
@@ -14,7 +14,7 @@
 use pipitcrank_membership::peer::Peer;
 use serde::{Deserialize, Serialize};
 
-/// Largest difference between the time elapsed on both clocks at which neither clock counts as set.
+/// Maximum difference between the times elapsed on the two clocks; above it, one clock is assumed to have been set.
 const CLOCK_TOLERANCE_US: i64 = 2_000_000;
 /// Maximum number of stored members, equal to the limit in the operators' file. A member takes about 20 bytes.
 pub const MAX_MEMBERS: usize = 4096;
--- a/crates/pipitcrank-recovery/src/restart_waves.rs
+++ b/crates/pipitcrank-recovery/src/restart_waves.rs
@@ -12,11 +12,11 @@
 /// A node to be restarted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RestartNode {
-    /// Address at which the other nodes reach it.
+    /// Address at which the other nodes reach the node.
     pub address: SocketAddr,
-    /// Index of its zone in the operators' list of zones.
+    /// Index of the node's zone in the operators' list of zones.
     pub zone: u16,
-    /// Whether it is a voter.
+    /// Whether the node is a voter.
     pub is_voter: bool,
 }
 
--- a/crates/pipitcrank-recovery/src/store.rs
+++ b/crates/pipitcrank-recovery/src/store.rs
@@ -49,8 +49,8 @@
 }
 
 impl Store {
-    /// Starts a thread that opens the file at `path` for the node `owner`. The thread calls `notify` after it has opened
-    /// the file, and after each successful or failed write.
+    /// Starts a thread that opens the file at `path` for the node `owner`. The thread calls `notify` after opening the
+    /// file, successfully or not, and after each successful or failed write.
     pub fn open(path: PathBuf, owner: String, notify: impl Fn() + Send + 'static) -> Store {
         let opener: DatabaseOpener =
             Box::new(|path| Database::builder().set_cache_size(CACHE_BYTES).create(path));
@@ -75,7 +75,7 @@
         Store { shared, writer: spawned.ok(), last_sequence: 0 }
     }
 
-    /// Values read when the file was opened. Waits for the opening for at most `timeout`.
+    /// Returns the values read when the file was opened. Waits at most `timeout` for the file to be opened.
     pub fn stored_values(&self, timeout: Duration) -> Result<StoredValues, StoreError> {
         self.shared.wait_until_opened(Instant::now() + timeout)
     }
--- a/crates/pipitcrank-recovery/src/store/error.rs
+++ b/crates/pipitcrank-recovery/src/store/error.rs
@@ -24,8 +24,8 @@
         /// New path of the file, if it was renamed.
         moved_to: Option<PathBuf>,
     },
-    /// The file can't be opened or written, with the error of the operating system or of the database.
-    #[error("the store file can't be opened or written: {0}")]
+    /// The file can't be opened, read or written, with the error of the operating system or of the database.
+    #[error("the store file can't be opened, read or written: {0}")]
     NotWritable(String),
     /// The file was not opened within the timeout.
     #[error("the store file was not opened within the timeout")]
--- a/crates/pipitcrank-recovery/src/store/shared.rs
+++ b/crates/pipitcrank-recovery/src/store/shared.rs
@@ -153,8 +153,8 @@
         self.lock().error = Some(error);
     }
 
-    /// Waits for `delay`, or until the store shuts down. Returns `false` if the shutdown began before the wait; after a
-    /// shutdown during the wait, the write is still retried once.
+    /// Waits for `delay`, or until the store shuts down. Returns whether the write is to be retried: this is not the case
+    /// if the shutdown began before the wait.
     pub fn wait_before_retry(&self, delay: Duration) -> bool {
         let state = self.lock();
         if state.shutting_down {
--- a/crates/pipitcrank-recovery/src/store/writer.rs
+++ b/crates/pipitcrank-recovery/src/store/writer.rs
@@ -9,7 +9,7 @@
 /// Delay before a failed write is retried. A disk that is full for a moment blocks a voter for one second.
 const RETRY_DELAY: Duration = Duration::from_millis(1000);
 
-/// Runs until the store shuts down. Calls `notify` after opening the file, and after each successful or failed write.
+/// Runs until the store shuts down. Calls `notify` after the attempt to open the file and after each attempt to write.
 pub fn run(mut file: DatabaseFile, shared: &Shared, notify: &dyn Fn()) {
     let opened = file.open();
     let unusable = opened.as_ref().err().is_some_and(StoreError::is_permanent);
