--- a/crates/pipitcrank-config/src/checks.rs
+++ b/crates/pipitcrank-config/src/checks.rs
@@ -1,14 +1,14 @@
-//! Checks that several sections share.
+//! Checks shared by several sections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::error::ConfigError;
 
-/// Longest name of a site or zone, in bytes, as the link between sites has it.
+/// Longest name of a site or zone, in bytes. The link between sites has the same limit.
 const MAX_NAME_LENGTH: usize = 64;
 
-/// A duration in seconds from `min` to `max`, both included.
+/// Converts seconds to a duration and checks that they are from `min` to `max`, both included.
 pub(crate) fn duration(key: &str, seconds: f64, min: f64, max: f64) -> Result<Duration, ConfigError> {
     if (min..=max).contains(&seconds) {
         return Ok(Duration::from_secs_f64(seconds));
@@ -25,7 +25,8 @@
     Err(ConfigError::new(key, format!("is '{name}', not 1 to {MAX_NAME_LENGTH} visible ASCII characters")))
 }
 
-/// An address and port on loopback: links are not encrypted yet, so they stay on the machine.
+/// Parses an address and port and checks that it is on loopback. Links are not encrypted, so they must not leave the
+/// machine.
 pub(crate) fn loopback_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     let fault = |reason: &str| ConfigError::new(key, format!("is '{text}', {reason}"));
     let address: SocketAddr = text.parse().map_err(|_| fault("no address and port"))?;
--- a/crates/pipitcrank-config/src/error.rs
+++ b/crates/pipitcrank-config/src/error.rs
@@ -1,12 +1,12 @@
-//! What is wrong with an operators' file.
+//! Faults of an operators' file.
 
-/// A fault of the operators' file: the key it concerns and the reason, or why the file could not be read.
+/// A fault of the operators' file: an invalid value, or a failure to read or parse the file.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{key} {reason}")]
 pub struct ConfigError {
-    /// The key as a path through the file, such as `/upgrade/start_s`, or the file's own path.
+    /// The key as a path within the file, such as `/upgrade/start_s`, or the path of the file itself.
     pub key: String,
-    /// What is wrong with it, and what is accepted.
+    /// The fault, and the accepted values.
     pub reason: String,
 }
 
--- a/crates/pipitcrank-config/src/gateway.rs
+++ b/crates/pipitcrank-config/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Section `gateway`: this site and the other sites that queries can be forwarded to.
+//! Section `gateway`: this site, and the other sites to which queries can be forwarded.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,32 +8,32 @@
 use crate::checks::{check_name, duration, loopback_address};
 use crate::error::ConfigError;
 
-/// Most other sites: each adds a candidate to each cell and a task for each connection.
+/// Largest number of other sites. Each adds a candidate to every cell and a task for each connection.
 const MAX_SITES: usize = 16;
-/// Most connections to each site.
+/// Largest number of connections to each site.
 const MAX_CONNECTIONS: u16 = 8;
 
-/// Gateway between sites.
+/// Configuration of the gateway between sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayConfig {
-    /// This site's own name.
+    /// Name of this site.
     pub site: String,
-    /// Where links of other sites are accepted.
+    /// Address for incoming links of other sites.
     pub listen: SocketAddr,
     /// The other sites.
     pub sites: Vec<Site>,
-    /// Connections kept to each site.
+    /// Number of connections kept open to each site.
     pub connections: u16,
-    /// Added to the round trip time of a remote replica when it is compared with a local one.
+    /// Time added to the round-trip time of a remote replica when it is compared with a local replica.
     pub local_preference: Duration,
 }
 
 /// Another site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// Its name, as it gives it itself on each link.
+    /// Name that the site sends on each link.
     pub name: String,
-    /// Where it accepts links.
+    /// Address at which the site accepts links.
     pub address: SocketAddr,
 }
 
--- a/crates/pipitcrank-config/src/lib.rs
+++ b/crates/pipitcrank-config/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operators' file, in Dhall: what a co-ordinator does beside what the platform's node configuration says. It is typed
-//! by the reader, checked against bounds here, and read whole; a fault names its key. What a key absent from the file
-//! stands for is in `deploy/operators.dhall`, which a file takes its defaults from, or here where it does not import that.
+//! The operators' file: Dhall settings of a co-ordinator that are not part of the platform's node configuration. The
+//! Dhall library checks the types, and this crate checks the bounds. A file is accepted as a whole or not at all, and a
+//! fault names its key. Defaults for absent keys come from `deploy/operators.dhall` if the file imports it, and from
+//! this crate otherwise.
 //!
-//! Without the file all of it is off. Each section has a module: its configuration, which the program uses, and its form
-//! in the file, with the file's keys, which is private and mapped to the configuration once.
+//! Without an operators' file all sections are off. Each section has a module with two types: a public configuration,
+//! which the program uses, and a private form with the keys of the file, which is converted to the configuration.
 
 mod checks;
 mod error;
@@ -24,13 +25,13 @@
 pub use upgrade::UpgradeConfig;
 pub use zones::{Voter, ZoneConfig, ZonesConfig};
 
-/// Longest file accepted, in bytes, with what it imports: it is a page of settings.
+/// Largest accepted size of the file, in bytes. Usual files have about one page of settings.
 const MAX_FILE_SIZE: u64 = 256 * 1024;
 
-/// The operators' file, checked. A section that is none is off.
+/// The checked operators' file. A section that is `None` is off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorsConfig {
-    /// Upgrade under load.
+    /// Upgrades under load.
     pub upgrade: Option<UpgradeConfig>,
     /// Gateway between sites.
     pub gateway: Option<GatewayConfig>,
@@ -38,16 +39,16 @@
     pub zones: Option<ZonesConfig>,
     /// Store on disk.
     pub store: Option<StoreConfig>,
-    /// Form and levels of the log.
+    /// Format and levels of the log.
     pub logs: LogsConfig,
 }
 
 impl OperatorsConfig {
-    /// Reads a file; imports are looked for beside it. Nothing is fetched from elsewhere: the reader is built without the
-    /// network.
+    /// Reads a file. Imports are resolved relative to it and only from disk, since the Dhall library is built without
+    /// network access.
     ///
     /// # Errors
-    /// The first fault found, by its key, or by the file's path where it can't be read or parsed.
+    /// The first fault found, with its key, or with the file's path if the file can't be read or parsed.
     pub fn read(path: &Path) -> Result<OperatorsConfig, ConfigError> {
         let fault = |reason: String| ConfigError::new(path.display().to_string(), reason);
         let size = std::fs::metadata(path).map_err(|e| fault(format!("can't be read: {e}")))?.len();
@@ -59,10 +60,10 @@
         file.checked()
     }
 
-    /// The same from a text without imports.
+    /// Parses a text without imports.
     ///
     /// # Errors
-    /// As those of [`OperatorsConfig::read`].
+    /// The first fault found, as for [`OperatorsConfig::read`].
     pub fn parse(text: &str) -> Result<OperatorsConfig, ConfigError> {
         let file: FileForm = serde_dhall::from_str(text)
             .parse()
@@ -71,7 +72,7 @@
     }
 }
 
-/// The reader's message names the field: it becomes the key.
+/// Converts an error of the Dhall library. If its message names a field, the field becomes the key.
 fn parse_error(path: &Path, message: &str) -> ConfigError {
     let field =
         message.split_once("field `").and_then(|(_, rest)| rest.split_once('`')).map(|(name, _)| name);
--- a/crates/pipitcrank-config/src/logs.rs
+++ b/crates/pipitcrank-config/src/logs.rs
@@ -1,13 +1,13 @@
-//! Section `logs`: form and levels of the log.
+//! Section `logs`: format and levels of the log.
 
 use serde::Deserialize;
 
-/// Form and levels of the log.
+/// Format and levels of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogsConfig {
-    /// One JSON object a line in place of text.
+    /// Whether lines are JSON objects instead of text.
     pub json: bool,
-    /// Levels by module, as `tracing-subscriber` has them; empty is `info`.
+    /// Levels by module, in the filter syntax of `tracing-subscriber`. Empty means `info`.
     pub levels: String,
 }
 
--- a/crates/pipitcrank-config/src/store.rs
+++ b/crates/pipitcrank-config/src/store.rs
@@ -1,4 +1,4 @@
-//! Section `store`: what is kept on disk for the process that comes after this one.
+//! Section `store`: the file on disk that preserves state across restarts.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 use crate::checks::duration;
 use crate::error::ConfigError;
 
-/// Longest path accepted, in bytes, as systems have it.
+/// Longest accepted path, in bytes: the limit of common operating systems.
 const MAX_PATH_LENGTH: usize = 4096;
 
-/// The store on disk.
+/// Configuration of the store on disk.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreConfig {
-    /// One file, of this co-ordinator alone.
+    /// Path of the file, which only this co-ordinator uses.
     pub path: PathBuf,
-    /// How often the learned state is written. What a voter must not forget is written as it changes.
+    /// Interval between writes of the learned state. State that a voter must not lose is written on each change.
     pub write_interval: Duration,
-    /// Learned state that is older is not used.
+    /// Largest age of stored learned state that is still used.
     pub max_age: Duration,
 }
 
@@ -31,8 +31,8 @@
 }
 
 impl StoreForm {
-    /// Each write is a sync of the disk: ten a second are more than any start gains by. Learned state that is a day old
-    /// is of no use.
+    /// Checks the section. Each write syncs the disk, and more than ten writes per second would not improve a restart.
+    /// Learned state older than a day is of no use.
     pub(crate) fn checked(self) -> Result<StoreConfig, ConfigError> {
         Ok(StoreConfig {
             path: checked_path(self.path)?,
--- a/crates/pipitcrank-config/src/tests.rs
+++ b/crates/pipitcrank-config/src/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 use crate::zones::MAX_SEEDS;
 
-const GOOD: &str = "{ upgrade = Some { start_s = 10.0, settle_s = 5.0, silent_s = 2.0, finish_s = 30.0 }
+const VALID: &str = "{ upgrade = Some { start_s = 10.0, settle_s = 5.0, silent_s = 2.0, finish_s = 30.0 }
     , logs = Some { json = True, levels = \"info\" } }";
 
 #[test]
-fn a_whole_file_is_read_and_an_empty_one_turns_all_off() {
-    let read = OperatorsConfig::parse(GOOD).unwrap();
+fn reads_a_full_file_and_an_empty_one_turns_all_off() {
+    let read = OperatorsConfig::parse(VALID).unwrap();
     assert_eq!(read.upgrade.unwrap().trial_time, Duration::from_secs(5));
     assert_eq!(read.logs, LogsConfig { json: true, levels: "info".to_string() });
-    let none =
+    let all_off =
         "{ upgrade = None { start_s : Double, settle_s : Double, silent_s : Double, finish_s : Double }
         , logs = None { json : Bool, levels : Text } }";
-    assert_eq!(OperatorsConfig::parse(none).unwrap(), OperatorsConfig::default());
+    assert_eq!(OperatorsConfig::parse(all_off).unwrap(), OperatorsConfig::default());
     assert_eq!(OperatorsConfig::parse("{=}").unwrap(), OperatorsConfig::default());
 }
 
@@ -28,24 +28,24 @@
         ("settle_s", "settel_s", "/settel_s"),
         ("logs =", "log =", "/log"),
     ] {
-        let wrong = OperatorsConfig::parse(&GOOD.replace(from, to)).unwrap_err();
-        assert_eq!(wrong.key, key, "{wrong}");
+        let fault = OperatorsConfig::parse(&VALID.replace(from, to)).unwrap_err();
+        assert_eq!(fault.key, key, "{fault}");
     }
-    for text in [GOOD.replace("5.0", "\"5\""), GOOD.replace("5.0", "+"), String::new()] {
+    for text in [VALID.replace("5.0", "\"5\""), VALID.replace("5.0", "+"), String::new()] {
         assert!(OperatorsConfig::parse(&text).is_err(), "{text}");
     }
 }
 
 #[test]
-fn a_thousand_peers_are_accepted_and_too_many_are_named() {
-    let with = |count: usize| {
+fn a_thousand_seeds_are_accepted_and_more_than_the_limit_is_a_fault() {
+    let file_with_seeds = |count: usize| {
         let peers: Vec<String> =
             (0..count).map(|n| format!("\"127.0.{}.{}:7000\"", n / 250, n % 250 + 1)).collect();
         ZONES.replace("[ \"127.0.0.1:7202\" ]", &format!("[ {} ]", peers.join(", ")))
     };
-    assert_eq!(OperatorsConfig::parse(&with(1024)).unwrap().zones.unwrap().seeds.len(), 1024);
-    let wrong = OperatorsConfig::parse(&with(MAX_SEEDS + 1)).unwrap_err();
-    assert_eq!(wrong.key, "/zones/peers", "{wrong}");
+    assert_eq!(OperatorsConfig::parse(&file_with_seeds(1024)).unwrap().zones.unwrap().seeds.len(), 1024);
+    let fault = OperatorsConfig::parse(&file_with_seeds(MAX_SEEDS + 1)).unwrap_err();
+    assert_eq!(fault.key, "/zones/peers", "{fault}");
 }
 
 const GATEWAY: &str = "{ gateway = Some { site = \"north\", listen = \"127.0.0.1:7001\", connections = 2
@@ -65,8 +65,8 @@
         ("connections = 2", "connections = 0", "/gateway/connections"),
         ("0.02", "-0.02", "/gateway/prefer_near_s"),
     ] {
-        let wrong = OperatorsConfig::parse(&GATEWAY.replace(from, to)).unwrap_err();
-        assert_eq!(wrong.key, key, "{wrong}");
+        let fault = OperatorsConfig::parse(&GATEWAY.replace(from, to)).unwrap_err();
+        assert_eq!(fault.key, key, "{fault}");
     }
 }
 
@@ -99,16 +99,16 @@
         ("hold_s = 10.0", "hold_s = 1.0", "/zones/hold_s"),
         ("leaf_bears = 50.0", "leaf_bears = -1.0", "/zones/leaf_bears"),
     ] {
-        let wrong = OperatorsConfig::parse(&ZONES.replacen(from, to, 1)).unwrap_err();
-        assert_eq!(wrong.key, key, "{wrong}");
+        let fault = OperatorsConfig::parse(&ZONES.replacen(from, to, 1)).unwrap_err();
+        assert_eq!(fault.key, key, "{fault}");
     }
-    let even = ZONES.replace(", { address = \"127.0.0.1:7203\", zone = \"c\" }", "");
-    let even = OperatorsConfig::parse(&even.replace("                    ]", "]")).unwrap_err();
-    assert_eq!(even.key, "/zones/voters", "{even}");
+    let two_voters = ZONES.replace(", { address = \"127.0.0.1:7203\", zone = \"c\" }", "");
+    let fault = OperatorsConfig::parse(&two_voters.replace("                    ]", "]")).unwrap_err();
+    assert_eq!(fault.key, "/zones/voters", "{fault}");
 }
 
 #[test]
-fn a_store_is_a_file_with_bounds() {
+fn store_path_and_times_are_checked() {
     const STORE: &str =
         "{ store = Some { path = \"/var/lib/pipitcrank/n1\", every_s = 2.0, oldest_s = 60.0 } }";
     let read = OperatorsConfig::parse(STORE).unwrap().store.unwrap();
@@ -121,13 +121,13 @@
         ("oldest_s = 60.0", "oldest_s = 1.0e6", "/store/oldest_s"),
         ("oldest_s", "older_s", "/older_s"),
     ] {
-        let wrong = OperatorsConfig::parse(&STORE.replace(from, to)).unwrap_err();
-        assert_eq!(wrong.key, key, "{wrong}");
+        let fault = OperatorsConfig::parse(&STORE.replace(from, to)).unwrap_err();
+        assert_eq!(fault.key, key, "{fault}");
     }
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
-    let wrong = OperatorsConfig::read(Path::new("/nowhere/operators.dhall")).unwrap_err();
-    assert_eq!(wrong.key, "/nowhere/operators.dhall");
+fn a_missing_file_is_a_fault_with_its_path() {
+    let fault = OperatorsConfig::read(Path::new("/nowhere/operators.dhall")).unwrap_err();
+    assert_eq!(fault.key, "/nowhere/operators.dhall");
 }
--- a/crates/pipitcrank-config/src/upgrade.rs
+++ b/crates/pipitcrank-config/src/upgrade.rs
@@ -1,4 +1,4 @@
-//! Section `upgrade`: time limits of the steps of an upgrade under load.
+//! Section `upgrade`: time limits for the steps of an upgrade under load.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 use crate::checks::duration;
 use crate::error::ConfigError;
 
-/// Upgrade under load: time limits of its steps.
+/// Time limits for the steps of an upgrade under load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpgradeConfig {
-    /// Time for a new process to read and check its configuration.
+    /// Longest time for a new process to read and check its configuration.
     pub start_timeout: Duration,
-    /// Shortest time that a new process is on trial before the old one is drained.
+    /// Shortest trial of a new process before the old one is drained.
     pub trial_time: Duration,
-    /// Longest time without a heartbeat of a process on trial.
+    /// Longest time without a heartbeat from a process on trial.
     pub heartbeat_timeout: Duration,
-    /// Time for the old process to finish its own queries, and again for its last answers.
+    /// Longest time for the old process to finish its own queries, and then again to send its last answers.
     pub drain_timeout: Duration,
 }
 
@@ -30,8 +30,9 @@
 }
 
 impl UpgradeForm {
-    /// Heartbeats come every 0.05 s: ten may be late before a process counts as hung. A trial longer than ten minutes
-    /// tells no more, and two processes need twice the memory as long.
+    /// Checks the section. Heartbeats are sent every 0.05 s, so with the shortest time-out ten are missing before a
+    /// process counts as hung. A trial of more than ten minutes detects no further faults, and a trial doubles the
+    /// memory in use.
     pub(crate) fn checked(self) -> Result<UpgradeConfig, ConfigError> {
         Ok(UpgradeConfig {
             start_timeout: duration("/upgrade/start_s", self.start_s, 0.1, 600.0)?,
--- a/crates/pipitcrank-config/src/zones.rs
+++ b/crates/pipitcrank-config/src/zones.rs
@@ -1,4 +1,4 @@
-//! Section `zones`: failover between zones and regions, the other co-ordinators and the voters.
+//! Section `zones`: failover between zones and regions, with the other co-ordinators and the voters.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,47 +8,48 @@
 use crate::checks::{check_name, duration, loopback_address};
 use crate::error::ConfigError;
 
-/// Most zones, as the core has it.
+/// Largest number of zones. The core has the same limit.
 const MAX_ZONES: usize = 16;
-/// Most voters, as the agreement has it.
+/// Largest number of voters. The consensus protocol has the same limit.
 const MAX_VOTERS: usize = 7;
-/// Most seed addresses: some times the largest fleets, and a list of them is still a small part of the longest file.
+/// Largest number of seed addresses. It exceeds the largest fleets several times, and a list of that length still takes
+/// only a small part of the largest accepted file.
 pub(crate) const MAX_SEEDS: usize = 4096;
-/// Shortest secret, in bytes: a shorter one can be guessed.
+/// Shortest secret, in bytes. A shorter one can be guessed.
 const MIN_SECRET_LENGTH: usize = 16;
-/// Largest capacity of a replica, in parts a second.
+/// Largest capacity of a replica, in parts per second.
 const MAX_REPLICA_CAPACITY: f64 = 1e6;
 
-/// Failover between zones and regions, decided by the voters together.
+/// Configuration of failover between zones and regions, which the voters decide by majority.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZonesConfig {
-    /// This co-ordinator's own zone, where the file names it.
+    /// This co-ordinator's own zone, if the file names it.
     pub own_zone: Option<String>,
-    /// All zones, the same at all co-ordinators.
+    /// All zones; the list must be the same at all co-ordinators.
     pub zones: Vec<ZoneConfig>,
-    /// Where datagrams of other co-ordinators are received.
+    /// Local address for datagrams from other co-ordinators.
     pub listen: SocketAddr,
-    /// The address that other co-ordinators know this one by.
+    /// Address to which other co-ordinators send datagrams for this one.
     pub advertised: SocketAddr,
-    /// Co-ordinators that are contacted first.
+    /// Addresses of the co-ordinators that are contacted first to join the members.
     pub seeds: Vec<SocketAddr>,
-    /// The voters, the same at all co-ordinators and in the same order.
+    /// The voters; the list and its order must be the same at all co-ordinators.
     pub voters: Vec<Voter>,
-    /// Key that datagrams are sealed with.
+    /// Secret from which the key that seals the datagrams is derived.
     pub secret: String,
-    /// How long evidence against a zone lasts before the zone is taken out.
+    /// Time for which evidence against a zone must persist before the zone is closed.
     pub suspect_time: Duration,
-    /// How long a zone that was out is healthy before it comes back; doubled with each fault.
+    /// Time for which a closed zone must be healthy before it returns. It doubles with each further fault.
     pub hold_down: Duration,
-    /// Longest hold-down.
+    /// Upper bound of the hold-down.
     pub hold_down_max: Duration,
-    /// Time without a fault after which the hold-down is at its shortest again.
+    /// Time without a fault after which the hold-down is reset to its initial value.
     pub hold_down_reset: Duration,
-    /// How long a decision is valid without a message of the voters.
+    /// Time for which a decision remains valid without a message from the voters.
     pub decision_lease: Duration,
-    /// Parts a second that a warm replica can answer; 0 where that is not known.
+    /// Parts per second that a replica can answer after slow start; 0 if unknown.
     pub replica_capacity: f64,
-    /// Decide and log, but route queries as without zones.
+    /// Whether decisions are only made and logged, while queries are routed as without zones.
     pub dry_run: bool,
 }
 
@@ -57,21 +58,21 @@
 pub struct ZoneConfig {
     /// The zone's name.
     pub name: String,
-    /// The region it lies in.
+    /// The region that contains the zone.
     pub region: String,
 }
 
 /// A co-ordinator that votes on decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Voter {
-    /// The address that other co-ordinators know it by.
+    /// The address that other co-ordinators use for this voter.
     pub address: SocketAddr,
-    /// Its zone, as an index into the list of zones.
+    /// The voter's zone, as an index into the list of zones.
     pub zone: usize,
 }
 
 impl ZonesConfig {
-    /// The index of the zone of that name.
+    /// The index of the zone with this name.
     pub fn zone_index(&self, name: &str) -> Option<usize> {
         index_of(&self.zones, name)
     }
@@ -81,7 +82,7 @@
         self.zones.iter().map(|zone| zone.name.as_str()).collect()
     }
 
-    /// The voter slot of an address; none where it does not vote.
+    /// The voter slot of an address; `None` if it is not the address of a voter.
     pub fn voter_slot(&self, address: SocketAddr) -> Option<usize> {
         self.voters.iter().position(|voter| voter.address == address)
     }
@@ -187,7 +188,7 @@
     Ok(zones)
 }
 
-/// The index of a zone that the list of zones has to contain.
+/// The index of a zone in the list of zones; a fault of `key` if the list does not contain it.
 fn known_zone(key: &str, zones: &[ZoneConfig], name: &str) -> Result<usize, ConfigError> {
     index_of(zones, name).ok_or_else(|| {
         let names: Vec<&str> = zones.iter().map(|zone| zone.name.as_str()).collect();
@@ -215,7 +216,8 @@
     Ok(voters)
 }
 
-/// With more than two zones no single zone needs to hold the majority, so none may: its loss would stop all decisions.
+/// Checks that no single zone holds the majority of the voters, since its loss would stop all decisions. With two zones
+/// or fewer this can't be avoided, and is accepted.
 fn check_no_zone_has_majority(voters: &[Voter], zones: &[ZoneConfig]) -> Result<(), ConfigError> {
     if zones.len() <= 2 || voters.len() <= 1 {
         return Ok(());
--- a/crates/pipitcrank-config/tests/stored_forms.rs
+++ b/crates/pipitcrank-config/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! An operators' file with every key, as an earlier version read it.
+//! Checks that an operators' file with every key is read as by an earlier version.
 
 use std::path::Path;
 use std::time::Duration;
