--- a/crates/pipitcrank-cli/src/check.rs
+++ b/crates/pipitcrank-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `pipitcrank check`: all faults of the node configuration and the operators' file.
+//! `pipitcrank check`: prints the faults of the node configuration and of the operators' file.
 
 use std::path::Path;
 
@@ -8,7 +8,8 @@
 use crate::zone_topology::own_zone;
 use crate::{environment, exit_code};
 
-/// Prints all faults, one a line: the node configuration's first, unless it is left out, then the operators' file's.
+/// Prints all faults, one per line: first those of the node configuration, unless `no_node_config` is set, then those
+/// of the operators' file. Returns the exit code.
 pub(crate) fn check(operators: Option<&Path>, no_node_config: bool) -> i32 {
     let mut code = exit_code::SUCCESS;
     if !no_node_config && !report("the charter", &node_config_faults()) {
@@ -23,7 +24,7 @@
     code
 }
 
-/// Prints what was found; whether that is no fault.
+/// Prints the faults of one file and returns whether there are none.
 fn report(checked: &str, faults: &[String]) -> bool {
     if faults.is_empty() {
         println!("{checked} is good");
@@ -41,14 +42,15 @@
     }
 }
 
-/// What both files say of zones has to agree; without the node configuration only the operators' file is checked.
+/// Faults of the operators' file itself, and its contradictions with the zones of the node configuration, unless
+/// `no_node_config` is set.
 fn operators_faults(path: &Path, no_node_config: bool) -> Vec<String> {
     let zones = match OperatorsConfig::read(path) {
         Ok(config) => config.zones,
         Err(error) => return vec![error.to_string()],
     };
     let Some(zones) = zones.filter(|_| !no_node_config) else { return Vec::new() };
-    // A node configuration that can't be read was reported before.
+    // Faults of the node configuration itself have been reported by `node_config_faults`.
     let Ok(config) = environment::node_config() else { return Vec::new() };
     let Ok(platform) = config.zones() else { return Vec::new() };
     own_zone(&zones, platform.as_ref()).err().map(|fault| fault.to_string()).into_iter().collect()
--- a/crates/pipitcrank-cli/src/environment.rs
+++ b/crates/pipitcrank-cli/src/environment.rs
@@ -1,4 +1,4 @@
-//! What the process finds in its environment: the node configuration and the program itself.
+//! Access to the process's environment: the node configuration and the path of the program.
 
 use std::path::PathBuf;
 
@@ -6,17 +6,17 @@
 use pipitcrank_server::node_config::NodeConfig;
 use pipitcrank_server::serve;
 
-/// A variable of the environment.
+/// The value of an environment variable; `None` if it is not set or not UTF-8.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// A node configuration that the environment's variables override.
+/// A node configuration with overrides from environment variables.
 pub(crate) type NodeConfigWithEnvironment = NodeConfig<fn(&str) -> Option<String>>;
 
 /// The text of the node configuration that `NODE_CONFIG` names.
 pub(crate) fn node_config_text() -> Result<String> {
-    // Without its sources: the error's text names them already.
+    // Only the text is kept, since it already includes the text of the error's sources.
     let file = serve::node_config_file().map_err(|error| anyhow!("{error}"))?;
     Ok(file.text)
 }
@@ -27,12 +27,12 @@
     Ok(NodeConfig::parse(&node_config_text()?, read)?)
 }
 
-/// The co-ordinator's name: the owner of its store.
+/// Name of this co-ordinator, recorded as the owner of its store.
 pub(crate) fn node_name() -> Result<String> {
     Ok(node_config()?.name()?)
 }
 
-/// The program's path as it was started, resolved now: what is put there later is what an upgrade starts.
+/// Path of the running program. An upgrade starts the file that is at this path when the upgrade begins.
 pub(crate) fn program() -> Result<PathBuf> {
-    std::env::current_exe().context("the program's path")
+    std::env::current_exe().context("can't determine the path of the program")
 }
--- a/crates/pipitcrank-cli/src/event_log.rs
+++ b/crates/pipitcrank-cli/src/event_log.rs
@@ -1,4 +1,4 @@
-//! Events of failover and membership, as log lines and counters.
+//! Logs and counts the events of failover and membership.
 
 use std::rc::Rc;
 
@@ -10,18 +10,18 @@
 
 use crate::zone_topology::ZoneTopology;
 
-/// Rejected datagrams are logged at most so often; each is counted.
+/// Shortest interval between log lines on rejected datagrams. All of them are counted.
 const REJECTION_LOG_INTERVAL: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// Logs and counts events.
+/// Log and counters of failover and membership events.
 pub(crate) struct EventLog {
     topology: Rc<ZoneTopology>,
-    last_rejection_line: Option<Timestamp>,
+    last_rejection_log: Option<Timestamp>,
 }
 
 impl EventLog {
     pub(crate) fn new(topology: Rc<ZoneTopology>) -> EventLog {
-        EventLog { topology, last_rejection_line: None }
+        EventLog { topology, last_rejection_log: None }
     }
 
     /// Logs and counts one event.
@@ -32,20 +32,34 @@
                 counters.add("zones", "proposed");
                 let zone = &self.topology.names[usize::from(zone)];
                 let (cause, evidence) = (cause.name(), health.name());
-                tracing::info!(cause, zone, evidence, reporters, voters, "proposing a zone decision");
+                tracing::info!(
+                    cause,
+                    zone,
+                    evidence,
+                    reporters,
+                    voters,
+                    "as leader, proposing a zone decision to the voters"
+                );
             }
             NodeEvent::Membership(event) => self.membership_changed(event, counters),
             NodeEvent::StatusChanged(status) => {
                 counters.add("zones_standing", status.name());
-                tracing::info!("decision status: {}", status.name());
+                tracing::info!("status of this co-ordinator's zone decision changed to {}", status.name());
             }
             NodeEvent::LeadershipChanged(leads) => {
                 counters.add("zones", if leads { "leads" } else { "leads_no_more" });
-                tracing::info!("{}", if leads { "elected leader" } else { "no longer leader" });
+                tracing::info!(
+                    "{}",
+                    if leads {
+                        "this co-ordinator is now the leader of the voters"
+                    } else {
+                        "this co-ordinator is no longer the leader of the voters"
+                    }
+                );
             }
             NodeEvent::DatagramRejected(rejection) => self.rejected(now, rejection.name(), counters),
             NodeEvent::Undecodable => self.rejected(now, "unread", counters),
-            NodeEvent::OrderAnswered(order, answer) => tracing::info!(?order, ?answer, "operator's order"),
+            NodeEvent::OrderAnswered(order, answer) => tracing::info!(?order, ?answer, "answered an order"),
         }
     }
 
@@ -61,7 +75,7 @@
             cause = decision.cause.name(),
             zone,
             frozen = decision.frozen,
-            "zone decision: {}",
+            "zone decision in effect: {}",
             states.join(", ")
         );
     }
@@ -85,16 +99,21 @@
             }
             MembershipEvent::Refuted(_) => {
                 counters.add("members", "refuted");
-                tracing::warn!("refuted a suspicion raised by other members");
+                tracing::warn!(
+                    "other members reported this co-ordinator as failed; it rejoins under a new identity"
+                );
             }
         }
     }
 
     fn rejected(&mut self, now: Timestamp, reason: &'static str, counters: &Counters) {
         counters.add("peers_left", reason);
-        if self.last_rejection_line.is_none_or(|last| now - last >= REJECTION_LOG_INTERVAL) {
-            self.last_rejection_line = Some(now);
-            tracing::warn!(reason, "rejected a datagram; further ones are counted under peers_left");
+        if self.last_rejection_log.is_none_or(|last| now - last >= REJECTION_LOG_INTERVAL) {
+            self.last_rejection_log = Some(now);
+            tracing::warn!(
+                reason,
+                "rejected a datagram; this is logged every 10 s at most, and each is counted under peers_left"
+            );
         }
     }
 }
--- a/crates/pipitcrank-cli/src/evidence_collector.rs
+++ b/crates/pipitcrank-cli/src/evidence_collector.rs
@@ -1,4 +1,4 @@
-//! Evidence on zones from what the exchange observes: counts of replicas, rates of traffic.
+//! Evidence on the zones, collected from the exchange: replica counts and traffic rates.
 
 use pipitcrank_core::coordinator::zones::{RequestTraffic, ZoneObservation, ZoneTraffic};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -7,45 +7,46 @@
 
 use crate::zone_topology::ZoneTopology;
 
-/// Replicas probed of a zone that is closed or suspected, each time evidence is gathered: all reporters together reach
-/// each replica of some dozens within a second.
-const PROBES_OF_DOUBTFUL_ZONE: usize = 8;
-/// Replicas probed of a zone of which little was heard recently, as all but the own are on calm days: each replica of
-/// some is reached each second, so that the zone's loss is known before it is needed.
-const PROBES_OF_QUIET_ZONE: usize = 2;
-/// A zone is suspected where one in so many of its replicas left something unanswered.
+/// Number of replicas probed in a closed or suspected zone on each report of evidence. With this number the reporters
+/// together probe each of several dozen replicas within a second.
+const SUSPECTED_ZONE_PROBES: usize = 8;
+/// Number of replicas probed in a quiet zone on each report of evidence. Without faults all zones but the own one are
+/// quiet. With this number each of a few replicas is probed every second, so that the loss of the zone is detected
+/// before traffic has to be moved there.
+const QUIET_ZONE_PROBES: usize = 2;
+/// A zone is suspected if at least one in this many of its replicas left an attempt or probe unanswered.
 const SUSPECTED_RATIO: u32 = 4;
-/// A zone is quiet where fewer than one in so many of its replicas was heard from recently.
+/// A zone is quiet if fewer than one in this many of its replicas responded recently.
 const QUIET_RATIO: u32 = 2;
-/// Rates are averaged over this time: shorter ones jump with single queries.
+/// Averaging window of the rates. Over shorter windows single queries make the rates jump.
 const RATE_WINDOW: TimeSpan = TimeSpan::from_millis(2000);
-/// Stands for no parts a second where a rate is divided by.
+/// Lower bound of a rate, in parts per second, where it is a divisor.
 const MIN_RATE: f64 = 1e-9;
 
-/// Replicas of a zone to be probed now, so that its state is known; none where it is.
+/// Number of replicas of the zone to probe now; `None` if regular traffic shows the zone's state.
 pub(crate) fn probes_needed(observed: &ZoneObservation, is_closed: bool) -> Option<usize> {
     let is_quiet = observed.recently_responded * QUIET_RATIO < observed.listed;
     let is_suspected = observed.suspected * SUSPECTED_RATIO >= observed.listed && observed.suspected > 0;
     if is_closed || is_suspected {
-        return Some(PROBES_OF_DOUBTFUL_ZONE);
+        return Some(SUSPECTED_ZONE_PROBES);
     }
-    is_quiet.then_some(PROBES_OF_QUIET_ZONE)
+    is_quiet.then_some(QUIET_ZONE_PROBES)
 }
 
-/// Queries and parts a second of one request class.
+/// Queries and parts per second of one request class.
 #[derive(Clone, Copy, Default)]
 struct ClassRate {
     queries: f64,
     parts: f64,
 }
 
-/// Rates from counts that only grow.
+/// Derives traffic rates from cumulative counts.
 pub(crate) struct EvidenceCollector {
     last_update: Timestamp,
     last_traffic: ZoneTraffic,
-    /// Parts that clients request, a second.
+    /// Parts per second requested by clients.
     demand: f64,
-    /// Parts answered a second, by zone.
+    /// Answered parts per second, by zone.
     answered: Vec<f64>,
     by_class: Vec<ClassRate>,
 }
@@ -61,21 +62,23 @@
         }
     }
 
-    /// Takes the exchange's counts of traffic into the rates.
+    /// Updates the rates from the exchange's traffic counts.
     pub(crate) fn update(&mut self, now: Timestamp, traffic: &ZoneTraffic) {
-        let passed = (now - self.last_update).as_secs_f64();
-        if passed <= 0.0 {
+        let elapsed = (now - self.last_update).as_secs_f64();
+        if elapsed <= 0.0 {
             return;
         }
         self.last_update = now;
         let before = std::mem::replace(&mut self.last_traffic, traffic.clone());
-        // The newest rate weighs as its time does in the window.
-        let weight = (passed / RATE_WINDOW.as_secs_f64()).min(1.0);
-        let blend = |rate: &mut f64, more: u64| *rate += weight * (more as f64 / passed - *rate);
-        let of = |list: &[RequestTraffic], class: usize| list.get(class).copied().unwrap_or_default();
+        // Moving average: the newest rate has the weight of its time span within the window.
+        let weight = (elapsed / RATE_WINDOW.as_secs_f64()).min(1.0);
+        let blend = |rate: &mut f64, added: u64| *rate += weight * (added as f64 / elapsed - *rate);
+        let class_count =
+            |list: &[RequestTraffic], class: usize| list.get(class).copied().unwrap_or_default();
         self.by_class.resize(traffic.requested.len(), ClassRate::default());
         for (class, rate) in self.by_class.iter_mut().enumerate() {
-            let (newest, before) = (of(&traffic.requested, class), of(&before.requested, class));
+            let (newest, before) =
+                (class_count(&traffic.requested, class), class_count(&before.requested, class));
             blend(&mut rate.queries, newest.queries - before.queries);
             blend(&mut rate.parts, newest.parts - before.parts);
         }
@@ -87,13 +90,13 @@
         }
     }
 
-    /// Parts that clients request, a second.
+    /// Parts per second requested by clients.
     pub(crate) fn demand(&self) -> u32 {
         self.demand.round() as u32
     }
 
-    /// What is reported of each zone. Of another region only its site is seen here, which tells nothing of one of its
-    /// zones.
+    /// Replica counts to report, by zone. The counts of zones in other regions are zero, since another region is
+    /// visible here only as one site.
     pub(crate) fn replica_counts(
         &self,
         topology: &ZoneTopology,
@@ -112,13 +115,13 @@
         self.answered.get(zone).copied().unwrap_or(0.0).round() as u32
     }
 
-    /// Of each request class, its fraction of the parts and its priority weight a part.
+    /// The fraction of all parts and the priority weight per part, by request class.
     pub(crate) fn class_loads(&self, priority_weights: &[f64]) -> Vec<ClassLoad> {
-        let all = self.demand.max(MIN_RATE);
+        let total = self.demand.max(MIN_RATE);
         let load = |(class, rate): (usize, &ClassRate)| {
             let weight = priority_weights.get(class).copied().unwrap_or(1.0);
             ClassLoad {
-                work_fraction: rate.parts / all,
+                work_fraction: rate.parts / total,
                 priority_weight: weight * rate.queries / rate.parts.max(MIN_RATE),
             }
         };
@@ -127,14 +130,14 @@
 }
 
 fn replica_counts(observed: &ZoneObservation, answered_parts: u32) -> ReplicaCounts {
-    let small = |n: u32| n.min(u32::from(u16::MAX)) as u16;
+    let saturating = |n: u32| n.min(u32::from(u16::MAX)) as u16;
     ReplicaCounts {
-        listed: small(observed.listed),
-        answering: small(observed.responsive),
-        silent: small(observed.unresponsive),
-        failing: small(observed.failing),
-        saturated: small(observed.overloaded),
-        warming_up: small(observed.in_slow_start),
+        listed: saturating(observed.listed),
+        answering: saturating(observed.responsive),
+        silent: saturating(observed.unresponsive),
+        failing: saturating(observed.failing),
+        saturated: saturating(observed.overloaded),
+        warming_up: saturating(observed.in_slow_start),
         answered_parts,
     }
 }
--- a/crates/pipitcrank-cli/src/exit_code.rs
+++ b/crates/pipitcrank-cli/src/exit_code.rs
@@ -1,8 +1,8 @@
 //! Exit codes of the program.
 
-/// Done.
+/// The command succeeded.
 pub(crate) const SUCCESS: i32 = 0;
-/// Not done, or a promise not kept.
+/// The command failed, or a check of a trial failed.
 pub(crate) const FAILURE: i32 = 1;
-/// A faulty file, variable or argument.
+/// A file, variable or argument is invalid.
 pub(crate) const INVALID_CONFIG: i32 = 2;
--- a/crates/pipitcrank-cli/src/failover_driver.rs
+++ b/crates/pipitcrank-cli/src/failover_driver.rs
@@ -1,5 +1,5 @@
-//! Driver of failover between zones: one UDP socket, evidence from the exchange, the routing plan handed to the exchange,
-//! events to log and counters. What is decided stands in `pipitcrank-failover`.
+//! I/O of failover between zones: sends and receives datagrams on one UDP socket, collects evidence from the exchange,
+//! applies routing plans to it, and logs and counts events. The decisions are made in `pipitcrank-failover`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,19 +28,19 @@
 use crate::store_driver::{OpenedStore, StoreDriver, StoreSource, StoredState};
 use crate::zone_topology::{ZoneTopology, own_zone, regions};
 
-/// Datagrams received in a row before anything else is done.
+/// Largest number of datagrams received before timers and store writes are handled again.
 const MAX_DATAGRAM_BATCH: usize = 32;
-/// While another process of this co-ordinator has the address, it is tried again so often; also the pause after an error
-/// of the socket.
+/// Interval between attempts to bind the address while another process of this co-ordinator uses it. Also the pause
+/// after a socket error.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// A smaller change of the fraction that is shed of a request class is not passed on: it changes with every query.
+/// Smallest change of a request class's shed fraction that updates the routing. Smaller ones occur with every query.
 const MIN_SHED_CHANGE: f64 = 0.02;
 
-/// Prepares failover and returns the future that runs it until this process drains. The store is opened once no other
-/// process of this co-ordinator has its address.
+/// Prepares failover and returns the future that runs it until this process drains. The future opens the store only
+/// after it has bound the failover address, since until then another process of this co-ordinator uses the store.
 ///
 /// # Errors
-/// What the operators' file and the platform say of zones contradicts itself; named by its key.
+/// The zones of the operators' file contradict those of the platform; the error names the key.
 pub(crate) fn prepare(
     context: &ServerContext,
     zones: ZonesConfig,
@@ -55,7 +55,7 @@
             exchange.set_zone_routing(topology.own_zone_routing());
         }
     });
-    let startup = Startup {
+    let startup = FailoverStartup {
         zones,
         topology: Rc::new(topology),
         store,
@@ -68,8 +68,8 @@
     Ok(startup.run())
 }
 
-/// What is known before the socket is open.
-struct Startup {
+/// State before the socket is open.
+struct FailoverStartup {
     zones: ZonesConfig,
     topology: Rc<ZoneTopology>,
     store: StoreSource,
@@ -80,7 +80,7 @@
     shutdown_requested: watch::Receiver<Option<Timestamp>>,
 }
 
-impl Startup {
+impl FailoverStartup {
     async fn run(self) {
         let mut draining = self.draining.clone();
         let shutdown_requested = self.shutdown_requested.clone();
@@ -104,7 +104,12 @@
         }
         let is_voter = self.zones.voter_slot(self.zones.advertised).is_some();
         let zone = &self.topology.names[self.topology.own];
-        tracing::info!(zone, advertised = %self.zones.advertised, voter = is_voter, "joining other members");
+        tracing::info!(
+            zone,
+            advertised = %self.zones.advertised,
+            voter = is_voter,
+            "failover started; joining the other members"
+        );
         FailoverDriver {
             socket,
             node,
@@ -122,12 +127,13 @@
     }
 }
 
-/// A socket at the address, once no other process of this co-ordinator has it; none where this process drains before.
+/// Waits until no other process of this co-ordinator uses the address, and binds it; `None` if this process drains
+/// before that.
 async fn bind_when_free(address: SocketAddr, draining: &mut watch::Receiver<bool>) -> Option<UdpSocket> {
     loop {
         match UdpSocket::bind(address).await {
             Ok(socket) => return Some(socket),
-            Err(error) => tracing::debug!("/zones/listen {address}: {error}"),
+            Err(error) => tracing::debug!("/zones/listen {address} can't be bound yet, retrying: {error}"),
         }
         tokio::select! {
             () = tokio::time::sleep(BIND_RETRY_INTERVAL) => {}
@@ -166,7 +172,7 @@
         let (generation, count) = (decision.number >> 32, decision.number as u32);
         tracing::info!(
             members = recovered.members.len(),
-            "restored decision {generation}.{count}; older ones are ignored"
+            "restored zone decision {generation}.{count} from the store; older decisions are ignored"
         );
     }
     node.restore(now, recovered.decision, recovered.members, voter_memory);
@@ -180,13 +186,13 @@
     event_loop: Rc<EventLoop>,
     topology: Rc<ZoneTopology>,
     is_dry_run: bool,
-    /// Priority weight of an answer, by request class.
+    /// Priority weight of a response, by request class.
     priority_weights: Vec<f64>,
     event_log: EventLog,
     evidence: EvidenceCollector,
-    /// The plan that the exchange has.
+    /// The plan last applied to the exchange.
     plan: Option<RoutingPlan>,
-    /// What the exchange sheds, by request class.
+    /// The fractions of queries last applied to the exchange for shedding, by request class.
     shed_fractions: Vec<f64>,
 }
 
@@ -224,7 +230,7 @@
         for _ in 0..MAX_DATAGRAM_BATCH {
             match self.socket.try_recv_from(buffer) {
                 Ok((length, _)) => self.node.handle_datagram(now, &buffer[..length]),
-                // Nothing is there, or the system reports that an earlier datagram had no receiver.
+                // No datagram is pending, or the error concerns an earlier datagram that had no receiver.
                 Err(_) => break,
             }
         }
@@ -237,7 +243,7 @@
         self.node.report_evidence(now, replica_counts, self.evidence.demand());
         for (zone, observed) in (0u16..).zip(&observed) {
             let is_closed = self.plan.as_ref().is_some_and(|plan| plan.closed_zones.contains(&zone));
-            // Of many members the reporters of a zone probe: probes have their price.
+            // Only the reporters of a zone probe, since probes from all members would load the replicas.
             if self.node.is_reporter()
                 && let Some(count) = probes_needed(observed, is_closed)
             {
@@ -249,7 +255,7 @@
         counters.set("zones", "parts_across", traffic.cross_zone_parts);
     }
 
-    /// Passes on what the node has put out: to the store, the log, the exchange and other members.
+    /// Delivers the node's output to the store, the log, the exchange and the other members.
     fn publish(&mut self, now: Timestamp) {
         self.save(now);
         for event in self.node.take_events() {
@@ -261,7 +267,7 @@
         counters.set("peers_sent", "datagrams", self.node.sent().datagrams);
         self.update_routing(now);
         for OutgoingDatagram { to, bytes } in self.node.take_datagrams() {
-            // A datagram that can't be sent now counts as lost.
+            // A datagram that can't be sent immediately is dropped, as if lost on the network.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
@@ -305,6 +311,6 @@
         });
         let fractions: Vec<String> = fractions.collect();
         let (number, shed) = (plan.decision_number, plan.shed);
-        tracing::info!(number, shed, "routing queries to zones: {}", fractions.join(", "));
+        tracing::info!(number, shed, "routing plan changed, queries go to zones: {}", fractions.join(", "));
     }
 }
--- a/crates/pipitcrank-cli/src/logs.rs
+++ b/crates/pipitcrank-cli/src/logs.rs
@@ -1,26 +1,26 @@
-//! Log lines go to standard error from a thread of their own: whoever logs never waits, and lines that are dropped are
-//! counted.
+//! Logging to standard error from a separate thread. Logging never blocks the caller: lines that exceed the buffer are
+//! dropped and counted.
 
 use pipitcrank_config::LogsConfig;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::time::SystemTime;
 
-/// Lines that wait to be written, at most: a quarter of a megabyte. Further lines are dropped.
-const MAX_WAITING_LINES: usize = 1024;
-/// Levels where the operators' file has none, or some that can't be read.
+/// Largest number of buffered lines, about a quarter of a megabyte.
+const MAX_BUFFERED_LINES: usize = 1024;
+/// Log levels if the operators' file has none or invalid ones.
 const DEFAULT_LEVELS: &str = "info";
 
-/// The thread that writes log lines.
+/// Handle of the thread that writes log lines.
 pub(crate) struct LogWriter {
     dropped: ErrorCounter,
     guard: WorkerGuard,
 }
 
-/// Takes all log lines from now on. In place of levels that can't be read the default is used, and that is logged.
+/// Starts logging. If the configured levels are invalid, the error is logged and the default levels are used.
 pub(crate) fn start(logs: &LogsConfig) -> LogWriter {
     let (out, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(MAX_WAITING_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .lossy(true)
         .finish(std::io::stderr());
     let dropped = out.error_counter();
@@ -38,17 +38,17 @@
         lines.with_target(false).init();
     }
     if let Some(error) = error {
-        tracing::error!("/logs/levels {levels}: {error}");
+        tracing::error!("/logs/levels '{levels}' is invalid, using '{DEFAULT_LEVELS}': {error}");
     }
     LogWriter { dropped, guard }
 }
 
 impl LogWriter {
-    /// Waits until all lines are written.
+    /// Waits until all buffered lines are written.
     pub(crate) fn finish(self) {
         let dropped = self.dropped.dropped_lines();
         if dropped > 0 {
-            tracing::warn!("{dropped} log lines were dropped");
+            tracing::warn!("{dropped} log lines were dropped because the log buffer was full");
         }
         drop(self.guard);
     }
--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `pipitcrank`: a scatter-gather co-ordinator, and what operators run beside it.
+//! `pipitcrank`: a scatter-gather co-ordinator and its operators' commands.
 
 mod arguments;
 mod check;
@@ -36,11 +36,11 @@
 fn main() {
     let Arguments { command } = Arguments::parse();
     let code = run(command);
-    // Nothing is waited for: all accepted requests have been answered.
+    // Exits without waiting for background threads: all accepted requests have been answered.
     std::process::exit(code);
 }
 
-/// Carries out a command; the exit code.
+/// Runs a command and returns the exit code.
 fn run(command: Command) -> i32 {
     match command {
         Command::Serve { operators } => run_logged(operators, serve::serve),
@@ -58,7 +58,7 @@
         }),
         Command::Lab { name, copies, zones, seed, json, plot } => {
             let zones = usize::from(zones);
-            exit_code_of(Experiment { name, nodes: copies, zones, seed, json, plot }.play())
+            exit_code_of(Experiment { name, nodes: copies, zones, seed, json, plot }.run())
         }
         Command::Demo { seed } => {
             exit_code_of(environment::program().and_then(|program| demo::play(&program, seed)))
@@ -70,7 +70,7 @@
     }
 }
 
-/// Runs what an operator asks of the co-ordinators that an operators' file joins.
+/// Runs an operator's command that needs the `zones` section of an operators' file.
 fn run_with_zones(path: &Path, command: impl FnOnce(&ZonesConfig) -> Result<i32>) -> i32 {
     match OperatorsConfig::read(path) {
         Ok(config) => {
@@ -84,7 +84,7 @@
     }
 }
 
-/// The exit code; an error is printed for a person.
+/// Returns the exit code of a command, and prints its error to standard error.
 fn exit_code_of(result: Result<i32>) -> i32 {
     result.unwrap_or_else(|error| {
         eprintln!("ERROR {error:#}");
@@ -92,7 +92,7 @@
     })
 }
 
-/// Runs a process that logs, with the operators' file read; an error goes to the log.
+/// Reads the operators' file, starts logging as it says, and runs `process`. Errors are logged.
 fn run_logged(
     path: Option<PathBuf>,
     process: impl FnOnce(Option<PathBuf>, OperatorsConfig) -> Result<i32>,
--- a/crates/pipitcrank-cli/src/operator_request.rs
+++ b/crates/pipitcrank-cli/src/operator_request.rs
@@ -1,4 +1,4 @@
-//! Requests of operators to co-ordinators, over UDP as between members.
+//! Requests of operators to co-ordinators, over the members' UDP protocol.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,21 +13,21 @@
 use crate::clocks::micros_since_epoch;
 use crate::runtime::block_on;
 
-/// After this the request is sent to everybody again.
+/// Interval after which an unanswered request is sent to all addresses again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What is requested.
+/// A request to one or more co-ordinators.
 pub(crate) enum OperatorRequest {
-    /// An order, or the status where there is none.
+    /// An operator's order, or a request for the status if there is none.
     Order(Option<OperatorOrder>),
-    /// Members, from the one behind that address on.
+    /// Request for the list of members after this address.
     Members { after: Option<SocketAddr> },
-    /// To go on without the voters of these slots.
+    /// Request to continue without the voters in these slots.
     ExcludeVoters(Vec<u8>),
 }
 
-/// Sends a request until somebody answers; none within the time `wait`. That a node does not lead is an answer only where
-/// there is no other.
+/// Sends a request until a co-ordinator answers; `None` if there is no answer within `wait`. The answer that a
+/// co-ordinator is not the leader is returned only if there is no other.
 pub(crate) fn send(
     zones: &ZonesConfig,
     to: &[SocketAddr],
@@ -69,7 +69,7 @@
     Ok(last)
 }
 
-/// The next answer that comes before `until`.
+/// The next answer received before `until`.
 async fn receive_answer(
     socket: &UdpSocket,
     client: &mut OperatorClient,
@@ -78,7 +78,7 @@
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let received = tokio::time::timeout_at(until.into(), socket.recv_from(&mut buffer)).await.ok()?;
-        // An error tells of one that is not there; the others may be.
+        // The error concerns one address without a receiver; others may still answer.
         let Ok((length, _)) = received else { continue };
         if let Some(received) = client.open_answer(&buffer[..length]) {
             return Some(received.answer);
--- a/crates/pipitcrank-cli/src/restart_plan.rs
+++ b/crates/pipitcrank-cli/src/restart_plan.rs
@@ -1,4 +1,4 @@
-//! `pipitcrank restart-plan`: in which waves the co-ordinators can be restarted.
+//! `pipitcrank restart-plan`: prints the waves in which the co-ordinators can be restarted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::exit_code;
 use crate::operator_request::{OperatorRequest, send};
 
-/// Prints the waves, each with at most `max_fraction` of all co-ordinators and of each zone's.
+/// Prints the waves, each with at most `max_fraction` of all co-ordinators and of those of each zone.
 pub(crate) fn restart_plan(
     zones: &ZonesConfig,
     max_fraction: f64,
--- a/crates/pipitcrank-cli/src/runtime.rs
+++ b/crates/pipitcrank-cli/src/runtime.rs
@@ -1,8 +1,8 @@
-//! Runtimes of one thread.
+//! Single-threaded runtimes.
 
 use anyhow::Result;
 
-/// Runs a future whose tasks share one thread.
+/// Runs a future whose tasks all run on the current thread.
 pub(crate) fn block_on_local<T>(future: impl Future<Output = T>) -> Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, future))
--- a/crates/pipitcrank-cli/src/serve.rs
+++ b/crates/pipitcrank-cli/src/serve.rs
@@ -1,5 +1,5 @@
-//! `pipitcrank serve`: a co-ordinator in this process, or an upgrade supervisor and its workers; with the store, failover
-//! and the gateway where the operators' file has them.
+//! `pipitcrank serve`: runs a co-ordinator in this process, or an upgrade supervisor with workers. The operators' file
+//! enables the store, failover and the gateway.
 
 use std::cell::RefCell;
 use std::os::fd::AsFd;
@@ -25,22 +25,22 @@
 use crate::upgrade_supervisor::supervise;
 use crate::zone_topology::own_zone;
 
-/// Bits of an incarnation that the process id fills; the time since 1970 stands above them.
+/// Number of low bits of an incarnation that hold the process id. The higher bits hold the time since 1970.
 const PROCESS_ID_BITS: u32 = 22;
 
 type Transport = Rc<RefCell<dyn ReplicaTransport>>;
 
-/// Serves until a shutdown is requested. `path`: the operators' file.
+/// Serves until a shutdown is requested. `path`: path of the operators' file.
 pub(crate) fn serve(path: Option<PathBuf>, config: OperatorsConfig) -> Result<i32> {
     let clock = Clock::start();
     match config.upgrade {
-        Some(upgrade) => serve_by_workers(&clock, path, config.zones, upgrade),
-        None => serve_alone(clock, config),
+        Some(upgrade) => serve_with_workers(&clock, path, config.zones, upgrade),
+        None => serve_without_supervisor(clock, config),
     }
 }
 
-/// Serves in this process.
-fn serve_alone(clock: Clock, config: OperatorsConfig) -> Result<i32> {
+/// Serves in this process, without a supervisor.
+fn serve_without_supervisor(clock: Clock, config: OperatorsConfig) -> Result<i32> {
     let mut opened = OpenedStore::default();
     if let Some(store) = &config.store {
         let (driver, state) = StoreDriver::open(store, &environment::node_name()?);
@@ -48,7 +48,7 @@
     }
     let learned = opened.state.recovered.learned.take();
     block_on_local(async {
-        // Received without effect: by default the signal would end the process.
+        // Ignores SIGUSR2, which by default would terminate the process.
         let _upgrades = signal(SignalKind::user_defined2())?;
         let transport = transport_factory(config, Some(opened));
         serve::serve(clock, None, transport, learned).await.map_err(|error| anyhow!("{error}"))
@@ -57,7 +57,7 @@
 }
 
 /// Runs the upgrade supervisor, whose workers serve.
-fn serve_by_workers(
+fn serve_with_workers(
     clock: &Clock,
     path: Option<PathBuf>,
     zones: Option<ZonesConfig>,
@@ -68,13 +68,15 @@
     if let Some(zones) = &zones {
         own_zone(zones, node_config.zones()?.as_ref())?;
     }
-    let path = path.map(|path| path.canonicalize().context("the operators' file")).transpose()?;
+    let path = path
+        .map(|path| path.canonicalize().context("can't resolve the path of the operators' file"))
+        .transpose()?;
     block_on_local(supervise(environment::program()?, path, node_config.listen()?, upgrade))?
 }
 
-/// Serves as a worker of the upgrade supervisor, whose link is standard input.
+/// Serves as a worker. Standard input is the link to the upgrade supervisor.
 pub(crate) fn work(config: OperatorsConfig) -> Result<i32> {
-    let link = std::io::stdin().as_fd().try_clone_to_owned().context("standard input")?;
+    let link = std::io::stdin().as_fd().try_clone_to_owned().context("can't duplicate standard input")?;
     let link = UnixStream::from(link);
     link.peer_addr().context("standard input is not a supervisor's link")?;
     let transport = transport_factory(config, None);
@@ -83,8 +85,8 @@
     Ok(exit_code::SUCCESS)
 }
 
-/// Starts failover, the store and the gateway once the server's context is known; none where all are off. `opened`: the
-/// store and what a process before this one left in it; none while such a process may have it open.
+/// Returns the factory that starts failover, the store and the gateway once the server's context is known; `None` if
+/// all of them are off. `opened`: the store and the state in it; `None` while another process may have the store open.
 fn transport_factory(config: OperatorsConfig, opened: Option<OpenedStore>) -> Option<TransportFactory> {
     let OperatorsConfig { gateway, zones, store, .. } = config;
     if gateway.is_none() && zones.is_none() && store.is_none() {
@@ -124,7 +126,7 @@
 }
 
 fn start_gateway(context: ServerContext, config: GatewayConfig) -> Transport {
-    // Differs from that of any process before or beside this one, by its start and its id.
+    // The start time and the process id make the incarnation unique among earlier and concurrent processes.
     let incarnation = micros_since_epoch() << PROCESS_ID_BITS ^ u64::from(std::process::id());
     let names = config.sites.iter().map(|site| site.name.clone()).collect();
     let server = LinkServer::new(&context, &config.site, incarnation, names);
--- a/crates/pipitcrank-cli/src/simulate.rs
+++ b/crates/pipitcrank-cli/src/simulate.rs
@@ -1,4 +1,4 @@
-//! `pipitcrank lab`: plays an experiment in simulated time.
+//! `pipitcrank lab`: runs an experiment in simulated time.
 
 use std::path::PathBuf;
 
@@ -8,29 +8,29 @@
 
 use crate::exit_code;
 
-/// Most co-ordinators that an experiment is played with: more take hours.
+/// Largest number of co-ordinators in an experiment. A run with more takes hours.
 const MAX_NODES: usize = 10_000;
-/// Titles of the picture's charts.
+/// Title of the service chart.
 const SERVICE_TITLE: &str = "share of what was asked that was answered in time";
-/// See [`SERVICE_TITLE`].
+/// Title of the load chart.
 const LOAD_TITLE: &str = "load of each zone against what it bears, by the common decision";
 
-/// An experiment to be played.
+/// Parameters of an experiment.
 pub(crate) struct Experiment {
     pub(crate) name: String,
     /// Number of co-ordinators.
     pub(crate) nodes: usize,
     pub(crate) zones: usize,
     pub(crate) seed: u64,
-    /// Where figures go as JSON.
+    /// File to write the figures to, as JSON.
     pub(crate) json: Option<PathBuf>,
-    /// Where service and load over time go as a picture.
+    /// File to write the charts of service and load over time to, as SVG.
     pub(crate) plot: Option<PathBuf>,
 }
 
 impl Experiment {
-    /// Plays it and prints its figures.
-    pub(crate) fn play(&self) -> Result<i32> {
+    /// Runs the experiment and prints its figures.
+    pub(crate) fn run(&self) -> Result<i32> {
         let Experiment { name, nodes, zones, seed, json, plot } = self;
         anyhow::ensure!(name == "zones", "no experiment is named '{name}'; there is: zones");
         anyhow::ensure!((*zones..=MAX_NODES).contains(nodes), "{nodes} copies, not {zones} to {MAX_NODES}");
--- a/crates/pipitcrank-cli/src/store_driver.rs
+++ b/crates/pipitcrank-cli/src/store_driver.rs
@@ -1,5 +1,5 @@
-//! Driver of this co-ordinator's store: opens it, passes on what a process before this one kept, and has the learned state
-//! written at intervals. What of it may be used is decided in `pipitcrank-recovery`.
+//! Access to this co-ordinator's store: opens it, restores the state saved by the previous process, and saves the
+//! learned state at intervals. `pipitcrank-recovery` decides which parts of the saved state are still valid.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,37 +20,37 @@
 use crate::clocks::{micros_since_epoch, time_span};
 use crate::environment::node_name;
 
-/// The disk delays a start by no longer than this.
+/// Longest time that a start waits for the store to be read.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
-/// While another process of this co-ordinator has the file open, it is tried again so often.
+/// Interval between attempts to open the file while another process of this co-ordinator has it open.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// A write that takes longer is logged.
+/// Duration from which a pending write is logged as slow.
 const SLOW_WRITE: Duration = Duration::from_millis(1000);
 
-/// What a process before this one left in the store.
+/// State in the store, saved by the previous process.
 #[derive(Default)]
 pub(crate) struct StoredState {
     pub(crate) recovered: RecoveredState,
     pub(crate) voter_memory: Option<PersistentVoterState>,
 }
 
-/// A store, if there is one, and what a process before this one left in it.
+/// A store, if one is configured, and the state in it.
 #[derive(Default)]
 pub(crate) struct OpenedStore {
     pub(crate) driver: Option<StoreDriver>,
     pub(crate) state: StoredState,
 }
 
-/// Where the store comes from.
+/// Source of the store: opened at start, or to be opened later.
 pub(crate) struct StoreSource {
-    /// The store that was opened at start; none while a process before this one may have it open.
+    /// The store opened at start; `None` while the previous process may have it open.
     pub(crate) opened: Option<OpenedStore>,
-    /// The store to be opened otherwise, if one is configured.
+    /// The store to open if `opened` is `None`, if one is configured.
     pub(crate) config: Option<StoreConfig>,
 }
 
 impl StoreSource {
-    /// The store, once no other process of this co-ordinator has it open.
+    /// Returns the store, opened once no other process of this co-ordinator has it open.
     pub(crate) async fn open(self, draining: watch::Receiver<bool>) -> OpenedStore {
         if let Some(opened) = self.opened {
             return opened;
@@ -66,12 +66,12 @@
 pub(crate) struct StoreDriver {
     store: Store,
     config: StoreConfig,
-    /// Notified each time that a write succeeded or failed.
+    /// Notified after each write, whether it succeeded or failed.
     write_finished: Arc<Notify>,
     last_write: Option<Timestamp>,
-    /// Number of the newest voter memory to be written.
+    /// Sequence number of the newest voter memory passed to the store.
     memory_sequence: u64,
-    /// The error that was logged last.
+    /// The error logged last; `None` after a successful write.
     logged_error: Option<StoreError>,
     is_slow: bool,
 }
@@ -81,8 +81,8 @@
 }
 
 impl StoreDriver {
-    /// Opens the store of the co-ordinator `owner`, and reads it. An error is logged and stops nothing: the co-ordinator
-    /// serves as one without a store.
+    /// Opens and reads the store of the co-ordinator `owner`. After an error, which is logged, the co-ordinator serves
+    /// as if the store were empty.
     pub(crate) fn open(config: &StoreConfig, owner: &str) -> (StoreDriver, StoredState) {
         let write_finished = Arc::new(Notify::new());
         let notify = write_finished.clone();
@@ -100,7 +100,10 @@
         let state = match stored {
             Ok(values) => driver.decode(&values),
             Err(error) => {
-                tracing::warn!("/store/path {}: {error}; nothing of it is used", config.path.display());
+                tracing::warn!(
+                    "/store/path {}: {error}; starting without stored state",
+                    config.path.display()
+                );
                 driver.logged_error = Some(error);
                 StoredState::default()
             }
@@ -108,8 +111,8 @@
         (driver, state)
     }
 
-    /// The same once no other process of this co-ordinator has the file open, as in an upgrade; or as soon as this one
-    /// drains.
+    /// Opens the store like [`StoreDriver::open`], but during an upgrade first waits until the other process has closed
+    /// the file or this process drains.
     async fn open_when_free(
         config: &StoreConfig,
         owner: &str,
@@ -136,7 +139,9 @@
         let memory = PersistentVoterState::decode(bytes);
         if memory.is_none() {
             let path = self.config.path.display();
-            tracing::warn!("/store/path {path}: voter memory can't be read; returning as a new voter");
+            tracing::warn!(
+                "/store/path {path}: stored voter memory can't be decoded; rejoining as a new voter"
+            );
         }
         memory
     }
@@ -144,24 +149,24 @@
     fn decode_learned_state(&self, bytes: &[u8]) -> Option<RecoveredState> {
         let path = self.config.path.display();
         let Some(state) = LastKnownState::decode(bytes) else {
-            tracing::warn!("/store/path {path}: learned state can't be read; it is not used");
+            tracing::warn!("/store/path {path}: stored learned state can't be decoded; starting without it");
             return None;
         };
         let recovered = state.recover(read_clocks(), time_span(self.config.max_age));
         if recovered.learned.is_none() {
             tracing::info!(
-                "/store/path {path}: learned state is too old, or a clock was set; it is not used"
+                "/store/path {path}: stored learned state is too old, or a clock was set; starting without it"
             );
         }
         Some(recovered)
     }
 
-    /// Waits until a write succeeded or failed.
+    /// Waits until a write has succeeded or failed.
     pub(crate) async fn write_finished(&self) {
         self.write_finished.notified().await;
     }
 
-    /// Has the voter memory written.
+    /// Starts a write of the voter memory.
     pub(crate) fn save_voter_memory(&mut self, memory: &PersistentVoterState) {
         self.memory_sequence = self.store.save_voter_memory(memory.encode());
     }
@@ -171,7 +176,7 @@
         self.store.synced_sequence() >= self.memory_sequence
     }
 
-    /// Has the learned state written where that is due, and logs errors of the disk.
+    /// Starts a write of the learned state if one is due, and logs errors of earlier writes.
     pub(crate) fn save_learned_state_if_due(
         &mut self,
         now: Timestamp,
@@ -193,7 +198,7 @@
         event_loop.counters.add("store", "written");
     }
 
-    /// When the learned state is to be written next.
+    /// Time at which the next write of the learned state is due.
     pub(crate) fn next_write(&self) -> Timestamp {
         let interval = time_span(self.config.write_interval);
         self.last_write.map_or(Timestamp::default(), |last| last + interval)
@@ -206,9 +211,9 @@
             match &error {
                 Some(error) => {
                     counters.add("store_faults", error.counter_name());
-                    tracing::warn!("/store/path {path}: {error}");
+                    tracing::warn!("/store/path {path}: {error}; serving continues");
                 }
-                None => tracing::info!("/store/path {path}: writes succeed again"),
+                None => tracing::info!("/store/path {path}: a write succeeded after earlier errors"),
             }
             self.logged_error = error;
         }
@@ -216,13 +221,15 @@
             self.is_slow = pending_for > SLOW_WRITE;
             if self.is_slow {
                 counters.add("store_faults", "slow");
-                tracing::warn!("/store/path {path}: a write has been pending for {pending_for:?}");
+                tracing::warn!(
+                    "/store/path {path}: a write to the disk has been pending for {pending_for:?}; serving continues"
+                );
             }
         }
     }
 }
 
-/// Writes the learned state of a co-ordinator without other members, until it drains.
+/// Saves the learned state at intervals until this process drains, for a co-ordinator without failover.
 pub(crate) async fn save_until_draining(
     mut driver: StoreDriver,
     event_loop: Rc<EventLoop>,
--- a/crates/pipitcrank-cli/src/upgrade_command.rs
+++ b/crates/pipitcrank-cli/src/upgrade_command.rs
@@ -1,4 +1,4 @@
-//! `pipitcrank upgrade`: asks a process to upgrade, and reads from its counters how that ended.
+//! `pipitcrank upgrade`: requests an upgrade from a process and reads the result from its counters.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,18 +9,18 @@
 
 use crate::exit_code;
 
-/// Counters are read so often.
+/// Interval between reads of the counters.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest time for one connection or read of the counters.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Upgrades that a process counted.
+/// Numbers of completed and rolled back upgrades of a process.
 struct UpgradeCounts {
     done: u64,
     undone: u64,
 }
 
-/// Signals the process, and waits until its counters at `address` say how the upgrade ended.
+/// Signals the process and, given its `address`, waits until its counters show the result of the upgrade.
 pub(crate) fn upgrade(pid: i32, address: Option<SocketAddr>, wait: Duration) -> Result<i32> {
     let pid = Pid::from_raw(pid).filter(|_| pid > 1).context("--pid names no process")?;
     let before = address.map(read_counts).transpose()?;
--- a/crates/pipitcrank-cli/src/upgrade_supervisor.rs
+++ b/crates/pipitcrank-cli/src/upgrade_supervisor.rs
@@ -1,5 +1,6 @@
-//! The process that operators start and signal where upgrades are on: it holds a copy of the listener, starts workers and
-//! carries out what the upgrade state machine decides. It serves nobody itself and knows no query.
+//! The upgrade supervisor, which is the process that operators start and signal if upgrades are enabled. It holds a
+//! copy of the listener, starts workers and executes the actions of the upgrade state machine. Only workers serve
+//! queries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,11 +25,12 @@
 
 /// Supervisor of the workers of one listener.
 pub(crate) struct UpgradeSupervisor {
-    /// Where the program is; what stands there at an upgrade is what is started.
+    /// Path of the program. An upgrade starts the file that is at this path when the upgrade begins.
     program: PathBuf,
     operators: Option<PathBuf>,
     started: Instant,
-    /// None once a shutdown was requested: then only workers listen, and clients are refused when they cease to.
+    /// `None` after a shutdown request: from then on only workers hold the listener, and once they close it, new
+    /// connections are refused.
     listener: Option<std::net::TcpListener>,
     workers: BTreeMap<WorkerId, WorkerProcess>,
     events: UnboundedSender<UpgradeEvent>,
@@ -48,7 +50,7 @@
     Timestamp::from_micros(started.elapsed().as_micros() as i64)
 }
 
-/// Runs a supervisor until all workers have ended; the exit code.
+/// Runs a supervisor until all workers have exited, and returns the exit code.
 pub(crate) async fn supervise(
     program: PathBuf,
     operators: Option<PathBuf>,
@@ -59,15 +61,17 @@
     let mut hangups = signal(SignalKind::hangup())?;
     let mut terminations = signal(SignalKind::terminate())?;
     let mut interrupts = signal(SignalKind::interrupt())?;
-    let listener =
-        TcpListener::bind(listen).await.with_context(|| format!("/listen: {listen}"))?.into_std()?;
+    let listener = TcpListener::bind(listen)
+        .await
+        .with_context(|| format!("/listen {listen} can't be bound"))?
+        .into_std()?;
     let (events, mut worker_events) = unbounded_channel();
     let started = Instant::now();
     let (state, actions) = UpgradeStateMachine::start(elapsed(started), timeouts(upgrade));
     let (listener, workers) = (Some(listener), BTreeMap::new());
     let mut supervisor = UpgradeSupervisor { program, operators, started, listener, workers, events, state };
-    tracing::info!("upgrade supervisor listens at {listen}");
-    if let Some(code) = supervisor.carry_out(actions) {
+    tracing::info!("upgrade supervisor listens at {listen}; starting a worker");
+    if let Some(code) = supervisor.execute(actions) {
         return Ok(code);
     }
     loop {
@@ -99,8 +103,8 @@
         }
     }
 
-    /// SIGHUP: workers read their node configuration again, the supervisor the operators' file. A faulty one changes
-    /// nothing.
+    /// Handles SIGHUP: the workers reload the node configuration, the supervisor the operators' file. An invalid file
+    /// is logged and changes nothing.
     fn reload(&mut self) {
         for worker in self.workers.values() {
             worker.signal(Signal::HUP);
@@ -109,21 +113,23 @@
         match OperatorsConfig::read(path) {
             Ok(OperatorsConfig { upgrade: Some(upgrade), .. }) => {
                 self.state.set_timeouts(timeouts(upgrade));
-                tracing::info!("operators' file reloaded");
+                tracing::info!("operators' file reloaded; its upgrade time limits now apply");
             }
-            Ok(_) => tracing::error!("/upgrade is off in the new operators' file: that takes a restart"),
+            Ok(_) => tracing::error!(
+                "/upgrade is off in the new operators' file: that takes a restart to apply; the old time limits stay"
+            ),
             Err(error) => {
-                tracing::error!("the new operators' file is faulty, the old one stays: {error}");
+                tracing::error!("the new operators' file is invalid, the old one stays: {error}");
             }
         }
     }
 
-    /// Has the state machine decide; the exit code at the end.
+    /// Passes an event to the state machine and executes its actions. Returns the exit code when it is time to exit.
     fn handle(&mut self, event: UpgradeEvent) -> Option<i32> {
         match event {
-            UpgradeEvent::UpgradeRequested => tracing::info!("upgrade requested"),
+            UpgradeEvent::UpgradeRequested => tracing::info!("upgrade requested by SIGUSR2"),
             UpgradeEvent::ShutdownRequested => {
-                tracing::info!("shutdown requested");
+                tracing::info!("shutdown requested; the workers finish their queries");
                 self.listener = None;
             }
             UpgradeEvent::Exited(id, _) | UpgradeEvent::StartFailed(id) => drop(self.workers.remove(&id)),
@@ -132,13 +138,13 @@
         let rolled_back = self.state.counts().rolled_back;
         let actions = self.state.handle(elapsed(self.started), event);
         if self.state.counts().rolled_back > rolled_back && !self.state.is_upgrading() {
-            tracing::warn!("upgrade rolled back: {:?}", self.state.last_rollback());
+            tracing::warn!("upgrade rolled back to the previous worker: {:?}", self.state.last_rollback());
         }
-        self.carry_out(actions)
+        self.execute(actions)
     }
 
-    /// Carries out actions in their order; the exit code at the end.
-    fn carry_out(&mut self, actions: Vec<UpgradeAction>) -> Option<i32> {
+    /// Executes actions in order. Returns the exit code if one of them is to exit.
+    fn execute(&mut self, actions: Vec<UpgradeAction>) -> Option<i32> {
         for action in actions {
             tracing::debug!(?action);
             match action {
@@ -147,7 +153,10 @@
                 UpgradeAction::Connect { predecessor, successor } => self.connect(predecessor, successor),
                 UpgradeAction::ContinueAlone(id) => self.send(id, &ToWorker::ContinueAlone, None),
                 UpgradeAction::TransferConnections(id) => {
-                    tracing::info!(worker = id.0, "worker transfers listener and connections");
+                    tracing::info!(
+                        worker = id.0,
+                        "trial passed; worker transfers the listener and its connections"
+                    );
                     self.send(id, &ToWorker::TransferConnections, None);
                 }
                 UpgradeAction::Kill(id) => self.signal(id, Signal::KILL),
@@ -167,7 +176,7 @@
                 self.workers.insert(id, worker);
             }
             Err(error) => {
-                tracing::error!("{} can't be started: {error:#}", self.program.display());
+                tracing::error!("worker can't be started from {}: {error:#}", self.program.display());
                 let _ = self.events.send(UpgradeEvent::StartFailed(id));
             }
         }
@@ -177,12 +186,12 @@
         let Some(listener) = &self.listener else { return };
         match listener.try_clone() {
             Ok(listener) => {
-                tracing::info!(worker = id.0, "worker serves");
+                tracing::info!(worker = id.0, "worker starts to serve");
                 self.send(id, &ToWorker::Serve, Some(listener.into()));
             }
             Err(error) => {
-                // Without the listener the worker is of no use; its exit is handled as any other.
-                tracing::error!("the listener can't be given to a worker: {error}");
+                // A worker can't serve without the listener. Its exit is handled like any other.
+                tracing::error!("the listener can't be duplicated for a worker, which is killed: {error}");
                 self.signal(id, Signal::KILL);
             }
         }
@@ -195,8 +204,10 @@
                 self.send(predecessor, &ToWorker::HandOver, Some(ours.into()));
                 self.send(successor, &ToWorker::TakeOver, Some(theirs.into()));
             }
-            // The timeout of the step ends this attempt.
-            Err(error) => tracing::error!("no link between workers: {error}"),
+            // The timeout of this step ends the upgrade.
+            Err(error) => tracing::error!(
+                "the link between two workers can't be created; the upgrade will time out: {error}"
+            ),
         }
     }
 
--- a/crates/pipitcrank-cli/src/worker_process.rs
+++ b/crates/pipitcrank-cli/src/worker_process.rs
@@ -1,4 +1,5 @@
-//! A worker's process: started with a link to the upgrade supervisor as its standard input, signalled, waited for.
+//! Starts a worker process with a link to the upgrade supervisor as its standard input, signals it and waits for its
+//! exit.
 
 use std::os::fd::OwnedFd;
 use std::path::Path;
@@ -12,14 +13,14 @@
 use tokio::process::{Child, Command};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// A worker that runs.
+/// A running worker process.
 pub(crate) struct WorkerProcess {
     link: LinkSender,
     signals: UnboundedSender<Signal>,
 }
 
 impl WorkerProcess {
-    /// Starts the program as a worker; what becomes of it goes to `events`.
+    /// Starts the program as a worker. Its messages and its exit are sent to `events`.
     pub(crate) fn start(
         id: WorkerId,
         program: &Path,
@@ -51,13 +52,16 @@
     }
 }
 
-/// Passes the worker's messages on as events, until its link ends.
+/// Forwards the worker's messages as events until its link is closed.
 async fn forward_messages(id: WorkerId, mut link: LinkReceiver, events: UnboundedSender<UpgradeEvent>) {
     loop {
         let event = match link.receive::<ToSupervisor>().await.map(|received| received.message) {
             Ok(ToSupervisor::Hello { version: PROTOCOL_VERSION }) => continue,
             Ok(ToSupervisor::Hello { version }) => {
-                tracing::error!(worker = id.0, "worker speaks version {version}, not {PROTOCOL_VERSION}");
+                tracing::error!(
+                    worker = id.0,
+                    "worker has protocol version {version}, expected {PROTOCOL_VERSION}; killing it"
+                );
                 UpgradeEvent::ProtocolError(id)
             }
             Ok(ToSupervisor::Ready) => UpgradeEvent::Ready(id),
@@ -67,7 +71,7 @@
             Ok(ToSupervisor::HandedOver) => UpgradeEvent::HandedOver(id),
             Err(LinkError::Closed | LinkError::Io(_)) => return,
             Err(error) => {
-                tracing::error!(worker = id.0, "{error}");
+                tracing::error!(worker = id.0, "can't read messages from the worker, killing it: {error}");
                 let _ = events.send(UpgradeEvent::ProtocolError(id));
                 return;
             }
@@ -76,7 +80,8 @@
     }
 }
 
-/// Waits for the process's end. It is signalled only before that, so that no other process ever is.
+/// Waits for the exit of the process and delivers signals until then. After the exit no signal is sent, since the
+/// process id may belong to another process.
 async fn wait_for_exit(
     id: WorkerId,
     mut child: Child,
@@ -94,6 +99,6 @@
         }
     };
     let described = status.map_or("unknown".to_string(), |status| status.to_string());
-    tracing::info!(worker = id.0, "worker exited: {described}");
+    tracing::info!(worker = id.0, "worker process exited: {described}");
     let _ = events.send(UpgradeEvent::Exited(id, status.and_then(|status| status.code())));
 }
--- a/crates/pipitcrank-cli/src/zone_topology.rs
+++ b/crates/pipitcrank-cli/src/zone_topology.rs
@@ -1,5 +1,5 @@
-//! Zones as one co-ordinator sees them: its own, those of its region, and those of other regions, which it reaches through
-//! one site each.
+//! The zones from the view of one co-ordinator: its own zone, the other zones of its region, and those of other
+//! regions. It reaches each other region through one site.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,11 @@
 use pipitcrank_failover::decision::FULL_PERMILLE;
 use pipitcrank_failover::follower::RoutingPlan;
 
-/// This co-ordinator's zone, as an index into the operators' list: from the operators' file, else from the platform.
+/// This co-ordinator's zone, as an index into the zones of the operators' file. The platform's configuration takes
+/// precedence, and the operators' file must agree with it.
 ///
 /// # Errors
-/// What the two say of zones contradicts itself; named by its key.
+/// The two sources contradict each other, or neither names the zone; the error names the key.
 pub(crate) fn own_zone(zones: &ZonesConfig, platform: Option<&(ZoneId, Vec<String>)>) -> Result<usize> {
     if let Some((own, names)) = platform {
         return own_zone_by_platform(zones, *own, names);
@@ -53,14 +54,14 @@
     zones.zones.iter().map(|zone| zone.region.clone()).collect()
 }
 
-/// Zones by index, as one co-ordinator sees them.
+/// Names, regions and representatives of the zones, by index.
 pub(crate) struct ZoneTopology {
     pub(crate) names: Vec<String>,
     /// Index of the own zone.
     pub(crate) own: usize,
     regions: Vec<String>,
-    /// By zone: the one whose replicas represent it here. A zone of this region represents itself, a zone of another region
-    /// is represented by the region's first: a site is a region, and its replicas represent all of its zones.
+    /// The zone that represents each zone here. A zone of this region represents itself. Another region is reached as
+    /// one site, whose replicas count as those of the region's first zone, so that zone represents all of the region.
     represented_by: Vec<usize>,
 }
 
@@ -78,30 +79,30 @@
         ZoneTopology { names, own, regions, represented_by }
     }
 
-    /// The name of a zone of a decision; `?` where there is none.
+    /// The name of a zone of a decision; `?` if the index is unknown.
     pub(crate) fn name(&self, zone: u16) -> &str {
         self.names.get(usize::from(zone)).map_or("?", String::as_str)
     }
 
-    /// Whether a zone is of this co-ordinator's region.
+    /// Whether a zone is in this co-ordinator's region.
     pub(crate) fn is_in_own_region(&self, zone: usize) -> bool {
         self.regions[zone] == self.regions[self.own]
     }
 
-    /// The sites of other regions, each with the name of the zone that its replicas count as.
+    /// The sites of other regions, each with the name of the zone that its replicas count towards.
     pub(crate) fn site_zones(&self) -> BTreeMap<String, String> {
         let is_site = |zone: &usize| !self.is_in_own_region(*zone) && self.represented_by[*zone] == *zone;
         let sites = (0..self.names.len()).filter(is_site);
         sites.map(|zone| (self.regions[zone].clone(), self.names[zone].clone())).collect()
     }
 
-    /// Routing to the own zone alone, as before any decision.
+    /// Routing to the own zone alone, used before the first decision.
     pub(crate) fn own_zone_routing(&self) -> ZoneRouting {
         let fractions = vec![ZoneFraction { zone: ZoneId(self.own as u16), fraction: 1.0 }];
         ZoneRouting { fractions, ..ZoneRouting::default() }
     }
 
-    /// A plan as the exchange takes it.
+    /// Converts a routing plan to the form of the exchange.
     pub(crate) fn routing(&self, plan: &RoutingPlan, shed_fractions: Vec<f64>) -> ZoneRouting {
         ZoneRouting { fractions: self.fractions(plan), closed: self.closed_zones(plan), shed_fractions }
     }
@@ -120,7 +121,7 @@
         fractions
     }
 
-    /// Closed zones; a region is closed when all of its zones are.
+    /// The closed zones. Another region is closed if all of its zones are.
     fn closed_zones(&self, plan: &RoutingPlan) -> Vec<ZoneId> {
         let is_closed = |zone: usize| plan.closed_zones.contains(&(zone as u16));
         let zones = 0..self.names.len();
--- a/crates/pipitcrank-cli/src/zones_command.rs
+++ b/crates/pipitcrank-cli/src/zones_command.rs
@@ -1,4 +1,4 @@
-//! `pipitcrank zones`: shows what is decided of zones, or has the voters decide it.
+//! `pipitcrank zones`: shows the current zone decision, or sends an operator's order to the voters.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::exit_code;
 use crate::operator_request::{OperatorRequest, send};
 
-/// Carries out `pipitcrank zones ACTION [ARGUMENT]`. `address`: one co-ordinator to be asked in place of those meant.
+/// Runs `pipitcrank zones ACTION [ARGUMENT]`. `address`: the only co-ordinator to contact, instead of the default ones.
 pub(crate) fn zones_command(
     zones: &ZonesConfig,
     action: &str,
@@ -29,7 +29,7 @@
         "thaw" => Some(OperatorOrder::Thaw),
         _ => None,
     };
-    // An order is for the leader of the voters; each of them says whether it is that.
+    // An order is sent to all voters, since only the leader accepts it and the others answer that they don't lead.
     let to: Vec<SocketAddr> = match (address, order) {
         (Some(address), _) => vec![address],
         (None, None) => vec![zones.advertised],
@@ -51,7 +51,7 @@
     list.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
 }
 
-/// A decision's number as operators see it: the voters' generation and the count within it.
+/// A decision's number in printed form: the generation of the voter group and the count within it.
 fn decision_number(number: u64) -> String {
     format!("{}.{}", number >> 32, number as u32)
 }
@@ -64,7 +64,7 @@
     Ok(index as u16)
 }
 
-/// Has each voter but those of the list go on without them.
+/// Requests each voter that is not in the list to continue without those in the list.
 fn exclude_voters(zones: &ZonesConfig, list: &str, wait: Duration) -> Result<i32> {
     let names = list.split(',').filter(|name| !name.is_empty());
     let excluded = names.map(|name| named_voter(zones, name)).collect::<Result<Vec<u8>>>()?;
@@ -86,7 +86,7 @@
     Ok(exit_code::SUCCESS)
 }
 
-/// The slot of the voter at an address.
+/// The slot of the voter with an address, given as text.
 fn named_voter(zones: &ZonesConfig, name: &str) -> Result<u8> {
     let voters: Vec<SocketAddr> = zones.voters.iter().map(|voter| voter.address).collect();
     let slot = voters.iter().position(|address| address.to_string() == name);
