--- a/crates/pipitcrank-server/src/exchange/admission.rs
+++ b/crates/pipitcrank-server/src/exchange/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of queries: duplicate ids and the limit of open queries are checked here, all else by the coordinator.
+//! Admission of queries: checks for duplicate ids and for the limit of open queries. The coordinator makes all other
+//! checks.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,7 +16,7 @@
 use crate::runtime::counter_names::{group, query};
 
 impl Exchange {
-    /// Opens a query, or answers it at once with a refusal.
+    /// Opens a query, or refuses it at once.
     pub(super) fn admit(&mut self, now: Timestamp, submission: Submission) {
         let Submission { ticket, request, response, delegated } = submission;
         let part_ids: Vec<Rc<str>> =
@@ -30,7 +31,7 @@
         let query = QueryId(table.query_ids.intern(&id));
         let indices: Vec<u32> = part_ids.iter().map(|part| table.part_ids.intern(part)).collect();
         table.tickets.insert(ticket, query.0);
-        tracing::debug!(target: REQUEST_LOG_TARGET, request = id, parts = parts.len(), left_s = (deadline - now).as_secs_f64(), "admitted");
+        tracing::debug!(target: REQUEST_LOG_TARGET, request = id, parts = parts.len(), left_s = (deadline - now).as_secs_f64(), "query admitted");
         if let Some(audit) = &mut table.audit {
             let parts: Vec<PartId> = indices.iter().map(|&part| PartId(part)).collect();
             let forwarded = delegated.is_some();
@@ -60,8 +61,9 @@
         }
     }
 
-    /// Why a query is not admitted. Over the limit, queries never reach the coordinator. An answered part is not open, and
-    /// the last query admitted may exceed the limit: no query is rejected while there is capacity.
+    /// Response to a query that is not admitted; `None` if the query is admitted. Queries beyond the limit never reach
+    /// the coordinator. To reject no query while there is capacity, answered parts do not count as open and the last
+    /// admitted query may exceed the limit.
     fn refusal(&self, id: &str, part_ids: &[Rc<str>]) -> Option<QueryResponse> {
         let table = &self.table;
         let duplicate = table.query_ids.find(id).is_some()
--- a/crates/pipitcrank-server/src/exchange/batch.rs
+++ b/crates/pipitcrank-server/src/exchange/batch.rs
@@ -1,4 +1,5 @@
-//! One batch: queued events, due timers and deadlines go to the coordinator, its commands to the transport.
+//! Processing of one batch: the coordinator gets the queued events, due timers and expired attempts, and the transport
+//! gets the coordinator's commands.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 use crate::runtime::counter_names::{group, query};
 
 impl Exchange {
-    /// Runs one batch.
+    /// Processes the queued events, due timers and expired attempts, then executes the coordinator's commands.
     pub fn run_batch(&mut self, now: Timestamp, transport: &mut dyn ReplicaTransport) {
         self.set_now(now);
         self.handle_events(now);
@@ -28,8 +29,8 @@
     fn handle_events(&mut self, now: Timestamp) {
         let mut events = std::mem::take(&mut self.events).into_iter().peekable();
         while let Some(mut event) = events.next() {
-            // Each change makes the coordinator look at all replicas, so the changes of one moment are joined. Reported one by
-            // one they count from the first.
+            // The coordinator examines all replicas at each change, so consecutive incremental changes are merged into
+            // one. It takes effect at the time of the first.
             if let Event::EndpointsUpdated(EndpointChange { complete: false, endpoints, .. }) = &mut event {
                 let is_change = |event: &Event| {
                     matches!(event, Event::EndpointsUpdated(EndpointChange { complete: false, .. }))
@@ -99,7 +100,7 @@
     ) {
         self.table.counters.add(group::ATTEMPTS, outcome_name(outcome));
         let Some(part) = self.table.parts.get_mut(&attempt.part.0) else { return };
-        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, outcome = outcome_name(outcome), "ended");
+        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, outcome = outcome_name(outcome), "attempt ended");
         part.last_outcome = Some(outcome);
         if outcome == AttemptOutcome::Success && part.value.is_none() {
             let query = part.query.and_then(|query| self.table.queries.get_mut(&query));
@@ -118,10 +119,10 @@
         }
     }
 
-    /// Executes what the coordinator asked for. Parts for one replica share calls, up to the limit of parts in one.
+    /// Executes the coordinator's commands. Parts for the same replica share calls of at most `parts_per_call` parts.
     fn execute_commands(&mut self, transport: &mut dyn ReplicaTransport) {
         let commands = std::mem::take(&mut self.table.commands);
-        // In the order of their first part.
+        // Bundles are in the order of their first parts.
         let mut bundles: Vec<(ReplicaId, Vec<AttemptId>)> = Vec::new();
         let mut positions: BTreeMap<ReplicaId, usize> = BTreeMap::new();
         for command in commands {
--- a/crates/pipitcrank-server/src/exchange/coordinator_output.rs
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -1,4 +1,4 @@
-//! What the coordinator calls: commands, responses and releases.
+//! The coordinator's output interface on the request table: commands, responses and releases.
 
 use pipitcrank_core::ids::{AttemptId, PartId, QueryId, RejectReason, ReplicaId};
 use pipitcrank_core::output::CoordinatorOutput;
@@ -10,10 +10,10 @@
 use crate::runtime::counter_names::{group, query};
 
 impl RequestTable {
-    /// Hands the final response to the query's sink. `kind`: its key in `/counters`.
+    /// Passes the final response to the query's sink. `kind`: the key of the response in `/counters`.
     fn finish(&mut self, query: QueryId, response: QueryResponse, kind: &'static str) {
         self.counters.add(group::QUERIES, kind);
-        tracing::debug!(target: REQUEST_LOG_TARGET, request = self.query_ids.name(query.0), outcome = kind, "answered");
+        tracing::debug!(target: REQUEST_LOG_TARGET, request = self.query_ids.name(query.0), outcome = kind, "query ended with a final response");
         self.audit_response(query, &response);
         let entry = self.queries.get_mut(&query.0);
         if let Some(sink) = entry.and_then(|entry| entry.response.take()) {
@@ -23,7 +23,7 @@
 
     fn refuse(&mut self, query: QueryId, response: QueryResponse, kind: &'static str, reason: RejectReason) {
         self.counters.add(group::REFUSALS, reason.name());
-        tracing::debug!(target: REQUEST_LOG_TARGET, request = self.query_ids.name(query.0), reason = reason.name(), "refused");
+        tracing::debug!(target: REQUEST_LOG_TARGET, request = self.query_ids.name(query.0), reason = reason.name(), "query refused");
         self.finish(query, response, kind);
     }
 
@@ -42,7 +42,7 @@
         audit.answered(self.now, entry.ticket, weight, complete);
     }
 
-    /// Why a part is sent once more; none for its first attempt.
+    /// Reason for sending a part again; `None` for its first attempt.
     fn resend_reason(&self, part: PartId) -> Option<ResendReason> {
         let entry = self.parts.get(&part.0).filter(|entry| entry.attempts > 0)?;
         let attempts = AttemptId { part, number: 0 }..=AttemptId { part, number: u32::MAX };
@@ -58,9 +58,9 @@
         if let Some(reason) = self.resend_reason(part) {
             self.counters.add(group::RESENDS, reason.name());
             let part = self.part_ids.name(part.0);
-            tracing::debug!(target: REQUEST_LOG_TARGET, part, replica = replica.0, reason = reason.name(), "resending");
+            tracing::debug!(target: REQUEST_LOG_TARGET, part, replica = replica.0, reason = reason.name(), "sending the part again");
         }
-        let entry = self.parts.get_mut(&part.0).expect("a part that is sent is open");
+        let entry = self.parts.get_mut(&part.0).expect("a part that is sent has a table entry");
         let attempt = AttemptId { part, number: entry.attempts };
         entry.attempts += 1;
         let query = entry.query.and_then(|query| self.queries.get(&query));
@@ -79,23 +79,23 @@
         }
     }
 
-    fn answer(&mut self, query: QueryId, whole: bool) {
+    fn answer(&mut self, query: QueryId, is_complete: bool) {
         let parts = self.queries.get(&query.0).map(|entry| &entry.parts[..]).unwrap_or_default();
         let hits = parts.iter().filter_map(|part| {
             let part = self.parts.get_mut(part)?;
             Some((part.shard, part.value.take()?))
         });
         let hits = hits.collect();
-        let kind = if whole { query::COMPLETE } else { query::PARTIAL };
-        self.finish(query, QueryResponse::Answered { complete: whole, hits }, kind);
+        let kind = if is_complete { query::COMPLETE } else { query::PARTIAL };
+        self.finish(query, QueryResponse::Answered { complete: is_complete, hits }, kind);
     }
 
-    fn reject(&mut self, query: QueryId, retry_after: TimeSpan, why: RejectReason) {
-        self.refuse(query, QueryResponse::Rejected { retry_after }, query::REJECTED, why);
+    fn reject(&mut self, query: QueryId, retry_after: TimeSpan, reason: RejectReason) {
+        self.refuse(query, QueryResponse::Rejected { retry_after }, query::REJECTED, reason);
     }
 
-    fn abort(&mut self, query: QueryId, why: RejectReason) {
-        self.refuse(query, QueryResponse::Aborted, query::ABORTED, why);
+    fn abort(&mut self, query: QueryId, reason: RejectReason) {
+        self.refuse(query, QueryResponse::Aborted, query::ABORTED, reason);
     }
 
     fn set_timer(&mut self, at: Timestamp, label: u64) {
@@ -106,7 +106,7 @@
         self.commands.push(Command::SendLoadProbe(replica));
     }
 
-    fn watch_endpoints(&mut self) {} // Discovery is always watched.
+    fn watch_endpoints(&mut self) {} // The discovery client watches the endpoint list at all times.
 
     fn log(&mut self, text: &str) {
         tracing::info!("{text}");
@@ -119,8 +119,8 @@
         if let Some(audit) = &mut self.audit {
             audit.release_query(entry.ticket);
         }
-        // An attempt may wait for its connection beyond its query's end; the next query gets the index, so the part must not
-        // go on naming it.
+        // An attempt may wait for its connection after its query has ended. The query index is reused, so the part must
+        // no longer refer to it.
         for part in entry.parts {
             let own = self.parts.get_mut(&part).filter(|part| part.query == Some(query.0));
             own.into_iter().for_each(|part| part.query = None);
--- a/crates/pipitcrank-server/src/exchange/endpoint.rs
+++ b/crates/pipitcrank-server/src/exchange/endpoint.rs
@@ -1,21 +1,21 @@
-//! One entry of the endpoint list.
+//! Entries of the endpoint list.
 
 use std::net::SocketAddr;
 
 use pipitcrank_core::time::Timestamp;
 
-/// One replica as the discovery service lists it.
+/// One replica as listed by the discovery service.
 pub struct Endpoint {
-    /// Name of the replica, unique among all that were ever listed.
+    /// Name of the replica, unique among all replicas ever listed.
     pub uid: String,
-    /// Where it is reached; may be missing for a replica that has left.
+    /// Address of the replica; may be missing after it has left.
     pub address: Option<SocketAddr>,
     /// Cell of the replica ring.
     pub cell: u32,
-    /// Name of its zone; none where discovery does not name one, then the zone named before stays.
+    /// Name of the replica's zone. On `None`, the zone from an earlier update is kept.
     pub zone: Option<String>,
-    /// Whether it takes work; false while it drains and once it has left.
+    /// Whether the replica accepts work; false while it drains and after it has left.
     pub up: bool,
-    /// When the replica's process started, where known: a slow start follows.
+    /// Start time of the replica's process, if known. The replica's slow start begins at this time.
     pub started: Option<Timestamp>,
 }
--- a/crates/pipitcrank-server/src/exchange/endpoint_list.rs
+++ b/crates/pipitcrank-server/src/exchange/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list.
+//! Application of endpoint list changes to the request table and the coordinator.
 
 use pipitcrank_core::ids::ReplicaId;
 use pipitcrank_core::time::Timestamp;
@@ -11,7 +11,7 @@
 use crate::runtime::counter_names::{discovery, group};
 
 impl Exchange {
-    /// Applies the changes that wait for the next batch.
+    /// Applies the queued endpoint changes ahead of the next batch.
     pub(super) fn apply_pending_endpoint_changes(&mut self) {
         let events = std::mem::take(&mut self.events);
         let (changes, rest): (Vec<_>, Vec<_>) =
@@ -36,7 +36,8 @@
         self.coordinator.finish_endpoint_list(&mut self.table);
     }
 
-    /// Local replicas count as gone until the list names them; it does not name the replicas of remote sites.
+    /// Marks all local replicas as down until the list names them. Entries of remote sites are never in the list, so
+    /// they are listed again here.
     fn begin_complete_list(&mut self, at: Timestamp) {
         let local = self.table.replicas.values_mut().filter(|entry| entry.is_local());
         local.for_each(|entry| entry.down_since = entry.down_since.or(Some(at)));
--- a/crates/pipitcrank-server/src/exchange/event.rs
+++ b/crates/pipitcrank-server/src/exchange/event.rs
@@ -1,4 +1,4 @@
-//! Events that wait for the next batch.
+//! Events queued for the next batch.
 
 use pipitcrank_core::coordinator::zones::ZoneId;
 use pipitcrank_core::ids::{AttemptId, AttemptOutcome, ReplicaId};
@@ -8,13 +8,13 @@
 use super::query::{DelegatedRequest, QueryRequest, ResponseSink};
 use crate::replicas::frames::LoadReport;
 
-/// A query on its way into the exchange.
+/// A query submitted to the exchange.
 pub(super) struct Submission {
-    /// Stands for the query until its final response; never used again.
+    /// Identifies the query until its final response; never reused.
     pub(super) ticket: u64,
     pub(super) request: QueryRequest,
     pub(super) response: Box<dyn ResponseSink>,
-    /// Present where another site forwards the query.
+    /// Present if another site forwarded the query.
     pub(super) delegated: Option<DelegatedRequest>,
 }
 
@@ -27,10 +27,10 @@
     pub(super) report: Option<LoadReport>,
 }
 
-/// The complete endpoint list, or changes of it.
+/// A complete endpoint list, or an incremental change of it.
 pub(super) struct EndpointChange {
     pub(super) at: Timestamp,
-    /// Whether it names all replicas there are.
+    /// Whether `endpoints` contains all replicas.
     pub(super) complete: bool,
     pub(super) endpoints: Vec<Endpoint>,
 }
--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -1,4 +1,4 @@
-//! Handover of state between two processes of one coordinator, and from a process that has died.
+//! Handover of state between two processes of one co-ordinator, and recovery of the state of a dead process.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,26 @@
 use super::state::Exchange;
 
 impl Exchange {
-    /// Takes the state that a successor needs, at `now`; from then on this process only finishes its open queries, for
-    /// `longest` at most. `taken_us`: `now` on the machine's monotonic clock.
+    /// Takes the state for the successor at `now`. From then on this process only finishes its open queries, within
+    /// `max_duration`. `taken_us`: `now` on the machine's monotonic clock, in microseconds.
     pub fn begin_handover(
         &mut self,
         now: Timestamp,
         taken_us: i64,
         revision: Option<u64>,
-        longest: TimeSpan,
+        max_duration: TimeSpan,
     ) -> Snapshot {
         self.apply_pending_endpoint_changes();
         let mut learned = self.coordinator.learned_state(now);
         let budget = self.coordinator.retry_budget_config();
-        let delegated_retries = resource_split::split_retry_budget(budget, longest, &mut learned);
+        let delegated_retries = resource_split::split_retry_budget(budget, max_duration, &mut learned);
         let until = now + delegated_retries.valid_for;
         self.coordinator.limit_to_delegated_retries(delegated_retries.count, until);
         let replicas = self.replica_records(now);
         Snapshot { taken_us, revision, replicas, learned, delegated_retries }
     }
 
-    /// Takes the state that a later process restores if this one ends without a handover. Nothing is given away.
+    /// Takes the state that a later process restores if this one ends without a handover. No retries are delegated.
     pub fn snapshot(&mut self, now: Timestamp, taken_us: i64, revision: Option<u64>) -> Snapshot {
         self.apply_pending_endpoint_changes();
         let learned = self.coordinator.learned_state(now);
@@ -51,15 +51,16 @@
         records.collect()
     }
 
-    /// Continues with the state that the predecessor took `age` ago.
+    /// Continues with the state of the predecessor, taken `age` ago.
     pub fn resume_from_predecessor(&mut self, now: Timestamp, age: TimeSpan, snapshot: Snapshot) {
         let DelegatedRetries { count, valid_for } = snapshot.delegated_retries;
         self.apply_snapshot(now, age, true, snapshot);
         self.coordinator.delegate_to_predecessor(count, now - age + valid_for);
     }
 
-    /// Continues with the state that a process, now dead, took `age` ago. `use_list`: its endpoint list is later than the one
-    /// of the node configuration. What it sent last is not known: it counts as having used all that it might.
+    /// Continues with the state of a dead process, taken `age` ago. `use_list`: whether its endpoint list is newer than
+    /// the one in the node configuration. The last sends of that process are unknown, so all retries available to it
+    /// count as used.
     pub fn restore(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
         self.apply_pending_endpoint_changes();
         self.apply_snapshot(now, age, use_list, snapshot);
@@ -67,18 +68,18 @@
     }
 
     fn apply_snapshot(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
-        let moment = |span: TimeSpan| now - span - age;
+        let to_timestamp = |span: TimeSpan| now - span - age;
         let mut indices = BTreeMap::new();
         let mut endpoints = Vec::new();
         let mut down = Vec::new();
         for ReplicaRecord { index, uid, address, cell, zone, started, draining_for } in snapshot.replicas {
-            // A replica that is not listed any more gets no index: nobody would release it.
+            // A replica that is no longer listed gets no index, since the index would never be released.
             let uids = &mut self.table.replica_uids;
-            let own = if use_list { Some(uids.intern(&uid)) } else { uids.find(&uid) };
-            let Some(own) = own else { continue };
-            indices.insert(index, own);
-            down.extend(draining_for.map(|span| (own, moment(span))));
-            let (up, started) = (draining_for.is_none(), started.map(moment));
+            let local_index = if use_list { Some(uids.intern(&uid)) } else { uids.find(&uid) };
+            let Some(local_index) = local_index else { continue };
+            indices.insert(index, local_index);
+            down.extend(draining_for.map(|span| (local_index, to_timestamp(span))));
+            let (up, started) = (draining_for.is_none(), started.map(to_timestamp));
             endpoints.push(Endpoint { uid, address, cell, zone, up, started });
         }
         if use_list {
@@ -96,24 +97,24 @@
         self.coordinator.restore_learned_state(now, age, learned);
     }
 
-    /// The predecessor has ended, having used so many of the retries reserved for it.
+    /// Records that the predecessor has ended after using `used` of the retries reserved for it.
     pub fn settle_with_predecessor(&mut self, now: Timestamp, used: u32) {
         self.coordinator.settle_with_predecessor(now, used);
         self.open_in_peer = 0;
     }
 
-    /// How many of the retries reserved at the handover were used here.
+    /// Number of the `reserved` retries, set aside at the handover, that this process has used.
     pub fn delegated_retries_used(&self, reserved: u32) -> u32 {
         reserved.saturating_sub(self.coordinator.delegated_retries_left())
     }
 
-    /// The other process has exited, and what it sent is not known.
+    /// Continues alone after the other process has exited without a report of its retries.
     pub fn resume_alone(&mut self, now: Timestamp) {
         self.coordinator.resume_alone(now);
         self.open_in_peer = 0;
     }
 
-    /// The other process has so many queries and parts open.
+    /// Sets the number of queries and parts open in the other process.
     pub fn set_open_in_peer(&mut self, open: usize) {
         self.open_in_peer = open;
     }
--- a/crates/pipitcrank-server/src/exchange/mod.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -1,12 +1,12 @@
-//! The exchange connects the client side to the replica side and holds the decision module; it owns no socket.
+//! The exchange connects the client side to the replica side and contains the decision module. It owns no sockets.
 //!
-//! Whatever happens outside becomes an [`event`](Exchange::submit) in a queue. [`Exchange::run_batch`] hands all queued
-//! events to the coordinator, then the timers that are due, lets it dispatch what waits, and executes the commands that
-//! it gave. Nothing is decided here, but every send passes one guard ([`Exchange::authorize_send`]).
+//! Inputs, such as [`submit`](Exchange::submit), queue events. [`Exchange::run_batch`] passes all queued events and
+//! then the due timers to the coordinator, has it dispatch the waiting parts, and executes its commands. All
+//! decisions are the coordinator's; the exchange checks each send once more in [`Exchange::authorize_send`].
 //!
-//! One file for each concern: `state` (the type, its inputs and its read-only view), `batch`, `admission`, `send_guard`,
-//! `endpoint_list`, `remote_sites`, `zones`, `handover`; `request_table` and `coordinator_output` hold queries, parts and
-//! attempts and are what the coordinator calls.
+//! `state` defines the type, its inputs and its read-only view. `batch`, `admission`, `send_guard`, `endpoint_list`,
+//! `remote_sites`, `zones` and `handover` implement one concern each. `request_table` stores queries, parts and
+//! attempts, and `coordinator_output` implements the coordinator's output interface on it.
 
 mod admission;
 mod batch;
--- a/crates/pipitcrank-server/src/exchange/query.rs
+++ b/crates/pipitcrank-server/src/exchange/query.rs
@@ -1,4 +1,4 @@
-//! Queries, their responses, and what travels with them.
+//! Queries and their responses.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,52 +8,52 @@
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use tokio::sync::oneshot;
 
-/// Log target of one line per step of a request, with its id: admitted, sent, not sent, ended, answered.
+/// Log target of the steps of each request, one line per step with the id of the request or part.
 pub const REQUEST_LOG_TARGET: &str = "pipitcrank::requests";
 
-/// A query as a client asked it.
+/// A client's query.
 pub struct QueryRequest {
-    /// The client's id of the query; unique among the open ones.
+    /// The client's id of the query, unique among the open queries.
     pub id: String,
     /// Its request class.
     pub class: RequestClassId,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Timestamp,
-    /// Its parts, one shard each.
+    /// Parts of the query, one for each shard.
     pub parts: Vec<QueryPart>,
-    /// The client's key, by which replicas recognize a repeat of a request that is idempotent by key.
+    /// The client's idempotency key, by which replicas detect a repeat of a request that is idempotent by key.
     pub idempotency_key: Option<Arc<str>>,
-    /// What replicas are asked.
+    /// Query text for the replicas.
     pub text: Arc<str>,
 }
 
-/// One part of a query: what it asks of one shard.
+/// The part of a query that one shard answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryPart {
-    /// The shard asked.
+    /// Number of the shard.
     pub shard: u32,
-    /// Fraction of the complete answer, 0 to 1.
+    /// Fraction of the complete answer, from 0 to 1.
     pub weight: f64,
     /// The client's estimate of the work, in seconds.
     pub work: Option<f64>,
 }
 
-/// The one final response to a query.
+/// The final response to a query. Each query gets exactly one.
 #[derive(Debug, PartialEq)]
 pub enum QueryResponse {
-    /// Values came in for enough of its weight.
+    /// Parts of sufficient total weight were answered.
     Answered {
         /// Whether the answer counts as complete.
         complete: bool,
-        /// Shard and value, in the order asked.
+        /// Shards and values, in the order of the request.
         hits: Vec<(u32, String)>,
     },
-    /// Nothing has run: a repeat is harmless.
+    /// No part has run, so that a repeat is harmless.
     Rejected {
-        /// When to come back; zero where no time is given.
+        /// Time after which the client may retry; zero if no time is given.
         retry_after: TimeSpan,
     },
-    /// Something may have run.
+    /// A part may have run.
     Aborted,
     /// An open query has the same id.
     DuplicateId,
@@ -63,7 +63,7 @@
 ///
 /// It is called within a batch and must not call back into the exchange.
 pub trait ResponseSink {
-    /// The query has ended with this response.
+    /// Takes the final response of the query.
     fn respond(self: Box<Self>, response: QueryResponse);
 }
 
@@ -75,16 +75,16 @@
 
 impl ResponseSink for oneshot::Sender<QueryResponse> {
     fn respond(self: Box<Self>, response: QueryResponse) {
-        // The receiver is dropped where the client disconnected in this very moment.
+        // The receiver has been dropped if the client has just disconnected.
         let _ = self.send(response);
     }
 }
 
-/// Receives the answers to the parts of one forwarded query as they come in.
+/// Receives the answers to the parts of one forwarded query as they arrive.
 ///
 /// It is called within a batch and must not call back into the exchange.
 pub trait PartSink {
-    /// A shard's part was answered with this value.
+    /// Takes the value that `shard` answered.
     fn part_answered(&mut self, shard: u32, value: &str);
 }
 
@@ -94,12 +94,12 @@
     }
 }
 
-/// What comes with a query that another site forwards.
+/// Data that accompanies a query forwarded by another site.
 pub struct DelegatedRequest {
-    /// Retries and hedged requests that the other site delegates.
+    /// Number of retries and hedged requests delegated by the other site.
     pub retries: u32,
-    /// How many of them were used.
+    /// Number of the delegated retries and hedged requests used so far.
     pub retries_used: Rc<Cell<u32>>,
-    /// Where answers go as they come in.
+    /// Receives the answers to parts as they arrive.
     pub on_part: Box<dyn PartSink>,
 }
--- a/crates/pipitcrank-server/src/exchange/remote_sites.rs
+++ b/crates/pipitcrank-server/src/exchange/remote_sites.rs
@@ -1,4 +1,5 @@
-//! Remote sites: their cells stand in the tables as replicas, and parts for them leave as forwards.
+//! Remote sites. Each cell of a remote site has a replica entry in the request table; parts sent to it leave as
+//! forwards.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,37 +19,37 @@
     pub id: String,
     /// Its request class.
     pub class: RequestClassId,
-    /// When the earliest attempt among them expires.
+    /// Earliest deadline of the attempts.
     pub deadline: Timestamp,
-    /// The parts, with the attempt that each is.
+    /// The parts with their attempts.
     pub parts: Vec<OutgoingPart>,
-    /// The client's key, by which replicas recognize a repeat.
+    /// The client's idempotency key, by which replicas detect a repeated request.
     pub idempotency_key: Option<Arc<str>>,
-    /// What replicas are asked.
+    /// Query text for the replicas.
     pub text: Arc<str>,
     /// Whether the request class allows a retry after an attempt that may have run.
     pub idempotent: bool,
-    /// Number under which retries are delegated with it.
+    /// Number of the retry delegation that goes with the forward.
     pub delegation: u64,
-    /// How many retries and hedged requests are delegated.
+    /// Number of delegated retries and hedged requests.
     pub retries: u32,
 }
 
 /// One part of a forward.
 pub struct OutgoingPart {
-    /// The attempt to end when the part's answer is known.
+    /// Attempt that ends when the part's outcome arrives.
     pub attempt: AttemptId,
-    /// What is asked.
+    /// Shard, weight and estimated work of the part.
     pub part: QueryPart,
 }
 
 impl Exchange {
-    /// Adds a remote site's replicas, one for each cell. Nothing is sent there before a delay is known.
+    /// Adds one replica entry for each cell of a remote site. Nothing is sent to the site until its delay is set.
     pub fn add_remote_site(&mut self, site: u16, name: &str, cells: u32) -> Vec<ReplicaId> {
         self.coordinator.begin_endpoint_list(false);
         let mut replicas = Vec::new();
         for cell in 0..cells {
-            // No uid of the discovery service has a blank.
+            // Uids from the discovery service contain no blanks, so this one cannot collide with any of them.
             let replica = ReplicaId(self.table.replica_uids.intern(&format!("site {name} {cell}")));
             let zone = self.site_zones.get(name).cloned();
             let id = zone_id(&self.zones, &zone);
@@ -64,14 +65,15 @@
         replicas
     }
 
-    /// Sets the delay that a forward to the site costs; none closes the way there.
+    /// Sets the expected delay of a forward to the site; `None` stops forwards to it.
     pub fn set_remote_delay(&mut self, site: u16, delay: Option<TimeSpan>) {
         for (&replica, _) in self.table.replicas.iter().filter(|(_, entry)| entry.site == Some(site)) {
             self.coordinator.set_remote_delay(ReplicaId(replica), delay);
         }
     }
 
-    /// The send guard of forwards, as `authorize_send` is of calls: what may still be sent, by query.
+    /// The send guard for forwards, the counterpart of `authorize_send` for calls. Returns one forward for each query
+    /// that still has parts to send.
     pub fn authorize_forward(
         &mut self,
         now: Timestamp,
@@ -83,7 +85,10 @@
         let mut by_query: BTreeMap<u32, Vec<AttemptId>> = BTreeMap::new();
         for &attempt in attempts.iter() {
             let query = self.table.parts[&attempt.part.0].query;
-            by_query.entry(query.expect("an authorized part has its query")).or_default().push(attempt);
+            by_query
+                .entry(query.expect("an authorized part belongs to an open query"))
+                .or_default()
+                .push(attempt);
         }
         by_query.into_iter().map(|(query, attempts)| self.make_forward(now, query, &attempts)).collect()
     }
@@ -93,10 +98,10 @@
         let deadline = deadlines.min().unwrap_or(now);
         self.last_delegation += 1;
         let delegation = self.last_delegation;
-        let own: Vec<PartId> = attempts.iter().map(|attempt| attempt.part).collect();
-        let retries = self.coordinator.delegate_retries(now, delegation, &own, deadline);
-        let named = own.iter().map(|part| (*part, self.table.parts[&part.0].id.clone()));
-        let delegated = DelegatedRetries { parts: named.collect(), retries, expires: deadline };
+        let part_ids: Vec<PartId> = attempts.iter().map(|attempt| attempt.part).collect();
+        let retries = self.coordinator.delegate_retries(now, delegation, &part_ids, deadline);
+        let indices_and_ids = part_ids.iter().map(|part| (*part, self.table.parts[&part.0].id.clone()));
+        let delegated = DelegatedRetries { parts: indices_and_ids.collect(), retries, expires: deadline };
         self.delegations.insert(delegation, delegated);
         let entry = &self.table.queries[&query];
         let parts = attempts.iter().map(|&attempt| {
@@ -118,12 +123,12 @@
         }
     }
 
-    /// The other site has used so many of the retries delegated under that number.
+    /// Ends a delegation of which the other site has used `used` retries.
     pub fn delegation_returned(&mut self, now: Timestamp, delegation: u64, used: u32) {
         if let Some(DelegatedRetries { parts, retries, expires }) = self.delegations.remove(&delegation)
             && now < expires
         {
-            // A part may be over and its index stand for another one.
+            // A part may have ended and its index may have been reused for another part.
             let is_open = |(part, id): &(PartId, Rc<str>)| {
                 self.table.parts.get(&part.0).is_some_and(|entry| Rc::ptr_eq(&entry.id, id))
             };
--- a/crates/pipitcrank-server/src/exchange/request_table.rs
+++ b/crates/pipitcrank-server/src/exchange/request_table.rs
@@ -1,4 +1,4 @@
-//! What the exchange holds of queries, parts, replicas and attempts.
+//! The exchange's tables of queries, parts, replicas and attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 
 pub(super) struct OpenQuery {
     pub(super) ticket: u64,
-    /// Taken by the final response.
+    /// Sink for the final response; `None` once the query is answered.
     pub(super) response: Option<Box<dyn ResponseSink>>,
-    /// In the order asked.
+    /// Part indices, in the order of the request.
     pub(super) parts: Vec<u32>,
     pub(super) class: RequestClassId,
     pub(super) idempotency_key: Option<Arc<str>>,
@@ -26,14 +26,15 @@
 
 pub(super) struct OpenPart {
     pub(super) id: Rc<str>,
-    /// None once its query is released: another query may have the index while an attempt at this part is in flight.
+    /// Index of its query; `None` once the query is released, since the index may be reused while an attempt at this
+    /// part is in flight.
     pub(super) query: Option<u32>,
     pub(super) shard: u32,
     pub(super) weight: f64,
     pub(super) work: Option<f64>,
     pub(super) text: Arc<str>,
     pub(super) value: Option<String>,
-    /// Attempts begun so far.
+    /// Number of attempts started.
     pub(super) attempts: u32,
     /// Outcome of the attempt that ended last.
     pub(super) last_outcome: Option<AttemptOutcome>,
@@ -44,9 +45,9 @@
     pub(super) cell: u32,
     pub(super) zone: Option<String>,
     pub(super) started: Option<Timestamp>,
-    /// Number of the remote site of which it stands for one cell; none for a local replica.
+    /// Number of the remote site whose cell this entry represents; `None` for a local replica.
     pub(super) site: Option<u16>,
-    /// When the endpoint list first named it as draining or left it out; none while it is up.
+    /// Time at which the endpoint list first marked the replica as draining or omitted it; `None` while it is up.
     pub(super) down_since: Option<Timestamp>,
 }
 
@@ -59,11 +60,11 @@
 pub(super) struct InFlightAttempt {
     pub(super) replica: ReplicaId,
     pub(super) deadline: Timestamp,
-    /// It has passed the send guard: its frame is being written, or was.
+    /// Whether the attempt has passed the send guard. Its frame is then being written or already written.
     pub(super) authorized: bool,
 }
 
-/// What the coordinator asked for; executed at the end of the batch.
+/// Commands of the coordinator, executed at the end of the batch.
 pub(super) enum Command {
     SendAttempt(ReplicaId, AttemptId),
     CancelAttempt(ReplicaId, AttemptId),
@@ -72,7 +73,7 @@
     RemoveReplica(ReplicaId),
 }
 
-/// Tables by index; an entry ends when the coordinator releases it.
+/// Tables by index. An entry is removed when the coordinator releases it.
 #[derive(Default)]
 pub(super) struct RequestTable {
     pub(super) query_ids: Interner,
@@ -86,17 +87,17 @@
     pub(super) in_flight: BTreeMap<AttemptId, InFlightAttempt>,
     /// Deadlines of the attempts in flight.
     pub(super) attempt_deadlines: BTreeSet<(Timestamp, AttemptId)>,
-    /// Timers of the coordinator, by label; removed as they fire.
+    /// The coordinator's timers with their labels; removed as they fire.
     pub(super) timers: BTreeSet<(Timestamp, u64)>,
     pub(super) commands: Vec<Command>,
     pub(super) counters: Counters,
-    /// The run-time check of the rules, where it is enabled.
+    /// The run-time audit, if enabled.
     pub(super) audit: Option<Audit>,
     pub(super) now: Timestamp,
 }
 
 impl RequestTable {
-    /// Removes an attempt from those in flight; returns its replica, or none if it has ended before.
+    /// Removes an attempt from those in flight. Returns its replica, or `None` if the attempt has already ended.
     pub(super) fn close_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Option<ReplicaId> {
         let InFlightAttempt { replica, deadline, .. } = self.in_flight.remove(&attempt)?;
         if let Some(audit) = &mut self.audit {
@@ -106,7 +107,7 @@
         Some(replica)
     }
 
-    /// Number of open queries and parts; an answered part is not open.
+    /// Number of open queries and parts. An answered part does not count as open.
     pub(super) fn open_count(&self) -> usize {
         let open = self.parts.values().filter(|part| part.value.is_none() && part.query.is_some());
         self.queries.len() + open.count()
@@ -117,7 +118,7 @@
         self.replicas.iter().filter(|(_, entry)| entry.is_local()).map(|(&index, entry)| (index, entry))
     }
 
-    /// Tells the audit of all local replicas, since a complete list may have left some out.
+    /// Reports all local replicas to the audit, since a complete list may have omitted some.
     pub(super) fn audit_local_replicas(&mut self) {
         let Some(audit) = &mut self.audit else { return };
         for (&replica, entry) in self.replicas.iter().filter(|(_, entry)| entry.is_local()) {
--- a/crates/pipitcrank-server/src/exchange/send_guard.rs
+++ b/crates/pipitcrank-server/src/exchange/send_guard.rs
@@ -1,7 +1,7 @@
-//! The send guard: whatever is sent passes here just before its first byte is written.
+//! The send guard: every attempt is checked immediately before its first byte is written.
 //!
-//! An attempt may be held up on its way to the socket while its query ends, its deadline passes or its replica drains;
-//! it is then dropped and counts as never sent.
+//! While an attempt waits for its socket, its query may end, its deadline may pass or its replica may start to drain.
+//! Such an attempt is dropped and counts as never sent.
 
 use pipitcrank_core::ids::{AttemptId, AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -14,7 +14,8 @@
 use crate::runtime::counter_names::group;
 
 impl Exchange {
-    /// Drops from `attempts` those that may not be sent any more; returns what to write for the others, in their order.
+    /// Removes the attempts that must no longer be sent from `attempts`. Returns the call parts to write for the
+    /// others, in the same order.
     pub fn authorize_send(
         &mut self,
         now: Timestamp,
@@ -38,8 +39,8 @@
         replica: ReplicaId,
         attempt: AttemptId,
     ) -> Option<CallPart> {
-        // An attempt cancelled while it was queued may share its number with a newer one of another part: that one goes to its
-        // own replica, and once.
+        // A cancelled attempt that is still queued may have the same id as a newer attempt of another part, since part
+        // indices are reused. The newer attempt is sent only to its own replica, and only once.
         let entry = self.table.in_flight.get_mut(&attempt);
         let entry = entry.filter(|entry| entry.replica == replica && !entry.authorized)?;
         entry.authorized = true;
@@ -57,7 +58,8 @@
         }
     }
 
-    /// The rules on ended queries, closed clients, drained replicas, deadlines, repeats and the retry budget.
+    /// Checks an attempt against the rules on ended queries, disconnected clients, draining replicas, deadlines,
+    /// retries and the retry budget.
     fn check_send(
         &mut self,
         now: Timestamp,
@@ -77,7 +79,7 @@
         if now >= deadline {
             return Err(SendDenied::TimeOver);
         }
-        // Last, since it counts the attempt as sent.
+        // This check is the last one, since it counts the attempt as sent.
         self.coordinator.begin_attempt(now, attempt)?;
         Ok(CallPart {
             id: part.id.clone(),
@@ -90,7 +92,7 @@
 
     fn record_sent(&mut self, now: Timestamp, replica: ReplicaId, attempt: AttemptId, time_left: TimeSpan) {
         let part = &self.table.parts[&attempt.part.0];
-        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, replica = replica.0, left_s = time_left.as_secs_f64(), "sent");
+        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, replica = replica.0, left_s = time_left.as_secs_f64(), "attempt sent");
         if let Some(audit) = &mut self.table.audit {
             audit.sent(now, SentAttempt { attempt, replica, time_left });
         }
@@ -99,11 +101,11 @@
     fn record_denied(&self, attempt: AttemptId, reason: SendDenied) {
         self.table.counters.add(group::NOT_SENT, reason.name());
         let part = &self.table.parts[&attempt.part.0];
-        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, reason = reason.name(), "not sent");
+        tracing::debug!(target: REQUEST_LOG_TARGET, part = &*part.id, attempt = attempt.number, reason = reason.name(), "attempt dropped by the send guard");
     }
 
-    /// An attempt queued for that replica will never be sent. One that another part's attempt shares its number with by now, and
-    /// that was sent, is left alone: it would go out a second time.
+    /// Ends an attempt that is queued for `replica` and will never be sent. If its id now belongs to an attempt of
+    /// another part that has been sent, that attempt is left unchanged; otherwise it would be sent a second time.
     pub fn attempt_never_started(&mut self, replica: ReplicaId, attempt: AttemptId) {
         let entry = self.table.in_flight.get(&attempt);
         if entry.is_some_and(|entry| entry.replica == replica && !entry.authorized) {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// No byte of these attempts was written after all; they pass the guard again.
+    /// Revokes the authorization of attempts of which no byte was written. They pass the send guard again.
     pub fn return_unwritten(&mut self, attempts: &[AttemptId]) {
         for &attempt in attempts {
             self.table.in_flight.get_mut(&attempt).into_iter().for_each(|entry| entry.authorized = false);
--- a/crates/pipitcrank-server/src/exchange/state.rs
+++ b/crates/pipitcrank-server/src/exchange/state.rs
@@ -16,37 +16,37 @@
 use crate::runtime::counter_names::{discovery, group};
 use crate::runtime::counters::Counters;
 
-/// Retries delegated with forwarded parts; removed when they return or expire.
+/// Retries delegated with forwarded parts. An entry is removed when the delegation is returned or expires.
 pub(super) struct DelegatedRetries {
-    /// Index and id of each part: the index may come to stand for another part.
+    /// Index and id of each part. The id detects an index that was reused for another part.
     pub(super) parts: Vec<(PartId, Rc<str>)>,
     pub(super) retries: u32,
     pub(super) expires: Timestamp,
 }
 
-/// Queries, replicas and attempts of one coordinator process, around its decision module.
+/// Queries, replicas and attempts of one co-ordinator process, together with its decision module.
 pub struct Exchange {
     pub(super) coordinator: Coordinator,
     pub(super) table: RequestTable,
-    /// Emptied by each batch.
+    /// Events queued for the next batch.
     pub(super) events: Vec<Event>,
-    /// Tickets of clients that have disconnected; emptied with the events.
+    /// Tickets whose clients have disconnected; each is removed when its event is processed.
     pub(super) disconnected: BTreeSet<u64>,
     pub(super) max_open: usize,
-    /// Queries and parts open at another process of this coordinator.
+    /// Number of queries and parts open in the other process of this co-ordinator during an upgrade.
     pub(super) open_in_peer: usize,
     pub(super) parts_per_call: usize,
-    /// Zone names by id; empty where zones do not count.
+    /// Zone names by id; empty if queries are not routed by zone.
     pub(super) zones: Vec<String>,
-    /// Zone that stands for a remote site's region, by the site's name.
+    /// Zone that represents a remote site's region, by the site's name.
     pub(super) site_zones: BTreeMap<String, String>,
     pub(super) delegations: BTreeMap<u64, DelegatedRetries>,
     pub(super) last_delegation: u64,
 }
 
 impl Exchange {
-    /// `max_open`: queries and parts open at once, beyond which queries are rejected. `parts_per_call`: most parts that
-    /// one call to a replica carries.
+    /// `max_open`: number of open queries and parts from which on queries are rejected. `parts_per_call`: maximum
+    /// number of parts in one call to a replica.
     pub fn new(
         coordinator: Coordinator,
         max_open: usize,
@@ -68,22 +68,22 @@
         }
     }
 
-    /// Enables the run-time check of the rules.
+    /// Enables the run-time audit against `rules`.
     pub fn enable_audit(&mut self, rules: AuditRules) {
         self.table.audit = Some(Audit::new(rules, self.table.counters.clone()));
     }
 
-    /// Sets the time of all inputs that follow.
+    /// Sets the time of the inputs that follow.
     pub fn set_now(&mut self, now: Timestamp) {
         self.table.now = now;
     }
 
-    /// A query came in. The ticket stands for it until its final response and is never used again.
+    /// Queues a client's query. `ticket` identifies the query until its final response and is never reused.
     pub fn submit(&mut self, ticket: u64, request: QueryRequest, response: Box<dyn ResponseSink>) {
         self.events.push(Event::Submitted(Submission { ticket, request, response, delegated: None }));
     }
 
-    /// A query came in that another site forwards.
+    /// Queues a query forwarded by another site.
     pub fn submit_forwarded(
         &mut self,
         ticket: u64,
@@ -95,7 +95,7 @@
         self.events.push(Event::Submitted(Submission { ticket, request, response, delegated }));
     }
 
-    /// The client of that query has disconnected.
+    /// Records that the query's client has disconnected.
     pub fn client_disconnected(&mut self, ticket: u64) {
         if let Some(audit) = &mut self.table.audit {
             audit.client_closed(self.table.now, ticket);
@@ -104,7 +104,7 @@
         self.events.push(Event::ClientDisconnected { ticket });
     }
 
-    /// An attempt ended; only its first end counts.
+    /// Records the end of an attempt. Only the first end of an attempt counts.
     pub fn attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A load probe ended.
+    /// Records the end of a load probe.
     pub fn load_probe_ended(
         &mut self,
         replica: ReplicaId,
@@ -128,12 +128,12 @@
         self.events.push(Event::LoadProbeEnded { replica, outcome, report });
     }
 
-    /// This process shuts down: all open queries are to be answered by then.
+    /// Limits the deadlines of open queries to `by`, for the shutdown of this process.
     pub fn cap_deadlines(&mut self, by: Timestamp) {
         self.events.push(Event::DeadlinesCapped { by });
     }
 
-    /// The endpoint list changed. `complete`: `endpoints` names all replicas there are.
+    /// Queues a change of the endpoint list. `complete`: whether `endpoints` contains all replicas.
     pub fn update_endpoints(&mut self, at: Timestamp, complete: bool, endpoints: Vec<Endpoint>) {
         self.table
             .counters
@@ -141,12 +141,12 @@
         self.events.push(Event::EndpointsUpdated(EndpointChange { at, complete, endpoints }));
     }
 
-    /// Whether a query could be served now: some local replica is up.
+    /// Whether queries can be served, that is, whether a local replica is up.
     pub fn can_serve(&self) -> bool {
         self.table.local_replicas().any(|(_, entry)| entry.down_since.is_none())
     }
 
-    /// Whether that complete list changes nothing; also true while changes wait for the next batch.
+    /// Whether the complete list `endpoints` equals the current one. Also true while endpoint changes are queued.
     pub fn matches_endpoints(&self, endpoints: &[Endpoint]) -> bool {
         let pending = self.events.iter().any(|event| matches!(event, Event::EndpointsUpdated(_)));
         let up = self.table.local_replicas().filter(|(_, entry)| entry.down_since.is_none()).count();
@@ -158,27 +158,27 @@
                     == (endpoint.address, endpoint.cell, endpoint.started)
                     && entry.down_since.is_none() == endpoint.up
             };
-            // A replica that is not up may have been removed already.
+            // A replica that is not up may already have been removed from the table.
             entry.map_or(!endpoint.up, same)
         };
         pending
             || endpoints.iter().filter(|endpoint| endpoint.up).count() == up && endpoints.iter().all(matches)
     }
 
-    /// Whether no query is open.
+    /// Whether no query is open and no event is queued.
     pub fn is_drained(&self) -> bool {
         self.events.is_empty() && self.table.queries.is_empty()
     }
 
-    /// Whether no event waits for the next batch.
+    /// Whether no event is queued for the next batch.
     pub fn has_no_events(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// Whether a query of that id is open.
+    /// Whether a query with this id is open or queued.
     pub fn has_query(&self, id: &str) -> bool {
-        let waits = |event: &Event| matches!(event, Event::Submitted(s) if s.request.id == id);
-        self.table.query_ids.find(id).is_some() || self.events.iter().any(waits)
+        let is_queued = |event: &Event| matches!(event, Event::Submitted(s) if s.request.id == id);
+        self.table.query_ids.find(id).is_some() || self.events.iter().any(is_queued)
     }
 
     /// Number of open queries and parts.
@@ -191,19 +191,21 @@
         self.table.in_flight.contains_key(&attempt)
     }
 
-    /// When the next batch is due if no event comes before.
+    /// Time at which the next batch is due if no event is queued before.
     pub fn next_due(&self) -> Option<Timestamp> {
         let deadline = self.table.attempt_deadlines.first().map(|entry| entry.0);
         self.table.timers.first().map(|timer| timer.0).into_iter().chain(deadline).min()
     }
 
-    /// Whether the endpoint list names the replica as draining or left it out. It gets nothing more, not even within its
-    /// grace: the grace counts from when the change could be read, and a process that waits for the processor reads late.
+    /// Whether the endpoint list marks the replica as draining or omits it. Such a replica gets no more attempts, not
+    /// even within the drain grace: the grace starts when the change could first be read, and a process that is waiting
+    /// for the processor reads it late.
     pub fn is_draining(&self, replica: ReplicaId) -> bool {
         self.table.replicas.get(&replica.0).is_some_and(|entry| entry.down_since.is_some())
     }
 
-    /// The response to a query that a process had which has died: rejected only where a repeat is harmless.
+    /// Response to a query that was open in a process that has died. The query is rejected only if a repeat is
+    /// harmless, and aborted otherwise.
     pub fn response_if_lost(&self, class: RequestClassId) -> QueryResponse {
         match self.coordinator.retry_after_if_lost(class) {
             Some(retry_after) => QueryResponse::Rejected { retry_after },
--- a/crates/pipitcrank-server/src/exchange/transport.rs
+++ b/crates/pipitcrank-server/src/exchange/transport.rs
@@ -1,4 +1,4 @@
-//! What the exchange asks of the replica side.
+//! The exchange's interface to the replica side.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,16 @@
 
 /// The replica side: sends attempts and load probes, and reports their ends to the exchange.
 ///
-/// All methods are called within a batch: an implementation reports nothing before the batch is over.
+/// All methods are called within a batch. An implementation must not report to the exchange before the batch ends.
 pub trait ReplicaTransport {
-    /// The replica is reached at that address from now on.
+    /// Sets the address of the replica.
     fn set_address(&mut self, replica: ReplicaId, address: SocketAddr);
-    /// The replica is not needed any more; its id may come to stand for another one.
+    /// Removes the replica. Its id may be reused for another replica.
     fn remove_replica(&mut self, replica: ReplicaId);
-    /// Sends these attempts in one call. They pass `Exchange::authorize_send` before the first byte is written.
+    /// Sends the attempts in one call. They pass `Exchange::authorize_send` before the first byte is written.
     fn send_attempts(&mut self, replica: ReplicaId, attempts: Vec<AttemptId>);
-    /// Nobody waits for the attempt any more.
+    /// Cancels an attempt whose answer is no longer needed.
     fn cancel_attempt(&mut self, replica: ReplicaId, attempt: AttemptId);
-    /// Asks the replica for its load.
+    /// Sends a load probe to the replica.
     fn send_load_probe(&mut self, replica: ReplicaId);
 }
