--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -1,4 +1,4 @@
-//! The task of one connection to a replica, from its opening to its end.
+//! The task that runs one connection to a replica.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,28 +18,29 @@
 use crate::runtime::event_loop::EventLoop;
 use crate::runtime::stream::{Expects, Stream};
 
-/// Initial size of the read buffer, in bytes.
-const READ_BUFFER: usize = 4096;
+/// Initial size of the read buffer.
+const READ_BUFFER_BYTES: usize = 4096;
 
 /// Time limits of a connection.
 #[derive(Clone, Copy)]
 pub struct ConnectionTimeouts {
-    /// For it to come up. It stands for the longest round trip as well: a frame that has begun is whole within it, and a
-    /// connection with something out that brings nothing for so long is doubted and pinged, then counts as silent.
+    /// Time limit for establishing the connection, which also serves as the upper bound of a round trip. A frame must
+    /// arrive completely within this time. If nothing arrives for this time while an answer is pending, the connection
+    /// is suspected and pinged; after twice this time it ends as silent.
     pub connect: Duration,
-    /// After which it is closed when nothing is out on it.
+    /// Time without reads and writes after which the connection is closed if no call is in flight.
     pub idle: Duration,
 }
 
-/// How a connection ended.
+/// Result of a connection's task.
 pub struct ClosedConnection {
-    /// Why it ended.
+    /// Reason for the end.
     pub end: ConnectionEnd,
-    /// Calls queued on it that were not begun.
+    /// Calls that were queued on the connection and not started.
     pub unsent: Vec<Vec<AttemptId>>,
 }
 
-/// Opens the connection and serves its commands until it ends.
+/// Opens the connection and executes its commands until it ends.
 pub async fn run(
     event_loop: &Rc<EventLoop>,
     state: &ConnectionState,
@@ -57,7 +58,7 @@
     ClosedConnection { end, unsent: unsent_calls(commands) }
 }
 
-/// The calls among commands that were not taken.
+/// Returns the calls among the commands that were not received.
 pub fn unsent_calls(mut commands: UnboundedReceiver<ConnectionCommand>) -> Vec<Vec<AttemptId>> {
     let rest = std::iter::from_fn(|| commands.try_recv().ok());
     let calls = rest.filter_map(|command| match command {
@@ -71,26 +72,28 @@
     match tokio::time::timeout(timeout, dial(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(e)) => {
-            tracing::debug!("connecting to {address} failed: {e}");
+            tracing::debug!(
+                "connection to the replica at {address} failed: {e}; ending its attempts as unreachable"
+            );
             Err(ConnectionEnd::Refused)
         }
         Err(_) => Err(ConnectionEnd::ConnectTimeout),
     }
 }
 
-/// A frame on its way out, and the attempts in it.
+/// The unwritten bytes of a frame, with the attempts in the frame.
 struct OutgoingFrame {
     bytes: Bytes,
     attempts: Vec<AttemptId>,
 }
 
-/// What is being written.
-enum Writing {
-    Nothing,
-    /// A command of which no byte has been written.
-    Next(ConnectionCommand),
-    /// The rest of a frame.
-    Rest(OutgoingFrame),
+/// Progress of the write of one command.
+enum WriteState {
+    Idle,
+    /// No byte of the command has been written.
+    Queued(ConnectionCommand),
+    /// The frame has been encoded, and the remaining bytes are still to be written.
+    Partial(OutgoingFrame),
 }
 
 struct ConnectionTask<'a> {
@@ -99,12 +102,12 @@
     stream: &'a Stream,
     timeouts: ConnectionTimeouts,
     received: BytesMut,
-    writing: Writing,
-    /// When something was last read or written.
+    write_state: WriteState,
+    /// Time of the last read or write.
     last_used: Instant,
-    /// When the frame that is being read has begun.
-    frame_begun: Instant,
-    /// Since when something is out and nothing has come.
+    /// Arrival time of the first bytes of the frame that is being received.
+    frame_started: Instant,
+    /// Start of the current period in which an answer is pending and nothing was received.
     silent_since: Option<Instant>,
 }
 
@@ -121,10 +124,10 @@
             state,
             stream,
             timeouts,
-            received: BytesMut::with_capacity(READ_BUFFER),
-            writing: Writing::Nothing,
+            received: BytesMut::with_capacity(READ_BUFFER_BYTES),
+            write_state: WriteState::Idle,
             last_used: now,
-            frame_begun: now,
+            frame_started: now,
             silent_since: None,
         }
     }
@@ -146,42 +149,39 @@
         self.silent_since =
             if awaits_answer { self.silent_since.or_else(|| Some(Instant::now())) } else { None };
         let silent_since = self.silent_since.unwrap_or(self.last_used);
-        let writes_nothing = matches!(self.writing, Writing::Nothing);
+        let is_write_idle = matches!(self.write_state, WriteState::Idle);
         let expects =
             if awaits_answer || state.partial_frame.get() { Expects::More } else { Expects::Nothing };
-        if state.not_needed.get()
-            && state.assigned.borrow().is_empty()
-            && writes_nothing
-            && commands.is_empty()
-        {
+        if state.retired.get() && state.assigned.borrow().is_empty() && is_write_idle && commands.is_empty() {
             return Err(ConnectionEnd::NotNeeded);
         }
         tokio::select! {
             biased;
-            // First: a frame written into a connection that the replica closes at that moment would end as a reset and count as
-            // having run. Load probes don't keep a connection: one unanswered for so long will stay unanswered.
-            () = sleep_until(self.last_used + timeouts.idle), if writes_nothing && !state.has_begun_attempt() => {
+            // The idle timeout has priority: a frame written while the replica closes the connection would end with a
+            // reset and count as possibly run. A pending load probe does not keep the connection open, since a probe
+            // that is unanswered for the idle timeout will not be answered.
+            () = sleep_until(self.last_used + timeouts.idle), if is_write_idle && !state.has_started_attempt() => {
                 Err(ConnectionEnd::Idle)
             }
             read = self.stream.read_some(&mut self.received, expects) => self.handle_read(read),
-            // A frame that never ends would swallow all later answers. After the read: a process that stalled for so long finds
-            // the frame's end there.
-            () = sleep_until(self.frame_begun + timeouts.connect), if state.partial_frame.get() => {
-                tracing::warn!("replica {} did not end a frame", state.replica.0);
+            // A frame that stays incomplete would absorb all later answers. The read has priority over this time limit,
+            // since after a stall of this process the rest of the frame may be in the socket.
+            () = sleep_until(self.frame_started + timeouts.connect), if state.partial_frame.get() => {
+                tracing::warn!("replica {} sent an incomplete frame; closing the connection", state.replica.0);
                 Err(ConnectionEnd::ProtocolError)
             }
-            ready = self.stream.writable(), if !writes_nothing => self.handle_writable(ready).await,
-            // A connection may fall silent while its replica is well; a replica answers a ping however much it has to do.
-            () = sleep_until(silent_since + timeouts.connect), if awaits_answer && !state.doubted.get() => {
-                state.doubted.set(true);
+            ready = self.stream.writable(), if !is_write_idle => self.handle_writable(ready).await,
+            // A connection may fail silently while its replica is healthy. A replica answers pings even under overload.
+            () = sleep_until(silent_since + timeouts.connect), if awaits_answer && !state.suspected.get() => {
+                state.suspected.set(true);
                 let _ = state.commands.send(ConnectionCommand::Ping);
                 Ok(())
             }
-            () = sleep_until(silent_since + 2 * timeouts.connect), if awaits_answer && state.doubted.get() => {
+            () = sleep_until(silent_since + 2 * timeouts.connect), if awaits_answer && state.suspected.get() => {
                 Err(ConnectionEnd::Silent)
             }
-            Some(command) = commands.recv(), if writes_nothing => {
-                self.writing = Writing::Next(command);
+            Some(command) = commands.recv(), if is_write_idle => {
+                self.write_state = WriteState::Queued(command);
                 state.write_stalled.set(true);
                 Ok(())
             }
@@ -194,19 +194,22 @@
         }
         self.last_used = Instant::now();
         self.silent_since = None;
-        self.state.doubted.set(false);
+        self.state.suspected.set(false);
         if !self.state.partial_frame.get() {
-            self.frame_begun = self.last_used;
+            self.frame_started = self.last_used;
         }
         loop {
             match frames::take_frame(&mut self.received) {
                 Ok(None) => break,
                 Ok(Some(frame)) => {
-                    self.frame_begun = self.last_used;
+                    self.frame_started = self.last_used;
                     self.handle_frame(frame)?;
                 }
                 Err(error) => {
-                    tracing::warn!("replica {} sent a malformed frame: {error}", self.state.replica.0);
+                    tracing::warn!(
+                        "replica {} sent a malformed frame: {error}; closing the connection",
+                        self.state.replica.0
+                    );
                     return Err(ConnectionEnd::ProtocolError);
                 }
             }
@@ -217,46 +220,47 @@
 
     async fn handle_writable(&mut self, ready: io::Result<()>) -> Result<(), ConnectionEnd> {
         ready.map_err(|_| ConnectionEnd::Reset)?;
-        if matches!(self.writing, Writing::Next(ConnectionCommand::SendCall(_))) {
+        if matches!(self.write_state, WriteState::Queued(ConnectionCommand::SendCall(_))) {
             self.event_loop.catch_up().await;
         }
-        let writing = std::mem::replace(&mut self.writing, Writing::Nothing);
-        self.writing = self.write(writing).map_err(|_| ConnectionEnd::Reset)?;
-        self.state.write_stalled.set(!matches!(self.writing, Writing::Nothing));
+        let write_state = std::mem::replace(&mut self.write_state, WriteState::Idle);
+        self.write_state = self.write(write_state).map_err(|_| ConnectionEnd::Reset)?;
+        self.state.write_stalled.set(!matches!(self.write_state, WriteState::Idle));
         self.last_used = Instant::now();
         Ok(())
     }
 
-    /// Writes once; returns what is left.
-    fn write(&self, writing: Writing) -> io::Result<Writing> {
-        let is_new = matches!(writing, Writing::Next(_));
-        let frame = match writing {
-            Writing::Nothing => None,
-            Writing::Rest(frame) => Some(frame),
-            Writing::Next(command) => self.make_frame(command),
+    /// Makes one write call to the socket and returns the resulting state.
+    fn write(&self, write_state: WriteState) -> io::Result<WriteState> {
+        let is_new = matches!(write_state, WriteState::Queued(_));
+        let frame = match write_state {
+            WriteState::Idle => None,
+            WriteState::Partial(frame) => Some(frame),
+            WriteState::Queued(command) => self.make_frame(command),
         };
-        let Some(mut frame) = frame else { return Ok(Writing::Nothing) };
+        let Some(mut frame) = frame else { return Ok(WriteState::Idle) };
         match self.stream.try_write(&frame.bytes) {
             Ok(n) => frame.bytes.advance(n),
-            // The socket looked writable and took nothing: no byte of the call is out, so it passes the send guard again.
+            // The socket was reported writable but accepted nothing. No byte of the call was written, so the call passes
+            // the send guard again.
             Err(e) if e.kind() == io::ErrorKind::WouldBlock && is_new && !frame.attempts.is_empty() => {
-                return Ok(Writing::Next(self.return_unwritten(frame.attempts)));
+                return Ok(WriteState::Queued(self.return_unwritten(frame.attempts)));
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
         if !frame.bytes.is_empty() {
-            return Ok(Writing::Rest(frame));
+            return Ok(WriteState::Partial(frame));
         }
         let kind = if frame.attempts.is_empty() { frame::CONTROL } else { frame::CALLS };
         self.event_loop.counters.add(group::FRAMES, kind);
         for assigned in self.state.assigned.borrow_mut().iter_mut() {
             assigned.written |= frame.attempts.contains(&assigned.attempt);
         }
-        Ok(Writing::Nothing)
+        Ok(WriteState::Idle)
     }
 
-    /// The frame of a command; none if it is not to be sent any more.
+    /// Encodes the frame of a command; `None` if it must no longer be sent.
     fn make_frame(&self, command: ConnectionCommand) -> Option<OutgoingFrame> {
         let bytes = match command {
             ConnectionCommand::SendCall(attempts) => return self.make_call(attempts),
@@ -271,14 +275,15 @@
         Some(OutgoingFrame { bytes, attempts: Vec::new() })
     }
 
-    /// A load probe may wait for its connection while its replica starts to drain or is removed; it then counts as never sent.
+    /// Whether a queued load probe must be dropped because its replica has started to drain or was removed. A dropped
+    /// probe counts as never sent.
     fn probe_is_obsolete(&self) -> bool {
         let state = self.state;
-        if !state.not_needed.get() && !self.event_loop.read(|e| e.is_draining(state.replica)) {
+        if !state.retired.get() && !self.event_loop.read(|e| e.is_draining(state.replica)) {
             return false;
         }
         state.probes_pending.set(state.probes_pending.get().saturating_sub(1));
-        if !state.not_needed.get() {
+        if !state.retired.get() {
             self.event_loop.update(|e| e.load_probe_ended(state.replica, AttemptOutcome::NeverSent, None));
         }
         true
@@ -286,8 +291,8 @@
 
     fn make_call(&self, mut attempts: Vec<AttemptId>) -> Option<OutgoingFrame> {
         let (event_loop, state) = (self.event_loop, self.state);
-        // An attempt cancelled while it was queued here may share its number with one of another part that is queued on another
-        // connection to the replica.
+        // A cancelled attempt that is still queued here may have the same id as an attempt of another part that is
+        // queued on another connection to the replica.
         let is_waiting = |attempt: &AttemptId| {
             let assigned = state.assigned.borrow();
             assigned.iter().any(|assigned| assigned.attempt == *attempt && assigned.part_id.is_none())
@@ -296,7 +301,7 @@
         let now = event_loop.clock.now();
         let allowed = event_loop.update(|e| e.authorize_send(now, state.replica, &mut attempts));
         let mut assigned = state.assigned.borrow_mut();
-        // An attempt that was not authorized has ended.
+        // Attempts that the send guard dropped have ended and are no longer in flight.
         assigned.retain(|a| a.part_id.is_some() || event_loop.read(|e| e.is_in_flight(a.attempt)));
         if allowed.is_empty() {
             return None;
@@ -327,12 +332,15 @@
             }
             ReplicaFrame::Load(outcome, report) => self.handle_load(outcome, report),
             ReplicaFrame::Pong(_) => {
-                let rest = state.pings_pending.get().checked_sub(1).ok_or(ConnectionEnd::ProtocolError)?;
-                state.pings_pending.set(rest);
+                let pending = state.pings_pending.get().checked_sub(1).ok_or(ConnectionEnd::ProtocolError)?;
+                state.pings_pending.set(pending);
                 Ok(())
             }
             ReplicaFrame::Error(text) => {
-                tracing::warn!("replica {} could not use a frame: {text}", state.replica.0);
+                tracing::warn!(
+                    "replica {} rejected a frame: {text}; closing the connection",
+                    state.replica.0
+                );
                 Err(ConnectionEnd::RejectedByPeer)
             }
         }
@@ -352,12 +360,15 @@
                 event_loop.counters.add(group::FRAMES, frame::LATE_ANSWERS);
                 return Ok(());
             }
-            // The part whose id was garbled would be waited for in vain.
-            tracing::warn!("replica {} answered a part that was not sent", state.replica.0);
+            // If the id was corrupted, the part that it belongs to would never be answered on this connection.
+            tracing::warn!(
+                "replica {} sent an answer for an unknown part id; closing the connection",
+                state.replica.0
+            );
             return Err(ConnectionEnd::ProtocolError);
         };
         let attempt = assigned.swap_remove(position).attempt;
-        // A second answer to it is harmless.
+        // A second answer to the part then counts as late.
         state.finished.borrow_mut().add(id);
         event_loop.counters.add(group::FRAMES, frame::ANSWERS);
         let value = (outcome == AttemptOutcome::Success).then_some(value);
@@ -367,12 +378,15 @@
 
     fn handle_load(&self, outcome: AttemptOutcome, report: Option<LoadReport>) -> Result<(), ConnectionEnd> {
         let state = self.state;
-        let Some(rest) = state.probes_pending.get().checked_sub(1) else {
-            tracing::warn!("replica {} answered a load probe that was not sent", state.replica.0);
+        let Some(pending) = state.probes_pending.get().checked_sub(1) else {
+            tracing::warn!(
+                "replica {} sent a load report without a load probe; closing the connection",
+                state.replica.0
+            );
             return Err(ConnectionEnd::ProtocolError);
         };
-        state.probes_pending.set(rest);
-        if !state.not_needed.get() {
+        state.probes_pending.set(pending);
+        if !state.retired.get() {
             self.event_loop.update(|e| e.load_probe_ended(state.replica, outcome, report));
         }
         Ok(())
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -19,9 +19,9 @@
   "sets":1,"shards":1,"span":1},"rules":{"cold_from":0.3,"cold_s":9.0,"fall_s":1.5,"overload_factor":4.0},
   "tick_s":0.001}"#;
 
-struct Nobody;
+struct NullTransport;
 
-impl ReplicaTransport for Nobody {
+impl ReplicaTransport for NullTransport {
     fn set_address(&mut self, _: ReplicaId, _: SocketAddr) {}
     fn remove_replica(&mut self, _: ReplicaId) {}
     fn send_attempts(&mut self, _: ReplicaId, _: Vec<AttemptId>) {}
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn a_pong_is_good_once_for_each_ping() {
+async fn each_ping_accepts_one_pong() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let stream = Stream::new(TcpStream::connect(listener.local_addr().unwrap()).await.unwrap());
     let counters = Counters::default();
@@ -45,12 +45,13 @@
         ConnectionLimiter::new(9),
         exchange(&counters),
     ));
-    let (jobs, _queue) = unbounded_channel();
-    let state = ConnectionState::new(ReplicaId(0), jobs);
+    let (commands, _queue) = unbounded_channel();
+    let state = ConnectionState::new(ReplicaId(0), commands);
     state.pings_pending.set(1);
-    let alive = || task(&event_loop, &state, &stream).handle_frame(ReplicaFrame::Pong(AttemptOutcome::Fault));
-    assert_eq!(alive(), Ok(()), "busy with probes, but alive");
-    assert_eq!(alive(), Err(ConnectionEnd::ProtocolError), "nobody asked");
+    let receive_pong =
+        || task(&event_loop, &state, &stream).handle_frame(ReplicaFrame::Pong(AttemptOutcome::Fault));
+    assert_eq!(receive_pong(), Ok(()), "a pong with status err still answers the ping");
+    assert_eq!(receive_pong(), Err(ConnectionEnd::ProtocolError), "no ping is pending");
 }
 
 fn task<'a>(
@@ -58,107 +59,114 @@
     state: &'a ConnectionState,
     stream: &'a Stream,
 ) -> ConnectionTask<'a> {
-    let limit = Duration::from_secs(9);
-    ConnectionTask::new(event_loop, state, stream, ConnectionTimeouts { connect: limit, idle: limit })
+    let timeout = Duration::from_secs(9);
+    ConnectionTask::new(event_loop, state, stream, ConnectionTimeouts { connect: timeout, idle: timeout })
 }
 
-/// One replica at the end of a connection, and a query whose one call to it is out.
-async fn one_call_in_flight() -> (TcpStream, Stream, Rc<EventLoop>, AttemptId) {
+/// A connection to one replica, and a query whose only attempt is in flight.
+async fn one_attempt_in_flight() -> (TcpStream, Stream, Rc<EventLoop>, AttemptId) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).await.unwrap();
     let (replica_end, _) = listener.accept().await.unwrap();
-    let to = Stream::new(stream);
-    to.writable().await.unwrap();
-    let (event_loop, call) = one_query(address);
-    (replica_end, to, event_loop, call)
+    let connection = Stream::new(stream);
+    connection.writable().await.unwrap();
+    let (event_loop, attempt) = one_query(address);
+    (replica_end, connection, event_loop, attempt)
 }
 
-/// An event loop that has one replica there and one query, the first, with its one call out.
+/// An event loop with one replica at `address` and one query, whose only attempt is in flight.
 fn one_query(address: SocketAddr) -> (Rc<EventLoop>, AttemptId) {
     let (clock, counters) = (Clock::start(), Counters::default());
     let mut exchange = exchange(&counters);
-    let row =
+    let endpoint =
         Endpoint { uid: "l".into(), address: Some(address), cell: 0, zone: None, up: true, started: None };
-    exchange.update_endpoints(clock.now(), true, vec![row]);
+    exchange.update_endpoints(clock.now(), true, vec![endpoint]);
     let parts = vec![QueryPart { shard: 0, weight: 1.0, work: None }];
-    let ends = clock.now() + TimeSpan::from_millis(50_000);
-    let asked = QueryRequest {
+    let query_deadline = clock.now() + TimeSpan::from_millis(50_000);
+    let request = QueryRequest {
         id: "q".into(),
         class: RequestClassId(0),
-        deadline: ends,
+        deadline: query_deadline,
         parts,
         idempotency_key: None,
         text: "t".into(),
     };
-    exchange.submit(1, asked, Box::new(|_: QueryResponse| ()));
-    exchange.run_batch(clock.now(), &mut Nobody);
-    let call = AttemptId { part: PartId(0), number: 0 };
-    assert!(exchange.is_in_flight(call));
-    (Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange)), call)
+    exchange.submit(1, request, Box::new(|_: QueryResponse| ()));
+    exchange.run_batch(clock.now(), &mut NullTransport);
+    let attempt = AttemptId { part: PartId(0), number: 0 };
+    assert!(exchange.is_in_flight(attempt));
+    (Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange)), attempt)
 }
 
-/// The process stood still; on waking one asks whether all is told, and while it waits a call is ready on another connection.
-/// The client's leaving lies in its socket, some turns of the runtime away.
+/// Guards against a call being sent for a client that disconnected during a stall of the process. After the stall one task
+/// catches up on the inputs, and a call becomes ready on another connection meanwhile. The disconnect of the client is
+/// processed only some turns of the runtime later, so this call must wait as well.
 #[tokio::test]
-async fn a_call_ready_while_another_still_catches_up_waits_as_well() {
+async fn a_call_waits_while_another_task_catches_up_after_a_stall() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let (event_loop, call) = one_query(listener.local_addr().unwrap());
-            let (jobs, mut queue) = unbounded_channel();
+            let (event_loop, attempt) = one_query(listener.local_addr().unwrap());
+            let (commands, mut queue) = unbounded_channel();
             let state = Rc::new(ConnectionState {
-                assigned: assigned(call),
-                ..ConnectionState::new(ReplicaId(0), jobs.clone())
+                assigned: assigned(attempt),
+                ..ConnectionState::new(ReplicaId(0), commands.clone())
             });
-            let (ours, at) = (event_loop.clone(), listener.local_addr().unwrap());
-            let running = state.clone();
-            let limit = Duration::from_secs(9);
-            let stream = open(at, limit).await.unwrap();
+            let (task_loop, address) = (event_loop.clone(), listener.local_addr().unwrap());
+            let task_state = state.clone();
+            let timeout = Duration::from_secs(9);
+            let stream = open(address, timeout).await.unwrap();
             tokio::task::spawn_local(async move {
                 ConnectionTask::new(
-                    &ours,
-                    &running,
+                    &task_loop,
+                    &task_state,
                     &stream,
-                    ConnectionTimeouts { connect: limit, idle: limit },
+                    ConnectionTimeouts { connect: timeout, idle: timeout },
                 )
                 .serve(&mut queue)
                 .await;
             });
             let _replica_end = listener.accept().await.unwrap();
             std::thread::sleep(Duration::from_millis(100));
-            // Something is told, as late as that: all that follows waits.
+            // The first input after the stall: from then on calls wait until the process has caught up.
             event_loop.update(|e| e.load_probe_ended(ReplicaId(0), AttemptOutcome::Success, None));
-            let first = event_loop.clone();
-            tokio::task::spawn_local(async move { first.catch_up().await });
-            let gone = event_loop.clone();
+            let other_task = event_loop.clone();
+            tokio::task::spawn_local(async move { other_task.catch_up().await });
+            let client_side = event_loop.clone();
             tokio::task::spawn_local(async move {
                 tokio::task::yield_now().await;
-                jobs.send(ConnectionCommand::SendCall(vec![call])).unwrap();
+                commands.send(ConnectionCommand::SendCall(vec![attempt])).unwrap();
                 tokio::task::yield_now().await;
-                gone.update(|e| e.client_disconnected(1));
+                client_side.update(|e| e.client_disconnected(1));
             });
             tokio::time::sleep(Duration::from_millis(50)).await;
-            assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "a call for a client that left");
-            assert!(state.assigned.borrow().is_empty(), "it was looked at");
+            assert_eq!(
+                event_loop.counters.get("frames", "calls_sent"),
+                0,
+                "a call for a disconnected client"
+            );
+            assert!(state.assigned.borrow().is_empty(), "the attempt was checked and dropped");
         })
         .await;
 }
 
-/// A call was queued on this connection and given up there; its number is that of a call queued on another one now.
+/// Guards against a duplicate send: an attempt was queued on one connection and cancelled, and its id now belongs to an
+/// attempt that is queued on another connection.
 #[tokio::test]
 async fn a_call_assigned_to_another_connection_is_not_sent_here() {
-    let (_replica_end, to, event_loop, call) = one_call_in_flight().await;
-    let (jobs, _) = unbounded_channel();
-    let here = ConnectionState::new(ReplicaId(0), jobs.clone());
-    let there = ConnectionState { assigned: assigned(call), ..ConnectionState::new(ReplicaId(0), jobs) };
-    let queued = || Writing::Next(ConnectionCommand::SendCall(vec![call]));
-    assert!(matches!(task(&event_loop, &here, &to).write(queued()).unwrap(), Writing::Nothing));
-    assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "not here");
-    assert!(matches!(task(&event_loop, &there, &to).write(queued()).unwrap(), Writing::Nothing));
-    assert_eq!(event_loop.counters.get("frames", "calls_sent"), 1, "but there");
-    assert!(there.assigned.borrow()[0].written);
+    let (_replica_end, stream, event_loop, attempt) = one_attempt_in_flight().await;
+    let (commands, _) = unbounded_channel();
+    let unassigned = ConnectionState::new(ReplicaId(0), commands.clone());
+    let owner =
+        ConnectionState { assigned: assigned(attempt), ..ConnectionState::new(ReplicaId(0), commands) };
+    let queued = || WriteState::Queued(ConnectionCommand::SendCall(vec![attempt]));
+    assert!(matches!(task(&event_loop, &unassigned, &stream).write(queued()).unwrap(), WriteState::Idle));
+    assert_eq!(event_loop.counters.get("frames", "calls_sent"), 0, "sent on the wrong connection");
+    assert!(matches!(task(&event_loop, &owner, &stream).write(queued()).unwrap(), WriteState::Idle));
+    assert_eq!(event_loop.counters.get("frames", "calls_sent"), 1, "sent on its own connection");
+    assert!(owner.assigned.borrow()[0].written);
 }
 
 fn assigned(attempt: AttemptId) -> RefCell<Vec<AssignedAttempt>> {
@@ -166,42 +174,48 @@
 }
 
 #[tokio::test]
-async fn a_call_of_which_no_byte_was_written_passes_the_send_guard_again() {
-    let (_unread, to, event_loop, call) = one_call_in_flight().await;
-    while to.try_write(&[0; 1 << 16]).is_ok() {}
-    let (jobs, _) = unbounded_channel();
-    let state = ConnectionState { assigned: assigned(call), ..ConnectionState::new(ReplicaId(0), jobs) };
-
-    let next =
-        task(&event_loop, &state, &to).write(Writing::Next(ConnectionCommand::SendCall(vec![call]))).unwrap();
-    assert!(matches!(next, Writing::Next(ConnectionCommand::SendCall(_))), "nothing of it has gone");
+async fn an_unwritten_call_passes_the_send_guard_again() {
+    let (_unread, stream, event_loop, attempt) = one_attempt_in_flight().await;
+    while stream.try_write(&[0; 1 << 16]).is_ok() {}
+    let (commands, _) = unbounded_channel();
+    let state =
+        ConnectionState { assigned: assigned(attempt), ..ConnectionState::new(ReplicaId(0), commands) };
+
+    let next = task(&event_loop, &state, &stream)
+        .write(WriteState::Queued(ConnectionCommand::SendCall(vec![attempt])))
+        .unwrap();
+    assert!(matches!(next, WriteState::Queued(ConnectionCommand::SendCall(_))), "no byte was written");
     assert!(state.assigned.borrow()[0].part_id.is_none());
-    event_loop.update(|e| e.attempt_ended(call, AttemptOutcome::Cancelled, None, None));
+    event_loop.update(|e| e.attempt_ended(attempt, AttemptOutcome::Cancelled, None, None));
     assert!(
-        matches!(task(&event_loop, &state, &to).write(next).unwrap(), Writing::Nothing),
-        "dropped: it is over"
+        matches!(task(&event_loop, &state, &stream).write(next).unwrap(), WriteState::Idle),
+        "a cancelled attempt is dropped"
     );
 }
 
-/// A probe waits at its connection while its replica is told to drain: it does not go out, and counts as never sent.
+/// Guards against load probes to draining replicas: a probe that is queued on a connection while its replica starts to
+/// drain must not be sent, and counts as never sent.
 #[tokio::test]
-async fn a_probe_queued_for_a_replica_that_drains_meanwhile_is_not_sent() {
+async fn a_queued_probe_of_a_draining_replica_is_not_sent() {
     for drains in [false, true] {
-        let (replica_end, to, event_loop, _call) = one_call_in_flight().await;
-        let (jobs, _queue) = unbounded_channel();
-        let state = ConnectionState::new(ReplicaId(0), jobs);
+        let (replica_end, stream, event_loop, _attempt) = one_attempt_in_flight().await;
+        let (commands, _queue) = unbounded_channel();
+        let state = ConnectionState::new(ReplicaId(0), commands);
         state.probes_pending.set(1);
-        let row =
+        let endpoint =
             Endpoint { uid: "l".into(), address: None, cell: 0, zone: None, up: !drains, started: None };
-        event_loop.update(|e| e.update_endpoints(event_loop.clock.now(), false, vec![row]));
-        let take_turn = async { event_loop.run(TimeSpan::from_millis(1), &RefCell::new(Nobody)).await };
-        assert!(tokio::time::timeout(Duration::from_millis(50), take_turn).await.is_err());
+        event_loop.update(|e| e.update_endpoints(event_loop.clock.now(), false, vec![endpoint]));
+        let run_batches =
+            async { event_loop.run(TimeSpan::from_millis(1), &RefCell::new(NullTransport)).await };
+        assert!(tokio::time::timeout(Duration::from_millis(50), run_batches).await.is_err());
         assert!(matches!(
-            task(&event_loop, &state, &to).write(Writing::Next(ConnectionCommand::SendLoadProbe)).unwrap(),
-            Writing::Nothing
+            task(&event_loop, &state, &stream)
+                .write(WriteState::Queued(ConnectionCommand::SendLoadProbe))
+                .unwrap(),
+            WriteState::Idle
         ));
-        let mut came = [0; 9];
-        let sent = replica_end.try_read(&mut came).is_ok_and(|n| n > 0);
+        let mut received = [0; 9];
+        let sent = replica_end.try_read(&mut received).is_ok_and(|n| n > 0);
         assert_eq!((sent, state.probes_pending.get()), (!drains, u32::from(!drains)), "drains: {drains}");
     }
 }
--- a/crates/pipitcrank-server/src/replicas/connection_end.rs
+++ b/crates/pipitcrank-server/src/replicas/connection_end.rs
@@ -1,36 +1,36 @@
-//! How connections end, and what that means for the attempts on them: defined here and nowhere else.
+//! Reasons for the end of a connection, and the resulting outcomes of the attempts and load probes on it.
 
 use pipitcrank_core::ids::AttemptOutcome;
 
-/// Why a connection ended.
+/// Reason for the end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
     /// The peer refused it.
     Refused,
-    /// It was not up within the connect timeout.
+    /// It was not established within the connect timeout.
     ConnectTimeout,
-    /// It was not opened: this process holds as many connections as it may.
+    /// It was not opened because this process has reached its connection limit.
     LimitReached,
-    /// The peer closed it in order.
+    /// The peer closed it.
     Closed,
-    /// It broke.
+    /// It was reset, or a read or write on it failed.
     Reset,
-    /// The peer sent what the protocol does not allow.
+    /// The peer violated the protocol.
     ProtocolError,
-    /// The peer could not use what was sent.
+    /// The peer rejected a frame.
     RejectedByPeer,
-    /// Nothing came for longer than the peer may be silent.
+    /// Nothing was received within the time limit for silence.
     Silent,
-    /// Closed by this side: idle for nearly as long as the peer keeps it.
+    /// This side closed it after the idle timeout, which is slightly shorter than the peer's.
     Idle,
-    /// Closed by this side: it is not needed any more.
+    /// This side closed it because it was no longer needed.
     NotNeeded,
-    /// It continues at another process, which has its descriptor.
+    /// Its descriptor was passed to another process, which continues it.
     HandedOver,
 }
 
 impl ConnectionEnd {
-    /// Its name in `/counters` and logs.
+    /// Name of the reason in `/counters` and logs.
     pub fn name(self) -> &'static str {
         match self {
             ConnectionEnd::Refused => "refused",
@@ -58,12 +58,14 @@
         )
     }
 
-    /// Outcome of an attempt on it. An attempt can't have run before its frame was `written` whole.
+    /// Outcome of an attempt on the connection. `written`: whether its frame was written completely; otherwise the
+    /// attempt cannot have run.
     pub fn attempt_outcome(self, written: bool) -> AttemptOutcome {
         if written { AttemptOutcome::Disconnected } else { AttemptOutcome::Unreachable }
     }
 
-    /// Outcome of a load probe on it. Only a connection that never came up shows that the replica is unreachable.
+    /// Outcome of a load probe on the connection. The replica counts as unreachable only if the connection was never
+    /// established.
     pub fn probe_outcome(self) -> AttemptOutcome {
         let was_up = !matches!(
             self,
@@ -73,9 +75,9 @@
     }
 }
 
-/// Outcome of a part by the replica's word for it; none for a word that the protocol does not know.
-pub fn outcome_from_wire(word: &str) -> Option<AttemptOutcome> {
-    match word {
+/// Outcome for a status in a replica's frame; `None` for a status that is not part of the protocol.
+pub fn outcome_from_wire(status: &str) -> Option<AttemptOutcome> {
+    match status {
         "ok" => Some(AttemptOutcome::Success),
         "err" => Some(AttemptOutcome::Fault),
         "busy" => Some(AttemptOutcome::NoCapacity),
--- a/crates/pipitcrank-server/src/replicas/connection_state.rs
+++ b/crates/pipitcrank-server/src/replicas/connection_state.rs
@@ -1,4 +1,4 @@
-//! What the pool and a connection's own task both know of the connection.
+//! The state of a connection that is shared by the pool and the connection's task.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -8,25 +8,25 @@
 use pipitcrank_core::ids::{AttemptId, ReplicaId};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What a connection is given to do, in order.
+/// A command to a connection's task. Commands are executed in order.
 pub enum ConnectionCommand {
-    /// Send these attempts in one call; none only wakes the connection's task.
+    /// Send these attempts in one call. An empty list only wakes the task.
     SendCall(Vec<AttemptId>),
-    /// Cancel the part of this id.
+    /// Cancel the part with this id.
     Cancel(Rc<str>),
-    /// Ask for a load report.
+    /// Send a load probe.
     SendLoadProbe,
-    /// Ask for a sign of life on this connection.
+    /// Send a ping to check this connection.
     Ping,
 }
 
-/// An attempt on a connection, from when it is queued there until it has ended.
+/// An attempt assigned to a connection, from its queueing until its end.
 pub struct AssignedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The part's id, once the frame has been begun.
+    /// Id of the part; `None` until the writing of its frame starts.
     pub part_id: Option<Rc<str>>,
-    /// Whether the frame was written whole.
+    /// Whether the frame was written completely.
     pub written: bool,
 }
 
@@ -34,30 +34,30 @@
 pub struct ConnectionState {
     /// The replica.
     pub replica: ReplicaId,
-    /// To the connection's task.
+    /// Queue of commands to the connection's task.
     pub commands: UnboundedSender<ConnectionCommand>,
-    /// Attempts on it, no more than it has streams.
+    /// Attempts on the connection, at most one for each stream.
     pub assigned: RefCell<Vec<AssignedAttempt>>,
-    /// Load probes unanswered.
+    /// Number of unanswered load probes.
     pub probes_pending: Cell<u32>,
-    /// Pings unanswered.
+    /// Number of unanswered pings.
     pub pings_pending: Cell<u32>,
-    /// A frame could not be written at once: the replica does not read.
+    /// Whether a frame is waiting to be written, for example because the replica does not read.
     pub write_stalled: Cell<bool>,
-    /// A frame of the replica's has begun and is not whole.
+    /// Whether only part of a frame has been received.
     pub partial_frame: Cell<bool>,
-    /// Something is out and nothing has come for long.
-    pub doubted: Cell<bool>,
-    /// Parts cancelled or answered, of those begun on it.
+    /// Whether nothing was received for the connect timeout while an answer was pending.
+    pub suspected: Cell<bool>,
+    /// Parts sent on the connection that were cancelled or answered.
     pub finished: RefCell<FinishedIds>,
-    /// The replica or the connection is not needed any more: it closes when nothing is out on it.
-    pub not_needed: Cell<bool>,
-    /// When it was last used, by the pool's count.
+    /// Whether the connection is no longer needed and closes as soon as nothing is pending on it.
+    pub retired: Cell<bool>,
+    /// Value of the pool's use counter at the last use of the connection.
     pub last_use: Cell<u64>,
 }
 
 impl ConnectionState {
-    /// The state of a connection on which nothing has happened yet.
+    /// Creates the state of a new connection.
     pub fn new(replica: ReplicaId, commands: UnboundedSender<ConnectionCommand>) -> ConnectionState {
         ConnectionState {
             replica,
@@ -67,46 +67,43 @@
             pings_pending: Cell::default(),
             write_stalled: Cell::default(),
             partial_frame: Cell::default(),
-            doubted: Cell::default(),
+            suspected: Cell::default(),
             finished: RefCell::default(),
-            not_needed: Cell::default(),
+            retired: Cell::default(),
             last_use: Cell::default(),
         }
     }
 
-    /// Whether it may be given more: one that does not take what is written, brings nothing, or holds a partial frame that
-    /// may swallow the answers behind it must not delay what another connection could carry.
+    /// Whether the connection accepts further calls. A connection with a stalled write, without answers, or with a
+    /// partial frame that may absorb the answers behind it gets no calls that another connection could carry.
     pub fn is_healthy(&self) -> bool {
-        !self.write_stalled.get()
-            && !self.partial_frame.get()
-            && !self.doubted.get()
-            && !self.not_needed.get()
+        !self.write_stalled.get() && !self.partial_frame.get() && !self.suspected.get() && !self.retired.get()
     }
 
-    /// Whether nothing is out on it, nor about to be.
+    /// Whether no attempt is assigned to the connection, no load probe is pending, and it is not already retired.
     pub fn is_unused(&self) -> bool {
-        self.assigned.borrow().is_empty() && self.probes_pending.get() == 0 && !self.not_needed.get()
+        self.assigned.borrow().is_empty() && self.probes_pending.get() == 0 && !self.retired.get()
     }
 
-    /// Whether something written on it is unanswered.
+    /// Whether a load probe, a ping or a call on the connection is unanswered.
     pub fn awaits_answer(&self) -> bool {
-        self.probes_pending.get() > 0 || self.pings_pending.get() > 0 || self.has_begun_attempt()
+        self.probes_pending.get() > 0 || self.pings_pending.get() > 0 || self.has_started_attempt()
     }
 
-    /// Whether a frame of an attempt has been begun on it. Attempts that wait for their first byte can go on another
+    /// Whether the frame of an attempt has been started. Attempts without a written byte can still move to another
     /// connection.
-    pub fn has_begun_attempt(&self) -> bool {
+    pub fn has_started_attempt(&self) -> bool {
         self.assigned.borrow().iter().any(|assigned| assigned.part_id.is_some())
     }
 }
 
-/// Hashes of the last part ids that are not waited for any more: an answer to one of them is late, while one to an id that
-/// was never sent is a protocol error.
+/// Hashes of the most recent part ids whose answers are no longer expected. An answer to one of them is late, while an
+/// answer to an id that was never sent is a protocol error.
 #[derive(Default)]
 pub struct FinishedIds(VecDeque<u64>);
 
 impl FinishedIds {
-    /// Ids remembered: 4 kB. The oldest is forgotten first.
+    /// Maximum number of stored hashes, which take 4 kB. The oldest is evicted first.
     const MAX: usize = 512;
 
     fn hash(id: &str) -> u64 {
@@ -115,7 +112,7 @@
         hasher.finish()
     }
 
-    /// Remembers an id.
+    /// Adds an id, and evicts the oldest one if the list is full.
     pub fn add(&mut self, id: &str) {
         if self.0.len() == Self::MAX {
             self.0.pop_front();
@@ -123,7 +120,7 @@
         self.0.push_back(Self::hash(id));
     }
 
-    /// Whether the id is remembered.
+    /// Whether the list contains the id.
     pub fn contains(&self, id: &str) -> bool {
         self.0.contains(&Self::hash(id))
     }
--- a/crates/pipitcrank-server/src/replicas/mod.rs
+++ b/crates/pipitcrank-server/src/replicas/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas: the pool, one connection, the frames on it and how it ends.
+//! Connections to replicas: the pool, the task of one connection, its frames and its end.
 
 pub mod connection;
 pub mod connection_end;
--- a/crates/pipitcrank-server/src/replicas/pool.rs
+++ b/crates/pipitcrank-server/src/replicas/pool.rs
@@ -1,5 +1,5 @@
-//! The pool of connections to replicas: which connection carries what. A connection is used again while it has streams free;
-//! another is opened only when none has.
+//! The pool of connections to replicas, which assigns calls to connections. A connection is reused while it has free
+//! streams; a new one is opened only if no other has enough.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 /// One replica's connections.
 struct ReplicaConnections {
     address: SocketAddr,
-    /// A connection is removed when it ends.
+    /// Connections that have not ended.
     open: Vec<Rc<ConnectionState>>,
 }
 
@@ -31,14 +31,14 @@
     this: Weak<RefCell<ReplicaPool>>,
     streams_per_connection: usize,
     timeouts: ConnectionTimeouts,
-    /// An entry ends when the exchange removes the replica.
+    /// An entry is removed when the exchange removes the replica.
     replicas: BTreeMap<ReplicaId, ReplicaConnections>,
-    /// Counts uses of connections.
+    /// Number of uses of connections, from which `last_use` is set.
     uses: u64,
 }
 
 impl ReplicaPool {
-    /// A pool without replicas. `streams_per_connection`: parts that one connection carries at once.
+    /// Creates a pool without replicas. `streams_per_connection`: maximum number of parts in flight on one connection.
     pub fn new(
         event_loop: Rc<EventLoop>,
         streams_per_connection: usize,
@@ -67,7 +67,7 @@
         pool
     }
 
-    /// Closes the connection that was unused for longest; false where all are in use.
+    /// Closes the connection that has been unused for longest. Returns false if all connections are in use.
     fn close_unused(&mut self) -> bool {
         let connections = self.replicas.values().flat_map(|replica| &replica.open);
         let unused = connections.filter(|connection| connection.is_unused());
@@ -79,7 +79,7 @@
         true
     }
 
-    /// A healthy connection with streams free for so many parts, opened if need be.
+    /// Returns a healthy connection with free streams for `parts` parts, and opens one if there is none.
     fn connection(&mut self, replica: ReplicaId, parts: usize) -> Result<Rc<ConnectionState>, ConnectionEnd> {
         self.uses += 1;
         let connections = self.replicas.get(&replica).ok_or(ConnectionEnd::NotNeeded)?;
@@ -92,14 +92,15 @@
             return Ok(connection.clone());
         }
         let permit = self.event_loop.replica_connections.try_acquire();
-        // A replica must not count as unreachable while connections to others are unused.
+        // At the connection limit an unused connection to another replica is closed. Otherwise this replica would
+        // count as unreachable for lack of sockets in this process.
         if permit.is_none() && !self.close_unused() {
             return Err(ConnectionEnd::LimitReached);
         }
         self.open(replica, permit)
     }
 
-    /// Opens a connection; without a permit it waits for the one of a connection that closes.
+    /// Opens a connection. Without a permit it waits for the permit of a connection that closes.
     fn open(
         &mut self,
         replica: ReplicaId,
@@ -122,17 +123,18 @@
         Ok(connection)
     }
 
-    /// Whether a connection to the replica holds a partial frame of its.
+    /// Whether a connection to the replica has received only part of a frame.
     pub fn has_partial_frame(&self, replica: ReplicaId) -> bool {
         let connections = self.replicas.get(&replica);
         connections.is_some_and(|replica| replica.open.iter().any(|c| c.partial_frame.get()))
     }
 
-    /// All attempts on the connection end with it, except that calls not begun go on another one where this side closed it.
+    /// Ends all attempts on a connection that has ended. If this side closed it, calls of which nothing was written are
+    /// sent on another connection instead.
     fn connection_closed(&mut self, connection: &Rc<ConnectionState>, closed: ClosedConnection) {
         let ClosedConnection { end, unsent } = closed;
         let replica = connection.replica;
-        tracing::debug!("connection to replica {} ended: {}", replica.0, end.name());
+        tracing::debug!("connection to replica {} ended with reason {}", replica.0, end.name());
         self.event_loop.counters.add(group::REPLICA_CONNECTIONS, end.name());
         if let Some(connections) = self.replicas.get_mut(&replica) {
             connections.open.retain(|open| !Rc::ptr_eq(open, connection));
@@ -148,14 +150,14 @@
         for AssignedAttempt { attempt, written, .. } in assigned {
             self.event_loop.update(|e| e.attempt_ended(attempt, end.attempt_outcome(written), None, None));
         }
-        // Nothing is reported of a replica that was removed: its id may stand for another one.
-        if connection.probes_pending.get() > 0 && !connection.not_needed.get() {
+        // No probe result is reported for a removed replica, since its id may have been reused.
+        if connection.probes_pending.get() > 0 && !connection.retired.get() {
             self.event_loop.update(|e| e.load_probe_ended(replica, end.probe_outcome(), None));
         }
     }
 }
 
-/// Runs a connection once it has its permit.
+/// Acquires a permit if none is given, then runs the connection.
 async fn run_with_permit(
     event_loop: &Rc<EventLoop>,
     state: &ConnectionState,
@@ -204,13 +206,13 @@
                     written: false,
                 });
                 connection.assigned.borrow_mut().extend(assigned);
-                // The task takes all commands until it ends, and then ends what is assigned.
+                // A failed send needs no handling: when the connection's task ends, all assigned attempts end.
                 let _ = connection.commands.send(ConnectionCommand::SendCall(attempts));
             }
             Err(end) => {
                 self.event_loop.counters.add(group::REPLICA_CONNECTIONS, end.name());
                 let event_loop = self.event_loop.clone();
-                // Later, since the exchange is within a batch.
+                // The report is deferred, since the exchange is processing a batch.
                 tokio::task::spawn_local(async move {
                     for attempt in attempts {
                         let outcome = end.attempt_outcome(false);
@@ -247,11 +249,11 @@
     }
 }
 
-/// Has connections closed as soon as nothing is out on them.
+/// Marks connections to be closed as soon as nothing is pending on them.
 fn retire(connections: impl IntoIterator<Item = Rc<ConnectionState>>) {
     for connection in connections {
-        connection.not_needed.set(true);
-        // Wakes the task; an empty call sends nothing.
+        connection.retired.set(true);
+        // An empty call wakes the task and sends nothing.
         let _ = connection.commands.send(ConnectionCommand::SendCall(Vec::new()));
     }
 }
