--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -45,7 +45,7 @@
             address: entry.address,
             cell: entry.cell,
             zone: entry.zone.clone(),
-            started: entry.started.map(|at| now - at),
+            uptime: entry.started.map(|at| now - at),
             draining_for: entry.down_since.map(|at| now - at),
         });
         records.collect()
@@ -64,7 +64,7 @@
     pub fn restore(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
         self.apply_pending_endpoint_changes();
         self.apply_snapshot(now, age, use_list, snapshot);
-        self.coordinator.resume_alone(now);
+        self.coordinator.resume_without_peer(now);
     }
 
     fn apply_snapshot(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
@@ -72,14 +72,14 @@
         let mut indices = BTreeMap::new();
         let mut endpoints = Vec::new();
         let mut down = Vec::new();
-        for ReplicaRecord { index, uid, address, cell, zone, started, draining_for } in snapshot.replicas {
+        for ReplicaRecord { index, uid, address, cell, zone, uptime, draining_for } in snapshot.replicas {
             // A replica that is no longer listed gets no index, since the index would never be released.
             let uids = &mut self.table.replica_uids;
             let local_index = if use_list { Some(uids.intern(&uid)) } else { uids.find(&uid) };
             let Some(local_index) = local_index else { continue };
             indices.insert(index, local_index);
             down.extend(draining_for.map(|span| (local_index, to_timestamp(span))));
-            let (up, started) = (draining_for.is_none(), started.map(to_timestamp));
+            let (up, started) = (draining_for.is_none(), uptime.map(to_timestamp));
             endpoints.push(Endpoint { uid, address, cell, zone, up, started });
         }
         if use_list {
@@ -110,7 +110,7 @@
 
     /// Continues alone after the other process has exited without a report of its retries.
     pub fn resume_alone(&mut self, now: Timestamp) {
-        self.coordinator.resume_alone(now);
+        self.coordinator.resume_without_peer(now);
         self.open_in_peer = 0;
     }
 
--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -221,7 +221,7 @@
     async fn handle_writable(&mut self, ready: io::Result<()>) -> Result<(), ConnectionEnd> {
         ready.map_err(|_| ConnectionEnd::Reset)?;
         if matches!(self.write_state, WriteState::Queued(ConnectionCommand::SendCall(_))) {
-            self.event_loop.catch_up().await;
+            self.event_loop.yield_after_stall().await;
         }
         let write_state = std::mem::replace(&mut self.write_state, WriteState::Idle);
         self.write_state = self.write(write_state).map_err(|_| ConnectionEnd::Reset)?;
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -99,11 +99,11 @@
     (Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange)), attempt)
 }
 
-/// Guards against a call being sent for a client that disconnected during a stall of the process. After the stall one task
-/// catches up on the inputs, and a call becomes ready on another connection meanwhile. The disconnect of the client is
-/// processed only some turns of the runtime later, so this call must wait as well.
+/// Guards against a call being sent for a client that disconnected during a stall of the process. After the stall one
+/// task yields so that unread sockets are read, and meanwhile a call becomes ready on another connection. The client's
+/// disconnect is processed only a few scheduler passes later, so that call must wait as well.
 #[tokio::test]
-async fn a_call_waits_while_another_task_catches_up_after_a_stall() {
+async fn a_call_waits_while_another_task_yields_after_a_stall() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
@@ -130,10 +130,10 @@
             });
             let _replica_end = listener.accept().await.unwrap();
             std::thread::sleep(Duration::from_millis(100));
-            // The first input after the stall: from then on calls wait until the process has caught up.
+            // This is the first input after the stall. From here on calls wait until a task has yielded.
             event_loop.update(|e| e.load_probe_ended(ReplicaId(0), AttemptOutcome::Success, None));
             let other_task = event_loop.clone();
-            tokio::task::spawn_local(async move { other_task.catch_up().await });
+            tokio::task::spawn_local(async move { other_task.yield_after_stall().await });
             let client_side = event_loop.clone();
             tokio::task::spawn_local(async move {
                 tokio::task::yield_now().await;
