--- a/crates/pipitcrank-server/src/discovery/client.rs
+++ b/crates/pipitcrank-server/src/discovery/client.rs
@@ -1,10 +1,10 @@
 //! Keeps the endpoint list up to date.
 //!
-//! Two ways run beside each other: a watch brings each change at once, and polls of the complete list, each on a
-//! connection of its own, bring whatever a watch did not. A change has to be known 6 s after the discovery service had it,
-//! whatever call failed: polls alone keep to that, so no watch has to be trusted. Where the service pays for each call and
-//! refuses them when there are too many, the watch goes first, polls are rare, and a coordinator that was refused calls
-//! later and later.
+//! A watch and polls run concurrently. The watch delivers each change at once. Polls of the complete list, each on its
+//! own connection, deliver the changes that the watch has missed. A change must be known within 6 s of its publication
+//! by the discovery service, even if calls fail; polls alone meet this limit, so it does not depend on the watch. If the
+//! service has a cost per call and refuses calls when there are too many, the watch has priority, polls are rare, and a
+//! co-ordinator whose calls are refused waits longer before each further call.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 use crate::runtime::counter_names::{discovery, group};
 use crate::runtime::event_loop::EventLoop;
 
-/// Revision of the current endpoint list; none asks for the complete list.
+/// Revision of the current endpoint list; `None` requests the complete list.
 pub type SharedRevision = Rc<Cell<Option<u64>>>;
 
-/// Keeps the list up to date for ever, wherever the discovery service is at the moment. `revision`: of the initial list,
-/// then of the current one. `pacing`: present where the service pays for each call.
+/// Keeps the list up to date indefinitely and follows changes of the discovery service's address. `revision`: revision
+/// of the initial list, later of the current one. `pacing`: present if the service has a cost per call.
 pub async fn watch(
     event_loop: Rc<EventLoop>,
     mut address: watch::Receiver<String>,
@@ -37,13 +37,13 @@
                 if *address.borrow_and_update() != current {
                     return;
                 }
-                // Set anew to the same address: changes have to be known sooner then.
+                // The same address was set again. Changes must then be known earlier than by the next regular poll.
                 source.poll_now();
             }
             std::future::pending().await
         };
-        // After a move, a call or a pause at the old address is left at once. The new one may count revisions otherwise, so the
-        // complete list is asked for there.
+        // After a change of address, calls to the old address and pauses between them are cancelled at once. The new
+        // service may number its revisions differently, so the complete list is requested from it.
         tokio::select! {
             _ = source.poll_forever() => {}
             _ = source.watch_forever() => {}
--- a/crates/pipitcrank-server/src/discovery/endpoint_update.rs
+++ b/crates/pipitcrank-server/src/discovery/endpoint_update.rs
@@ -1,4 +1,4 @@
-//! What the discovery service sends: the complete endpoint list, or changes of it.
+//! Updates from the discovery service: the complete endpoint list, or changes of it.
 
 use pipitcrank_core::time::Timestamp;
 use serde::Deserialize;
@@ -8,13 +8,14 @@
 
 /// A complete endpoint list.
 pub struct EndpointList {
-    /// Its revision.
+    /// Revision of the list.
     pub revision: u64,
-    /// All replicas there are.
+    /// All replicas.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A list or changes, as sent. Its name in errors is the one that operators know.
+/// A complete list or changes, as sent by the discovery service. The `expecting` text keeps the type name that operators
+/// know from error messages.
 #[derive(Deserialize)]
 #[serde(expecting = "struct News")]
 pub struct EndpointUpdate {
@@ -35,7 +36,7 @@
     #[serde(rename = "az", default)]
     zone: Option<String>,
     state: State,
-    /// Unix milliseconds; 0 where not known.
+    /// Start time in Unix milliseconds; 0 if unknown.
     #[serde(rename = "boot_ms", default)]
     started_ms: i64,
 }
@@ -52,33 +53,33 @@
 
 /// The endpoints of an update.
 pub struct Endpoints {
-    /// Whether they are all replicas there are.
+    /// Whether `endpoints` contains all replicas.
     pub complete: bool,
-    /// The endpoints, in the order sent.
+    /// The endpoints, in the order in which they were sent.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Why an update can't be used. It names the replica.
+/// Reason for which an update is rejected, with the uid of the replica concerned.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointError {
-    /// An endpoint is no address and port.
-    #[error("endpoint '{endpoint}' of {uid}")]
+    /// An endpoint is not an address with a port.
+    #[error("expected an address and a port, got endpoint '{endpoint}' of replica {uid}")]
     Address {
-        /// What stands there.
+        /// The endpoint as sent.
         endpoint: String,
-        /// The replica.
+        /// Uid of the replica.
         uid: String,
     },
     /// A replica that has not left lacks its endpoint or its cell.
-    #[error("no endpoint or pod_group of {uid}")]
+    #[error("expected an endpoint and a pod_group for replica {uid}, at least one is missing")]
     Missing {
-        /// The replica.
+        /// Uid of the replica.
         uid: String,
     },
 }
 
 impl EndpointUpdate {
-    /// Decodes the endpoints. Start times are placed on `clock`.
+    /// Decodes the endpoints and converts their start times to the time of `clock`.
     pub fn endpoints(self, clock: &Clock) -> Result<Endpoints, EndpointError> {
         let endpoints = self.targets.into_iter().map(|target| target.into_endpoint(clock));
         Ok(Endpoints { complete: self.complete, endpoints: endpoints.collect::<Result<_, _>>()? })
--- a/crates/pipitcrank-server/src/discovery/json_objects.rs
+++ b/crates/pipitcrank-server/src/discovery/json_objects.rs
@@ -1,32 +1,32 @@
-//! JSON objects cut out of a stream of bytes, however it is broken into lines and pieces. They are decoded elsewhere.
+//! Splitting of a byte stream into JSON objects, independent of line ends and of the sizes of the received pieces.
 
 use bytes::{Buf, BytesMut};
 
-/// Why a stream can't be read on.
+/// Reason for which a stream cannot be split any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonStreamError {
-    /// Something that is no object stands between two.
-    #[error("something between two objects")]
+    /// The text between two objects is not white space.
+    #[error("expected the start of a JSON object, got another character")]
     NotAnObject,
     /// An object is longer than the limit.
-    #[error("an object over the limit")]
+    #[error("expected an object within the length limit, got a longer one")]
     TooLong,
 }
 
-/// Cuts objects out of the bytes that came.
+/// Splits a byte stream into JSON objects without decoding them.
 pub struct JsonObjectStream {
     max_length: usize,
     buffer: BytesMut,
-    /// Bytes of the buffer that were scanned: each is scanned once.
+    /// Number of bytes of the buffer that have been scanned. Each byte is scanned once.
     scanned: usize,
     depth: u32,
     in_string: bool,
-    /// The byte before was a backslash within a string.
+    /// Whether the previous byte was an escaping backslash within a string.
     escaped: bool,
 }
 
 impl JsonObjectStream {
-    /// A stream whose objects are no longer than so many bytes.
+    /// Creates an empty stream. `max_length`: maximum length of an object in bytes.
     pub fn new(max_length: usize) -> JsonObjectStream {
         JsonObjectStream {
             max_length,
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Adds bytes that came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether some of the next object has come; after `take` has found no whole one.
+    /// Whether part of an object is buffered. Valid after `take` has returned `None`.
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Takes the next object that has come whole.
+    /// Removes and returns the next complete object; `None` if the buffer holds no complete object.
     pub fn take(&mut self) -> Result<Option<BytesMut>, JsonStreamError> {
         if self.depth == 0 {
             let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
--- a/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
+++ b/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
@@ -12,7 +12,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_the_lines_and_pieces_the_objects_are_the_same(
+    fn objects_do_not_depend_on_line_ends_or_piece_sizes(
         lists in proptest::collection::vec((0usize..6, "[a-z{}\"\\\\\n]{0,6}", any::<bool>(), "[ \n\r\t]{0,3}"), 0..6),
         cuts in proptest::collection::vec(1usize..90, 0..60),
     ) {
@@ -32,22 +32,22 @@
                 found.push(serde_json::from_slice::<Value>(&object).unwrap());
             }
         }
-        let wanted: Vec<Value> = lists.iter().map(|(replicas, name, ..)| list(*replicas, name)).collect();
-        prop_assert_eq!(found, wanted);
+        let expected: Vec<Value> = lists.iter().map(|(replicas, name, ..)| list(*replicas, name)).collect();
+        prop_assert_eq!(found, expected);
     }
 }
 
 #[test]
-fn what_is_no_object_or_never_ends_is_not_waited_for() {
-    for (bytes, what) in [
+fn other_values_and_overlong_objects_are_rejected() {
+    for (bytes, expected) in [
         ("{} x{}", JsonStreamError::NotAnObject),
         ("}", JsonStreamError::NotAnObject),
         ("\"{}\"", JsonStreamError::NotAnObject),
     ] {
         let mut objects = JsonObjectStream::new(100);
         objects.push(bytes.as_bytes());
-        let first_bad = std::iter::from_fn(|| objects.take().transpose()).find_map(Result::err);
-        assert_eq!(first_bad, Some(what), "{bytes}");
+        let first_error = std::iter::from_fn(|| objects.take().transpose()).find_map(Result::err);
+        assert_eq!(first_error, Some(expected), "{bytes}");
     }
     let mut objects = JsonObjectStream::new(100);
     objects.push(b"{\"targets\": [");
--- a/crates/pipitcrank-server/src/discovery/mod.rs
+++ b/crates/pipitcrank-server/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the client of the discovery service and the parsing of what it sends.
+//! The endpoint list: the client of the discovery service and the decoding of its updates.
 
 pub mod client;
 pub mod endpoint_update;
--- a/crates/pipitcrank-server/src/discovery/source.rs
+++ b/crates/pipitcrank-server/src/discovery/source.rs
@@ -1,4 +1,4 @@
-//! The discovery service at one address: polls and watches.
+//! Polls and watches of the discovery service at one address.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use super::endpoint_update::{EndpointUpdate, Endpoints};
-use super::http::{HttpClient, MAX_LIST, complete_list, malformed, request};
+use super::http::{HttpClient, MAX_LIST_BYTES, complete_list, malformed, request};
 use super::json_objects::JsonObjectStream;
 use super::poll_pacing::PollPacing;
 use crate::exchange::Endpoint;
@@ -21,36 +21,38 @@
 use crate::runtime::counter_names::group;
 use crate::runtime::event_loop::EventLoop;
 
-/// A watch that brings nothing whole for so long has died unnoticed, or never ends an object: an empty line is due every
-/// 2 s.
-const WATCH_SILENCE: Duration = Duration::from_millis(2500);
-/// From one poll to the next. It leaves time for eight calls, of which seven may fail, before a change has to be known.
+/// Time limit for a watch to deliver an empty line or a complete object. An empty line is due every 2 s, so a watch that
+/// exceeds the limit is dead or has sent an object that does not end.
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Interval between polls. It leaves time for eight calls, of which seven may fail, before a change must be known.
 const POLL_INTERVAL: Duration = Duration::from_millis(2000);
-/// A call that has brought nothing for so long gets another beside it.
+/// Delay after which a second call is started beside a call that has not finished.
 const HEDGE_DELAY: Duration = Duration::from_millis(500);
-/// Longest time of a call, for a list that comes slowly.
+/// Time limit of a call, long enough for a list that arrives slowly.
 const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Calls under way at once: as many as begin within the longest time of one.
-const MAX_CALLS: usize = 8;
-/// A watch whose head does not come within this is asked for anew.
+/// Maximum number of concurrent calls, equal to the number of calls that start within `CALL_TIMEOUT`.
+const MAX_CONCURRENT_CALLS: usize = 8;
+/// Time limit for the response head of a watch. The watch is requested again when it expires.
 const WATCH_HEAD_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Between a watch that ended and the poll that follows: what ends all watches of a fleet does not cause a storm.
+/// Minimum time between a poll and the poll requested at the end of a watch. It prevents a storm of polls when an event
+/// ends all watches of a fleet.
 const PAUSE_AFTER_WATCH: Duration = Duration::from_millis(50);
-/// Longest time of a call where calls are paid for: cancelled and repeated it would cost the service twice.
-const PAID_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Time limit of a call to a service with a cost per call. It is longer than `HEDGE_DELAY` and `WATCH_HEAD_TIMEOUT`,
+/// since a call that is cancelled and repeated costs the service twice.
+const COSTLY_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// An update as received.
+/// A decoded update.
 struct ReceivedUpdate {
     revision: u64,
     complete: bool,
     endpoints: Vec<Endpoint>,
 }
 
-/// What follows a poll that brought a list.
+/// Result of a poll that received a list.
 #[derive(PartialEq)]
 enum PollResult {
     Done,
-    /// The list was older than the current one: to be polled once more before it counts.
+    /// The list is older than the current one, and a second poll must confirm it.
     PollAgain,
 }
 
@@ -58,15 +60,15 @@
     event_loop: &'a Rc<EventLoop>,
     client: &'a HttpClient,
     address: &'a str,
-    /// Of the current list; none where there is none.
+    /// Revision of the current list; `None` if there is no list.
     revision: &'a Cell<Option<u64>>,
     pacing: Option<&'a PollPacing>,
-    /// Asks for a poll before its time.
+    /// Requests a poll before the next regular one.
     poll_requested: Notify,
-    /// A list has come where there was none.
+    /// Signals that a list was received while there was none.
     list_received: Notify,
-    /// The last poll brought an older revision than the current one.
-    doubted: Cell<bool>,
+    /// Whether the last poll received a revision older than the current one.
+    older_revision_received: Cell<bool>,
 }
 
 impl<'a> DiscoverySource<'a> {
@@ -85,11 +87,11 @@
             pacing,
             poll_requested: Notify::new(),
             list_received: Notify::new(),
-            doubted: Cell::new(false),
+            older_revision_received: Cell::new(false),
         }
     }
 
-    /// Has the complete list polled before its time.
+    /// Requests a poll of the complete list before the next regular one.
     pub(super) fn poll_now(&self) {
         self.poll_requested.notify_one();
     }
@@ -108,48 +110,49 @@
         }
     }
 
-    /// Polls where each call is paid for: at once where there is no list or a poll was requested, else rarely, and more rarely
-    /// while calls are refused, so that a fleet does not keep the service from answering anybody.
+    /// Polls a service with a cost per call. A poll starts at once if there is no list or a poll was requested, and
+    /// otherwise after a long interval, which grows while calls are refused. This prevents a fleet from overloading the
+    /// service to the point where it answers no calls.
     async fn poll_paced(&self, pacing: &PollPacing) -> Infallible {
-        let mut failed = 0;
+        let mut failures = 0;
         loop {
             if self.revision.get().is_some() {
                 tokio::select! {
-                    () = sleep(pacing.poll_interval(failed)) => {}
+                    () = sleep(pacing.poll_interval(failures)) => {}
                     () = self.poll_requested.notified() => {}
                 }
             }
             let before = self.revision.get();
-            let deadline = Instant::now() + PAID_CALL_TIMEOUT;
+            let deadline = Instant::now() + COSTLY_CALL_TIMEOUT;
             let received = complete_list(self.client, self.address, deadline).await;
             match received.and_then(|body| self.apply_poll(before, &body)) {
-                Ok(PollResult::Done) => failed = 0,
+                Ok(PollResult::Done) => failures = 0,
                 Ok(PollResult::PollAgain) => self.poll_requested.notify_one(),
                 Err(end) => {
                     self.record_end("poll", end);
-                    failed += 1;
-                    // Without a list, polls are all that there is to go by.
+                    failures += 1;
+                    // Without a list there is no watch and no regular interval, so the next poll follows this pause.
                     if self.revision.get().is_none() {
-                        sleep(pacing.pause(failed)).await;
+                        sleep(pacing.pause(failures)).await;
                     }
                 }
             }
         }
     }
 
-    /// Polls until one call brings the list. Calls may hang, be refused, be reset or bring half a list: each costs
-    /// `HEDGE_DELAY`, and none delays the next.
+    /// Polls until one call receives the list. A call may hang, be refused, be reset or receive half a list; such a call
+    /// costs `HEDGE_DELAY` and does not delay the next one.
     async fn poll(&self) {
         let mut calls = JoinSet::new();
-        let mut under_way: VecDeque<AbortHandle> = VecDeque::new();
+        let mut abort_handles: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let begun = Instant::now();
-            if under_way.len() == MAX_CALLS {
-                under_way.pop_front().inspect(AbortHandle::abort);
+            if abort_handles.len() == MAX_CONCURRENT_CALLS {
+                abort_handles.pop_front().inspect(AbortHandle::abort);
             }
             let (client, address) = (self.client.clone(), self.address.to_string());
             let before = self.revision.get();
-            under_way.push_back(calls.spawn_local(async move {
+            abort_handles.push_back(calls.spawn_local(async move {
                 (before, complete_list(&client, &address, begun + CALL_TIMEOUT).await)
             }));
             loop {
@@ -168,33 +171,36 @@
         }
     }
 
-    fn record_end(&self, what: &str, end: ConnectionEnd) {
-        tracing::warn!("the {what} of discovery ended: {}", end.name());
+    fn record_end(&self, kind: &str, end: ConnectionEnd) {
+        tracing::warn!("discovery {kind} ended with reason {}; retrying", end.name());
         self.event_loop.counters.add(group::DISCOVERY, end.name());
     }
 
-    /// Applies what a poll brought. `before`: the revision that was current when it began.
+    /// Applies the result of a poll. `before`: the revision that was current when the poll started.
     fn apply_poll(&self, before: Option<u64>, body: &[u8]) -> Result<PollResult, ConnectionEnd> {
         let update = self.decode(body)?;
         if !update.complete {
-            tracing::warn!("discovery sent changes in place of the complete list");
+            tracing::warn!(
+                "discovery answered a poll with changes instead of the complete list; ignoring them"
+            );
             return Err(ConnectionEnd::ProtocolError);
         }
         let revision = update.revision;
         let is_older = self.revision.get().is_some_and(|current| revision < current);
-        // Another call brought a newer list while this one was under way.
+        // Another call received a newer list while this one was in progress.
         if is_older && before.is_some_and(|before| revision >= before) {
             return Ok(PollResult::Done);
         }
-        // Revisions start anew where the service has. One call may have been answered late, so two calls have to agree.
-        if is_older && !self.doubted.replace(true) {
+        // Revisions restart when the service restarts. A single call may have been answered late, so an older revision
+        // is accepted only after two calls in a row.
+        if is_older && !self.older_revision_received.replace(true) {
             tracing::warn!(
-                "discovery sent revision {revision} older than the current one; requesting the full list"
+                "discovery sent revision {revision}, which is older than the current one; polling again"
             );
             return Ok(PollResult::PollAgain);
         }
-        self.doubted.set(false);
-        // After a restart of the service its revisions may reach the current number with another list.
+        self.older_revision_received.set(false);
+        // After a restart of the service, its revisions may reach the current number again with a different list.
         if self.revision.get() != Some(revision)
             || !self.event_loop.read(|e| e.matches_endpoints(&update.endpoints))
         {
@@ -213,7 +219,7 @@
     }
 
     pub(super) async fn watch_forever(&self) -> Infallible {
-        let mut failed = 0;
+        let mut failures = 0;
         if let Some(pacing) = self.pacing {
             sleep(pacing.initial_pause()).await;
         }
@@ -226,30 +232,31 @@
             let Err(end) = self.run_watch(current).await;
             self.record_end("watch", end);
             if let Some(pacing) = self.pacing {
-                failed = if begun.elapsed() > 2 * PAID_CALL_TIMEOUT { 1 } else { failed + 1 };
-                // A call that hangs once is no sign of too many: a poll goes beside the next.
-                if end == ConnectionEnd::ConnectTimeout && failed <= 2 {
+                failures = if begun.elapsed() > 2 * COSTLY_CALL_TIMEOUT { 1 } else { failures + 1 };
+                // One or two calls that hang do not indicate an overloaded service, so a poll is started beside the
+                // next watch.
+                if end == ConnectionEnd::ConnectTimeout && failures <= 2 {
                     self.poll_requested.notify_one();
                 }
-                sleep(pacing.pause(failed)).await;
+                sleep(pacing.pause(failures)).await;
                 continue;
             }
             self.poll_requested.notify_one();
-            // At once after one that lasted.
+            // After a watch that has lasted longer than this delay, the next one starts at once.
             sleep_until(begun + HEDGE_DELAY).await;
         }
     }
 
-    /// Runs one watch until it ends.
+    /// Runs one watch from the revision `current` until the watch ends.
     async fn run_watch(&self, current: u64) -> Result<Infallible, ConnectionEnd> {
         let query = format!("?stream=1&index={current}");
-        let head_timeout = if self.pacing.is_some() { PAID_CALL_TIMEOUT } else { WATCH_HEAD_TIMEOUT };
+        let head_timeout = if self.pacing.is_some() { COSTLY_CALL_TIMEOUT } else { WATCH_HEAD_TIMEOUT };
         let mut body = request(self.client, self.address, &query, Instant::now() + head_timeout).await?;
-        // A list may come indented: a line is no object.
-        let mut objects = JsonObjectStream::new(MAX_LIST);
-        let (mut position, mut whole_since) = (current, Instant::now());
+        // The service may indent its JSON, so objects cannot be split at line ends.
+        let mut objects = JsonObjectStream::new(MAX_LIST_BYTES);
+        let (mut position, mut last_complete) = (current, Instant::now());
         loop {
-            match timeout_at(whole_since + WATCH_SILENCE, body.frame()).await {
+            match timeout_at(last_complete + WATCH_SILENCE_TIMEOUT, body.frame()).await {
                 Err(_) => return Err(ConnectionEnd::Silent),
                 Ok(None) => return Err(ConnectionEnd::Closed),
                 Ok(Some(Err(_))) => return Err(ConnectionEnd::Reset),
@@ -257,30 +264,34 @@
             }
             while let Some(object) = objects.take().map_err(malformed)? {
                 position = self.apply_watch_event(position, &object)?;
-                whole_since = Instant::now();
+                last_complete = Instant::now();
             }
-            // Only what is whole is a sign of life: an object may go on for ever.
+            // A partial object does not extend the time limit, since an object may never end.
             if !objects.has_partial() {
-                whole_since = Instant::now();
+                last_complete = Instant::now();
             }
         }
     }
 
-    /// Applies a watch event. `position`: the revision that the watch stood at; returns the one that it stands at now.
+    /// Applies a watch event. `position`: the revision that the watch has reached. Returns the revision that the watch
+    /// has reached after the event.
     fn apply_watch_event(&self, position: u64, object: &[u8]) -> Result<u64, ConnectionEnd> {
         let update = self.decode(object)?;
         let revision = update.revision;
         let current = self.revision.get();
-        // A poll has found that revisions started anew: this watch is of the service's earlier incarnation.
+        // A poll has accepted an older revision after a restart of the service. This watch is still connected to the
+        // earlier instance of the service.
         if current.is_some_and(|current| current < position) {
             return Err(ConnectionEnd::NotNeeded);
         }
         let is_older = revision < position;
         if is_older && !update.complete {
-            tracing::warn!("discovery sent changes of revision {revision} after {position}");
+            tracing::warn!(
+                "discovery sent changes of revision {revision} after revision {position}; ending the watch"
+            );
             return Err(ConnectionEnd::ProtocolError);
         }
-        // A poll may have brought as much already.
+        // A poll may already have applied this revision or a newer one.
         if is_older || current.is_none_or(|current| current < revision) {
             self.apply(update);
         }
@@ -289,15 +300,15 @@
 
     fn decode(&self, bytes: &[u8]) -> Result<ReceivedUpdate, ConnectionEnd> {
         let update: Result<EndpointUpdate, _> = serde_json::from_slice(bytes);
-        let update = update.map_err(|error| unreadable(&error))?;
+        let update = update.map_err(|error| invalid_update(&error))?;
         let revision = update.revision;
         let endpoints = update.endpoints(&self.event_loop.clock);
-        let Endpoints { complete, endpoints } = endpoints.map_err(|error| unreadable(&error))?;
+        let Endpoints { complete, endpoints } = endpoints.map_err(|error| invalid_update(&error))?;
         Ok(ReceivedUpdate { revision, complete, endpoints })
     }
 }
 
-fn unreadable(error: &dyn std::error::Error) -> ConnectionEnd {
-    tracing::warn!("discovery sent an update that can't be read: {error}");
+fn invalid_update(error: &dyn std::error::Error) -> ConnectionEnd {
+    tracing::warn!("discovery sent an invalid update: {error}; ignoring the update");
     ConnectionEnd::ProtocolError
 }
