--- a/crates/pipitcrank-server/tests/exchange/harness.rs
+++ b/crates/pipitcrank-server/tests/exchange/harness.rs
@@ -1,4 +1,4 @@
-//! The exchange driven by hand: no socket, no clock but the one in the test.
+//! An exchange with a recording transport, driven batch by batch at times set by the tests.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,39 +28,39 @@
     Timestamp::from_micros(ms * 1000)
 }
 
-/// The replica side, written down.
+/// A replica side that records all commands.
 #[derive(Default)]
 pub struct RecordingTransport {
     pub calls: Vec<(ReplicaId, Vec<AttemptId>)>,
     pub cancelled: Vec<AttemptId>,
-    pub met: BTreeMap<ReplicaId, SocketAddr>,
+    pub addresses: BTreeMap<ReplicaId, SocketAddr>,
     pub probed: Vec<ReplicaId>,
 }
 
 impl ReplicaTransport for RecordingTransport {
     fn set_address(&mut self, replica: ReplicaId, address: SocketAddr) {
-        self.met.insert(replica, address);
+        self.addresses.insert(replica, address);
     }
     fn remove_replica(&mut self, replica: ReplicaId) {
-        self.met.remove(&replica);
+        self.addresses.remove(&replica);
     }
-    fn send_attempts(&mut self, replica: ReplicaId, parts: Vec<AttemptId>) {
-        self.calls.push((replica, parts));
+    fn send_attempts(&mut self, replica: ReplicaId, attempts: Vec<AttemptId>) {
+        self.calls.push((replica, attempts));
     }
-    fn cancel_attempt(&mut self, _replica: ReplicaId, call: AttemptId) {
-        self.cancelled.push(call);
+    fn cancel_attempt(&mut self, _replica: ReplicaId, attempt: AttemptId) {
+        self.cancelled.push(attempt);
     }
     fn send_load_probe(&mut self, replica: ReplicaId) {
         self.probed.push(replica);
     }
 }
 
-pub fn listed(n: u32, up: bool) -> Endpoint {
+pub fn endpoint(n: u32, up: bool) -> Endpoint {
     let address = Some(SocketAddr::from(([127, 0, 0, 1], 5000 + n as u16)));
     Endpoint { uid: format!("leaf-{n}"), address, cell: n, zone: None, up, started: None }
 }
 
-/// The rules that the run-time check goes by, of those settings.
+/// The rules of the run-time audit under these settings.
 pub fn audit_rules(settings: &serde_json::Value) -> audit::AuditRules {
     let number = |key: &str| settings.pointer(key).and_then(serde_json::Value::as_f64);
     let class = |n: usize| audit::ClassRules {
@@ -80,28 +80,29 @@
     }
 }
 
-pub type Answers = Rc<RefCell<Vec<(String, QueryResponse)>>>;
+pub type Responses = Rc<RefCell<Vec<(String, QueryResponse)>>>;
 
 pub struct Harness {
     pub exchange: Exchange,
     pub transport: RecordingTransport,
     pub counters: Counters,
-    pub answers: Answers,
-    pub tickets: u64,
+    pub responses: Responses,
+    pub last_ticket: u64,
 }
 
 impl Drop for Harness {
     fn drop(&mut self) {
         if !std::thread::panicking() {
             let all = self.counters.all();
-            let broken: Vec<_> = all.into_iter().filter(|counter| counter.group == "violations").collect();
-            assert!(broken.is_empty(), "rules broken: {broken:?}");
+            let violations: Vec<_> =
+                all.into_iter().filter(|counter| counter.group == "violations").collect();
+            assert!(violations.is_empty(), "rules violated: {violations:?}");
         }
     }
 }
 
 impl Harness {
-    /// Three replicas in a ring of three cells, each shard held by two.
+    /// An exchange with three replicas in a ring of three cells; each shard is held by two of them.
     pub fn new() -> Harness {
         Harness::with_settings(SETTINGS)
     }
@@ -112,74 +113,81 @@
         let coordinator = SettingsReader::new(&settings).coordinator(7).unwrap();
         let mut exchange = Exchange::new(coordinator, MAX_OPEN, 4, counters.clone());
         exchange.enable_audit(audit_rules(&settings));
-        exchange.update_endpoints(at(0), true, (0..3).map(|n| listed(n, true)).collect());
+        exchange.update_endpoints(at(0), true, (0..3).map(|n| endpoint(n, true)).collect());
         let mut harness = Harness {
             exchange,
             transport: RecordingTransport::default(),
             counters,
-            answers: Answers::default(),
-            tickets: 0,
+            responses: Responses::default(),
+            last_ticket: 0,
         };
-        harness.turn(0);
+        harness.run_batch(0);
         harness
     }
 
-    pub fn turn(&mut self, ms: i64) {
+    pub fn run_batch(&mut self, ms: i64) {
         self.exchange.run_batch(at(ms), &mut self.transport);
     }
 
-    pub fn ask(&mut self, id: &str, class: u16, shards: std::ops::Range<u32>, ends: i64) -> u64 {
+    pub fn submit_query(
+        &mut self,
+        id: &str,
+        class: u16,
+        shards: std::ops::Range<u32>,
+        deadline_ms: i64,
+    ) -> u64 {
         let weight = 1.0 / shards.len() as f64;
         let parts = shards.map(|shard| QueryPart { shard, weight, work: Some(0.02) }).collect();
-        let asked = QueryRequest {
+        let request = QueryRequest {
             id: id.into(),
             class: RequestClassId(class),
-            deadline: at(ends),
+            deadline: at(deadline_ms),
             parts,
             idempotency_key: None,
             text: "text".into(),
         };
-        let (answers, name) = (self.answers.clone(), id.to_string());
-        self.tickets += 1;
+        let (responses, name) = (self.responses.clone(), id.to_string());
+        self.last_ticket += 1;
         self.exchange.submit(
-            self.tickets,
-            asked,
-            Box::new(move |last: QueryResponse| answers.borrow_mut().push((name, last))),
+            self.last_ticket,
+            request,
+            Box::new(move |response: QueryResponse| responses.borrow_mut().push((name, response))),
         );
-        self.tickets
+        self.last_ticket
     }
 
-    /// Lets all calls made so far go, as the connections would just before the first byte.
-    pub fn release(&mut self, ms: i64) -> Vec<(ReplicaId, AttemptId, String, u32)> {
+    /// Passes all recorded calls through the send guard, as connections do before the first byte. Returns the
+    /// authorized attempts.
+    pub fn authorize_calls(&mut self, ms: i64) -> Vec<(ReplicaId, AttemptId, String, u32)> {
         let mut out = Vec::new();
-        for (replica, mut parts) in std::mem::take(&mut self.transport.calls) {
-            let going = self.exchange.authorize_send(at(ms), replica, &mut parts);
-            assert_eq!(going.len(), parts.len());
-            for (part, call) in going.into_iter().zip(parts) {
+        for (replica, mut attempts) in std::mem::take(&mut self.transport.calls) {
+            let allowed = self.exchange.authorize_send(at(ms), replica, &mut attempts);
+            assert_eq!(allowed.len(), attempts.len());
+            for (part, attempt) in allowed.into_iter().zip(attempts) {
                 assert_eq!(&*part.text, "text");
-                out.push((replica, call, part.id.to_string(), part.shard));
+                out.push((replica, attempt, part.id.to_string(), part.shard));
             }
         }
         out
     }
 
-    pub fn pass(&mut self, call: AttemptId, value: &str) {
-        self.exchange.attempt_ended(call, AttemptOutcome::Success, Some(value.into()), None);
+    pub fn succeed(&mut self, attempt: AttemptId, value: &str) {
+        self.exchange.attempt_ended(attempt, AttemptOutcome::Success, Some(value.into()), None);
     }
 
-    /// Turns at their times until `ms`.
-    pub fn run_to(&mut self, ms: i64) {
-        while let Some(next) = self.exchange.next_due().filter(|&t| t <= at(ms)) {
-            self.exchange.run_batch(next, &mut self.transport);
+    /// Runs each batch at the time at which it is due, up to `ms`.
+    pub fn run_until(&mut self, ms: i64) {
+        while let Some(due) = self.exchange.next_due().filter(|&t| t <= at(ms)) {
+            self.exchange.run_batch(due, &mut self.transport);
         }
-        self.turn(ms);
+        self.run_batch(ms);
     }
 
     pub fn response_to(&self, id: &str) -> Option<String> {
-        let answers = self.answers.borrow();
-        let mut mine = answers.iter().filter(|(name, _)| name == id);
-        let last = mine.next().map(|(_, last)| format!("{last:?}"));
-        assert!(mine.next().is_none(), "one final answer each");
-        last
+        let responses = self.responses.borrow();
+        let mut matching = responses.iter().filter(|(name, _)| name == id);
+        let response = matching.next().map(|(_, response)| format!("{response:?}"));
+        assert!(matching.next().is_none(), "query {id} got more than one final response");
+        response
     }
 }
--- a/crates/pipitcrank-server/tests/exchange/main.rs
+++ b/crates/pipitcrank-server/tests/exchange/main.rs
@@ -1,4 +1,4 @@
-//! The exchange driven by hand: no socket, no clock but the one in the test.
+//! Tests of the exchange without sockets and with times set by the tests.
 
 mod handover;
 mod harness;
--- a/crates/pipitcrank-server/tests/exchange/queries.rs
+++ b/crates/pipitcrank-server/tests/exchange/queries.rs
@@ -5,128 +5,135 @@
 use pipitcrank_server::exchange::QueryResponse;
 use pipitcrank_server::replicas::frames::LoadReport;
 
-use crate::harness::{Harness, SETTINGS, at, listed};
+use crate::harness::{Harness, SETTINGS, at, endpoint};
 
 #[test]
-fn a_query_travels_in_calls_and_is_answered_as_the_replicas_gave_it() {
+fn a_query_is_sent_in_calls_and_answered_with_the_replicas_values() {
     let mut harness = Harness::new();
-    harness.ask("q", 0, 0..6, 4000);
-    harness.turn(10);
-    assert!(harness.transport.calls.iter().all(|(_, parts)| parts.len() <= 4), "calls within the call size");
-    assert!(harness.transport.calls.len() < 6, "parts for one leaf share calls");
-    let out = harness.release(11);
-    let mut ids: Vec<&str> = out.iter().map(|o| &*o.2).collect();
+    harness.submit_query("q", 0, 0..6, 4000);
+    harness.run_batch(10);
+    assert!(
+        harness.transport.calls.iter().all(|(_, attempts)| attempts.len() <= 4),
+        "more than 4 parts in a call"
+    );
+    assert!(harness.transport.calls.len() < 6, "parts for the same replica must share calls");
+    let authorized = harness.authorize_calls(11);
+    let mut ids: Vec<&str> = authorized.iter().map(|entry| &*entry.2).collect();
     ids.sort();
     assert_eq!(ids, ["q.0", "q.1", "q.2", "q.3", "q.4", "q.5"]);
-    for (replica, _, _, shard) in &out {
-        let cell = harness.transport.met[replica].port() as u32 - 5000;
-        assert!((cell + 3 - shard % 3) % 3 < 2, "leaf {cell} does not hold shard {shard}");
+    for (replica, _, _, shard) in &authorized {
+        let cell = harness.transport.addresses[replica].port() as u32 - 5000;
+        assert!((cell + 3 - shard % 3) % 3 < 2, "replica {cell} does not hold shard {shard}");
     }
-    for (_, call, id, _) in out.iter().rev() {
-        harness.pass(*call, &format!("doc of {id}"));
+    for (_, attempt, id, _) in authorized.iter().rev() {
+        harness.succeed(*attempt, &format!("doc of {id}"));
     }
-    assert_eq!(harness.response_to("q"), None, "answered in the turn, not between");
-    harness.turn(60);
+    assert_eq!(harness.response_to("q"), None, "responses are sent only within a batch");
+    harness.run_batch(60);
     let hits = (0..6).map(|n| (n, format!("doc of q.{n}"))).collect();
-    let wanted = QueryResponse::Answered { complete: true, hits };
-    assert_eq!(harness.response_to("q"), Some(format!("{wanted:?}")));
+    let expected = QueryResponse::Answered { complete: true, hits };
+    assert_eq!(harness.response_to("q"), Some(format!("{expected:?}")));
     assert!(harness.exchange.is_drained());
     assert_eq!(harness.counters.get("leaf_calls", "pass"), 6);
 }
 
 #[test]
-fn a_partial_answer_names_what_is_in_and_is_not_marked_complete() {
+fn a_partial_answer_contains_the_answered_parts_and_is_not_complete() {
     let mut harness = Harness::new();
-    harness.ask("q", 1, 0..2, 4000);
-    harness.turn(10);
-    let out = harness.release(10);
-    let (_, call, _, shard) = out[0].clone();
-    harness.pass(call, "in");
-    harness.run_to(1100);
-    let wanted = QueryResponse::Answered { complete: false, hits: vec![(shard, "in".into())] };
-    assert_eq!(harness.response_to("q"), Some(format!("{wanted:?}")));
-    assert!(harness.transport.cancelled.contains(&out[1].1), "nobody waits for the other part");
+    harness.submit_query("q", 1, 0..2, 4000);
+    harness.run_batch(10);
+    let authorized = harness.authorize_calls(10);
+    let (_, attempt, _, shard) = authorized[0].clone();
+    harness.succeed(attempt, "in");
+    harness.run_until(1100);
+    let expected = QueryResponse::Answered { complete: false, hits: vec![(shard, "in".into())] };
+    assert_eq!(harness.response_to("q"), Some(format!("{expected:?}")));
+    assert!(harness.transport.cancelled.contains(&authorized[1].1), "the unanswered part was not cancelled");
 }
 
 #[test]
-fn queries_are_rejected_only_once_the_limit_is_open() {
+fn queries_are_rejected_only_at_the_limit() {
     let mut harness = Harness::new();
-    harness.ask("five", 0, 0..5, 4000);
-    // Six are open, under nine: this one is taken although it passes the number.
-    harness.ask("long", 0, 5..12, 4000);
-    harness.ask("over", 0, 0..1, 4000);
-    harness.turn(10);
+    harness.submit_query("five", 0, 0..5, 4000);
+    // One query and five parts are open, below the limit of nine. The next query is admitted although it exceeds it.
+    harness.submit_query("long", 0, 5..12, 4000);
+    harness.submit_query("over", 0, 0..1, 4000);
+    harness.run_batch(10);
     assert_eq!((harness.response_to("five"), harness.response_to("long")), (None, None));
     let over = QueryResponse::Rejected { retry_after: TimeSpan::ZERO };
     assert_eq!(harness.response_to("over"), Some(format!("{over:?}")));
     assert_eq!(harness.counters.get("queries", "turned_away_over_most_open"), 1);
-    // Nine are open again but for the parts that are in: those are not, though their query is.
-    for (_, call, id, _) in harness.release(10) {
+    // The answered parts no longer count as open, although the query of one unanswered part is.
+    for (_, attempt, id, _) in harness.authorize_calls(10) {
         if id != "long.5" {
-            harness.pass(call, "x");
+            harness.succeed(attempt, "x");
         }
     }
-    harness.turn(20);
+    harness.run_batch(20);
     assert_eq!(harness.response_to("long"), None);
-    harness.ask("next", 0, 0..7, 4000);
-    harness.ask("over again", 0, 0..1, 4000);
-    harness.turn(30);
-    assert_eq!(harness.response_to("next"), None, "room again");
-    assert_eq!(harness.response_to("over again"), Some(format!("{over:?}")), "2 and 8 are open");
+    harness.submit_query("next", 0, 0..7, 4000);
+    harness.submit_query("over again", 0, 0..1, 4000);
+    harness.run_batch(30);
+    assert_eq!(harness.response_to("next"), None, "a query below the limit must be admitted");
+    assert_eq!(
+        harness.response_to("over again"),
+        Some(format!("{over:?}")),
+        "2 queries and 8 parts are open"
+    );
 }
 
 #[test]
 fn the_id_of_an_open_query_is_not_admitted_again() {
     let mut harness = Harness::new();
-    harness.ask("q", 0, 0..1, 4000);
-    harness.ask("q", 0, 1..2, 4000);
-    harness.turn(10);
-    let answers: Vec<_> = harness.answers.borrow_mut().drain(..).collect();
-    assert_eq!(answers, [("q".to_string(), QueryResponse::DuplicateId)]);
-    harness.release(10).iter().for_each(|o| harness.pass(o.1, "x"));
-    harness.turn(20);
-    assert!(harness.response_to("q").unwrap().contains("complete: true"), "the first is served all the same");
+    harness.submit_query("q", 0, 0..1, 4000);
+    harness.submit_query("q", 0, 1..2, 4000);
+    harness.run_batch(10);
+    let responses: Vec<_> = harness.responses.borrow_mut().drain(..).collect();
+    assert_eq!(responses, [("q".to_string(), QueryResponse::DuplicateId)]);
+    harness.authorize_calls(10).iter().for_each(|entry| harness.succeed(entry.1, "x"));
+    harness.run_batch(20);
+    assert!(harness.response_to("q").unwrap().contains("complete: true"), "the first query must be answered");
 }
 
 #[test]
-fn an_attempt_is_cancelled_at_its_deadline_and_a_later_answer_is_ignored() {
+fn an_expired_attempt_is_cancelled_and_its_answer_ignored() {
     let mut harness = Harness::new();
-    harness.ask("q", 2, 0..1, 400);
-    harness.turn(10);
-    let out = harness.release(10);
-    harness.run_to(399);
-    let aborted = harness.response_to("q").expect("answered before its deadline");
-    assert_eq!(aborted, format!("{:?}", QueryResponse::Aborted), "it may have run");
-    harness.run_to(500);
-    assert!(harness.transport.cancelled.contains(&out[0].1));
-    harness.pass(out[0].1, "late");
-    harness.run_to(600);
+    harness.submit_query("q", 2, 0..1, 400);
+    harness.run_batch(10);
+    let authorized = harness.authorize_calls(10);
+    harness.run_until(399);
+    let aborted = harness.response_to("q").expect("a response before the deadline");
+    assert_eq!(aborted, format!("{:?}", QueryResponse::Aborted), "the attempt may have run");
+    harness.run_until(500);
+    assert!(harness.transport.cancelled.contains(&authorized[0].1));
+    harness.succeed(authorized[0].1, "late");
+    harness.run_until(600);
     assert_eq!(harness.response_to("q").as_ref(), Some(&aborted));
 }
 
 #[test]
-fn what_replicas_report_to_probes_reaches_the_decisions() {
+fn reports_to_load_probes_affect_the_choice_of_replica() {
     for busy in [false, true] {
         let mut harness = Harness::with_settings(&SETTINGS.replace("\"probing\":false", "\"probing\":true"));
-        // Long after anything was heard of the replicas.
-        harness.ask("q", 0, 0..1, 9000);
-        harness.turn(5010);
+        // No replica has reported its load within the last 5 s.
+        harness.submit_query("q", 0, 0..1, 9000);
+        harness.run_batch(5010);
         let holders = std::mem::take(&mut harness.transport.probed);
         assert_eq!(
             (holders.len(), harness.transport.calls.len()),
             (2, 0),
-            "holders are probed before anything is sent"
+            "both replicas of the shard are probed before the first call"
         );
-        let chosen =
+        let report =
             |n: usize| LoadReport { queued: Some(if busy && n == 1 { 40.0 } else { 0.0 }), in_flight: None };
         for (n, replica) in holders.iter().enumerate() {
-            harness.exchange.load_probe_ended(*replica, AttemptOutcome::Success, Some(chosen(n)));
+            harness.exchange.load_probe_ended(*replica, AttemptOutcome::Success, Some(report(n)));
         }
-        harness.turn(5015);
+        harness.run_batch(5015);
         assert_eq!(harness.transport.calls.len(), 1);
         assert!(
             !busy || harness.transport.calls[0].0 == holders[0],
-            "the one with forty parts waiting is left out"
+            "a call went to the replica with 40 queued parts"
         );
     }
 }
@@ -134,13 +141,13 @@
 #[test]
 fn only_the_first_end_of_an_attempt_counts() {
     let mut harness = Harness::new();
-    harness.ask("q", 0, 0..1, 4000);
-    harness.turn(10);
-    let (_, call, _, _) = harness.release(10)[0].clone();
-    harness.pass(call, "first");
-    harness.exchange.attempt_ended(call, AttemptOutcome::Disconnected, None, None);
-    harness.pass(call, "second");
-    harness.turn(20);
+    harness.submit_query("q", 0, 0..1, 4000);
+    harness.run_batch(10);
+    let (_, attempt, _, _) = harness.authorize_calls(10)[0].clone();
+    harness.succeed(attempt, "first");
+    harness.exchange.attempt_ended(attempt, AttemptOutcome::Disconnected, None, None);
+    harness.succeed(attempt, "second");
+    harness.run_batch(20);
     assert!(harness.response_to("q").unwrap().contains("first"));
     assert_eq!(
         (harness.counters.get("leaf_calls", "pass"), harness.counters.get("leaf_calls", "cut")),
@@ -149,14 +156,14 @@
 }
 
 #[test]
-fn it_can_serve_only_with_a_replica_that_is_up() {
+fn queries_can_be_served_only_with_a_replica_that_is_up() {
     let mut harness = Harness::new();
     assert!(harness.exchange.can_serve());
-    harness.exchange.update_endpoints(at(10), true, vec![listed(1, false)]);
-    harness.turn(10);
+    harness.exchange.update_endpoints(at(10), true, vec![endpoint(1, false)]);
+    harness.run_batch(10);
     assert!(!harness.exchange.can_serve());
-    assert_eq!(harness.transport.met.len(), 0, "leaves that are off the list are let go");
-    harness.exchange.update_endpoints(at(20), false, vec![listed(2, true)]);
-    harness.turn(20);
+    assert_eq!(harness.transport.addresses.len(), 0, "replicas missing from a complete list must be removed");
+    harness.exchange.update_endpoints(at(20), false, vec![endpoint(2, true)]);
+    harness.run_batch(20);
     assert!(harness.exchange.can_serve());
 }
