--- a/crates/pipitcrank-server/tests/protocol.rs
+++ b/crates/pipitcrank-server/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Frames, lists and what is told at start: decoded as the protocol says, and refused by name where they are not.
+//! Tests of the decoding of frames, endpoint lists and the node configuration, and of the rejection of invalid ones.
 
 use bytes::BytesMut;
 use pipitcrank_core::config::ConfigError;
@@ -13,16 +13,16 @@
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
-fn framed(rest: &[u8]) -> Vec<u8> {
-    [&(rest.len() as u32).to_be_bytes()[..], rest].concat()
+fn framed(body: &[u8]) -> Vec<u8> {
+    [&(body.len() as u32).to_be_bytes()[..], body].concat()
 }
 
 fn take(bytes: &[u8]) -> Result<Option<ReplicaFrame>, String> {
-    frames::take_frame(&mut BytesMut::from(bytes)).map_err(|bad| bad.to_string())
+    frames::take_frame(&mut BytesMut::from(bytes)).map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_call_is_a_line_and_the_text_for_each_part() {
+fn a_call_contains_a_line_and_the_text_of_each_part() {
     let part = |shard| CallPart {
         id: format!("9b1f.{shard}").into(),
         shard,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn frames_of_a_replica_are_taken_one_by_one_as_they_come_whole() {
+fn replica_frames_are_decoded_one_by_one_when_complete() {
     let answer = framed(b"A9b1f.3 ok 1840277719 inflight=7,util=0.61\n5be2a07c\n19");
     let load = framed(b"Lqueue=2.5");
     let mut buffer = BytesMut::new();
@@ -51,33 +51,33 @@
     buffer.extend_from_slice(&answer[answer.len() - 1..]);
     buffer.extend_from_slice(&load);
     let report = Some(LoadReport { queued: None, in_flight: Some(7.0) });
-    let wanted = ReplicaFrame::Answer {
+    let expected = ReplicaFrame::Answer {
         id: "9b1f.3".into(),
         outcome: AttemptOutcome::Success,
         report,
         value: "5be2a07c\n19".into(),
     };
-    assert_eq!(frames::take_frame(&mut buffer), Ok(Some(wanted)));
+    assert_eq!(frames::take_frame(&mut buffer), Ok(Some(expected)));
     let report = Some(LoadReport { queued: Some(2.5), in_flight: None });
     assert_eq!(
         frames::take_frame(&mut buffer),
         Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, report)))
     );
     let report = Some(LoadReport { queued: Some(4.364), in_flight: Some(5.0) });
-    let wanted = ReplicaFrame::Load(AttemptOutcome::Success, report);
-    assert_eq!(take(&framed(b"Lbacklog=4.364,eps=0,outstanding=5")), Ok(Some(wanted)));
+    let expected = ReplicaFrame::Load(AttemptOutcome::Success, report);
+    assert_eq!(take(&framed(b"Lbacklog=4.364,eps=0,outstanding=5")), Ok(Some(expected)));
     assert_eq!(take(&framed(b"L-")), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Success, None))));
     assert_eq!(take(&framed(b"Lerr")), Ok(Some(ReplicaFrame::Load(AttemptOutcome::Fault, None))));
     assert_eq!(take(&framed(b"Pok")), Ok(Some(ReplicaFrame::Pong(AttemptOutcome::Success))));
     assert_eq!(take(&framed(b"Eno such shard")), Ok(Some(ReplicaFrame::Error("no such shard".into()))));
-    for (word, outcome) in [("err", AttemptOutcome::Fault), ("busy", AttemptOutcome::NoCapacity)] {
-        let wanted = ReplicaFrame::Answer { id: "q.1".into(), outcome, report: None, value: String::new() };
-        assert_eq!(take(&framed(format!("Aq.1 {word} 0 -\n").as_bytes())), Ok(Some(wanted)));
+    for (status, outcome) in [("err", AttemptOutcome::Fault), ("busy", AttemptOutcome::NoCapacity)] {
+        let expected = ReplicaFrame::Answer { id: "q.1".into(), outcome, report: None, value: String::new() };
+        assert_eq!(take(&framed(format!("Aq.1 {status} 0 -\n").as_bytes())), Ok(Some(expected)));
     }
 }
 
 #[test]
-fn frames_that_the_protocol_does_not_know_are_refused() {
+fn frames_outside_the_protocol_are_rejected() {
     let cases: [&[u8]; 11] = [
         &[0, 0, 0, 0, b'A'],
         &[255, 255, 255, 255, b'A'],
@@ -97,22 +97,26 @@
 }
 
 #[test]
-fn a_load_report_that_cannot_be_read_is_left_and_its_answer_counts() {
+fn a_malformed_load_report_is_ignored_and_its_answer_counts() {
     for report in ["nan", "%%%", "queue=many", "queue=-1", "queue=inf", "a,b"] {
-        let wanted = ReplicaFrame::Answer {
+        let expected = ReplicaFrame::Answer {
             id: "q.1".into(),
             outcome: AttemptOutcome::Success,
             report: None,
             value: "d".into(),
         };
-        assert_eq!(take(&framed(format!("Aq.1 ok 7 {report}\nd").as_bytes())), Ok(Some(wanted)), "{report}");
-        let wanted = ReplicaFrame::Load(AttemptOutcome::Success, None);
-        assert_eq!(take(&framed(format!("L{report}").as_bytes())), Ok(Some(wanted)), "{report}");
+        assert_eq!(
+            take(&framed(format!("Aq.1 ok 7 {report}\nd").as_bytes())),
+            Ok(Some(expected)),
+            "{report}"
+        );
+        let expected = ReplicaFrame::Load(AttemptOutcome::Success, None);
+        assert_eq!(take(&framed(format!("L{report}").as_bytes())), Ok(Some(expected)), "{report}");
     }
 }
 
 #[test]
-fn a_connection_that_ends_before_the_frame_was_whole_proves_that_it_never_ran() {
+fn an_attempt_never_ran_if_its_frame_was_not_written_completely() {
     for end in [
         ConnectionEnd::Closed,
         ConnectionEnd::Reset,
@@ -127,7 +131,7 @@
         );
     }
     assert_eq!(ConnectionEnd::ConnectTimeout.attempt_outcome(false), AttemptOutcome::Unreachable);
-    // A probe lost with a connection that was up is no sign that there is no way to the replica.
+    // A load probe lost on an established connection does not show that the replica is unreachable.
     assert_eq!(ConnectionEnd::Refused.probe_outcome(), AttemptOutcome::Unreachable);
     assert_eq!(
         (ConnectionEnd::Closed.probe_outcome(), ConnectionEnd::Idle.probe_outcome()),
@@ -141,64 +145,68 @@
     })]
 
     #[test]
-    fn no_bytes_bring_the_decoder_down(bytes in proptest::collection::vec(any::<u8>(), 0..200), letter in 0..6usize) {
+    fn the_decoder_handles_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200), frame_type in 0..6usize) {
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = frames::take_frame(&mut buffer) {}
-        let mut known = vec![b"APLEQX"[letter]];
-        known.extend(&bytes);
-        let mut buffer = BytesMut::from(&framed(&known)[..]);
-        let left = match frames::take_frame(&mut buffer) {
-            Ok(found) => found.is_none(),
+        let mut body = vec![b"APLEQX"[frame_type]];
+        body.extend(&bytes);
+        let mut buffer = BytesMut::from(&framed(&body)[..]);
+        let undecoded = match frames::take_frame(&mut buffer) {
+            Ok(frame) => frame.is_none(),
             Err(_) => false,
         };
-        prop_assert!(!left, "a whole frame is taken or refused");
+        prop_assert!(!undecoded, "a complete frame must be decoded or rejected");
     }
 }
 
 fn counts(text: &str) -> Result<(bool, usize, usize), String> {
     let update: EndpointUpdate = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let Endpoints { complete, endpoints: rows } =
+    let Endpoints { complete, endpoints: replicas } =
         update.endpoints(&Clock::start()).map_err(|e| e.to_string())?;
-    Ok((complete, rows.len(), rows.iter().filter(|r| r.up).count()))
+    Ok((complete, replicas.len(), replicas.iter().filter(|replica| replica.up).count()))
 }
 
 #[test]
-fn lists_are_read_and_bad_ones_refused() {
-    let row = |uid: &str, rest: &str| format!(r#"{{"uid":"{uid}","az":"a","capacity_hint":1.0,{rest}}}"#);
+fn valid_lists_are_accepted_and_invalid_ones_rejected() {
+    let target =
+        |uid: &str, fields: &str| format!(r#"{{"uid":"{uid}","az":"a","capacity_hint":1.0,{fields}}}"#);
     let list =
-        |all: bool, rows: &[String]| format!(r#"{{"rev":4,"all":{all},"targets":[{}]}}"#, rows.join(","));
-    let up = row("a", r#""endpoint":"127.0.0.1:81","pod_group":3,"state":"active","boot_ms":0"#);
+        |all: bool, items: &[String]| format!(r#"{{"rev":4,"all":{all},"targets":[{}]}}"#, items.join(","));
+    let up = target("a", r#""endpoint":"127.0.0.1:81","pod_group":3,"state":"active","boot_ms":0"#);
     let leaving =
-        row("b", r#""endpoint":"127.0.0.1:82","pod_group":0,"state":"leaving","boot_ms":1700000000000"#);
-    let left = row("c", r#""state":"left""#);
+        target("b", r#""endpoint":"127.0.0.1:82","pod_group":0,"state":"leaving","boot_ms":1700000000000"#);
+    let left = target("c", r#""state":"left""#);
     assert_eq!(counts(&list(true, &[up.clone(), leaving, left])), Ok((true, 3, 1)));
     assert_eq!(counts(&list(false, &[])), Ok((false, 0, 0)));
-    let bad = [
-        list(true, &[row("a", r#""endpoint":"nowhere","pod_group":3,"state":"active""#)]),
-        list(true, &[row("a", r#""endpoint":"127.0.0.1:81","state":"active""#)]),
-        list(true, &[row("a", r#""endpoint":"127.0.0.1:81","pod_group":3,"state":"asleep""#)]),
-        list(true, &[row("a", r#""endpoint":"127.0.0.1:81","pod_group":-3,"state":"active""#)]),
+    let invalid = [
+        list(true, &[target("a", r#""endpoint":"nowhere","pod_group":3,"state":"active""#)]),
+        list(true, &[target("a", r#""endpoint":"127.0.0.1:81","state":"active""#)]),
+        list(true, &[target("a", r#""endpoint":"127.0.0.1:81","pod_group":3,"state":"asleep""#)]),
+        list(true, &[target("a", r#""endpoint":"127.0.0.1:81","pod_group":-3,"state":"active""#)]),
         list(true, &[up]).replace("targets", "target"),
     ];
-    for text in bad {
+    for text in invalid {
         assert!(counts(&text).is_err(), "{text}");
     }
 }
 
 #[test]
-fn times_of_the_wall_clock_are_placed_on_ours() {
+fn wall_clock_times_are_converted_to_the_process_clock() {
     let clock = Clock::start();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as i64;
     let an_hour_ago = clock.started_at(unix - 3_600_000);
-    let apart = (clock.now() - an_hour_ago).as_secs_f64();
-    assert!((3590.0..3700.0).contains(&apart), "{apart}");
+    let age = (clock.now() - an_hour_ago).as_secs_f64();
+    assert!((3590.0..3700.0).contains(&age), "{age}");
     let before = clock.now();
     let future = clock.started_at(i64::MAX);
-    assert!(before <= future && future <= clock.now(), "a start in the future is now");
+    assert!(
+        before <= future && future <= clock.now(),
+        "a start time in the future must be converted to the present time"
+    );
     assert!(clock.started_at(i64::MIN) < clock.now());
 }
 
-fn node_config_file() -> Value {
+fn node_config_json() -> Value {
     json!({"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
         "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":41,"all":true,"targets":[]},
         "settings":{
@@ -211,58 +219,63 @@
             "tick_s":0.005}})
 }
 
-/// Everything that the program reads at start.
-fn read_all(text: &str) -> Result<(), ConfigError> {
+/// Checks a node configuration as the program does at start.
+fn check_node_config(text: &str) -> Result<(), ConfigError> {
     NodeConfig::parse(text, |_| None)?.check(&Clock::start())
 }
 
 #[test]
 fn the_node_configuration_is_read_and_variables_override_the_file() {
-    let node_config = NodeConfig::parse(&node_config_file().to_string(), |_| None).unwrap();
+    let node_config = NodeConfig::parse(&node_config_json().to_string(), |_| None).unwrap();
     assert_eq!(
         (node_config.name(), node_config.streams_per_connection(), node_config.shards()),
         (Ok("n1".into()), Ok(32), Ok(12))
     );
     assert!(
         node_config.idle_timeout().unwrap() < std::time::Duration::from_secs(15),
-        "closed before the leaf would"
+        "the idle timeout must be shorter than the replica's"
+    );
+    assert_eq!(
+        node_config.connection_limit(),
+        Ok(1000),
+        "some of the 1,024 sockets are reserved for other uses"
     );
-    assert_eq!(node_config.connection_limit(), Ok(1000), "of 1,024 some are neither a client's nor a leaf's");
     let named = |name: &str| (name == "NODE_NAME").then(|| "other".to_string());
-    assert_eq!(NodeConfig::parse(&node_config_file().to_string(), named).unwrap().name(), Ok("other".into()));
-    assert_eq!(read_all(&node_config_file().to_string()), Ok(()));
+    assert_eq!(NodeConfig::parse(&node_config_json().to_string(), named).unwrap().name(), Ok("other".into()));
+    assert_eq!(check_node_config(&node_config_json().to_string()), Ok(()));
 }
 
-/// Settings may allow calls larger than what a connection carries at once: they are cut.
+/// The settings may allow more parts in a call than there are streams on a connection. The lower number applies.
 #[test]
 fn a_call_holds_no_more_parts_than_a_connection_carries() {
-    let mut all = node_config_file();
-    for (streams, a_call) in [(1, 1), (3, 3), (4, 4), (32, 4)] {
-        all["settings"]["allowed"]["streams_per_conn"] = streams.into();
-        assert_eq!(read_all(&all.to_string()), Ok(()), "{streams}");
+    let mut config = node_config_json();
+    for (streams, parts_per_call) in [(1, 1), (3, 3), (4, 4), (32, 4)] {
+        config["settings"]["allowed"]["streams_per_conn"] = streams.into();
+        assert_eq!(check_node_config(&config.to_string()), Ok(()), "{streams}");
         assert_eq!(
-            NodeConfig::parse(&all.to_string(), |_| None).unwrap().parts_per_call(),
-            Ok(a_call),
+            NodeConfig::parse(&config.to_string(), |_| None).unwrap().parts_per_call(),
+            Ok(parts_per_call),
             "{streams}"
         );
     }
 }
 
-/// They may as well allow a connection as long to come up as it may stand idle.
+/// The settings may contain a connect timeout equal to or longer than the idle timeout. The effective idle timeout must
+/// still be at least half of the configured one.
 #[test]
-fn a_connection_that_is_up_stays_open_for_a_while_whatever_the_settings() {
-    let mut all = node_config_file();
+fn the_idle_timeout_is_at_least_half_of_the_configured_one() {
+    let mut config = node_config_json();
     for (idle, dial) in [(1.0, 1.0), (1.0, 2.0), (2.0, 1.5), (30.0, 0.25)] {
-        all["settings"]["allowed"]["conn_idle_s"] = idle.into();
-        all["settings"]["allowed"]["dial_timeout_s"] = dial.into();
-        let kept =
-            NodeConfig::parse(&all.to_string(), |_| None).unwrap().idle_timeout().unwrap().as_secs_f64();
-        assert!((idle / 2.0..idle).contains(&kept), "{kept} of {idle}, {dial}");
+        config["settings"]["allowed"]["conn_idle_s"] = idle.into();
+        config["settings"]["allowed"]["dial_timeout_s"] = dial.into();
+        let effective =
+            NodeConfig::parse(&config.to_string(), |_| None).unwrap().idle_timeout().unwrap().as_secs_f64();
+        assert!((idle / 2.0..idle).contains(&effective), "{effective} s at idle {idle} s, connect {dial} s");
     }
 }
 
 #[test]
-fn a_faulty_key_is_named() {
+fn an_invalid_value_is_reported_with_its_key() {
     let cases = [
         ("/listen", json!("here")),
         ("/seed", json!("xyz")),
@@ -301,25 +314,25 @@
         ("/settings/tick_s", Value::Null),
     ];
     for (key, value) in cases {
-        let mut all = node_config_file();
-        match all.pointer_mut(key) {
+        let mut config = node_config_json();
+        match config.pointer_mut(key) {
             Some(place) => *place = value,
             None => {
                 let (place, name) = key.rsplit_once('/').unwrap();
-                all.pointer_mut(place).unwrap()[name] = value;
+                config.pointer_mut(place).unwrap()[name] = value;
             }
         }
-        let wrong = read_all(&all.to_string()).unwrap_err().to_string();
-        assert!(wrong.starts_with(&format!("{key} ")), "{key}: '{wrong}'");
+        let error = check_node_config(&config.to_string()).unwrap_err().to_string();
+        assert!(error.starts_with(&format!("{key} ")), "{key}: '{error}'");
     }
-    let wrong = read_all("{").unwrap_err().to_string();
-    assert!(wrong.starts_with("NODE_CONFIG "), "{wrong}");
+    let error = check_node_config("{").unwrap_err().to_string();
+    assert!(error.starts_with("NODE_CONFIG "), "{error}");
 }
 
-/// What is at an edge and can be served is taken: no cost of a call, no window for repeats or one longer than the deadline,
-/// deadlines of a day.
+/// Boundary values that can be served are accepted: a call cost of zero, a deduplication window of zero or one longer than
+/// the deadline, and a deadline of one day.
 #[test]
-fn what_is_at_an_edge_is_read() {
+fn boundary_values_are_accepted() {
     let cases = [
         ("/settings/domain/call_cost_s", json!(0.0)),
         ("/settings/classes/0/dedup_window_s", json!(0.0)),
@@ -330,9 +343,9 @@
         ("/settings/allowed/streams_per_conn", json!(1)),
     ];
     for (key, value) in cases {
-        let mut all = node_config_file();
+        let mut config = node_config_json();
         let (place, name) = key.rsplit_once('/').unwrap();
-        all.pointer_mut(place).unwrap()[name] = value;
-        assert_eq!(read_all(&all.to_string()), Ok(()), "{key}");
+        config.pointer_mut(place).unwrap()[name] = value;
+        assert_eq!(check_node_config(&config.to_string()), Ok(()), "{key}");
     }
 }
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -1,4 +1,4 @@
-//! The replica side against a stand-in for a replica, in one process: which connections it opens, uses again and closes.
+//! Tests of the replica pool against a stand-in replica in the same process: opening, reuse and closing of connections.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -30,45 +30,50 @@
 const SHORT: Duration = Duration::from_millis(50);
 const TICK: TimeSpan = TimeSpan::from_millis(1);
 
-/// One replica that holds everything; its connections are handed out as they come.
+/// A pool with one stand-in replica that holds all shards. Tests receive the replica's accepted connections.
 struct Harness {
     event_loop: Rc<EventLoop>,
     replicas: Rc<RefCell<ReplicaPool>>,
     accepted: UnboundedReceiver<TcpStream>,
-    asked: u64,
+    query_count: u64,
 }
 
 impl Harness {
-    async fn new(streams: usize, sockets: usize, idle: Duration) -> Harness {
-        Harness::with_connect_timeout(streams, sockets, idle, LONG).await
+    async fn new(streams: usize, connections: usize, idle: Duration) -> Harness {
+        Harness::with_connect_timeout(streams, connections, idle, LONG).await
     }
 
-    async fn with_connect_timeout(streams: usize, sockets: usize, idle: Duration, way: Duration) -> Harness {
+    async fn with_connect_timeout(
+        streams: usize,
+        connections: usize,
+        idle: Duration,
+        connect_timeout: Duration,
+    ) -> Harness {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (hand_out, accepted) = unbounded_channel();
+        let (streams_out, accepted) = unbounded_channel();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let _ = hand_out.send(stream);
+                let _ = streams_out.send(stream);
             }
         });
-        Harness::facing(address, accepted, streams, sockets, idle, way)
+        Harness::with_replica(address, accepted, streams, connections, idle, connect_timeout)
     }
 
-    fn facing(
+    fn with_replica(
         address: SocketAddr,
         accepted: UnboundedReceiver<TcpStream>,
         streams: usize,
-        sockets: usize,
+        connections: usize,
         idle: Duration,
-        way: Duration,
+        connect_timeout: Duration,
     ) -> Harness {
         let clock = Clock::start();
         let counters = Counters::default();
         let coordinator =
             SettingsReader::new(&serde_json::from_str(SETTINGS).unwrap()).coordinator(1).unwrap();
         let mut exchange = Exchange::new(coordinator, 1000, 4, counters.clone());
-        let row = Endpoint {
+        let endpoint = Endpoint {
             uid: "leaf".into(),
             address: Some(address),
             cell: 0,
@@ -76,318 +81,341 @@
             up: true,
             started: None,
         };
-        exchange.update_endpoints(clock.now(), true, vec![row]);
-        let event_loop = Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(sockets), exchange));
-        let replicas = ReplicaPool::new(event_loop.clone(), streams, way, idle);
-        let (turns, side) = (event_loop.clone(), replicas.clone());
-        tokio::task::spawn_local(async move { turns.run(TICK, &*side).await });
-        Harness { event_loop, replicas, accepted, asked: 0 }
+        exchange.update_endpoints(clock.now(), true, vec![endpoint]);
+        let event_loop =
+            Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(connections), exchange));
+        let replicas = ReplicaPool::new(event_loop.clone(), streams, connect_timeout, idle);
+        let (batch_loop, transport) = (event_loop.clone(), replicas.clone());
+        tokio::task::spawn_local(async move { batch_loop.run(TICK, &*transport).await });
+        Harness { event_loop, replicas, accepted, query_count: 0 }
     }
 
-    fn ask(&mut self, parts: u32, text: Arc<str>) -> oneshot::Receiver<QueryResponse> {
-        self.asked += 1;
-        let (tell, told) = oneshot::channel();
-        let ends = self.event_loop.clock.now() + TimeSpan::from_millis(59_000);
+    fn submit_query(&mut self, parts: u32, text: Arc<str>) -> oneshot::Receiver<QueryResponse> {
+        self.query_count += 1;
+        let (sink, response) = oneshot::channel();
+        let query_deadline = self.event_loop.clock.now() + TimeSpan::from_millis(59_000);
         let weight = 1.0 / f64::from(parts);
         let parts = (0..parts).map(|shard| QueryPart { shard, weight, work: None }).collect();
-        let id = format!("q{}", self.asked);
-        let asked =
-            QueryRequest { id, class: RequestClassId(0), deadline: ends, parts, idempotency_key: None, text };
-        self.event_loop.update(|e| e.submit(self.asked, asked, Box::new(tell)));
-        told
+        let id = format!("q{}", self.query_count);
+        let request = QueryRequest {
+            id,
+            class: RequestClassId(0),
+            deadline: query_deadline,
+            parts,
+            idempotency_key: None,
+            text,
+        };
+        self.event_loop.update(|e| e.submit(self.query_count, request, Box::new(sink)));
+        response
     }
 
-    async fn count(&self, what: &'static str, which: &'static str, wanted: u64) {
-        while self.event_loop.counters.get(what, which) < wanted {
+    async fn wait_for_counter(&self, group: &'static str, name: &'static str, expected: u64) {
+        while self.event_loop.counters.get(group, name) < expected {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(self.event_loop.counters.get(what, which), wanted, "{what} {which}");
+        assert_eq!(self.event_loop.counters.get(group, name), expected, "{group} {name}");
     }
 }
 
-async fn frame(stream: &mut TcpStream) -> String {
+async fn read_frame(stream: &mut TcpStream) -> String {
     let length = stream.read_u32().await.expect("a frame");
-    let mut rest = vec![0; length as usize];
-    stream.read_exact(&mut rest).await.unwrap();
-    String::from_utf8(rest).unwrap()
+    let mut body = vec![0; length as usize];
+    stream.read_exact(&mut body).await.unwrap();
+    String::from_utf8(body).unwrap()
 }
 
-async fn answer(stream: &mut TcpStream, id: &str) {
-    let rest = format!("A{id} ok 1 -\nvalue");
-    stream.write_u32(rest.len() as u32).await.unwrap();
-    stream.write_all(rest.as_bytes()).await.unwrap();
+async fn write_answer(stream: &mut TcpStream, id: &str) {
+    let body = format!("A{id} ok 1 -\nvalue");
+    stream.write_u32(body.len() as u32).await.unwrap();
+    stream.write_all(body.as_bytes()).await.unwrap();
 }
 
-fn play(scene: impl Future<Output = ()>) {
+fn run_scenario(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let limited = async { tokio::time::timeout(LONG, scene).await.expect("the scene ends") };
+    let limited =
+        async { tokio::time::timeout(LONG, scenario).await.expect("the scenario ended within 60 s") };
     tokio::task::LocalSet::new().block_on(&runtime, limited);
 }
 
 #[test]
 fn connections_are_reused_and_carry_no_more_than_their_streams() {
-    play(async {
+    run_scenario(async {
         let mut harness = Harness::new(2, 9, LONG).await;
-        let mut told = Vec::new();
+        let mut responses = Vec::new();
         for n in 0..3 {
-            told.push(harness.ask(1, "t".into()));
-            harness.count("frames", "calls_sent", n + 1).await;
+            responses.push(harness.submit_query(1, "t".into()));
+            harness.wait_for_counter("frames", "calls_sent", n + 1).await;
         }
         let mut connections =
             [harness.accepted.recv().await.unwrap(), harness.accepted.recv().await.unwrap()];
-        for (nth, id) in [(0, "q1.0"), (0, "q2.0"), (1, "q3.0")] {
-            assert!(frame(&mut connections[nth]).await.starts_with(&format!("Q{id} 0 d=")));
-            answer(&mut connections[nth], id).await;
+        for (index, id) in [(0, "q1.0"), (0, "q2.0"), (1, "q3.0")] {
+            assert!(read_frame(&mut connections[index]).await.starts_with(&format!("Q{id} 0 d=")));
+            write_answer(&mut connections[index], id).await;
         }
-        for last in told {
-            assert!(matches!(last.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
+        for response in responses {
+            assert!(matches!(response.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         }
-        let again = harness.ask(1, "t".into());
-        assert!(frame(&mut connections[0]).await.starts_with("Qq4.0 "), "the first one again");
-        answer(&mut connections[0], "q4.0").await;
-        again.await.unwrap();
+        let fourth = harness.submit_query(1, "t".into());
+        assert!(
+            read_frame(&mut connections[0]).await.starts_with("Qq4.0 "),
+            "the first connection is reused"
+        );
+        write_answer(&mut connections[0], "q4.0").await;
+        fourth.await.unwrap();
         assert_eq!(harness.event_loop.counters.get("leaf_connections", "opened"), 2);
     });
 }
 
 #[test]
-fn a_connection_is_closed_idle_before_the_replica_would_and_what_comes_next_opens_another() {
-    play(async {
+fn an_idle_connection_is_closed_and_the_next_call_opens_another() {
+    run_scenario(async {
         let mut harness = Harness::new(8, 9, Duration::from_millis(30)).await;
         for n in 1..4 {
-            let told = harness.ask(1, "t".into());
+            let response = harness.submit_query(1, "t".into());
             let mut stream = harness.accepted.recv().await.unwrap();
-            frame(&mut stream).await;
-            // Idle is when nothing is out: however long this takes, the connection stays.
+            read_frame(&mut stream).await;
+            // A connection with a call in flight is not idle, so it stays open beyond the idle timeout.
             tokio::time::sleep(Duration::from_millis(60)).await;
-            answer(&mut stream, &format!("q{n}.0")).await;
-            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
-            assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "closed in order");
-            harness.count("leaf_connections", "idle", n).await;
+            write_answer(&mut stream, &format!("q{n}.0")).await;
+            assert!(matches!(response.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
+            assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "the connection is closed without a reset");
+            harness.wait_for_counter("leaf_connections", "idle", n).await;
         }
         assert_eq!(harness.event_loop.counters.get("leaf_calls", "cut"), 0);
     });
 }
 
 #[test]
-fn a_connection_that_does_not_read_holds_up_no_other_and_its_rest_is_never_run() {
-    play(async {
+fn a_stalled_write_delays_no_other_call_and_its_own_never_runs() {
+    run_scenario(async {
         let mut harness = Harness::new(64, 9, LONG).await;
-        // More than any socket's buffers hold.
+        // The text exceeds the socket buffers, so the frame cannot be written completely.
         let huge: Arc<str> = "x".repeat(16 << 20).into();
-        let stuck = harness.ask(1, huge);
+        let stalled = harness.submit_query(1, huge);
         let first = harness.accepted.recv().await.unwrap();
-        // Read a little: the frame has been begun.
+        // Received bytes show that the writing of the frame has started.
         first.readable().await.unwrap();
-        let told = harness.ask(1, "t".into());
+        let response = harness.submit_query(1, "t".into());
         let mut second = harness.accepted.recv().await.unwrap();
-        assert!(frame(&mut second).await.starts_with("Qq2.0 "));
-        answer(&mut second, "q2.0").await;
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
+        assert!(read_frame(&mut second).await.starts_with("Qq2.0 "));
+        write_answer(&mut second, "q2.0").await;
+        assert!(matches!(response.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         drop(first);
-        assert!(matches!(stuck.await.unwrap(), QueryResponse::Rejected { .. }), "its one call never ran");
-        harness.count("leaf_calls", "no_route", 1).await;
+        assert!(matches!(stalled.await.unwrap(), QueryResponse::Rejected { .. }), "its only call never ran");
+        harness.wait_for_counter("leaf_calls", "no_route", 1).await;
     });
 }
 
 #[test]
-fn a_connection_lost_after_the_frame_was_whole_may_have_run_its_parts() {
-    play(async {
+fn a_connection_lost_after_a_complete_write_may_have_run_its_parts() {
+    run_scenario(async {
         let mut harness = Harness::new(8, 9, LONG).await;
-        let told = harness.ask(3, "t".into());
+        let response = harness.submit_query(3, "t".into());
         let mut stream = harness.accepted.recv().await.unwrap();
-        frame(&mut stream).await;
-        answer(&mut stream, "q1.1").await;
-        harness.count("leaf_calls", "pass", 1).await;
+        read_frame(&mut stream).await;
+        write_answer(&mut stream, "q1.1").await;
+        harness.wait_for_counter("leaf_calls", "pass", 1).await;
         drop(stream);
-        told.await.unwrap();
-        harness.count("leaf_calls", "cut", 2).await;
+        response.await.unwrap();
+        harness.wait_for_counter("leaf_calls", "cut", 2).await;
     });
 }
 
 #[test]
 fn connections_beyond_the_limit_are_not_opened() {
-    play(async {
+    run_scenario(async {
         let mut harness = Harness::new(1, 1, LONG).await;
-        let first = harness.ask(1, "t".into());
+        let first = harness.submit_query(1, "t".into());
         let mut stream = harness.accepted.recv().await.unwrap();
-        frame(&mut stream).await;
-        let told = harness.ask(1, "t".into());
-        assert!(matches!(told.await.unwrap(), QueryResponse::Rejected { .. }));
-        harness.count("leaf_connections", "no_socket", 1).await;
-        answer(&mut stream, "q1.0").await;
+        read_frame(&mut stream).await;
+        let response = harness.submit_query(1, "t".into());
+        assert!(matches!(response.await.unwrap(), QueryResponse::Rejected { .. }));
+        harness.wait_for_counter("leaf_connections", "no_socket", 1).await;
+        write_answer(&mut stream, "q1.0").await;
         assert!(matches!(first.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
     });
 }
 
 #[test]
 fn a_replica_that_refuses_connections_ran_nothing() {
-    play(async {
-        let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+    run_scenario(async {
+        let unused_address = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let (_, accepted) = unbounded_channel::<TcpStream>();
-        let mut harness = Harness::facing(nobody, accepted, 8, 9, LONG, LONG);
-        assert!(matches!(harness.ask(2, "t".into()).await.unwrap(), QueryResponse::Rejected { .. }));
-        harness.count("leaf_calls", "no_route", 2).await;
+        let mut harness = Harness::with_replica(unused_address, accepted, 8, 9, LONG, LONG);
+        assert!(matches!(harness.submit_query(2, "t".into()).await.unwrap(), QueryResponse::Rejected { .. }));
+        harness.wait_for_counter("leaf_calls", "no_route", 2).await;
     });
 }
 
 #[test]
-fn a_removed_replica_has_its_connections_closed_even_while_a_probe_is_unanswered() {
-    play(async {
+fn connections_to_a_removed_replica_are_closed_despite_a_pending_probe() {
+    run_scenario(async {
         let mut harness = Harness::new(8, 9, LONG).await;
-        let told = harness.ask(1, "t".into());
+        let response = harness.submit_query(1, "t".into());
         let mut stream = harness.accepted.recv().await.unwrap();
-        frame(&mut stream).await;
-        answer(&mut stream, "q1.0").await;
-        told.await.unwrap();
+        read_frame(&mut stream).await;
+        write_answer(&mut stream, "q1.0").await;
+        response.await.unwrap();
         harness.replicas.borrow_mut().send_load_probe(ReplicaId(0));
-        assert_eq!(frame(&mut stream).await, "L");
+        assert_eq!(read_frame(&mut stream).await, "L");
         harness.event_loop.update(|e| e.update_endpoints(harness.event_loop.clock.now(), true, Vec::new()));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
-        harness.count("leaf_connections", "let_go", 1).await;
+        harness.wait_for_counter("leaf_connections", "let_go", 1).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
-        harness.count("probes", "no_route", 0).await;
+        harness.wait_for_counter("probes", "no_route", 0).await;
     });
 }
 
 #[test]
-fn a_frame_that_does_not_end_ends_its_connection_and_swallows_no_later_answer() {
-    play(async {
+fn an_incomplete_frame_ends_its_connection_and_absorbs_no_later_answer() {
+    run_scenario(async {
         let mut harness = Harness::with_connect_timeout(8, 9, LONG, SHORT).await;
-        let told = harness.ask(1, "t".into());
+        let response = harness.submit_query(1, "t".into());
         let mut stream = harness.accepted.recv().await.unwrap();
-        frame(&mut stream).await;
-        // A length that does not fit: the next answers would be its value.
+        read_frame(&mut stream).await;
+        // The length is too large, so that later answers would be read as part of the value.
         stream.write_all(b"\0\0\x40\0Aq1.0 ok 1 -\nvalue").await.unwrap();
-        // Whether the next call finds the half frame or an ended connection, it opens one of its own.
+        // Whether the next call meets the partial frame or the end of the connection, it opens another connection.
         while !harness.replicas.borrow().has_partial_frame(ReplicaId(0))
             && harness.event_loop.counters.get("leaf_connections", "bad_bytes") == 0
         {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let next = harness.ask(1, "t".into());
+        let next = harness.submit_query(1, "t".into());
         let mut second = harness.accepted.recv().await.unwrap();
-        assert!(frame(&mut second).await.starts_with("Qq2.0 "), "no more is given to the first");
-        answer(&mut second, "q2.0").await;
+        assert!(
+            read_frame(&mut second).await.starts_with("Qq2.0 "),
+            "the first connection must get no more calls"
+        );
+        write_answer(&mut second, "q2.0").await;
         assert!(matches!(next.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
-        harness.count("leaf_connections", "bad_bytes", 1).await;
-        told.await.unwrap();
-        harness.count("leaf_calls", "cut", 1).await;
+        harness.wait_for_counter("leaf_connections", "bad_bytes", 1).await;
+        response.await.unwrap();
+        harness.wait_for_counter("leaf_calls", "cut", 1).await;
     });
 }
 
 #[test]
-fn late_and_second_answers_are_distinguished_from_ids_that_were_never_sent() {
-    play(async {
+fn late_and_duplicate_answers_differ_from_answers_to_unknown_ids() {
+    run_scenario(async {
         let mut harness = Harness::new(8, 9, LONG).await;
-        let one = harness.ask(1, "t".into());
+        let first = harness.submit_query(1, "t".into());
         let mut stream = harness.accepted.recv().await.unwrap();
-        frame(&mut stream).await;
-        let two = harness.ask(2, "t".into());
-        frame(&mut stream).await;
+        read_frame(&mut stream).await;
+        let second = harness.submit_query(2, "t".into());
+        read_frame(&mut stream).await;
         harness.event_loop.update(|e| e.client_disconnected(1));
-        harness.count("leaf_calls", "undone", 1).await;
-        answer(&mut stream, "q1.0").await;
-        answer(&mut stream, "q2.0").await;
-        answer(&mut stream, "q2.0").await;
-        harness.count("frames", "late_answers", 2).await;
-        assert!(one.await.is_err(), "nobody waits for it");
-        answer(&mut stream, "q7.0").await;
-        two.await.unwrap();
-        harness.count("leaf_connections", "bad_bytes", 1).await;
-        harness.count("leaf_calls", "pass", 1).await;
-        harness.count("leaf_calls", "cut", 1).await;
+        harness.wait_for_counter("leaf_calls", "undone", 1).await;
+        write_answer(&mut stream, "q1.0").await;
+        write_answer(&mut stream, "q2.0").await;
+        write_answer(&mut stream, "q2.0").await;
+        harness.wait_for_counter("frames", "late_answers", 2).await;
+        assert!(first.await.is_err(), "a disconnected client must get no response");
+        write_answer(&mut stream, "q7.0").await;
+        second.await.unwrap();
+        harness.wait_for_counter("leaf_connections", "bad_bytes", 1).await;
+        harness.wait_for_counter("leaf_calls", "pass", 1).await;
+        harness.wait_for_counter("leaf_calls", "cut", 1).await;
     });
 }
 
 #[test]
-fn a_silent_connection_is_pinged_gets_nothing_more_and_ends() {
-    play(async {
+fn a_silent_connection_is_pinged_gets_no_more_calls_and_ends() {
+    run_scenario(async {
         let mut harness = Harness::with_connect_timeout(8, 9, LONG, SHORT).await;
-        let told = harness.ask(2, "t".into());
+        let response = harness.submit_query(2, "t".into());
         let mut silent = harness.accepted.recv().await.unwrap();
-        frame(&mut silent).await;
-        assert_eq!(frame(&mut silent).await, "P", "a sign of life is asked for");
-        let next = harness.ask(1, "t".into());
+        read_frame(&mut silent).await;
+        assert_eq!(read_frame(&mut silent).await, "P", "a ping must be sent");
+        let next = harness.submit_query(1, "t".into());
         let mut second = harness.accepted.recv().await.unwrap();
-        assert!(frame(&mut second).await.starts_with("Qq2.0 "));
-        answer(&mut second, "q2.0").await;
+        assert!(read_frame(&mut second).await.starts_with("Qq2.0 "));
+        write_answer(&mut second, "q2.0").await;
         assert!(matches!(next.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
-        assert_eq!(silent.read(&mut [0]).await.unwrap(), 0, "closed, with nothing sent on it since");
-        told.await.unwrap();
-        harness.count("leaf_connections", "silent", 1).await;
-        harness.count("leaf_calls", "cut", 2).await;
+        assert_eq!(
+            silent.read(&mut [0]).await.unwrap(),
+            0,
+            "the connection is closed and nothing else was sent on it"
+        );
+        response.await.unwrap();
+        harness.wait_for_counter("leaf_connections", "silent", 1).await;
+        harness.wait_for_counter("leaf_calls", "cut", 2).await;
     });
 }
 
-/// An own lack of sockets was held against the replica: it counted as out of reach, and its shards' other holders had all.
+/// Guards against a replica counting as unreachable because this process had no free socket. The other replicas of its
+/// shards then got all calls.
 #[test]
 fn a_connection_unused_at_one_replica_is_released_for_another() {
-    play(async {
+    run_scenario(async {
         let mut harness = Harness::new(1, 1, LONG).await;
-        let told = harness.ask(1, "t".into());
+        let response = harness.submit_query(1, "t".into());
         let mut first = harness.accepted.recv().await.unwrap();
-        frame(&mut first).await;
+        read_frame(&mut first).await;
         let other = TcpListener::bind("127.0.0.1:0").await.unwrap();
         harness.replicas.borrow_mut().set_address(ReplicaId(9), other.local_addr().unwrap());
         harness.replicas.borrow_mut().send_load_probe(ReplicaId(9));
-        harness.count("probes", "no_route", 1).await;
-        answer(&mut first, "q1.0").await;
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
+        harness.wait_for_counter("probes", "no_route", 1).await;
+        write_answer(&mut first, "q1.0").await;
+        assert!(matches!(response.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         harness.replicas.borrow_mut().send_load_probe(ReplicaId(9));
         let (mut stream, _) = other.accept().await.unwrap();
-        assert_eq!(frame(&mut stream).await, "L");
-        assert_eq!(first.read(&mut [0; 1]).await.unwrap(), 0, "the unused one was closed");
-        harness.count("leaf_connections", "given_back", 1).await;
+        assert_eq!(read_frame(&mut stream).await, "L");
+        assert_eq!(first.read(&mut [0; 1]).await.unwrap(), 0, "the unused connection is closed");
+        harness.wait_for_counter("leaf_connections", "given_back", 1).await;
         assert_eq!(harness.event_loop.replica_connections.open(), 1);
     });
 }
 
 #[test]
 fn an_unused_connection_is_released_to_clients_that_need_one() {
-    play(async {
+    run_scenario(async {
         let mut harness = Harness::new(1, 3, LONG).await;
-        let mut asked = Vec::new();
+        let mut pending = Vec::new();
         for _ in 0..2 {
-            let told = harness.ask(1, "t".into());
+            let response = harness.submit_query(1, "t".into());
             let mut stream = harness.accepted.recv().await.unwrap();
-            frame(&mut stream).await;
-            asked.push((told, stream));
+            read_frame(&mut stream).await;
+            pending.push((response, stream));
         }
-        for (n, (told, stream)) in asked.iter_mut().enumerate() {
-            answer(stream, &format!("q{}.0", n + 1)).await;
-            assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
+        for (n, (response, stream)) in pending.iter_mut().enumerate() {
+            write_answer(stream, &format!("q{}.0", n + 1)).await;
+            assert!(matches!(response.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         }
-        let sockets = harness.event_loop.replica_connections.clone();
-        let _client = sockets.try_acquire().unwrap();
-        assert!(sockets.try_acquire().is_none(), "all are taken");
-        sockets.request_release();
-        drop(tokio::time::timeout(Duration::from_secs(9), sockets.acquire()).await.expect("one comes back"));
-        harness.count("leaf_connections", "given_back", 1).await;
+        let limiter = harness.event_loop.replica_connections.clone();
+        let _client = limiter.try_acquire().unwrap();
+        assert!(limiter.try_acquire().is_none(), "all connections are in use");
+        limiter.request_release();
+        drop(
+            tokio::time::timeout(Duration::from_secs(9), limiter.acquire())
+                .await
+                .expect("a connection was released"),
+        );
+        harness.wait_for_counter("leaf_connections", "given_back", 1).await;
     });
 }
 
-/// Half of an answer is read, its rest comes, and the process stands still for longer than a frame may take: what lies there
-/// is read before the limit counts. The limit was looked at first, and a sound answer was thrown away with all else out on
-/// the connection.
+/// Guards against the loss of a valid answer after a stall. Part of the answer is read, the rest arrives, and the process
+/// stalls for longer than the time limit of a frame. The time limit was once checked before the socket was read, which
+/// ended the connection together with all other calls on it.
 #[test]
-fn an_answer_whose_rest_came_during_a_stall_is_taken() {
-    play(async {
-        let way = Duration::from_millis(300);
-        let mut harness = Harness::with_connect_timeout(8, 9, LONG, way).await;
-        let told = harness.ask(1, "t".into());
+fn an_answer_completed_during_a_stall_is_accepted() {
+    run_scenario(async {
+        let connect_timeout = Duration::from_millis(300);
+        let mut harness = Harness::with_connect_timeout(8, 9, LONG, connect_timeout).await;
+        let response = harness.submit_query(1, "t".into());
         let mut stream = harness.accepted.recv().await.unwrap();
-        frame(&mut stream).await;
-        let rest = b"Aq1.0 ok 1 -\nvalue";
-        stream.write_u32(rest.len() as u32).await.unwrap();
-        stream.write_all(&rest[..7]).await.unwrap();
+        read_frame(&mut stream).await;
+        let body = b"Aq1.0 ok 1 -\nvalue";
+        stream.write_u32(body.len() as u32).await.unwrap();
+        stream.write_all(&body[..7]).await.unwrap();
         while !harness.replicas.borrow().has_partial_frame(ReplicaId(0)) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        stream.write_all(&rest[7..]).await.unwrap();
-        // Everything here runs on this thread.
-        std::thread::sleep(way * 2);
-        assert!(matches!(told.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
+        stream.write_all(&body[7..]).await.unwrap();
+        // The pool runs on this thread too, so the sleep stalls it.
+        std::thread::sleep(connect_timeout * 2);
+        assert!(matches!(response.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
         assert_eq!(harness.event_loop.counters.get("leaf_connections", "bad_bytes"), 0);
     });
 }
