--- a/crates/pipitcrank-server/src/discovery/endpoint_update.rs
+++ b/crates/pipitcrank-server/src/discovery/endpoint_update.rs
@@ -71,7 +71,7 @@
         uid: String,
     },
     /// A replica that has not left lacks its endpoint or its cell.
-    #[error("expected an endpoint and a pod_group for replica {uid}, at least one is missing")]
+    #[error("expected both an endpoint and a pod_group for replica {uid}, got at most one of them")]
     Missing {
         /// Uid of the replica.
         uid: String,
--- a/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
+++ b/crates/pipitcrank-server/src/discovery/json_objects/tests.rs
@@ -23,17 +23,17 @@
             bytes.extend_from_slice(text.unwrap().as_bytes());
             bytes.extend_from_slice(between.as_bytes());
         }
-        let (mut objects, mut found, mut rest) = (JsonObjectStream::new(1 << 20), Vec::new(), &bytes[..]);
+        let (mut objects, mut values, mut rest) = (JsonObjectStream::new(1 << 20), Vec::new(), &bytes[..]);
         for cut in cuts.into_iter().chain([usize::MAX]) {
             let (piece, after) = rest.split_at(cut.min(rest.len()));
             objects.push(piece);
             rest = after;
             while let Some(object) = objects.take().unwrap() {
-                found.push(serde_json::from_slice::<Value>(&object).unwrap());
+                values.push(serde_json::from_slice::<Value>(&object).unwrap());
             }
         }
         let expected: Vec<Value> = lists.iter().map(|(replicas, name, ..)| list(*replicas, name)).collect();
-        prop_assert_eq!(found, expected);
+        prop_assert_eq!(values, expected);
     }
 }
 
--- a/crates/pipitcrank-server/src/discovery/source.rs
+++ b/crates/pipitcrank-server/src/discovery/source.rs
@@ -34,14 +34,14 @@
 const MAX_CONCURRENT_CALLS: usize = 8;
 /// Time limit for the response head of a watch. The watch is requested again when it expires.
 const WATCH_HEAD_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Minimum time between a poll and the poll requested at the end of a watch. It prevents a storm of polls when an event
-/// ends all watches of a fleet.
-const PAUSE_AFTER_WATCH: Duration = Duration::from_millis(50);
+/// Minimum time between the starts of a poll and of a poll that is requested early, for example at the end of a watch.
+/// It prevents a storm of polls when an event ends all watches of a fleet.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time limit of a call to a service with a cost per call. It is longer than `HEDGE_DELAY` and `WATCH_HEAD_TIMEOUT`,
 /// since a call that is cancelled and repeated costs the service twice.
 const COSTLY_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// A decoded update.
+/// A decoded update of the endpoint list.
 struct ReceivedUpdate {
     revision: u64,
     complete: bool,
@@ -101,11 +101,11 @@
             return self.poll_paced(pacing).await;
         }
         loop {
-            let begun = Instant::now();
+            let started = Instant::now();
             self.poll().await;
             tokio::select! {
-                () = sleep_until(begun + POLL_INTERVAL) => {}
-                () = self.poll_requested.notified() => sleep_until(begun + PAUSE_AFTER_WATCH).await,
+                () = sleep_until(started + POLL_INTERVAL) => {}
+                () = self.poll_requested.notified() => sleep_until(started + MIN_POLL_INTERVAL).await,
             }
         }
     }
@@ -146,20 +146,20 @@
         let mut calls = JoinSet::new();
         let mut abort_handles: VecDeque<AbortHandle> = VecDeque::new();
         loop {
-            let begun = Instant::now();
+            let started = Instant::now();
             if abort_handles.len() == MAX_CONCURRENT_CALLS {
                 abort_handles.pop_front().inspect(AbortHandle::abort);
             }
             let (client, address) = (self.client.clone(), self.address.to_string());
             let before = self.revision.get();
             abort_handles.push_back(calls.spawn_local(async move {
-                (before, complete_list(&client, &address, begun + CALL_TIMEOUT).await)
+                (before, complete_list(&client, &address, started + CALL_TIMEOUT).await)
             }));
             loop {
                 tokio::select! {
-                    () = sleep_until(begun + HEDGE_DELAY) => break,
-                    Some(done) = calls.join_next() => {
-                        let Ok((before, received)) = done else { continue };
+                    () = sleep_until(started + HEDGE_DELAY) => break,
+                    Some(result) = calls.join_next() => {
+                        let Ok((before, received)) = result else { continue };
                         match received.and_then(|body| self.apply_poll(before, &body)) {
                             Ok(PollResult::Done) => return,
                             Ok(PollResult::PollAgain) => {}
@@ -200,7 +200,8 @@
             return Ok(PollResult::PollAgain);
         }
         self.older_revision_received.set(false);
-        // After a restart of the service, its revisions may reach the current number again with a different list.
+        // After a restart of the service, its revisions may reach the current number again with a different list, so
+        // the endpoints are compared as well.
         if self.revision.get() != Some(revision)
             || !self.event_loop.read(|e| e.matches_endpoints(&update.endpoints))
         {
@@ -228,11 +229,11 @@
                 self.list_received.notified().await;
                 continue;
             };
-            let begun = Instant::now();
+            let started = Instant::now();
             let Err(end) = self.run_watch(current).await;
             self.record_end("watch", end);
             if let Some(pacing) = self.pacing {
-                failures = if begun.elapsed() > 2 * COSTLY_CALL_TIMEOUT { 1 } else { failures + 1 };
+                failures = if started.elapsed() > 2 * COSTLY_CALL_TIMEOUT { 1 } else { failures + 1 };
                 // One or two calls that hang do not indicate an overloaded service, so a poll is started beside the
                 // next watch.
                 if end == ConnectionEnd::ConnectTimeout && failures <= 2 {
@@ -243,7 +244,7 @@
             }
             self.poll_requested.notify_one();
             // After a watch that has lasted longer than this delay, the next one starts at once.
-            sleep_until(begun + HEDGE_DELAY).await;
+            sleep_until(started + HEDGE_DELAY).await;
         }
     }
 
--- a/crates/pipitcrank-server/src/exchange/batch.rs
+++ b/crates/pipitcrank-server/src/exchange/batch.rs
@@ -29,8 +29,8 @@
     fn handle_events(&mut self, now: Timestamp) {
         let mut events = std::mem::take(&mut self.events).into_iter().peekable();
         while let Some(mut event) = events.next() {
-            // The coordinator examines all replicas at each change, so consecutive incremental changes are merged into
-            // one. It takes effect at the time of the first.
+            // The coordinator examines all replicas at each change, so consecutive incremental changes are merged. The
+            // merged change takes effect at the time of the first one.
             if let Event::EndpointsUpdated(EndpointChange { complete: false, endpoints, .. }) = &mut event {
                 let is_change = |event: &Event| {
                     matches!(event, Event::EndpointsUpdated(EndpointChange { complete: false, .. }))
@@ -122,7 +122,7 @@
     /// Executes the coordinator's commands. Parts for the same replica share calls of at most `parts_per_call` parts.
     fn execute_commands(&mut self, transport: &mut dyn ReplicaTransport) {
         let commands = std::mem::take(&mut self.table.commands);
-        // Bundles are in the order of their first parts.
+        // A bundle holds the attempts for one replica. Bundles are ordered by their first attempts.
         let mut bundles: Vec<(ReplicaId, Vec<AttemptId>)> = Vec::new();
         let mut positions: BTreeMap<ReplicaId, usize> = BTreeMap::new();
         for command in commands {
--- a/crates/pipitcrank-server/src/exchange/coordinator_output.rs
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -58,7 +58,7 @@
         if let Some(reason) = self.resend_reason(part) {
             self.counters.add(group::RESENDS, reason.name());
             let part = self.part_ids.name(part.0);
-            tracing::debug!(target: REQUEST_LOG_TARGET, part, replica = replica.0, reason = reason.name(), "sending the part again");
+            tracing::debug!(target: REQUEST_LOG_TARGET, part, replica = replica.0, reason = reason.name(), "part sent again");
         }
         let entry = self.parts.get_mut(&part.0).expect("a part that is sent has a table entry");
         let attempt = AttemptId { part, number: entry.attempts };
--- a/crates/pipitcrank-server/src/exchange/mod.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -1,8 +1,8 @@
 //! The exchange connects the client side to the replica side and contains the decision module. It owns no sockets.
 //!
-//! Inputs, such as [`submit`](Exchange::submit), queue events. [`Exchange::run_batch`] passes all queued events and
-//! then the due timers to the coordinator, has it dispatch the waiting parts, and executes its commands. All
-//! decisions are the coordinator's; the exchange checks each send once more in [`Exchange::authorize_send`].
+//! Each input, such as [`submit`](Exchange::submit), queues an event. [`Exchange::run_batch`] passes all queued events
+//! and then the due timers to the coordinator, lets the coordinator dispatch the waiting parts, and executes its
+//! commands. The coordinator makes all decisions; [`Exchange::authorize_send`] checks each send once more.
 //!
 //! `state` defines the type, its inputs and its read-only view. `batch`, `admission`, `send_guard`, `endpoint_list`,
 //! `remote_sites`, `zones` and `handover` implement one concern each. `request_table` stores queries, parts and
--- a/crates/pipitcrank-server/src/exchange/query.rs
+++ b/crates/pipitcrank-server/src/exchange/query.rs
@@ -8,7 +8,7 @@
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use tokio::sync::oneshot;
 
-/// Log target of the steps of each request, one line per step with the id of the request or part.
+/// Target of the request log, which has one line for each step of a request with the id of the request or part.
 pub const REQUEST_LOG_TARGET: &str = "pipitcrank::requests";
 
 /// A client's query.
--- a/crates/pipitcrank-server/src/exchange/remote_sites.rs
+++ b/crates/pipitcrank-server/src/exchange/remote_sites.rs
@@ -29,7 +29,7 @@
     pub text: Arc<str>,
     /// Whether the request class allows a retry after an attempt that may have run.
     pub idempotent: bool,
-    /// Number of the retry delegation that goes with the forward.
+    /// Number that identifies the delegation of retries in this forward.
     pub delegation: u64,
     /// Number of delegated retries and hedged requests.
     pub retries: u32,
--- a/crates/pipitcrank-server/src/exchange/state.rs
+++ b/crates/pipitcrank-server/src/exchange/state.rs
@@ -45,7 +45,7 @@
 }
 
 impl Exchange {
-    /// `max_open`: number of open queries and parts from which on queries are rejected. `parts_per_call`: maximum
+    /// `max_open`: limit of open queries and parts, at which further queries are rejected. `parts_per_call`: maximum
     /// number of parts in one call to a replica.
     pub fn new(
         coordinator: Coordinator,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Enables the run-time audit against `rules`.
+    /// Enables the run-time audit, which checks sends and responses against `rules`.
     pub fn enable_audit(&mut self, rules: AuditRules) {
         self.table.audit = Some(Audit::new(rules, self.table.counters.clone()));
     }
--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -58,7 +58,7 @@
     ClosedConnection { end, unsent: unsent_calls(commands) }
 }
 
-/// Returns the calls among the commands that were not received.
+/// Returns the calls among the commands that the connection's task has not received.
 pub fn unsent_calls(mut commands: UnboundedReceiver<ConnectionCommand>) -> Vec<Vec<AttemptId>> {
     let rest = std::iter::from_fn(|| commands.try_recv().ok());
     let calls = rest.filter_map(|command| match command {
@@ -360,7 +360,7 @@
                 event_loop.counters.add(group::FRAMES, frame::LATE_ANSWERS);
                 return Ok(());
             }
-            // If the id was corrupted, the part that it belongs to would never be answered on this connection.
+            // The id may have been corrupted. Its part would then never be answered, so the connection is closed.
             tracing::warn!(
                 "replica {} sent an answer for an unknown part id; closing the connection",
                 state.replica.0
@@ -368,7 +368,7 @@
             return Err(ConnectionEnd::ProtocolError);
         };
         let attempt = assigned.swap_remove(position).attempt;
-        // A second answer to the part then counts as late.
+        // The id is recorded so that a second answer to the part counts as late.
         state.finished.borrow_mut().add(id);
         event_loop.counters.add(group::FRAMES, frame::ANSWERS);
         let value = (outcome == AttemptOutcome::Success).then_some(value);
--- a/crates/pipitcrank-server/src/replicas/connection_end.rs
+++ b/crates/pipitcrank-server/src/replicas/connection_end.rs
@@ -5,15 +5,15 @@
 /// Reason for the end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The peer refused it.
+    /// The connection could not be opened, for example because the peer refused it.
     Refused,
-    /// It was not established within the connect timeout.
+    /// The connection was not established within the connect timeout.
     ConnectTimeout,
-    /// It was not opened because this process has reached its connection limit.
+    /// The connection was not opened because this process has reached its connection limit.
     LimitReached,
-    /// The peer closed it.
+    /// The peer closed the connection.
     Closed,
-    /// It was reset, or a read or write on it failed.
+    /// The connection was reset, or a read or write on it failed.
     Reset,
     /// The peer violated the protocol.
     ProtocolError,
@@ -21,11 +21,11 @@
     RejectedByPeer,
     /// Nothing was received within the time limit for silence.
     Silent,
-    /// This side closed it after the idle timeout, which is slightly shorter than the peer's.
+    /// This side closed the connection after the idle timeout, which is shorter than the peer's.
     Idle,
-    /// This side closed it because it was no longer needed.
+    /// This side closed the connection because it was no longer needed.
     NotNeeded,
-    /// Its descriptor was passed to another process, which continues it.
+    /// The descriptor of the connection was passed to another process, which continues the connection.
     HandedOver,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether this side closed it.
+    /// Whether this side closed the connection.
     pub fn is_local(self) -> bool {
         matches!(
             self,
--- a/crates/pipitcrank-server/src/replicas/connection_state.rs
+++ b/crates/pipitcrank-server/src/replicas/connection_state.rs
@@ -74,8 +74,9 @@
         }
     }
 
-    /// Whether the connection accepts further calls. A connection with a stalled write, without answers, or with a
-    /// partial frame that may absorb the answers behind it gets no calls that another connection could carry.
+    /// Whether the connection accepts further calls. It accepts none if a write is stalled, if it is suspected or
+    /// retired, or if it holds a partial frame that may absorb the answers behind it, since another connection could
+    /// carry those calls without delay.
     pub fn is_healthy(&self) -> bool {
         !self.write_stalled.get() && !self.partial_frame.get() && !self.suspected.get() && !self.retired.get()
     }
--- a/crates/pipitcrank-server/src/replicas/pool.rs
+++ b/crates/pipitcrank-server/src/replicas/pool.rs
@@ -31,7 +31,7 @@
     this: Weak<RefCell<ReplicaPool>>,
     streams_per_connection: usize,
     timeouts: ConnectionTimeouts,
-    /// An entry is removed when the exchange removes the replica.
+    /// Connections by replica. An entry is removed when the exchange removes the replica.
     replicas: BTreeMap<ReplicaId, ReplicaConnections>,
     /// Number of uses of connections, from which `last_use` is set.
     uses: u64,
--- a/crates/pipitcrank-server/tests/exchange/queries.rs
+++ b/crates/pipitcrank-server/tests/exchange/queries.rs
@@ -63,7 +63,7 @@
     let over = QueryResponse::Rejected { retry_after: TimeSpan::ZERO };
     assert_eq!(harness.response_to("over"), Some(format!("{over:?}")));
     assert_eq!(harness.counters.get("queries", "turned_away_over_most_open"), 1);
-    // The answered parts no longer count as open, although the query of one unanswered part is.
+    // All parts but one are answered. Answered parts do not count as open, even while their query is open.
     for (_, attempt, id, _) in harness.authorize_calls(10) {
         if id != "long.5" {
             harness.succeed(attempt, "x");
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -118,7 +118,7 @@
 }
 
 async fn read_frame(stream: &mut TcpStream) -> String {
-    let length = stream.read_u32().await.expect("a frame");
+    let length = stream.read_u32().await.expect("a frame must arrive");
     let mut body = vec![0; length as usize];
     stream.read_exact(&mut body).await.unwrap();
     String::from_utf8(body).unwrap()
@@ -133,7 +133,7 @@
 fn run_scenario(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let limited =
-        async { tokio::time::timeout(LONG, scenario).await.expect("the scenario ended within 60 s") };
+        async { tokio::time::timeout(LONG, scenario).await.expect("the scenario must end within 60 s") };
     tokio::task::LocalSet::new().block_on(&runtime, limited);
 }
 
@@ -389,7 +389,7 @@
         drop(
             tokio::time::timeout(Duration::from_secs(9), limiter.acquire())
                 .await
-                .expect("a connection was released"),
+                .expect("a connection must be released"),
         );
         harness.wait_for_counter("leaf_connections", "given_back", 1).await;
     });
