--- a/crates/pipitcrank-failover/src/controller.rs
+++ b/crates/pipitcrank-failover/src/controller.rs
@@ -1,59 +1,62 @@
-//! What the next decision is: asked by the voter that leads, from the combined evidence and the current decision. No I/O, no
-//! clock, no randomness; whether the decision is made is up to the voters.
+//! Computes the next decision from the combined evidence and the current decision, on the voter that leads.
+//! The controller does no I/O, reads no clock and uses no randomness. The voters decide whether its proposal
+//! is accepted.
 //!
 //! ```text
-//! Serving      -- evidence against it for OBSERVED_FOR             --> Suspected
-//! Suspected    -- against it for `suspect_after` more              --> Draining, by one step
-//!              -- healthy for as long                              --> Serving
-//! Draining     -- each DRAIN_STEP_INTERVAL                         --> retains one step less; at none OutOfService
-//!              -- evidence that it is healthy (not drained)        --> Returning, hold-down doubled
-//! OutOfService -- healthy for the hold-down, not drained           --> Returning, by one return step
-//! Returning    -- each RETURN_STEP_INTERVAL, twice that while
-//!                 warming up                                       --> retains one return step more; at all Serving
-//!              -- evidence against it                              --> Draining, hold-down doubled
-//! Serving for `hold_down_reset_after` without a fault                         --> hold-down at its shortest
+//! Serving      -- unhealthy for OBSERVATION_TIME                   --> Suspected
+//! Suspected    -- unhealthy for `suspect_after` more               --> Draining, by one step
+//!              -- healthy for `suspect_after`                      --> Serving
+//! Draining     -- each DRAIN_STEP_INTERVAL                         --> keeps one step less; at 0 OutOfService
+//!              -- healthy, not drained by an operator              --> Returning, hold-down doubled
+//! OutOfService -- healthy for the hold-down, not drained           --> Returning, by one step
+//! Returning    -- each RETURN_STEP_INTERVAL, doubled while
+//!                 replicas warm up                                 --> keeps one step more; at 1000 Serving
+//!              -- unhealthy for OBSERVATION_TIME                   --> Draining, hold-down doubled
+//! Serving      -- no fault for `hold_down_reset_after`             --> hold-down reset to the shortest
 //! ```
 //!
-//! Whatever the evidence: no step while no other zone is known to be healthy; a zone that still answers (slow, or drained)
-//! is left only as far as the others have capacity; what was observed before this voter led does not count.
+//! Three rules hold whatever the evidence is. A zone is drained only while another zone is known to be
+//! healthy. A zone that still answers (slow, or drained by an operator) is drained only as far as the other
+//! zones have capacity. Observations from before this voter became leader do not count.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `timing.rs` | operators' times, and the sizes and intervals of steps |
-//! | `watch.rs` | since when the evidence on zones and paths has been as it is |
+//! | `timing.rs` | times set by operators, sizes and intervals of steps |
+//! | `evidence_tracker.rs` | how long the evidence on zones and paths has been unchanged |
 //! | `capacity.rs` | capacity and demand of zones |
-//! | `steps.rs` | the steps of one zone |
+//! | `steps.rs` | state transitions of one zone |
 //! | `orders.rs` | operators' orders |
 
 mod capacity;
+mod evidence_tracker;
 mod orders;
 mod steps;
 mod timing;
-mod watch;
 
 use pipitcrank_core::time::Timestamp;
 use pipitcrank_membership::evidence::EvidenceMatrix;
 
 use self::capacity::{load_changed, update_load};
+use self::evidence_tracker::EvidenceTracker;
 pub use self::orders::OrderError;
 use self::steps::ZoneSteps;
 pub use self::timing::FailoverTiming;
 use self::timing::LOAD_UPDATE_INTERVAL;
-use self::watch::EvidenceWatch;
 use crate::constants::DISTANT_PAST;
 use crate::decision::{Decision, DecisionCause, OperatorOrder, ZoneState};
 use crate::routing_table::Proximity;
 
-/// Proposes decisions while its voter leads.
+/// Proposes decisions while its node leads the voters.
 pub struct FailoverController {
     timing: FailoverTiming,
     proximity: Proximity,
-    watch: EvidenceWatch,
+    tracker: EvidenceTracker,
     last_proposal: Timestamp,
 }
 
 impl FailoverController {
-    /// `replica_capacity`: parts per second that operators say a replica answers once warm; 0 where they do not say.
+    /// `replica_capacity` is the configured capacity of a warm replica in parts per second, 0 if none is
+    /// configured.
     pub fn new(
         timing: FailoverTiming,
         proximity: Proximity,
@@ -63,33 +66,33 @@
         FailoverController {
             timing,
             proximity,
-            watch: EvidenceWatch::new(zone_count, replica_capacity),
+            tracker: EvidenceTracker::new(zone_count, replica_capacity),
             last_proposal: DISTANT_PAST,
         }
     }
 
-    /// This voter leads from now on: evidence begins to count anew.
+    /// Resets the observation times: only evidence from the new leadership counts.
     pub fn leadership_gained(&mut self, now: Timestamp) {
-        self.watch.restart(now);
+        self.tracker.restart(now);
     }
 
-    /// The next decision, if there is a cause for one.
+    /// Returns the next decision, or none if nothing is to change.
     pub fn next_decision(
         &mut self,
         now: Timestamp,
         matrix: &EvidenceMatrix,
         current: &Decision,
     ) -> Option<Decision> {
-        self.watch.update(now, matrix, current);
+        self.tracker.update(now, matrix, current);
         if current.frozen {
             return None;
         }
         let mut next = current.clone();
-        update_load(&self.watch, matrix, &mut next);
+        update_load(&self.tracker, matrix, &mut next);
         if let Some((zone, cause)) = self.next_step(now, matrix, current, &mut next) {
-            self.watch.record_step(now, zone, next.zones[zone].state == ZoneState::Serving);
+            self.tracker.record_step(now, zone, next.zones[zone].state == ZoneState::Serving);
             (next.cause, next.zone) = (cause, zone as u16);
-        } else if let Some(change) = self.watch.path_change(now, &self.timing, matrix, current) {
+        } else if let Some(change) = self.tracker.path_change(now, &self.timing, matrix, current) {
             next.zones[change.from].cut_paths = change.cut_paths;
             (next.cause, next.zone) = (DecisionCause::PathChanged, change.from as u16);
         } else if now - self.last_proposal >= LOAD_UPDATE_INTERVAL
@@ -103,7 +106,7 @@
         Some(next)
     }
 
-    /// The first zone with a step that is due; `next` is changed by it.
+    /// Applies the first step that is due to `next`; returns its zone and cause.
     fn next_step(
         &self,
         now: Timestamp,
@@ -111,15 +114,15 @@
         current: &Decision,
         next: &mut Decision,
     ) -> Option<(usize, DecisionCause)> {
-        let (timing, proximity, watch) = (&self.timing, &self.proximity, &self.watch);
-        let steps = ZoneSteps { now, timing, proximity, watch, matrix, current };
+        let (timing, proximity, tracker) = (&self.timing, &self.proximity, &self.tracker);
+        let steps = ZoneSteps { now, timing, proximity, tracker, matrix, current };
         (0..current.zones.len()).find_map(|zone| Some((zone, steps.next_step(next, zone)?)))
     }
 
-    /// An operator's order as a decision.
+    /// Returns the decision that carries out an operator's order.
     ///
     /// # Errors
-    /// Why the order is rejected.
+    /// Returns the rule that forbids the order.
     pub fn apply_order(
         &self,
         matrix: &EvidenceMatrix,
@@ -127,7 +130,7 @@
         order: OperatorOrder,
     ) -> Result<Decision, OrderError> {
         let mut next = current.clone();
-        update_load(&self.watch, matrix, &mut next);
+        update_load(&self.tracker, matrix, &mut next);
         orders::apply(order, matrix, current, &mut next)?;
         Ok(next)
     }
--- a/crates/pipitcrank-failover/src/controller/capacity.rs
+++ b/crates/pipitcrank-failover/src/controller/capacity.rs
@@ -2,29 +2,29 @@
 
 use pipitcrank_membership::evidence::EvidenceMatrix;
 
+use super::evidence_tracker::EvidenceTracker;
 use super::timing::{DRAIN_STEP, RETURN_STEP};
-use super::watch::EvidenceWatch;
 use crate::decision::{Decision, FULL_PERMILLE, UNKNOWN_CAPACITY};
 use crate::routing_table::{Proximity, RoutingTable, TARGET_UTILIZATION_PERMILLE};
 
-/// Fraction of a warm replica's capacity that one that is warming up has, at least.
+/// Lower bound of a warming replica's capacity, as a fraction of a warm one's.
 const WARMING_UP_CAPACITY: f64 = 0.3;
-/// Thousandths by which a routed fraction must change for a decision of its own.
+/// Change of a routed or shed fraction, in thousandths, that justifies a decision.
 const SIGNIFICANT_FRACTION: u16 = 50;
-/// A zone's capacity must change by more than itself divided by this for a decision of its own.
+/// A capacity change of more than the old capacity divided by this justifies a decision.
 const SIGNIFICANT_CAPACITY_DIVISOR: u32 = 4;
-/// Highest capacity or demand that is decided: the next value means unknown.
+/// Highest capacity or demand in a decision; the next value stands for unknown.
 const MAX_PARTS_PER_SECOND: f64 = (UNKNOWN_CAPACITY - 1) as f64;
 
-/// Sets capacity and demand of each zone as evidence shows them.
-pub(super) fn update_load(watch: &EvidenceWatch, matrix: &EvidenceMatrix, next: &mut Decision) {
+/// Sets the capacity and demand of each zone from the evidence.
+pub(super) fn update_load(tracker: &EvidenceTracker, matrix: &EvidenceMatrix, next: &mut Decision) {
     for (zone, decided) in next.zones.iter_mut().enumerate() {
         if matrix.reporters(zone) > 0 {
             decided.demand = whole_parts(matrix.demand[zone]);
         }
-        // A zone that is not usable at all is drained in steps, whatever its capacity.
-        if watch.configured_replica_capacity > 0.0 && matrix.zone_health(zone).is_usable() {
-            decided.capacity = whole_parts(capacity(watch, matrix, zone, decided.capacity));
+        // An unusable zone is drained in steps whatever its capacity, so its capacity stays unchanged here.
+        if tracker.configured_replica_capacity > 0.0 && matrix.zone_health(zone).is_usable() {
+            decided.capacity = whole_parts(capacity(tracker, matrix, zone, decided.capacity));
         }
     }
 }
@@ -33,19 +33,19 @@
     parts_per_second.round().clamp(0.0, MAX_PARTS_PER_SECOND) as u32
 }
 
-/// The capacity that evidence shows, within one step of the capacity decided before.
-fn capacity(watch: &EvidenceWatch, matrix: &EvidenceMatrix, zone: usize, decided: u32) -> f64 {
+/// Capacity according to the evidence, limited to one step away from the capacity in the current decision.
+fn capacity(tracker: &EvidenceTracker, matrix: &EvidenceMatrix, zone: usize, decided: u32) -> f64 {
     let warm_fraction = 1.0 - matrix.warming_up_fraction(zone) * (1.0 - WARMING_UP_CAPACITY);
-    let observed = matrix.healthy_replicas(zone) * warm_fraction * watch.zones[zone].replica_capacity;
+    let observed = matrix.healthy_replicas(zone) * warm_fraction * tracker.zones[zone].replica_capacity;
     if decided == UNKNOWN_CAPACITY {
         return observed;
     }
-    let configured = matrix.listed_replicas(zone) * watch.configured_replica_capacity;
+    let configured = matrix.listed_replicas(zone) * tracker.configured_replica_capacity;
     let step = |permille: u16| configured * f64::from(permille) / f64::from(FULL_PERMILLE);
     observed.clamp(f64::from(decided) - step(DRAIN_STEP), f64::from(decided) + step(RETURN_STEP))
 }
 
-/// Whether capacity or routing differ by enough for a decision.
+/// Whether capacity or routing changed enough to justify a decision.
 pub(super) fn load_changed(current: &Decision, next: &Decision, proximity: &Proximity) -> bool {
     let mut zones = current.zones.iter().zip(&next.zones);
     if zones.any(|(current, next)| is_significant_capacity_change(current.capacity, next.capacity)) {
@@ -64,7 +64,8 @@
     known_differs || old.abs_diff(new) > old / SIGNIFICANT_CAPACITY_DIVISOR
 }
 
-/// Parts per second that all zones but one can take, of those that serve; none where that is unknown.
+/// Planned capacity, in parts per second, of all serving zones except `without`; none if any of them is
+/// unknown.
 pub(super) fn capacity_without(decision: &Decision, without: usize) -> Option<u64> {
     let others =
         decision.zones.iter().enumerate().filter(|(zone, decided)| {
@@ -78,13 +79,13 @@
         .sum()
 }
 
-/// Parts per second that the clients of all zones request.
+/// Demand of the clients of all zones, in parts per second.
 pub(super) fn total_demand(decision: &Decision) -> u64 {
     decision.zones.iter().map(|zone| u64::from(zone.demand)).sum()
 }
 
-/// Whether some other zone is known to be healthy and serves. Where the observer itself is cut off none is, and load must not
-/// be moved to nowhere.
+/// Whether a zone other than `without` is known to be healthy and serves. If the observer itself is cut off,
+/// no zone qualifies, so load is never moved to a zone that may be unreachable.
 pub(super) fn another_zone_serves(matrix: &EvidenceMatrix, current: &Decision, without: usize) -> bool {
     (0..current.zones.len()).filter(|&zone| zone != without).any(|zone| {
         let decided = &current.zones[zone];
--- a/crates/pipitcrank-failover/src/controller/watch.rs
+++ b/crates/pipitcrank-failover/src/controller/evidence_tracker.rs
@@ -1,67 +1,67 @@
-//! Since when the evidence on zones and on the paths between them has been as it is.
+//! Tracks how long the evidence on zones and on the paths between them has been unchanged.
 
 use pipitcrank_core::time::Timestamp;
 use pipitcrank_membership::evidence::{EvidenceMatrix, ZoneHealth};
 
-use super::timing::{FailoverTiming, OBSERVED_FOR};
+use super::timing::{FailoverTiming, OBSERVATION_TIME};
 use crate::constants::DISTANT_PAST;
 use crate::decision::{Decision, ZoneState};
 
-/// Fraction of saturated replicas from which a zone is at its capacity, whatever operators say of it.
+/// Fraction of saturated replicas at which a zone is at its capacity, whatever capacity is configured.
 const AT_CAPACITY_FRACTION: f64 = 0.3;
-/// The learned capacity of a replica is never below this fraction of the configured one.
+/// Lower bound of a replica's learned capacity, as a fraction of the configured one.
 const MIN_CAPACITY_FRACTION: f64 = 0.2;
-/// By this fraction of the configured capacity the learned one recovers each second.
+/// Fraction of the configured capacity by which the learned capacity recovers per second.
 const CAPACITY_RECOVERY_PER_SECOND: f64 = 0.02;
-/// Longest time, in seconds, for which the learned capacity recovers at once.
+/// Longest interval, in seconds, that one update of the learned capacity covers.
 const MAX_RECOVERY_SECONDS: f64 = 1.0;
 
-/// What is known of a zone while this voter leads.
+/// Observations of one zone since this voter became leader.
 #[derive(Clone, Copy)]
-pub(super) struct ZoneWatch {
+pub(super) struct ZoneTracker {
     pub(super) unhealthy_since: Option<Timestamp>,
     pub(super) healthy_since: Option<Timestamp>,
     pub(super) last_step: Timestamp,
-    /// Since when it has been serving without evidence against it.
+    /// Start of the current period in which the zone serves and is not unhealthy.
     pub(super) serving_since: Timestamp,
-    /// Parts per second that one of its replicas answers, as evidence shows.
+    /// Learned capacity of one replica, in parts per second.
     pub(super) replica_capacity: f64,
 }
 
 #[derive(Clone, Copy)]
-struct PathWatch {
+struct PathTracker {
     is_cut: bool,
     since: Timestamp,
 }
 
-/// The paths from one zone as they should be decided.
+/// A change to the cut paths of one zone.
 pub(super) struct PathChange {
     pub(super) from: usize,
-    /// Bit `n`: the path to zone `n` is cut.
+    /// Bit mask: bit `n` is set if the path to zone `n` is cut.
     pub(super) cut_paths: u16,
 }
 
-/// What is known of all zones and paths while this voter leads.
-pub(super) struct EvidenceWatch {
-    pub(super) zones: Vec<ZoneWatch>,
+/// Observations of all zones and paths since this voter became leader.
+pub(super) struct EvidenceTracker {
+    pub(super) zones: Vec<ZoneTracker>,
     /// `[from][to]`.
-    paths: Vec<Vec<PathWatch>>,
+    paths: Vec<Vec<PathTracker>>,
     updated_at: Timestamp,
-    /// Parts per second that operators say a replica answers once warm; 0 where they do not say.
+    /// Configured capacity of a warm replica in parts per second; 0 if none is configured.
     pub(super) configured_replica_capacity: f64,
 }
 
-impl EvidenceWatch {
-    pub(super) fn new(zone_count: usize, configured_replica_capacity: f64) -> EvidenceWatch {
-        let zone = ZoneWatch {
+impl EvidenceTracker {
+    pub(super) fn new(zone_count: usize, configured_replica_capacity: f64) -> EvidenceTracker {
+        let zone = ZoneTracker {
             unhealthy_since: None,
             healthy_since: None,
             last_step: DISTANT_PAST,
             serving_since: DISTANT_PAST,
             replica_capacity: configured_replica_capacity,
         };
-        let path = PathWatch { is_cut: false, since: DISTANT_PAST };
-        EvidenceWatch {
+        let path = PathTracker { is_cut: false, since: DISTANT_PAST };
+        EvidenceTracker {
             zones: vec![zone; zone_count],
             paths: vec![vec![path; zone_count]; zone_count],
             updated_at: DISTANT_PAST,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Forgets how long the evidence has been as it is.
+    /// Resets all observation times to `now`.
     pub(super) fn restart(&mut self, now: Timestamp) {
         self.updated_at = now;
         for zone in &mut self.zones {
@@ -87,19 +87,20 @@
     }
 
     pub(super) fn update(&mut self, now: Timestamp, matrix: &EvidenceMatrix, current: &Decision) {
-        let passed = (now - self.updated_at).as_secs_f64().clamp(0.0, MAX_RECOVERY_SECONDS);
+        let elapsed_seconds = (now - self.updated_at).as_secs_f64().clamp(0.0, MAX_RECOVERY_SECONDS);
         self.updated_at = now;
         for zone in 0..self.zones.len() {
             self.zones[zone].update(now, matrix.zone_health(zone), current.zones[zone].state);
-            self.update_capacity(passed, matrix, zone);
+            self.update_capacity(elapsed_seconds, matrix, zone);
             for to in 0..self.zones.len() {
                 self.paths[zone][to].update(now, matrix, zone, to);
             }
         }
     }
 
-    /// Replicas may not reach the capacity that operators state: what they answered when saturated counts.
-    fn update_capacity(&mut self, passed_seconds: f64, matrix: &EvidenceMatrix, zone: usize) {
+    /// Updates the learned capacity. Replicas may not reach the configured capacity: a lower throughput of
+    /// saturated replicas reduces the learned one, which otherwise recovers.
+    fn update_capacity(&mut self, elapsed_seconds: f64, matrix: &EvidenceMatrix, zone: usize) {
         let configured = self.configured_replica_capacity;
         let (replicas, answered) = (matrix.healthy_replicas(zone), matrix.answered_parts(zone));
         if configured <= 0.0 || replicas <= 0.0 {
@@ -111,11 +112,12 @@
         *learned = if saturated >= AT_CAPACITY_FRACTION && answered_by_each < *learned {
             answered_by_each.max(configured * MIN_CAPACITY_FRACTION)
         } else {
-            (*learned + configured * CAPACITY_RECOVERY_PER_SECOND * passed_seconds).min(configured)
+            (*learned + configured * CAPACITY_RECOVERY_PER_SECOND * elapsed_seconds).min(configured)
         };
     }
 
-    /// The first zone of which a path has been cut, or whole, for long enough to be decided.
+    /// Returns the first zone whose cut paths have to change because a path has been cut, or intact, for long
+    /// enough.
     pub(super) fn path_change(
         &self,
         now: Timestamp,
@@ -126,12 +128,12 @@
         (0..self.paths.len()).find_map(|from| {
             let mut cut_paths = current.zones[from].cut_paths;
             for (to, path) in self.paths[from].iter().enumerate() {
-                // Where a zone is unreachable for all, none of the paths is at fault.
+                // A zone that is unreachable from everywhere is at fault itself, not the paths to it.
                 let unreachable = matches!(matrix.zone_health(to), ZoneHealth::Dead | ZoneHealth::CutOff);
                 if from == to || unreachable {
                     continue;
                 }
-                if path.is_cut && now - path.since >= OBSERVED_FOR + timing.suspect_after {
+                if path.is_cut && now - path.since >= OBSERVATION_TIME + timing.suspect_after {
                     cut_paths |= 1 << to;
                 } else if !path.is_cut && now - path.since >= timing.hold_down {
                     cut_paths &= !(1 << to);
@@ -142,7 +144,7 @@
     }
 }
 
-impl ZoneWatch {
+impl ZoneTracker {
     fn update(&mut self, now: Timestamp, health: ZoneHealth, state: ZoneState) {
         let unhealthy = matches!(health, ZoneHealth::Dead | ZoneHealth::CutOff | ZoneHealth::Slow);
         self.unhealthy_since = unhealthy.then(|| self.unhealthy_since.unwrap_or(now));
@@ -153,7 +155,7 @@
     }
 }
 
-impl PathWatch {
+impl PathTracker {
     fn update(&mut self, now: Timestamp, matrix: &EvidenceMatrix, from: usize, to: usize) {
         if matrix.cells[from][to].unhealthy_fraction.is_none() {
             self.since = self.since.max(now);
@@ -161,7 +163,7 @@
         }
         let is_cut = matrix.is_path_cut(from, to);
         if is_cut != self.is_cut {
-            *self = PathWatch { is_cut, since: now };
+            *self = PathTracker { is_cut, since: now };
         }
     }
 }
--- a/crates/pipitcrank-failover/src/controller/orders.rs
+++ b/crates/pipitcrank-failover/src/controller/orders.rs
@@ -1,4 +1,4 @@
-//! Operators' orders.
+//! Carries out operators' orders.
 
 use pipitcrank_membership::evidence::{EvidenceMatrix, ZoneHealth};
 
@@ -6,41 +6,41 @@
 use super::timing::{DRAIN_STEP, RETURN_STEP};
 use crate::decision::{Decision, DecisionCause, FULL_PERMILLE, OperatorOrder, ZoneState};
 
-/// Why an operator's order is rejected; shown to the operator.
+/// Reason for rejecting an operator's order, shown to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum OrderError {
-    /// There is no zone at that place of the operators' list.
+    /// No zone has this index in the operators' list.
     #[error("there is no zone {0}")]
     UnknownZone(u16),
-    /// The zone was drained before.
+    /// The zone is already drained.
     #[error("it is drained already")]
     AlreadyDrained,
-    /// No other zone could take its load.
+    /// No other zone is healthy and serving.
     #[error("no other zone is known to be well and serving")]
     NoOtherZoneServes,
-    /// The other zones cannot answer the demand.
+    /// The other zones have less capacity than the total demand.
     #[error("the zones left carry {capacity} parts a second of the {demand} that are asked")]
     InsufficientCapacity {
-        /// Parts per second that the other zones can answer.
+        /// Planned capacity of the other zones, in parts per second.
         capacity: u64,
-        /// Parts per second that all clients request.
+        /// Total demand of all clients, in parts per second.
         demand: u64,
     },
-    /// Only a zone that is draining or out of service can be returned.
+    /// The zone is neither draining nor out of service, so it cannot be returned.
     #[error("it is {}", .0.name())]
     NotOutOfService(ZoneState),
-    /// Only a zone that is known to be usable can be returned.
+    /// The zone is not known to be usable, so it cannot be returned.
     #[error("evidence on it is {}, not that it is well", .0.name())]
     NotUsable(ZoneHealth),
-    /// All zones were frozen before.
+    /// The zones are already frozen.
     #[error("it is frozen already")]
     AlreadyFrozen,
-    /// There is no freeze to end.
+    /// The zones are not frozen.
     #[error("it is not frozen")]
     NotFrozen,
 }
 
-/// Changes `next`, the current decision with its load updated, as ordered.
+/// Applies an order to `next`, which is the current decision with updated load.
 pub(super) fn apply(
     order: OperatorOrder,
     matrix: &EvidenceMatrix,
--- a/crates/pipitcrank-failover/src/controller/tests.rs
+++ b/crates/pipitcrank-failover/src/controller/tests.rs
@@ -13,27 +13,29 @@
     hold_down_reset_after: TimeSpan::from_millis(30_000),
 };
 
-/// Three zones of ten replicas that answer 100 parts per second each, with a demand of 300 in each.
-struct Scene {
+/// Three zones of ten replicas each. A replica answers 100 parts per second; each zone has a demand of 300.
+struct Setup {
     controller: FailoverController,
     decision: Decision,
     now: Timestamp,
-    /// `[from][to]`: replicas silent, full.
+    /// `[from][to]`: replicas of zone `to` that are silent as observed from zone `from`.
     silent: [[u16; 3]; 3],
+    /// Saturated replicas of each zone.
     saturated: [u16; 3],
     demand: u32,
     answered_parts: u32,
+    /// Zone whose nodes send no reports.
     unreported: Option<usize>,
     history: Vec<(Timestamp, Decision)>,
 }
 
-fn scene() -> Scene {
+fn setup() -> Setup {
     let proximity = Proximity::new(&["r", "r", "r"].map(str::to_string));
     let mut controller = FailoverController::new(TIMING, proximity, 3, 100.0);
     controller.leadership_gained(Timestamp::default());
     let (silent, saturated) = ([[0; 3]; 3], [0; 3]);
     let decision = Decision::initial(3, 1 << 32);
-    Scene {
+    Setup {
         controller,
         decision,
         now: Timestamp::default(),
@@ -46,7 +48,7 @@
     }
 }
 
-impl Scene {
+impl Setup {
     fn matrix(&self) -> EvidenceMatrix {
         let mut table = EvidenceTable::new(3);
         for zone in (0..3usize).filter(|z| self.unreported != Some(*z)) {
@@ -75,7 +77,7 @@
         table.matrix(self.now)
     }
 
-    fn pass(&mut self, ms: i64) {
+    fn advance(&mut self, ms: i64) {
         for _ in 0..ms / 50 {
             self.now = self.now + TimeSpan::from_millis(50);
             let matrix = self.matrix();
@@ -101,226 +103,231 @@
 }
 
 #[test]
-fn a_dead_zone_is_drained_in_steps_within_the_objective_and_returns_in_steps() {
-    let mut scene = scene();
-    scene.pass(2000);
-    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
-    scene.kill(1);
-    scene.pass(2000);
-    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "within two seconds of the evidence");
-    let retained: Vec<u16> = scene.history.iter().map(|(_, d)| d.zones[1].retained).collect();
+fn a_dead_zone_is_drained_and_returned_in_steps() {
+    let mut setup = setup();
+    setup.advance(2000);
+    assert_eq!(setup.state(1), (ZoneState::Serving, 1000));
+    setup.kill(1);
+    setup.advance(2000);
+    assert_eq!(setup.state(1), (ZoneState::OutOfService, 0), "within two seconds of the evidence");
+    let retained: Vec<u16> = setup.history.iter().map(|(_, d)| d.zones[1].retained).collect();
     assert!(retained.windows(2).all(|w| w[0].abs_diff(w[1]) <= DRAIN_STEP), "{retained:?}");
-    scene.pass(5000);
-    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "not by time alone");
-    scene.heal();
-    let healed = scene.now;
-    scene.pass(12_000);
-    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
-    let first = scene.history.iter().find(|(at, d)| *at > healed && d.zones[1].retained > 0).unwrap();
+    setup.advance(5000);
+    assert_eq!(setup.state(1), (ZoneState::OutOfService, 0), "a dead zone does not return");
+    setup.heal();
+    let healed = setup.now;
+    setup.advance(12_000);
+    assert_eq!(setup.state(1), (ZoneState::Serving, 1000));
+    let first = setup.history.iter().find(|(at, d)| *at > healed && d.zones[1].retained > 0).unwrap();
     assert!(first.0 - healed >= TIMING.hold_down);
 }
 
 #[test]
 fn half_a_zone_is_not_drained_and_a_short_fault_moves_nothing() {
-    let mut scene = scene();
-    (0..3).for_each(|from| scene.silent[from][1] = 5);
-    scene.pass(5000);
-    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
-    assert_eq!(scene.decision.zones[1].capacity, 500);
-    scene.heal();
-    scene.pass(2000);
-    scene.kill(1);
-    scene.pass(300);
-    scene.heal();
-    scene.pass(1000);
-    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
-    assert!(scene.history.iter().all(|(_, d)| d.zones[1].retained == 1000));
+    let mut setup = setup();
+    (0..3).for_each(|from| setup.silent[from][1] = 5);
+    setup.advance(5000);
+    assert_eq!(setup.state(1), (ZoneState::Serving, 1000));
+    assert_eq!(setup.decision.zones[1].capacity, 500);
+    setup.heal();
+    setup.advance(2000);
+    setup.kill(1);
+    setup.advance(300);
+    setup.heal();
+    setup.advance(1000);
+    assert_eq!(setup.state(1), (ZoneState::Serving, 1000));
+    assert!(setup.history.iter().all(|(_, d)| d.zones[1].retained == 1000));
 }
 
 #[test]
 fn flapping_is_held_down_longer_each_time_until_a_calm_period() {
-    let mut scene = scene();
+    let mut setup = setup();
     let mut last = Timestamp::default();
     let mut waits = Vec::new();
     for _ in 0..4 {
-        scene.kill(1);
-        scene.pass(3000);
-        scene.heal();
-        last = scene.now;
-        while scene.decision.zones[1].retained == 0 {
-            scene.pass(50);
+        setup.kill(1);
+        setup.advance(3000);
+        setup.heal();
+        last = setup.now;
+        while setup.decision.zones[1].retained == 0 {
+            setup.advance(50);
         }
-        waits.push((scene.now - last).as_secs_f64());
-        // It relapses before it is home.
-        scene.pass(300);
+        waits.push((setup.now - last).as_secs_f64());
+        // The fault returns before the zone serves again.
+        setup.advance(300);
     }
-    assert!(waits.windows(2).all(|w| w[1] >= w[0] * 1.7), "{waits:?}, last at {last:?}");
-    scene.pass(60_000);
-    assert_eq!((scene.state(1).0, scene.decision.zones[1].hold_down_level), (ZoneState::Serving, 0));
+    assert!(waits.windows(2).all(|w| w[1] >= w[0] * 1.7), "waits {waits:?}, last heal at {last:?}");
+    setup.advance(60_000);
+    assert_eq!((setup.state(1).0, setup.decision.zones[1].hold_down_level), (ZoneState::Serving, 0));
 }
 
 #[test]
 fn a_zone_that_flaps_every_three_seconds_stays_out_of_service() {
-    let mut scene = scene();
+    let mut setup = setup();
     for _ in 0..20 {
-        scene.kill(1);
-        scene.pass(3000);
-        scene.heal();
-        scene.pass(3000);
+        setup.kill(1);
+        setup.advance(3000);
+        setup.heal();
+        setup.advance(3000);
     }
-    let moves =
-        scene.history.iter().filter(|(_, d)| d.zone == 1 && d.cause == DecisionCause::Healthy).count();
-    assert!(moves <= 6, "{moves} returns in two minutes");
-    assert_eq!(scene.state(1).0, ZoneState::OutOfService);
+    let returns =
+        setup.history.iter().filter(|(_, d)| d.zone == 1 && d.cause == DecisionCause::Healthy).count();
+    assert!(returns <= 6, "{returns} returns within two minutes");
+    assert_eq!(setup.state(1).0, ZoneState::OutOfService);
 }
 
 #[test]
 fn a_cut_between_two_zones_closes_that_path_alone() {
-    let mut scene = scene();
-    (scene.silent[0][1], scene.silent[1][0]) = (10, 10);
-    scene.pass(3000);
-    assert!((0..3).all(|z| scene.state(z) == (ZoneState::Serving, 1000)));
-    assert_eq!([0, 1, 2].map(|z| scene.decision.zones[z].cut_paths), [0b010, 0b001, 0]);
-    scene.heal();
-    scene.pass(4000);
-    assert_eq!([0, 1, 2].map(|z| scene.decision.zones[z].cut_paths), [0, 0, 0]);
+    let mut setup = setup();
+    (setup.silent[0][1], setup.silent[1][0]) = (10, 10);
+    setup.advance(3000);
+    assert!((0..3).all(|z| setup.state(z) == (ZoneState::Serving, 1000)));
+    assert_eq!([0, 1, 2].map(|z| setup.decision.zones[z].cut_paths), [0b010, 0b001, 0]);
+    setup.heal();
+    setup.advance(4000);
+    assert_eq!([0, 1, 2].map(|z| setup.decision.zones[z].cut_paths), [0, 0, 0]);
 }
 
 #[test]
 fn a_zone_that_nobody_else_reaches_still_serves_its_own_clients() {
-    let mut scene = scene();
-    scene.silent = [[0, 10, 0], [10, 0, 10], [0, 10, 0]];
-    scene.pass(4000);
-    assert!((0..3).all(|z| scene.state(z) == (ZoneState::Serving, 1000)));
-    assert_eq!([0, 1, 2].map(|z| scene.decision.zones[z].cut_paths), [0b010, 0b101, 0b010]);
-    let table = RoutingTable::new(&scene.decision, &scene.controller.proximity);
+    let mut setup = setup();
+    setup.silent = [[0, 10, 0], [10, 0, 10], [0, 10, 0]];
+    setup.advance(4000);
+    assert!((0..3).all(|z| setup.state(z) == (ZoneState::Serving, 1000)));
+    assert_eq!([0, 1, 2].map(|z| setup.decision.zones[z].cut_paths), [0b010, 0b101, 0b010]);
+    let table = RoutingTable::new(&setup.decision, &setup.controller.proximity);
     assert_eq!((table.fractions[1].clone(), table.shed[1]), (vec![0, 1000, 0], 0));
 }
 
 #[test]
 fn two_zones_are_drained_a_second_apart_and_never_all() {
-    let mut scene = scene();
-    scene.kill(1);
-    scene.pass(1000);
-    scene.kill(2);
-    scene.pass(3000);
-    assert_eq!([1, 2].map(|z| scene.state(z).0), [ZoneState::OutOfService, ZoneState::OutOfService]);
-    scene.kill(0);
-    scene.pass(5000);
-    assert_eq!(scene.state(0), (ZoneState::Serving, 1000), "no other zone could take its load");
+    let mut setup = setup();
+    setup.kill(1);
+    setup.advance(1000);
+    setup.kill(2);
+    setup.advance(3000);
+    assert_eq!([1, 2].map(|z| setup.state(z).0), [ZoneState::OutOfService, ZoneState::OutOfService]);
+    setup.kill(0);
+    setup.advance(5000);
+    assert_eq!(setup.state(0), (ZoneState::Serving, 1000), "no other zone is left to take the load");
 }
 
 #[test]
-fn a_slow_zone_is_drained_only_as_far_as_the_others_have_capacity() {
-    let mut scene = scene();
-    // A demand of 700 in all three: the others have 200 free each, and the zone's 700 do not fit.
-    (scene.demand, scene.answered_parts) = (700, 234);
-    scene.saturated[1] = 10;
-    scene.pass(6000);
-    let retained = scene.state(1).1;
+fn a_slow_zone_is_drained_only_within_spare_capacity() {
+    let mut setup = setup();
+    // Each of the three zones has a demand of 700: the others have 200 free each, so the slow zone's 700 do
+    // not fit.
+    (setup.demand, setup.answered_parts) = (700, 234);
+    setup.saturated[1] = 10;
+    setup.advance(6000);
+    let retained = setup.state(1).1;
     assert!(
-        scene.state(1).0 == ZoneState::Draining && retained > 0 && retained < 1000,
+        setup.state(1).0 == ZoneState::Draining && retained > 0 && retained < 1000,
         "{:?}",
-        scene.state(1)
+        setup.state(1)
     );
-    let table = RoutingTable::new(&scene.decision, &scene.controller.proximity);
+    let table = RoutingTable::new(&setup.decision, &setup.controller.proximity);
     assert_eq!(table.shed, [0, 0, 0]);
 }
 
 #[test]
 fn operators_orders_are_rejected_with_a_reason_where_a_rule_forbids() {
-    let mut scene = scene();
-    scene.pass(2000);
-    let matrix = scene.matrix();
-    let ask = |d: &Decision, order| scene.controller.apply_order(&matrix, d, order);
-    assert!(ask(&scene.decision, OperatorOrder::Drain(7)).unwrap_err().to_string().contains("no zone"));
-    assert!(ask(&scene.decision, OperatorOrder::Return(1)).unwrap_err().to_string().contains("serving"));
-    assert!(ask(&scene.decision, OperatorOrder::Thaw).unwrap_err().to_string().contains("not frozen"));
-    let drained = ask(&scene.decision, OperatorOrder::Drain(1)).unwrap();
+    let mut setup = setup();
+    setup.advance(2000);
+    let matrix = setup.matrix();
+    let apply = |d: &Decision, order| setup.controller.apply_order(&matrix, d, order);
+    assert!(apply(&setup.decision, OperatorOrder::Drain(7)).unwrap_err().to_string().contains("no zone"));
+    assert!(apply(&setup.decision, OperatorOrder::Return(1)).unwrap_err().to_string().contains("serving"));
+    assert!(apply(&setup.decision, OperatorOrder::Thaw).unwrap_err().to_string().contains("not frozen"));
+    let drained = apply(&setup.decision, OperatorOrder::Drain(1)).unwrap();
     assert_eq!((drained.zones[1].state, drained.zones[1].drained), (ZoneState::Draining, true));
-    assert!(ask(&drained, OperatorOrder::Drain(1)).unwrap_err().to_string().contains("already"));
-    scene.decision = drained;
-    scene.pass(3000);
-    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0));
-    scene.pass(60_000);
-    assert_eq!(scene.state(1), (ZoneState::OutOfService, 0), "until an operator returns it");
-    let (matrix, current) = (scene.matrix(), scene.decision.clone());
-    let one_more = scene.controller.apply_order(&matrix, &current, OperatorOrder::Drain(2));
-    assert!(one_more.is_err() || scene.decision.zones[2].capacity >= 1000, "{one_more:?}");
-    scene.decision = scene.controller.apply_order(&matrix, &current, OperatorOrder::Return(1)).unwrap();
-    scene.pass(10_000);
-    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
-    // The demand is too much for two zones.
-    scene.demand = 700;
-    scene.pass(2000);
-    let refused = scene
+    assert!(apply(&drained, OperatorOrder::Drain(1)).unwrap_err().to_string().contains("already"));
+    setup.decision = drained;
+    setup.advance(3000);
+    assert_eq!(setup.state(1), (ZoneState::OutOfService, 0));
+    setup.advance(60_000);
+    assert_eq!(
+        setup.state(1),
+        (ZoneState::OutOfService, 0),
+        "a drained zone stays out of service until it is returned"
+    );
+    let (matrix, current) = (setup.matrix(), setup.decision.clone());
+    let one_more = setup.controller.apply_order(&matrix, &current, OperatorOrder::Drain(2));
+    assert!(one_more.is_err() || setup.decision.zones[2].capacity >= 1000, "{one_more:?}");
+    setup.decision = setup.controller.apply_order(&matrix, &current, OperatorOrder::Return(1)).unwrap();
+    setup.advance(10_000);
+    assert_eq!(setup.state(1), (ZoneState::Serving, 1000));
+    // The total demand exceeds the capacity of two zones.
+    setup.demand = 700;
+    setup.advance(2000);
+    let rejection = setup
         .controller
-        .apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Drain(1))
+        .apply_order(&setup.matrix(), &setup.decision, OperatorOrder::Drain(1))
         .unwrap_err()
         .to_string();
-    assert!(refused.contains("1800 parts a second of the 2100"), "{refused}");
+    assert!(rejection.contains("1800 parts a second of the 2100"), "{rejection}");
 }
 
 #[test]
 fn while_frozen_nothing_moves_by_itself() {
-    let mut scene = scene();
-    scene.decision =
-        scene.controller.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Freeze).unwrap();
-    scene.kill(1);
-    scene.pass(5000);
-    assert_eq!(scene.state(1), (ZoneState::Serving, 1000));
-    scene.decision =
-        scene.controller.apply_order(&scene.matrix(), &scene.decision, OperatorOrder::Thaw).unwrap();
-    scene.pass(3000);
-    assert_eq!(scene.state(1).0, ZoneState::OutOfService);
+    let mut setup = setup();
+    setup.decision =
+        setup.controller.apply_order(&setup.matrix(), &setup.decision, OperatorOrder::Freeze).unwrap();
+    setup.kill(1);
+    setup.advance(5000);
+    assert_eq!(setup.state(1), (ZoneState::Serving, 1000));
+    setup.decision =
+        setup.controller.apply_order(&setup.matrix(), &setup.decision, OperatorOrder::Thaw).unwrap();
+    setup.advance(3000);
+    assert_eq!(setup.state(1).0, ZoneState::OutOfService);
 }
 
 #[test]
 fn a_zone_cut_off_whose_nodes_do_not_report_is_drained() {
-    let mut scene = scene();
-    scene.kill(1);
-    scene.silent[1] = [0; 3];
-    scene.unreported = Some(1);
-    scene.pass(2500);
-    assert_eq!(scene.state(1).0, ZoneState::OutOfService);
-    let first = scene.history.iter().find(|(_, d)| d.zone == 1 && d.cause != DecisionCause::LoadChanged);
+    let mut setup = setup();
+    setup.kill(1);
+    setup.silent[1] = [0; 3];
+    setup.unreported = Some(1);
+    setup.advance(2500);
+    assert_eq!(setup.state(1).0, ZoneState::OutOfService);
+    let first = setup.history.iter().find(|(_, d)| d.zone == 1 && d.cause != DecisionCause::LoadChanged);
     assert_eq!(first.unwrap().1.cause, DecisionCause::CutOff);
 }
 
 #[test]
 fn what_saturated_replicas_answered_counts_against_the_configured_capacity() {
-    let mut scene = scene();
-    scene.saturated[1] = 4;
-    scene.pass(500);
-    // 300 answered by ten saturated replicas: 30 each, not the 100 configured.
+    let mut setup = setup();
+    setup.saturated[1] = 4;
+    setup.advance(500);
+    // Ten saturated replicas answer 300 parts per second: 30 each instead of the configured 100.
     assert!(
-        scene.controller.watch.zones[1].replica_capacity < 31.0,
+        setup.controller.tracker.zones[1].replica_capacity < 31.0,
         "{}",
-        scene.controller.watch.zones[1].replica_capacity
+        setup.controller.tracker.zones[1].replica_capacity
     );
-    scene.saturated[1] = 0;
-    scene.pass(60_000);
-    assert_eq!(scene.controller.watch.zones[1].replica_capacity, 100.0);
+    setup.saturated[1] = 0;
+    setup.advance(60_000);
+    assert_eq!(setup.controller.tracker.zones[1].replica_capacity, 100.0);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 64, ..ProptestConfig::default() })]
 
-    /// Whatever the evidence does, against the rules as a plain model states them: steps no larger or quicker than
-    /// specified, never the last zone, nothing for a zone out of service or drained, and a healthy one returns.
+    /// Checks random evidence sequences against a plain model of the rules: steps are neither larger nor
+    /// faster than specified, some zone always keeps load, and after the faults end every zone serves again.
     #[test]
     fn moves_keep_the_rules(script in proptest::collection::vec((0usize..3, 0u16..=10, 0u16..=10, 50i64..1500), 1..40)) {
-        let mut scene = scene();
+        let mut setup = setup();
         for (zone, silent, saturated, ms) in script {
-            (0..3).for_each(|from| scene.silent[from][zone] = silent);
-            scene.saturated[zone] = saturated;
-            scene.pass(ms);
+            (0..3).for_each(|from| setup.silent[from][zone] = silent);
+            setup.saturated[zone] = saturated;
+            setup.advance(ms);
         }
         let mut before = (Timestamp::default(), Decision::initial(3, 1 << 32));
         let mut changed = [Timestamp::from_micros(i64::MIN / 4); 3];
-        for (at, decision) in &scene.history {
+        for (at, decision) in &setup.history {
             prop_assert!(decision.is_valid(3));
-            prop_assert!(decision.zones.iter().any(|p| p.retained > 0), "all are out: {:?}", decision);
+            prop_assert!(decision.zones.iter().any(|p| p.retained > 0), "all zones are out of service: {:?}", decision);
             for (zone, last) in changed.iter_mut().enumerate() {
                 let (was, is) = (&before.1.zones[zone], &decision.zones[zone]);
                 prop_assert!(was.retained.saturating_sub(is.retained) <= DRAIN_STEP);
@@ -333,9 +340,9 @@
             }
             before = (*at, decision.clone());
         }
-        scene.heal();
-        scene.saturated = [0; 3];
-        scene.pass(60_000);
-        prop_assert!((0..3).all(|z| scene.state(z) == (ZoneState::Serving, 1000)), "{:?}", scene.decision);
+        setup.heal();
+        setup.saturated = [0; 3];
+        setup.advance(60_000);
+        prop_assert!((0..3).all(|z| setup.state(z) == (ZoneState::Serving, 1000)), "{:?}", setup.decision);
     }
 }
--- a/crates/pipitcrank-failover/src/decision.rs
+++ b/crates/pipitcrank-failover/src/decision.rs
@@ -1,32 +1,32 @@
-//! What the voters agree on: one decision for each number. Numbers only grow; a new group of voters begins above all that
-//! any of them knew of.
+//! The zone decision that the voters agree on. Each number has exactly one decision, and numbers only
+//! increase: a new group of voters starts above every number that its members have recorded.
 
 use serde::{Deserialize, Serialize};
 
-/// The whole of anything that is given in thousandths.
+/// One whole, in thousandths.
 pub const FULL_PERMILLE: u16 = 1000;
-/// Capacity in parts per second where nobody knows it; taken to be enough.
+/// Capacity, in parts per second, of a zone whose capacity is unknown; treated as unlimited.
 pub const UNKNOWN_CAPACITY: u32 = u32::MAX;
-/// Bits of a decision's number that count within a generation of voters.
+/// Width of the lower part of a decision number, which counts the decisions of one generation of voters.
 const COUNT_BITS: u32 = 32;
 
-/// What is done with a zone.
+/// State of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ZoneState {
-    /// It has its usual load.
+    /// The zone serves its normal load.
     Serving,
-    /// Evidence is against it; nothing is moved yet.
+    /// The evidence shows the zone as unhealthy; no load has been moved yet.
     Suspected,
-    /// Its load goes elsewhere, in steps.
+    /// Load is moved to other zones in steps.
     Draining,
-    /// It has no load.
+    /// The zone receives no load.
     OutOfService,
-    /// Its load comes back, in steps.
+    /// Load returns to the zone in steps.
     Returning,
 }
 
 impl ZoneState {
-    /// As it is shown to operators and written to logs.
+    /// Name shown to operators and written to logs.
     pub fn name(self) -> &'static str {
         match self {
             ZoneState::Serving => "serving",
@@ -38,26 +38,26 @@
     }
 }
 
-/// What is decided for one zone.
+/// Decision for one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDecision {
-    /// What is done with it.
+    /// State of the zone.
     pub state: ZoneState,
-    /// Thousandths of its usual load that it retains.
+    /// Fraction of its normal load that the zone keeps, in thousandths.
     pub retained: u16,
-    /// How often its hold-down was doubled.
+    /// Number of times that the hold-down was doubled.
     pub hold_down_level: u8,
-    /// An operator drained it: it stays out of service until an operator returns it.
+    /// Set when an operator drains the zone: it stays out of service until an operator returns it.
     pub drained: bool,
-    /// Parts per second that it can answer; [`UNKNOWN_CAPACITY`] where nobody knows.
+    /// Capacity in parts per second; [`UNKNOWN_CAPACITY`] if it is unknown.
     pub capacity: u32,
-    /// Parts per second that its clients request.
+    /// Demand of the zone's clients, in parts per second.
     pub demand: u32,
-    /// Bit `n`: the path to zone `n` is cut, nothing is routed there.
+    /// Bit mask of cut paths: while bit `n` is set, nothing is routed from this zone to zone `n`.
     pub cut_paths: u16,
 }
 
-/// Why a decision was made.
+/// Reason for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionCause {
     /// A group of voters was founded.
@@ -70,13 +70,13 @@
     Slow,
     /// Evidence that a zone is healthy.
     Healthy,
-    /// The next step of a move.
+    /// The next step of a drain or of a return was due.
     NextStep,
-    /// A path between two zones is cut, or restored.
+    /// A path between two zones was cut or restored.
     PathChanged,
-    /// Demand or capacity changed by enough to matter.
+    /// Demand or capacity changed significantly.
     LoadChanged,
-    /// No fault for long: the hold-down is at its shortest again.
+    /// A zone served long enough without a fault, so its hold-down is reset to the shortest one.
     HoldDownReset,
     /// An operator drained a zone.
     Drained,
@@ -89,7 +89,7 @@
 }
 
 impl DecisionCause {
-    /// As it is shown to operators and written to logs.
+    /// Name shown to operators and written to logs.
     pub fn name(self) -> &'static str {
         match self {
             DecisionCause::GroupFounded => "begun",
@@ -109,23 +109,23 @@
     }
 }
 
-/// One decision on all zones.
+/// Decision on all zones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// The generation of voters in the upper half, the count within it in the lower.
+    /// Generation of voters in the upper 32 bits, count within the generation in the lower 32 bits.
     pub number: u64,
-    /// By zone, in the operators' order.
+    /// One entry per zone, in the order of the operators' list.
     pub zones: Vec<ZoneDecision>,
-    /// Nothing moves except by operators' orders.
+    /// While this is set, load moves only by operators' orders.
     pub frozen: bool,
-    /// Why it was made.
+    /// Reason for the decision.
     pub cause: DecisionCause,
-    /// The zone that it is about, by place in the operators' list.
+    /// Zone that the decision concerns, as an index into the operators' list.
     pub zone: u16,
 }
 
 impl Decision {
-    /// The decision that holds before any is made: all zones serve.
+    /// Decision of a group that starts without any earlier decision: all zones serve.
     pub fn initial(zone_count: usize, number: u64) -> Decision {
         let zone = ZoneDecision {
             state: ZoneState::Serving,
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Whether it can be acted on with that many zones: it may come from nodes with another configuration.
+    /// Whether the decision fits a configuration with `zone_count` zones. A node with another configuration
+    /// may send one that does not fit.
     pub fn is_valid(&self, zone_count: usize) -> bool {
         let consistent = |zone: &ZoneDecision| {
             let out_of_service = zone.state == ZoneState::OutOfService;
@@ -156,35 +157,35 @@
             && self.zones.iter().all(consistent)
     }
 
-    /// The generation of voters that made it.
+    /// Generation of the voters that made the decision.
     pub fn generation(&self) -> u64 {
         self.number >> COUNT_BITS
     }
 
-    /// The lowest number of a generation.
+    /// Lowest decision number of a generation.
     pub(crate) fn first_number(generation: u64) -> u64 {
         generation << COUNT_BITS
     }
 
-    /// Whether queries may be routed from one zone to the other.
+    /// Whether queries may be routed from zone `from` to zone `to`.
     pub fn allows(&self, from: usize, to: usize) -> bool {
         self.zones[to].retained > 0 && !self.is_path_cut(from, to)
     }
 
-    /// Whether the path from one zone to the other is decided to be cut.
+    /// Whether the path from zone `from` to zone `to` is cut by this decision.
     pub(crate) fn is_path_cut(&self, from: usize, to: usize) -> bool {
         self.zones[from].cut_paths & (1 << to) != 0
     }
 }
 
-/// An operator's order; a zone is given by its place in the operators' list.
+/// An operator's order. Zones are given as indices into the operators' list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorOrder {
     /// Takes a zone out of service until it is returned.
     Drain(u16),
     /// Brings a zone back into service.
     Return(u16),
-    /// Stops all moves that are not ordered.
+    /// Stops all load moves except those that operators order.
     Freeze,
     /// Ends a freeze.
     Thaw,
--- a/crates/pipitcrank-failover/src/follower/tests.rs
+++ b/crates/pipitcrank-failover/src/follower/tests.rs
@@ -3,7 +3,7 @@
 
 const HOLD: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// Zones and the thousandths of queries that are routed to them.
+/// Builds zone fractions from pairs of zone and thousandths.
 fn fractions<const N: usize>(expected: [(u16, u16); N]) -> Vec<ZoneFraction> {
     expected.map(|(zone, permille)| ZoneFraction { zone, permille }).to_vec()
 }
@@ -27,14 +27,14 @@
         .collect()
 }
 
-/// Zone 1 is out of service.
+/// Decision in which zone 1 is out of service.
 fn out_of_service(number: u64) -> Decision {
     let mut decision = Decision::initial(3, number);
     (decision.zones[1].state, decision.zones[1].retained) = (ZoneState::OutOfService, 0);
     decision
 }
 
-fn pass(follower: &mut DecisionFollower, from: i64, to: i64, silent: [u16; 3]) {
+fn advance(follower: &mut DecisionFollower, from: i64, to: i64, silent: [u16; 3]) {
     (from..=to).step_by(100).for_each(|ms| follower.tick(at(ms), &replica_counts(silent)));
 }
 
@@ -55,16 +55,19 @@
         (follower.stale_decisions, follower.plan(at(0)).decision_number, follower.plan(at(0)).closed_zones),
         (2, 5, vec![1])
     );
-    assert!(!follower.handle_decision(at(0), Decision::initial(2, 9)), "of other zones");
+    assert!(
+        !follower.handle_decision(at(0), Decision::initial(2, 9)),
+        "a decision for another number of zones is rejected"
+    );
 }
 
 #[test]
-fn old_heartbeats_are_ignored_and_one_of_a_missed_decision_causes_a_query() {
+fn old_heartbeats_are_ignored_and_a_missed_decision_is_queried() {
     let mut follower = follower();
     follower.handle_decision(at(0), out_of_service(5));
     follower.handle_heartbeat(at(0), heartbeat(2, 7, 5));
     assert_eq!(follower.status(at(100)), DecisionStatus::Following);
-    // An earlier leader that resumed goes on sending heartbeats.
+    // An earlier leader that resumes continues to send heartbeats.
     follower.handle_heartbeat(at(3000), heartbeat(1, 900, 5));
     follower.handle_heartbeat(at(3000), heartbeat(2, 7, 5));
     assert_eq!(follower.status(at(3000)), DecisionStatus::Holding);
@@ -80,7 +83,7 @@
     let mut follower = follower();
     follower.handle_decision(at(0), out_of_service(5));
     follower.handle_heartbeat(at(0), heartbeat(1, 1, 5));
-    // At 2.4 s a member passes on a newer one that it heard two seconds ago.
+    // A newer heartbeat arrives at 2.4 s, two seconds after the relaying member received it.
     follower.handle_heartbeat(at(400), heartbeat(1, 2, 5));
     assert_eq!(follower.status(at(2800)), DecisionStatus::Following);
     assert_eq!(
@@ -90,39 +93,43 @@
 }
 
 #[test]
-fn it_holds_for_the_configured_time_and_then_moves_no_more_than_the_bound() {
+fn after_the_hold_time_local_evidence_moves_a_bounded_fraction() {
     let mut follower = follower();
     follower.handle_decision(at(0), Decision::initial(3, 5));
     follower.handle_heartbeat(at(0), heartbeat(1, 1, 5));
-    pass(&mut follower, 0, 9000, [10, 0, 0]);
+    advance(&mut follower, 0, 9000, [10, 0, 0]);
     assert_eq!(follower.status(at(9000)), DecisionStatus::Holding);
-    assert_eq!(follower.plan(at(9000)).fractions, fractions([(0, 1000)]), "own evidence does not count yet");
-    pass(&mut follower, 9100, 11_000, [10, 0, 0]);
+    assert_eq!(
+        follower.plan(at(9000)).fractions,
+        fractions([(0, 1000)]),
+        "local evidence does not count within the hold time"
+    );
+    advance(&mut follower, 9100, 11_000, [10, 0, 0]);
     assert_eq!(follower.status(at(11_000)), DecisionStatus::Isolated);
     assert_eq!(follower.plan(at(11_000)).fractions, fractions([(0, 500), (1, 250), (2, 250)]));
-    // The voters are heard again: exactly as decided.
+    // A new heartbeat restores the plan of the decision.
     follower.handle_heartbeat(at(11_100), heartbeat(1, 2, 5));
     assert_eq!(follower.plan(at(11_100)).fractions, fractions([(0, 1000)]));
 }
 
 #[test]
-fn isolated_a_zone_out_of_service_stays_so_while_another_serves() {
+fn an_isolated_node_keeps_a_zone_closed_while_another_serves() {
     let mut follower = follower();
     follower.handle_decision(at(0), out_of_service(5));
-    pass(&mut follower, 0, 20_000, [0, 0, 0]);
+    advance(&mut follower, 0, 20_000, [0, 0, 0]);
     assert_eq!(follower.status(at(20_000)), DecisionStatus::Isolated);
     assert_eq!(follower.plan(at(20_000)).closed_zones, [1]);
 }
 
 #[test]
-fn a_node_that_stood_still_resyncs_before_it_goes_on() {
+fn a_stalled_node_resyncs_before_it_spills_again() {
     let mut follower = follower();
     let mut spilling = Decision::initial(3, 5);
-    for (place, (demand, capacity)) in spilling.zones.iter_mut().zip([(300, 200), (10, 900), (10, 900)]) {
-        (place.demand, place.capacity) = (demand, capacity);
+    for (zone, (demand, capacity)) in spilling.zones.iter_mut().zip([(300, 200), (10, 900), (10, 900)]) {
+        (zone.demand, zone.capacity) = (demand, capacity);
     }
     follower.handle_decision(at(0), spilling);
-    pass(&mut follower, 0, 500, [0; 3]);
+    advance(&mut follower, 0, 500, [0; 3]);
     follower.handle_heartbeat(at(500), heartbeat(1, 1, 5));
     assert!(follower.plan(at(500)).fractions.len() == 3);
     follower.tick(at(30_000), &replica_counts([0; 3]));
@@ -137,7 +144,7 @@
 }
 
 #[test]
-fn a_restored_decision_is_a_floor_at_once_and_acted_on_only_without_a_current_one() {
+fn a_restored_decision_is_used_only_without_a_newer_one() {
     let mut follower = follower();
     follower.restore(at(0), out_of_service(7));
     assert_eq!(
@@ -146,17 +153,17 @@
     );
     assert!(
         !follower.handle_decision(at(10), out_of_service(6)),
-        "a survivor that missed one knows less than was acted on"
+        "a decision older than the restored one is rejected"
     );
     assert_eq!(follower.stale_decisions, 1);
-    pass(&mut follower, 0, 3900, [0; 3]);
+    advance(&mut follower, 0, 3900, [0; 3]);
     assert_eq!(follower.status(at(3900)), DecisionStatus::NoDecision);
-    pass(&mut follower, 4000, 4100, [0; 3]);
+    advance(&mut follower, 4000, 4100, [0; 3]);
     assert_eq!(
         (follower.status(at(4100)), follower.plan(at(4100)).closed_zones),
         (DecisionStatus::Isolated, vec![1])
     );
-    // Then the current decision is heard after all.
+    // A current decision replaces the restored one.
     assert!(follower.handle_decision(at(4200), Decision::initial(3, 8)));
     follower.handle_heartbeat(at(4200), heartbeat(1, 1, 8));
     assert_eq!(
--- a/crates/pipitcrank-failover/src/lib.rs
+++ b/crates/pipitcrank-failover/src/lib.rs
@@ -1,15 +1,17 @@
-//! The common decision on zones. Each node reports what it observes (`pipitcrank-membership`); few voters, spread over the
-//! zones, agree on one numbered decision at a time; all nodes act on the newest they know, and on none that is older.
+//! Zone failover. Every node reports its observations of all zones (`pipitcrank-membership`). A few voters,
+//! spread over the zones, agree on one numbered decision at a time. Each node routes by the newest decision
+//! that it has received and never by an older one.
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`controller`] | what the next decision is: states of zones, steps, hold-down; which operators' orders are accepted |
-//! | [`routing_table`] | which fraction of each zone's queries is routed to which zone |
-//! | [`follower`] | what one node acts on: the decision, or, isolated for long, its own evidence within bounds |
-//! | [`voter`] | nothing about zones: drives the Raft library, and decides who belongs to the voters |
-//! | [`node`] | nothing: connects the parts of one node; fed datagrams and times |
+//! | [`controller`] | computes the next decision: zone states, steps, hold-down, operators' orders |
+//! | [`routing_table`] | computes the fraction of each zone's queries that is routed to each zone |
+//! | [`follower`] | selects what one node acts on: the decision or, after long isolation, its local evidence within bounds |
+//! | [`voter`] | drives the Raft library and determines which processes are voters; zones are opaque to it |
+//! | [`node`] | connects the parts of one node; the caller passes in datagrams and times |
 //!
-//! No sockets and no clock anywhere here: the program (`pipitcrank-cli`), the emulator and the tests drive the same code.
+//! This package opens no sockets and reads no clock, so the program (`pipitcrank-cli`), the emulator and the
+//! tests run the same code.
 
 mod constants;
 pub mod controller;
--- a/crates/pipitcrank-failover/src/routing_table.rs
+++ b/crates/pipitcrank-failover/src/routing_table.rs
@@ -1,25 +1,28 @@
-//! Which fraction of each zone's queries is routed to which zone. All nodes derive the same table from the same decision, in
-//! integers, so that together they balance: local as far as local capacity reaches, the least possible spill beyond, to the
-//! nearest zone first. What no zone can answer is shed.
+//! Computes which fraction of each zone's queries is routed to which zone. All nodes derive the same table
+//! from the same decision in integer arithmetic, so their routing balances without further communication.
+//! Queries stay local as far as local capacity allows; the excess spills to the nearest zones first. Queries
+//! that no zone can answer are shed.
 
 use serde::{Deserialize, Serialize};
 
 use crate::decision::{Decision, FULL_PERMILLE, UNKNOWN_CAPACITY};
 
-/// Thousandths of a zone's capacity that are planned for: the rest absorbs what is uneven within a second.
+/// Fraction of a zone's capacity that is planned for, in thousandths. The rest absorbs load variations within
+/// a second.
 pub(crate) const TARGET_UTILIZATION_PERMILLE: u64 = 900;
-/// Rounds in which zones at one distance divide what remains; each at least halves the imbalance.
+/// Rounds in which zones at one distance share the remaining demand; each at least halves the imbalance.
 const ROUNDS_PER_DISTANCE: usize = 8;
-/// Capacity planned with where it is unknown, in thousandths of a part per second: above any demand, without overflow.
+/// Capacity assumed for a zone with unknown capacity, in thousandths of a part per second: above any demand,
+/// and small enough not to overflow.
 const UNBOUNDED_CAPACITY: u64 = u64::MAX >> 24;
 
-/// Distances between zones: 0 for the zone itself, 1 for others of its region, 2 for those of other regions. Zones at one
-/// distance divide what spills, in proportion to their free capacity.
+/// Distances between zones: 0 for the zone itself, 1 for other zones of its region, 2 for zones of other
+/// regions. Zones at the same distance share the spilled demand in proportion to their free capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proximity(Vec<Vec<u32>>);
 
 impl Proximity {
-    /// From the region of each zone.
+    /// Computes the distances from the region of each zone.
     pub fn new(regions: &[String]) -> Proximity {
         let zone_count = regions.len();
         let distance = |from: usize, to: usize| match (from == to, regions[from] == regions[to]) {
@@ -31,7 +34,7 @@
         Proximity((0..zone_count).map(distances_from).collect())
     }
 
-    /// The distance from one zone to another.
+    /// Distance from zone `from` to zone `to`.
     pub fn distance(&self, from: usize, to: usize) -> u32 {
         self.0[from][to]
     }
@@ -41,42 +44,43 @@
     }
 }
 
-/// The fraction of a node's queries that is routed to one zone.
+/// Fraction of a node's queries that is routed to one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneFraction {
-    /// The zone, by its place in the operators' list.
+    /// The zone, as an index into the operators' list.
     pub zone: u16,
-    /// Thousandths of the queries.
+    /// Fraction of the queries, in thousandths.
     pub permille: u16,
 }
 
-/// What is routed where.
+/// Routing of all zones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingTable {
-    /// `[from][to]`: thousandths of a zone's answered queries. Each row sums to a thousand, or to nothing where nobody can
-    /// answer.
+    /// `[from][to]`: fraction of the answered queries of zone `from` that is routed to zone `to`, in
+    /// thousandths. Each row sums to 1000, or to 0 if no zone can answer.
     pub fractions: Vec<Vec<u16>>,
-    /// By zone: thousandths of its queries that nobody can answer.
+    /// By zone: fraction of its queries that no zone can answer, in thousandths.
     pub shed: Vec<u16>,
-    /// By zone: parts per second planned for it.
+    /// By zone: planned load in parts per second.
     pub load: Vec<u64>,
 }
 
 impl RoutingTable {
-    /// The routing that follows from a decision.
+    /// Computes the routing for a decision.
     pub fn new(decision: &Decision, proximity: &Proximity) -> RoutingTable {
         let zones = &decision.zones;
-        // A zone without demand still needs a row: its first query may arrive at any time.
+        // A zone without demand needs a row as well: its first query may arrive at any time.
         let demand: Vec<u64> =
             zones.iter().map(|zone| u64::from(zone.demand).max(1) * u64::from(FULL_PERMILLE)).collect();
         let capacity: Vec<u64> = zones.iter().map(|zone| target_load(zone.capacity)).collect();
-        // A zone that moves in steps retains part of what it would have if all zones served.
+        // A zone that is being drained or returned keeps a fraction of the load that it would have if all
+        // zones served.
         let uncut = |from: usize, to: usize| !decision.is_path_cut(from, to);
-        let usual = load_by_zone(&flows(&demand, &capacity, &uncut, proximity));
+        let normal_load = load_by_zone(&flows(&demand, &capacity, &uncut, proximity));
         let retained_capacity: Vec<u64> = (0..zones.len())
             .map(|zone| match zones[zone].retained {
                 FULL_PERMILLE => capacity[zone],
-                retained => permille_of(usual[zone].min(capacity[zone]), retained),
+                retained => permille_of(normal_load[zone].min(capacity[zone]), retained),
             })
             .collect();
         let allowed = |from: usize, to: usize| decision.allows(from, to);
@@ -92,7 +96,7 @@
     }
 }
 
-/// What is planned for a zone of that capacity, in thousandths of a part per second.
+/// Planned load of a zone with the given capacity, in thousandths of a part per second.
 fn target_load(capacity: u32) -> u64 {
     match capacity {
         UNKNOWN_CAPACITY => UNBOUNDED_CAPACITY,
@@ -104,14 +108,14 @@
     (0..flow.len()).map(|to| flow.iter().map(|row| row[to]).sum()).collect()
 }
 
-/// Thousandths for each zone; they sum to a thousand, or to nothing where nothing is answered.
+/// Converts a row of flows to thousandths that sum to 1000, or to 0 if nothing is answered.
 fn fractions_of(row: &[u64]) -> Vec<u16> {
     let answered: u64 = row.iter().sum();
     if answered == 0 {
         return vec![0; row.len()];
     }
-    let mut fractions: Vec<u16> = row.iter().map(|&given| permille(given, answered)).collect();
-    // The largest takes what rounding left over.
+    let mut fractions: Vec<u16> = row.iter().map(|&flow| permille(flow, answered)).collect();
+    // The largest fraction receives the rounding remainder.
     let sum: u16 = fractions.iter().sum();
     if let Some(largest) = (0..row.len()).max_by_key(|&to| (fractions[to], row.len() - to)) {
         fractions[largest] += FULL_PERMILLE - sum;
@@ -127,7 +131,8 @@
     (u128::from(value) * u128::from(permille) / u128::from(FULL_PERMILLE)) as u64
 }
 
-/// What flows from each zone to each, in the unit of `demand`, where zone `t` can take `capacity[t]`.
+/// Computes the flow from each zone to each zone, in the unit of `demand`; zone `t` accepts at most
+/// `capacity[t]`.
 fn flows(
     demand: &[u64],
     capacity: &[u64],
@@ -150,14 +155,14 @@
     flow
 }
 
-/// What is not assigned yet.
+/// Demand and capacity that are not assigned yet.
 struct Remaining {
     demand: Vec<u64>,
     capacity: Vec<u64>,
 }
 
 impl Remaining {
-    /// `[from][to]`: what each zone would send to each, in proportion to its free capacity.
+    /// `[from][to]`: demand that each zone offers to each reachable zone, in proportion to free capacity.
     fn offers(&self, reachable: &dyn Fn(usize, usize) -> bool) -> Vec<Vec<u64>> {
         let zone_count = self.demand.len();
         let mut offers = vec![vec![0u64; zone_count]; zone_count];
@@ -176,7 +181,7 @@
         offers
     }
 
-    /// Accepts of each offer what fits; how much was accepted in total.
+    /// Accepts the fitting part of each offer and returns the total accepted amount.
     fn accept(&mut self, offers: &[Vec<u64>], flow: &mut [Vec<u64>]) -> u64 {
         let mut accepted = 0;
         for to in 0..offers.len() {
@@ -187,27 +192,28 @@
             let fitting = u128::from(self.capacity[to]).min(offered);
             for (from, row) in offers.iter().enumerate() {
                 let proportional = (u128::from(row[to]) * fitting / offered) as u64;
-                let given = proportional.min(self.demand[from]);
-                flow[from][to] += given;
-                self.demand[from] -= given;
-                self.capacity[to] -= given.min(self.capacity[to]);
-                accepted += given;
+                let assigned = proportional.min(self.demand[from]);
+                flow[from][to] += assigned;
+                self.demand[from] -= assigned;
+                self.capacity[to] -= assigned.min(self.capacity[to]);
+                accepted += assigned;
             }
         }
         accepted
     }
 }
 
-/// One request class's part of a node's work, as load shedding weighs it.
+/// Load of one request class on a node, as input for load shedding.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassLoad {
     /// Fraction of the node's work, 0 to 1.
     pub work_fraction: f64,
-    /// Priority weight of a unit of work: the lowest is shed first.
+    /// Priority weight of a unit of work; the lowest weight is shed first.
     pub priority_weight: f64,
 }
 
-/// By request class, the fraction (0 to 1) of its queries to shed, so that `shed` thousandths of all work are shed.
+/// Returns, by request class, the fraction (0 to 1) of queries to shed so that `shed` thousandths of all work
+/// are shed.
 pub fn shed_fractions(shed: u16, classes: &[ClassLoad]) -> Vec<f64> {
     let mut lowest_weight_first: Vec<usize> = (0..classes.len()).collect();
     lowest_weight_first.sort_by(|&a, &b| classes[a].priority_weight.total_cmp(&classes[b].priority_weight));
