--- a/crates/pipitcrank-failover/src/node.rs
+++ b/crates/pipitcrank-failover/src/node.rs
@@ -1,19 +1,20 @@
-//! One node's part in the common decision, without sockets and clock: fed datagrams, times and what the node observes; asked
-//! what to send, how to route queries, and what to log. The program, the emulator and the tests drive it alike.
+//! One node of the failover system, without sockets and clock. The caller passes in datagrams, times and the
+//! node's observations, and takes out datagrams to send, the routing of queries, and events to log. The
+//! program, the emulator and the tests drive the same code.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `message.rs` | messages between nodes, and from and to operators |
-//! | `broadcast.rs` | decisions and heartbeats by gossip |
-//! | `config.rs` | what a node is made of |
-//! | `event.rs` | what is logged and counted |
-//! | `reporter.rs` | reporting evidence |
-//! | `durable_voter.rs` | the voter, whose outputs wait for its memory |
-//! | `leadership.rs` | what the leader does |
+//! | `message.rs` | messages between nodes, and between nodes and operators |
+//! | `broadcast.rs` | decisions and heartbeats sent by gossip |
+//! | `config.rs` | configuration, restart state and traffic counts of a node |
+//! | `event.rs` | events to be logged and counted |
+//! | `reporter.rs` | evidence reports |
+//! | `durable_voter.rs` | the voter, with outputs held back until its state is persisted |
+//! | `leadership.rs` | duties of the leader |
 //! | `outbox.rs` | sealed datagrams that wait to be sent |
 //! | `order_queue.rs` | operators' orders |
 //! | `decision_queries.rs` | queries for the current decision |
-//! | `operator_client.rs` | operators' commands |
+//! | `operator_client.rs` | client side of operators' commands |
 
 mod broadcast;
 mod config;
@@ -40,7 +41,7 @@
 use self::decision_queries::DecisionQueries;
 use self::durable_voter::DurableVoter;
 pub use self::event::NodeEvent;
-use self::leadership::{Choice, Leadership, RejectedOrder};
+use self::leadership::{Leadership, NextProposal, RejectedOrder};
 use self::message::{Message, RequestError};
 pub use self::message::{OperatorAnswer, StatusReport, ZoneEvidence};
 pub use self::operator_client::{OperatorClient, ReceivedAnswer};
@@ -52,7 +53,7 @@
 use crate::follower::{DecisionFollower, DecisionStatus, LeaderHeartbeat, RoutingPlan};
 use crate::voter::{AddressedOutput, PersistentVoterState, VoterOutput};
 
-/// One node.
+/// State of one node.
 pub struct FailoverNode {
     own: Peer,
     /// Addresses of the voters, by slot.
@@ -60,7 +61,7 @@
     outbox: Outbox,
     opener: Opener,
     members: Members,
-    /// Where this node is one.
+    /// The voter, if this node is one.
     voter: Option<DurableVoter>,
     evidence: EvidenceTable,
     follower: DecisionFollower,
@@ -73,11 +74,11 @@
 }
 
 impl FailoverNode {
-    /// A node that begins now, without any state of an earlier process.
+    /// Creates a node without any state of an earlier process.
     pub fn new(now: Timestamp, config: FailoverNodeConfig) -> FailoverNode {
         let (voter, seeds) = (DurableVoter::from_config(now, &config), config.seeds());
         let FailoverNodeConfig { own, key, voters, zone_count, controller, follower, .. } = config;
-        let long_ago = now - LONGER_THAN_ANY_INTERVAL;
+        let distant_past = now - LONGER_THAN_ANY_INTERVAL;
         FailoverNode {
             outbox: Outbox::new(Sealer::new(key, own.address, own.instance)),
             opener: Opener::new(key, own.address),
@@ -85,9 +86,9 @@
             voter,
             evidence: EvidenceTable::new(zone_count),
             follower,
-            reporter: EvidenceReporter::new(long_ago, zone_count),
-            leadership: Leadership::new(long_ago, controller),
-            queries: DecisionQueries::new(now, long_ago, own.instance),
+            reporter: EvidenceReporter::new(distant_past, zone_count),
+            leadership: Leadership::new(distant_past, controller),
+            queries: DecisionQueries::new(now, distant_past, own.instance),
             orders: OrderQueue::default(),
             decision_status: DecisionStatus::NoDecision,
             events: Vec::new(),
@@ -96,18 +97,18 @@
         }
     }
 
-    /// Restores what an earlier process of this node stored: the decision that it acted on last, the members it knew, and, for
-    /// a voter, what must not be forgotten.
+    /// Restores what an earlier process of this node stored: the decision that it acted on last, the members
+    /// that it had recorded and, for a voter, the persisted state.
     pub fn restore(
         &mut self,
         now: Timestamp,
         decision: Option<Decision>,
         members: Vec<Peer>,
-        memory: Option<PersistentVoterState>,
+        voter_state: Option<PersistentVoterState>,
     ) {
         if let Some(DurableVoter { voter, .. }) = &mut self.voter {
-            if let Some(memory) = memory {
-                voter.restore(now, memory);
+            if let Some(state) = voter_state {
+                voter.restore(now, state);
             }
             if let Some(decision) = &decision {
                 voter.observe_decision(decision);
@@ -117,10 +118,10 @@
             self.follower.restore(now, decision);
         }
         self.members.add_known_members(now, members.into_iter());
-        self.settle(now);
+        self.process_pending(now);
     }
 
-    /// What the next process of this node may start from.
+    /// Returns the state that the next process of this node may start from.
     pub fn restart_state(&self) -> RestartState {
         RestartState {
             decision: self.follower.decision().cloned(),
@@ -128,28 +129,28 @@
         }
     }
 
-    /// From now on what this voter says, and what it knows was decided, waits until its memory is persisted: the caller asks
-    /// for `take_persistent_state` after each event, and calls `state_persisted` when that is done.
+    /// Holds back the voter's outputs and decisions until its state is persisted. The caller calls
+    /// `take_persistent_state` after each event, and `state_persisted` when the returned state is stored.
     pub fn require_durable_state(&mut self) {
         if let Some(voter) = &mut self.voter {
             voter.require_durable_state();
         }
     }
 
-    /// What a voter must not forget, where it has changed.
+    /// Returns the voter state to persist, if it has changed.
     pub fn take_persistent_state(&mut self) -> Option<PersistentVoterState> {
         self.voter.as_mut().and_then(DurableVoter::take_persistent_state)
     }
 
-    /// The last memory that `take_persistent_state` returned is persisted.
+    /// Reports that the state last returned by `take_persistent_state` is stored.
     pub fn state_persisted(&mut self, now: Timestamp) {
         if let Some(voter) = &mut self.voter {
             voter.state_persisted();
         }
-        self.settle(now);
+        self.process_pending(now);
     }
 
-    /// Whether anything waits for `state_persisted`.
+    /// Whether outputs wait for `state_persisted`.
     pub fn awaits_persistence(&self) -> bool {
         self.voter.as_ref().is_some_and(DurableVoter::awaits_persistence)
     }
@@ -159,7 +160,7 @@
         match self.opener.open(bytes) {
             Ok(opened) => {
                 self.handle_opened(now, opened);
-                self.settle(now);
+                self.process_pending(now);
             }
             Err(rejection) => self.events.push(NodeEvent::DatagramRejected(rejection)),
         }
@@ -243,8 +244,8 @@
         if let Some(decision) = decision {
             self.handle_decision(now, decision);
         }
-        // A heartbeat is as old as it was to the node that first heard it: otherwise nodes of a partition would keep each
-        // other following for ever.
+        // The age of a heartbeat counts from the node that first received it. Otherwise nodes of a partition
+        // would keep confirming the decision to each other forever.
         if heartbeat_age >= TimeSpan::ZERO {
             self.follower.handle_heartbeat(now - heartbeat_age, heartbeat);
         }
@@ -263,12 +264,12 @@
         self.events.push(NodeEvent::Decided(decision));
     }
 
-    /// Whether it is time for `report_evidence`; the report counts as made.
+    /// Whether `report_evidence` is due; the report then counts as sent.
     pub fn take_report_due(&mut self, now: Timestamp) -> bool {
         self.reporter.take_due(now)
     }
 
-    /// Reports what this node observes, by zone. `demand`: parts per second of its clients.
+    /// Reports this node's observations, by zone. `demand` is the demand of its clients in parts per second.
     pub fn report_evidence(&mut self, now: Timestamp, replica_counts: Vec<ReplicaCounts>, demand: u32) {
         let report = self.reporter.report(now, &self.members, &self.own, replica_counts, demand);
         let Some(report) = report else { return };
@@ -281,14 +282,14 @@
         }
     }
 
-    /// When `tick` is due at the latest.
+    /// Time at which `tick` is due at the latest.
     pub fn next_deadline(&self) -> Timestamp {
         let always = self.members.next_deadline().min(self.reporter.next_deadline());
         let voter = self.voter.as_ref().map(|voter| voter.voter.next_deadline());
         [voter, self.leadership.next_deadline()].into_iter().flatten().fold(always, Timestamp::min)
     }
 
-    /// Passes time.
+    /// Advances the time.
     pub fn tick(&mut self, now: Timestamp) {
         self.members.tick(now);
         self.follower.tick(now, self.reporter.replica_counts());
@@ -301,7 +302,7 @@
         if self.follower.should_query(now) && self.queries.begin_round_if_due(now) {
             self.query_decision();
         }
-        self.settle(now);
+        self.process_pending(now);
         let status = self.follower.status(now);
         if status != self.decision_status {
             self.decision_status = status;
@@ -316,22 +317,23 @@
         }
     }
 
-    /// What the leader does: sends heartbeats and proposes decisions.
+    /// Performs the leader's duties: sends heartbeats and proposes decisions.
     fn review(&mut self, now: Timestamp) {
         let Some(DurableVoter { voter, .. }) = &mut self.voter else { return };
         let leads = voter.is_leader();
-        self.events.extend(self.leadership.set_leads(now, leads));
+        self.events.extend(self.leadership.set_leading(now, leads));
         let Some(current) = voter.decision().cloned().filter(|_| leads) else { return };
         if let Some(heartbeat) = self.leadership.take_due_heartbeat(now, voter, current.number) {
             broadcast_heartbeat(&mut self.members, &heartbeat);
             self.follower.handle_heartbeat(now, heartbeat);
         }
-        // One proposal at a time: the next is made from what becomes of it.
-        if self.leadership.awaits_voters(now, current.number) {
+        // Only one proposal is pending at a time; the next one is based on its outcome.
+        if self.leadership.awaits_decision(now, current.number) {
             return;
         }
         let matrix = self.evidence.matrix(now);
-        let Choice { rejected, next } = self.leadership.choose(now, &matrix, &current, &mut self.orders);
+        let NextProposal { rejected, next } =
+            self.leadership.next_proposal(now, &matrix, &current, &mut self.orders);
         if let Some(RejectedOrder { order, error }) = rejected {
             self.close_order(order, OperatorAnswer::Rejected(error.to_string()));
         }
@@ -347,7 +349,7 @@
         ticket: u64,
         order: Option<OperatorOrder>,
     ) {
-        if let Some(answer) = self.orders.given_answer(ticket) {
+        if let Some(answer) = self.orders.recorded_answer(ticket) {
             return self.outbox.answer(from, ticket, answer);
         }
         let Some(order) = order else {
@@ -355,7 +357,7 @@
             return self.outbox.answer(from, ticket, OperatorAnswer::Status(status));
         };
         let leader = self.leadership.leader(self.leader_slot());
-        if let Some(answer) = self.orders.enter(PendingOrder::new(now, from, ticket, order), leader) {
+        if let Some(answer) = self.orders.add(PendingOrder::new(now, from, ticket, order), leader) {
             self.outbox.answer(from, ticket, answer);
         }
     }
@@ -371,7 +373,7 @@
         self.voter.as_ref().and_then(DurableVoter::leader_slot)
     }
 
-    /// This node's view of zones, for operators.
+    /// View of the zones from this node, for operators.
     pub fn status_report(&mut self, now: Timestamp) -> StatusReport {
         let matrix = self.evidence.matrix(now);
         StatusReport {
@@ -385,21 +387,21 @@
         }
     }
 
-    fn settle(&mut self, now: Timestamp) {
+    fn process_pending(&mut self, now: Timestamp) {
         self.events.extend(self.members.take_events().into_iter().map(NodeEvent::Membership));
         for message in self.members.take_broadcasts() {
             self.handle_broadcast(now, &message);
         }
         let decided = self.voter.as_mut().map(DurableVoter::take_decided).unwrap_or_default();
         for decision in decided {
-            if let Some(order) = self.orders.carried_out_by(&decision) {
+            if let Some(order) = self.orders.completed_by(&decision) {
                 self.close_order(order, OperatorAnswer::Decided(decision.number));
             }
             self.handle_decision(now, decision);
         }
         for order in self.orders.expired(now) {
-            let why = RequestError::NotDecidedInTime.to_string();
-            self.close_order(order, OperatorAnswer::Rejected(why));
+            let reason = RequestError::NotDecidedInTime.to_string();
+            self.close_order(order, OperatorAnswer::Rejected(reason));
         }
         self.send_voter_outputs();
         self.send_gossip();
@@ -433,43 +435,43 @@
         }
     }
 
-    /// Departs from the other members.
+    /// Announces the departure of this node to the other members.
     pub fn leave(&mut self, now: Timestamp, departure: Departure) {
         self.members.leave(now, departure);
         self.send_gossip();
     }
 
-    /// Adds members that another node, or who set this one up, knew of.
+    /// Adds members recorded by another node or by the process that set up this one.
     pub fn add_known_members(&mut self, now: Timestamp, peers: impl Iterator<Item = Peer>) {
         self.members.add_known_members(now, peers);
     }
 
-    /// Datagrams to be sent.
+    /// Returns the datagrams to send.
     pub fn take_datagrams(&mut self) -> Vec<OutgoingDatagram> {
         self.outbox.take()
     }
 
-    /// Datagrams sealed so far.
+    /// Number and size of the datagrams sealed so far.
     pub fn sent(&self) -> SentTraffic {
         self.outbox.sent()
     }
 
-    /// Events since the last call, in their order.
+    /// Returns the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<NodeEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// How this node's queries are routed now.
+    /// Current routing of this node's queries.
     pub fn routing_plan(&self, now: Timestamp) -> RoutingPlan {
         self.follower.plan(now)
     }
 
-    /// Number of the decision that it acts on; 0 without one.
+    /// Number of the decision that this node acts on; 0 without a decision.
     pub fn decision_number(&self) -> u64 {
         self.follower.decision().map_or(0, |decision| decision.number)
     }
 
-    /// How it stood to the current decision at the last tick.
+    /// Relation of this node to the current decision at the last tick.
     pub fn decision_status(&self) -> DecisionStatus {
         self.decision_status
     }
@@ -479,17 +481,17 @@
         self.reporter.is_reporter()
     }
 
-    /// Whether it leads the voters.
+    /// Whether this node leads the voters.
     pub fn is_leader(&self) -> bool {
         self.leadership.leads()
     }
 
-    /// The members as it knows them.
+    /// Membership as seen by this node.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Decisions received that were older than the one held.
+    /// Number of decisions received that were older than the one held.
     pub fn stale_decisions(&self) -> u64 {
         self.follower.stale_decisions
     }
--- a/crates/pipitcrank-failover/src/node/broadcast.rs
+++ b/crates/pipitcrank-failover/src/node/broadcast.rs
@@ -1,4 +1,4 @@
-//! What nodes broadcast by gossip.
+//! Broadcasts sent by gossip.
 
 use pipitcrank_membership::members::{BroadcastRank, Members, TopicMessage};
 
@@ -10,13 +10,13 @@
 /// Topic of the newest heartbeat of a leader.
 pub(super) const HEARTBEAT_TOPIC: u8 = 1;
 
-/// A message of either topic.
+/// Decoded broadcast.
 pub(super) enum Broadcast {
     Decision(Decision),
     Heartbeat(LeaderHeartbeat),
 }
 
-/// What was broadcast; none for an unknown topic, or where it can't be decoded.
+/// Decodes a broadcast; returns none for an unknown topic or an undecodable body.
 pub(super) fn decode(message: &TopicMessage) -> Option<Broadcast> {
     match message.topic {
         DECISION_TOPIC => postcard::from_bytes(&message.body).ok().map(Broadcast::Decision),
--- a/crates/pipitcrank-failover/src/node/config.rs
+++ b/crates/pipitcrank-failover/src/node/config.rs
@@ -1,4 +1,4 @@
-//! What a node is made of, what outlives its process, and what it sends.
+//! Configuration of a node, the state kept for its next process, and traffic counts.
 
 use std::net::SocketAddr;
 
@@ -8,26 +8,26 @@
 use crate::decision::Decision;
 use crate::follower::DecisionFollower;
 
-/// What a node is made of.
+/// Configuration of a node.
 pub struct FailoverNodeConfig {
-    /// This node, as others reach it.
+    /// This node, with the address under which others reach it.
     pub own: Peer,
-    /// The key under which datagrams are sealed.
+    /// Key under which datagrams are sealed.
     pub key: [u8; 32],
     /// Nodes that are contacted first.
     pub known_nodes: Vec<SocketAddr>,
-    /// Addresses of the voters by slot, the same at all nodes.
+    /// Addresses of the voters by slot; the same on all nodes.
     pub voters: Vec<SocketAddr>,
     /// Number of zones.
     pub zone_count: usize,
     /// Proposes decisions while this node leads the voters.
     pub controller: FailoverController,
-    /// Decides what this node acts on.
+    /// Selects the decision that this node acts on.
     pub follower: DecisionFollower,
 }
 
 impl FailoverNodeConfig {
-    /// Nodes that are contacted first, the voters among them.
+    /// Nodes that are contacted first, including the voters.
     pub(super) fn seeds(&self) -> Vec<SocketAddr> {
         let mut seeds: Vec<SocketAddr> = self.known_nodes.iter().chain(&self.voters).copied().collect();
         seeds.sort();
@@ -36,20 +36,21 @@
     }
 }
 
-/// What the next process of this node may start from: not agreed on, and possibly out of date.
+/// State that the next process of this node may start from. It is not agreed on between nodes and may be out
+/// of date.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestartState {
-    /// The decision that this node acts on.
+    /// Decision that this node acts on.
     pub decision: Option<Decision>,
     /// Other live members.
     pub members: Vec<Peer>,
 }
 
-/// What a node has sent since it started.
+/// Traffic sent by a node since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentTraffic {
-    /// Bytes of sealed datagrams.
+    /// Size of all sealed datagrams in bytes.
     pub bytes: u64,
-    /// Sealed datagrams.
+    /// Number of sealed datagrams.
     pub datagrams: u64,
 }
--- a/crates/pipitcrank-failover/src/node/durable_voter.rs
+++ b/crates/pipitcrank-failover/src/node/durable_voter.rs
@@ -1,4 +1,4 @@
-//! A voter whose outputs wait until its memory is persisted.
+//! A voter whose outputs are held back until its state is persisted.
 
 use pipitcrank_core::time::Timestamp;
 
@@ -11,13 +11,13 @@
     pub(super) voter: Voter,
     own_slot: usize,
     slot_count: usize,
-    /// Memory is persisted before anything is released that depends on it.
+    /// Whether outputs wait until the state that they depend on is persisted.
     is_durable: bool,
     awaits_persistence: bool,
 }
 
 impl DurableVoter {
-    /// None where this node is no voter.
+    /// Creates the voter; returns none if this node is not a voter.
     pub(super) fn from_config(now: Timestamp, config: &FailoverNodeConfig) -> Option<DurableVoter> {
         let FailoverNodeConfig { own, voters, zone_count, .. } = config;
         let own_slot = voters.iter().position(|voter| *voter == own.address)?;
@@ -34,9 +34,9 @@
         if !self.is_durable {
             return None;
         }
-        let memory = self.voter.take_persistent_state();
-        self.awaits_persistence |= memory.is_some();
-        memory
+        let state = self.voter.take_persistent_state();
+        self.awaits_persistence |= state.is_some();
+        state
     }
 
     pub(super) fn state_persisted(&mut self) {
@@ -47,7 +47,8 @@
         self.awaits_persistence
     }
 
-    /// Whether outputs may be sent and acted on: none that its memory could lose.
+    /// Whether outputs may be released: none may be sent or acted on while a crash could still lose the state
+    /// behind it.
     fn may_release(&self) -> bool {
         !self.is_durable || !self.awaits_persistence && !self.voter.has_changed()
     }
@@ -64,7 +65,8 @@
         self.voter.leader().map(|slot| slot as u8)
     }
 
-    /// Excludes the voters of these slots; each voter is asked by itself, since there may be no majority to agree on it.
+    /// Excludes the voters of these slots. The order goes to each voter separately, since there may be no
+    /// majority to agree on it.
     pub(super) fn exclude(&mut self, slots: &[u8]) -> Result<(), RequestError> {
         let slots: Vec<usize> = slots.iter().map(|slot| usize::from(*slot)).collect();
         if slots.iter().any(|slot| *slot >= self.slot_count || *slot == self.own_slot) {
--- a/crates/pipitcrank-failover/src/node/event.rs
+++ b/crates/pipitcrank-failover/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What a node's driver logs and counts.
+//! Events of a node, which its driver logs and counts.
 
 use pipitcrank_membership::envelope::DatagramRejection;
 use pipitcrank_membership::evidence::ZoneHealth;
@@ -8,33 +8,33 @@
 use crate::decision::{Decision, DecisionCause, OperatorOrder};
 use crate::follower::DecisionStatus;
 
-/// What is worth a log line, or a count.
+/// An event to be logged or counted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
-    /// This decision is acted on from now on.
+    /// The node acts on this decision from now on.
     Decided(Decision),
-    /// This node, leading, proposed a decision to the voters.
+    /// The node, as leader, proposed a decision to the voters.
     Proposed {
-        /// Why it should be made.
+        /// Reason for the decision.
         cause: DecisionCause,
-        /// The zone that it is about.
+        /// Zone that the decision concerns, as an index into the operators' list.
         zone: u16,
-        /// The evidence on that zone.
+        /// Health of that zone according to the evidence.
         health: ZoneHealth,
-        /// Nodes of that zone whose reports count.
+        /// Number of reporters of that zone.
         reporters: usize,
-        /// Voters heard lately, this one included.
+        /// Number of voters with a recent heartbeat, this one included.
         voters: usize,
     },
     /// Membership changed.
     Membership(MembershipEvent),
     /// The node's status changed.
     StatusChanged(DecisionStatus),
-    /// The node began or ceased to lead the voters.
+    /// The node became leader of the voters, or lost the leadership.
     LeadershipChanged(bool),
     /// A datagram was rejected.
     DatagramRejected(DatagramRejection),
-    /// A member's message could not be decoded, or the member may not send it.
+    /// A message could not be decoded, or its sender is not allowed to send it.
     Undecodable,
     /// An operator's order was answered.
     OrderAnswered(OperatorOrder, OperatorAnswer),
--- a/crates/pipitcrank-failover/src/node/leadership.rs
+++ b/crates/pipitcrank-failover/src/node/leadership.rs
@@ -1,4 +1,4 @@
-//! What the voter that leads does: sends heartbeats and proposes decisions.
+//! Duties of the voter that leads: heartbeats and proposals.
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_membership::evidence::EvidenceMatrix;
@@ -10,39 +10,39 @@
 use crate::follower::{HeartbeatRank, LeaderHeartbeat};
 use crate::voter::Voter;
 
-/// Time between two heartbeats of the leader.
+/// Interval between heartbeats of the leader.
 const HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
-/// Time between two reviews of the evidence; reports come each quarter of a second.
+/// Interval between reviews of the evidence; reports arrive every quarter of a second.
 const REVIEW_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
-/// A proposal that came to nothing for so long is made again.
+/// Time after which a proposal without an outcome is made again.
 const PROPOSAL_TIMEOUT: TimeSpan = TimeSpan::from_millis(600);
-/// In a heartbeat's term the generation of voters stands above Raft's term.
+/// Number of bits of the Raft term in a heartbeat's term; the generation of voters is stored above them.
 const RAFT_TERM_BITS: u32 = 32;
 
 struct PendingProposal {
-    /// Number of the decision that it succeeds.
+    /// Number of the decision that the proposal succeeds.
     base: u64,
     at: Timestamp,
 }
 
-/// A decision to propose, and an order that was rejected while looking for one.
+/// The decision to propose, if any, and the order that was rejected while it was computed.
 #[derive(Default)]
-pub(super) struct Choice {
+pub(super) struct NextProposal {
     pub(super) rejected: Option<RejectedOrder>,
     pub(super) next: Option<Decision>,
 }
 
-/// An operator's order that no decision can be made from.
+/// An operator's order that was rejected, with the reason.
 pub(super) struct RejectedOrder {
     pub(super) order: PendingOrder,
     pub(super) error: OrderError,
 }
 
-/// What the leader has done when; idle at all other nodes.
+/// State of the leader's duties; unused on all other nodes.
 pub(super) struct Leadership {
     controller: FailoverController,
     leads: bool,
-    /// Heartbeats of this process so far.
+    /// Number of heartbeats that this process has sent.
     heartbeats: u64,
     heartbeat_at: Timestamp,
     reviewed_at: Timestamp,
@@ -50,13 +50,13 @@
 }
 
 impl Leadership {
-    pub(super) fn new(long_ago: Timestamp, controller: FailoverController) -> Leadership {
+    pub(super) fn new(distant_past: Timestamp, controller: FailoverController) -> Leadership {
         Leadership {
             controller,
             leads: false,
             heartbeats: 0,
-            heartbeat_at: long_ago,
-            reviewed_at: long_ago,
+            heartbeat_at: distant_past,
+            reviewed_at: distant_past,
             proposal: None,
         }
     }
@@ -65,13 +65,13 @@
         self.leads
     }
 
-    /// Who leads the voters; `other`: the slot of another voter, where it is known.
+    /// Returns which voter leads; `other` is the slot of another leading voter, if known.
     pub(super) fn leader(&self, other: Option<u8>) -> Leader {
         if self.leads { Leader::ThisNode } else { Leader::Other(other) }
     }
 
-    /// The event, if that changed.
-    pub(super) fn set_leads(&mut self, now: Timestamp, leads: bool) -> Option<NodeEvent> {
+    /// Records whether this node leads; returns an event if that changed.
+    pub(super) fn set_leading(&mut self, now: Timestamp, leads: bool) -> Option<NodeEvent> {
         if leads == self.leads {
             return None;
         }
@@ -95,7 +95,7 @@
         is_due
     }
 
-    /// The next heartbeat, if it is due; it counts as sent.
+    /// Returns the next heartbeat if it is due; it then counts as sent.
     pub(super) fn take_due_heartbeat(
         &mut self,
         now: Timestamp,
@@ -112,34 +112,34 @@
         Some(LeaderHeartbeat { rank, decision_number })
     }
 
-    /// Whether a proposal to succeed that decision may still be accepted.
-    pub(super) fn awaits_voters(&self, now: Timestamp, current: u64) -> bool {
+    /// Whether a proposal to succeed decision `current` may still be accepted.
+    pub(super) fn awaits_decision(&self, now: Timestamp, current: u64) -> bool {
         let pending = self.proposal.as_ref();
         pending.is_some_and(|proposal| proposal.base == current && now - proposal.at < PROPOSAL_TIMEOUT)
     }
 
-    /// What to propose: the first order, or else what follows from the evidence.
-    pub(super) fn choose(
+    /// Computes the next proposal from the first pending order or, without one, from the evidence.
+    pub(super) fn next_proposal(
         &mut self,
         now: Timestamp,
         matrix: &EvidenceMatrix,
         current: &Decision,
         orders: &mut OrderQueue,
-    ) -> Choice {
-        let mut choice = Choice::default();
+    ) -> NextProposal {
+        let mut proposal = NextProposal::default();
         if let Some(order) = orders.first() {
             match self.controller.apply_order(matrix, current, order.order) {
                 Ok(decision) => {
-                    orders.first_proposed(&decision);
-                    choice.next = Some(decision);
+                    orders.mark_first_proposed(&decision);
+                    proposal.next = Some(decision);
                 }
-                Err(error) => choice.rejected = Some(RejectedOrder { order, error }),
+                Err(error) => proposal.rejected = Some(RejectedOrder { order, error }),
             }
         }
-        if choice.next.is_none() {
-            choice.next = self.controller.next_decision(now, matrix, current);
+        if proposal.next.is_none() {
+            proposal.next = self.controller.next_decision(now, matrix, current);
         }
-        choice
+        proposal
     }
 
     /// Proposes a decision to the voters.
--- a/crates/pipitcrank-failover/src/node/message.rs
+++ b/crates/pipitcrank-failover/src/node/message.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes, and from and to operators.
+//! Messages between nodes, and between nodes and operators.
 
 use std::net::SocketAddr;
 
@@ -12,37 +12,37 @@
 use crate::routing_table::ZoneFraction;
 use crate::voter::VoterMessage;
 
-/// Members named in one answer, so that it fits a datagram.
+/// Largest number of members in one answer, so that it fits into a datagram.
 const MEMBERS_PER_PAGE: usize = 40;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// Between voters.
+    /// Message between voters.
     Voter(VoterMessage),
-    /// To a voter.
+    /// Evidence report, sent to the voters.
     Evidence(EvidenceReport),
-    /// Asks for the current decision; the nonce comes back with the answer.
+    /// Query for the current decision; the answer repeats the nonce.
     DecisionQuery(u64),
-    /// The current decision as the sender knows it.
+    /// Current decision according to the sender.
     CurrentDecision {
         nonce: u64,
         decision: Option<Decision>,
         heartbeat: LeaderHeartbeat,
-        /// How long ago the heartbeat was first heard.
+        /// Time since the heartbeat was first received.
         heartbeat_age: TimeSpan,
     },
-    /// An operator's order, or, without one, a request for the status.
+    /// An operator's order or, without one, a request for the status.
     OperatorRequest { ticket: u64, order: Option<OperatorOrder> },
-    /// Answers an operator.
+    /// Answer to an operator.
     Answer { ticket: u64, answer: OperatorAnswer },
-    /// An operator excludes the voters of these slots for good; an empty list ends that.
+    /// An operator's order to exclude the voters of these slots for good; an empty list ends the exclusion.
     ExcludeVoters { ticket: u64, slots: Vec<u8> },
-    /// An operator asks for the members with higher addresses than `after`, in their order.
+    /// An operator's request for the members with higher addresses than `after`, in ascending order.
     MembersRequest { ticket: u64, after: Option<SocketAddr> },
 }
 
 impl Message {
-    /// The current decision as that follower knows it.
+    /// Builds the answer to a decision query from a follower's state.
     pub(super) fn current_decision(now: Timestamp, nonce: u64, follower: &DecisionFollower) -> Message {
         Message::CurrentDecision {
             nonce,
@@ -53,28 +53,28 @@
     }
 }
 
-/// The answer to an operator's command.
+/// Answer to an operator's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorAnswer {
-    /// The node's status.
+    /// Status of the node.
     Status(StatusReport),
-    /// The order was decided under this number.
+    /// The voters accepted the order as the decision with this number.
     Decided(u64),
-    /// The order was rejected, and why.
+    /// The order was rejected for this reason.
     Rejected(String),
-    /// This node does not lead the voters; the slot of the voter that does, where it is known.
+    /// This node does not lead the voters; the slot of the leader is included if it is known.
     NotLeader(Option<u8>),
-    /// Live members, one page of the list.
+    /// One page of the list of live members.
     Members {
-        /// In the order of their addresses.
+        /// In ascending order of their addresses.
         members: Vec<Peer>,
-        /// Whether more follow.
+        /// Whether more members follow.
         more: bool,
     },
 }
 
 impl OperatorAnswer {
-    /// The first page of these members after an address.
+    /// Builds the first page of these members after an address.
     pub(super) fn members_page(mut members: Vec<Peer>, after: Option<SocketAddr>) -> OperatorAnswer {
         members.sort_by_key(|peer| peer.address);
         members.retain(|peer| after.is_none_or(|after| peer.address > after));
@@ -84,33 +84,33 @@
     }
 }
 
-/// A node's view of zones, for operators.
+/// View of the zones from one node, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The decision that it acts on.
+    /// Decision that the node acts on.
     pub decision: Option<Decision>,
     /// `DecisionStatus::name` of the node.
     pub status: String,
-    /// How this node's queries are routed.
+    /// Routing of the node's queries.
     pub fractions: Vec<ZoneFraction>,
-    /// By zone, where this node is a voter.
+    /// By zone, if the node is a voter; otherwise empty.
     pub evidence: Vec<ZoneEvidence>,
-    /// The slot of the leader, where it is known.
+    /// Slot of the leader, if known.
     pub leader: Option<u8>,
-    /// Voters heard lately, this one included; 0 where this node is no voter.
+    /// Number of voters with a recent heartbeat, this one included; 0 if the node is not a voter.
     pub reachable_voters: u8,
-    /// Live members, this node included.
+    /// Number of live members, this node included.
     pub members: u16,
 }
 
-/// The evidence on one zone, as a voter has it.
+/// Evidence on one zone, as combined by a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneEvidence {
     /// `ZoneHealth::name` of the zone.
     pub health: String,
-    /// Nodes of the zone whose reports count.
+    /// Number of reporters of the zone.
     pub reporters: u16,
-    /// Replicas of the zone that were observed to be healthy.
+    /// Number of healthy replicas of the zone.
     pub healthy_replicas: u16,
 }
 
@@ -125,7 +125,7 @@
     }
 }
 
-/// Why an operator's request is rejected before the voters are asked; shown to the operator.
+/// Reason for rejecting an operator's request before it reaches the voters; shown to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
     #[error("this copy is no voter")]
--- a/crates/pipitcrank-failover/src/node/operator_client.rs
+++ b/crates/pipitcrank-failover/src/node/operator_client.rs
@@ -1,4 +1,4 @@
-//! An operator's command, from outside the nodes.
+//! Client side of operators' commands.
 
 use std::net::SocketAddr;
 
@@ -8,17 +8,17 @@
 use crate::constants::SPREADING_MULTIPLIER;
 use crate::decision::OperatorOrder;
 
-/// An answer that was opened, and the node that gave it.
+/// An answer with the node that sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedAnswer {
-    /// The node that answers.
+    /// Address of the answering node.
     pub from: SocketAddr,
-    /// Its answer.
+    /// The answer.
     pub answer: OperatorAnswer,
 }
 
-/// One operator's command: seals its requests and opens the answers. All requests of a command carry the same ticket, so that
-/// a node that was asked before answers as before.
+/// One operator's command: seals its requests and opens the answers. All requests of a command carry the same
+/// ticket, so that a node answers a repeated request as before.
 pub struct OperatorClient {
     sealer: Sealer,
     opener: Opener,
@@ -26,23 +26,24 @@
 }
 
 impl OperatorClient {
-    /// `own`: where answers arrive; `started`: distinguishes it from earlier commands.
+    /// Creates the client of one command. `own` is the address for answers; `started` distinguishes the
+    /// command from earlier ones.
     pub fn new(key: [u8; 32], own: SocketAddr, started: u64) -> OperatorClient {
         let ticket = started.wrapping_mul(SPREADING_MULTIPLIER) ^ u64::from(own.port());
         OperatorClient { sealer: Sealer::new(key, own, started), opener: Opener::new(key, own), ticket }
     }
 
-    /// A datagram with the order, or, without one, with a request for the status.
+    /// Builds a datagram with the order or, without one, a request for the status.
     pub fn request(&mut self, to: SocketAddr, order: Option<OperatorOrder>) -> Option<Vec<u8>> {
         self.seal(to, &Message::OperatorRequest { ticket: self.ticket, order })
     }
 
-    /// A datagram that asks for the members with higher addresses than `after`.
+    /// Builds a request for the members with higher addresses than `after`.
     pub fn request_members(&mut self, to: SocketAddr, after: Option<SocketAddr>) -> Option<Vec<u8>> {
         self.seal(to, &Message::MembersRequest { ticket: self.ticket, after })
     }
 
-    /// A datagram that has one voter exclude those of these slots.
+    /// Builds a request to one voter to exclude the voters of `slots`.
     pub fn request_exclusion(&mut self, to: SocketAddr, slots: Vec<u8>) -> Option<Vec<u8>> {
         self.seal(to, &Message::ExcludeVoters { ticket: self.ticket, slots })
     }
@@ -52,7 +53,7 @@
         self.sealer.seal(to, DatagramKind::Message, &body)
     }
 
-    /// The answer in a datagram; none if it does not answer this command.
+    /// Opens a datagram and returns its answer, or none if it does not answer this command.
     pub fn open_answer(&mut self, datagram: &[u8]) -> Option<ReceivedAnswer> {
         let opened = self.opener.open(datagram).ok()?;
         match postcard::from_bytes(opened.body).ok()? {
--- a/crates/pipitcrank-failover/src/node/order_queue.rs
+++ b/crates/pipitcrank-failover/src/node/order_queue.rs
@@ -1,4 +1,4 @@
-//! Operators' orders that wait for the voters, and the answers that were given.
+//! Queue of operators' orders, and the answers already sent.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 use super::message::{OperatorAnswer, RequestError};
 use crate::decision::{Decision, DecisionCause, OperatorOrder};
 
-/// Orders that wait, and answers remembered for repeated requests.
+/// Largest number of pending orders, and of answers kept for repeated requests.
 const MAX_ORDERS: usize = 16;
-/// For how long an order may wait for the voters.
+/// Time that an order may wait for a decision of the voters.
 const ORDER_TIMEOUT: TimeSpan = TimeSpan::from_millis(3000);
 
-/// By what the decision on an order is recognized.
+/// Properties by which the decision on an order is recognized.
 #[derive(Clone, Copy, PartialEq)]
 struct ProposedChange {
     cause: DecisionCause,
@@ -26,7 +26,7 @@
     }
 }
 
-/// An order that is not answered yet.
+/// An order that has no answer yet.
 #[derive(Clone, Copy)]
 pub(super) struct PendingOrder {
     pub(super) ticket: u64,
@@ -42,35 +42,37 @@
     }
 }
 
-/// Who leads the voters.
+/// Leader of the voters.
 #[derive(Clone, Copy)]
 pub(super) enum Leader {
     ThisNode,
-    /// The slot of another voter, where it is known.
+    /// Slot of another voter, if known.
     Other(Option<u8>),
 }
 
-struct GivenAnswer {
+struct RecordedAnswer {
     ticket: u64,
     answer: OperatorAnswer,
 }
 
-/// Orders in the order of their arrival.
+/// Pending orders in order of arrival, and recent answers.
 #[derive(Default)]
 pub(super) struct OrderQueue {
     pending: VecDeque<PendingOrder>,
-    given: VecDeque<GivenAnswer>,
+    recorded: VecDeque<RecordedAnswer>,
 }
 
 impl OrderQueue {
-    /// The answer that a request was given before.
-    pub(super) fn given_answer(&self, ticket: u64) -> Option<OperatorAnswer> {
-        self.given.iter().find(|given| given.ticket == ticket).map(|given| given.answer.clone())
+    /// Returns the answer that was sent to an earlier copy of a request.
+    pub(super) fn recorded_answer(&self, ticket: u64) -> Option<OperatorAnswer> {
+        self.recorded
+            .iter()
+            .find(|recorded| recorded.ticket == ticket)
+            .map(|recorded| recorded.answer.clone())
     }
 
-    /// Enters an order that was not answered before; the answer, if it has to be rejected at once.
-    /// Only the leader accepts orders.
-    pub(super) fn enter(&mut self, order: PendingOrder, leader: Leader) -> Option<OperatorAnswer> {
+    /// Adds an order; returns an answer if the order is rejected at once. Only the leader accepts orders.
+    pub(super) fn add(&mut self, order: PendingOrder, leader: Leader) -> Option<OperatorAnswer> {
         if self.pending.iter().any(|pending| pending.ticket == order.ticket) {
             return None;
         }
@@ -88,30 +90,30 @@
         self.pending.front().copied()
     }
 
-    /// The first order is proposed as this decision.
-    pub(super) fn first_proposed(&mut self, decision: &Decision) {
+    /// Records that the first order was proposed as this decision.
+    pub(super) fn mark_first_proposed(&mut self, decision: &Decision) {
         if let Some(first) = self.pending.front_mut() {
             first.proposed = Some(ProposedChange::of(decision));
         }
     }
 
-    /// The order that this decision carries out.
-    pub(super) fn carried_out_by(&self, decision: &Decision) -> Option<PendingOrder> {
+    /// Returns the order that this decision carries out.
+    pub(super) fn completed_by(&self, decision: &Decision) -> Option<PendingOrder> {
         let change = ProposedChange::of(decision);
         self.pending.iter().find(|pending| pending.proposed == Some(change)).copied()
     }
 
-    /// Orders that have waited for too long.
+    /// Returns the orders that have waited too long.
     pub(super) fn expired(&self, now: Timestamp) -> Vec<PendingOrder> {
         self.pending.iter().filter(|pending| now - pending.received_at >= ORDER_TIMEOUT).copied().collect()
     }
 
-    /// Removes an order, and remembers its answer.
+    /// Removes an order and records its answer.
     pub(super) fn close(&mut self, ticket: u64, answer: OperatorAnswer) {
         self.pending.retain(|pending| pending.ticket != ticket);
-        self.given.push_back(GivenAnswer { ticket, answer });
-        if self.given.len() > MAX_ORDERS {
-            self.given.pop_front();
+        self.recorded.push_back(RecordedAnswer { ticket, answer });
+        if self.recorded.len() > MAX_ORDERS {
+            self.recorded.pop_front();
         }
     }
 }
--- a/crates/pipitcrank-failover/src/node/outbox.rs
+++ b/crates/pipitcrank-failover/src/node/outbox.rs
@@ -1,4 +1,4 @@
-//! Seals what a node sends, and keeps it until it is taken.
+//! Seals outgoing messages and queues them until they are taken.
 
 use std::net::SocketAddr;
 
@@ -9,13 +9,13 @@
 
 pub(super) struct Outbox {
     sealer: Sealer,
-    waiting: Vec<OutgoingDatagram>,
+    queued: Vec<OutgoingDatagram>,
     sent: SentTraffic,
 }
 
 impl Outbox {
     pub(super) fn new(sealer: Sealer) -> Outbox {
-        Outbox { sealer, waiting: Vec::new(), sent: SentTraffic::default() }
+        Outbox { sealer, queued: Vec::new(), sent: SentTraffic::default() }
     }
 
     pub(super) fn send(&mut self, to: SocketAddr, message: &Message) {
@@ -28,17 +28,17 @@
         self.send(to, &Message::Answer { ticket, answer });
     }
 
-    /// A body that is too long to be sealed is not sent.
+    /// Seals and queues a body. A body too long to be sealed is dropped.
     pub(super) fn seal(&mut self, to: SocketAddr, kind: DatagramKind, body: &[u8]) {
         if let Some(bytes) = self.sealer.seal(to, kind, body) {
             self.sent.bytes += bytes.len() as u64;
             self.sent.datagrams += 1;
-            self.waiting.push(OutgoingDatagram { to, bytes });
+            self.queued.push(OutgoingDatagram { to, bytes });
         }
     }
 
     pub(super) fn take(&mut self) -> Vec<OutgoingDatagram> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.queued)
     }
 
     pub(super) fn sent(&self) -> SentTraffic {
--- a/crates/pipitcrank-failover/src/node/reporter.rs
+++ b/crates/pipitcrank-failover/src/node/reporter.rs
@@ -1,34 +1,34 @@
-//! This node's part in reporting evidence.
+//! Evidence reports of this node.
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_membership::evidence::{EvidenceReport, REPORT_INTERVAL, ReplicaCounts, is_reporter};
 use pipitcrank_membership::members::Members;
 use pipitcrank_membership::peer::Peer;
 
-/// Time between two choices of the reporters, when many members join or depart.
-const CHOICE_INTERVAL: TimeSpan = TimeSpan::from_millis(1000);
+/// Minimum time between selections of the reporters while members join or depart.
+const SELECTION_INTERVAL: TimeSpan = TimeSpan::from_millis(1000);
 
-/// What this node observes, and whether it is among the reporters of its zone.
+/// Observations of this node, and whether it is a reporter of its zone.
 pub(super) struct EvidenceReporter {
-    /// The newest of its own evidence, by zone.
+    /// Latest observations, by zone.
     replica_counts: Vec<ReplicaCounts>,
     reported_at: Timestamp,
     sequence: u64,
     is_reporter: bool,
-    /// The state of membership, and the time, at which the reporters were chosen.
-    chosen_for_change: u64,
-    chosen_at: Timestamp,
+    /// Membership change count and time of the last selection of reporters.
+    selected_at_change: u64,
+    selected_at: Timestamp,
 }
 
 impl EvidenceReporter {
-    pub(super) fn new(long_ago: Timestamp, zone_count: usize) -> EvidenceReporter {
+    pub(super) fn new(distant_past: Timestamp, zone_count: usize) -> EvidenceReporter {
         EvidenceReporter {
             replica_counts: vec![ReplicaCounts::default(); zone_count],
-            reported_at: long_ago,
+            reported_at: distant_past,
             sequence: 0,
             is_reporter: true,
-            chosen_for_change: 0,
-            chosen_at: long_ago,
+            selected_at_change: 0,
+            selected_at: distant_past,
         }
     }
 
@@ -44,7 +44,7 @@
         self.reported_at + REPORT_INTERVAL
     }
 
-    /// Whether the next report is due; it counts as made.
+    /// Whether the next report is due; it then counts as sent.
     pub(super) fn take_due(&mut self, now: Timestamp) -> bool {
         let is_due = now - self.reported_at >= REPORT_INTERVAL;
         if is_due {
@@ -53,7 +53,8 @@
         is_due
     }
 
-    /// Takes over new evidence; the report, if this node is a reporter. `demand`: parts per second of its clients.
+    /// Records new observations, and returns a report if this node is a reporter. `demand` is the demand of
+    /// its clients in parts per second.
     pub(super) fn report(
         &mut self,
         now: Timestamp,
@@ -63,7 +64,7 @@
         demand: u32,
     ) -> Option<EvidenceReport> {
         self.replica_counts = replica_counts;
-        self.choose_reporters(now, members, own);
+        self.select_reporters(now, members, own);
         if !self.is_reporter {
             return None;
         }
@@ -77,12 +78,12 @@
         })
     }
 
-    fn choose_reporters(&mut self, now: Timestamp, members: &Members, own: &Peer) {
-        let changed = self.chosen_for_change != members.membership_changes;
-        if changed && now - self.chosen_at >= CHOICE_INTERVAL {
+    fn select_reporters(&mut self, now: Timestamp, members: &Members, own: &Peer) {
+        let changed = self.selected_at_change != members.membership_changes;
+        if changed && now - self.selected_at >= SELECTION_INTERVAL {
             let of_zone = members.live_members().filter(|peer| peer.zone == own.zone).cloned();
             self.is_reporter = is_reporter(own, of_zone);
-            (self.chosen_for_change, self.chosen_at) = (members.membership_changes, now);
+            (self.selected_at_change, self.selected_at) = (members.membership_changes, now);
         }
     }
 }
--- a/crates/pipitcrank-failover/src/node/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/node/stored_forms.rs
@@ -1,4 +1,5 @@
-//! Messages between nodes and the gossip of decisions and heartbeats, against bytes of an earlier version.
+//! Compares messages between nodes and broadcasts of decisions and heartbeats with bytes written by an
+//! earlier version.
 
 use std::fmt::Debug;
 
--- a/crates/pipitcrank-failover/src/voter.rs
+++ b/crates/pipitcrank-failover/src/voter.rs
@@ -1,18 +1,18 @@
-//! A voter: one of few processes, spread over the zones, that agree on one decision for each number by Raft (`raft`). Nothing
-//! about zones is decided here. What the library leaves open is decided in `founding.rs` and `admission.rs`: who belongs to the
-//! group of voters when processes start without memory.
+//! A voter: one of a few processes, spread over the zones, that agree on one decision per number by Raft
+//! (`raft`). Voters treat the content of decisions as opaque. The Raft library leaves open who belongs to the
+//! group when processes start without persisted state; `founding.rs` and `admission.rs` determine that.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `message.rs` | what voters send each other |
-//! | `outbox.rs` | what waits to be sent |
-//! | `identity.rs` | ids and incarnations |
-//! | `persistent_state.rs` | what a voter must not forget |
+//! | `message.rs` | messages between voters |
+//! | `outbox.rs` | outputs that wait to be sent |
+//! | `identity.rs` | ids and incarnations of voters |
+//! | `persistent_state.rs` | state that a voter has to persist |
 //! | `peers.rs` | heartbeats of the other voters |
-//! | `founding.rs` | who belongs to the voters; a generation that is being founded |
-//! | `admission.rs` | who is admitted to a group |
-//! | `storage.rs` | the library's log and snapshots |
-//! | `raft_group.rs` | drives the library |
+//! | `founding.rs` | participants of a new generation, and the steps to start it |
+//! | `admission.rs` | admission of processes to a running group |
+//! | `storage.rs` | log and snapshots of the Raft library |
+//! | `raft_group.rs` | driver of the Raft library |
 //! | `timing.rs` | intervals and lifetimes |
 
 mod admission;
@@ -28,8 +28,8 @@
 
 use pipitcrank_core::time::Timestamp;
 
-use self::admission::find_newcomer;
-use self::founding::{Electorate, Founding, KnownHistory, OwnPromise, believed_generation, next_generation};
+use self::admission::find_joining_voter;
+use self::founding::{Electorate, Founding, KnownHistory, OwnPromise, capped_generation, next_generation};
 pub use self::identity::{Incarnation, KnownIncarnation};
 use self::identity::{IncarnationTable, Placement, VoterIdentity, slot_of};
 pub use self::message::{AddressedOutput, NewGroup, Promise, VoterHeartbeat, VoterMessage, VoterOutput};
@@ -39,18 +39,19 @@
 pub use self::persistent_state::PersistentVoterState;
 use self::raft_group::{GroupEffects, RaftGroup};
 use self::storage::GroupLog;
-use self::timing::{FOUND_AFTER, HEARTBEAT_INTERVAL, PROMISE_AFTER, TICK};
+use self::timing::{FOUNDING_DELAY, HEARTBEAT_INTERVAL, PROMISE_DELAY, TICK};
 use crate::decision::Decision;
 
-/// Most voters: more make agreement slower, not safer.
+/// Largest number of voters; more of them make agreement slower, not safer.
 pub const MAX_VOTERS: usize = 7;
 
-/// One voter.
+/// State of one voter.
 pub struct Voter {
     placement: Placement,
     identity: VoterIdentity,
-    memory_changed: bool,
-    /// The restored decision is not reported before this voter leads a majority that holds nothing newer.
+    state_changed: bool,
+    /// Set while the restored decision is withheld: it is reported once this voter leads a majority without a
+    /// newer decision.
     restored_decision_pending: bool,
     known_incarnations: IncarnationTable,
     electorate: Electorate,
@@ -64,21 +65,27 @@
     leader_seen_at: Timestamp,
     decided: Vec<Decision>,
     outbox: Outbox,
-    /// Raft messages that could not be decoded or were not for this process's group, and faults of the library.
+    /// Number of Raft messages that could not be decoded or were not meant for this process's group, plus
+    /// errors of the library.
     pub discarded_messages: u64,
 }
 
 impl Voter {
-    /// `slot` of `slot_count`; `instance` distinguishes this process from any earlier one in that slot.
+    /// Creates the voter of `slot` out of `slot_count` slots. `instance` distinguishes this process from
+    /// earlier ones in the same slot.
     ///
     /// # Panics
-    /// Without such a slot, or with more than [`MAX_VOTERS`]; the operators' file is checked for both.
+    /// Panics if `slot` is not below `slot_count`, or if there are more than [`MAX_VOTERS`] slots. The
+    /// operators' file is checked for both.
     pub fn new(now: Timestamp, slot: usize, slot_count: usize, zone_count: usize, instance: u64) -> Voter {
-        assert!(slot < slot_count && slot_count <= MAX_VOTERS, "the operators' file is checked for this");
+        assert!(
+            slot < slot_count && slot_count <= MAX_VOTERS,
+            "slot and number of voters must be valid: the operators' file is checked for both"
+        );
         Voter {
             placement: Placement { slot, slot_count, zone_count },
             identity: VoterIdentity::new(slot, instance),
-            memory_changed: false,
+            state_changed: false,
             restored_decision_pending: false,
             known_incarnations: IncarnationTable::new(slot_count),
             electorate: Electorate::new(slot, slot_count),
@@ -96,28 +103,28 @@
         }
     }
 
-    /// Goes on from the memory of an earlier process in this slot. A memory of another slot, or one that is inconsistent, is
-    /// not used.
-    pub fn restore(&mut self, now: Timestamp, memory: PersistentVoterState) {
-        if !memory.fits(self.placement.slot, self.placement.slot_count) {
+    /// Restores the persisted state of an earlier process in this slot. State of another slot, or
+    /// inconsistent state, is ignored.
+    pub fn restore(&mut self, now: Timestamp, state: PersistentVoterState) {
+        if !state.fits(self.placement.slot, self.placement.slot_count) {
             return;
         }
-        self.history.observe_generation(memory.highest_generation);
-        self.identity.restore(memory.instance, memory.abandoned_ids, memory.incarnation_count);
-        self.known_incarnations = IncarnationTable::from(memory.known_incarnations);
-        self.memory_changed = true;
-        if memory.has_promised {
-            // Its id may still be counted on.
+        self.history.observe_generation(state.highest_generation);
+        self.identity.restore(state.instance, state.abandoned_ids, state.incarnation_count);
+        self.known_incarnations = IncarnationTable::from(state.known_incarnations);
+        self.state_changed = true;
+        if state.has_promised {
+            // The promise under this id may still count for the founder, so another id is needed.
             self.identity.abandon_id();
-        } else if let Some(group) = memory.group {
+        } else if let Some(group) = state.group {
             self.identity.is_unconfirmed = true;
             self.restore_group(now, group);
         }
     }
 
-    fn restore_group(&mut self, now: Timestamp, memory: PersistentGroupState) {
-        let generation = memory.generation;
-        match GroupLog::restore(memory, self.placement.zone_count) {
+    fn restore_group(&mut self, now: Timestamp, state: PersistentGroupState) {
+        let generation = state.generation;
+        match GroupLog::restore(state, self.placement.zone_count) {
             Some(log) => {
                 self.enter_group(now, generation, log);
                 self.restored_decision_pending = true;
@@ -126,17 +133,18 @@
         }
     }
 
-    /// Abandons its group and its id for good: its memory is not all that was promised under that id.
+    /// Abandons the group and the id for good: the persisted state does not cover everything promised under
+    /// that id.
     fn abandon_group(&mut self) {
         self.group = None;
         self.identity.leave_group();
-        self.memory_changed = true;
+        self.state_changed = true;
     }
 
-    /// What must not be forgotten, if that has changed since the last call. Nothing that was said since may be sent before
-    /// it is persisted.
+    /// Returns the state to persist if it has changed since the last call. Outputs produced since then may be
+    /// sent only after the state is persisted.
     pub fn take_persistent_state(&mut self) -> Option<PersistentVoterState> {
-        if !std::mem::take(&mut self.memory_changed) {
+        if !std::mem::take(&mut self.state_changed) {
             return None;
         }
         Some(PersistentVoterState {
@@ -147,17 +155,17 @@
             highest_generation: self.history.highest_generation,
             has_promised: self.promise.is_some(),
             known_incarnations: self.known_incarnations.by_slot(),
-            group: self.group.as_ref().and_then(RaftGroup::memory),
+            group: self.group.as_ref().and_then(RaftGroup::persistent_state),
         })
     }
 
-    /// Whether `take_persistent_state` would return something.
+    /// Whether `take_persistent_state` would return a state.
     pub fn has_changed(&self) -> bool {
-        self.memory_changed
+        self.state_changed
     }
 
-    /// Reports the restored decision once this voter leads in a term of its own. Without this, voters that all restart with
-    /// memory would wait for each other.
+    /// Reports the restored decision once this voter leads in a term of its own. Otherwise voters that all
+    /// restart with persisted state would wait for each other.
     fn report_restored_decision(&mut self) {
         let Some(group) = self.group.as_ref().filter(|_| self.restored_decision_pending) else { return };
         if group.leads_with_own_entry() {
@@ -166,22 +174,23 @@
         }
     }
 
-    /// Checks whether a majority has recorded this incarnation, or a later one of its id is known.
-    fn prove_incarnation(&mut self, now: Timestamp) {
+    /// Checks whether a majority has recorded this incarnation, or whether a later incarnation of this id
+    /// exists.
+    fn confirm_incarnation(&mut self, now: Timestamp) {
         let recorded: Vec<KnownIncarnation> = self.peers.recent(now).map(|peer| peer.recorded).collect();
         if self.identity.is_superseded(&recorded) {
             self.abandon_group();
         } else {
-            self.identity.prove(&recorded, self.placement.slot_count);
+            self.identity.confirm(&recorded, self.placement.slot_count);
         }
     }
 
-    /// When `tick` is due.
+    /// Time at which `tick` is due.
     pub fn next_deadline(&self) -> Timestamp {
         (self.ticked_at + TICK).min(self.heartbeat_at + HEARTBEAT_INTERVAL)
     }
 
-    /// Passes time.
+    /// Advances the time.
     pub fn tick(&mut self, now: Timestamp) {
         if now - self.ticked_at >= TICK {
             self.tick_raft(now);
@@ -191,24 +200,25 @@
         }
         self.report_restored_decision();
         if self.promise.is_some_and(|promise| promise.has_expired(now)) {
-            // Its id may still be counted on: it takes another.
+            // The promise under this id may still count for the founder, so another id is needed.
             self.promise = None;
             self.identity.abandon_id();
-            self.memory_changed = true;
+            self.state_changed = true;
         }
         if now - self.heartbeat_at >= HEARTBEAT_INTERVAL {
             self.heartbeat_at = now;
             self.send_heartbeat();
             self.found_group(now);
         }
-        self.admit_newcomer(now);
+        self.admit_joining_voter(now);
     }
 
     fn tick_raft(&mut self, now: Timestamp) {
-        // One tick, however late: a process that stood still must not take its own pause for the others' silence.
+        // A late call counts as one tick: after a suspension, the process must not mistake its own pause for
+        // silence of the others.
         self.ticked_at = now;
         self.outbox.drop_excess();
-        self.prove_incarnation(now);
+        self.confirm_incarnation(now);
         if let Some(group) = self.group.as_mut().filter(|_| !self.identity.is_unconfirmed) {
             group.tick();
         }
@@ -226,20 +236,20 @@
         }));
     }
 
-    /// Notes a decision that this node follows; a new generation goes on from the newest.
+    /// Records a decision that this node follows; a new generation continues from the newest one.
     pub fn observe_decision(&mut self, decision: &Decision) {
         self.history.observe_decision(decision);
     }
 
-    /// Excludes slots: a new generation is founded without them. Only for slots that are dead for good: one that goes on
-    /// with others could have a majority of its own.
+    /// Excludes slots, so that a new generation is founded without them. The excluded slots must be dead for
+    /// good: an excluded voter that is still alive could form a majority with others.
     pub fn exclude_voters(&mut self, slots: Vec<usize>) {
         self.electorate.excluded = slots;
     }
 
-    /// The first slot founds a new generation where there is no leader for long.
+    /// The first participating slot founds a new generation after a long time without a leader.
     fn found_group(&mut self, now: Timestamp) {
-        if !self.electorate.is_founder() || now - self.leader_seen_at < FOUND_AFTER {
+        if !self.electorate.is_founder() || now - self.leader_seen_at < FOUNDING_DELAY {
             self.founding = None;
             return;
         }
@@ -267,13 +277,13 @@
         Promise { generation, id: self.identity.id(), known_decision: self.history.decision.clone() }
     }
 
-    /// Leaves its group for good and promises to join that generation.
+    /// Leaves the group for good and promises to join the new generation.
     fn leave_group_for(&mut self, now: Timestamp, generation: u64, founder: usize) {
         if self.group.take().is_some() || self.promise.is_some() {
             self.identity.leave_group();
         }
-        self.promise = Some(OwnPromise { generation, founder, at: now });
-        self.memory_changed = true;
+        self.promise = Some(OwnPromise { generation, founder, promised_at: now });
+        self.state_changed = true;
     }
 
     fn start_group_if_complete(&mut self, now: Timestamp) {
@@ -297,36 +307,36 @@
             Ok(group) => {
                 self.history.observe_generation(generation);
                 self.leader_seen_at = now;
-                self.memory_changed = true;
+                self.state_changed = true;
                 self.group = Some(group);
             }
             Err(_) => self.discarded_messages += 1,
         }
     }
 
-    /// The leader admits the new process of a slot in place of its old one.
-    fn admit_newcomer(&mut self, now: Timestamp) {
+    /// On the leader: admits the new process of a slot in place of its old one.
+    fn admit_joining_voter(&mut self, now: Timestamp) {
         let Some(group) = self.group.as_mut().filter(|group| group.can_admit(now)) else { return };
         let voter_ids = group.voter_ids();
-        let Some(newcomer) =
-            find_newcomer(&self.peers, &self.electorate.excluded, now, group.generation(), &voter_ids)
+        let Some(joining) =
+            find_joining_voter(&self.peers, &self.electorate.excluded, now, group.generation(), &voter_ids)
         else {
             return;
         };
-        group.admit(now, newcomer, &voter_ids);
+        group.admit(now, joining, &voter_ids);
         self.process_ready();
     }
 
-    /// Handles a message of the voter in that slot.
+    /// Handles a message from the voter in `slot`.
     pub fn handle_message(&mut self, now: Timestamp, slot: usize, message: VoterMessage) {
         if slot >= self.placement.slot_count || slot == self.placement.slot {
             return;
         }
         match message {
             VoterMessage::Heartbeat(heartbeat) => self.handle_heartbeat(now, slot, heartbeat),
-            VoterMessage::RequestPromise { generation } => self.handle_found(now, slot, generation),
+            VoterMessage::RequestPromise { generation } => self.handle_promise_request(now, slot, generation),
             VoterMessage::Promise(promise) => self.handle_promise(now, slot, promise),
-            VoterMessage::StartGroup(group) => self.handle_start(now, slot, group),
+            VoterMessage::StartGroup(group) => self.handle_start_group(now, slot, group),
         }
     }
 
@@ -336,20 +346,20 @@
         if slot_of(id.max(1)) != slot || !is_complete {
             return;
         }
-        let heard = KnownIncarnation { id, incarnation: heartbeat.incarnation };
-        self.memory_changed |= self.known_incarnations.record(slot, heard);
-        let believed = believed_generation(heartbeat.highest_generation);
-        self.history.observe_generation(believed);
+        let announced = KnownIncarnation { id, incarnation: heartbeat.incarnation };
+        self.state_changed |= self.known_incarnations.record(slot, announced);
+        let capped = capped_generation(heartbeat.highest_generation);
+        self.history.observe_generation(capped);
         let recorded = heartbeat.known_incarnations[self.placement.slot];
-        self.peers.record(slot, PeerHeartbeat { at: now, id, generation, has_leader, recorded });
+        self.peers.record(slot, PeerHeartbeat { received_at: now, id, generation, has_leader, recorded });
     }
 
-    fn handle_found(&mut self, now: Timestamp, founder: usize, generation: u64) {
-        let leaderless = !self.has_leader() && now - self.leader_seen_at >= PROMISE_AFTER;
+    fn handle_promise_request(&mut self, now: Timestamp, founder: usize, generation: u64) {
+        let leaderless = !self.has_leader() && now - self.leader_seen_at >= PROMISE_DELAY;
         if !leaderless || generation <= self.generation() {
             return;
         }
-        // One promise must not count for two founders, each of which excludes the other.
+        // One promise must not count for two founders that exclude each other.
         match self.promise {
             Some(promise) if promise.is_to(generation, founder) => {}
             Some(promise) if promise.generation >= generation => return,
@@ -370,7 +380,7 @@
         }
     }
 
-    fn handle_start(&mut self, now: Timestamp, founder: usize, group: NewGroup) {
+    fn handle_start_group(&mut self, now: Timestamp, founder: usize, group: NewGroup) {
         let is_member = group.voter_ids.contains(&self.identity.id())
             && group.voter_ids.len() <= self.placement.slot_count;
         let has_promised = self.promise.is_some_and(|promise| promise.is_to(group.generation, founder));
@@ -382,20 +392,21 @@
     /// Handles a message of the Raft library.
     pub fn handle_raft(&mut self, now: Timestamp, generation: u64, bytes: &[u8]) {
         let message = raft_group::decode(bytes, self.identity.id());
-        // A message to an earlier process is not for this one, which may have promised otherwise.
+        // A message to an earlier process is not for this one, which may be bound by a different promise.
         let Some(message) = message.filter(|_| self.promise.is_none() && !self.identity.is_unconfirmed)
         else {
             self.discarded_messages += 1;
             return;
         };
         if self.group.is_none() {
-            self.enter_group(now, generation, GroupLog::blank());
+            self.enter_group(now, generation, GroupLog::empty());
         }
         let Some(group) = self.group.as_mut().filter(|group| group.generation() == generation) else {
             self.discarded_messages += 1;
             return;
         };
-        // Its memory may be older than what was persisted under this id; the library would panic.
+        // The local state may be older than what was persisted under this id; the library would panic on the
+        // message.
         if group.lacks_committed_entries(&message) {
             return self.abandon_group();
         }
@@ -408,7 +419,8 @@
         }
     }
 
-    /// Proposes a decision to the voters, as the successor of the one with number `base`. It may come to nothing.
+    /// Proposes a decision to the voters as the successor of decision `base`. The proposal may be lost or
+    /// become void.
     pub fn propose(&mut self, base: u64, decision: Decision) {
         if let Some(group) = &mut self.group
             && group.propose(base, decision)
@@ -417,27 +429,27 @@
         }
     }
 
-    /// Carries out what the library wants done.
+    /// Processes the pending work of the Raft library.
     fn process_ready(&mut self) {
         let Some(group) = &mut self.group else { return };
-        let GroupEffects { memory_changed, discarded, decided, outputs } = group.process_ready();
-        self.memory_changed |= memory_changed;
+        let GroupEffects { state_changed, discarded, decided, outputs } = group.process_ready();
+        self.state_changed |= state_changed;
         self.discarded_messages += discarded;
         self.decided.extend(decided);
         self.outbox.extend(outputs);
     }
 
-    /// What is to be sent to other voters.
+    /// Returns the outputs for other voters.
     pub fn take_outputs(&mut self) -> Vec<AddressedOutput> {
         self.outbox.take()
     }
 
-    /// Decisions made since the last call, in their order.
+    /// Returns the decisions made since the last call, in order.
     pub fn take_decided(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decided)
     }
 
-    /// The newest decision that this voter knows was made.
+    /// Newest decision that this voter has applied.
     pub fn decision(&self) -> Option<&Decision> {
         self.group.as_ref()?.decision()
     }
@@ -447,42 +459,42 @@
         self.group.as_ref().is_some_and(RaftGroup::is_leader)
     }
 
-    /// Whether its group has a leader that it knows of.
+    /// Whether the group has a leader known to this voter.
     pub fn has_leader(&self) -> bool {
         self.group.as_ref().is_some_and(|group| group.leader_id().is_some())
     }
 
-    /// The slot of the leader.
+    /// Slot of the leader.
     pub fn leader(&self) -> Option<usize> {
         self.group.as_ref()?.leader_id().map(slot_of)
     }
 
-    /// Raft's term; 0 without a group.
+    /// Raft term; 0 without a group.
     pub fn term(&self) -> u64 {
         self.group.as_ref().map_or(0, RaftGroup::term)
     }
 
-    /// The generation of its group; 0 without one.
+    /// Generation of the group; 0 without a group.
     pub fn generation(&self) -> u64 {
         self.group.as_ref().map_or(0, RaftGroup::generation)
     }
 
-    /// The id of this process among the voters.
+    /// Id of this process among the voters.
     pub fn own_id(&self) -> u64 {
         self.identity.id()
     }
 
-    /// Whether it waits for a majority to record its incarnation.
+    /// Whether a majority has yet to record this incarnation.
     pub fn is_unconfirmed(&self) -> bool {
         self.identity.is_unconfirmed
     }
 
-    /// Whether this process is among the voters of its group.
+    /// Whether this process is a voter of its group.
     pub fn is_voter(&self) -> bool {
         self.group.as_ref().is_some_and(RaftGroup::is_member)
     }
 
-    /// Voters heard lately, this one included.
+    /// Number of voters with a recent heartbeat, this one included.
     pub fn reachable_voters(&self, now: Timestamp) -> usize {
         1 + self.peers.recent(now).count()
     }
--- a/crates/pipitcrank-failover/src/voter/admission.rs
+++ b/crates/pipitcrank-failover/src/voter/admission.rs
@@ -1,4 +1,4 @@
-//! Who is admitted to a group of voters.
+//! Admission of processes to a running group of voters.
 
 use pipitcrank_core::time::Timestamp;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
@@ -6,37 +6,38 @@
 use super::identity::slot_of;
 use super::peers::PeerTable;
 
-/// A process that is no voter of the group yet.
+/// A process that is not yet a voter of the group.
 #[derive(Clone, Copy)]
-pub(super) struct Newcomer {
+pub(super) struct JoiningVoter {
     pub(super) slot: usize,
     pub(super) id: u64,
 }
 
-/// The first process that can be admitted: heard lately, not excluded, and without a leader elsewhere.
-pub(super) fn find_newcomer(
+/// Returns the first process that can be admitted: it sent a recent heartbeat, is not excluded and has no
+/// leader in another group.
+pub(super) fn find_joining_voter(
     peers: &PeerTable,
     excluded: &[usize],
     now: Timestamp,
     generation: u64,
     voter_ids: &[u64],
-) -> Option<Newcomer> {
+) -> Option<JoiningVoter> {
     let mut candidates = peers.by_slot().filter(|(slot, _)| !excluded.contains(slot));
     let found = candidates.find(|(_, peer)| {
-        // One that knows this group's leader may have been admitted by a change that came to nothing.
+        // A process that follows this group's leader may have been part of a change that was not applied.
         let is_free = !peer.has_leader || peer.generation == generation;
         peer.is_recent(now) && is_free && !voter_ids.contains(&peer.id)
     });
-    found.map(|(slot, peer)| Newcomer { slot, id: peer.id })
+    found.map(|(slot, peer)| JoiningVoter { slot, id: peer.id })
 }
 
-/// Admits the newcomer in place of the voters of its slot.
-pub(super) fn replacement(newcomer: Newcomer, voter_ids: &[u64]) -> ConfChangeV2 {
+/// Builds the change that admits a process in place of the voters of its slot.
+pub(super) fn replacement(joining: JoiningVoter, voter_ids: &[u64]) -> ConfChangeV2 {
     let single =
         |node_id, change_type| ConfChangeSingle { node_id, change_type, ..ConfChangeSingle::default() };
     let mut change = ConfChangeV2::default();
-    change.mut_changes().push(single(newcomer.id, ConfChangeType::AddNode));
-    for &replaced in voter_ids.iter().filter(|id| slot_of(**id) == newcomer.slot) {
+    change.mut_changes().push(single(joining.id, ConfChangeType::AddNode));
+    for &replaced in voter_ids.iter().filter(|id| slot_of(**id) == joining.slot) {
         change.mut_changes().push(single(replaced, ConfChangeType::RemoveNode));
     }
     change
--- a/crates/pipitcrank-failover/src/voter/founding.rs
+++ b/crates/pipitcrank-failover/src/voter/founding.rs
@@ -1,23 +1,24 @@
-//! A generation of voters that is being founded.
+//! Founding of a new generation of voters.
 //!
-//! A process that was given no `PersistentVoterState` must never vote as if it had one. Each process has an id of its own, made of
-//! its slot and its start, and abandons it for good when it leaves a group. One that was given the memory of an earlier
-//! process goes on under that id, once a majority has recorded that it is a later incarnation of it: so an older memory that
-//! somebody restored is recognized by any majority, and its process returns as one without memory.
+//! A process without a `PersistentVoterState` must never vote as if it had one. Each process has an id of its
+//! own, derived from its slot and its start time, and abandons that id for good when it leaves a group. A
+//! process with the state of an earlier process continues under that process's id once a majority has
+//! recorded it as a later incarnation. An outdated copy of the state is thereby detected by any majority, and
+//! its process returns as one without state.
 //!
 //! ```text
-//! memory of a group, its incarnation recorded by a majority     --> votes on as before
-//! memory of a group, a later incarnation of that id is known    --> abandons the id, as one without memory
-//! no group, all slots heard, no leader for FOUND_AFTER          --> the first slot asks all to found a new generation
-//! asked to found a generation above any known, no leader known  --> leaves its group for good, promises to join
+//! state of a group, its incarnation recorded by a majority      --> continues to vote
+//! state of a group, a later incarnation of that id is recorded  --> abandons the id, as a process without state
+//! no group, all slots reachable, no leader for FOUNDING_DELAY   --> the first slot requests promises for a generation
+//! request for a generation above any recorded one, no leader    --> leaves its group for good, promises to join
 //! promises of all slots                                         --> the first slot starts the group, above all numbers
-//! no group, a group of others has a leader                      --> that leader admits the new id and removes the old
-//! a slot is excluded by an operator                             --> the same, and the promises of all others suffice
+//! no group, other slots have a group with a leader              --> that leader admits the new id, removes the old one
+//! an operator excludes a slot                                   --> as above, with the promises of all other slots
 //! ```
 //!
-//! Founding takes all slots, so no two generations can both have a majority that acts; admission takes a majority of the
-//! group as it was. With fewer, nothing is decided: nodes keep the current decision, then go by their own evidence
-//! (`follower.rs`).
+//! Founding needs all slots, so two generations can never both have a majority that acts. Admission needs a
+//! majority of the current group. With fewer voters nothing is decided: nodes keep the current decision, and
+//! later apply their local evidence (`follower.rs`).
 
 use std::collections::BTreeMap;
 
@@ -29,27 +30,29 @@
 use super::timing::PROMISE_LIFETIME;
 use crate::decision::{Decision, DecisionCause};
 
-/// Generations are numbers of 32 bits.
+/// Mask for generations, which are 32-bit numbers.
 const GENERATION_MASK: u64 = 0xffff_ffff;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// A higher generation is not believed: one from a clock far ahead would use up the numbers there are.
-const MAX_BELIEVED_GENERATION: u64 = u32::MAX as u64 / 2;
+/// Highest generation accepted from another voter. A generation derived from a clock far ahead would use up
+/// the available numbers.
+const MAX_ACCEPTED_GENERATION: u64 = u32::MAX as u64 / 2;
 
-/// Of a generation that another voter has heard of, what is believed.
-pub(super) fn believed_generation(heard: u64) -> u64 {
-    heard.min(MAX_BELIEVED_GENERATION)
+/// Limits a generation announced by another voter to the accepted range.
+pub(super) fn capped_generation(announced: u64) -> u64 {
+    announced.min(MAX_ACCEPTED_GENERATION)
 }
 
-/// A generation above any that was heard of, and, where all memory is lost, above what the clocks of earlier starts gave.
+/// Returns a generation above any recorded one and, in case all state is lost, above those that earlier
+/// starts derived from their clocks.
 pub(super) fn next_generation(highest: u64, incarnation: Incarnation) -> u64 {
     (highest + 1).max(incarnation.started / MICROS_PER_SECOND) & GENERATION_MASK
 }
 
-/// The slots that take part in founding a generation.
+/// Slots that take part in founding a generation.
 pub(super) struct Electorate {
     own_slot: usize,
     slot_count: usize,
-    /// Slots that operators exclude.
+    /// Slots excluded by operators.
     pub(super) excluded: Vec<usize>,
 }
 
@@ -62,19 +65,19 @@
         (0..self.slot_count).filter(|slot| !self.excluded.contains(slot))
     }
 
-    /// The first participant founds.
+    /// Whether this voter is the first participant, which founds the generation.
     pub(super) fn is_founder(&self) -> bool {
         self.participants().next() == Some(self.own_slot)
     }
 
-    /// Whether all other participants were heard lately, and none knows of a leader.
+    /// Whether all other participants sent a recent heartbeat without a leader.
     pub(super) fn others_are_leaderless(&self, now: Timestamp, peers: &PeerTable) -> bool {
         let mut others = self.participants().filter(|slot| *slot != self.own_slot);
         others.all(|slot| peers.is_leaderless(now, slot))
     }
 }
 
-/// The highest generation heard of, and the newest decision followed: a new generation goes on from both.
+/// Highest generation and newest decision recorded; a new generation continues from both.
 #[derive(Default)]
 pub(super) struct KnownHistory {
     pub(super) highest_generation: u64,
@@ -94,13 +97,13 @@
     }
 }
 
-/// This voter's promise to join a generation.
+/// Promise of this voter to join a generation.
 #[derive(Clone, Copy)]
 pub(super) struct OwnPromise {
     pub(super) generation: u64,
-    /// The slot that founds it.
+    /// Slot that founds the generation.
     pub(super) founder: usize,
-    pub(super) at: Timestamp,
+    pub(super) promised_at: Timestamp,
 }
 
 impl OwnPromise {
@@ -109,11 +112,11 @@
     }
 
     pub(super) fn has_expired(&self, now: Timestamp) -> bool {
-        now - self.at >= PROMISE_LIFETIME
+        now - self.promised_at >= PROMISE_LIFETIME
     }
 }
 
-/// What the founder knows of the generation that it founds.
+/// State of the founder while it founds a generation.
 pub(super) struct Founding {
     generation: u64,
     started_at: Timestamp,
@@ -123,18 +126,18 @@
 }
 
 impl Founding {
-    /// With the founder's own promise.
+    /// Starts the founding with the founder's own promise.
     pub(super) fn new(now: Timestamp, founder: usize, own: Promise) -> Founding {
         let generation = own.generation;
         Founding { generation, started_at: now, promises: BTreeMap::from([(founder, own)]), group: None }
     }
 
-    /// Whether the promises no longer hold.
+    /// Whether the promises have expired.
     pub(super) fn has_expired(&self, now: Timestamp) -> bool {
         now - self.started_at >= PROMISE_LIFETIME
     }
 
-    /// What the others are told, until they have all joined.
+    /// Message repeated to the other voters until all of them have joined.
     pub(super) fn message(&self) -> VoterMessage {
         match self.group.clone() {
             Some(group) => VoterMessage::StartGroup(group),
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Whether promises to that generation still count.
+    /// Whether promises for this generation still count.
     pub(super) fn awaits_promises(&self, generation: u64) -> bool {
         generation == self.generation && self.group.is_none()
     }
@@ -151,7 +154,7 @@
         self.promises.insert(slot, promise);
     }
 
-    /// The new group, at the moment when all participants have promised.
+    /// Returns the new group once all participants have promised, and none afterwards.
     pub(super) fn complete(&mut self, participants: &[usize], zone_count: usize) -> Option<NewGroup> {
         if self.group.is_some() || !participants.iter().all(|slot| self.promises.contains_key(slot)) {
             return None;
--- a/crates/pipitcrank-failover/src/voter/identity.rs
+++ b/crates/pipitcrank-failover/src/voter/identity.rs
@@ -1,21 +1,21 @@
-//! Ids of voters, and the processes that go by them in turn.
+//! Ids of voters, and the incarnations of each id.
 
 use serde::{Deserialize, Serialize};
 
 use crate::constants::SPREADING_MULTIPLIER;
 
-/// An odd multiplier that spreads the number of abandoned ids over 64 bits.
+/// Odd multiplier that spreads the number of abandoned ids over 64 bits.
 const ABANDONED_IDS_MULTIPLIER: u64 = 0xD1B5_4A32_D192_ED03;
-/// The lowest bits of an id hold its slot, counted from 1.
+/// Number of low bits of an id that hold its slot, counted from 1.
 const SLOT_BITS: u32 = 8;
 const SLOT_MASK: u64 = 0xff;
 
-/// The slot of a voter's id, which is not 0.
+/// Returns the slot of a voter's id, which must not be 0.
 pub(super) fn slot_of(id: u64) -> usize {
     (id & SLOT_MASK) as usize - 1
 }
 
-/// A voter's place among the others.
+/// Slot of a voter, and the size of the configuration.
 #[derive(Clone, Copy)]
 pub(super) struct Placement {
     pub(super) slot: usize,
@@ -23,27 +23,27 @@
     pub(super) zone_count: usize,
 }
 
-/// Which process in turn goes by an id.
+/// One process among those that use an id in turn.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Counts the processes of the id, from 1.
+    /// Number of the process among those of the id, from 1.
     pub count: u64,
-    /// The start of the process, in microseconds since 1970 by its own clock.
+    /// Start time of the process, in microseconds since 1970 by its own clock.
     pub started: u64,
 }
 
-/// The latest known incarnation of an id; all zero where none is known.
+/// Latest recorded incarnation of an id; all zero if none is recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownIncarnation {
-    /// The voter's id.
+    /// Id of the voter.
     pub id: u64,
-    /// Its latest incarnation.
+    /// Latest incarnation of the id.
     pub incarnation: Incarnation,
 }
 
 impl KnownIncarnation {
-    /// Whether the other is a later process of the same id. The same count with another start is another process that used
-    /// the same memory.
+    /// Whether `other` is a later process of the same id. The same count with another start time means that
+    /// another process used the same persisted state.
     fn is_superseded_by(&self, other: &KnownIncarnation) -> bool {
         other.id == self.id
             && other.incarnation != self.incarnation
@@ -51,7 +51,7 @@
     }
 }
 
-/// By slot: the latest incarnation of the newest id.
+/// Latest incarnation of the newest id, by slot.
 pub(super) struct IncarnationTable(Vec<KnownIncarnation>);
 
 impl IncarnationTable {
@@ -63,12 +63,13 @@
         self.0.clone()
     }
 
-    /// Whether it is news. Of the same id only a later incarnation counts; another id is that of a process that runs now.
-    pub(super) fn record(&mut self, slot: usize, heard: KnownIncarnation) -> bool {
+    /// Records an announced incarnation; returns whether the entry changed. For the same id, only a later
+    /// incarnation counts. Another id belongs to the process that runs now.
+    pub(super) fn record(&mut self, slot: usize, announced: KnownIncarnation) -> bool {
         let known = &mut self.0[slot];
-        let is_later = known.id != heard.id || heard.incarnation.count > known.incarnation.count;
+        let is_later = known.id != announced.id || announced.incarnation.count > known.incarnation.count;
         if is_later {
-            *known = heard;
+            *known = announced;
         }
         is_later
     }
@@ -80,15 +81,17 @@
     }
 }
 
-/// The identity of this process among the voters.
+/// Identity of this process among the voters.
 pub(super) struct VoterIdentity {
     slot: usize,
-    /// The process whose start its id is made of: this one, or the one whose memory it uses.
+    /// Start time that the id is derived from: that of this process, or of the one whose persisted state it
+    /// uses.
     pub(super) instance: u64,
-    /// Ids that it has abandoned.
+    /// Number of ids that were abandoned.
     pub(super) abandoned_ids: u64,
     pub(super) incarnation: Incarnation,
-    /// It uses a memory, and no majority has recorded its incarnation yet: it neither votes nor stands for election.
+    /// Set while the process uses persisted state and no majority has recorded its incarnation. It neither
+    /// votes nor stands for election until then.
     pub(super) is_unconfirmed: bool,
 }
 
@@ -98,13 +101,14 @@
         VoterIdentity { slot, instance, abandoned_ids: 0, incarnation, is_unconfirmed: false }
     }
 
-    /// Goes on under the id of an earlier process.
+    /// Continues under the id of an earlier process.
     pub(super) fn restore(&mut self, instance: u64, abandoned_ids: u64, incarnation_count: u64) {
         self.incarnation = Incarnation { count: incarnation_count + 1, started: self.instance };
         (self.instance, self.abandoned_ids) = (instance, abandoned_ids);
     }
 
-    /// The slot in the lowest byte; the rest is made of the start and the abandoned ids.
+    /// Returns the id: the slot in the lowest byte, the rest derived from the start time and the number of
+    /// abandoned ids.
     pub(super) fn id(&self) -> u64 {
         let spread = (self.instance.wrapping_mul(SPREADING_MULTIPLIER)
             ^ self.abandoned_ids.wrapping_mul(ABANDONED_IDS_MULTIPLIER))
@@ -116,14 +120,14 @@
         KnownIncarnation { id: self.id(), incarnation: self.incarnation }
     }
 
-    /// Whether another voter knows of a later process of its id, while it is unproven.
+    /// Whether another voter has recorded a later process of this id while this one is unconfirmed.
     pub(super) fn is_superseded(&self, recorded: &[KnownIncarnation]) -> bool {
         let own = self.known_incarnation();
         self.is_unconfirmed && recorded.iter().any(|recorded| own.is_superseded_by(recorded))
     }
 
-    /// It is proven once a majority, itself included, has recorded its incarnation.
-    pub(super) fn prove(&mut self, recorded: &[KnownIncarnation], slot_count: usize) {
+    /// Marks the incarnation as confirmed once a majority, this process included, has recorded it.
+    pub(super) fn confirm(&mut self, recorded: &[KnownIncarnation], slot_count: usize) {
         let own = self.known_incarnation();
         let confirmations = 1 + recorded.iter().filter(|recorded| **recorded == own).count();
         if confirmations * 2 > slot_count {
@@ -131,12 +135,12 @@
         }
     }
 
-    /// Takes another id.
+    /// Switches to another id.
     pub(super) fn abandon_id(&mut self) {
         self.abandoned_ids += 1;
     }
 
-    /// Takes another id, of which this is the first process.
+    /// Switches to another id, of which this is the first process.
     pub(super) fn leave_group(&mut self) {
         self.abandon_id();
         self.incarnation.count = 1;
--- a/crates/pipitcrank-failover/src/voter/message.rs
+++ b/crates/pipitcrank-failover/src/voter/message.rs
@@ -1,40 +1,40 @@
-//! What voters send each other.
+//! Messages between voters.
 
 use serde::{Deserialize, Serialize};
 
 use super::identity::{Incarnation, KnownIncarnation};
 use crate::decision::Decision;
 
-/// A message between voters, beside those of the Raft library.
+/// Message between voters, in addition to those of the Raft library.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum VoterMessage {
-    /// Sent to all others at short intervals.
+    /// Heartbeat, sent periodically to all other voters.
     Heartbeat(VoterHeartbeat),
-    /// Asks for a promise to join a new generation.
+    /// Requests a promise to join a new generation.
     RequestPromise {
         /// The new generation.
         generation: u64,
     },
-    /// The sender has left its group and will join the new generation.
+    /// Promise to join the new generation; the sender has left its group.
     Promise(Promise),
-    /// All have promised: the new generation begins.
+    /// All participants have promised: the new group starts.
     StartGroup(NewGroup),
 }
 
-/// What a voter tells all others at short intervals.
+/// State of a voter, sent periodically to all other voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterHeartbeat {
-    /// The sender's id.
+    /// Id of the sender.
     pub id: u64,
-    /// The generation of its group; 0 without one.
+    /// Generation of the sender's group; 0 without a group.
     pub generation: u64,
-    /// Whether it knows of a leader.
+    /// Whether the sender's group has a leader.
     pub has_leader: bool,
-    /// The highest generation it ever heard of.
+    /// Highest generation that the sender has recorded.
     pub highest_generation: u64,
-    /// Which process in turn goes by its id.
+    /// Incarnation of the sender's id.
     pub incarnation: Incarnation,
-    /// By slot: what it has recorded of all voters.
+    /// By slot: the incarnations that the sender has recorded.
     pub known_incarnations: Vec<KnownIncarnation>,
 }
 
@@ -43,42 +43,42 @@
 pub struct Promise {
     /// The new generation.
     pub generation: u64,
-    /// The id under which it joins.
+    /// Id under which the sender joins.
     pub id: u64,
-    /// The newest decision it knows.
+    /// Newest decision that the sender has recorded.
     pub known_decision: Option<Decision>,
 }
 
-/// A group that all participants have promised to join.
+/// A new group that all participants have promised to join.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NewGroup {
-    /// Its generation.
+    /// Generation of the group.
     pub generation: u64,
-    /// Its voters, in the order of their slots.
+    /// Ids of the voters, in the order of their slots.
     pub voter_ids: Vec<u64>,
-    /// Its first decision.
+    /// First decision of the group.
     pub initial_decision: Decision,
 }
 
-/// What a voter sends.
+/// Output of a voter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VoterOutput {
-    /// A message of the Raft library.
+    /// Message of the Raft library.
     Raft {
-        /// The generation it belongs to.
+        /// Generation of the group that the message belongs to.
         generation: u64,
-        /// The library's encoding.
+        /// Message in the library's encoding.
         bytes: Vec<u8>,
     },
-    /// A message of this package.
+    /// Message defined in this package.
     Message(VoterMessage),
 }
 
-/// What a voter sends, and to whom.
+/// Output of a voter with its destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedOutput {
-    /// The receiver's slot.
+    /// Slot of the receiver.
     pub slot: usize,
-    /// What is sent.
+    /// The output.
     pub output: VoterOutput,
 }
--- a/crates/pipitcrank-failover/src/voter/peers.rs
+++ b/crates/pipitcrank-failover/src/voter/peers.rs
@@ -7,24 +7,24 @@
 use super::identity::KnownIncarnation;
 use super::timing::HEARTBEAT_LIFETIME;
 
-/// The newest heartbeat of one voter.
+/// Newest heartbeat of one voter.
 pub(super) struct PeerHeartbeat {
-    pub(super) at: Timestamp,
+    pub(super) received_at: Timestamp,
     pub(super) id: u64,
-    /// The generation of its group; 0 without one.
+    /// Generation of the sender's group; 0 without a group.
     pub(super) generation: u64,
     pub(super) has_leader: bool,
-    /// What it has recorded of this process's slot.
+    /// Incarnation that the sender has recorded for this process's slot.
     pub(super) recorded: KnownIncarnation,
 }
 
 impl PeerHeartbeat {
     pub(super) fn is_recent(&self, now: Timestamp) -> bool {
-        now - self.at <= HEARTBEAT_LIFETIME
+        now - self.received_at <= HEARTBEAT_LIFETIME
     }
 }
 
-/// The newest heartbeat of each other voter, by slot.
+/// Newest heartbeat of each other voter, by slot.
 #[derive(Default)]
 pub(super) struct PeerTable(BTreeMap<usize, PeerHeartbeat>);
 
@@ -41,7 +41,7 @@
         self.0.values().filter(move |heartbeat| heartbeat.is_recent(now))
     }
 
-    /// Whether that voter was heard lately and knows of no leader.
+    /// Whether the voter of a slot sent a recent heartbeat without a leader.
     pub(super) fn is_leaderless(&self, now: Timestamp, slot: usize) -> bool {
         self.0.get(&slot).is_some_and(|heartbeat| heartbeat.is_recent(now) && !heartbeat.has_leader)
     }
--- a/crates/pipitcrank-failover/src/voter/persistent_state.rs
+++ b/crates/pipitcrank-failover/src/voter/persistent_state.rs
@@ -1,16 +1,16 @@
-//! What a voter must not forget.
+//! State that a voter has to persist.
 
 use serde::{Deserialize, Serialize};
 
 use super::identity::KnownIncarnation;
 use crate::decision::Decision;
 
-/// What a voter must not forget: to be stored where no crash loses it, before anything that was said after it is sent. Valid
-/// for the same slot alone.
+/// State of a voter that must survive any crash. It has to be persisted before outputs that depend on it are
+/// sent, and is valid for the same slot only.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PersistentVoterState {
     pub(super) slot: usize,
-    /// The process whose start the id is made of.
+    /// Start time that the id is derived from.
     pub(super) instance: u64,
     pub(super) abandoned_ids: u64,
     pub(super) incarnation_count: u64,
@@ -22,35 +22,35 @@
 }
 
 impl PersistentVoterState {
-    /// The stored form.
+    /// Encodes the state for storage.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// What was encoded; none unless all bytes belong to it.
+    /// Decodes a stored state; returns none unless all bytes belong to it.
     pub fn decode(bytes: &[u8]) -> Option<PersistentVoterState> {
         let (memory, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(memory)
     }
 
-    /// Whether it is the memory of a voter in that slot of as many.
+    /// Whether this is the state of a voter in `slot` out of `slot_count` slots.
     pub(super) fn fits(&self, slot: usize, slot_count: usize) -> bool {
         self.slot == slot && self.known_incarnations.len() == slot_count && self.instance != 0
     }
 }
 
-/// The place of an entry in the Raft log.
+/// Position of an entry in the Raft log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct LogPosition {
     pub(super) index: u64,
     pub(super) term: u64,
 }
 
-/// Raft's hard state.
+/// Hard state of Raft.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct StoredHardState {
     pub(super) term: u64,
-    /// The id voted for; 0 for none.
+    /// Id of the voter that got this voter's vote; 0 for none.
     pub(super) vote: u64,
     /// Index of the last committed entry.
     pub(super) commit: u64,
@@ -59,11 +59,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct PersistentGroupState {
     pub(super) generation: u64,
-    /// The last applied entry.
+    /// Last applied entry.
     pub(super) applied: LogPosition,
-    /// The decision after it.
+    /// Decision after that entry.
     pub(super) decision: Option<Decision>,
-    /// The voters after it, in the library's encoding.
+    /// Voters after that entry, in the library's encoding.
     pub(super) voters: Vec<u8>,
     pub(super) hard_state: StoredHardState,
     /// Later entries, in the library's encoding.
--- a/crates/pipitcrank-failover/src/voter/raft_group.rs
+++ b/crates/pipitcrank-failover/src/voter/raft_group.rs
@@ -6,7 +6,7 @@
 use raft::{GetEntriesContext, RawNode, SnapshotStatus, StateRole, Storage};
 use serde::{Deserialize, Serialize};
 
-use super::admission::{Newcomer, replacement};
+use super::admission::{JoiningVoter, replacement};
 use super::identity::{Placement, slot_of};
 use super::message::{AddressedOutput, VoterOutput};
 use super::persistent_state::{LogPosition, PersistentGroupState, StoredHardState};
@@ -16,35 +16,37 @@
 
 /// Ticks between two heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks without a heartbeat after which the first slot stands for election: 0.4 s, so that a dead leader is replaced within
-/// the time that moving a zone may take.
+/// Ticks without a heartbeat after which the first slot stands for election. With 0.4 s, a dead leader is
+/// replaced within the time allowed for moving the load of a zone.
 const ELECTION_TICKS: usize = 8;
-/// Each further slot waits for so many ticks more, so that they do not all stand at once.
+/// Additional election ticks per slot, so that the slots do not all stand for election at once.
 const ELECTION_TICKS_PER_SLOT: usize = 2;
-/// Entries that stay in the log for voters that lag a little; others are sent the decision as a snapshot.
+/// Number of entries kept in the log for voters that lag slightly; voters that lag further receive the
+/// decision as a snapshot.
 const RETAINED_ENTRIES: u64 = 64;
-/// Bytes of entries in one message, so that it fits a datagram.
+/// Limit on the bytes of entries in one message, so that it fits into a datagram.
 const MAX_MESSAGE_BYTES: u64 = 700;
 const MAX_INFLIGHT_MESSAGES: usize = 16;
 
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Proposal {
-    /// Number of the decision that it succeeds: another decision in between makes it void.
+    /// Number of the decision that the proposal succeeds: the proposal is void if another decision comes
+    /// first.
     pub(super) base: u64,
     pub(super) decision: Decision,
 }
 
-/// What driving the library has led to.
+/// Effects of processing the library's pending work.
 #[derive(Default)]
 pub(super) struct GroupEffects {
-    pub(super) memory_changed: bool,
-    /// Faults of the storage.
+    pub(super) state_changed: bool,
+    /// Number of storage errors.
     pub(super) discarded: u64,
     pub(super) decided: Vec<Decision>,
     pub(super) outputs: Vec<AddressedOutput>,
 }
 
-/// A group as one of its voters has it.
+/// One voter's view of its group.
 pub(super) struct RaftGroup {
     placement: Placement,
     generation: u64,
@@ -54,7 +56,7 @@
     last_admission: Timestamp,
 }
 
-/// A Raft message to that voter; none for any other bytes.
+/// Decodes a Raft message to the voter `id`; returns none for any other bytes.
 pub(super) fn decode(bytes: &[u8], id: u64) -> Option<Message> {
     let message = Message::parse_from_bytes(bytes).ok()?;
     let is_local = raft::raw_node::is_local_msg(message.msg_type);
@@ -93,7 +95,7 @@
         self.generation
     }
 
-    /// None until a voter that was admitted is sent one.
+    /// Current decision; none until an admitted voter receives one.
     pub(super) fn decision(&self) -> Option<&Decision> {
         self.decision.as_ref()
     }
@@ -120,15 +122,16 @@
         self.node.raft.prs().conf().voters().ids().iter().collect()
     }
 
-    /// Whether it leads, and an entry of its own term is applied: then no other voter holds a newer decision.
+    /// Whether this voter leads and has applied an entry of its own term: then no other voter holds a newer
+    /// decision.
     pub(super) fn leads_with_own_entry(&self) -> bool {
         let log = &self.node.raft.raft_log;
         self.is_leader() && log.term(log.applied) == Ok(self.term())
     }
 
-    /// What must not be forgotten; none until a voter that was admitted is sent a decision: before, it has promised nothing
-    /// that matters but its term and vote.
-    pub(super) fn memory(&self) -> Option<PersistentGroupState> {
+    /// Returns the state to persist; none if the log cannot be read. Until an admitted voter receives a
+    /// decision, only its term and vote matter.
+    pub(super) fn persistent_state(&self) -> Option<PersistentGroupState> {
         let (storage, log) = (self.node.store(), &self.node.raft.raft_log);
         let applied = log.applied;
         let last = storage.last_index().ok()?;
@@ -160,19 +163,19 @@
         self.node.step(message)
     }
 
-    /// Whether the leader takes entries for committed that this voter does not have.
+    /// Whether the leader considers entries as committed that this voter does not have.
     pub(super) fn lacks_committed_entries(&self, message: &Message) -> bool {
         message.msg_type == MessageType::MsgHeartbeat && message.commit > self.node.raft.raft_log.last_index()
     }
 
-    /// Whether it was handed to the library.
+    /// Proposes a decision; returns whether it was passed to the library.
     pub(super) fn propose(&mut self, base: u64, decision: Decision) -> bool {
         let Ok(bytes) = postcard::to_allocvec(&Proposal { base, decision }) else { return false };
         let _ = self.node.propose(Vec::new(), bytes);
         true
     }
 
-    /// Whether this voter leads, and all earlier changes are complete.
+    /// Whether this voter leads and all earlier changes of the group are complete.
     pub(super) fn can_admit(&self, now: Timestamp) -> bool {
         let raft = &self.node.raft;
         self.is_leader()
@@ -182,12 +185,12 @@
     }
 
     /// Proposes to admit a process in place of the voters of its slot.
-    pub(super) fn admit(&mut self, now: Timestamp, newcomer: Newcomer, voter_ids: &[u64]) {
+    pub(super) fn admit(&mut self, now: Timestamp, joining: JoiningVoter, voter_ids: &[u64]) {
         self.last_admission = now;
-        let _ = self.node.propose_conf_change(Vec::new(), replacement(newcomer, voter_ids));
+        let _ = self.node.propose_conf_change(Vec::new(), replacement(joining, voter_ids));
     }
 
-    /// Carries out what the library wants done, until nothing is left.
+    /// Processes the library's pending work until none is left.
     pub(super) fn process_ready(&mut self) -> GroupEffects {
         let mut effects = GroupEffects::default();
         while self.node.has_ready() {
@@ -199,7 +202,7 @@
 
     fn process_one_ready(&mut self, effects: &mut GroupEffects) {
         let mut ready = self.node.ready();
-        effects.memory_changed |=
+        effects.state_changed |=
             ready.hs().is_some() || !ready.entries().is_empty() || !ready.snapshot().is_empty();
         let mut messages = ready.take_messages();
         if !ready.snapshot().is_empty() {
@@ -249,7 +252,8 @@
         }
     }
 
-    /// One decision for each number: a proposal that succeeds another decision than the current one is void for all voters.
+    /// Each number has one decision: every voter discards a proposal that does not succeed the current
+    /// decision.
     fn apply_proposal(&mut self, data: &[u8], effects: &mut GroupEffects) {
         let Ok(Proposal { base, mut decision }) = postcard::from_bytes(data) else { return };
         let Some(current) = &self.decision else { return };
@@ -277,7 +281,7 @@
 
     fn send(&mut self, message: &Message, effects: &mut GroupEffects) {
         if message.msg_type == MessageType::MsgSnapshot {
-            // It is one datagram: whether it arrived shows at the next heartbeat.
+            // A snapshot is one datagram; the next heartbeat shows whether it arrived.
             self.node.report_snapshot(message.to, SnapshotStatus::Finish);
         }
         let slot = slot_of(message.to.max(1));
--- a/crates/pipitcrank-failover/src/voter/storage.rs
+++ b/crates/pipitcrank-failover/src/voter/storage.rs
@@ -1,4 +1,5 @@
-//! The Raft library's storage: its log in memory, with the current decision as the snapshot for voters that lag or are new.
+//! Storage for the Raft library: its log in memory, with the current decision as the snapshot for new or
+//! lagging voters.
 
 use std::cell::RefCell;
 
@@ -10,26 +11,27 @@
 use super::persistent_state::{PersistentGroupState, StoredHardState};
 use crate::decision::Decision;
 
-/// Position of the snapshot with which a founded group begins: not 0, so that a member that was not there is sent it.
+/// Index of the snapshot with which a founded group starts. It is not 0, so that a member that missed the
+/// start is sent the snapshot.
 const FOUNDING_INDEX: u64 = 1;
 const FOUNDING_TERM: u64 = 1;
 
-/// The log with which a voter enters a group.
+/// Log with which a voter enters a group.
 pub(super) struct GroupLog {
     pub(super) log: MemStorage,
     /// Index of the last applied entry.
     pub(super) applied: u64,
-    /// The decision after it; none until a voter that was admitted is sent one.
+    /// Decision after that entry; none until an admitted voter receives one.
     pub(super) decision: Option<Decision>,
 }
 
 impl GroupLog {
-    /// Of a voter that is to be sent everything.
-    pub(super) fn blank() -> GroupLog {
+    /// Log of a voter that is to receive all entries from the leader.
+    pub(super) fn empty() -> GroupLog {
         GroupLog { log: MemStorage::new(), applied: 0, decision: None }
     }
 
-    /// Of a group that begins with these voters.
+    /// Log of a group that starts with these voters.
     pub(super) fn founding(voter_ids: &[u64], initial_decision: Decision) -> Option<GroupLog> {
         let log = MemStorage::new();
         let voters = ConfState { voters: voter_ids.to_vec(), ..ConfState::default() };
@@ -37,9 +39,10 @@
         Some(GroupLog { log, applied: FOUNDING_INDEX, decision: Some(initial_decision) })
     }
 
-    /// From a voter's memory; none where it is inconsistent, which the library would take for a fault of its own.
-    pub(super) fn restore(memory: PersistentGroupState, zone_count: usize) -> Option<GroupLog> {
-        let PersistentGroupState { applied, decision, voters, hard_state, entries, .. } = memory;
+    /// Restores the log from persisted state. Returns none for inconsistent state, which the library would
+    /// report as its own fault.
+    pub(super) fn restore(state: PersistentGroupState, zone_count: usize) -> Option<GroupLog> {
+        let PersistentGroupState { applied, decision, voters, hard_state, entries, .. } = state;
         let entries: Vec<Entry> = entries.iter().filter_map(|e| Entry::parse_from_bytes(e).ok()).collect();
         let mut positions = entries.iter().zip(applied.index + 1..);
         let is_contiguous =
@@ -67,7 +70,7 @@
     snapshot
 }
 
-/// The log, and the encoded decision beside it.
+/// The log with the encoded current decision.
 pub(super) struct VoterStorage {
     pub(super) log: MemStorage,
     decision: RefCell<Vec<u8>>,
--- a/crates/pipitcrank-failover/src/voter/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/voter/stored_forms.rs
@@ -1,4 +1,5 @@
-//! Messages between voters and a voter's memory, against bytes of an earlier version.
+//! Compares messages between voters and the persisted state of a voter with bytes written by an earlier
+//! version.
 
 use std::fmt::Debug;
 
@@ -17,7 +18,7 @@
 }
 
 fn decision() -> Decision {
-    let place = |state, retained| ZoneDecision {
+    let zone = |state, retained| ZoneDecision {
         state,
         retained,
         hold_down_level: 3,
@@ -29,11 +30,11 @@
     Decision {
         number: 7 << 32 | 9,
         zones: vec![
-            place(ZoneState::Serving, FULL_PERMILLE),
-            place(ZoneState::Suspected, 900),
-            place(ZoneState::Draining, 500),
-            place(ZoneState::OutOfService, 0),
-            place(ZoneState::Returning, 100),
+            zone(ZoneState::Serving, FULL_PERMILLE),
+            zone(ZoneState::Suspected, 900),
+            zone(ZoneState::Draining, 500),
+            zone(ZoneState::OutOfService, 0),
+            zone(ZoneState::Returning, 100),
         ],
         frozen: true,
         cause: DecisionCause::CutOff,
