--- a/crates/pipitcrank-failover/src/voter/persistent_state.rs
+++ b/crates/pipitcrank-failover/src/voter/persistent_state.rs
@@ -29,8 +29,8 @@
 
     /// Decodes a stored state; returns none unless all bytes belong to it.
     pub fn decode(bytes: &[u8]) -> Option<PersistentVoterState> {
-        let (memory, rest) = postcard::take_from_bytes(bytes).ok()?;
-        rest.is_empty().then_some(memory)
+        let (state, rest) = postcard::take_from_bytes(bytes).ok()?;
+        rest.is_empty().then_some(state)
     }
 
     /// Whether this is the state of a voter in `slot` out of `slot_count` slots.
--- a/crates/pipitcrank-failover/src/voter/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/voter/stored_forms.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_voters_memory_is_read_and_written_as_by_an_earlier_version() {
+fn a_voters_state_is_read_and_written_as_by_an_earlier_version() {
     let group = PersistentGroupState {
         generation: 7,
         applied: LogPosition { index: 11, term: 4 },
@@ -113,7 +113,7 @@
         hard_state: StoredHardState { term: 5, vote: 0x301, commit: 12 },
         entries: vec![vec![1, 2], vec![3]],
     };
-    let memory = PersistentVoterState {
+    let state = PersistentVoterState {
         slot: 1,
         instance: 1 << 50,
         abandoned_ids: 2,
@@ -123,7 +123,7 @@
         known_incarnations: vec![known_incarnation(0x301, 2, 6), known_incarnation(0x402, 1, 5)],
         group: Some(group),
     };
-    let values = [("in_a_group", memory), ("new", PersistentVoterState::default())];
+    let values = [("in_a_group", state), ("new", PersistentVoterState::default())];
     fixtures::check("voter_memory.hex", &values, PersistentVoterState::encode, |bytes| {
         PersistentVoterState::decode(bytes).unwrap()
     });
--- a/crates/pipitcrank-failover/tests/model.rs
+++ b/crates/pipitcrank-failover/tests/model.rs
@@ -1,22 +1,23 @@
-//! The rules of who belongs to the voters, and of what nodes follow, in a model checker (`stateright`): every order of
-//! crashes that lose all memory, restarts, partitions, foundings, admissions and decisions, and of messages that are lost,
-//! late or duplicated, up to a bound. Raft itself is not checked: a group decides where a majority of its ids, each held by
-//! a process that still has its memory, reach each other. What is checked are the rules around it.
+//! Checks the rules of voter membership, and of the decisions that nodes follow, with a model checker
+//! (`stateright`). The model covers every order of crashes with loss of all state, restarts, partitions,
+//! foundings, admissions and decisions, and of lost, late or duplicated messages, up to a bound. Raft itself
+//! is not modelled: a group decides if a majority of its ids reach each other and each id belongs to a
+//! process that still has its state.
 
 use std::collections::BTreeSet;
 
 use stateright::{Checker, Model, Property};
 
-/// Generations that are modelled.
+/// Largest generation in the model.
 const MAX_GENERATION: u8 = 2;
-/// Changes of voters that are modelled, beside the decisions.
+/// Largest number of voter changes in the model, in addition to the decisions.
 const MAX_ADMISSIONS: u8 = 3;
-/// Stands for the id of a voter that has not promised.
+/// Id in place of a voter that has not promised.
 const NO_ID: u8 = 255;
-/// Marks, in a crashed voter's promise, the id that the injected fault keeps.
+/// Added to the id in a crashed voter's promise field when the injected fault keeps the id.
 const KEPT_ID_MARK: u8 = 100;
 
-/// A decision, or a change of voters.
+/// A decision or a change of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Entry {
     generation: u8,
@@ -24,18 +25,18 @@
     content: u8,
 }
 
-/// What a voter's process knows of a group.
+/// State of a group as held by one voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Memory {
+struct GroupState {
     generation: u8,
-    /// Ids that vote, by slot, as far as it knows.
+    /// Voter ids by slot, as recorded by this voter.
     voters: Vec<u8>,
-    /// Number and content of the newest entry it knows.
+    /// Number and content of the newest entry of this voter.
     number: u8,
     content: u8,
 }
 
-impl Memory {
+impl GroupState {
     fn entry(&self) -> Entry {
         Entry { generation: self.generation, number: self.number, content: self.content }
     }
@@ -43,22 +44,22 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Voter {
-    /// None while it is down.
+    /// None while the process is down.
     id: Option<u8>,
-    memory: Option<Memory>,
+    group: Option<GroupState>,
     promised: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct World {
+struct ModelState {
     voters: Vec<Voter>,
-    /// Slots cut off from the others.
+    /// Slots isolated from the others.
     isolated: BTreeSet<usize>,
-    /// Entries that were ever decided.
+    /// All entries ever decided.
     decided: BTreeSet<Entry>,
-    /// Generation and number of the newest that the one follower acts on, and whether it ever went back.
+    /// Generation and number of the newest entry that the modelled follower acts on.
     follows: (u8, u8),
-    went_back: bool,
+    regressed: bool,
     next_id: u8,
     last_content: u8,
     faults: u8,
@@ -70,32 +71,32 @@
     Restart(usize),
     Isolate(usize),
     Heal,
-    /// The first slot has all promise a generation.
+    /// The first slot collects promises for a new generation from all voters.
     Found,
-    /// One of those that promised hears that the group starts; late or twice makes no difference.
+    /// A voter that promised receives the start of the group; late or repeated delivery has the same effect.
     Start(usize),
-    /// A majority decides; the others may miss it.
+    /// A majority decides; the other voters may miss the decision.
     Decide(Vec<usize>),
-    /// A majority admits a slot's new id in place of its old one.
+    /// A majority admits the new id of a slot in place of the old one.
     Admit(Vec<usize>, usize),
-    /// One voter learns what another knows.
+    /// One voter receives the newer entries of another.
     CatchUp {
         from: usize,
         to: usize,
     },
-    /// The follower hears of any entry ever decided: late, again, or in another order.
-    Hear(Entry),
+    /// The follower receives any entry ever decided: late, repeated or out of order.
+    Receive(Entry),
 }
 
 struct Rules {
     slots: usize,
     faults: u8,
     decisions: u8,
-    /// Injected fault: a process that lost its memory goes on under the id that it had.
+    /// Injected fault: a process that lost its state continues under its old id.
     keeps_id: bool,
-    /// Injected fault: a group starts with the promises of a majority alone.
+    /// Injected fault: a group starts with the promises of a majority only.
     founds_with_majority: bool,
-    /// Injected fault: nodes accept whatever they hear last.
+    /// Injected fault: nodes accept older decisions.
     accepts_older: bool,
 }
 
@@ -109,203 +110,207 @@
         sets.map(|m| (0..self.slots).filter(|s| m & (1 << s) != 0).collect()).collect()
     }
 
-    /// What the newest of these knows, if they reach each other, are up, and are voters of its group.
-    fn acting_group(&self, world: &World, set: &[usize]) -> Option<Memory> {
-        let isolated = set.iter().filter(|slot| world.isolated.contains(slot)).count();
+    /// Returns the newest group state within `set` if its slots reach each other, are up, and are voters of
+    /// that group.
+    fn acting_group(&self, state: &ModelState, set: &[usize]) -> Option<GroupState> {
+        let isolated = set.iter().filter(|slot| state.isolated.contains(slot)).count();
         let is_partitioned = isolated > 0 && isolated < set.len();
         if is_partitioned || isolated > 1 {
             return None;
         }
-        let members: Option<Vec<(&Memory, u8)>> = set
+        let members: Option<Vec<(&GroupState, u8)>> = set
             .iter()
             .map(|&slot| {
-                let voter = &world.voters[slot];
-                Some((voter.memory.as_ref()?, voter.id?))
+                let voter = &state.voters[slot];
+                Some((voter.group.as_ref()?, voter.id?))
             })
             .collect();
         let members = members?;
         let newest = members.iter().map(|m| m.0).max_by_key(|m| (m.generation, m.number))?;
-        let are_voters = set.iter().zip(&members).all(|(&slot, (memory, id))| {
-            memory.generation == newest.generation && newest.voters[slot] == *id
+        let are_voters = set.iter().zip(&members).all(|(&slot, (member, id))| {
+            member.generation == newest.generation && newest.voters[slot] == *id
         });
-        let are_free = set.iter().all(|&slot| world.voters[slot].promised <= newest.generation);
+        let are_free = set.iter().all(|&slot| state.voters[slot].promised <= newest.generation);
         (are_voters && are_free).then(|| newest.clone())
     }
 
-    fn crash(&self, world: &mut World, slot: usize) -> Option<()> {
-        world.faults += 1;
-        let id = world.voters[slot].id;
-        world.voters[slot] = Voter { id: None, memory: None, promised: 0 };
+    fn crash(&self, state: &mut ModelState, slot: usize) -> Option<()> {
+        state.faults += 1;
+        let id = state.voters[slot].id;
+        state.voters[slot] = Voter { id: None, group: None, promised: 0 };
         if self.keeps_id {
-            // The next process claims to be the same, and knows its group, but not what it had promised.
-            world.voters[slot].promised = KEPT_ID_MARK + id?;
+            // The next process continues under the same id and in the same group, but without the promises
+            // made.
+            state.voters[slot].promised = KEPT_ID_MARK + id?;
         }
         Some(())
     }
 
-    fn restart(&self, world: &mut World, slot: usize) {
-        let mark = std::mem::take(&mut world.voters[slot].promised);
+    fn restart(&self, state: &mut ModelState, slot: usize) {
+        let mark = std::mem::take(&mut state.voters[slot].promised);
         if mark >= KEPT_ID_MARK {
-            world.voters[slot].id = Some(mark - KEPT_ID_MARK);
-            let newest = world.voters.iter().filter_map(|voter| voter.memory.clone()).max();
-            world.voters[slot].memory = newest.map(|memory| Memory { number: 0, content: 0, ..memory });
+            state.voters[slot].id = Some(mark - KEPT_ID_MARK);
+            let newest = state.voters.iter().filter_map(|voter| voter.group.clone()).max();
+            state.voters[slot].group = newest.map(|group| GroupState { number: 0, content: 0, ..group });
         } else {
-            world.voters[slot].id = Some(world.take_id());
+            state.voters[slot].id = Some(state.take_id());
         }
     }
 
-    fn found(&self, world: &mut World) -> Option<()> {
+    fn found(&self, state: &mut ModelState) -> Option<()> {
         let present: Vec<usize> = (0..self.slots)
-            .filter(|slot| world.voters[*slot].id.is_some() && !world.isolated.contains(slot))
+            .filter(|slot| state.voters[*slot].id.is_some() && !state.isolated.contains(slot))
             .collect();
         let enough = match self.founds_with_majority {
             true => present.len() * 2 > self.slots,
             false => present.len() == self.slots,
         };
-        // Nobody knows of a leader: none of those present could decide.
+        // No leader exists if no majority among the present slots could decide.
         let has_leader = self.majorities().iter().any(|set| {
-            set.iter().all(|slot| present.contains(slot)) && self.acting_group(world, set).is_some()
+            set.iter().all(|slot| present.contains(slot)) && self.acting_group(state, set).is_some()
         });
-        let has_promise = present.iter().any(|&slot| world.voters[slot].promised > 0);
+        let has_promise = present.iter().any(|&slot| state.voters[slot].promised > 0);
         if !enough || has_leader || has_promise {
             return None;
         }
-        // Above what those present know; where none of them has memory, above what clocks gave before.
-        let known = present.iter().filter_map(|&slot| world.voters[slot].memory.as_ref());
-        let by_clock = || world.decided.iter().map(|entry| entry.generation).max().unwrap_or(0);
-        let generation = 1 + known.map(|memory| memory.generation).max().unwrap_or_else(by_clock);
+        // The generation is above those of the present voters; without any state, above those that clocks
+        // gave before.
+        let known = present.iter().filter_map(|&slot| state.voters[slot].group.as_ref());
+        let by_clock = || state.decided.iter().map(|entry| entry.generation).max().unwrap_or(0);
+        let generation = 1 + known.map(|group| group.generation).max().unwrap_or_else(by_clock);
         if generation > MAX_GENERATION {
             return None;
         }
-        // Each leaves its group for good: another id.
+        // Each voter leaves its group for good and takes another id.
         for &slot in &present {
-            if world.voters[slot].memory.take().is_some() {
-                world.voters[slot].id = Some(world.take_id());
+            if state.voters[slot].group.take().is_some() {
+                state.voters[slot].id = Some(state.take_id());
             }
-            world.voters[slot].promised = generation;
+            state.voters[slot].promised = generation;
         }
         Some(())
     }
 
-    fn start(&self, world: &mut World, slot: usize) -> Option<()> {
-        let generation = world.voters[slot].promised;
-        // All who promised that, as they were counted: who crashed since is counted under its old id.
-        let counted = world.voters.iter().find_map(|voter| {
-            let started = voter.memory.as_ref().filter(|m| m.generation == generation && m.number == 0);
-            started.map(|memory| memory.voters.clone())
+    fn start(&self, state: &mut ModelState, slot: usize) -> Option<()> {
+        let generation = state.voters[slot].promised;
+        // All voters that promised this generation, with the ids they had when counted: a voter that crashed
+        // since is counted under its old id.
+        let counted = state.voters.iter().find_map(|voter| {
+            let started = voter.group.as_ref().filter(|m| m.generation == generation && m.number == 0);
+            started.map(|group| group.voters.clone())
         });
         let promised = |voter: &Voter| voter.id.filter(|_| voter.promised == generation).unwrap_or(NO_ID);
-        let ids = counted.unwrap_or_else(|| world.voters.iter().map(promised).collect());
+        let ids = counted.unwrap_or_else(|| state.voters.iter().map(promised).collect());
         let promises = ids.iter().filter(|id| **id != NO_ID).count();
         let enough =
             if self.founds_with_majority { promises * 2 > self.slots } else { promises == self.slots };
-        if !enough || ids[slot] != world.voters[slot].id? {
+        if !enough || ids[slot] != state.voters[slot].id? {
             return None;
         }
-        let memory = Memory { generation, voters: ids, number: 0, content: 0 };
-        (world.voters[slot].memory, world.voters[slot].promised) = (Some(memory), 0);
+        let group = GroupState { generation, voters: ids, number: 0, content: 0 };
+        (state.voters[slot].group, state.voters[slot].promised) = (Some(group), 0);
         Some(())
     }
 
-    fn decide(&self, world: &mut World, set: &[usize]) -> Option<()> {
-        let newest = self.acting_group(world, set)?;
-        world.last_content += 1;
-        let decided = Memory { number: newest.number + 1, content: world.last_content, ..newest };
-        world.decided.insert(decided.entry());
-        set.iter().for_each(|&slot| world.voters[slot].memory = Some(decided.clone()));
+    fn decide(&self, state: &mut ModelState, set: &[usize]) -> Option<()> {
+        let newest = self.acting_group(state, set)?;
+        state.last_content += 1;
+        let decided = GroupState { number: newest.number + 1, content: state.last_content, ..newest };
+        state.decided.insert(decided.entry());
+        set.iter().for_each(|&slot| state.voters[slot].group = Some(decided.clone()));
         Some(())
     }
 
-    fn admit(&self, world: &mut World, set: &[usize], slot: usize) -> Option<()> {
-        let newest = self.acting_group(world, set)?;
-        let id = world.voters[slot].id?;
-        let is_free = world.voters[slot].memory.is_none() && world.voters[slot].promised == 0;
-        if newest.voters[slot] == id || !is_free || set.contains(&slot) || world.isolated.contains(&slot) {
+    fn admit(&self, state: &mut ModelState, set: &[usize], slot: usize) -> Option<()> {
+        let newest = self.acting_group(state, set)?;
+        let id = state.voters[slot].id?;
+        let is_free = state.voters[slot].group.is_none() && state.voters[slot].promised == 0;
+        if newest.voters[slot] == id || !is_free || set.contains(&slot) || state.isolated.contains(&slot) {
             return None;
         }
         let mut voters = newest.voters.clone();
         voters[slot] = id;
-        // The change is an entry as any: it has a number.
-        world.last_content += 1;
-        if world.last_content > self.decisions + MAX_ADMISSIONS {
+        // The change is an entry like any other, with a number.
+        state.last_content += 1;
+        if state.last_content > self.decisions + MAX_ADMISSIONS {
             return None;
         }
-        let changed = Memory { voters, number: newest.number + 1, content: world.last_content, ..newest };
-        world.decided.insert(changed.entry());
-        set.iter().for_each(|&member| world.voters[member].memory = Some(changed.clone()));
-        world.voters[slot].memory = Some(changed);
+        let changed = GroupState { voters, number: newest.number + 1, content: state.last_content, ..newest };
+        state.decided.insert(changed.entry());
+        set.iter().for_each(|&member| state.voters[member].group = Some(changed.clone()));
+        state.voters[slot].group = Some(changed);
         Some(())
     }
 
-    fn hear(&self, world: &mut World, entry: Entry) -> Option<()> {
-        let heard = (entry.generation, entry.number);
-        if heard <= world.follows && !self.accepts_older {
+    fn receive(&self, state: &mut ModelState, entry: Entry) -> Option<()> {
+        let received = (entry.generation, entry.number);
+        if received <= state.follows && !self.accepts_older {
             return None;
         }
-        world.went_back |= heard < world.follows;
-        world.follows = heard;
+        state.regressed |= received < state.follows;
+        state.follows = received;
         Some(())
     }
 }
 
-impl World {
+impl ModelState {
     fn take_id(&mut self) -> u8 {
         self.next_id += 1;
         self.next_id - 1
     }
 
     fn catch_up(&mut self, from: usize, to: usize) -> Option<()> {
-        let newer = self.voters[from].memory.clone()?;
-        let known = self.voters[to].memory.as_ref()?;
+        let newer = self.voters[from].group.clone()?;
+        let known = self.voters[to].group.as_ref()?;
         let is_partitioned = self.isolated.contains(&from) != self.isolated.contains(&to);
         let is_newer = newer.generation == known.generation && newer.number > known.number;
         if is_partitioned || !is_newer || newer.voters[to] != self.voters[to].id? {
             return None;
         }
-        self.voters[to].memory = Some(newer);
+        self.voters[to].group = Some(newer);
         Some(())
     }
 }
 
 impl Model for Rules {
-    type State = World;
+    type State = ModelState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        let voter = |slot: usize| Voter { id: Some(slot as u8), memory: None, promised: 0 };
-        vec![World {
+    fn init_states(&self) -> Vec<ModelState> {
+        let voter = |slot: usize| Voter { id: Some(slot as u8), group: None, promised: 0 };
+        vec![ModelState {
             voters: (0..self.slots).map(voter).collect(),
             isolated: BTreeSet::new(),
             decided: BTreeSet::new(),
             follows: (0, 0),
-            went_back: false,
+            regressed: false,
             next_id: self.slots as u8,
             last_content: 0,
             faults: 0,
         }]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        for (slot, voter) in world.voters.iter().enumerate() {
-            if world.faults < self.faults && voter.id.is_some() {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
+        for (slot, voter) in state.voters.iter().enumerate() {
+            if state.faults < self.faults && voter.id.is_some() {
                 actions.push(Action::Crash(slot));
-                if world.isolated.is_empty() {
+                if state.isolated.is_empty() {
                     actions.push(Action::Isolate(slot));
                 }
             }
             if voter.id.is_none() {
                 actions.push(Action::Restart(slot));
             }
-            if voter.promised > 0 && voter.memory.is_none() {
+            if voter.promised > 0 && voter.group.is_none() {
                 actions.push(Action::Start(slot));
             }
         }
-        if !world.isolated.is_empty() {
+        if !state.isolated.is_empty() {
             actions.push(Action::Heal);
         }
         actions.push(Action::Found);
         for set in self.majorities() {
-            if world.last_content < self.decisions {
+            if state.last_content < self.decisions {
                 actions.push(Action::Decide(set.clone()));
             }
             for slot in 0..self.slots {
@@ -316,51 +321,51 @@
             let others = (0..self.slots).filter(|to| *to != from);
             actions.extend(others.map(|to| Action::CatchUp { from, to }));
         }
-        actions.extend(world.decided.iter().map(|entry| Action::Hear(*entry)));
+        actions.extend(state.decided.iter().map(|entry| Action::Receive(*entry)));
     }
 
-    fn next_state(&self, last: &World, action: Action) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &ModelState, action: Action) -> Option<ModelState> {
+        let mut state = last.clone();
         match action {
-            Action::Crash(slot) => self.crash(&mut world, slot)?,
-            Action::Restart(slot) => self.restart(&mut world, slot),
+            Action::Crash(slot) => self.crash(&mut state, slot)?,
+            Action::Restart(slot) => self.restart(&mut state, slot),
             Action::Isolate(slot) => {
-                world.faults += 1;
-                world.isolated.insert(slot);
+                state.faults += 1;
+                state.isolated.insert(slot);
             }
-            Action::Heal => world.isolated.clear(),
-            Action::Found => self.found(&mut world)?,
-            Action::Start(slot) => self.start(&mut world, slot)?,
-            Action::Decide(set) => self.decide(&mut world, &set)?,
-            Action::Admit(set, slot) => self.admit(&mut world, &set, slot)?,
-            Action::CatchUp { from, to } => world.catch_up(from, to)?,
-            Action::Hear(entry) => self.hear(&mut world, entry)?,
+            Action::Heal => state.isolated.clear(),
+            Action::Found => self.found(&mut state)?,
+            Action::Start(slot) => self.start(&mut state, slot)?,
+            Action::Decide(set) => self.decide(&mut state, &set)?,
+            Action::Admit(set, slot) => self.admit(&mut state, &set, slot)?,
+            Action::CatchUp { from, to } => state.catch_up(from, to)?,
+            Action::Receive(entry) => self.receive(&mut state, entry)?,
         }
-        (world != *last).then_some(world)
+        (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one decision for each number", |_, world: &World| {
+            Property::always("one decision for each number", |_, state: &ModelState| {
                 let numbers: BTreeSet<(u8, u8)> =
-                    world.decided.iter().map(|entry| (entry.generation, entry.number)).collect();
-                numbers.len() == world.decided.len()
+                    state.decided.iter().map(|entry| (entry.generation, entry.number)).collect();
+                numbers.len() == state.decided.len()
             }),
-            Property::always("nobody goes back", |_, world: &World| !world.went_back),
-            Property::always("one group acts", |rules: &Rules, world: &World| {
+            Property::always("no follower regresses", |_, state: &ModelState| !state.regressed),
+            Property::always("one group acts", |rules: &Rules, state: &ModelState| {
                 let acting: BTreeSet<u8> = rules
                     .majorities()
                     .iter()
-                    .filter_map(|set| rules.acting_group(world, set))
-                    .map(|memory| memory.generation)
+                    .filter_map(|set| rules.acting_group(state, set))
+                    .map(|group| group.generation)
                     .collect();
                 acting.len() <= 1
             }),
-            Property::sometimes("decides after memory was lost", |_, world: &World| {
-                world.next_id > world.voters.len() as u8 && world.decided.iter().any(|entry| entry.number > 1)
+            Property::sometimes("decides after state was lost", |_, state: &ModelState| {
+                state.next_id > state.voters.len() as u8 && state.decided.iter().any(|entry| entry.number > 1)
             }),
-            Property::sometimes("a second generation decides", |_, world: &World| {
-                world.decided.iter().any(|entry| entry.generation == 2)
+            Property::sometimes("a second generation decides", |_, state: &ModelState| {
+                state.decided.iter().any(|entry| entry.generation == 2)
             }),
         ]
     }
@@ -368,7 +373,7 @@
 
 fn check(rules: Rules, depth: usize) -> (usize, Vec<&'static str>) {
     let checker = rules.checker().target_max_depth(depth).threads(2).spawn_bfs().join();
-    let always = ["one decision for each number", "nobody goes back", "one group acts"];
+    let always = ["one decision for each number", "no follower regresses", "one group acts"];
     let broken = checker.discoveries().into_keys().filter(|name| always.contains(name)).collect();
     (checker.unique_state_count(), broken)
 }
@@ -376,7 +381,7 @@
 #[test]
 fn three_voters_with_crashes_and_partitions_keep_the_rules() {
     let (states, broken) = check(Rules::correct(3, 4, 2), 22);
-    println!("{states} states, depth 22");
+    println!("{states} states at depth 22");
     assert!(broken.is_empty(), "{broken:?}");
     assert!(states > 10_000, "{states}");
 }
@@ -384,7 +389,7 @@
 #[test]
 fn five_voters_keep_the_rules() {
     let (states, broken) = check(Rules::correct(5, 2, 2), 12);
-    println!("{states} states, depth 12");
+    println!("{states} states at depth 12");
     assert!(broken.is_empty(), "{broken:?}");
 }
 
@@ -392,18 +397,21 @@
 fn what_the_rules_allow_is_reached() {
     let checker = Rules::correct(3, 3, 2).checker().target_max_depth(14).threads(2).spawn_bfs();
     let checker = checker.join();
-    for name in ["decides after memory was lost", "a second generation decides"] {
+    for name in ["decides after state was lost", "a second generation decides"] {
         assert!(checker.discovery(name).is_some(), "{name}");
     }
 }
 
-/// Each injected fault is found.
+/// Guards the model itself: every injected fault must break a property.
 #[test]
 fn a_missing_rule_is_found() {
     let keeps = Rules { keeps_id: true, ..Rules::correct(3, 3, 3) };
-    assert!(!check(keeps, 12).1.is_empty(), "a process without memory that votes as if it had one");
+    assert!(
+        !check(keeps, 12).1.is_empty(),
+        "a process without state that votes under its old id is not found"
+    );
     let founds = Rules { founds_with_majority: true, ..Rules::correct(3, 4, 2) };
-    assert!(!check(founds, 22).1.is_empty(), "a founding by a majority");
+    assert!(!check(founds, 22).1.is_empty(), "a founding by a majority is not found");
     let older = Rules { accepts_older: true, ..Rules::correct(3, 1, 2) };
-    assert_eq!(check(older, 10).1, ["nobody goes back"]);
+    assert_eq!(check(older, 10).1, ["no follower regresses"]);
 }
--- a/crates/pipitcrank-failover/tests/voter/network.rs
+++ b/crates/pipitcrank-failover/tests/voter/network.rs
@@ -1,5 +1,5 @@
-//! Voters on a simulated network that loses, duplicates, delays and partitions, with crashes that lose all memory and processes
-//! that stand still. Everything follows from a seed.
+//! Simulated network for voters. It loses, duplicates, delays and partitions messages; processes crash with
+//! loss of all state, or are suspended. The seed determines every run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,14 +13,15 @@
 
 /// Step of the simulated clock.
 const STEP: TimeSpan = TimeSpan::from_millis(5);
-/// Time between two proposals of a leader.
+/// Interval between proposals of a leader.
 const PROPOSAL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
-/// After this a message to a suspended process is delivered again.
+/// Delay after which delivery to a suspended process is tried again.
 const REDELIVERY_DELAY: TimeSpan = TimeSpan::from_millis(50);
-/// With more messages in flight, those to suspended processes are lost: a socket's buffer is bounded.
+/// Limit on messages in flight. Above it, messages to suspended processes are lost, as with the bounded
+/// buffer of a socket.
 const MAX_IN_FLIGHT: usize = 500;
 
-/// A message on its way.
+/// A message in flight.
 pub struct InFlight {
     from: usize,
     to: usize,
@@ -30,16 +31,16 @@
 pub struct SimulatedNetwork {
     pub now: Timestamp,
     pub rng: Pcg64,
-    /// By slot; none while it is down.
+    /// By slot; none while the process is down.
     pub voters: Vec<Option<Voter>>,
-    /// The process of each slot.
+    /// Instance number of the process in each slot.
     instances: Vec<u64>,
-    /// Slots that stand still: what arrives waits until they resume.
+    /// Slots of suspended processes: messages to them wait until they resume.
     pub suspended: BTreeSet<usize>,
-    /// By time of delivery and order.
+    /// By delivery time and order.
     pub in_flight: BTreeMap<(Timestamp, u64), InFlight>,
     last_message: u64,
-    /// Cut links, from one slot to another.
+    /// Cut links as pairs of sending and receiving slot.
     pub cut_links: BTreeSet<(usize, usize)>,
     pub loss_rate: f64,
     pub max_delay_ms: i64,
@@ -50,13 +51,13 @@
     pub decisions: BTreeMap<u64, Decision>,
     /// Number of the newest decision of each process.
     newest_by_instance: BTreeMap<u64, u64>,
-    /// Decisions that differ from another of the same number.
+    /// Number of decisions that differ from another one with the same number.
     conflicts: u64,
-    /// Decisions that are older than an earlier one of the same process.
+    /// Number of decisions that are older than an earlier one of the same process.
     regressions: u64,
-    /// By slot: everything that was persisted, oldest first.
-    pub persisted_memories: Vec<Vec<PersistentVoterState>>,
-    /// Without disks nothing is persisted.
+    /// By slot: all persisted states, oldest first.
+    pub persisted_states: Vec<Vec<PersistentVoterState>>,
+    /// Whether states are persisted.
     pub has_disks: bool,
 }
 
@@ -80,14 +81,14 @@
             newest_by_instance: BTreeMap::new(),
             conflicts: 0,
             regressions: 0,
-            persisted_memories: vec![Vec::new(); slots],
+            persisted_states: vec![Vec::new(); slots],
             has_disks: false,
         };
         (0..slots).for_each(|slot| network.start(slot));
         network
     }
 
-    /// Starts a process without memory.
+    /// Starts a process without persisted state.
     pub fn start(&mut self, slot: usize) {
         self.last_instance += 1_000_001;
         self.instances[slot] = self.last_instance;
@@ -95,12 +96,12 @@
         self.voters[slot] = Some(Voter::new(self.now, slot, self.voters.len(), ZONES, self.last_instance));
     }
 
-    /// Starts a process that goes on from what was persisted that many writes before the last.
-    pub fn start_from_memory(&mut self, slot: usize, writes_before: usize) {
+    /// Starts a process from the state that was persisted `writes_before` writes before the last one.
+    pub fn start_from_persisted(&mut self, slot: usize, writes_before: usize) {
         self.start(slot);
-        let position = self.persisted_memories[slot].len().checked_sub(1 + writes_before);
+        let position = self.persisted_states[slot].len().checked_sub(1 + writes_before);
         if let (Some(position), Some(voter)) = (position, &mut self.voters[slot]) {
-            voter.restore(self.now, self.persisted_memories[slot][position].clone());
+            voter.restore(self.now, self.persisted_states[slot][position].clone());
         }
     }
 
@@ -157,11 +158,11 @@
         for slot in 0..self.voters.len() {
             self.record_decisions(slot);
             let Some(voter) = &mut self.voters[slot] else { continue };
-            // Persisted before anything is sent.
-            if let Some(memory) = voter.take_persistent_state()
+            // The state is persisted before any output is sent.
+            if let Some(state) = voter.take_persistent_state()
                 && self.has_disks
             {
-                self.persisted_memories[slot].push(memory);
+                self.persisted_states[slot].push(state);
             }
             for AddressedOutput { slot: to, output } in voter.take_outputs() {
                 self.send(slot, to, &output);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Some messages are lost, some duplicated.
+    /// Sends a message; some messages are lost and some duplicated, depending on the loss rate.
     fn send(&mut self, from: usize, to: usize, output: &VoterOutput) {
         if self.cut_links.contains(&(from, to)) || self.rng.random_bool(self.loss_rate) {
             return;
@@ -199,7 +200,7 @@
         (0..self.voters.len()).filter(|&s| self.voters[s].as_ref().is_some_and(Voter::is_leader)).collect()
     }
 
-    /// Cuts the links between these slots and the others, in both directions.
+    /// Cuts the links between these slots and the others in both directions.
     pub fn isolate(&mut self, isolated: &[usize]) {
         for a in 0..self.voters.len() {
             for b in (0..self.voters.len()).filter(|b| isolated.contains(&a) != isolated.contains(b)) {
@@ -208,21 +209,21 @@
         }
     }
 
-    /// Several decisions are made in that time.
-    pub fn assert_progress(&mut self, duration_ms: i64, why: &str) {
+    /// Asserts that more than three decisions are made in `duration_ms`.
+    pub fn assert_progress(&mut self, duration_ms: i64, context: &str) {
         let before = self.decisions.len();
         self.run_for(duration_ms);
         assert!(
             self.decisions.len() > before + 3,
-            "{why}: {before} decisions, then {}",
+            "{context}: {before} decisions before, then {}",
             self.decisions.len()
         );
-        self.assert_consistent(why);
+        self.assert_consistent(context);
     }
 
-    /// Each number has had one decision, and no process has gone back.
-    pub fn assert_consistent(&self, why: &str) {
-        assert_eq!((self.conflicts, self.regressions), (0, 0), "{why}");
+    /// Asserts that each number has one decision and that no process went back to an older one.
+    pub fn assert_consistent(&self, context: &str) {
+        assert_eq!((self.conflicts, self.regressions), (0, 0), "{context}: conflicts and regressions");
     }
 
     /// Number of generations that made decisions.
