--- a/crates/pipitcrank-membership/src/envelope.rs
+++ b/crates/pipitcrank-membership/src/envelope.rs
@@ -1,11 +1,12 @@
-//! How a datagram between nodes is sealed: version, kind, sender, sequence number, and an authentication tag over all of it
-//! and the receiver's address, under the secret of the operators' file (BLAKE3 keyed, cut to 16 bytes). A datagram that is
-//! forged, truncated, replayed, too long or of another version is rejected with its reason and changes nothing.
+//! Sealing of datagrams between nodes. A datagram carries a version, its kind, the sender and a sequence
+//! number. An authentication tag (keyed BLAKE3, truncated to 16 bytes) covers all of it and the receiver's
+//! address, under the secret of the operators' file. A datagram that is forged, truncated, replayed, too long
+//! or of another version is rejected with its reason and has no other effect.
 //!
 //! ```text
 //! "pm" version:u8 kind:u8 | from: postcard(SocketAddr) | instance: varint | number: varint | body | tag: 16 bytes
 //! ```
-//! The receiver's address does not travel.
+//! The receiver's address is not transmitted.
 
 use std::net::SocketAddr;
 
@@ -13,31 +14,31 @@
 
 use crate::replay_filter::ReplayFilter;
 
-/// Version of all message formats; raised with each change of any of them.
+/// Version of all message formats; raised with each change to any of them.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Longest datagram in bytes: it passes through usual networks unfragmented.
+/// Longest datagram in bytes: common networks carry it unfragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Longest body in bytes, whatever the length of the header.
+/// Longest body in bytes, for any length of the header.
 pub const MAX_BODY_BYTES: usize =
     MAX_DATAGRAM_BYTES - PREFIX_BYTES - MAX_ADDRESS_BYTES - 2 * MAX_VARINT_BYTES - TAG_BYTES;
 const MAGIC: [u8; 2] = *b"pm";
-/// Magic, version and kind.
+/// Length of magic, version and kind.
 const PREFIX_BYTES: usize = 4;
 const MAX_ADDRESS_BYTES: usize = 20;
 const MAX_VARINT_BYTES: usize = 10;
 const TAG_BYTES: usize = 16;
-/// Separates these keys from any others that are derived from the same secret.
+/// Key derivation context: separates these keys from others derived from the same secret.
 const KEY_CONTEXT: &str = "pipitcrank 2026-12 between copies";
 
-/// What the body of a datagram is.
+/// Kind of a datagram's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum DatagramKind {
-    /// Bytes of `foca`.
+    /// Message of `foca`.
     Gossip = 1,
-    /// Bytes of the consensus library.
+    /// Message of the consensus library.
     Consensus = 2,
-    /// A message between nodes in postcard's form.
+    /// Message between nodes, encoded by postcard.
     Message = 3,
 }
 
@@ -52,24 +53,24 @@
     }
 }
 
-/// Why a datagram was rejected.
+/// Reason for rejecting a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.name())]
 pub enum DatagramRejection {
-    /// Longer than [`MAX_DATAGRAM_BYTES`].
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// Shorter than its header and tag.
+    /// The datagram is shorter than its header and tag.
     Truncated,
-    /// Of another protocol version, or of an unknown kind.
+    /// The datagram has another protocol version or an unknown kind.
     UnsupportedVersion,
-    /// Its tag does not match: another key, another receiver, or changed bytes.
+    /// The tag does not match: another key, another receiver, or changed bytes.
     Forged,
-    /// Received before, too old to tell, or of an earlier process.
+    /// The datagram was received before, is too old to be checked, or comes from an earlier process.
     Replayed,
 }
 
 impl DatagramRejection {
-    /// The name of its counter.
+    /// Name of the counter for this reason.
     pub fn name(self) -> &'static str {
         match self {
             DatagramRejection::TooLong => "too_long",
@@ -84,22 +85,22 @@
 /// A datagram that is ready to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Its receiver.
+    /// Receiver of the datagram.
     pub to: SocketAddr,
-    /// Its sealed bytes.
+    /// Sealed bytes.
     pub bytes: Vec<u8>,
 }
 
-/// The contents of a datagram that was opened.
+/// Contents of an opened datagram.
 #[derive(Debug, PartialEq)]
 pub struct OpenedDatagram<'a> {
-    /// What the body is.
+    /// Kind of the body.
     pub kind: DatagramKind,
-    /// Address of the sender, as others reach it.
+    /// Address under which others reach the sender.
     pub from: SocketAddr,
-    /// The sender's process.
+    /// Process of the sender.
     pub instance: u64,
-    /// What was sealed.
+    /// Body of the datagram.
     pub body: &'a [u8],
 }
 
@@ -110,7 +111,7 @@
     number: u64,
 }
 
-/// The key that a secret of the operators' file stands for.
+/// Derives the key from the secret of the operators' file.
 pub fn derive_key(secret: &str) -> [u8; 32] {
     blake3::derive_key(KEY_CONTEXT, secret.as_bytes())
 }
@@ -125,14 +126,14 @@
     tag
 }
 
-/// As BLAKE3's hash type, whose comparison takes the same time wherever two values differ.
+/// Converts a tag to BLAKE3's hash type, whose comparison takes constant time.
 fn as_hash(tag: [u8; TAG_BYTES]) -> blake3::Hash {
     let mut bytes = [0; 32];
     bytes[..TAG_BYTES].copy_from_slice(&tag);
     blake3::Hash::from_bytes(bytes)
 }
 
-/// Seals what this process sends.
+/// Seals the datagrams that this process sends.
 pub struct Sealer {
     key: [u8; 32],
     from: SocketAddr,
@@ -141,12 +142,13 @@
 }
 
 impl Sealer {
-    /// `from`: this node's address as others reach it; `instance`: this process.
+    /// Creates a sealer. `from` is the address under which others reach this node; `instance` identifies this
+    /// process.
     pub fn new(key: [u8; 32], from: SocketAddr, instance: u64) -> Sealer {
         Sealer { key, from, instance, number: 0 }
     }
 
-    /// A datagram for `to`; none where the body is longer than [`MAX_BODY_BYTES`].
+    /// Seals a datagram for `to`; returns none if the body is longer than [`MAX_BODY_BYTES`].
     pub fn seal(&mut self, to: SocketAddr, kind: DatagramKind, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > MAX_BODY_BYTES {
             return None;
@@ -161,7 +163,7 @@
     }
 }
 
-/// Opens what this process receives.
+/// Opens the datagrams that this process receives.
 pub struct Opener {
     key: [u8; 32],
     own: SocketAddr,
@@ -169,15 +171,15 @@
 }
 
 impl Opener {
-    /// `own`: this node's address as others reach it.
+    /// Creates an opener. `own` is the address under which others reach this node.
     pub fn new(key: [u8; 32], own: SocketAddr) -> Opener {
         Opener { key, own, replay_filter: ReplayFilter::default() }
     }
 
-    /// The contents of a datagram, or why it is rejected.
+    /// Verifies a datagram and returns its contents.
     ///
     /// # Errors
-    /// See [`DatagramRejection`].
+    /// Returns the [`DatagramRejection`] if the datagram is not acceptable.
     pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramRejection> {
         if datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramRejection::TooLong);
--- a/crates/pipitcrank-membership/src/envelope/tests.rs
+++ b/crates/pipitcrank-membership/src/envelope/tests.rs
@@ -21,7 +21,11 @@
     );
     assert_eq!(theirs.open(&sent), Err(DatagramRejection::Replayed));
     let elsewhere = ours.seal(at(3), DatagramKind::Message, b"hello").unwrap();
-    assert_eq!(theirs.open(&elsewhere), Err(DatagramRejection::Forged), "meant for another");
+    assert_eq!(
+        theirs.open(&elsewhere),
+        Err(DatagramRejection::Forged),
+        "the datagram is addressed to another receiver"
+    );
     let mut others = Sealer::new(derive_key("t"), at(1), 7);
     assert_eq!(
         theirs.open(&others.seal(at(2), DatagramKind::Message, b"").unwrap()),
@@ -48,7 +52,7 @@
         old.seal(at(2), DatagramKind::Message, b"2").unwrap(),
     );
     theirs.open(&first).unwrap();
-    // Its clock went back meanwhile.
+    // The clock went back between the two processes.
     let mut new = Sealer::new(derive_key("s"), at(1), 5);
     theirs.open(&new.seal(at(2), DatagramKind::Message, b"").unwrap()).unwrap();
     assert_eq!(theirs.open(&late), Err(DatagramRejection::Replayed));
@@ -57,7 +61,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A datagram with any byte changed, or truncated anywhere, is rejected.
+    /// A datagram with a changed byte, or truncated at any position, is rejected.
     #[test]
     fn no_altered_datagram_is_opened(body in proptest::collection::vec(any::<u8>(), 0..200), at_byte in 0usize..300,
                                  xor in 1u8..=255, cut in any::<bool>()) {
@@ -68,7 +72,8 @@
         prop_assert!(theirs.open(&sent).is_err());
     }
 
-    /// Against a plain set of all numbers seen: in any order, each within the window is taken once.
+    /// Compares the filter with a plain set of all numbers: in any order, each number within the window is
+    /// accepted once.
     #[test]
     fn each_number_is_accepted_once(order in proptest::collection::vec(0usize..60, 0..200)) {
         let (mut ours, mut theirs) = pair();
--- a/crates/pipitcrank-membership/src/evidence.rs
+++ b/crates/pipitcrank-membership/src/evidence.rs
@@ -1,14 +1,14 @@
-//! What nodes observe of zones, combined. A few nodes of each zone report bounded counts of each zone's replicas; the newest
-//! valid report of each reporter enters a matrix, from zone to zone. From it four faults are distinguished: a dead zone, a
-//! cut path between two zones, a zone that is cut off from all others, and a single isolated node. Where work goes is not
-//! decided here.
+//! Combined observations of zones. A few nodes of each zone report bounded counts of the replicas of every
+//! zone. The newest valid report of each reporter enters a matrix of observing and observed zones. The matrix
+//! distinguishes four faults: a dead zone, a cut path between two zones, a zone cut off from all others, and
+//! a single isolated node. Routing is not decided here.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `report.rs` | a node's report |
-//! | `reporters.rs` | which nodes report, and how often |
-//! | `matrix.rs` | the combined evidence, and the finding on a zone |
-//! | `table.rs` | the newest reports, from which the matrix is made |
+//! | `report.rs` | report of one node |
+//! | `reporters.rs` | selection of the reporting nodes, and the report interval |
+//! | `matrix.rs` | combined evidence, and the health of each zone |
+//! | `table.rs` | newest reports, from which the matrix is computed |
 
 mod matrix;
 mod report;
--- a/crates/pipitcrank-membership/src/evidence/matrix.rs
+++ b/crates/pipitcrank-membership/src/evidence/matrix.rs
@@ -1,18 +1,19 @@
-//! The combined evidence from each zone on each zone, and what follows from it.
+//! Combined evidence from each zone on each zone, and the health derived from it.
 
 use std::net::SocketAddr;
 
-/// Fraction of unhealthy replicas from which a zone is observed as unhealthy.
+/// Fraction of unhealthy replicas at and above which a zone is observed as unhealthy.
 pub const UNHEALTHY_FRACTION: f64 = 0.8;
 /// Fraction of unhealthy replicas up to which a zone is observed as healthy.
 pub const HEALTHY_FRACTION: f64 = 0.2;
 
-/// What the reporters of one zone observe of one zone: medians, so that one wrong reporter changes nothing.
+/// Observations of one zone's reporters on one zone. The values are medians, so a single wrong reporter has
+/// no effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EvidenceCell {
-    /// Reporters that count.
+    /// Number of reporters, without isolated ones.
     pub reporters: usize,
-    /// Fraction of the observed replicas that give no usable answer; none where none was observed.
+    /// Fraction of the observed replicas that give no usable answer; none if no replica was observed.
     pub unhealthy_fraction: Option<f64>,
     /// Fraction of the observed replicas that are saturated.
     pub saturated_fraction: f64,
@@ -20,31 +21,31 @@
     pub warming_up_fraction: f64,
     /// Replicas in the endpoint list.
     pub listed: f64,
-    /// Replicas that answer, saturated ones included.
+    /// Replicas that answer, including saturated ones.
     pub answering: f64,
-    /// Parts per second that all nodes of the observing zone together had answered there.
+    /// Parts per second answered to all nodes of the observing zone.
     pub answered_parts: f64,
 }
 
-/// The condition of one zone.
+/// Health of one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// Nobody has observed enough of it.
+    /// No sufficient observations exist.
     Unknown,
-    /// Nearly all of its replicas answer.
+    /// Nearly all replicas of the zone answer.
     Healthy,
-    /// Some of its replicas give no usable answer: its capacity is reduced.
+    /// Some replicas give no usable answer, so the capacity is reduced.
     Degraded,
-    /// It accepts work, and all of it waits.
+    /// The zone accepts work, but nearly all replicas queue it.
     Slow,
-    /// Nobody gets an answer from its replicas; its own nodes, where any report, no more than others.
+    /// Neither the zone's own reporters nor any other zone get answers from its replicas.
     Dead,
-    /// No other zone reaches it, and none of its own nodes reports.
+    /// No other zone reaches the zone, and none of its own nodes reports.
     CutOff,
 }
 
 impl ZoneHealth {
-    /// As it is shown to operators and written to logs.
+    /// Name shown to operators and written to logs.
     pub fn name(self) -> &'static str {
         match self {
             ZoneHealth::Unknown => "Unknown",
@@ -56,13 +57,13 @@
         }
     }
 
-    /// Whether the zone can be given work: it is healthy, or degraded.
+    /// Whether the zone can receive work: it is healthy or degraded.
     pub fn is_usable(self) -> bool {
         matches!(self, ZoneHealth::Healthy | ZoneHealth::Degraded)
     }
 }
 
-/// How one zone looks from another.
+/// Condition of one zone as observed from another.
 #[derive(Clone, Copy)]
 struct Condition {
     unhealthy_fraction: f64,
@@ -75,14 +76,15 @@
     }
 }
 
-/// All evidence, combined.
+/// Combined evidence of all reporters.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EvidenceMatrix {
-    /// `[from][to]`: what zone `from` observes of zone `to`.
+    /// `[from][to]`: observations of zone `from` on zone `to`.
     pub cells: Vec<Vec<EvidenceCell>>,
     /// By zone: demand of the clients of all its nodes, in parts per second.
     pub demand: Vec<f64>,
-    /// Reporters that reach nobody, unlike the others of their zone; their reports do not count.
+    /// Isolated reporters: they reach no zone, unlike the other reporters of their zone. Their reports do not
+    /// count.
     pub isolated_reporters: Vec<SocketAddr>,
 }
 
@@ -97,8 +99,8 @@
         self.cells[from][to].unhealthy_fraction.is_some_and(|fraction| fraction >= UNHEALTHY_FRACTION)
     }
 
-    /// The condition of one zone. Where its own nodes do not report, the other zones decide; where only they observe it,
-    /// they do.
+    /// Health of one zone. If its own nodes do not report, the other zones decide; if no other zone observes
+    /// it, its own nodes decide.
     pub fn zone_health(&self, zone: usize) -> ZoneHealth {
         let others: Vec<Condition> = (0..self.zone_count())
             .filter(|from| *from != zone)
@@ -108,11 +110,12 @@
         let unhealthy_to_others = !others.is_empty() && others.iter().all(Condition::is_unhealthy);
         match own {
             Some(own) if own.is_unhealthy() && (unhealthy_to_others || others.is_empty()) => ZoneHealth::Dead,
-            // Where its own nodes get answers, only the paths to it are cut: it still serves its own clients.
+            // If the zone's own nodes get answers, only the paths to it are cut and it still serves its own
+            // clients.
             None if unhealthy_to_others => ZoneHealth::CutOff,
             None if others.is_empty() => ZoneHealth::Unknown,
             _ => {
-                // Only those who reach it count: a cut path says nothing of the zone.
+                // Only zones that reach it count: a cut path carries no information about the zone.
                 let reaching = others.into_iter().chain(own).filter(|c| !c.is_unhealthy()).collect();
                 health_of_reachable(reaching)
             }
@@ -125,7 +128,7 @@
         Some(Condition { unhealthy_fraction, saturated_fraction: cell.saturated_fraction })
     }
 
-    /// Healthy replicas of a zone, as observed by the zone that reaches most of them.
+    /// Number of healthy replicas of a zone, as observed by the zone that reaches most of them.
     pub fn healthy_replicas(&self, zone: usize) -> f64 {
         let reaching = (0..self.zone_count()).filter(|from| !self.is_path_cut(*from, zone));
         let healthy = |from: usize| {
@@ -135,7 +138,7 @@
         reaching.map(healthy).fold(0.0, f64::max)
     }
 
-    /// Replicas in the endpoint list of a zone: the median over the zones.
+    /// Number of replicas in the endpoint list of a zone: the median over the zones.
     pub fn listed_replicas(&self, zone: usize) -> f64 {
         median(self.cells.iter().map(|row| row[zone].listed).filter(|n| *n > 0.0)).unwrap_or(0.0)
     }
@@ -151,7 +154,7 @@
         (0..self.zone_count()).map(|from| self.cells[from][zone].answered_parts).sum()
     }
 
-    /// Reporters of a zone that count.
+    /// Number of reporters of a zone, without isolated ones.
     pub fn reporters(&self, zone: usize) -> usize {
         self.cells[zone].first().map_or(0, |cell| cell.reporters)
     }
@@ -169,7 +172,8 @@
     }
 }
 
-/// The median; of an even number of values the lower, so that more than half of the reporters must call a zone unhealthy.
+/// Returns the median. With an even number of values it is the lower one, so that a zone counts as unhealthy
+/// only if more than half of the reporters observe it so.
 pub(super) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/pipitcrank-membership/src/evidence/report.rs
+++ b/crates/pipitcrank-membership/src/evidence/report.rs
@@ -1,62 +1,62 @@
-//! What one node reports.
+//! Evidence report of one node.
 
 use serde::{Deserialize, Serialize};
 
-/// What one node observes of one zone's replicas, as counts.
+/// Observations of one node on the replicas of one zone, as counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaCounts {
-    /// In the endpoint list.
+    /// Replicas in the endpoint list.
     pub listed: u16,
-    /// Answering with spare capacity.
+    /// Replicas that answer and have spare capacity.
     pub answering: u16,
-    /// Giving no answer at all.
+    /// Replicas that give no answer.
     pub silent: u16,
-    /// Answering with errors.
+    /// Replicas that answer with errors.
     pub failing: u16,
-    /// Answering, with work queued.
+    /// Replicas that answer and have queued work.
     pub saturated: u16,
-    /// Warming up.
+    /// Replicas that are warming up.
     pub warming_up: u16,
-    /// Parts answered by the zone, in parts per second.
+    /// Parts answered by the zone per second.
     pub answered_parts: u32,
 }
 
 impl ReplicaCounts {
-    /// Replicas whose condition was observed.
+    /// Number of replicas whose condition was observed.
     pub fn observed(&self) -> u32 {
         [self.answering, self.silent, self.failing, self.saturated].iter().map(|&n| u32::from(n)).sum()
     }
 
-    /// Fraction of the observed replicas that give no usable answer; none where none was observed.
+    /// Fraction of the observed replicas that give no usable answer; none if no replica was observed.
     pub fn unhealthy_fraction(&self) -> Option<f64> {
         let observed = self.observed();
         let unhealthy = u32::from(self.silent) + u32::from(self.failing);
         (observed > 0).then(|| f64::from(unhealthy) / f64::from(observed))
     }
 
-    /// Fraction of the observed replicas that `count` of them are.
+    /// `count` as a fraction of the observed replicas.
     pub(super) fn fraction_of_observed(&self, count: u16) -> f64 {
         f64::from(count) / f64::from(self.observed().max(1))
     }
 }
 
-/// What one node reports of all zones.
+/// Evidence report of one node on all zones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceReport {
-    /// The reporter's own zone, by place in the operators' list.
+    /// Zone of the reporter, as an index into the operators' list.
     pub zone: u16,
-    /// Grows with each report of one process.
+    /// Sequence number, which increases with each report of one process.
     pub sequence: u64,
-    /// By zone, in the operators' order.
+    /// One entry per zone, in the order of the operators' list.
     pub replica_counts: Vec<ReplicaCounts>,
     /// Demand of this node's clients, in parts per second.
     pub demand: u32,
-    /// Nodes that it knows of in its zone, itself included.
+    /// Number of nodes in the reporter's zone according to its membership, itself included.
     pub nodes: u16,
 }
 
 impl EvidenceReport {
-    /// Whether it can be true: one entry for each zone, and no more replicas observed than listed.
+    /// Whether the report is plausible: it has one entry per zone, and no more replicas observed than listed.
     pub fn is_valid(&self, zone_count: usize) -> bool {
         let plausible = |counts: &ReplicaCounts| {
             counts.observed() <= u32::from(counts.listed) && counts.warming_up <= counts.listed
--- a/crates/pipitcrank-membership/src/evidence/reporters.rs
+++ b/crates/pipitcrank-membership/src/evidence/reporters.rs
@@ -1,17 +1,17 @@
-//! Which nodes of a zone report evidence.
+//! Selection of the nodes that report evidence for a zone.
 
 use pipitcrank_core::time::TimeSpan;
 
 use crate::peer::Peer;
 
-/// Nodes of one zone that report for it: their median outweighs two that are wrong, and what the voters receive grows with
-/// the number of zones, not of nodes.
+/// Number of reporters per zone. Their median outweighs two wrong reporters, and the traffic to the voters
+/// grows with the number of zones instead of nodes.
 pub const REPORTERS_PER_ZONE: usize = 5;
-/// Time between two reports of one node.
+/// Interval between reports of one node.
 pub const REPORT_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
 
-/// Whether this node is among the reporters of its zone. They are chosen by a hash of address and process, so that neither
-/// the position in a list nor the age of a process decides.
+/// Whether this node is a reporter of its zone. Reporters are selected by a hash of address and process, so
+/// neither the position in a list nor the age of a process matters.
 pub fn is_reporter(own: &Peer, of_zone: impl Iterator<Item = Peer>) -> bool {
     let rank = |peer: &Peer| {
         let hash = blake3::hash(format!("{} {}", peer.address, peer.instance).as_bytes());
--- a/crates/pipitcrank-membership/src/evidence/table.rs
+++ b/crates/pipitcrank-membership/src/evidence/table.rs
@@ -1,4 +1,4 @@
-//! The newest report of each reporter.
+//! Table of the newest report of each reporter.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,11 +9,13 @@
 use super::report::{EvidenceReport, ReplicaCounts};
 use super::reporters::REPORTERS_PER_ZONE;
 
-/// For how long a report counts: several report intervals, since some are lost.
+/// Validity of a report: several report intervals, since some reports are lost.
 pub const REPORT_LIFETIME: TimeSpan = TimeSpan::from_millis(1000);
-/// A reporter that finds this fraction of every zone unhealthy, while others of its zone do not, is itself isolated.
+/// Fraction of unhealthy replicas in every zone at which a reporter is considered isolated, while most
+/// reporters of its zone reach a zone.
 const ISOLATED_FRACTION: f64 = 0.99;
-/// Reporters remembered, as a multiple of those expected: nodes change, and a forger of addresses must not fill the memory.
+/// Largest number of reporters kept, as a multiple of those expected: reporters change, and forged addresses
+/// must not exhaust the memory.
 const REPORTERS_KEPT_PER_EXPECTED: usize = 4;
 
 struct ReceivedReport {
@@ -22,19 +24,19 @@
     report: EvidenceReport,
 }
 
-/// The newest report of each reporter; dropped when it is too old.
+/// Newest report of each reporter; expired reports are dropped.
 pub struct EvidenceTable {
     zone_count: usize,
     reports: BTreeMap<SocketAddr, ReceivedReport>,
 }
 
 impl EvidenceTable {
-    /// An empty table for that many zones.
+    /// Creates an empty table for `zone_count` zones.
     pub fn new(zone_count: usize) -> EvidenceTable {
         EvidenceTable { zone_count, reports: BTreeMap::new() }
     }
 
-    /// Records a node's report; whether it could be used.
+    /// Records the report of a node; returns whether it was usable.
     pub fn record(
         &mut self,
         now: Timestamp,
@@ -46,7 +48,7 @@
             return false;
         }
         let known = self.reports.get(&from);
-        // Reports overtake each other.
+        // Reports may arrive out of order.
         if known.is_some_and(|known| known.instance == instance && known.report.sequence >= report.sequence) {
             return true;
         }
@@ -58,7 +60,7 @@
         true
     }
 
-    /// Drops reports that are too old, and combines the others.
+    /// Drops expired reports and combines the others.
     pub fn matrix(&mut self, now: Timestamp) -> EvidenceMatrix {
         self.reports.retain(|_, received| now - received.at <= REPORT_LIFETIME);
         let mut matrix = EvidenceMatrix {
@@ -84,34 +86,34 @@
     }
 }
 
-/// Removes reporters that reach nobody, if most of their zone reach somebody; their addresses.
+/// Removes isolated reporters if most reporters of the zone are not isolated; returns their addresses.
 fn remove_isolated(of_zone: &mut Vec<(SocketAddr, &EvidenceReport)>) -> Vec<SocketAddr> {
-    let reaching = of_zone.iter().filter(|(_, report)| !reaches_nobody(report)).count();
+    let reaching = of_zone.iter().filter(|(_, report)| !reaches_no_zone(report)).count();
     if reaching * 2 <= of_zone.len() {
         return Vec::new();
     }
-    let isolated = of_zone.iter().filter(|(_, report)| reaches_nobody(report)).map(|(a, _)| *a).collect();
-    of_zone.retain(|(_, report)| !reaches_nobody(report));
+    let isolated = of_zone.iter().filter(|(_, report)| reaches_no_zone(report)).map(|(a, _)| *a).collect();
+    of_zone.retain(|(_, report)| !reaches_no_zone(report));
     isolated
 }
 
-/// Whether a reporter gets no usable answer from any zone, its own included.
-fn reaches_nobody(report: &EvidenceReport) -> bool {
+/// Whether a reporter gets no usable answer from any zone, including its own.
+fn reaches_no_zone(report: &EvidenceReport) -> bool {
     let mut fractions = report.replica_counts.iter().filter_map(ReplicaCounts::unhealthy_fraction).peekable();
     fractions.peek().is_some() && fractions.all(|fraction| fraction >= ISOLATED_FRACTION)
 }
 
-/// A figure of all nodes of a zone, from that of its reporters.
-fn zone_total(reports: &[&EvidenceReport], figure: impl Fn(&EvidenceReport) -> f64) -> f64 {
+/// Extrapolates a value from the reporters of a zone to all its nodes.
+fn zone_total(reports: &[&EvidenceReport], value: impl Fn(&EvidenceReport) -> f64) -> f64 {
     if reports.is_empty() {
         return 0.0;
     }
     let nodes = median(reports.iter().map(|report| f64::from(report.nodes))).unwrap_or(0.0);
-    let sum: f64 = reports.iter().map(|report| figure(report)).sum();
+    let sum: f64 = reports.iter().map(|report| value(report)).sum();
     sum / reports.len() as f64 * nodes
 }
 
-/// What the reporters of one zone observe of zone `to`.
+/// Combines the reports from one zone on zone `to`.
 fn combine(reports: &[&EvidenceReport], to: usize) -> EvidenceCell {
     let counts = || reports.iter().map(|report| report.replica_counts[to]);
     let observing = || counts().filter(|counts| counts.observed() > 0);
--- a/crates/pipitcrank-membership/src/evidence/tests.rs
+++ b/crates/pipitcrank-membership/src/evidence/tests.rs
@@ -13,7 +13,8 @@
     ReplicaCounts { listed: answering + silent, answering, silent, ..ReplicaCounts::default() }
 }
 
-/// Three nodes in each zone; each zone observes each other with that many of ten replicas silent.
+/// Builds a matrix from three nodes per zone. `silent[from][to]` of ten replicas of zone `to` are silent as
+/// observed from zone `from`.
 fn matrix_of(silent: [[u16; 3]; 3]) -> EvidenceMatrix {
     let mut table = EvidenceTable::new(3);
     for zone in 0..3u16 {
@@ -28,21 +29,21 @@
 
 #[test]
 fn four_faults_are_distinguished() {
-    let well = matrix_of([[0, 0, 0], [0, 0, 0], [0, 0, 0]]);
-    assert!((0..3).all(|z| well.zone_health(z) == ZoneHealth::Healthy));
-    assert_eq!(well.demand, [30.0, 30.0, 30.0]);
+    let healthy = matrix_of([[0, 0, 0], [0, 0, 0], [0, 0, 0]]);
+    assert!((0..3).all(|z| healthy.zone_health(z) == ZoneHealth::Healthy));
+    assert_eq!(healthy.demand, [30.0, 30.0, 30.0]);
     let dead = matrix_of([[0, 10, 0], [0, 10, 0], [0, 10, 0]]);
     assert_eq!(
         [0, 1, 2].map(|z| dead.zone_health(z)),
         [ZoneHealth::Healthy, ZoneHealth::Dead, ZoneHealth::Healthy]
     );
     let one_way = matrix_of([[0, 10, 0], [10, 0, 0], [0, 0, 0]]);
-    assert!((0..3).all(|z| one_way.zone_health(z) == ZoneHealth::Healthy), "the third reaches both");
+    assert!((0..3).all(|z| one_way.zone_health(z) == ZoneHealth::Healthy), "the third zone reaches both");
     assert!(one_way.is_path_cut(0, 1) && one_way.is_path_cut(1, 0) && !one_way.is_path_cut(2, 1));
     let cut_off = matrix_of([[0, 10, 0], [10, 0, 10], [0, 10, 0]]);
     assert!(
         (0..3).all(|z| cut_off.zone_health(z) == ZoneHealth::Healthy),
-        "it is healthy for its own clients"
+        "the zone is healthy for its own clients"
     );
     assert!(
         cut_off.is_path_cut(0, 1)
@@ -76,10 +77,10 @@
 
 #[test]
 fn reporters_of_a_zone_with_dead_replicas_are_counted() {
-    // All nodes of zone 1 observe their own replicas as dead, and the others' as healthy.
+    // All nodes observe the replicas of zone 1 as dead and all others as healthy; the nodes of zone 1 report.
     let matrix = matrix_of([[0, 10, 0], [0, 10, 0], [0, 10, 0]]);
     assert_eq!((matrix.zone_health(1), matrix.reporters(1)), (ZoneHealth::Dead, 3));
-    // The other way round: its replicas are healthy, and none of its nodes reports.
+    // The opposite case: the replicas of zone 1 are healthy, and none of its nodes reports.
     let mut table = EvidenceTable::new(2);
     table.record(
         Timestamp::default(),
@@ -121,9 +122,12 @@
         nodes: 1,
     };
     assert!(table.record(Timestamp::default(), at(1), 1, report(2, 9)));
-    assert!(table.record(Timestamp::default(), at(1), 1, report(1, 3)), "overtaken, ignored");
+    assert!(table.record(Timestamp::default(), at(1), 1, report(1, 3)), "an overtaken report is ignored");
     assert_eq!(table.matrix(Timestamp::default()).healthy_replicas(1), 9.0);
-    assert!(table.record(Timestamp::default(), at(1), 2, report(1, 4)), "another process");
+    assert!(
+        table.record(Timestamp::default(), at(1), 2, report(1, 4)),
+        "a new process starts a new sequence"
+    );
     assert_eq!(table.matrix(Timestamp::default()).healthy_replicas(1), 4.0);
     assert!(!table.record(Timestamp::default(), at(2), 1, EvidenceReport { zone: 7, ..report(1, 1) }));
     assert!(!table.record(
@@ -146,9 +150,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever fewer than half of a zone's reporters claim, the findings on zones are those of the others.
+    /// Random false reports from two of five reporters per zone leave the health of every zone as the other
+    /// reporters observe it.
     #[test]
-    fn a_minority_of_false_reports_changes_no_finding(false_counts in proptest::collection::vec((0u16..10, 0u16..10), 6)) {
+    fn a_minority_of_false_reports_changes_no_zone_health(false_counts in proptest::collection::vec((0u16..10, 0u16..10), 6)) {
         let honest = matrix_of([[0, 10, 0], [0, 10, 0], [0, 10, 0]]);
         let mut table = EvidenceTable::new(3);
         for zone in 0..3u16 {
@@ -167,7 +172,7 @@
         }
     }
 
-    /// As many nodes report as should, whatever the size of the zone.
+    /// The number of reporters is bounded whatever the size of the zone.
     #[test]
     fn the_number_of_reporters_is_bounded(nodes in 1u16..40) {
         let all: Vec<_> = (0..nodes).map(|n| crate::peer::Peer { address: at(n), instance: 3, zone: 0 }).collect();
--- a/crates/pipitcrank-membership/src/lib.rs
+++ b/crates/pipitcrank-membership/src/lib.rs
@@ -1,7 +1,9 @@
-//! Membership of the co-ordinator's nodes: which nodes are live ([`members`], SWIM by `foca`), what each observes of every
-//! zone ([`evidence`]), and how a datagram between them is sealed ([`envelope`]). No sockets and no clock.
+//! Membership of the co-ordinator's nodes: the live nodes ([`members`], SWIM by `foca`), the observations of
+//! each node on every zone ([`evidence`]), and the sealing of datagrams between nodes ([`envelope`]). The
+//! package opens no sockets and reads no clock.
 //!
-//! All of it is soft state: aged, and possibly wrong. What the nodes have agreed on belongs to `pipitcrank-failover`.
+//! All of this is soft state: it expires and may be wrong. State that nodes agree on belongs to
+//! `pipitcrank-failover`.
 
 pub mod envelope;
 pub mod evidence;
--- a/crates/pipitcrank-membership/src/members.rs
+++ b/crates/pipitcrank-membership/src/members.rs
@@ -1,10 +1,11 @@
-//! Which nodes are live: SWIM as `foca` implements it (suspicion, incarnations, indirect probes), fed datagrams and times,
-//! and asked what to send. This module adds departures, which tell a member that shut down from one that died, and
-//! broadcasts, of which the newest of each topic is disseminated.
+//! Live nodes: SWIM as implemented by `foca` (suspicion, incarnations, indirect probes), driven by datagrams
+//! and times that the caller passes in. This module adds departures, which distinguish a member that shut
+//! down from one that died, and broadcasts, of which the newest per topic is disseminated.
 //!
-//! Traffic of one node, whatever the size of the fleet: one probe each `PROBE_INTERVAL` with its answer, and at most
-//! `INDIRECT_PROBES` more where it is not answered; gossip to `GOSSIP_FANOUT` members each `GOSSIP_INTERVAL` while there is
-//! anything new. Each update is passed on a number of times that grows with the logarithm of the fleet's size.
+//! The traffic of a node does not depend on the size of the fleet. A node sends one probe each
+//! `PROBE_INTERVAL` and receives its answer, plus at most `INDIRECT_PROBES` further ones if there is no
+//! answer, and gossips to `GOSSIP_FANOUT` members each `GOSSIP_INTERVAL` while there is anything new. The
+//! number of times that an update is passed on grows with the logarithm of the fleet's size.
 
 mod broadcasts;
 
@@ -23,31 +24,32 @@
 use crate::envelope::MAX_BODY_BYTES;
 use crate::peer::Peer;
 
-/// Time between two probes by one node.
+/// Interval between probes by one node.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// How long a probe's answer may take before others are asked to probe: some round trips between regions, so that a short
-/// pause does not cause indirect probes.
+/// Time limit for the answer to a probe before other members are requested to probe. It covers several round
+/// trips between regions, so that a short pause causes no indirect probes.
 const PROBE_ROUND_TRIP: Duration = Duration::from_millis(150);
 const INDIRECT_PROBES: usize = 3;
-/// Time to refute a suspicion: longer than the pauses seen in production.
+/// Time to refute a suspicion; longer than the pauses seen in production.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// For how long dead members are remembered, and refused under the same identity.
+/// Time for which dead members are remembered and rejected under the same identity.
 const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(60);
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 const GOSSIP_FANOUT: usize = 3;
-/// Times an update is passed on: the logarithm of 3,000 nodes at this fanout, and as many again for loss.
+/// Number of times that an update is passed on: the logarithm of 3,000 nodes at this fanout, doubled to allow
+/// for loss.
 const MAX_TRANSMISSIONS: u8 = 14;
-/// Time between two announcements to a live member.
+/// Interval between announcements to a live member.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between two announcements to dead members: a healed partition is noticed within some of these.
+/// Interval between announcements to dead members; a healed partition is detected within a few of these.
 const DEAD_MEMBER_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1000);
 const DEAD_MEMBERS_PER_ANNOUNCE: usize = 2;
-/// Time between two rounds of announcements to seeds that are no members.
+/// Interval between rounds of announcements to seeds that are not members.
 const SEED_ANNOUNCE_INTERVAL: TimeSpan = TimeSpan::from_millis(1000);
-/// Seeds in one round, by turns: one that answers names all others, and a thousand nodes that start at once must not
-/// announce to a thousand each.
+/// Number of seeds per round, in rotation. One seed that answers lists all other nodes, and a thousand nodes
+/// that start at once must not send a thousand announcements each.
 const SEEDS_PER_ANNOUNCE: usize = 8;
-/// Longest message that can be broadcast, in bytes: it fits beside foca's own data.
+/// Longest broadcast message in bytes: it fits beside foca's own data.
 pub const MAX_BROADCAST_BYTES: usize = 900;
 
 /// A change of membership.
@@ -57,16 +59,16 @@
     Up(Peer),
     /// A member departed.
     Down(Peer, Departure),
-    /// Other members took this node for dead; it refuted that under a new identity.
+    /// Other members considered this node dead; it refuted that under a new identity.
     Refuted(Peer),
 }
 
 /// Gossip that is ready to be sealed and sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingGossip {
-    /// Its receiver.
+    /// Receiver of the gossip.
     pub to: SocketAddr,
-    /// What is to be sealed.
+    /// Body to be sealed.
     pub body: Vec<u8>,
 }
 
@@ -90,28 +92,29 @@
     }
 }
 
-/// The members as this node knows them.
+/// Membership as seen by this node.
 pub struct Members {
     foca: Foca<Peer, foca::PostcardCodec, Pcg64Mcg, SharedBroadcastLog>,
     broadcast_log: SharedBroadcastLog,
     runtime: AccumulatingRuntime<Peer>,
-    /// Foca's timers, each by its time and order; removed when it fires.
+    /// Timers of foca by time and order; removed when they fire.
     timers: BTreeMap<(Timestamp, u64), Timer<Peer>>,
     next_timer: u64,
-    /// Peers of the operators' file.
+    /// Addresses of the peers in the operators' file.
     seeds: Vec<SocketAddr>,
     next_seed: usize,
     next_seed_announce: Timestamp,
     events: Vec<MembershipEvent>,
     outgoing: Vec<OutgoingGossip>,
-    /// How often members joined or departed.
+    /// Number of times that members joined or departed.
     pub membership_changes: u64,
-    /// Gossip that foca did not accept; the sender is at fault.
+    /// Number of gossip messages that foca rejected because of a fault of the sender.
     pub undecodable: u64,
 }
 
 impl Members {
-    /// `seeds`: addresses of nodes to begin with; the own one among them is ignored.
+    /// Creates the membership of node `own`. `seeds` are the nodes to contact first; the node's own address
+    /// among them is ignored.
     pub fn new(own: Peer, seeds: &[SocketAddr], seed: u64) -> Members {
         let seeds: Vec<SocketAddr> = seeds.iter().copied().filter(|a| *a != own.address).collect();
         let rng = Pcg64Mcg::seed_from_u64(seed);
@@ -139,12 +142,12 @@
         self.foca.identity()
     }
 
-    /// Other members that are not known to be dead, suspects included.
+    /// Other members that are not declared dead, including suspects.
     pub fn live_members(&self) -> impl Iterator<Item = &Peer> {
         self.foca.iter_members().map(|member| member.id())
     }
 
-    /// Live members in a zone, this node included.
+    /// Number of live members in a zone, this node included.
     pub fn count_in_zone(&self, zone: u16) -> usize {
         let others = self.live_members().filter(|peer| peer.zone == zone).count();
         others + usize::from(self.own().zone == zone)
@@ -158,7 +161,7 @@
         self.drain_runtime(now);
     }
 
-    /// When `tick` is due.
+    /// Time at which `tick` is due.
     pub fn next_deadline(&self) -> Timestamp {
         let first_timer = self.timers.first_key_value().map(|((at, _), _)| *at);
         first_timer.map_or(self.next_seed_announce, |at| at.min(self.next_seed_announce))
@@ -188,13 +191,13 @@
         let last = missing.last().and_then(|last| self.seeds.iter().position(|address| address == last));
         self.next_seed = last.map_or(0, |last| last + 1);
         for address in missing {
-            // An announcement is accepted by any process at that address.
+            // An announcement is accepted by any process at the address.
             let _ = self.foca.announce(Peer { address, instance: 0, zone: 0 }, &mut self.runtime);
         }
     }
 
-    /// Broadcasts a message to all members; of one topic the highest rank stays. One longer than [`MAX_BROADCAST_BYTES`] is
-    /// not sent.
+    /// Broadcasts a message to all members. Of one topic, only the message of the highest rank is
+    /// disseminated. A message longer than [`MAX_BROADCAST_BYTES`] is not sent.
     pub fn broadcast(&mut self, topic: u8, rank: BroadcastRank, body: &[u8]) {
         if body.len() > MAX_BROADCAST_BYTES {
             return;
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Adds members that another node knew of: they are probed like any others, and cause no event.
+    /// Adds members recorded by another node. They are probed like any other members and cause no event.
     pub fn add_known_members(&mut self, now: Timestamp, peers: impl Iterator<Item = Peer>) {
         let own = self.own().address;
         let others = peers.filter(|peer| peer.address != own).map(foca::Member::alive);
@@ -220,7 +223,8 @@
         self.drain_runtime(now);
     }
 
-    /// Departs: nothing is sent after this but what `take_datagrams` still returns.
+    /// Announces the departure of this node. Nothing is sent afterwards except what `take_datagrams` still
+    /// returns.
     pub fn leave(&mut self, now: Timestamp, departure: Departure) {
         let departed = Broadcast::Departed { peer: self.own().clone(), departure };
         if let Ok(data) = postcard::to_allocvec(&departed) {
@@ -232,17 +236,17 @@
         self.timers.clear();
     }
 
-    /// Changes of membership since the last call.
+    /// Returns the membership changes since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Messages of topics that were received since the last call.
+    /// Returns the broadcasts received since the last call.
     pub fn take_broadcasts(&mut self) -> Vec<TopicMessage> {
         self.broadcast_log.take_received()
     }
 
-    /// Gossip to be sent.
+    /// Returns the gossip to send.
     pub fn take_datagrams(&mut self) -> Vec<OutgoingGossip> {
         std::mem::take(&mut self.outgoing)
     }
@@ -258,11 +262,11 @@
         }
         while let Some(notification) = self.runtime.to_notify() {
             self.membership_changes += 1;
-            self.events.extend(self.event_of(notification));
+            self.events.extend(self.membership_event(notification));
         }
     }
 
-    fn event_of(&self, notification: OwnedNotification<Peer>) -> Option<MembershipEvent> {
+    fn membership_event(&self, notification: OwnedNotification<Peer>) -> Option<MembershipEvent> {
         match notification {
             OwnedNotification::MemberUp(peer) => Some(MembershipEvent::Up(peer)),
             OwnedNotification::MemberDown(peer) => {
--- a/crates/pipitcrank-membership/src/members/broadcasts.rs
+++ b/crates/pipitcrank-membership/src/members/broadcasts.rs
@@ -1,4 +1,4 @@
-//! What gossip carries beside membership itself: departures, and the newest message of each topic.
+//! Broadcasts carried by gossip in addition to membership: departures, and the newest message of each topic.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -10,23 +10,23 @@
 
 use crate::peer::Peer;
 
-/// Departures remembered.
+/// Largest number of departures kept.
 const MAX_DEPARTURES: usize = 4096;
-/// Number of topics: a higher one is refused.
+/// Number of topics; messages of higher topics are rejected.
 const MAX_TOPICS: u8 = 4;
 
-/// How a member departed.
+/// Kind of a member's departure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Departure {
-    /// It shut down.
+    /// The member shut down.
     Left,
-    /// It handed over to another process of the same node.
+    /// The member handed over to another process of the same node.
     Upgraded,
-    /// It died without notice.
+    /// The member died without notice.
     Died,
 }
 
-/// Of one topic the message of highest rank replaces all others.
+/// Rank of a message: the message of the highest rank replaces all others of its topic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BroadcastRank {
     /// Compared first.
@@ -35,12 +35,12 @@
     pub minor: u64,
 }
 
-/// A message that came by gossip.
+/// Message received by gossip.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TopicMessage {
-    /// Its topic.
+    /// Topic of the message.
     pub topic: u8,
-    /// What was broadcast.
+    /// Body of the message.
     pub body: Vec<u8>,
 }
 
@@ -68,12 +68,12 @@
     }
 }
 
-/// A broadcast that could not be decoded, or of a topic that there is not.
+/// Error for a broadcast that could not be decoded or has an unknown topic.
 #[derive(Debug, thiserror::Error)]
 #[error("a broadcast could not be decoded")]
 pub(super) struct UndecodableBroadcast;
 
-/// The departure of one process of an address.
+/// Departure of one process at an address.
 struct DepartedInstance {
     instance: u64,
     departure: Departure,
@@ -120,17 +120,17 @@
     }
 }
 
-/// Foca owns its broadcast handler, so the log is shared with it.
+/// Log shared with foca, which owns its broadcast handler.
 #[derive(Clone, Default)]
 pub(super) struct SharedBroadcastLog(Rc<RefCell<BroadcastLog>>);
 
 impl SharedBroadcastLog {
-    /// Messages received since the last call, in their order.
+    /// Returns the messages received since the last call, in order.
     pub(super) fn take_received(&self) -> Vec<TopicMessage> {
         self.0.borrow_mut().received.drain(..).collect()
     }
 
-    /// How this peer departed: without notice, unless it gave one.
+    /// Returns how a peer departed; a peer that gave no notice died.
     pub(super) fn departure_of(&self, peer: &Peer) -> Departure {
         let log = self.0.borrow();
         let known = log.departures.get(&peer.address).filter(|known| known.instance >= peer.instance);
--- a/crates/pipitcrank-membership/src/members/stored_forms.rs
+++ b/crates/pipitcrank-membership/src/members/stored_forms.rs
@@ -1,4 +1,4 @@
-//! Gossip, evidence and sealed datagrams, against bytes of an earlier version.
+//! Compares gossip, evidence and sealed datagrams with bytes written by an earlier version.
 
 use std::fmt::Debug;
 
--- a/crates/pipitcrank-membership/src/members/tests.rs
+++ b/crates/pipitcrank-membership/src/members/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
-/// A thousand nodes that start at once must not announce to a thousand each, every second.
+/// Guards against a storm of announcements: of a thousand nodes that start at once, each announces itself to
+/// a few seeds per second, not to all of them.
 #[test]
-fn of_a_thousand_seeds_some_are_announced_to_at_a_time_and_all_in_turn() {
+fn announcements_to_seeds_are_bounded_and_reach_all_seeds() {
     let peer = |n: u16| SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 7000));
     let seeds: Vec<SocketAddr> = (0..1024).map(peer).collect();
     let own = Peer { address: peer(7), instance: 1, zone: 0 };
@@ -11,9 +12,9 @@
     for second in 0..128i64 {
         members.tick(Timestamp::from_micros(second * 1_000_000));
         let sent = members.take_datagrams();
-        assert!(sent.len() <= SEEDS_PER_ANNOUNCE, "{} datagrams in a second", sent.len());
+        assert!(sent.len() <= SEEDS_PER_ANNOUNCE, "{} datagrams within a second", sent.len());
         announced.extend(sent.into_iter().map(|gossip| gossip.to));
     }
-    assert_eq!(announced.len(), 1023, "all but itself");
+    assert_eq!(announced.len(), 1023, "every seed except the node itself");
     assert!(!announced.contains(&own.address));
 }
--- a/crates/pipitcrank-membership/src/replay_filter.rs
+++ b/crates/pipitcrank-membership/src/replay_filter.rs
@@ -1,28 +1,30 @@
-//! Which datagrams of each sender have been received, so that a replayed one is recognized.
+//! Records the datagrams received from each sender, to detect replayed ones.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Senders remembered, above the size of any fleet; the one silent for longest is dropped first.
+/// Largest number of senders kept, above the size of any fleet. The sender that has been silent for longest
+/// is dropped first.
 const MAX_SENDERS: usize = 8192;
-/// Earlier processes remembered for each sender.
+/// Number of earlier processes kept per sender.
 const MAX_FORMER_INSTANCES: usize = 4;
-/// Sequence numbers behind the newest that are told apart: datagrams overtake each other by a few.
+/// Range of sequence numbers behind the newest one that are tracked individually; datagrams overtake each
+/// other by a few.
 const WINDOW: u64 = 128;
 
-/// The datagrams received from one sender.
+/// Datagrams received from one sender.
 struct SenderWindow {
     instance: u64,
     newest: u64,
-    /// Bit `n`: the number `newest - n` was received.
+    /// Bit mask: bit `n` is set if the number `newest - n` was received.
     received: u128,
     /// Earlier processes of this sender.
     former_instances: VecDeque<u64>,
-    /// When it was last heard, as a count of datagrams checked.
-    last_heard: u64,
+    /// Time of the last datagram, as a count of datagrams checked.
+    last_received: u64,
 }
 
-/// Remembers the sequence numbers received from each sender, within a window.
+/// Tracks the sequence numbers received from each sender within a window.
 #[derive(Default)]
 pub(crate) struct ReplayFilter {
     senders: BTreeMap<SocketAddr, SenderWindow>,
@@ -30,22 +32,22 @@
 }
 
 impl ReplayFilter {
-    /// Whether this datagram is new; it is remembered from now on.
+    /// Records a datagram; returns whether it is new.
     pub(crate) fn accept(&mut self, sender: SocketAddr, instance: u64, number: u64) -> bool {
         self.checked += 1;
         self.make_space_for(sender);
-        let last_heard = self.checked;
+        let last_received = self.checked;
         let window = self.senders.entry(sender).or_insert_with(|| SenderWindow {
             instance,
             newest: 0,
             received: 0,
             former_instances: VecDeque::new(),
-            last_heard,
+            last_received,
         });
         if !window.switch_to(instance) {
             return false;
         }
-        window.last_heard = last_heard;
+        window.last_received = last_received;
         window.accept(number)
     }
 
@@ -53,13 +55,14 @@
         if self.senders.contains_key(&sender) || self.senders.len() < MAX_SENDERS {
             return;
         }
-        let quietest = self.senders.iter().min_by_key(|(_, window)| window.last_heard).map(|(a, _)| *a);
-        quietest.map(|address| self.senders.remove(&address));
+        let oldest = self.senders.iter().min_by_key(|(_, window)| window.last_received).map(|(a, _)| *a);
+        oldest.map(|address| self.senders.remove(&address));
     }
 }
 
 impl SenderWindow {
-    /// Begins anew for another process of the sender. False for an earlier one, whose datagrams come late or again.
+    /// Resets the window for a new process of the sender. Returns false for an earlier process, whose
+    /// datagrams are late or replayed.
     fn switch_to(&mut self, instance: u64) -> bool {
         if self.instance == instance {
             return true;
