--- a/crates/pipitcrank-failover/src/follower.rs
+++ b/crates/pipitcrank-failover/src/follower.rs
@@ -24,8 +24,8 @@
 /// Validity of a heartbeat. Heartbeats are sent twice a second and take a few rounds of gossip; three may be
 /// lost.
 const HEARTBEAT_LIFETIME: TimeSpan = TimeSpan::from_millis(2500);
-/// A longer gap between two ticks means that the process was suspended. The value spans many ticks and is
-/// shorter than the time in which decisions usually change.
+/// Gap between two ticks above which the process is considered to have been suspended. The value spans many
+/// ticks and is shorter than the time in which decisions usually change.
 const STALL_THRESHOLD: TimeSpan = TimeSpan::from_millis(1000);
 /// Time for which a resumed node waits for a heartbeat before it applies its decision again in full.
 const RESYNC_TIMEOUT: TimeSpan = TimeSpan::from_millis(2000);
@@ -38,7 +38,7 @@
 /// Largest part of a zone's fraction that an isolated node moves away or back, in thousandths.
 pub const MAX_ISOLATED_SHIFT: u16 = 500;
 
-/// Relation of a node to the current decision.
+/// Status of a node's decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecisionStatus {
     /// The node has received no decision.
@@ -47,7 +47,7 @@
     Resyncing,
     /// A recent heartbeat confirms the decision.
     Following,
-    /// The last heartbeat is older, but within the hold time.
+    /// The last heartbeat is no longer recent, but within the hold time.
     Holding,
     /// The last heartbeat is older than the hold time.
     Isolated,
@@ -118,7 +118,7 @@
     dry_run: bool,
     decision: Option<Decision>,
     restored: Option<RestoredDecision>,
-    /// The newest heartbeat.
+    /// Newest heartbeat received.
     heartbeat: LeaderHeartbeat,
     /// Time at which the newest confirming heartbeat was received, here or by the node that relayed it.
     confirmed_at: Timestamp,
@@ -126,7 +126,7 @@
     missed_decision: bool,
     last_tick_at: Option<Timestamp>,
     resumed_at: Option<Timestamp>,
-    /// By zone.
+    /// Local evidence, by zone.
     local_evidence: Vec<LocalEvidence>,
     /// Number of decisions received that were older than the one held.
     pub stale_decisions: u64,
@@ -257,7 +257,7 @@
         self.missed_decision || self.status(now) != DecisionStatus::Following
     }
 
-    /// Relation of this node to the current decision.
+    /// Status of this node's decision.
     pub fn status(&self, now: Timestamp) -> DecisionStatus {
         if self.decision.is_none() {
             return DecisionStatus::NoDecision;
--- a/crates/pipitcrank-failover/src/node.rs
+++ b/crates/pipitcrank-failover/src/node.rs
@@ -471,7 +471,7 @@
         self.follower.decision().map_or(0, |decision| decision.number)
     }
 
-    /// Relation of this node to the current decision at the last tick.
+    /// Status of this node's decision at the last tick.
     pub fn decision_status(&self) -> DecisionStatus {
         self.decision_status
     }
--- a/crates/pipitcrank-failover/src/node/message.rs
+++ b/crates/pipitcrank-failover/src/node/message.rs
@@ -66,7 +66,7 @@
     NotLeader(Option<u8>),
     /// One page of the list of live members.
     Members {
-        /// In ascending order of their addresses.
+        /// Members in ascending order of their addresses.
         members: Vec<Peer>,
         /// Whether more members follow.
         more: bool,
@@ -93,7 +93,7 @@
     pub status: String,
     /// Routing of the node's queries.
     pub fractions: Vec<ZoneFraction>,
-    /// By zone, if the node is a voter; otherwise empty.
+    /// Evidence on each zone if the node is a voter; otherwise empty.
     pub evidence: Vec<ZoneEvidence>,
     /// Slot of the leader, if known.
     pub leader: Option<u8>,
--- a/crates/pipitcrank-failover/src/node/operator_client.rs
+++ b/crates/pipitcrank-failover/src/node/operator_client.rs
@@ -13,7 +13,7 @@
 pub struct ReceivedAnswer {
     /// Address of the answering node.
     pub from: SocketAddr,
-    /// The answer.
+    /// Answer of the node.
     pub answer: OperatorAnswer,
 }
 
--- a/crates/pipitcrank-failover/src/routing_table.rs
+++ b/crates/pipitcrank-failover/src/routing_table.rs
@@ -10,7 +10,8 @@
 /// Fraction of a zone's capacity that is planned for, in thousandths. The rest absorbs load variations within
 /// a second.
 pub(crate) const TARGET_UTILIZATION_PERMILLE: u64 = 900;
-/// Rounds in which zones at one distance share the remaining demand; each at least halves the imbalance.
+/// Number of rounds in which zones at one distance share the remaining demand; each round at least halves the
+/// imbalance.
 const ROUNDS_PER_DISTANCE: usize = 8;
 /// Capacity assumed for a zone with unknown capacity, in thousandths of a part per second: above any demand,
 /// and small enough not to overflow.
--- a/crates/pipitcrank-failover/src/voter.rs
+++ b/crates/pipitcrank-failover/src/voter.rs
@@ -50,8 +50,8 @@
     placement: Placement,
     identity: VoterIdentity,
     state_changed: bool,
-    /// Set while the restored decision is withheld: it is reported once this voter leads a majority without a
-    /// newer decision.
+    /// Set while the restored decision is withheld. It is reported once this voter leads a majority that
+    /// holds no newer decision.
     restored_decision_pending: bool,
     known_incarnations: IncarnationTable,
     electorate: Electorate,
--- a/crates/pipitcrank-failover/src/voter/admission.rs
+++ b/crates/pipitcrank-failover/src/voter/admission.rs
@@ -24,7 +24,8 @@
 ) -> Option<JoiningVoter> {
     let mut candidates = peers.by_slot().filter(|(slot, _)| !excluded.contains(slot));
     let found = candidates.find(|(_, peer)| {
-        // A process that follows this group's leader may have been part of a change that was not applied.
+        // A process that follows this group's leader is also eligible: its admission may have been proposed
+        // without being applied.
         let is_free = !peer.has_leader || peer.generation == generation;
         peer.is_recent(now) && is_free && !voter_ids.contains(&peer.id)
     });
--- a/crates/pipitcrank-failover/src/voter/founding.rs
+++ b/crates/pipitcrank-failover/src/voter/founding.rs
@@ -13,7 +13,7 @@
 //! request for a generation above any recorded one, no leader    --> leaves its group for good, promises to join
 //! promises of all slots                                         --> the first slot starts the group, above all numbers
 //! no group, other slots have a group with a leader              --> that leader admits the new id, removes the old one
-//! an operator excludes a slot                                   --> as above, with the promises of all other slots
+//! an operator excludes a slot                                   --> the first remaining slot founds with the promises of the others
 //! ```
 //!
 //! Founding needs all slots, so two generations can never both have a majority that acts. Admission needs a
@@ -30,7 +30,7 @@
 use super::timing::PROMISE_LIFETIME;
 use crate::decision::{Decision, DecisionCause};
 
-/// Mask for generations, which are 32-bit numbers.
+/// Mask that limits generations to 32 bits.
 const GENERATION_MASK: u64 = 0xffff_ffff;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 /// Highest generation accepted from another voter. A generation derived from a clock far ahead would use up
@@ -70,7 +70,7 @@
         self.participants().next() == Some(self.own_slot)
     }
 
-    /// Whether all other participants sent a recent heartbeat without a leader.
+    /// Whether all other participants sent recent heartbeats that report no leader.
     pub(super) fn others_are_leaderless(&self, now: Timestamp, peers: &PeerTable) -> bool {
         let mut others = self.participants().filter(|slot| *slot != self.own_slot);
         others.all(|slot| peers.is_leaderless(now, slot))
@@ -120,7 +120,7 @@
 pub(super) struct Founding {
     generation: u64,
     started_at: Timestamp,
-    /// By slot.
+    /// Promises received, by slot.
     promises: BTreeMap<usize, Promise>,
     group: Option<NewGroup>,
 }
--- a/crates/pipitcrank-failover/src/voter/message.rs
+++ b/crates/pipitcrank-failover/src/voter/message.rs
@@ -12,7 +12,7 @@
     Heartbeat(VoterHeartbeat),
     /// Requests a promise to join a new generation.
     RequestPromise {
-        /// The new generation.
+        /// Number of the new generation.
         generation: u64,
     },
     /// Promise to join the new generation; the sender has left its group.
@@ -34,14 +34,14 @@
     pub highest_generation: u64,
     /// Incarnation of the sender's id.
     pub incarnation: Incarnation,
-    /// By slot: the incarnations that the sender has recorded.
+    /// Incarnations that the sender has recorded for all voters, by slot.
     pub known_incarnations: Vec<KnownIncarnation>,
 }
 
 /// A voter's promise to join a new generation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Promise {
-    /// The new generation.
+    /// Number of the new generation.
     pub generation: u64,
     /// Id under which the sender joins.
     pub id: u64,
@@ -79,6 +79,6 @@
 pub struct AddressedOutput {
     /// Slot of the receiver.
     pub slot: usize,
-    /// The output.
+    /// Message to send.
     pub output: VoterOutput,
 }
--- a/crates/pipitcrank-failover/src/voter/peers.rs
+++ b/crates/pipitcrank-failover/src/voter/peers.rs
@@ -41,7 +41,7 @@
         self.0.values().filter(move |heartbeat| heartbeat.is_recent(now))
     }
 
-    /// Whether the voter of a slot sent a recent heartbeat without a leader.
+    /// Whether the newest heartbeat of a slot is recent and reports no leader.
     pub(super) fn is_leaderless(&self, now: Timestamp, slot: usize) -> bool {
         self.0.get(&slot).is_some_and(|heartbeat| heartbeat.is_recent(now) && !heartbeat.has_leader)
     }
--- a/crates/pipitcrank-failover/src/voter/persistent_state.rs
+++ b/crates/pipitcrank-failover/src/voter/persistent_state.rs
@@ -16,7 +16,7 @@
     pub(super) incarnation_count: u64,
     pub(super) highest_generation: u64,
     pub(super) has_promised: bool,
-    /// By slot.
+    /// Incarnations recorded for all voters, by slot.
     pub(super) known_incarnations: Vec<KnownIncarnation>,
     pub(super) group: Option<PersistentGroupState>,
 }
@@ -61,11 +61,11 @@
     pub(super) generation: u64,
     /// Last applied entry.
     pub(super) applied: LogPosition,
-    /// Decision after that entry.
+    /// Decision after the last applied entry.
     pub(super) decision: Option<Decision>,
-    /// Voters after that entry, in the library's encoding.
+    /// Voters after the last applied entry, in the library's encoding.
     pub(super) voters: Vec<u8>,
     pub(super) hard_state: StoredHardState,
-    /// Later entries, in the library's encoding.
+    /// Entries after the last applied one, in the library's encoding.
     pub(super) entries: Vec<Vec<u8>>,
 }
--- a/crates/pipitcrank-failover/src/voter/raft_group.rs
+++ b/crates/pipitcrank-failover/src/voter/raft_group.rs
@@ -16,8 +16,8 @@
 
 /// Ticks between two heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks without a heartbeat after which the first slot stands for election. With 0.4 s, a dead leader is
-/// replaced within the time allowed for moving the load of a zone.
+/// Ticks without a heartbeat after which the first slot stands for election. They take 0.4 s, so that a dead
+/// leader is replaced within the time allowed for moving the load of a zone.
 const ELECTION_TICKS: usize = 8;
 /// Additional election ticks per slot, so that the slots do not all stand for election at once.
 const ELECTION_TICKS_PER_SLOT: usize = 2;
--- a/crates/pipitcrank-failover/src/voter/storage.rs
+++ b/crates/pipitcrank-failover/src/voter/storage.rs
@@ -21,7 +21,7 @@
     pub(super) log: MemStorage,
     /// Index of the last applied entry.
     pub(super) applied: u64,
-    /// Decision after that entry; none until an admitted voter receives one.
+    /// Decision after the last applied entry; none until an admitted voter receives one.
     pub(super) decision: Option<Decision>,
 }
 
@@ -40,7 +40,7 @@
     }
 
     /// Restores the log from persisted state. Returns none for inconsistent state, which the library would
-    /// report as its own fault.
+    /// treat as an internal error.
     pub(super) fn restore(state: PersistentGroupState, zone_count: usize) -> Option<GroupLog> {
         let PersistentGroupState { applied, decision, voters, hard_state, entries, .. } = state;
         let entries: Vec<Entry> = entries.iter().filter_map(|e| Entry::parse_from_bytes(e).ok()).collect();
--- a/crates/pipitcrank-failover/src/voter/timing.rs
+++ b/crates/pipitcrank-failover/src/voter/timing.rs
@@ -9,7 +9,7 @@
 /// Validity of a heartbeat.
 pub(super) const HEARTBEAT_LIFETIME: TimeSpan = TimeSpan::from_millis(900);
 /// Time without a leader after which a new generation is founded, provided that all slots send heartbeats.
-/// Several elections fit into it.
+/// Several elections fit into this time.
 pub(super) const FOUNDING_DELAY: TimeSpan = TimeSpan::from_millis(2500);
 /// Time without a leader after which a voter promises to join a new generation.
 pub(super) const PROMISE_DELAY: TimeSpan = TimeSpan::from_millis(1250);
--- a/crates/pipitcrank-membership/src/envelope/tests.rs
+++ b/crates/pipitcrank-membership/src/envelope/tests.rs
@@ -52,7 +52,7 @@
         old.seal(at(2), DatagramKind::Message, b"2").unwrap(),
     );
     theirs.open(&first).unwrap();
-    // The clock went back between the two processes.
+    // The new process starts after its clock went back.
     let mut new = Sealer::new(derive_key("s"), at(1), 5);
     theirs.open(&new.seal(at(2), DatagramKind::Message, b"").unwrap()).unwrap();
     assert_eq!(theirs.open(&late), Err(DatagramRejection::Replayed));
--- a/crates/pipitcrank-membership/src/evidence/matrix.rs
+++ b/crates/pipitcrank-membership/src/evidence/matrix.rs
@@ -30,7 +30,7 @@
 /// Health of one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// No sufficient observations exist.
+    /// There are not enough observations of the zone.
     Unknown,
     /// Nearly all replicas of the zone answer.
     Healthy,
--- a/crates/pipitcrank-membership/src/evidence/report.rs
+++ b/crates/pipitcrank-membership/src/evidence/report.rs
@@ -56,7 +56,8 @@
 }
 
 impl EvidenceReport {
-    /// Whether the report is plausible: it has one entry per zone, and no more replicas observed than listed.
+    /// Whether the report is plausible: it has one entry per zone, and no more replicas are observed or
+    /// warming up than listed.
     pub fn is_valid(&self, zone_count: usize) -> bool {
         let plausible = |counts: &ReplicaCounts| {
             counts.observed() <= u32::from(counts.listed) && counts.warming_up <= counts.listed
--- a/crates/pipitcrank-membership/src/evidence/table.rs
+++ b/crates/pipitcrank-membership/src/evidence/table.rs
@@ -11,8 +11,8 @@
 
 /// Validity of a report: several report intervals, since some reports are lost.
 pub const REPORT_LIFETIME: TimeSpan = TimeSpan::from_millis(1000);
-/// Fraction of unhealthy replicas in every zone at which a reporter is considered isolated, while most
-/// reporters of its zone reach a zone.
+/// A reporter that observes at least this fraction of every zone as unhealthy is considered isolated,
+/// provided that most reporters of its zone are not.
 const ISOLATED_FRACTION: f64 = 0.99;
 /// Largest number of reporters kept, as a multiple of those expected: reporters change, and forged addresses
 /// must not exhaust the memory.
--- a/crates/pipitcrank-membership/src/evidence/tests.rs
+++ b/crates/pipitcrank-membership/src/evidence/tests.rs
@@ -150,8 +150,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random false reports from two of five reporters per zone leave the health of every zone as the other
-    /// reporters observe it.
+    /// Random false reports from two of the five reporters of each zone do not change the health of any zone.
     #[test]
     fn a_minority_of_false_reports_changes_no_zone_health(false_counts in proptest::collection::vec((0u16..10, 0u16..10), 6)) {
         let honest = matrix_of([[0, 10, 0], [0, 10, 0], [0, 10, 0]]);
--- a/crates/pipitcrank-membership/src/members.rs
+++ b/crates/pipitcrank-membership/src/members.rs
@@ -26,8 +26,8 @@
 
 /// Interval between probes by one node.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// Time limit for the answer to a probe before other members are requested to probe. It covers several round
-/// trips between regions, so that a short pause causes no indirect probes.
+/// Time limit for the answer to a probe, after which other members are requested to probe. It covers several
+/// round trips between regions, so that a short pause causes no indirect probes.
 const PROBE_ROUND_TRIP: Duration = Duration::from_millis(150);
 const INDIRECT_PROBES: usize = 3;
 /// Time to refute a suspicion; longer than the pauses seen in production.
--- a/crates/pipitcrank-membership/src/members/broadcasts.rs
+++ b/crates/pipitcrank-membership/src/members/broadcasts.rs
@@ -29,9 +29,9 @@
 /// Rank of a message: the message of the highest rank replaces all others of its topic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BroadcastRank {
-    /// Compared first.
+    /// Primary part of the rank.
     pub major: u64,
-    /// Compared where the first is equal.
+    /// Secondary part of the rank, compared if the primary parts are equal.
     pub minor: u64,
 }
 
