--- a/crates/pipitcrank-failover/src/node.rs
+++ b/crates/pipitcrank-failover/src/node.rs
@@ -97,8 +97,7 @@
         }
     }
 
-    /// Restores what an earlier process of this node stored: the decision that it acted on last, the members
-    /// that it had recorded and, for a voter, the persisted state.
+    /// Restores the stored state of an earlier process: its last decision, its members and its voter state.
     pub fn restore(
         &mut self,
         now: Timestamp,
--- a/crates/pipitcrank-failover/src/voter.rs
+++ b/crates/pipitcrank-failover/src/voter.rs
@@ -50,8 +50,7 @@
     placement: Placement,
     identity: VoterIdentity,
     state_changed: bool,
-    /// Set while the restored decision is withheld. It is reported once this voter leads a majority that
-    /// holds no newer decision.
+    /// Withholds the restored decision until this voter leads a majority that holds no newer one.
     restored_decision_pending: bool,
     known_incarnations: IncarnationTable,
     electorate: Electorate,
@@ -75,13 +74,9 @@
     /// earlier ones in the same slot.
     ///
     /// # Panics
-    /// Panics if `slot` is not below `slot_count`, or if there are more than [`MAX_VOTERS`] slots. The
-    /// operators' file is checked for both.
+    /// If `slot >= slot_count` or `slot_count >` [`MAX_VOTERS`]; the operators' file is checked for both.
     pub fn new(now: Timestamp, slot: usize, slot_count: usize, zone_count: usize, instance: u64) -> Voter {
-        assert!(
-            slot < slot_count && slot_count <= MAX_VOTERS,
-            "slot and number of voters must be valid: the operators' file is checked for both"
-        );
+        assert!(slot < slot_count && slot_count <= MAX_VOTERS, "voter slot or number of slots out of range");
         Voter {
             placement: Placement { slot, slot_count, zone_count },
             identity: VoterIdentity::new(slot, instance),
@@ -405,8 +400,7 @@
             self.discarded_messages += 1;
             return;
         };
-        // The local state may be older than what was persisted under this id; the library would panic on the
-        // message.
+        // The local state may be older than what was persisted under this id; the library would panic.
         if group.lacks_committed_entries(&message) {
             return self.abandon_group();
         }
