--- a/crates/pipitcrank-failover/src/lib.rs
+++ b/crates/pipitcrank-failover/src/lib.rs
@@ -6,7 +6,7 @@
 //! | --- | --- |
 //! | [`controller`] | computes the next decision: zone states, steps, hold-down, operators' orders |
 //! | [`routing_table`] | computes the fraction of each zone's queries that is routed to each zone |
-//! | [`follower`] | selects what one node acts on: the decision or, after long isolation, its local evidence within bounds |
+//! | [`follower`] | selects what a node acts on: the decision or, if isolated, local evidence within bounds |
 //! | [`voter`] | drives the Raft library and determines which processes are voters; zones are opaque to it |
 //! | [`node`] | connects the parts of one node; the caller passes in datagrams and times |
 //!
--- a/crates/pipitcrank-failover/src/voter/founding.rs
+++ b/crates/pipitcrank-failover/src/voter/founding.rs
@@ -13,7 +13,7 @@
 //! request for a generation above any recorded one, no leader    --> leaves its group for good, promises to join
 //! promises of all slots                                         --> the first slot starts the group, above all numbers
 //! no group, other slots have a group with a leader              --> that leader admits the new id, removes the old one
-//! an operator excludes a slot                                   --> the first remaining slot founds with the promises of the others
+//! an operator excludes a slot                                   --> the first other slot founds, with all other promises
 //! ```
 //!
 //! Founding needs all slots, so two generations can never both have a majority that acts. Admission needs a
