--- a/crates/pipitcrank-server/src/clients/accept_queue.rs
+++ b/crates/pipitcrank-server/src/clients/accept_queue.rs
@@ -1,4 +1,4 @@
-//! The accept queue of a listener: for how long clients may have waited in it, and what is done where accepting fails.
+//! The accept queue of a listener: bounds the time that clients waited in it, and handles errors of `accept`.
 
 use std::cell::Cell;
 use std::io;
@@ -11,34 +11,34 @@
 use crate::runtime::counters::Counters;
 use crate::runtime::system_errors::{ErrorPolicy, RETRY_PAUSE, accept_policy};
 
-/// Accepts that failed in a row after which other tasks run.
-const MAX_FAILURES_IN_A_ROW: u32 = 256;
-/// Failures are logged no more often: they come by thousands where resources run short.
+/// Consecutive failed accepts after which other tasks get to run.
+const MAX_CONSECUTIVE_FAILURES: u32 = 256;
+/// Minimum interval between log lines of failed accepts, which occur by the thousand when resources run short.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A client's connection.
+/// An accepted client connection.
 pub struct Accepted {
     /// The connection.
     pub stream: TcpStream,
-    /// For how long it may have waited at most.
+    /// Upper bound of its time in the accept queue.
     pub wait: Duration,
 }
 
-/// The accept queue of a listener that is open.
+/// The accept queue of an open listener.
 pub struct AcceptQueue {
     listener: TcpListener,
-    /// When it was last seen to be empty.
+    /// When the queue was last observed to be empty.
     empty_at: Cell<Instant>,
-    failures: Failures,
+    failures: FailureLog,
 }
 
 impl AcceptQueue {
-    /// The queue of that listener.
+    /// Creates the accept queue of a listener.
     pub fn new(listener: TcpListener, counters: Counters) -> AcceptQueue {
-        AcceptQueue { listener, empty_at: Cell::new(Instant::now()), failures: Failures::new(counters) }
+        AcceptQueue { listener, empty_at: Cell::new(Instant::now()), failures: FailureLog::new(counters) }
     }
 
-    /// Accepts the next client. An error is one of the listener itself: nobody can be accepted any more.
+    /// Accepts the next client. An error means that the listener itself has failed and will accept no more clients.
     pub async fn accept(&self) -> io::Result<Accepted> {
         loop {
             let accepted = std::future::poll_fn(|cx| {
@@ -61,37 +61,38 @@
         }
     }
 
-    /// Stops listening but for clients that wait already. What the runtime knows of the queue may be old: from now on the
-    /// queue itself is asked.
+    /// Converts the queue for draining before its listener closes. The runtime's readiness state may be stale, so the closing
+    /// queue calls `accept` directly.
     pub fn close(self) -> Option<ClosingQueue> {
         let listener = self.listener.into_std().ok()?;
         Some(ClosingQueue { listener, empty_at: self.empty_at.get(), failures: self.failures })
     }
 }
 
-/// A queue that is emptied before its listener closes.
+/// An accept queue that is emptied before its listener closes.
 pub struct ClosingQueue {
     listener: std::net::TcpListener,
     empty_at: Instant,
-    failures: Failures,
+    failures: FailureLog,
 }
 
-/// What the next accept of a closing queue brought.
+/// Result of the next accept of a closing queue.
 pub enum NextClient {
-    /// A client.
+    /// A client was accepted.
     Accepted(Accepted),
-    /// Nobody waits.
+    /// No client is waiting.
     Empty,
-    /// Accepting fails for now.
+    /// Accepting fails at present; a later call may succeed.
     Failing,
-    /// Nobody can be accepted any more.
+    /// The listener has failed and accepts no more clients.
     Broken,
 }
 
 impl ClosingQueue {
-    /// Accepts the next client. What fails is repeated at once, and by later calls: clients left in the queue would be reset.
+    /// Accepts the next client. A failed accept is retried at once and by later calls, since clients left in the queue are reset
+    /// when the listener closes.
     pub fn next(&self) -> NextClient {
-        for _ in 0..MAX_FAILURES_IN_A_ROW {
+        for _ in 0..MAX_CONSECUTIVE_FAILURES {
             let error = match self.accept() {
                 Ok(accepted) => return NextClient::Accepted(accepted),
                 Err(AcceptError::Empty) => return NextClient::Empty,
@@ -120,18 +121,18 @@
     Failed(io::Error),
 }
 
-/// Accepts that failed: each is counted, some are logged.
-struct Failures {
+/// Counts all failed accepts, and logs some of them.
+struct FailureLog {
     counters: Counters,
-    logged: Cell<Option<Instant>>,
+    last_logged: Cell<Option<Instant>>,
 }
 
-impl Failures {
-    fn new(counters: Counters) -> Failures {
-        Failures { counters, logged: Cell::default() }
+impl FailureLog {
+    fn new(counters: Counters) -> FailureLog {
+        FailureLog { counters, last_logged: Cell::default() }
     }
 
-    /// Records a failure; returns what it asks for.
+    /// Records a failure; returns the policy for its error.
     fn record(&self, error: &io::Error) -> ErrorPolicy {
         let policy = accept_policy(error);
         let name = match policy {
@@ -140,8 +141,8 @@
             ErrorPolicy::GiveUp => accept_error::GIVEN_UP,
         };
         self.counters.add(group::ACCEPT_ERRORS, name);
-        if self.logged.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
-            self.logged.set(Some(Instant::now()));
+        if self.last_logged.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
+            self.last_logged.set(Some(Instant::now()));
             tracing::warn!(policy = name, "accept failed: {error}");
         }
         policy
--- a/crates/pipitcrank-server/src/clients/acceptor.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and ends them in order at shutdown.
+//! Accepts client connections, and closes them gracefully at shutdown.
 
 use std::io;
 use std::rc::Rc;
@@ -20,35 +20,36 @@
 use crate::runtime::counters::Counters;
 use crate::runtime::shutdown::{ShutdownRequest, ShutdownSchedule};
 
-/// Interval at which connections are checked: a tenth of the half second that is to spare where one has to end by a time.
+/// Interval of the checks for overdue connections: a tenth of the half second of slack that connection deadlines have.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Of the permits for clients, one in so many is kept available for those that come next.
+/// One in this many client permits is kept free for new connections.
 const SPARE_ONE_IN: usize = 8;
 
-/// What the acceptor is told.
+/// A command to the acceptor.
 pub enum AcceptorCommand {
-    /// Accept there.
+    /// Accepts connections from this listener.
     Accept(TcpListener),
-    /// Serve a connection that another process had.
+    /// Serves a connection received from another process.
     Adopt(AdoptedConnection),
-    /// Accept no more, and transfer each connection as soon as it rests.
+    /// Stops accepting, and transfers each connection as soon as no response is pending on it.
     Transfer(UnboundedSender<AdoptedConnection>),
-    /// Transfer no more.
+    /// Stops transferring connections.
     StopTransfer,
-    /// All has been transferred: return.
+    /// Ends the acceptor after all connections have been transferred.
     Exit,
 }
 
-/// Whether the acceptor goes on.
+/// Whether the acceptor continues after an event.
 #[derive(PartialEq)]
 enum Flow {
     Continue,
     Exit,
 }
 
-/// Accepts as commanded. Once shutdown was requested and the schedule's time of admission has passed, it closes the listener,
-/// answers the clients that have come, so that they are refused and not dropped, and returns when all is drained:
-/// inactive connections by the time of the last answer, the others with their answer.
+/// Accepts and serves connections as commanded. After a shutdown request it continues to accept until the schedule's
+/// `admit_until`, then closes the listener and serves or rejects the clients left in the accept queue, so that none of them is
+/// reset. It returns once everything is drained: inactive connections are closed by the schedule's `last_answer`, all others
+/// after their response.
 pub async fn run(
     mut commands: UnboundedReceiver<AcceptorCommand>,
     router: Router,
@@ -62,7 +63,7 @@
     let mut checks = tokio::time::interval(CHECK_INTERVAL);
     checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        // Without a permit clients wait in the accept queue.
+        // While no permit is free, clients wait in the accept queue.
         let permit = if acceptor.listener.is_some() { acceptor.permits.try_acquire() } else { None };
         let flow = tokio::select! {
             accepted = accept(&acceptor.listener), if permit.is_some() => {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Ends when a permit may be available again, after asking for one that the replica side does not need.
+/// Requests a permit from the replica side, and completes when a permit may be available again.
 async fn permit_released(permits: &ConnectionLimiter) {
     let released = permits.released();
     permits.request_release();
@@ -110,9 +111,9 @@
     schedule: ShutdownSchedule,
     is_drained: F,
     listener: Option<AcceptQueue>,
-    /// While draining, until it is empty.
+    /// The accept queue of the closed listener; `None` once it has been emptied.
     closing_queue: Option<ClosingQueue>,
-    /// Has a clone for each client that is being rejected.
+    /// Reference count of the clients being rejected: each of them holds a clone.
     rejecting: Rc<()>,
     shutdown_since: Option<Instant>,
     draining: bool,
@@ -147,7 +148,7 @@
         match accepted {
             Ok(accepted) => self.server.serve_accepted(permit, accepted),
             Err(error) => {
-                tracing::error!("no longer listening, as the listener broke: {error}");
+                tracing::error!("listener failed, closing it; no more clients are accepted: {error}");
                 self.listener = None;
             }
         }
@@ -182,12 +183,13 @@
         Flow::Continue
     }
 
-    /// Whether so much time has passed since shutdown was requested.
+    /// Whether at least `span` has passed since shutdown was requested.
     fn has_passed(&self, span: TimeSpan) -> bool {
         self.shutdown_since.is_some_and(|since| since.elapsed() >= duration(span))
     }
 
-    /// Closes connections that are overdue or in the way of others; while draining, all that may be closed.
+    /// Closes overdue connections, and further ones while too few permits are free; while draining, closes every connection that
+    /// has no pending response. Also advances the shutdown.
     fn check(&mut self) -> Flow {
         let connections = self.server.connections.clone();
         let spare = self.permits.limit().div_ceil(SPARE_ONE_IN);
@@ -199,20 +201,20 @@
         if !self.draining {
             self.draining = true;
             self.closing_queue = self.listener.take().and_then(AcceptQueue::close);
-            // Idle connections are closed now, busy ones with their answer.
+            // Connections with a pending response are closed after it, all others once they have been idle.
             self.mode.send_replace(ConnectionMode::Drain);
         }
-        let (is_over, queue_is_over) =
+        let (past_last_answer, past_queue_deadline) =
             (self.has_passed(self.schedule.last_answer), self.has_passed(self.schedule.accept_queue_until));
         if let Some(queue) = self.closing_queue.take() {
             let rest = self.server.drain_queue(queue, &self.permits, &self.rejecting);
-            self.closing_queue = rest.filter(|_| !queue_is_over);
+            self.closing_queue = rest.filter(|_| !past_queue_deadline);
             if self.closing_queue.is_none() {
-                tracing::info!("no longer listening");
+                tracing::info!("listener closed for shutdown, accept queue drained");
             }
         }
-        // Half a request gets its answer, too, before the kill finds it.
-        if is_over {
+        // A partial request gets an error response before the process is killed.
+        if past_last_answer {
             connections.close_inactive();
         }
         let is_rejecting = Rc::strong_count(&self.rejecting) > 1;
--- a/crates/pipitcrank-server/src/clients/arrival.rs
+++ b/crates/pipitcrank-server/src/clients/arrival.rs
@@ -1,4 +1,4 @@
-//! What the connection tells the HTTP service of a request beside its text.
+//! Properties of a request that the connection passes to the HTTP service along with the request.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Signals that a request's body has been read whole.
+/// Signals that a request's body has been read completely.
 #[derive(Default)]
 pub struct BodyCompletion {
     is_complete: AtomicBool,
@@ -15,13 +15,13 @@
 }
 
 impl BodyCompletion {
-    /// The body has been read whole.
+    /// Marks the body as read completely.
     pub fn set(&self) {
         self.is_complete.store(true, Ordering::Relaxed);
         self.completed.notify_one();
     }
 
-    /// Ends when it has been.
+    /// Completes once the body has been read completely.
     pub async fn wait(&self) {
         while !self.is_complete.load(Ordering::Relaxed) {
             self.completed.notified().await;
@@ -32,12 +32,12 @@
 /// How a request arrived.
 #[derive(Clone)]
 pub struct Arrival {
-    /// By then it has to be here whole.
+    /// Deadline for receiving the whole request.
     pub deadline: Instant,
-    /// It has both a length and chunks, so that two readers may not agree on where it ends.
+    /// Whether the head has both framing headers, so that two parsers may disagree about the end of the request.
     pub ambiguous_framing: bool,
-    /// To be set when its body is whole.
+    /// Set by the HTTP service once it has read the whole body.
     pub body: Arc<BodyCompletion>,
-    /// For how long it may have waited for its connection to be accepted.
+    /// Upper bound of the request's time in the accept queue.
     pub accept_wait: Duration,
 }
--- a/crates/pipitcrank-server/src/clients/client_connections.rs
+++ b/crates/pipitcrank-server/src/clients/client_connections.rs
@@ -1,5 +1,5 @@
-//! Client connections: what phase each is in, how long it may last, and which are closed when permits run short. A connection
-//! with a query being answered never is.
+//! Tracks the phase of each client connection and its time limits, and selects the connections to close when permits run short. A
+//! connection whose query is being answered is never closed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,58 +11,59 @@
 
 use super::arrival::BodyCompletion;
 
-/// A request has to be whole this long after it began, the first on a connection after connecting: a client that does not
-/// get so far is owed an error or a close within 3 s, of which half a second may pass waiting for the processor.
+/// Time to receive a whole request, from its first byte, or from the accept for the first request on a connection. An incomplete
+/// request must get an error or a close within 3 s, of which half a second may pass waiting for the CPU.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A connection idle for longer is closed in any case.
+/// Idle timeout that applies even while permits are free.
 const MAX_IDLE: Duration = Duration::from_secs(60);
-/// Clients expect that a connection idle for so long may be closed.
-const IDLE_YIELDS: Duration = Duration::from_secs(2);
-/// Time for the first byte of a client that connected, which has a request to send: many times the way from it.
-const NEW_YIELDS: Duration = Duration::from_millis(100);
-/// However long a connection waited to be accepted, what lies on it is read first, within this.
+/// Idle time after which a connection may be closed to free its permit, as clients expect.
+const IDLE_GRACE: Duration = Duration::from_secs(2);
+/// Time for the first byte on a new connection before it may be closed to free its permit. Clients connect only to send a request,
+/// and the limit is many times their network delay.
+const NEW_GRACE: Duration = Duration::from_millis(100);
+/// Least time to read from a new connection, however long it waited in the accept queue.
 const MIN_READ_TIME: Duration = Duration::from_millis(250);
-/// What lay on a connection as it was accepted is read within this.
+/// Time after the accept within which bytes received before the accept are read.
 const BACKLOG_READ: Duration = Duration::from_millis(20);
-/// A request comes in one go: one that stops half way for so long is broken off.
-const READING_YIELDS: Duration = Duration::from_millis(1000);
-/// Time for a last answer to be read when others wait for the permit.
-const LINGERING_YIELDS: Duration = Duration::from_millis(250);
+/// Time since its first byte after which an incomplete request may be closed to free its permit; clients send a request at once.
+const READING_GRACE: Duration = Duration::from_millis(1000);
+/// Time for a client to read its last response before the connection may be closed to free its permit.
+const LINGERING_GRACE: Duration = Duration::from_millis(250);
 
-/// What a connection is at.
+/// The phase of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
-    /// Nothing has come on it yet.
+    /// No byte has been received yet.
     New,
-    /// Some of a request's head has come.
+    /// A part of a request's head has been received.
     Reading,
-    /// A request's body is read, or the request is answered.
+    /// The body of a request is being read, or the request is being answered.
     Answering,
     /// The last request was answered.
     Idle,
-    /// Its last answer is given, and the client is left time to read it.
+    /// The last response was sent, and the client has some time to read it.
     Lingering,
 }
 
-/// One client's connection.
+/// One client connection.
 pub struct ClientConnection {
     accepted: Instant,
     phase: Cell<(ConnectionPhase, Instant)>,
-    /// When a request that has begun has to be whole.
+    /// Deadline for receiving the whole current request.
     request_deadline: Cell<Instant>,
     closing: Cell<bool>,
     close: Notify,
-    /// Its phase when it was asked to close.
+    /// The phase when the close was requested.
     phase_at_close: Cell<(ConnectionPhase, Instant)>,
-    /// The last answer has been handed to the system whole.
+    /// Whether the last response has been written to the socket completely.
     flushed: Cell<bool>,
-    /// Its last answer says that the connection ends with it.
+    /// Whether the current response carries `Connection: close`.
     last_answer: Cell<bool>,
     phase_changed: Notify,
-    /// Of a request whose body comes in chunks: whether that is whole.
+    /// Completion of the current request's body, if that is chunked.
     chunked_body: RefCell<Option<Arc<BodyCompletion>>>,
     chunked_body_begun: Notify,
-    /// For how long what is read first may have waited for the connection to be accepted.
+    /// Upper bound of the first request's time in the accept queue.
     accept_wait: Cell<Duration>,
 }
 
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Continues where another process had it: between two requests, or with some of one read, which has to be whole within
-    /// `request_timeout`.
+    /// Resumes a connection received from another process: between two requests if `request_timeout` is `None`, else with a
+    /// partial request that has to be received completely within `request_timeout`.
     pub fn resume(&self, now: Instant, request_timeout: Option<Duration>) {
         let phase = if request_timeout.is_some() { ConnectionPhase::Reading } else { ConnectionPhase::Idle };
         self.phase.set((phase, now));
@@ -94,19 +95,19 @@
         self.request_deadline.set(now + timeout);
     }
 
-    /// It may have waited so long to be accepted, with its first request.
+    /// Sets the upper bound of the first request's time in the accept queue, and shortens its deadline accordingly.
     pub fn set_accept_wait(&self, wait: Duration) {
         self.accept_wait.set(wait);
         let left = REQUEST_TIMEOUT.saturating_sub(wait).max(MIN_READ_TIME);
         self.request_deadline.set(self.accepted + left);
     }
 
-    /// For how long the present request may have waited for the connection to be accepted.
+    /// Returns the upper bound of the current request's time in the accept queue; zero for a request received after the accept.
     pub fn take_accept_wait(&self) -> Duration {
         self.accept_wait.take()
     }
 
-    /// A request's body comes in chunks; whoever reads it signals when it is whole.
+    /// Registers a request with a chunked body; the reader of the body sets the returned completion.
     pub fn expect_chunked_body(&self) -> Arc<BodyCompletion> {
         let body = Arc::<BodyCompletion>::default();
         *self.chunked_body.borrow_mut() = Some(body.clone());
@@ -114,7 +115,7 @@
         body
     }
 
-    /// Ends when the body of a request that came in chunks is whole.
+    /// Completes once the chunked body of a request has been read completely.
     pub async fn chunked_body_complete(&self) {
         loop {
             let body = self.chunked_body.borrow().clone();
@@ -125,46 +126,46 @@
         }
     }
 
-    /// The present answer ends the connection.
+    /// Marks the current response as the last one on the connection.
     pub fn set_last_answer(&self) {
         self.last_answer.set(true);
     }
 
-    /// Time left for a request that has begun, or for the first one; none otherwise.
+    /// Time left to receive the first request or one that has begun; `None` in any other phase.
     pub fn request_time_left(&self, now: Instant) -> Option<Duration> {
-        let is_waited_for = matches!(self.phase(), ConnectionPhase::New | ConnectionPhase::Reading);
-        is_waited_for.then(|| self.request_deadline() - now)
+        let is_request_due = matches!(self.phase(), ConnectionPhase::New | ConnectionPhase::Reading);
+        is_request_due.then(|| self.request_deadline() - now)
     }
 
-    /// All that was to be written is with the system.
+    /// Marks the last response as written to the socket completely.
     pub fn set_flushed(&self) {
         if self.phase() == ConnectionPhase::Idle && !self.flushed.replace(true) {
             self.phase_changed.notify_one();
         }
     }
 
-    /// Whether the last answer has been handed to the system whole.
+    /// Whether the last response has been written to the socket completely.
     pub fn is_flushed(&self) -> bool {
         self.flushed.get()
     }
 
-    /// Ends when it can be transferred or closed without any loss: no request is open on it and its last answer is written.
-    /// `with_partial_request`: half a request may be there. `idle`: of a process that shuts down, a connection on which nothing
-    /// came for so long is closed.
-    pub async fn rest(&self, with_partial_request: bool, idle: Duration) {
+    /// Completes when the connection can be transferred or closed without loss: no request is open on it and its last response is
+    /// written. A partial request is no obstacle if `with_partial_request` is set; otherwise the connection must have been idle
+    /// for `idle`, or without a first byte for `NEW_GRACE`.
+    pub async fn wait_closable(&self, with_partial_request: bool, idle: Duration) {
         loop {
             let (phase, since) = self.phase.get();
-            let rests_at = match phase {
+            let closable_at = match phase {
                 _ if self.last_answer.get() => None,
                 ConnectionPhase::Idle if self.flushed.get() && with_partial_request => return,
-                // A request may be on its way when the connection closes: one in use is closed with its next answer.
+                // A request may be in transit when the connection closes; a connection in use is closed after its next response.
                 ConnectionPhase::Idle if self.flushed.get() => Some(since + idle),
                 ConnectionPhase::New | ConnectionPhase::Reading if with_partial_request => return,
-                // A client that has just connected has a request to send.
-                ConnectionPhase::New => Some(since + NEW_YIELDS),
+                // A client that has just connected is about to send a request.
+                ConnectionPhase::New => Some(since + NEW_GRACE),
                 _ => None,
             };
-            match rests_at {
+            match closable_at {
                 Some(at) => tokio::select! {
                     () = self.phase_changed.notified() => {}
                     () = tokio::time::sleep_until(at) => return,
@@ -174,12 +175,12 @@
         }
     }
 
-    /// What it is at.
+    /// The current phase.
     pub fn phase(&self) -> ConnectionPhase {
         self.phase.get().0
     }
 
-    /// From now on it is at something else.
+    /// Enters a phase.
     pub fn set_phase(&self, phase: ConnectionPhase, now: Instant) {
         if self.phase() == ConnectionPhase::New && now - self.accepted > BACKLOG_READ {
             self.accept_wait.set(Duration::ZERO);
@@ -194,13 +195,13 @@
         self.phase_changed.notify_one();
     }
 
-    /// When a request that has begun has to be whole.
+    /// Deadline for receiving the whole current request.
     pub fn request_deadline(&self) -> Instant {
         self.request_deadline.get()
     }
 
-    /// Ends when the connection has to be closed. A request may lie unread as an idle connection is asked to close; once it is
-    /// read the connection is at something else, and stays.
+    /// Completes when the connection has to be closed. If the phase has changed since the close was requested, as by a request that
+    /// was unread at that moment, the close is cancelled.
     pub async fn close_requested(&self) {
         loop {
             self.close.notified().await;
@@ -215,21 +216,21 @@
         match self.phase.get() {
             (ConnectionPhase::New | ConnectionPhase::Reading, _) => now >= self.request_deadline(),
             (ConnectionPhase::Idle, since) => now >= since + MAX_IDLE,
-            // The HTTP service and lingering have time limits of their own.
+            // Both phases have time limits of their own.
             (ConnectionPhase::Answering | ConnectionPhase::Lingering, _) => false,
         }
     }
 
-    /// From when it may be closed in favour of another; none while it may not.
-    fn yields_at(&self) -> Option<Instant> {
+    /// Time from which the connection may be closed to free its permit; `None` if it must stay open.
+    fn evictable_at(&self) -> Option<Instant> {
         let (phase, since) = self.phase.get();
         let wait = match phase {
-            ConnectionPhase::New => NEW_YIELDS,
-            ConnectionPhase::Reading => READING_YIELDS,
-            // A slow client still reads its answer.
+            ConnectionPhase::New => NEW_GRACE,
+            ConnectionPhase::Reading => READING_GRACE,
+            // A slow client is still reading its response.
             ConnectionPhase::Idle if !self.flushed.get() => return None,
-            ConnectionPhase::Idle => IDLE_YIELDS,
-            ConnectionPhase::Lingering => LINGERING_YIELDS,
+            ConnectionPhase::Idle => IDLE_GRACE,
+            ConnectionPhase::Lingering => LINGERING_GRACE,
             ConnectionPhase::Answering => return None,
         };
         Some(since + wait)
@@ -242,19 +243,19 @@
     }
 }
 
-/// All client connections; each is removed as it ends.
+/// All open client connections.
 #[derive(Default)]
 pub struct ClientConnections(RefCell<Vec<Rc<ClientConnection>>>);
 
 impl ClientConnections {
-    /// Adds a connection that was accepted now.
+    /// Adds a connection accepted at `now`.
     pub fn add(&self, now: Instant) -> Rc<ClientConnection> {
         let connection = Rc::new(ClientConnection::new(now));
         self.0.borrow_mut().push(connection.clone());
         connection
     }
 
-    /// Whether there is none.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
@@ -264,7 +265,8 @@
         self.0.borrow_mut().retain(|other| !Rc::ptr_eq(other, connection));
     }
 
-    /// Closes all but those that are answered or whose answer a slow client still reads: that is left to the kill.
+    /// Closes all connections except those with a pending response and those whose client is still reading a response; the latter
+    /// last until the process is killed.
     pub fn close_inactive(&self) {
         let is_active = |connection: &ClientConnection| match connection.phase() {
             ConnectionPhase::Answering => true,
@@ -276,20 +278,20 @@
         inactive.for_each(|connection| connection.request_close());
     }
 
-    /// Closes connections that have been in a phase for too long; then those that may be closed in favour of others, the
-    /// longest ready first, until `short` permits more are on their way to be released.
+    /// Closes connections that exceed the time limit of their phase, then evictable ones, earliest evictable first, until `short`
+    /// permits are about to be released.
     pub fn close_overdue(&self, now: Instant, short: usize) {
         let connections = self.0.borrow();
         let overdue = connections.iter().filter(|other| !other.closing.get() && other.is_overdue(now));
         overdue.for_each(|connection| connection.request_close());
         let closing = connections.iter().filter(|other| other.closing.get()).count();
-        let mut ready: Vec<(Instant, Instant, &Rc<ClientConnection>)> = connections
+        let mut evictable: Vec<(Instant, Instant, &Rc<ClientConnection>)> = connections
             .iter()
             .filter(|other| !other.closing.get())
-            .filter_map(|other| Some((other.yields_at().filter(|&at| at <= now)?, other.accepted, other)))
+            .filter_map(|other| Some((other.evictable_at().filter(|&at| at <= now)?, other.accepted, other)))
             .collect();
-        ready.sort_by_key(|&(at, accepted, _)| (at, accepted));
-        let chosen = ready.iter().take(short.saturating_sub(closing));
+        evictable.sort_by_key(|&(at, accepted, _)| (at, accepted));
+        let chosen = evictable.iter().take(short.saturating_sub(closing));
         chosen.for_each(|(.., connection)| connection.request_close());
     }
 }
--- a/crates/pipitcrank-server/src/clients/connection.rs
+++ b/crates/pipitcrank-server/src/clients/connection.rs
@@ -1,5 +1,5 @@
-//! One client's connection, from its acceptance to its end: HTTP as the library serves it, closes that the library does not
-//! see, and a last answer before a close by this side.
+//! One client connection, from accept to close: the HTTP library serves it, and this module adds detection of closes that the
+//! library misses and a lingering close after the last response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -25,38 +25,37 @@
 use super::arrival::Arrival;
 use super::client_connections::{ClientConnection, ConnectionPhase};
 use super::linger::{REQUEST_TIMEOUT, linger, send_last};
-use super::request_reader::{DISCARD_PAUSE, DISCARD_PIECE, Framing, HeadTracker, RequestReader};
+use super::request_reader::{DISCARD_CHUNK_BYTES, DISCARD_PAUSE, Framing, HeadTracker, RequestReader};
 use crate::replicas::connection_end::ConnectionEnd;
 use crate::runtime::stream::{Expects, Stream};
 
-/// Longest request head taken, in bytes: with all permits in use, heads and bodies stay under a quarter of the memory limit.
-const MAX_HEAD: usize = 16 * 1024;
-/// Bytes behind a chunked body that are read in one go.
-const PIECE: usize = 64 * 1024;
+/// Longest accepted request head. With all permits in use, heads and bodies stay under a quarter of the memory limit.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Bytes after a chunked body that are read at a time.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
 
-/// A connection on its way between processes.
+/// A connection to be served, either newly accepted or transferred between processes.
 pub struct AdoptedConnection {
     /// The connection.
     pub stream: TcpStream,
-    /// What was read of a request.
+    /// The bytes of a partial request that the other process has read.
     pub read: Bytes,
-    /// Time left for that request to be whole.
+    /// Time left to receive a pending request; `None` between requests and for a newly accepted connection.
     pub request_timeout: Option<Duration>,
 }
 
-/// What connections do as soon as they rest.
+/// What happens to a connection once no response is pending on it.
 #[derive(Clone)]
 pub enum ConnectionMode {
-    /// They stay open.
+    /// The connection stays open.
     Serve,
-    /// They are closed.
+    /// The connection is closed.
     Drain,
-    /// They are handed over to another process.
+    /// The connection is transferred to another process.
     Transfer(UnboundedSender<AdoptedConnection>),
 }
 
-/// Serves one connection until its end; returns how it ended. `idle`: while draining, it is closed when nothing came on it
-/// for so long.
+/// Serves one connection until its end; returns how it ended. `idle` is the connection's idle timeout while draining.
 pub async fn serve(
     adopted: AdoptedConnection,
     router: Router,
@@ -65,7 +64,7 @@
     idle: Duration,
 ) -> ConnectionEnd {
     let stream = Rc::new(Stream::new(adopted.stream));
-    let heads = Rc::new(RefCell::new(HeadTracker::new(MAX_HEAD)));
+    let heads = Rc::new(RefCell::new(HeadTracker::new(MAX_HEAD_BYTES)));
     let reader = RequestReader::new(stream.clone(), connection.clone(), heads.clone(), adopted.read);
     let answer_modes = modes.clone();
     let service = service_fn(|request| {
@@ -74,26 +73,26 @@
     });
     let mut serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        // Client connections have time limits of their own, from connecting on.
+        // `ClientConnection` has its own time limits, which start at the accept.
         .header_read_timeout(None)
-        .max_buf_size(MAX_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(reader), service);
     let mut mode = modes.borrow_and_update().clone();
     let end = loop {
         let is_transfer = matches!(mode, ConnectionMode::Transfer(_));
         tokio::select! {
-            // In this order: a request of the client's may lie unread when the connection is to be closed for its silence.
+            // Reads come first: an unread request may have arrived when the connection is closed for inactivity.
             biased;
             served = std::future::poll_fn(|cx| serving.poll_without_shutdown(cx)) => break end_of(served, &mode),
             () = connection.close_requested() => return close(&stream, connection).await,
-            // The library does not read on behind bytes that it can't use yet, and would miss a close there.
+            // The HTTP library does not read past bytes that it can't process yet, and would miss a close after them.
             () = closed_behind_body(&stream, connection) => return ConnectionEnd::Closed,
             Ok(()) = modes.changed() => mode = modes.borrow_and_update().clone(),
-            () = connection.rest(is_transfer, idle), if !matches!(mode, ConnectionMode::Serve) => {
+            () = connection.wait_closable(is_transfer, idle), if !matches!(mode, ConnectionMode::Serve) => {
                 let ConnectionMode::Transfer(successor) = mode else { break ConnectionEnd::NotNeeded };
                 let request_timeout = connection.request_time_left(Instant::now());
                 let parts = serving.into_parts();
-                // What the library has read and not used, and what came before and was not read by it.
+                // Bytes that the HTTP library has not processed, then bytes of an earlier transfer that it has not read.
                 let read = [&parts.read_buf[..], &parts.io.into_inner().into_unread()[..]].concat().into();
                 let Some(stream) = Rc::into_inner(stream) else { return ConnectionEnd::Reset };
                 let _ = successor.send(AdoptedConnection { stream: stream.into_tcp(), read, request_timeout });
@@ -112,7 +111,7 @@
     end
 }
 
-/// How the library's end of serving ends the connection.
+/// How the connection ends, by the HTTP library's result.
 fn end_of(served: hyper::Result<()>, mode: &ConnectionMode) -> ConnectionEnd {
     match served {
         Ok(()) if matches!(mode, ConnectionMode::Drain) => ConnectionEnd::NotNeeded,
@@ -122,7 +121,7 @@
     }
 }
 
-/// Closes a connection that was asked to close.
+/// Closes a connection after `close_requested`; sends a 408 response if a request was received only in part.
 async fn close(stream: &Stream, connection: &ClientConnection) -> ConnectionEnd {
     match connection.phase() {
         ConnectionPhase::Idle => ConnectionEnd::Idle,
@@ -134,18 +133,18 @@
     }
 }
 
-/// Ends when the client closes behind a request whose body came whole in chunks. Only the library knows where a chunked body
-/// ends, and it reads no further where it has bytes behind it that it can't use yet; so those are read and discarded here.
+/// Completes when the client closes after a complete chunked body. Only the HTTP library parses the end of a chunked body, and it
+/// stops reading while it holds later bytes that it can't process yet. Those bytes are read and discarded here.
 async fn closed_behind_body(stream: &Stream, connection: &ClientConnection) {
     connection.chunked_body_complete().await;
-    let (mut piece, mut read) = (Vec::with_capacity(PIECE), 0);
+    let (mut chunk, mut read) = (Vec::with_capacity(READ_CHUNK_BYTES), 0);
     loop {
-        piece.clear();
-        match stream.read_some(&mut piece, Expects::More).await {
+        chunk.clear();
+        match stream.read_some(&mut chunk, Expects::More).await {
             Ok(n) if n > 0 => read += n,
             _ => return,
         }
-        if read > DISCARD_PIECE {
+        if read > DISCARD_CHUNK_BYTES {
             read = 0;
             tokio::time::sleep(DISCARD_PAUSE).await;
         }
@@ -161,7 +160,7 @@
     mut request: Request<Incoming>,
 ) -> Result<Response, std::convert::Infallible> {
     connection.set_phase(ConnectionPhase::Answering, Instant::now());
-    // Seen by the reader alone: of a request framed both ways the library shows one only.
+    // Taken from the reader, since the HTTP library exposes only one header of an ambiguous framing.
     let framing = heads.borrow().framing();
     let body = match framing {
         Some(Framing::Chunked) => connection.expect_chunked_body(),
@@ -172,11 +171,11 @@
     request.extensions_mut().insert(Arrival { deadline, ambiguous_framing, body, accept_wait });
     let answered = { router }.call(request.map(Body::new)).await;
     let mut heads = heads.borrow_mut();
-    let may_follow = heads.may_follow() && !matches!(*mode.borrow(), ConnectionMode::Drain);
-    heads.next();
+    let allows_next_request = heads.allows_next_request() && !matches!(*mode.borrow(), ConnectionMode::Drain);
+    heads.reset();
     connection.set_phase(ConnectionPhase::Idle, Instant::now());
     answered.map(|mut response| {
-        if !may_follow {
+        if !allows_next_request {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         if response.headers().get(CONNECTION).is_some_and(|value| value == "close") {
--- a/crates/pipitcrank-server/src/clients/connection_server.rs
+++ b/crates/pipitcrank-server/src/clients/connection_server.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of client connections.
+//! Spawns one task for each client connection.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,33 +18,34 @@
 use crate::runtime::counter_names::{client, group};
 use crate::runtime::counters::Counters;
 
-/// Clients without a permit that are rejected at a time: a descriptor each, of those that neither side has.
+/// Limit of clients without a permit that are rejected concurrently. Each uses a file descriptor outside the limits of the client
+/// and replica sides.
 pub(super) const MAX_REJECTING: usize = 12;
 
-/// What the task of each connection is given.
+/// The state shared by the tasks of all client connections.
 pub(super) struct ConnectionServer {
     pub(super) router: Router,
     pub(super) counters: Counters,
     pub(super) connections: Rc<ClientConnections>,
     pub(super) mode: watch::Receiver<ConnectionMode>,
-    /// While draining, a connection is closed when nothing came on it for so long.
+    /// Idle timeout of connections while draining.
     pub(super) idle: Duration,
 }
 
 impl ConnectionServer {
-    /// Serves a connection that was accepted.
+    /// Serves a newly accepted connection.
     pub(super) fn serve_accepted(&self, permit: Option<ConnectionPermit>, accepted: Accepted) {
         let Accepted { stream, wait } = accepted;
         let connection = AdoptedConnection { stream, read: Bytes::new(), request_timeout: None };
         self.serve(permit, connection, Some(wait));
     }
 
-    /// Serves a connection that another process had.
+    /// Serves a connection received from another process.
     pub(super) fn serve_adopted(&self, permit: ConnectionPermit, connection: AdoptedConnection) {
         self.serve(Some(permit), connection, None);
     }
 
-    /// `accept_wait`: for how long a new one may have waited to be accepted.
+    /// `accept_wait`: upper bound of a new connection's time in the accept queue; `None` for one received from another process.
     fn serve(
         &self,
         permit: Option<ConnectionPermit>,
@@ -66,15 +67,15 @@
             let phase = connection.phase();
             tracing::debug!(target: REQUESTS, why = end.name(), at = ?phase, "client connection ended");
             if end.is_local() && phase == ConnectionPhase::Answering {
-                violated(&counters, Rule::NoCloseUnanswered, "of a connection", end.name());
+                violated(&counters, Rule::NoCloseUnanswered, "request of a client connection", end.name());
             }
             connections.remove(&connection);
             drop(permit);
         });
     }
 
-    /// Takes the clients out of a queue whose listener closes; returns it while some may be left. There may be more of them than
-    /// permits, or than descriptors; `rejecting` has a clone for each that is being rejected.
+    /// Serves or rejects the clients left in the accept queue of a closing listener; returns the queue if it may not be empty yet,
+    /// as there may be more clients than permits or file descriptors. Each client being rejected holds a clone of `rejecting`.
     pub(super) fn drain_queue(
         &self,
         queue: ClosingQueue,
--- a/crates/pipitcrank-server/src/clients/http.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP service: requests of clients are decoded once into a query for the exchange, and its final response is encoded
-//! once. It knows nothing of replicas.
+//! The HTTP service: decodes a client's request into a query for the exchange, and encodes its final response. It is independent of
+//! replicas.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,7 +19,7 @@
 
 use super::arrival::Arrival;
 pub use super::query_body::is_valid_idempotency_key;
-use super::query_body::{AnswerBody, HitBody, MAX_ID, QueryHead, decode_query, is_hex_key};
+use super::query_body::{AnswerBody, HitBody, MAX_ID_BYTES, QueryHead, decode_query, is_hex_key};
 use super::request_error::RequestError;
 use crate::exchange::{QueryRequest, QueryResponse};
 use crate::runtime::clock::{Clock, duration};
@@ -28,68 +28,68 @@
 use crate::runtime::shutdown::ShutdownRequest;
 use crate::runtime::stall_detector::StallDetector;
 
-/// Largest body taken, in bytes, as the protocol says.
-const MAX_BODY: usize = 64 * 1024;
-/// Longest time that a client may claim to wait, in milliseconds: a day.
+/// Largest accepted body, as specified by the protocol.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Largest accepted `Req-Deadline-Ms`: one day.
 const MAX_DEADLINE_MS: i64 = 24 * 3600 * 1000;
-/// A connection accepted within this has not waited: a third of the slack that a replica's deadline has.
-const PROMPT_ACCEPT: TimeSpan = TimeSpan::from_millis(50);
+/// Waits in the accept queue up to this count as zero: a third of the slack of the deadlines sent to replicas.
+const NEGLIGIBLE_ACCEPT_WAIT: TimeSpan = TimeSpan::from_millis(50);
 
-/// What the HTTP service has for the exchange.
+/// An event from the HTTP service to the exchange.
 pub enum HttpEvent {
-    /// A query.
+    /// A query was received.
     Query {
-        /// Stands for the query until its final response.
+        /// Identifies the query until its final response.
         ticket: u64,
         /// The query.
         request: QueryRequest,
-        /// Where the response goes.
+        /// Receives the response.
         response: oneshot::Sender<QueryResponse>,
     },
-    /// The client of a query has disconnected before the response.
+    /// The client of a query disconnected before the response.
     ClientDisconnected {
         /// The query's ticket.
         ticket: u64,
     },
-    /// A health check: could a query be served now?
+    /// Health check: whether a query could be served now.
     CanServe {
-        /// Where the answer goes.
+        /// Receives the result.
         answer: oneshot::Sender<bool>,
     },
 }
 
-/// What the HTTP service works with.
+/// State shared by the handlers of the HTTP service.
 #[derive(Clone)]
 pub struct HttpState {
     /// The process's clock.
     pub clock: Clock,
-    /// The counters that `/counters` shows.
+    /// The counters served at `/counters`.
     pub counters: Counters,
-    /// Names of the request classes, by id: the first segment of a query's path.
+    /// Names of the request classes, by id. A query's path begins with the name of its class.
     pub classes: Arc<[String]>,
-    /// Whether a request class is idempotent by key, by id.
+    /// Whether each request class is idempotent by key, by id.
     pub keyed_idempotency: Arc<[bool]>,
     /// Number of shards.
     pub shards: u32,
-    /// To the exchange.
+    /// Sends events to the exchange.
     pub events: UnboundedSender<HttpEvent>,
-    /// When shutdown was requested.
+    /// Time of the shutdown request, if any.
     pub shutdown_requested: ShutdownRequest,
-    /// A query that comes after shutdown was requested is answered within this of that at the latest.
+    /// Time from the shutdown request to the deadline of all open queries.
     pub last_answer: TimeSpan,
     /// The next ticket.
     pub tickets: Arc<AtomicU64>,
-    /// Tells for how long a request may have lain unread.
+    /// Estimates how long a request may have been unread after a stall.
     pub stall_detector: Arc<StallDetector>,
 }
 
-/// The routes: `/up`, `/counters`, and queries.
+/// Creates the router for `/up`, `/counters` and queries.
 pub fn router(state: HttpState) -> Router {
     Router::new().route("/up", get(up)).route("/counters", get(counters)).fallback(query).with_state(state)
 }
 
-/// Only clients whose queries are well-formed keep their connections: an idle connection may not be closed for 2 s, and those
-/// that asked for `/up` once, or for what is refused, would hold permits by hundreds.
+/// Adds `Connection: close`. Only well-formed queries keep their connection open: an idle connection may not be closed for 2 s, so
+/// clients that send one health check or one invalid request would otherwise hold hundreds of permits.
 fn last_on_connection(mut response: Response) -> Response {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
@@ -97,9 +97,8 @@
 
 async fn up(State(state): State<HttpState>) -> Response {
     let (answer, answered) = oneshot::channel();
-    let is_asked = state.events.send(HttpEvent::CanServe { answer }).is_ok();
-    let can_serve =
-        is_asked && answered.await.unwrap_or(false) && state.shutdown_requested.borrow().is_none();
+    let is_sent = state.events.send(HttpEvent::CanServe { answer }).is_ok();
+    let can_serve = is_sent && answered.await.unwrap_or(false) && state.shutdown_requested.borrow().is_none();
     let status = if can_serve { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     last_on_connection(status.into_response())
 }
@@ -108,7 +107,7 @@
     last_on_connection(state.counters.render().into_response())
 }
 
-/// Reports that the client has disconnected, unless the response came first.
+/// Sends `ClientDisconnected` when dropped before the response.
 struct DisconnectGuard {
     ticket: u64,
     events: UnboundedSender<HttpEvent>,
@@ -128,7 +127,7 @@
         Ok(request) => request,
         Err(error) => return refuse(&state, error),
     };
-    // After a stall of this process a wave of queries may lie here whose clients have long gone.
+    // After a stall of this process, many queries may be read whose clients have long disconnected.
     let now = state.clock.now();
     if request.deadline <= now && state.stall_detector.unread_for(now) > TimeSpan::ZERO {
         state.counters.add(group::QUERIES, query::UNREAD_TOO_LONG);
@@ -173,12 +172,12 @@
         return Err(RequestError::AmbiguousFraming);
     }
     let headers = QueryHeaders::read(state, class, &parts.headers)?;
-    // A body may never come, whatever time the client claims to wait.
+    // Bounded by the connection's limit as well: a body may never arrive, however late the client's deadline is.
     let own = Instant::now() + duration(headers.time_left);
     let body_deadline = arrival.map_or(own, |arrival| arrival.deadline.min(own));
     let body = tokio::select! {
         biased;
-        body = to_bytes(body, MAX_BODY) => body.map_err(|error| body_error(&error))?,
+        body = to_bytes(body, MAX_BODY_BYTES) => body.map_err(|error| body_error(&error))?,
         () = body_overdue(state, body_deadline) => return Err(RequestError::BodyTimeout),
     };
     if let Some(arrival) = arrival {
@@ -190,11 +189,11 @@
     decode_query(&body, QueryHead { id, class, deadline, idempotency_key }, state.shards)
 }
 
-/// For how long a request received now may have lain unread, in its connection or in the accept queue.
+/// Upper bound of the time for which a request received now was unread, in its socket or in the accept queue.
 fn unread_for(state: &HttpState, received: Timestamp, arrival: Option<&Arrival>) -> TimeSpan {
     let wait =
         arrival.map_or(TimeSpan::ZERO, |arrival| TimeSpan::from_secs_f64(arrival.accept_wait.as_secs_f64()));
-    let wait = if wait > PROMPT_ACCEPT { wait } else { TimeSpan::ZERO };
+    let wait = if wait > NEGLIGIBLE_ACCEPT_WAIT { wait } else { TimeSpan::ZERO };
     state.stall_detector.unread_for(received).max(wait)
 }
 
@@ -210,19 +209,19 @@
         class: RequestClassId,
         headers: &'a HeaderMap,
     ) -> Result<QueryHeaders<'a>, RequestError> {
-        // A header that is there twice says nothing: two readers may not take the same one.
+        // A repeated header is rejected: two parsers may not use the same one of its values.
         let header = |name: &str| {
             let mut all = headers.get_all(name).iter();
             all.next().filter(|_| all.next().is_none()).and_then(|value| value.to_str().ok())
         };
         let id = header("Req-Id").ok_or(RequestError::MissingId)?;
-        if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
+        if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(RequestError::Id);
         }
         if headers.contains_key("Req-Key") && !header("Req-Key").is_some_and(is_hex_key) {
             return Err(RequestError::Key);
         }
-        // Replicas must be able to recognize a repeat, and must not read the key as something else.
+        // Replicas must be able to detect duplicates by the key, and must not parse it as something else.
         let idempotency_key = header("Idempotency-Key");
         if headers.contains_key("Idempotency-Key") && !idempotency_key.is_some_and(is_valid_idempotency_key) {
             return Err(RequestError::IdempotencyKey);
@@ -238,12 +237,12 @@
     }
 }
 
-/// The client's deadline, or that of the last answer before this process is killed.
+/// The earlier of the client's deadline and the schedule's last answer, after which this process is killed.
 fn deadline(own: Timestamp, shutdown_requested: Option<Timestamp>, last_answer: TimeSpan) -> Timestamp {
     shutdown_requested.map_or(own, |at| own.min(at + last_answer))
 }
 
-/// Ends when a request whose body is not whole has to be answered: at its deadline, or before this process ends.
+/// Completes when a request with an incomplete body has to be answered: at its deadline, or at the last answer of a shutdown.
 async fn body_overdue(state: &HttpState, deadline: Instant) {
     let mut shutdown_requested = state.shutdown_requested.clone();
     loop {
--- a/crates/pipitcrank-server/src/clients/mod.rs
+++ b/crates/pipitcrank-server/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections: accepting them, reading HTTP requests, writing answers.
+//! Client connections: accepting connections, reading HTTP requests and writing responses.
 
 pub mod accept_queue;
 pub mod acceptor;
--- a/crates/pipitcrank-server/src/clients/query_body.rs
+++ b/crates/pipitcrank-server/src/clients/query_body.rs
@@ -9,11 +9,11 @@
 use super::request_error::RequestError;
 use crate::exchange::{QueryPart, QueryRequest};
 
-/// Longest id and idempotency key taken, in bytes: they are sent with each part.
-pub const MAX_ID: usize = 256;
-/// By how much the sum of weights may differ from 1: each is rounded for the wire.
+/// Longest accepted id and idempotency key; both are sent with each part.
+pub const MAX_ID_BYTES: usize = 256;
+/// Accepted difference between the sum of weights and 1; clients round each weight for the wire.
 const WEIGHT_TOLERANCE: f64 = 0.01;
-/// Digits of a key that clients compute.
+/// Hexadecimal digits of a key.
 const KEY_DIGITS: usize = 16;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -31,7 +31,7 @@
     weight: f64,
     #[serde(rename = "cost")]
     cost_us: Option<f64>,
-    /// Checked, and nothing more: no decision reads it.
+    /// Validated only; no decision uses it.
     #[serde(borrow)]
     key: Option<Cow<'a, str>>,
 }
@@ -39,9 +39,9 @@
 /// The body of an answer.
 #[derive(Serialize)]
 pub struct AnswerBody<'a> {
-    /// Whether the answer counts as complete.
+    /// Whether the answer is marked as complete.
     pub complete: bool,
-    /// One entry for each part in it.
+    /// One entry for each part in the answer.
     pub hits: Vec<HitBody<'a>>,
 }
 
@@ -55,19 +55,19 @@
     pub value: &'a str,
 }
 
-/// What is known of a query before its body is read.
+/// The properties of a query that come from the request's path and headers.
 pub struct QueryHead<'a> {
-    /// The client's id of it.
+    /// The id that the client gave the query.
     pub id: &'a str,
-    /// Its request class.
+    /// The request class.
     pub class: RequestClassId,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Timestamp,
-    /// The client's key, by which replicas recognize a repeat.
+    /// The client's key, by which replicas detect duplicates.
     pub idempotency_key: Option<&'a str>,
 }
 
-/// Decodes a query that may name shards below `shard_count`.
+/// Decodes a query's body, which may name the shards below `shard_count`.
 pub fn decode_query(
     body: &[u8],
     head: QueryHead<'_>,
@@ -114,12 +114,12 @@
     Ok(())
 }
 
-/// Whether replicas can be sent the key: they read it behind `k=` in a list that commas and blanks separate.
+/// Whether the key can be sent to replicas, which parse it after `k=` in a list separated by commas and spaces.
 pub fn is_valid_idempotency_key(key: &str) -> bool {
-    (1..=MAX_ID).contains(&key.len()) && key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',')
+    (1..=MAX_ID_BYTES).contains(&key.len()) && key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',')
 }
 
-/// Whether it is a key as clients compute it.
+/// Whether the key has the form that clients compute: 16 hexadecimal digits.
 pub fn is_hex_key(key: &str) -> bool {
     key.len() == KEY_DIGITS && key.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/crates/pipitcrank-server/src/clients/request_error.rs
+++ b/crates/pipitcrank-server/src/clients/request_error.rs
@@ -1,59 +1,59 @@
-//! Why a request is refused before it becomes a query.
+//! Errors that reject a request before it becomes a query.
 
 use axum::http::StatusCode;
 
-/// A fault of a request. Its text is the body of the answer.
+/// An invalid request. The error's text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The path names no request class.
+    /// The first segment of the path names no request class.
     #[error("no such vertical")]
     UnknownPath,
-    /// It is not a POST.
+    /// The method is not `POST`.
     #[error("queries are posted")]
     Method,
-    /// A request may be hidden in the body of another: neither is taken.
+    /// Both framing headers are present. A second request may be smuggled in the body, so neither is accepted.
     #[error("it has both Content-Length and Transfer-Encoding")]
     AmbiguousFraming,
-    /// `Req-Id` is not there once.
+    /// `Req-Id` is missing or repeated.
     #[error("Req-Id is missing, or there are several")]
     MissingId,
-    /// `Req-Id` is empty, too long or not printable.
+    /// `Req-Id` is empty, too long or contains other than printable ASCII characters.
     #[error("Req-Id is no id")]
     Id,
     /// `Req-Key` is not 16 hexadecimal digits.
     #[error("Req-Key is no key")]
     Key,
-    /// `Idempotency-Key` can't be sent to replicas as it is.
+    /// `Idempotency-Key` is repeated, or can't be sent to replicas unchanged.
     #[error("Idempotency-Key is no key, or there are several")]
     IdempotencyKey,
-    /// The request class needs an `Idempotency-Key`.
+    /// The request class requires an `Idempotency-Key`.
     #[error("Idempotency-Key is missing")]
     MissingIdempotencyKey,
-    /// `Req-Deadline-Ms` is not a number within the limit.
+    /// `Req-Deadline-Ms` is missing, repeated, not a number or over the limit.
     #[error("Req-Deadline-Ms is not a number of milliseconds")]
     Deadline,
-    /// The body did not come in time.
+    /// The body was not received in time.
     #[error("the body did not come in time")]
     BodyTimeout,
     /// The body is too large.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The body ended before it was whole.
+    /// The body ended early.
     #[error("the body did not come whole")]
     BodyIncomplete,
-    /// The body is not the JSON of the protocol.
+    /// The body is not JSON of the expected form.
     #[error("the body is not the JSON expected")]
     Json,
-    /// It names no shard.
+    /// The query names no shard.
     #[error("it asks for no shard")]
     NoShard,
-    /// It names a shard twice, or one beyond the last.
+    /// The query names a shard twice, or one that does not exist.
     #[error("it asks for a shard twice, or for one that there is not")]
     Shards,
-    /// The weights do not sum to 1, or one is not within 0 to 1.
+    /// The weights do not sum to 1, or one is outside 0 to 1.
     #[error("the weights are not shares that sum to 1")]
     Weights,
-    /// A cost is negative or not a number.
+    /// A cost is negative or not finite.
     #[error("a cost is below 0")]
     Cost,
     /// A part's key is not 16 hexadecimal digits.
@@ -62,7 +62,7 @@
 }
 
 impl RequestError {
-    /// Status of the answer.
+    /// HTTP status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::UnknownPath => StatusCode::NOT_FOUND,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Its name in `/counters`.
+    /// Name of the error in `/counters`.
     pub fn name(self) -> &'static str {
         match self {
             RequestError::UnknownPath => "unknown_path",
--- a/crates/pipitcrank-server/src/clients/request_reader.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader.rs
@@ -1,5 +1,5 @@
-//! The stream of one client's connection as HTTP is read from it: it notes when a request begins and how its head frames the
-//! body, which the HTTP library does not tell.
+//! The stream from which the HTTP library reads a client's requests. It detects where a request begins and how its head frames
+//! the body, which the library does not expose.
 
 use std::cell::RefCell;
 use std::io;
@@ -15,48 +15,54 @@
 use super::client_connections::{ClientConnection, ConnectionPhase};
 use crate::runtime::stream::{Expects, Stream};
 
-/// Bytes behind a request that are discarded in one go: a client that sends without end must not cost others the processor,
-/// and its close has to be found behind all of it soon.
-pub const DISCARD_PIECE: usize = 1 << 20;
-/// Pause after each such piece.
+/// Bytes after a request that are discarded without a pause. A client that sends endlessly must not starve others of CPU time, and
+/// its close, which comes after all of these bytes, has to be detected soon.
+pub const DISCARD_CHUNK_BYTES: usize = 1 << 20;
+/// Pause after each discarded chunk.
 pub const DISCARD_PAUSE: Duration = Duration::from_millis(1);
 
-/// How a request says where it ends.
+/// How the end of a request's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By a length in bytes; 0 where it has no body.
+    /// `Content-Length`, in bytes; 0 for a request without a body.
     Length(u64),
-    /// By chunks.
+    /// `Transfer-Encoding`.
     Chunked,
-    /// Both ways at once, so that two readers may not agree on what is one request.
+    /// Both headers are present, so two parsers may disagree about the end of the request.
     Ambiguous,
 }
 
-/// Follows the heads of requests beside the HTTP library.
+/// Parses the framing of request heads independently of the HTTP library.
 pub struct HeadTracker {
-    max_head: usize,
-    /// The head as far as it has come; emptied once whole.
+    max_head_bytes: usize,
+    /// The part of the head received so far; emptied once the head is complete.
     head: Vec<u8>,
-    /// Of a whole head: how its request is framed.
+    /// Framing of the current request, once its head is complete.
     framing: Option<Framing>,
-    /// Bytes of the body that are still to come, where its length is known.
+    /// Bytes of the body not yet received, if its length is known.
     body_left: u64,
-    /// Something came behind the request: a next one before the answer, or a length that does not fit.
-    has_more: bool,
+    /// Whether bytes received after the request: a pipelined request, or a body longer than its `Content-Length`.
+    has_trailing_bytes: bool,
 }
 
 impl HeadTracker {
-    /// Heads longer than so many bytes are not followed: the library refuses them.
-    pub fn new(max_head: usize) -> HeadTracker {
-        HeadTracker { max_head, head: Vec::new(), framing: None, body_left: 0, has_more: false }
+    /// Creates a tracker for heads of up to `max_head_bytes`; the HTTP library rejects longer ones.
+    pub fn new(max_head_bytes: usize) -> HeadTracker {
+        HeadTracker {
+            max_head_bytes,
+            head: Vec::new(),
+            framing: None,
+            body_left: 0,
+            has_trailing_bytes: false,
+        }
     }
 
-    /// Follows bytes that came; returns how many of them are of the present request. What is behind it is never used.
+    /// Consumes received bytes; returns how many of them belong to the current request. Bytes after the request are never used.
     pub fn push(&mut self, bytes: &[u8]) -> usize {
         let mut own = 0;
         if self.framing.is_none() {
             let before = self.head.len();
-            let room = (self.max_head - before).min(bytes.len());
+            let room = (self.max_head_bytes - before).min(bytes.len());
             self.head.extend_from_slice(&bytes[..room]);
             let Some(end) = end_of_head(&self.head) else { return bytes.len() };
             own = end - before;
@@ -69,38 +75,38 @@
         let of_body = self.body_left.min((bytes.len() - own) as u64);
         self.body_left -= of_body;
         own += of_body as usize;
-        self.has_more |= bytes.len() > own;
+        self.has_trailing_bytes |= bytes.len() > own;
         own
     }
 
-    /// Whether it is known that the request has come whole.
-    fn is_whole(&self) -> bool {
+    /// Whether the whole request has been received; false for a chunked body, whose end is not tracked here.
+    fn is_complete(&self) -> bool {
         matches!(self.framing, Some(Framing::Length(_))) && self.body_left == 0
     }
 
-    /// Whether a request has begun and is not known to be whole.
-    pub fn awaits_rest(&self) -> bool {
-        !self.head.is_empty() || self.framing.is_some() && !self.is_whole()
+    /// Whether a request has begun and may be incomplete.
+    pub fn may_be_incomplete(&self) -> bool {
+        !self.head.is_empty() || self.framing.is_some() && !self.is_complete()
     }
 
-    /// How the present request is framed, once its head is whole.
+    /// Framing of the current request, once its head is complete.
     pub fn framing(&self) -> Option<Framing> {
         self.framing
     }
 
-    /// Whether another request may follow on the connection: only where it is known that this one has come whole and none has
-    /// begun behind it, so that each head is seen from its first byte.
-    pub fn may_follow(&self) -> bool {
-        self.is_whole() && !self.has_more
+    /// Whether the connection may carry another request. The current request must be known to be complete, with no bytes after
+    /// it, so that the next head is tracked from its first byte.
+    pub fn allows_next_request(&self) -> bool {
+        self.is_complete() && !self.has_trailing_bytes
     }
 
-    /// The request was answered; what comes now is the next one.
-    pub fn next(&mut self) {
-        *self = HeadTracker::new(self.max_head);
+    /// Starts tracking the next request, after the current one was answered.
+    pub fn reset(&mut self) {
+        *self = HeadTracker::new(self.max_head_bytes);
     }
 }
 
-/// Position behind the empty line that ends a head. Empty lines before a request are not its end.
+/// Position after the empty line that ends a head. Empty lines before the request line are skipped.
 fn end_of_head(bytes: &[u8]) -> Option<usize> {
     let start = bytes.iter().position(|b| !b"\r\n".contains(b))?;
     let mut line = start;
@@ -137,18 +143,18 @@
     stream: Rc<Stream>,
     connection: Rc<ClientConnection>,
     heads: Rc<RefCell<HeadTracker>>,
-    /// What another process had read from the connection: it comes before all else.
+    /// Bytes that another process had read from the connection; they are returned before any others.
     unread: Bytes,
-    /// The client has closed its side.
+    /// Whether the client has closed its sending side.
     closed: bool,
-    /// Bytes behind the present request that were discarded since the last pause.
+    /// Bytes after the current request that were discarded since the last pause.
     discarded: usize,
-    /// The pause under way.
+    /// The running pause, if any.
     pause: Option<Pin<Box<Sleep>>>,
 }
 
 impl RequestReader {
-    /// A reader of that connection, that begins with bytes read from it before.
+    /// Creates a reader of the connection that first returns `unread`.
     pub fn new(
         stream: Rc<Stream>,
         connection: Rc<ClientConnection>,
@@ -158,20 +164,20 @@
         RequestReader { stream, connection, heads, unread, closed: false, discarded: 0, pause: None }
     }
 
-    /// Whether the client has closed its side.
+    /// Whether the client has closed its sending side.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// What another process had read and the library has not.
+    /// The bytes received from another process that the HTTP library has not read.
     pub fn into_unread(self) -> Bytes {
         self.unread
     }
 
     fn poll_some(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.unread.is_empty() {
-            let awaits_rest = self.heads.borrow().awaits_rest();
-            let expects = if awaits_rest { Expects::More } else { Expects::Nothing };
+            let may_be_incomplete = self.heads.borrow().may_be_incomplete();
+            let expects = if may_be_incomplete { Expects::More } else { Expects::Nothing };
             return self.stream.poll_read_some(cx, buf, expects).map_ok(drop);
         }
         let n = buf.remaining().min(self.unread.len());
@@ -190,23 +196,23 @@
         let before = buf.filled().len();
         loop {
             ready!(self.poll_some(cx, buf))?;
-            let came = &buf.filled()[before..];
-            self.closed |= came.is_empty();
-            if came.is_empty() {
+            let received = &buf.filled()[before..];
+            self.closed |= received.is_empty();
+            if received.is_empty() {
                 return Poll::Ready(Ok(()));
             }
             if matches!(self.connection.phase(), ConnectionPhase::New | ConnectionPhase::Idle) {
                 self.connection.set_phase(ConnectionPhase::Reading, Instant::now());
             }
-            let (all, own) = (came.len(), self.heads.borrow_mut().push(came));
+            let (all, own) = (received.len(), self.heads.borrow_mut().push(received));
             buf.set_filled(before + own);
             if own > 0 {
                 self.discarded = all - own;
                 return Poll::Ready(Ok(()));
             }
-            // The library reads no further where it has bytes that it can't use yet, and would miss the client's close.
+            // The HTTP library stops reading while it holds bytes that it can't process yet, and would miss the client's close.
             self.discarded += all;
-            if self.discarded > DISCARD_PIECE {
+            if self.discarded > DISCARD_CHUNK_BYTES {
                 self.discarded = 0;
                 self.pause = Some(Box::pin(sleep(DISCARD_PAUSE)));
             }
@@ -236,7 +242,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The library flushes once all that there was to write has been written.
+        // The HTTP library flushes once it has written everything.
         self.connection.set_flushed();
         Poll::Ready(Ok(()))
     }
--- a/crates/pipitcrank-server/src/clients/request_reader/tests.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-const LONGEST: usize = 1000;
+const MAX_HEAD_BYTES: usize = 1000;
 
-/// However the bytes are cut into reads: the framing, and whether another request may follow.
-fn seen(request: &str, cuts: &[usize]) -> (Option<Framing>, bool) {
-    let mut heads = HeadTracker::new(LONGEST);
+/// The framing of a request received in pieces of these lengths, and whether another request may follow it.
+fn track(request: &str, cuts: &[usize]) -> (Option<Framing>, bool) {
+    let mut heads = HeadTracker::new(MAX_HEAD_BYTES);
     let mut rest = request.as_bytes();
     for &cut in cuts {
         let (piece, after) = rest.split_at(cut.min(rest.len()));
@@ -14,14 +14,14 @@
         rest = after;
     }
     heads.push(rest);
-    (heads.framing(), heads.may_follow())
+    (heads.framing(), heads.allows_next_request())
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn framing_is_seen_however_the_bytes_come(cuts in proptest::collection::vec(0usize..40, 0..12)) {
+    fn framing_does_not_depend_on_read_boundaries(cuts in proptest::collection::vec(0usize..40, 0..12)) {
         let head = |lines: &str| format!("\r\nPOST /v HTTP/1.1\r\nHost: x\r\n{lines}\r\n");
         let cases = [
             (head("Content-Length: 4\r\n") + "body", Some(Framing::Length(4)), true),
@@ -35,16 +35,16 @@
             ("POST /v HTTP/1.1\r\nHost: ".to_string(), None, false),
         ];
         for (request, framing, follows) in cases {
-            prop_assert_eq!(seen(&request, &cuts), (framing, follows), "{}", request);
+            prop_assert_eq!(track(&request, &cuts), (framing, follows), "{}", request);
         }
     }
 }
 
 #[test]
-fn a_head_that_does_not_end_is_not_buffered() {
-    let mut heads = HeadTracker::new(LONGEST);
+fn an_endless_head_is_buffered_only_up_to_the_limit() {
+    let mut heads = HeadTracker::new(MAX_HEAD_BYTES);
     for _ in 0..1000 {
         heads.push(&[b'x'; 100]);
     }
-    assert_eq!((heads.head.len(), heads.framing()), (LONGEST, None));
+    assert_eq!((heads.head.len(), heads.framing()), (MAX_HEAD_BYTES, None));
 }
