--- a/crates/pipitcrank-server/src/runtime/clock.rs
+++ b/crates/pipitcrank-server/src/runtime/clock.rs
@@ -1,7 +1,7 @@
-//! The process's clock: timestamps of the core on the machine's monotonic clock.
+//! The process's clock: the core's timestamps on the machine's monotonic clock.
 //!
-//! The wall clock may be stepped at any time. It is used for one thing alone: to place a replica's start, which the
-//! discovery service gives in Unix time.
+//! The wall clock may be stepped at any time. It is used only to convert replicas' start times, which the discovery service reports
+//! in Unix time.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,14 +9,14 @@
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-/// The wall clock drifts against the monotonic one by less than this between two samples, unless it was stepped.
+/// Least change of the wall clock's offset between two samples that counts as a step; a smaller change is drift.
 const STEP_US: i64 = 100_000;
-/// Steps that are remembered; the oldest is forgotten first.
+/// Limit of the remembered wall clock offsets; the oldest is removed first.
 const MAX_OFFSETS: usize = 16;
-/// Start times that are remembered; the earliest is forgotten first.
+/// Limit of the remembered start times; the earliest is removed first.
 const MAX_STARTS: usize = 8192;
 
-/// A clock that counts from when it was made; clones are the same clock.
+/// A clock that counts from its creation; clones share the same time.
 #[derive(Clone)]
 pub struct Clock {
     start: Instant,
@@ -26,15 +26,15 @@
 /// One reading of both clocks.
 struct WallSample {
     now: Timestamp,
-    /// Unix time less the process's time, in microseconds.
+    /// Unix time minus the process's time, in microseconds.
     offset: i64,
 }
 
-/// What the wall clock was seen to show, against the monotonic one.
+/// History of the wall clock's offset to the monotonic clock.
 struct WallClock {
-    /// Offsets as sampled, in microseconds: the newest last, an older one for each step of the wall clock.
+    /// Offsets in microseconds, one for each period between two steps of the wall clock, the current one last.
     offsets: Vec<i64>,
-    /// Start times as they were placed first, by Unix time in milliseconds.
+    /// Start times as first converted, by Unix time in milliseconds.
     starts: BTreeMap<i64, Timestamp>,
 }
 
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Places a start. Where the wall clock was stepped it is not known by which time the start was given: the latest moment
-    /// that it can mean and that is not in the future counts, so that no slow start is skipped or lasts as long as the step.
-    /// A start keeps its place, whatever steps follow; `sample` is called only for one that has none.
+    /// Converts a start time. After a step of the wall clock it is unknown which offset the start time refers to; the latest result
+    /// that is not in the future is used, so that no slow start is skipped or prolonged by the length of the step. Later steps do
+    /// not change a converted start time; `sample` is called only for a start time seen for the first time.
     fn start_time(&mut self, unix_ms: i64, sample: impl FnOnce() -> WallSample) -> Timestamp {
         if let Some(&at) = self.starts.get(&unix_ms) {
             return at;
@@ -75,29 +75,30 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Clock {
         let start = Instant::now();
         Clock { start, wall: Arc::new(Mutex::new(WallClock::new(unix_now_us()))) }
     }
 
-    /// Time since the clock was made.
+    /// Time since the clock's creation.
     pub fn now(&self) -> Timestamp {
         Timestamp::from_micros(self.start.elapsed().as_micros() as i64)
     }
 
-    /// Compares the wall clock. To be called often, so that a step is known before a start is given by the stepped clock.
+    /// Samples the wall clock's offset. Must be called often, so that a step is detected before a start time refers to the stepped
+    /// clock.
     pub fn sample_wall_clock(&self) {
         let offset = self.sample().offset;
         self.wall().record_offset(offset);
     }
 
-    /// When a replica started that gives its start in Unix milliseconds; never later than now.
+    /// Converts a replica's start time from Unix milliseconds; the result is never in the future.
     pub fn started_at(&self, unix_ms: i64) -> Timestamp {
         self.wall().start_time(unix_ms, || self.sample())
     }
 
-    /// That point in time for the runtime's timers.
+    /// Converts a timestamp for the timers of tokio.
     pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
         (self.start + Duration::from_micros(at.as_micros().max(0) as u64)).into()
     }
@@ -117,7 +118,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64
 }
 
-/// A span of the core as the standard library's type; a negative one is zero.
+/// Converts a time span of the core; a negative one becomes zero.
 pub fn duration(span: TimeSpan) -> Duration {
     Duration::from_micros(span.as_micros().max(0) as u64)
 }
--- a/crates/pipitcrank-server/src/runtime/connection_limits.rs
+++ b/crates/pipitcrank-server/src/runtime/connection_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of open connections, shared by the replica side and the client side.
+//! Limits of open connections, shared by the replica side and the client side of a process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,15 +6,15 @@
 use pipitcrank_handover::resource_split;
 use tokio::sync::Notify;
 
-/// Of all connections, one in so many is reserved for each side; the rest goes to whichever side needs it.
+/// Each side has one in this many connections reserved; either side may use the rest.
 const RESERVED_ONE_IN: usize = 3;
 
-/// Connections of all sides together.
+/// The connections of both sides together.
 #[derive(Default)]
 struct SharedLimit {
     capacity: usize,
     open: Cell<usize>,
-    /// Open at another process of this coordinator.
+    /// Connections open in the other process of an upgrade.
     open_in_peer: Cell<usize>,
     released: Notify,
     release_requested: Notify,
@@ -26,8 +26,8 @@
     }
 }
 
-/// Limits the open connections of one side. The limits of both sides may sum to more than the capacity, since what one
-/// side does not need the other may use.
+/// Limits the open connections of one side. The limits of both sides may sum to more than the capacity, since each side may use what
+/// the other does not need.
 #[derive(Clone)]
 pub struct ConnectionLimiter {
     capacity: usize,
@@ -37,19 +37,19 @@
     shared: Rc<SharedLimit>,
 }
 
-/// The right to hold one connection open; given back when dropped.
+/// Permit to hold one connection open; released when dropped.
 pub struct ConnectionPermit {
     open: Rc<Cell<usize>>,
     shared: Rc<SharedLimit>,
 }
 
 impl ConnectionLimiter {
-    /// A limiter of one side alone.
+    /// Creates a limiter whose capacity is not shared.
     pub fn new(limit: usize) -> ConnectionLimiter {
         ConnectionLimiter::of(Rc::new(SharedLimit { capacity: limit, ..SharedLimit::default() }), limit)
     }
 
-    /// Two sides that share a capacity: a third is reserved for each, the last third goes to whichever needs it.
+    /// Creates the limiters of two sides that share a capacity: a third is reserved for each, and either may use the last third.
     pub fn shared(capacity: usize) -> (ConnectionLimiter, ConnectionLimiter) {
         let shared = Rc::new(SharedLimit { capacity, ..SharedLimit::default() });
         let side = || ConnectionLimiter::of(shared.clone(), capacity - capacity / RESERVED_ONE_IN);
@@ -66,19 +66,19 @@
         }
     }
 
-    /// A permit, if one is available now.
+    /// Acquires a permit if one is available now.
     pub fn try_acquire(&self) -> Option<ConnectionPermit> {
         (self.available() > 0).then(|| self.acquire_adopted())
     }
 
-    /// A permit for a connection that another process had open: it is granted even beyond the limit.
+    /// Acquires a permit for a connection received from another process; it is granted even beyond the limit.
     pub fn acquire_adopted(&self) -> ConnectionPermit {
         self.open.set(self.open() + 1);
         self.shared.open.set(self.shared.open.get() + 1);
         ConnectionPermit { open: self.open.clone(), shared: self.shared.clone() }
     }
 
-    /// A permit, as soon as one is available.
+    /// Acquires a permit, waiting until one is available.
     pub async fn acquire(&self) -> ConnectionPermit {
         loop {
             let released = self.released();
@@ -89,50 +89,50 @@
         }
     }
 
-    /// Connections of this side that are open.
+    /// Number of open connections of this side.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Most connections that this side may hold open.
+    /// Maximum number of open connections of this side.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// Sets the limit; connections open beyond it stay.
+    /// Sets the limit; connections already open beyond it stay open.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
         self.shared.released.notify_waiters();
     }
 
-    /// Another process of this coordinator holds so many connections of this side.
+    /// Reserves capacity for the connections of this side that the other process of an upgrade holds open.
     pub fn reserve_for_peer(&self, open: usize) {
         let before = self.open_in_peer.replace(open);
         self.shared.open_in_peer.set(self.shared.open_in_peer.get() + open - before);
         self.set_limit(resource_split::split_connections(self.capacity, open).successor);
     }
 
-    /// There is no other process.
+    /// Releases the capacity reserved for another process.
     pub fn clear_peer_reservation(&self) {
         self.reserve_for_peer(0);
     }
 
-    /// Permits that this side could acquire now.
+    /// Number of permits that this side could acquire now.
     pub fn available(&self) -> usize {
         self.limit().saturating_sub(self.open()).min(self.shared.available())
     }
 
-    /// Ends when a permit is given back, by whichever side, after this was called.
+    /// Completes when either side releases a permit after this call.
     pub fn released(&self) -> impl Future<Output = ()> + use<'_> {
         self.shared.released.notified()
     }
 
-    /// Asks the other side to give permits back that it does not need.
+    /// Requests that the other side releases permits that it does not need.
     pub fn request_release(&self) {
         self.shared.release_requested.notify_one();
     }
 
-    /// Ends when another side asks for permits and this one holds more than is reserved for it.
+    /// Completes when the other side requests permits and this side holds more than its reserved share.
     pub async fn release_requested(&self) {
         loop {
             self.shared.release_requested.notified().await;
--- a/crates/pipitcrank-server/src/runtime/counter_names.rs
+++ b/crates/pipitcrank-server/src/runtime/counter_names.rs
@@ -1,10 +1,10 @@
-//! The spelling of `/counters`: operators' tools read these names, so they stay as they are.
+//! Names of counters, as served at `/counters`. Operators' tools parse them, so they never change.
 //!
-//! Names that follow a type stand beside it, in its `name()`.
+//! Names derived from the variants of a type are defined by that type's `name()`.
 
-/// Groups: the first word of a line.
+/// Counter groups: the first word of a line.
 pub mod group {
-    /// Failed accepts, by what follows.
+    /// Failed accepts, by error policy.
     pub const ACCEPT_ERRORS: &str = "accept_errors";
     /// Attempts that ended, by outcome.
     pub const ATTEMPTS: &str = "leaf_calls";
@@ -12,7 +12,7 @@
     pub const BAD_REQUESTS: &str = "bad_requests";
     /// Client connections, by start and end.
     pub const CLIENTS: &str = "clients";
-    /// Updates of the endpoint list, and calls that ended without one.
+    /// Updates of the endpoint list, and calls to the discovery service that ended without one.
     pub const DISCOVERY: &str = "discovery";
     /// Frames between this process and replicas.
     pub const FRAMES: &str = "frames";
@@ -20,7 +20,7 @@
     pub const LOAD_PROBES: &str = "probes";
     /// Attempts that the send guard dropped, by reason.
     pub const NOT_SENT: &str = "not_sent";
-    /// Queries, by admission and response.
+    /// Queries, by admission and by response.
     pub const QUERIES: &str = "queries";
     /// Rejected and aborted queries, by reason.
     pub const REFUSALS: &str = "refusals";
@@ -28,7 +28,7 @@
     pub const RELOADS: &str = "reloads";
     /// Connections to replicas, by start and end.
     pub const REPLICA_CONNECTIONS: &str = "leaf_connections";
-    /// Parts sent again, by reason.
+    /// Parts sent more than once, by reason.
     pub const RESENDS: &str = "again";
     /// Upgrades of the process.
     pub const UPGRADES: &str = "upgrades";
@@ -38,41 +38,41 @@
 
 /// Names in the group of queries.
 pub mod query {
-    /// Aborted.
+    /// Aborted queries.
     pub const ABORTED: &str = "aborted";
-    /// Admitted.
+    /// Admitted queries.
     pub const ADMITTED: &str = "taken";
-    /// Its client disconnected.
+    /// Queries whose client disconnected.
     pub const CLIENT_DISCONNECTED: &str = "client_gone";
-    /// Answered completely.
+    /// Queries answered completely.
     pub const COMPLETE: &str = "merged";
-    /// An open query has the same id.
+    /// Queries with the id of an open query.
     pub const DUPLICATE_ID: &str = "repeated";
-    /// Answered partially.
+    /// Queries answered partially.
     pub const PARTIAL: &str = "merged_in_part";
-    /// Rejected.
+    /// Rejected queries.
     pub const REJECTED: &str = "rejected";
-    /// Rejected since as many are open as may be.
+    /// Queries rejected because the limit of open queries was reached.
     pub const REJECTED_OVER_LIMIT: &str = "turned_away_over_most_open";
-    /// Rejected since it lay unread beyond its deadline.
+    /// Queries rejected because they were unread until after their deadline.
     pub const UNREAD_TOO_LONG: &str = "unread_too_long";
 }
 
-/// Names in the group of client connections, beside how they end.
+/// Names in the group of client connections, in addition to those of `ConnectionEnd`.
 pub mod client {
-    /// Accepted.
+    /// Accepted connections.
     pub const ACCEPTED: &str = "accepted";
-    /// Taken over from another process.
+    /// Connections received from another process.
     pub const ADOPTED: &str = "adopted";
-    /// Rejected at shutdown for want of a permit.
+    /// Connections rejected at shutdown because no permit was free.
     pub const REJECTED_AT_SHUTDOWN: &str = "turned_away_at_the_end";
 }
 
-/// Names in the group of connections to replicas, beside how they end.
+/// Names in the group of connections to replicas, in addition to those of `ConnectionEnd`.
 pub mod replica_connection {
-    /// Opened.
+    /// Opened connections.
     pub const OPENED: &str = "opened";
-    /// Closed while unused, since its permit was needed elsewhere.
+    /// Unused connections closed to release their permit to the client side.
     pub const RELEASED: &str = "given_back";
 }
 
@@ -84,50 +84,50 @@
     pub const CALLS: &str = "calls_sent";
     /// Other frames sent.
     pub const CONTROL: &str = "small_sent";
-    /// Answers to parts that were cancelled or answered before.
+    /// Answers received for parts that were already cancelled or answered.
     pub const LATE_ANSWERS: &str = "late_answers";
 }
 
-/// Names in the group of discovery, beside how calls end.
+/// Names in the group of discovery, in addition to the ends of calls.
 pub mod discovery {
-    /// Changes of the list.
+    /// Updates with changes of the endpoint list.
     pub const CHANGES: &str = "changes";
-    /// Complete lists.
+    /// Updates with a complete endpoint list.
     pub const COMPLETE_LISTS: &str = "whole_list";
-    /// Moves to another address.
+    /// Changes of the discovery service's address.
     pub const MOVED: &str = "moved";
-    /// Replicas in a zone that is not known.
+    /// Replicas listed in an unknown zone.
     pub const UNKNOWN_ZONE: &str = "unknown_zone";
 }
 
 /// Names in the group of upgrades.
 pub mod upgrade {
-    /// Completed.
+    /// Completed upgrades.
     pub const COMPLETED: &str = "done";
     /// Relayed queries that the successor did not answer in time.
     pub const NOT_ANSWERED_IN_TIME: &str = "not_answered_in_time";
-    /// Requested.
+    /// Requested upgrades.
     pub const REQUESTED: &str = "asked";
-    /// Rolled back.
+    /// Upgrades that were rolled back.
     pub const ROLLED_BACK: &str = "undone";
-    /// States of a predecessor that could not be loaded.
+    /// Snapshots of a predecessor that could not be decoded.
     pub const SNAPSHOTS_REFUSED: &str = "snapshots_refused";
 }
 
 /// Names in the group of reloads.
 pub mod reload {
-    /// Nothing changed, since the file is faulty.
+    /// Reloads without effect, because the file has an error.
     pub const FAULTY: &str = "faulty";
-    /// The new node configuration took effect.
+    /// Reloads that took effect.
     pub const LOADED: &str = "taken";
 }
 
 /// Names in the group of failed accepts.
 pub mod accept_error {
-    /// The listener is broken.
+    /// Failures of the listener itself, which end accepting.
     pub const GIVEN_UP: &str = "given_up";
-    /// Retried after a pause.
+    /// Failures retried after a pause.
     pub const RETRIED_AFTER_PAUSE: &str = "retried_after_pause";
-    /// Retried at once.
+    /// Failures retried at once.
     pub const RETRIED_AT_ONCE: &str = "retried_at_once";
 }
--- a/crates/pipitcrank-server/src/runtime/counters.rs
+++ b/crates/pipitcrank-server/src/runtime/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of what is admitted, sent and answered; shown by `/counters` and at exit.
+//! Event counters, served at `/counters` and logged at exit.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -8,17 +8,17 @@
 use crate::runtime::counter_names::group;
 use pipitcrank_handover::messages::CounterValue;
 
-/// Entries taken from another process at most: far more than there are counters.
+/// Limit of the counters merged from another process; far above the number of counters that exist.
 const MAX_MERGED: usize = 1000;
-/// Group and name. Both are constants of this process or of one before it, so there are only so many.
+/// Group and name. Both are constants of this process or of its predecessor, so the number of keys is bounded.
 type Key = (Cow<'static, str>, Cow<'static, str>);
 
-/// Counters by group and name; clones are the same counters.
+/// Counters by group and name; clones share the same values.
 #[derive(Clone, Default)]
 pub struct Counters(Arc<Mutex<BTreeMap<Key, u64>>>);
 
 impl Counters {
-    /// Adds 1.
+    /// Increments a counter by 1.
     pub fn add(&self, group: &'static str, name: &'static str) {
         self.add_many(group.into(), name.into(), 1);
     }
@@ -27,14 +27,14 @@
         *self.entries().entry((group, name)).or_default() += count;
     }
 
-    /// Sets a counter; 0 leaves it as it is.
+    /// Sets a counter; the value 0 is ignored.
     pub fn set(&self, group: &'static str, name: &'static str, value: u64) {
         if value > 0 {
             self.entries().insert((group.into(), name.into()), value);
         }
     }
 
-    /// All counters, for a process that continues them.
+    /// All counters, to be passed to a successor.
     pub fn all(&self) -> Vec<CounterValue> {
         let entries = self.entries();
         let values = entries.iter().map(|((group, name), value)| CounterValue {
@@ -45,7 +45,7 @@
         values.collect()
     }
 
-    /// Adds the counters of a process before this one.
+    /// Adds the counters of a predecessor, except those of upgrades.
     pub fn add_all(&self, values: Vec<CounterValue>) {
         for CounterValue { group, name, value } in
             values.into_iter().take(MAX_MERGED).filter(|counter| counter.group != group::UPGRADES)
@@ -59,7 +59,7 @@
         self.entries().get(&(group.into(), name.into())).copied().unwrap_or(0)
     }
 
-    /// One line each: `GROUP NAME VALUE`.
+    /// The counters as text, one line each: `GROUP NAME VALUE`.
     pub fn render(&self) -> String {
         let mut out = String::new();
         for ((group, name), value) in self.entries().iter() {
--- a/crates/pipitcrank-server/src/runtime/dial.rs
+++ b/crates/pipitcrank-server/src/runtime/dial.rs
@@ -1,6 +1,6 @@
-//! Opens connections: to replicas and, for the HTTP library, to the discovery service.
+//! Opens connections to replicas and, through the HTTP library, to the discovery service.
 //!
-//! A failure for want of this machine's own resources is not the peer's: the attempt is repeated for as long as the
+//! A failure caused by a shortage of local resources does not count against the peer: the attempt is retried for as long as the
 //! caller waits.
 
 use std::io;
@@ -18,27 +18,27 @@
 
 const HTTP_PORT: u16 = 80;
 
-/// Opens a connection to that address.
+/// Opens a connection to `address`.
 pub async fn dial(address: SocketAddr) -> io::Result<Stream> {
     Ok(Stream::new(retry_open(|| TcpStream::connect(address)).await?))
 }
 
-/// Opens connections for the HTTP library's client.
+/// The connector of the HTTP library's client.
 #[derive(Clone, Copy, Default)]
 pub struct Connector;
 
-type Dialing = Pin<Box<dyn Future<Output = io::Result<TokioIo<Stream>>> + Send>>;
+type DialFuture = Pin<Box<dyn Future<Output = io::Result<TokioIo<Stream>>> + Send>>;
 
 impl Service<Uri> for Connector {
     type Response = TokioIo<Stream>;
     type Error = io::Error;
-    type Future = Dialing;
+    type Future = DialFuture;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, to: Uri) -> Dialing {
+    fn call(&mut self, to: Uri) -> DialFuture {
         Box::pin(async move {
             let authority = to.authority().ok_or(io::ErrorKind::InvalidInput)?;
             let (host, port) = (authority.host(), authority.port_u16().unwrap_or(HTTP_PORT));
--- a/crates/pipitcrank-server/src/runtime/event_loop.rs
+++ b/crates/pipitcrank-server/src/runtime/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop of the one runtime thread: it gives access to the exchange and runs a batch when one is due.
+//! The event loop of the runtime's only thread: it provides access to the exchange and runs a batch when one is due.
 
 use std::cell::{Cell, RefCell};
 
@@ -10,29 +10,29 @@
 use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::counters::Counters;
 
-/// After a gap between two updates that is longer than this the process may have stalled, and unread events may lie in its
-/// sockets: half of the 0.1 s after a client's close in which an attempt may still begin.
+/// Longest gap between two updates that does not count as a stall. After a stall, sockets may hold unread events. Half of the 0.1 s
+/// after a client's close within which an attempt may still begin.
 const STALL_THRESHOLD: TimeSpan = TimeSpan::from_millis(50);
-/// Scheduler passes until what lay in the sockets has reached the exchange: connection, HTTP service, exchange.
+/// Scheduler passes that input takes from a socket to the exchange: connection, HTTP service, exchange.
 const SCHEDULER_PASSES: u32 = 3;
 
-/// The exchange, the clock and what is shared by all tasks of the runtime thread.
+/// The exchange and the other state shared by all tasks of the runtime thread.
 pub struct EventLoop {
     /// The process's clock.
     pub clock: Clock,
-    /// The counters that `/counters` shows.
+    /// The counters served at `/counters`.
     pub counters: Counters,
     /// Limits the connections to replicas.
     pub replica_connections: ConnectionLimiter,
     exchange: RefCell<Exchange>,
     wakeup: Notify,
     last_update: Cell<Timestamp>,
-    /// An update came long after the one before it, and nobody has caught up since.
+    /// Whether a stall was detected since `yield_after_stall` last completed.
     stalled: Cell<bool>,
 }
 
 impl EventLoop {
-    /// An event loop around an exchange; `run` has to be polled for batches to happen.
+    /// Creates the event loop of an exchange; batches happen only while `run` is polled.
     pub fn new(
         clock: Clock,
         counters: Counters,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Gives access to the exchange, at the present time; a batch follows if that left events.
+    /// Accesses the exchange at the current time, and wakes up `run` if there are events to process.
     pub fn update<R>(&self, access: impl FnOnce(&mut Exchange) -> R) -> R {
         let now = self.clock.now();
         self.stalled.set(self.stalled.get() || now - self.last_update.replace(now) > STALL_THRESHOLD);
@@ -64,13 +64,13 @@
         result
     }
 
-    /// Gives read-only access to the exchange.
+    /// Accesses the exchange for reading.
     pub fn read<R>(&self, access: impl FnOnce(&Exchange) -> R) -> R {
         access(&self.exchange.borrow())
     }
 
-    /// To be awaited before anything is begun for a client. After a stall the client's close may lie unread in its socket
-    /// beside the event that asks for the attempt; this lets the sockets be read first.
+    /// Lets the sockets be read first after a stall. Must be awaited before work is started for a client, since the client's close
+    /// may be unread while an earlier event already requests an attempt.
     pub async fn yield_after_stall(&self) {
         if !self.stalled.get() && self.clock.now() - self.last_update.get() <= STALL_THRESHOLD {
             return;
@@ -78,12 +78,12 @@
         for _ in 0..SCHEDULER_PASSES {
             tokio::task::yield_now().await;
         }
-        // Only now: a second caller that comes while the first one waits has to wait as well.
+        // Set after the passes, so that a second caller in the meantime waits as well.
         self.last_update.set(self.clock.now());
         self.stalled.set(false);
     }
 
-    /// Runs batches for ever. Events within one `tick` share a batch; the first event after a pause is handled at once.
+    /// Runs batches forever. Events within one `tick` share a batch; the first event after a pause is processed at once.
     pub async fn run(&self, tick: TimeSpan, transport: &RefCell<dyn ReplicaTransport>) {
         let mut earliest = Timestamp::default();
         loop {
--- a/crates/pipitcrank-server/src/runtime/mod.rs
+++ b/crates/pipitcrank-server/src/runtime/mod.rs
@@ -1,4 +1,5 @@
-//! What every part stands on: clock, event loop, connection limits, TCP streams, counters, system errors, shutdown times.
+//! Shared foundations of the server: clock, event loop, connection limits, TCP streams, counters, system errors and the shutdown
+//! schedule.
 
 pub mod clock;
 pub mod connection_limits;
--- a/crates/pipitcrank-server/src/runtime/shutdown.rs
+++ b/crates/pipitcrank-server/src/runtime/shutdown.rs
@@ -1,48 +1,48 @@
-//! Times of a graceful shutdown.
+//! The schedule of a graceful shutdown.
 //!
-//! All of them follow from the longest deadline of a client, since the platform's grace before it kills does: first
-//! admission goes on, then connections that clients still use, then the last answers.
+//! All times derive from the longest client deadline, as does the platform's grace period before it kills the process. At first
+//! the server admits clients as before, then it closes idle connections, and at last it answers the open queries.
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use tokio::sync::watch;
 
-/// When shutdown was requested; none until it is.
+/// Time of the shutdown request; `None` until then.
 pub type ShutdownRequest = watch::Receiver<Option<Timestamp>>;
 
-/// The platform kills no sooner than the longest deadline after asking, which it counts as this where it is longer ...
+/// Cap of the longest client deadline in the platform's grace period, as specified by the protocol.
 const MAX_COUNTED_DEADLINE: TimeSpan = TimeSpan::from_millis(3000);
-/// ... plus this. Both are the protocol's.
+/// The platform's grace period beyond the longest client deadline, as specified by the protocol.
 const GRACE_BEYOND_DEADLINE: TimeSpan = TimeSpan::from_millis(700);
-/// The longest grace, in seconds, of which the fractions below are given.
+/// The longest grace period, to which the numerators of the fractions below refer.
 const MAX_GRACE_S: f64 = 3.7;
-/// Fraction of the grace for which admission goes on as before: the layer in front may have nobody else to send clients to.
+/// Fraction of the grace period with admission as before, since the load balancer in front may have no other coordinator yet.
 const ADMISSION: f64 = 1.5 / MAX_GRACE_S;
-/// Fraction of the grace after which a connection ends on which nothing came: clients use theirs more often.
+/// Idle timeout of connections as a fraction of the grace period; clients use their connections more often than that.
 const IDLE: f64 = 0.5 / MAX_GRACE_S;
-/// Fraction of the grace by which the last answer is given: the rest is for it to be written and read.
+/// Fraction of the grace period by which every query is answered; the rest is left for writing and reading the responses.
 const LAST_ANSWER: f64 = 3.3 / MAX_GRACE_S;
-/// Of the time after the last answer, the fraction for which accepting may go on where it fails.
+/// Fraction of the time after the last answer for which failing accepts are retried.
 const ACCEPT_QUEUE: f64 = 0.5;
-/// New connections come for up to 0.4 s after shutdown was requested, whatever the deadlines, and are accepted a little later
-/// by a process that waits for the processor.
+/// Shortest admission. New connections arrive for up to 0.4 s after the shutdown request, whatever the deadlines are, and a
+/// process waiting for the CPU accepts them a little later.
 const MIN_ADMISSION: TimeSpan = TimeSpan::from_millis(450);
 
-/// Times of a graceful shutdown, counted from when it was requested. With short deadlines the grace is short: the schedule
-/// shrinks with it, so that the kill finds no open query.
+/// Times of a graceful shutdown, relative to the shutdown request. They shrink with the grace period, which is short if all client
+/// deadlines are, so that no query is open when the process is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// Until then connections are accepted and kept as before.
+    /// End of the time in which connections are accepted and kept open as before.
     pub admit_until: TimeSpan,
-    /// From then on a connection ends with its answer, or when nothing came on it for this long.
+    /// Idle timeout of connections after `admit_until`; a connection in use is closed after its next response.
     pub idle: TimeSpan,
-    /// Every open query is answered by then.
+    /// Time by which every open query is answered.
     pub last_answer: TimeSpan,
-    /// Clients still in the accept queue by then are left.
+    /// Time at which clients still in the accept queue are abandoned.
     pub accept_queue_until: TimeSpan,
 }
 
 impl ShutdownSchedule {
-    /// The schedule that follows from the longest deadline of a client.
+    /// Derives the schedule from the longest client deadline.
     pub fn of(max_deadline: TimeSpan) -> ShutdownSchedule {
         let grace = max_deadline.min(MAX_COUNTED_DEADLINE) + GRACE_BEYOND_DEADLINE;
         let (admit_until, idle, last_answer) = (grace * ADMISSION, grace * IDLE, grace * LAST_ANSWER);
--- a/crates/pipitcrank-server/src/runtime/shutdown/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/shutdown/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn at_the_longest_grace_the_times_are_those_measured() {
+fn times_at_the_longest_grace_period() {
     for longest in [3.0, 7.5, 86_400.0] {
         let ShutdownSchedule { admit_until, idle, last_answer, .. } =
             ShutdownSchedule::of(TimeSpan::from_secs_f64(longest));
@@ -16,14 +16,14 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_the_deadline_the_times_keep_their_order_and_end_before_the_kill(longest in 0.0f64..100_000.0) {
+    fn times_are_ordered_and_end_before_the_kill(longest in 0.0f64..100_000.0) {
         let ShutdownSchedule { admit_until, idle, last_answer, accept_queue_until } =
             ShutdownSchedule::of(TimeSpan::from_secs_f64(longest));
         let kill = longest.min(3.0) + 0.7;
-        prop_assert!(admit_until.as_secs_f64() > 0.4, "who comes in the first 0.4 s is taken on");
-        prop_assert!(idle.as_secs_f64() > 0.09, "time for a request on its way");
-        prop_assert!(admit_until + idle < last_answer, "what comes last is held for a while, too");
-        prop_assert!(last_answer.as_secs_f64() <= kill * 0.9, "time to be written and read");
+        prop_assert!(admit_until.as_secs_f64() > 0.4, "new connections of the first 0.4 s are accepted");
+        prop_assert!(idle.as_secs_f64() > 0.09, "a request in transit arrives within the idle timeout");
+        prop_assert!(admit_until + idle < last_answer, "the last new connections can be idle before the last answer");
+        prop_assert!(last_answer.as_secs_f64() <= kill * 0.9, "a tenth of the grace period is left to write and read the last answer");
         prop_assert!(last_answer < accept_queue_until && accept_queue_until.as_secs_f64() < kill, "between the last answer and the kill");
     }
 }
--- a/crates/pipitcrank-server/src/runtime/stall_detector.rs
+++ b/crates/pipitcrank-server/src/runtime/stall_detector.rs
@@ -1,16 +1,16 @@
-//! Detects that the process has just stalled: what is read from its sockets then may have lain there for as long.
+//! Detects stalls of the process. Input read after a stall may have been unread for the whole length of the stall.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-/// Longest gap between two ticks that is no stall. Ticks come each 50 ms; what lay unread within this gap is covered by the
-/// 150 ms of slack that a replica's deadline has.
+/// Longest gap between two ticks that does not count as a stall. Ticks occur every 50 ms, and the slack of 150 ms in the deadlines
+/// sent to replicas covers input that was unread during such a gap.
 const STALL_THRESHOLD: TimeSpan = TimeSpan::from_millis(100);
-/// What had come during a stall is read within this after its end, or within as long as the stall was if that is shorter.
+/// Time after a stall within which input received during it is read; the length of the stall if that is shorter.
 const BACKLOG: TimeSpan = TimeSpan::from_millis(250);
 
-/// Remembers the last stall. Microseconds of the process's clock; one thread writes.
+/// Records the last stall, in microseconds of the process's clock. Only one thread writes.
 pub struct StallDetector {
     last_tick: AtomicI64,
     stall_ended: AtomicI64,
@@ -18,7 +18,7 @@
 }
 
 impl StallDetector {
-    /// A detector that has seen no stall.
+    /// Creates a detector without a recorded stall.
     pub fn new(now: Timestamp) -> StallDetector {
         StallDetector {
             last_tick: AtomicI64::new(now.as_micros()),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// To be called periodically and with each request.
+    /// Detects a stall by the time since the last call. Must be called periodically and with each request.
     pub fn tick(&self, now: Timestamp) {
         let gap = now.as_micros() - self.last_tick.swap(now.as_micros(), Ordering::Relaxed);
         if gap > STALL_THRESHOLD.as_micros() {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// How long a request read now may have lain unread, beyond what is usual.
+    /// Upper bound of the time for which a request read now was unread because of a stall; zero if there was none.
     pub fn unread_for(&self, now: Timestamp) -> TimeSpan {
         let since = now.as_micros() - self.stall_ended.load(Ordering::Relaxed);
         let length = TimeSpan::from_millis(self.stall_length.load(Ordering::Relaxed) / 1000);
--- a/crates/pipitcrank-server/src/runtime/stall_detector/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/stall_detector/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn what_is_read_after_a_stall_is_as_old_as_the_stall_and_what_comes_later_is_new() {
+fn input_read_after_a_stall_counts_as_old_as_the_stall() {
     let at = |ms| Timestamp::from_secs_f64(5.0) + TimeSpan::from_millis(ms);
     let detector = StallDetector::new(at(0));
     for ms in (0..2000).step_by(50) {
         detector.tick(at(ms));
         assert_eq!(detector.unread_for(at(ms)), TimeSpan::ZERO);
     }
-    // Late, as a busy machine is: no later than the slack that the time told has.
+    // A late tick on a busy machine, within the slack of the deadlines sent to replicas.
     detector.tick(at(2050));
     assert_eq!(detector.unread_for(at(2050)), TimeSpan::ZERO);
     detector.tick(at(2200));
-    assert_eq!(detector.unread_for(at(2349)), TimeSpan::from_millis(150), "as long as the sleep was");
+    assert_eq!(detector.unread_for(at(2349)), TimeSpan::from_millis(150), "within the length of the stall");
     assert_eq!(detector.unread_for(at(2350)), TimeSpan::ZERO);
     detector.tick(at(2250));
     detector.tick(at(2700));
--- a/crates/pipitcrank-server/src/runtime/stream.rs
+++ b/crates/pipitcrank-server/src/runtime/stream.rs
@@ -1,11 +1,10 @@
-//! The one stream type of all TCP connections: to clients, replicas and the discovery service. It reads and writes until the
-//! system reports that it would block, and repeats an interrupted call.
+//! The stream type of all TCP connections: to clients, replicas and the discovery service. It reads and writes until the kernel
+//! reports that the call would block, and retries interrupted calls.
 //!
-//! The runtime's own stream takes a read that brought less than it asked for as a sign that nothing is left, and a write
-//! likewise, and then waits for the system to report readiness. The system does not report again what was there already:
-//! where a read was cut short for another reason, the rest would lie unread. Reading once more after each short read would
-//! cost a system call for every message, and most messages end with a short read. So that read is made some milliseconds
-//! later, and only while something more is expected.
+//! tokio's `TcpStream` takes a short read or write as a sign that the socket is not ready, and then waits for the next readiness
+//! event. The kernel reports no new event for data that was already there, so if a read was short for another reason, the rest
+//! would stay unread. Another read after each short one would cost a system call per message, since most messages end with a short
+//! read. This type makes that read some milliseconds later, and only while more data is expected.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read};
@@ -23,36 +22,36 @@
 /// A TCP connection.
 pub struct Stream {
     tcp: TcpStream,
-    /// The last read was short: there may be more of which the system reports nothing.
+    /// Whether the last read was short, so that there may be more data without a readiness event.
     may_have_more: Cell<bool>,
-    /// Timer of the read that is made without readiness; kept for the next one.
+    /// Timer of the next read without a readiness event; reused.
     recheck: RefCell<Option<Pin<Box<Sleep>>>>,
-    /// Whether that timer runs.
+    /// Whether the recheck timer is running.
     rechecking: Cell<bool>,
 }
 
-/// Time from a short read to the read that is made without readiness.
-const RECHECK: Duration = Duration::from_millis(4);
+/// Time from a short read to the read without a readiness event.
+const RECHECK_DELAY: Duration = Duration::from_millis(4);
 
-/// Most bytes that a read without readiness takes.
-const MAX_RECHECK_READ: usize = 16 * 1024;
+/// Limit of a read without a readiness event.
+const MAX_RECHECK_READ_BYTES: usize = 16 * 1024;
 
-/// Whether more is to come for which somebody waits.
+/// Whether the reader waits for more data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expects {
-    /// The rest of a message, or an answer.
+    /// The rest of a message or an answer is outstanding.
     More,
-    /// What was read is whole. A close is reported all the same.
+    /// All messages are complete. A close by the peer is reported nevertheless.
     Nothing,
 }
 
-/// Whether the call is to be repeated: at once, or once the system reports readiness.
+/// Whether the call should be retried, at once or after the next readiness event.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
 impl Stream {
-    /// Wraps a connection; small writes go out at once from now on.
+    /// Wraps a connection, and disables Nagle's algorithm on it.
     pub fn new(tcp: TcpStream) -> Stream {
         let _ = tcp.set_nodelay(true);
         Stream {
@@ -63,12 +62,12 @@
         }
     }
 
-    /// The connection itself.
+    /// Returns the wrapped connection.
     pub fn into_tcp(self) -> TcpStream {
         self.tcp
     }
 
-    /// Reads; 0 bytes where the peer has closed, or the buffer is full.
+    /// Reads some bytes; 0 means that the peer has closed or the buffer is full.
     pub fn poll_read_some(
         &self,
         cx: &mut Context<'_>,
@@ -96,36 +95,36 @@
         }
     }
 
-    /// Reads as `poll_read_some` does.
+    /// Async version of [`Stream::poll_read_some`].
     pub async fn read_some(&self, buf: &mut impl BufMut, expects: Expects) -> io::Result<usize> {
         std::future::poll_fn(|cx| self.poll_read_some(cx, buf, expects)).await
     }
 
-    /// Ready once it is time for a read without readiness.
+    /// Ready when a read without a readiness event is due.
     fn poll_recheck(&self, cx: &mut Context<'_>, expects: Expects) -> Poll<()> {
         if !self.may_have_more.get() || expects == Expects::Nothing {
             self.rechecking.set(false);
             return Poll::Pending;
         }
         let mut recheck = self.recheck.borrow_mut();
-        let sleeping = recheck.get_or_insert_with(|| Box::pin(sleep(RECHECK)));
+        let sleeping = recheck.get_or_insert_with(|| Box::pin(sleep(RECHECK_DELAY)));
         if !self.rechecking.replace(true) {
-            sleeping.as_mut().reset(Instant::now() + RECHECK);
+            sleeping.as_mut().reset(Instant::now() + RECHECK_DELAY);
         }
         ready!(sleeping.as_mut().poll(cx));
         self.rechecking.set(false);
         Poll::Ready(())
     }
 
-    /// Reads although the system has reported nothing.
+    /// Reads without a readiness event.
     fn read_without_readiness(&self, buf: &mut impl BufMut, room: usize) -> io::Result<usize> {
-        let mut bytes = vec![0; room.min(MAX_RECHECK_READ)];
+        let mut bytes = vec![0; room.min(MAX_RECHECK_READ_BYTES)];
         let n = (&*socket2::SockRef::from(&self.tcp)).read(&mut bytes)?;
         buf.put_slice(&bytes[..n]);
         Ok(n)
     }
 
-    /// No read is tried until the system reports readiness again.
+    /// Suspends reads until the next readiness event.
     fn clear_readiness(&self) {
         let _ =
             self.tcp.try_io(Interest::READABLE, || io::Result::<()>::Err(io::ErrorKind::WouldBlock.into()));
@@ -150,7 +149,7 @@
         self.poll_write_with(cx, || self.tcp.try_write(bytes))
     }
 
-    /// Writes some of the pieces, in one call.
+    /// Writes some bytes of the buffers, in one system call.
     pub fn poll_write_pieces(
         &self,
         cx: &mut Context<'_>,
@@ -170,7 +169,7 @@
         Ok(())
     }
 
-    /// Writes once, as far as it goes; an error of the kind `WouldBlock` where nothing can be written now.
+    /// Writes as many bytes as possible without waiting; fails with `WouldBlock` if nothing can be written now.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         loop {
             match self.tcp.try_write(bytes) {
@@ -180,12 +179,12 @@
         }
     }
 
-    /// Ends once something can be written.
+    /// Completes once something can be written.
     pub async fn writable(&self) -> io::Result<()> {
         self.tcp.writable().await
     }
 
-    /// Closes this side's direction.
+    /// Shuts down the sending side.
     pub fn shut_down(&self) -> io::Result<()> {
         socket2::SockRef::from(&self.tcp).shutdown(Shutdown::Write)
     }
--- a/crates/pipitcrank-server/src/runtime/system_errors.rs
+++ b/crates/pipitcrank-server/src/runtime/system_errors.rs
@@ -1,4 +1,4 @@
-//! What to do where a system call on a listener, a file or a new socket fails: one policy for each class of error.
+//! Policies for failed system calls on listeners, files and new sockets, by class of error.
 
 use std::io;
 use std::time::Duration;
@@ -6,25 +6,25 @@
 use rustix::io::Errno;
 use tokio::time::{Instant, sleep};
 
-/// Pause between two attempts while a resource runs short.
+/// Pause between two attempts during a resource shortage.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(5);
-/// Attempts in all where the network may be gone.
+/// Total number of attempts while the network is unreachable.
 const UNREACHABLE_ATTEMPTS: u32 = 3;
 
-/// What a failed call asks for.
+/// How to handle a failed system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorPolicy {
-    /// It concerned this one attempt: the next may succeed, now.
+    /// The error concerns this attempt only; the next may succeed immediately.
     RetryAtOnce,
-    /// A resource of this machine runs short, until others give it back.
+    /// A local resource is exhausted until others release it.
     RetryAfterPause,
-    /// To be repeated once or twice: the network may be gone.
+    /// The network may be down; the call is retried a few times.
     RetryFew,
-    /// It will fail again.
+    /// The error is permanent.
     GiveUp,
 }
 
-/// Policy for an error of `accept`. A working listener reports errors of the connection that was next, and shortages.
+/// Policy for an error of `accept`. A working listener also reports errors of the accepted connection, and resource shortages.
 pub fn accept_policy(error: &io::Error) -> ErrorPolicy {
     match Errno::from_io_error(error) {
         Some(Errno::BADF | Errno::INVAL | Errno::NOTSOCK | Errno::FAULT) => ErrorPolicy::GiveUp,
@@ -33,8 +33,8 @@
     }
 }
 
-/// Policy for an error of opening a connection, binding, or opening a file: limits, ports or memory run short, or a
-/// signal interrupted the call.
+/// Policy for an error of connecting, binding or opening a file. Errors are transient if limits, ports or memory are exhausted, a
+/// signal interrupted the call, or the network may be down.
 pub fn open_policy(error: &io::Error) -> ErrorPolicy {
     match Errno::from_io_error(error) {
         Some(Errno::INTR) => ErrorPolicy::RetryAtOnce,
@@ -52,17 +52,18 @@
     }
 }
 
-/// What follows a failed attempt.
+/// What to do after a failed attempt.
 enum NextAttempt {
     Never,
     AtOnce,
     AfterPause,
 }
 
-/// Attempts to open something, until an error counts.
+/// Retry state of an open call.
 struct OpenRetry {
     failures: u32,
-    /// Until then any error that may pass is waited out; without it an unreachable network counts soon.
+    /// End of the time in which all transient errors are retried. Without it, an unreachable network is reported after
+    /// `UNREACHABLE_ATTEMPTS`.
     until: Option<Instant>,
 }
 
@@ -94,7 +95,7 @@
             };
             match self.after(&error) {
                 NextAttempt::Never => return Err(error),
-                // Other tasks run in between, also where it never succeeds.
+                // Lets other tasks run between the attempts, even if none succeeds.
                 NextAttempt::AtOnce => tokio::task::yield_now().await,
                 NextAttempt::AfterPause => sleep(RETRY_PAUSE).await,
             }
@@ -102,12 +103,12 @@
     }
 }
 
-/// Repeats an attempt until it succeeds or its error counts. The caller bounds the time.
+/// Retries an attempt until it succeeds or its error is not transient. The caller bounds the time.
 pub async fn retry_open<T, F: Future<Output = io::Result<T>>>(attempt: impl FnMut() -> F) -> io::Result<T> {
     OpenRetry::new(None).run(attempt).await
 }
 
-/// Repeats an attempt for up to `limit`, waiting out any error that may pass: for what a process can't start without.
+/// Retries an attempt for up to `limit` while its errors are transient. Used for resources without which a process can't start.
 pub async fn retry_open_for<T, F: Future<Output = io::Result<T>>>(
     limit: Duration,
     attempt: impl FnMut() -> F,
@@ -115,7 +116,7 @@
     OpenRetry::new(Some(limit)).run(attempt).await
 }
 
-/// The same as [`retry_open_for`] before a runtime is there: it blocks the thread.
+/// Blocking version of [`retry_open_for`], for use before the runtime is started.
 pub fn retry_open_for_blocking<T>(
     limit: Duration,
     mut attempt: impl FnMut() -> io::Result<T>,
--- a/crates/pipitcrank-server/src/runtime/system_errors/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/system_errors/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn an_accept_that_fails_for_one_connection_or_a_shortage_is_retried() {
+fn accept_is_retried_after_connection_errors_and_shortages() {
     for errno in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::HOSTUNREACH, Errno::NETDOWN] {
         assert_eq!(accept_policy(&error(errno)), ErrorPolicy::RetryAtOnce, "{errno}");
     }
@@ -24,12 +24,12 @@
     }
 }
 
-/// What came of attempts that fail so often with that, and how many were made.
-async fn attempts(errno: Errno, fail: u32) -> (bool, u32) {
+/// Retries an attempt whose first `failures` calls fail with `errno`; returns whether it succeeded, and the number of calls.
+async fn attempts(errno: Errno, failures: u32) -> (bool, u32) {
     let made = Cell::new(0);
     let attempt = async || {
         made.set(made.get() + 1);
-        if made.get() <= fail { Err(error(errno)) } else { Ok(()) }
+        if made.get() <= failures { Err(error(errno)) } else { Ok(()) }
     };
     (retry_open(attempt).await.is_ok(), made.get())
 }
