--- a/crates/pipitcrank-server/src/audit/checker.rs
+++ b/crates/pipitcrank-server/src/audit/checker.rs
@@ -1,4 +1,4 @@
-//! The records of the audit, and its checks.
+//! The audit's records and checks.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -9,30 +9,30 @@
 use super::rules::{AuditRules, Rule, violated};
 use crate::runtime::counters::Counters;
 
-/// For so long after the client's deadline a final answer counts.
+/// Time after the client's deadline within which a final answer is still in time.
 const ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
-/// For so long after its client has closed an attempt may begin.
+/// Time after the client's close within which an attempt may still begin.
 const CLOSE_SLACK: TimeSpan = TimeSpan::from_millis(100);
-/// By so much the deadline sent to a replica may exceed what the client has left.
+/// Amount by which the time sent to a replica may exceed the client's remaining time.
 const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(150);
-/// By so much time limits on sockets are longer (protocol page).
+/// Amount by which the protocol extends time limits on sockets.
 const SOCKET_SLACK: TimeSpan = TimeSpan::from_millis(50);
-/// By so much sums of weights may fall short.
+/// Rounding tolerance of sums of weights.
 const WEIGHT_SLACK: f64 = 1e-4;
 
-/// A query that was admitted.
+/// An admitted query.
 pub struct AdmittedQuery<'a> {
-    /// Stands for the query.
+    /// Identifies the query in this process.
     pub ticket: u64,
-    /// The client's id of it.
+    /// The id that the client gave the query.
     pub id: &'a str,
-    /// Its request class.
+    /// The request class.
     pub class: RequestClassId,
-    /// The client's own deadline.
+    /// The client's deadline.
     pub deadline: Timestamp,
-    /// Another site forwarded it, and counts it in its own budget.
+    /// Whether another site forwarded the query; retries then count in that site's budget.
     pub forwarded: bool,
-    /// Its parts.
+    /// The parts of the query.
     pub parts: &'a [PartId],
 }
 
@@ -40,9 +40,9 @@
 pub struct SentAttempt {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Where it goes.
+    /// The replica to which the attempt is sent.
     pub replica: ReplicaId,
-    /// The time left that is sent to the replica.
+    /// The remaining time that is sent to the replica.
     pub time_left: TimeSpan,
 }
 
@@ -53,7 +53,7 @@
     forwarded: bool,
     answered: bool,
     closed: Option<Timestamp>,
-    /// Number of its parts that are open.
+    /// Number of open parts.
     parts: usize,
 }
 
@@ -71,35 +71,36 @@
 
 struct PartRecord {
     ticket: u64,
-    /// Attempts whose first byte was written; at most as many as the settings allow.
+    /// Attempts whose first byte was written; the settings limit their number.
     attempts: Vec<AttemptRecord>,
 }
 
-/// Numbers of records.
+/// Numbers of records that the audit holds.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RecordCounts {
-    /// Of queries.
+    /// Number of query records.
     pub queries: usize,
-    /// Of parts.
+    /// Number of part records.
     pub parts: usize,
 }
 
-/// The audit. Records of a query and its parts end as the exchange releases them, a replica's with the replica.
+/// Checks the coordinator's actions against the rules. Records of queries, parts and replicas are removed when the exchange releases
+/// these.
 pub struct Audit {
     rules: AuditRules,
     counters: Counters,
     queries: BTreeMap<u64, QueryRecord>,
     parts: BTreeMap<PartId, PartRecord>,
-    /// Since when replicas drain.
+    /// Time since which each draining replica has been listed as such.
     draining: BTreeMap<ReplicaId, Timestamp>,
-    /// Times of admitted requests; removed as they leave the budget's window.
+    /// Admission times of queries and parts within the budget's window.
     admitted: VecDeque<Timestamp>,
-    /// Times of retries and hedged requests; removed as they leave the budget's window.
+    /// Times of retries and hedged requests within the budget's window.
     retries: VecDeque<Timestamp>,
 }
 
 impl Audit {
-    /// An audit without records.
+    /// Creates an audit without records.
     pub fn new(rules: AuditRules, counters: Counters) -> Audit {
         Audit {
             rules,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A query was admitted.
+    /// Records the admission of a query.
     pub fn admitted(&mut self, now: Timestamp, query: AdmittedQuery) {
         let AdmittedQuery { ticket, id, class, deadline, forwarded, parts } = query;
         let record = QueryRecord {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The first byte of an attempt is written next.
+    /// Checks and records an attempt whose first byte is about to be written.
     pub fn sent(&mut self, now: Timestamp, sent: SentAttempt) {
         let AttemptId { part, number } = sent.attempt;
         let after_answer = Rule::NothingSentAfterAnswer;
@@ -146,21 +147,21 @@
         let Some(query) = self.queries.get(&record.ticket) else {
             return violated(&self.counters, after_answer, "unknown", "the query is not open");
         };
-        let (is_repeat, forwarded) = (!record.attempts.is_empty(), query.forwarded);
-        for (rule, reason) in self.broken_by(now, query, record, &sent) {
+        let (is_retry, forwarded) = (!record.attempts.is_empty(), query.forwarded);
+        for (rule, reason) in self.violations_by(now, query, record, &sent) {
             violated(&self.counters, rule, &query.id, reason);
         }
         let id = query.id.clone();
         if let Some(record) = self.parts.get_mut(&part) {
             record.attempts.push(AttemptRecord { number, at: now, state: AttemptState::InFlight });
         }
-        if is_repeat && !forwarded {
-            self.retried(now, &id);
+        if is_retry && !forwarded {
+            self.record_retry(now, &id);
         }
     }
 
-    /// The rules that this attempt breaks, but for the budget's.
-    fn broken_by(
+    /// The rules that an attempt violates, except the retry budget, with the reasons.
+    fn violations_by(
         &self,
         now: Timestamp,
         query: &QueryRecord,
@@ -173,25 +174,25 @@
         let in_flight = part.attempts.iter().any(|a| matches!(a.state, AttemptState::InFlight));
         let drained = self.draining.get(&sent.replica).is_some_and(|&at| now - at > rules.drain_grace);
         let closed = query.closed.is_some_and(|at| now - at > CLOSE_SLACK);
-        let unsafe_repeat = class.idempotency == Idempotency::NonIdempotent && may_have_run.is_some();
-        let late_repeat = class.idempotency == Idempotency::IdempotentByKey
+        let unsafe_retry = class.idempotency == Idempotency::NonIdempotent && may_have_run.is_some();
+        let late_retry = class.idempotency == Idempotency::IdempotentByKey
             && may_have_run.is_some_and(|first| now - first.at > class.dedup_window);
         let too_long = sent.time_left > query.deadline - now + DEADLINE_SLACK;
         let too_many = part.attempts.len() as u32 >= rules.max_attempts;
         let all = [
-            (query.answered, Rule::NothingSentAfterAnswer, "its query was answered"),
-            (closed, Rule::NothingSentAfterClose, "its client had closed"),
-            (too_long, Rule::DeadlineNotExtended, "more than the client has"),
-            (unsafe_repeat, Rule::NoUnsafeRetry, "an earlier attempt may have run"),
-            (late_repeat, Rule::RetryWithinWindow, "beyond the window from the first attempt"),
+            (query.answered, Rule::NothingSentAfterAnswer, "the query was already answered"),
+            (closed, Rule::NothingSentAfterClose, "the client had closed its connection"),
+            (too_long, Rule::DeadlineNotExtended, "the deadline sent is later than the client's"),
+            (unsafe_retry, Rule::NoUnsafeRetry, "an earlier attempt may have run"),
+            (late_retry, Rule::RetryWithinWindow, "the deduplication window from the first attempt is over"),
             (in_flight && !rules.may_hedge, Rule::NoForbiddenHedge, "an earlier attempt is in flight"),
-            (too_many, Rule::AttemptLimit, "over the attempts allowed"),
-            (drained, Rule::NothingSentToDraining, "its replica drains or is gone"),
+            (too_many, Rule::AttemptLimit, "the part already has the maximum number of attempts"),
+            (drained, Rule::NothingSentToDraining, "the replica is draining or no longer listed"),
         ];
         all.into_iter().filter(|(broken, ..)| *broken).map(|(_, rule, reason)| (rule, reason)).collect()
     }
 
-    fn retried(&mut self, now: Timestamp, id: &str) {
+    fn record_retry(&mut self, now: Timestamp, id: &str) {
         let Some(window) = self.rules.budget_window else { return };
         self.retries.push_back(now);
         while self.retries.front().is_some_and(|&at| now - at > window) {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// No byte of the attempt was written after all.
+    /// Removes the record of an attempt of which no byte was written.
     pub fn unsent(&mut self, attempt: AttemptId) {
         let Some(record) = self.parts.get_mut(&attempt.part) else { return };
         record.attempts.retain(|other| other.number != attempt.number);
@@ -213,7 +214,7 @@
         }
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub fn attempt_ended(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
         let part = self.parts.get_mut(&attempt.part);
         let record = part.and_then(|p| p.attempts.iter_mut().find(|a| a.number == attempt.number));
@@ -226,33 +227,48 @@
         }
     }
 
-    /// The final answer is given. `weight`: of the parts whose values are in it, none where it carries no values; `complete`:
-    /// it is marked so.
+    /// Checks and records the final answer to a query. `weight` is the weight of the parts with a value in the answer, `None` if it
+    /// carries no values; `complete` is the answer's mark.
     pub fn answered(&mut self, now: Timestamp, ticket: u64, weight: Option<f64>, complete: bool) {
         let Some(query) = self.queries.get_mut(&ticket) else { return };
         if std::mem::replace(&mut query.answered, true) {
-            violated(&self.counters, Rule::OneAnswer, &query.id, "it has had its final answer");
+            violated(&self.counters, Rule::OneAnswer, &query.id, "the query already had its final answer");
         }
         if now - query.deadline > ANSWER_SLACK && query.closed.is_none() {
-            violated(&self.counters, Rule::AnswerInTime, &query.id, "after the client's deadline");
+            violated(
+                &self.counters,
+                Rule::AnswerInTime,
+                &query.id,
+                "the answer came after the client's deadline",
+            );
         }
         let class = &self.rules.classes[query.class.0 as usize];
         let needed = if complete { class.complete_from } else { class.floor.min(class.complete_from) };
         if weight.is_some_and(|weight| weight + 2.0 * WEIGHT_SLACK < needed) {
-            violated(&self.counters, Rule::AnswerWeight, &query.id, "the parts in it weigh too little");
+            violated(
+                &self.counters,
+                Rule::AnswerWeight,
+                &query.id,
+                "the parts in the answer have too little weight",
+            );
         }
     }
 
-    /// The client closed, or its own connection ended.
+    /// Records that the client closed its connection, or that the connection was lost.
     pub fn client_closed(&mut self, now: Timestamp, ticket: u64) {
         let Some(query) = self.queries.get_mut(&ticket) else { return };
         query.closed = query.closed.or(Some(now));
         if !query.answered && now - query.deadline > ANSWER_SLACK {
-            violated(&self.counters, Rule::AnswerInTime, &query.id, "the client left, after its deadline");
+            violated(
+                &self.counters,
+                Rule::AnswerInTime,
+                &query.id,
+                "the client disconnected without an answer after its deadline",
+            );
         }
     }
 
-    /// The endpoint list names the replica as draining since then, or as up.
+    /// Records the state of a replica in the endpoint list: draining since a time, or up if `draining_since` is `None`.
     pub fn replica_listed(&mut self, replica: ReplicaId, draining_since: Option<Timestamp>) {
         match draining_since {
             Some(since) => {
@@ -264,35 +280,35 @@
         }
     }
 
-    /// The exchange has released the query: whatever is sent for it from now on is sent after its end.
+    /// Records that the exchange released a query; any attempt sent for it from now on is a violation.
     pub fn release_query(&mut self, ticket: u64) {
         if let Some(query) = self.queries.get_mut(&ticket) {
             query.answered = true;
-            self.remove_if_over(ticket);
+            self.remove_if_done(ticket);
         }
     }
 
-    /// The exchange has released the part.
+    /// Removes the record of a part that the exchange released.
     pub fn release_part(&mut self, part: PartId) {
         let Some(record) = self.parts.remove(&part) else { return };
         if let Some(query) = self.queries.get_mut(&record.ticket) {
             query.parts -= 1;
-            self.remove_if_over(record.ticket);
+            self.remove_if_done(record.ticket);
         }
     }
 
-    fn remove_if_over(&mut self, ticket: u64) {
+    fn remove_if_done(&mut self, ticket: u64) {
         if self.queries.get(&ticket).is_some_and(|query| query.answered && query.parts == 0) {
             self.queries.remove(&ticket);
         }
     }
 
-    /// The exchange has released the replica.
+    /// Removes the record of a replica that the exchange released.
     pub fn release_replica(&mut self, replica: ReplicaId) {
         self.draining.remove(&replica);
     }
 
-    /// Numbers of records.
+    /// Numbers of records that the audit holds.
     pub fn record_counts(&self) -> RecordCounts {
         RecordCounts { queries: self.queries.len(), parts: self.parts.len() }
     }
--- a/crates/pipitcrank-server/src/audit/mod.rs
+++ b/crates/pipitcrank-server/src/audit/mod.rs
@@ -1,8 +1,8 @@
-//! Run-time check of the rules.
+//! Run-time audit of the coordinator's rules.
 //!
-//! The audit is notified of what the coordinator does, at the moment it does it, keeps records of its own and counts each violation
-//! (`/counters`, lines `violations RULE`), with a log event that names request and reason. It decides nothing and shares no
-//! state with the guards that it checks; `docs/rules.md` lists both for each rule.
+//! The coordinator notifies the audit of each action as it happens. The audit keeps its own records, counts violations
+//! (`/counters`, lines `violations RULE`) and logs each with its request and reason. It makes no decisions and shares no state with
+//! the guards that it checks; `docs/rules.md` lists guard and check of each rule.
 
 mod checker;
 mod rules;
--- a/crates/pipitcrank-server/src/audit/rules.rs
+++ b/crates/pipitcrank-server/src/audit/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked, and what the settings say of them.
+//! The audited rules, and the settings that they depend on.
 
 use pipitcrank_core::ids::Idempotency;
 use pipitcrank_core::time::TimeSpan;
@@ -6,39 +6,39 @@
 use crate::runtime::counter_names::group;
 use crate::runtime::counters::Counters;
 
-/// A rule.
+/// A rule that the coordinator must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// A query is answered by its client's deadline.
     AnswerInTime,
     /// A query has one final answer.
     OneAnswer,
-    /// Nothing is sent for a query that has ended.
+    /// No attempt is sent for a query that has ended.
     NothingSentAfterAnswer,
-    /// Nothing is sent for a client that has closed.
+    /// No attempt is sent for a client that has closed its connection.
     NothingSentAfterClose,
-    /// A connection is not closed while its request is unanswered.
+    /// A connection is not closed while a request on it is unanswered.
     NoCloseUnanswered,
-    /// A replica is sent no later deadline than the client's.
+    /// The deadline sent to a replica is not later than the client's.
     DeadlineNotExtended,
-    /// A part that is not idempotent is not repeated once it may have run.
+    /// A part that is not idempotent is not retried once it may have run.
     NoUnsafeRetry,
-    /// A part that is idempotent by key is repeated only within the window.
+    /// A part that is idempotent by key is retried only within the deduplication window.
     RetryWithinWindow,
-    /// Hedged requests are sent only where they are allowed.
+    /// Hedged requests are sent only if the settings allow them.
     NoForbiddenHedge,
-    /// A part has no more attempts than allowed.
+    /// A part has no more attempts than the settings allow.
     AttemptLimit,
-    /// Nothing is sent to a replica that drains.
+    /// No attempt is sent to a draining replica.
     NothingSentToDraining,
-    /// Retries and hedged requests stay within the budget.
+    /// Retries and hedged requests stay within the retry budget.
     RetryBudget,
-    /// An answer has the weight that its mark stands for.
+    /// The parts in an answer have the weight that its `complete` mark implies.
     AnswerWeight,
 }
 
 impl Rule {
-    /// Its name in `/counters`.
+    /// Name of the rule in `/counters`.
     pub fn name(self) -> &'static str {
         match self {
             Rule::AnswerInTime => "late_answer",
@@ -58,40 +58,40 @@
     }
 }
 
-/// Counts one violation and logs it.
+/// Counts and logs one violation.
 pub fn violated(counters: &Counters, rule: Rule, request: &str, reason: &str) {
     counters.add(group::VIOLATIONS, rule.name());
     tracing::error!(rule = rule.name(), request, reason, "a rule is broken");
 }
 
-/// What the settings say of one request class.
+/// The settings of one request class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassRules {
-    /// Whether a part may be repeated.
+    /// Whether a part may be retried.
     pub idempotency: Idempotency,
-    /// For how long replicas recognize a repeat by its key, from the first attempt.
+    /// Time from the first attempt for which replicas detect duplicates by key.
     pub dedup_window: TimeSpan,
-    /// Weight that any answer needs.
+    /// Minimum weight of an answer.
     pub floor: f64,
-    /// Weight that a complete answer needs.
+    /// Minimum weight of a complete answer.
     pub complete_from: f64,
 }
 
-/// What the settings say of attempts.
+/// The settings that the audit checks attempts and answers against.
 #[derive(Clone, Debug)]
 pub struct AuditRules {
-    /// By request class.
+    /// Settings of each request class, by id.
     pub classes: Vec<ClassRules>,
     /// Whether hedged requests are allowed.
     pub may_hedge: bool,
-    /// Most attempts at a part.
+    /// Maximum number of attempts per part.
     pub max_attempts: u32,
-    /// For how long after the list named a replica as draining an attempt may still be sent to it.
+    /// Time after the endpoint list marks a replica as draining in which attempts may still be sent to it.
     pub drain_grace: TimeSpan,
-    /// Retries and hedged requests that are free in each window.
+    /// Retries and hedged requests allowed in each window regardless of the load.
     pub budget_free: f64,
-    /// Further ones for each admitted request.
+    /// Additional retries and hedged requests allowed per admitted request.
     pub budget_ratio: f64,
-    /// The window; none where there is no budget.
+    /// Window of the retry budget; `None` if there is no budget.
     pub budget_window: Option<TimeSpan>,
 }
