--- a/crates/pipitcrank-server/src/clients/connection.rs
+++ b/crates/pipitcrank-server/src/clients/connection.rs
@@ -38,8 +38,8 @@
 pub struct AdoptedConnection {
     /// The connection.
     pub stream: TcpStream,
-    /// The bytes of a partial request that the other process has read.
-    pub read: Bytes,
+    /// The bytes that the other process has read and not processed.
+    pub buffered: Bytes,
     /// Time left to receive a pending request; `None` between requests and for a newly accepted connection.
     pub request_timeout: Option<Duration>,
 }
@@ -65,7 +65,7 @@
 ) -> ConnectionEnd {
     let stream = Rc::new(Stream::new(adopted.stream));
     let heads = Rc::new(RefCell::new(HeadTracker::new(MAX_HEAD_BYTES)));
-    let reader = RequestReader::new(stream.clone(), connection.clone(), heads.clone(), adopted.read);
+    let reader = RequestReader::new(stream.clone(), connection.clone(), heads.clone(), adopted.buffered);
     let answer_modes = modes.clone();
     let service = service_fn(|request| {
         let (router, connection) = (router.clone(), connection.clone());
@@ -93,9 +93,11 @@
                 let request_timeout = connection.request_time_left(Instant::now());
                 let parts = serving.into_parts();
                 // Bytes that the HTTP library has not processed, then bytes of an earlier transfer that it has not read.
-                let read = [&parts.read_buf[..], &parts.io.into_inner().into_unread()[..]].concat().into();
+                let buffered =
+                    [&parts.read_buf[..], &parts.io.into_inner().into_unread()[..]].concat().into();
                 let Some(stream) = Rc::into_inner(stream) else { return ConnectionEnd::Reset };
-                let _ = successor.send(AdoptedConnection { stream: stream.into_tcp(), read, request_timeout });
+                let _ = successor
+                    .send(AdoptedConnection { stream: stream.into_tcp(), buffered, request_timeout });
                 return ConnectionEnd::HandedOver;
             }
         }
--- a/crates/pipitcrank-server/src/clients/connection_server.rs
+++ b/crates/pipitcrank-server/src/clients/connection_server.rs
@@ -36,7 +36,7 @@
     /// Serves a newly accepted connection.
     pub(super) fn serve_accepted(&self, permit: Option<ConnectionPermit>, accepted: Accepted) {
         let Accepted { stream, wait } = accepted;
-        let connection = AdoptedConnection { stream, read: Bytes::new(), request_timeout: None };
+        let connection = AdoptedConnection { stream, buffered: Bytes::new(), request_timeout: None };
         self.serve(permit, connection, Some(wait));
     }
 
--- a/crates/pipitcrank-server/src/upgrade/context.rs
+++ b/crates/pipitcrank-server/src/upgrade/context.rs
@@ -1,4 +1,4 @@
-//! What the upgrade worker works with, in either role.
+//! The parts of the server that the upgrade worker uses, as predecessor or successor.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,21 +16,21 @@
 use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::event_loop::EventLoop;
 
-/// The parts of the server that an upgrade concerns.
+/// The parts of the server that the upgrade worker uses.
 pub struct UpgradeContext {
     /// The event loop, with the exchange.
     pub event_loop: Rc<EventLoop>,
-    /// Queries that a successor answers.
+    /// Relays queries to the successor.
     pub relay: Relay,
     /// Commands to the acceptor of client connections.
     pub acceptor: UnboundedSender<AcceptorCommand>,
-    /// Limits client connections.
+    /// Limits the connections of clients.
     pub client_connections: ConnectionLimiter,
     /// Revision of the current endpoint list.
     pub revision: SharedRevision,
-    /// To be called once there is an endpoint list, from wherever it came.
+    /// Starts discovery; must be called once the first endpoint list is loaded.
     pub start_discovery: Rc<dyn Fn()>,
-    /// The node configuration's list, until there is a current list.
+    /// The node configuration's endpoint list, until a list is loaded.
     pub initial_list: Cell<Option<EndpointList>>,
     /// The next ticket.
     pub tickets: Arc<AtomicU64>,
@@ -38,16 +38,16 @@
     pub class_count: usize,
     /// Number of shards.
     pub shards: u32,
-    /// For how long a query may be open.
+    /// Maximum time for which a query may be open.
     pub max_deadline: TimeSpan,
     /// Requests the shutdown of this process.
     pub shutdown: watch::Sender<Option<Timestamp>>,
-    /// Whether this process drains, for those who take work of others.
+    /// Whether this process is draining, for subsystems that accept work from other processes.
     pub draining: Rc<watch::Sender<bool>>,
 }
 
 impl UpgradeContext {
-    /// Goes by the node configuration's list, unless there is a list already.
+    /// Loads the node configuration's endpoint list and starts discovery, unless a list is already loaded.
     pub fn use_initial_list(&self) {
         if let Some(EndpointList { revision, endpoints }) = self.initial_list.take() {
             self.revision.set(Some(revision));
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether there is no current list yet.
+    /// Whether the node configuration's endpoint list is still unused.
     pub fn has_initial_list(&self) -> bool {
         let list = self.initial_list.take();
         let is_there = list.is_some();
@@ -65,13 +65,13 @@
         is_there
     }
 
-    /// What the other process sent is not known: it counts as all that it might have.
+    /// Continues without the other process. The number of requests that it sent is unknown, so the maximum is assumed.
     pub fn resume_alone(&self) {
         let now = self.event_loop.clock.now();
         self.event_loop.update(|e| e.resume_alone(now));
     }
 
-    /// Requests the shutdown of this process, unless it was requested before.
+    /// Requests the shutdown of this process; a repeated request has no effect.
     pub fn request_shutdown(&self) {
         self.shutdown.send_if_modified(|requested| {
             let is_first = requested.is_none();
--- a/crates/pipitcrank-server/src/upgrade/mod.rs
+++ b/crates/pipitcrank-server/src/upgrade/mod.rs
@@ -1,4 +1,4 @@
-//! The upgrade worker: hands the work over to a successor process, or takes it over from a predecessor.
+//! The upgrade worker: hands this process's work over to a successor, or takes it over from a predecessor.
 
 pub mod context;
 mod predecessor;
--- a/crates/pipitcrank-server/src/upgrade/predecessor.rs
+++ b/crates/pipitcrank-server/src/upgrade/predecessor.rs
@@ -1,4 +1,4 @@
-//! The link to the predecessor: this process takes over from it.
+//! The successor's side of an upgrade: handles the messages of the predecessor.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,18 +23,18 @@
 use crate::runtime::clock::duration;
 use crate::runtime::counter_names::{group, upgrade};
 
-/// Tickets here by the predecessor's.
+/// This process's tickets, by the predecessor's.
 type TicketMap = Rc<RefCell<BTreeMap<u64, u64>>>;
 
-/// The process that hands over.
+/// The process that hands its work over.
 pub(super) struct Predecessor {
     link: LinkSender,
-    /// Retries reserved for it; none before its state is loaded and once it is settled.
-    retries_reserved: Option<u32>,
+    /// Retries delegated to the predecessor; `None` before its state is loaded and after the settlement.
+    delegated_retries: Option<u32>,
     tickets: TicketMap,
 }
 
-/// Sends the response to a relayed query back.
+/// Sends the response to a relayed query to the predecessor.
 struct RelayedResponder {
     ticket: u64,
     link: LinkSender,
@@ -51,12 +51,12 @@
 
 impl Predecessor {
     pub(super) fn new(link: LinkSender) -> Predecessor {
-        Predecessor { link, retries_reserved: None, tickets: Rc::default() }
+        Predecessor { link, delegated_retries: None, tickets: Rc::default() }
     }
 
-    /// Whether its state is loaded and it has not finished.
+    /// Whether the predecessor's state is loaded and the predecessor has not finished.
     pub(super) fn is_active(&self) -> bool {
-        self.retries_reserved.is_some()
+        self.delegated_retries.is_some()
     }
 
     pub(super) fn handle(
@@ -69,12 +69,14 @@
         match message {
             ToSuccessor::Hello { version: PROTOCOL_VERSION } => {}
             ToSuccessor::Hello { version } => {
-                tracing::error!("the predecessor speaks version {version}, not {PROTOCOL_VERSION}");
-                // Nothing more is sent: the supervisor's timeout ends this upgrade.
-                self.retries_reserved = None;
+                tracing::error!(
+                    "predecessor uses protocol version {version}, not {PROTOCOL_VERSION}; the upgrade will time out"
+                );
+                // Sends no further heartbeats, so the supervisor's timeout ends this upgrade.
+                self.delegated_retries = None;
             }
             ToSuccessor::Snapshot(bytes) => {
-                self.retries_reserved = Some(load_state(context, &bytes));
+                self.delegated_retries = Some(load_state(context, &bytes));
                 supervisor.send(&ToSupervisor::StateLoaded, None);
             }
             ToSuccessor::Query(query) => self.submit(context, query, None),
@@ -82,8 +84,8 @@
                 self.submit(context, query, Some(idempotency_key));
             }
             ToSuccessor::CancelQuery { ticket } => {
-                if let Some(own) = self.tickets.borrow_mut().remove(&ticket) {
-                    context.event_loop.update(|e| e.client_disconnected(own));
+                if let Some(own_ticket) = self.tickets.borrow_mut().remove(&ticket) {
+                    context.event_loop.update(|e| e.client_disconnected(own_ticket));
                 }
             }
             ToSuccessor::HeldResources { replica_connections, client_connections, open_queries } => {
@@ -91,8 +93,8 @@
                 context.client_connections.reserve_for_peer(client_connections as usize);
                 context.event_loop.update(|e| e.set_open_in_peer(open_queries as usize));
             }
-            ToSuccessor::ClientConnection { buffered: read, request_timeout } => {
-                adopt(context, descriptor, read, request_timeout);
+            ToSuccessor::ClientConnection { buffered, request_timeout } => {
+                adopt(context, descriptor, buffered, request_timeout);
             }
             ToSuccessor::Finished { delegated_retries_used, counters } => {
                 context.event_loop.counters.add_all(counters);
@@ -109,17 +111,17 @@
             let response = RelayedResponse::Rejected { retry_after: TimeSpan::ZERO };
             return self.link.send(&ToPredecessor::Response { ticket, response }, None);
         };
-        let own = context.tickets.fetch_add(1, Ordering::Relaxed);
-        self.tickets.borrow_mut().insert(ticket, own);
+        let own_ticket = context.tickets.fetch_add(1, Ordering::Relaxed);
+        self.tickets.borrow_mut().insert(ticket, own_ticket);
         let responder = RelayedResponder { ticket, link: self.link.clone(), tickets: self.tickets.clone() };
-        context.event_loop.update(|e| e.submit(own, request, Box::new(responder)));
+        context.event_loop.update(|e| e.submit(own_ticket, request, Box::new(responder)));
     }
 
-    /// It has finished and used so many of the retries reserved for it; none where it ended without a last message: then it counts as
-    /// having used all.
+    /// Settles the retry budget with the predecessor, which has used `used` of its delegated retries. `None` means that it ended
+    /// without a last message; then all of them count as used.
     pub(super) fn settle(&mut self, context: &UpgradeContext, used: Option<u32>) {
-        if let Some(reserved) = self.retries_reserved.take() {
-            let used = used.unwrap_or(reserved).min(reserved);
+        if let Some(delegated) = self.delegated_retries.take() {
+            let used = used.unwrap_or(delegated).min(delegated);
             let now = context.event_loop.clock.now();
             context.event_loop.update(|e| e.settle_with_predecessor(now, used));
         }
@@ -127,9 +129,9 @@
         context.client_connections.clear_peer_reservation();
     }
 
-    /// It has exited: this process continues alone.
+    /// Continues without the predecessor, which has exited.
     pub(super) fn abandon(mut self, context: &UpgradeContext) {
-        // It may have died before it sent its state: then the initial list is all there is.
+        // The predecessor may have exited before it sent its state; then only the initial list is available.
         if context.has_initial_list() {
             context.use_initial_list();
             context.resume_alone();
@@ -138,7 +140,7 @@
     }
 }
 
-/// Loads the predecessor's state; returns how many retries are reserved for it.
+/// Loads the predecessor's state; returns the number of retries delegated to it.
 fn load_state(context: &UpgradeContext, bytes: &[u8]) -> u32 {
     match Snapshot::decode(bytes) {
         Ok(snapshot) => {
@@ -153,13 +155,15 @@
             );
             context.initial_list.take();
             context.revision.set(snapshot.revision);
-            let reserved = snapshot.delegated_retries.count;
+            let delegated = snapshot.delegated_retries.count;
             context.event_loop.update(|e| e.resume_from_predecessor(now, age, snapshot));
             (context.start_discovery)();
-            reserved
+            delegated
         }
         Err(error) => {
-            tracing::warn!("the predecessor's state is refused ({error}); using the initial list alone");
+            tracing::warn!(
+                "predecessor's state rejected ({error}); starting from the node configuration's endpoint list"
+            );
             context.event_loop.counters.add(group::UPGRADES, upgrade::SNAPSHOTS_REFUSED);
             context.use_initial_list();
             context.resume_alone();
@@ -168,18 +172,18 @@
     }
 }
 
-/// Serves a connection that the predecessor had.
+/// Serves a client connection received from the predecessor.
 fn adopt(
     context: &UpgradeContext,
     descriptor: Option<OwnedFd>,
-    read: Vec<u8>,
+    buffered: Vec<u8>,
     request_timeout: Option<TimeSpan>,
 ) {
     let Some(stream) = descriptor.map(std::net::TcpStream::from) else { return };
     let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
     if let Ok(stream) = stream {
         let request_timeout = request_timeout.map(duration);
-        let connection = AdoptedConnection { stream, read: read.into(), request_timeout };
+        let connection = AdoptedConnection { stream, buffered: buffered.into(), request_timeout };
         let _ = context.acceptor.send(AcceptorCommand::Adopt(connection));
     }
 }
--- a/crates/pipitcrank-server/src/upgrade/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -1,5 +1,5 @@
-//! Queries that the successor answers while their clients are connected here. Each gets one response: the successor's, or
-//! one made here when the deadline comes or the successor has exited.
+//! Relays queries to the successor while their clients are connected to this process. Each query gets one response: that of the
+//! successor, or one of this process if the deadline passes or the successor exits first.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,8 +16,8 @@
 use crate::runtime::counter_names::{group, query, upgrade};
 use crate::runtime::event_loop::EventLoop;
 
-/// How long before the client's deadline the successor's response has to be back: what the link and this thread may take. The
-/// successor may hang.
+/// Time before the client's deadline at which this process stops waiting for the successor, which may hang. It covers the delay of
+/// the link and of this thread.
 const RESPONSE_MARGIN: TimeSpan = TimeSpan::from_millis(5);
 
 struct PendingQuery {
@@ -25,30 +25,30 @@
     response: oneshot::Sender<QueryResponse>,
 }
 
-/// A query that was not relayed: it is to be answered here.
+/// A query that was not relayed and has to be answered by this process.
 pub struct NotRelayed {
     /// The query.
     pub request: QueryRequest,
-    /// Where its response goes.
+    /// Receives the response.
     pub response: oneshot::Sender<QueryResponse>,
 }
 
-/// Relays queries to the successor, while there is one. Clones are the same relay.
+/// Relays queries to the successor, if there is one. Clones share the same state.
 #[derive(Clone)]
 pub struct Relay {
     event_loop: Rc<EventLoop>,
     successor: Rc<RefCell<Option<LinkSender>>>,
-    /// By ticket; each ends with its response, or with its client.
+    /// Relayed queries by ticket, until the response or the client's disconnect.
     pending: Rc<RefCell<BTreeMap<u64, PendingQuery>>>,
 }
 
 impl Relay {
-    /// A relay without a successor.
+    /// Creates a relay without a successor.
     pub fn new(event_loop: Rc<EventLoop>) -> Relay {
         Relay { event_loop, successor: Rc::default(), pending: Rc::default() }
     }
 
-    /// Queries are relayed there from now on.
+    /// Starts relaying queries to the successor.
     pub fn start(&self, successor: LinkSender) {
         *self.successor.borrow_mut() = Some(successor);
     }
@@ -58,7 +58,7 @@
         self.pending.borrow().is_empty()
     }
 
-    /// Relays a query; gives it back where there is no successor, or where a query of its id is open here.
+    /// Relays a query; returns it if there is no successor, or if a query with its id is open in this process.
     pub fn relay(
         &self,
         ticket: u64,
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// The client has disconnected. Returns whether its query was pending.
+    /// Cancels the query of a client that has disconnected; returns whether the query was pending.
     pub fn client_disconnected(&self, ticket: u64) -> bool {
         let was_pending = self.pending.borrow_mut().remove(&ticket).is_some();
         if let Some(successor) = self.successor.borrow().as_ref().filter(|_| was_pending) {
@@ -99,14 +99,14 @@
         was_pending
     }
 
-    /// The successor has answered.
+    /// Passes the successor's response to the client.
     pub fn respond(&self, ticket: u64, response: RelayedResponse) {
         if let Some(query) = self.pending.borrow_mut().remove(&ticket) {
             let _ = query.response.send(decode_response(response));
         }
     }
 
-    /// Responds to a query of which it is not known whether the successor has done anything. Returns whether it was pending.
+    /// Responds to a query that the successor may or may not have executed; returns whether the query was pending.
     fn respond_as_lost(&self, ticket: u64) -> bool {
         let Some(query) = self.pending.borrow_mut().remove(&ticket) else { return false };
         let response = self.event_loop.read(|e| e.response_if_lost(query.class));
@@ -116,7 +116,7 @@
         true
     }
 
-    /// The successor has exited: responds to all pending queries, and returns how many those were.
+    /// Stops relaying after the successor has exited: responds to all pending queries, and returns their number.
     pub fn stop(&self) -> usize {
         *self.successor.borrow_mut() = None;
         let tickets: Vec<u64> = self.pending.borrow().keys().copied().collect();
--- a/crates/pipitcrank-server/src/upgrade/relayed.rs
+++ b/crates/pipitcrank-server/src/upgrade/relayed.rs
@@ -1,4 +1,4 @@
-//! Queries and responses in the form in which they pass between two processes.
+//! Conversion of queries and responses to and from the messages between two processes.
 
 use pipitcrank_core::ids::RequestClassId;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
@@ -6,7 +6,7 @@
 
 use crate::exchange::{QueryPart, QueryRequest, QueryResponse};
 
-/// A query for the successor, that has so much time left.
+/// Encodes a query for the successor.
 pub(super) fn encode_query(ticket: u64, time_left: TimeSpan, request: QueryRequest) -> RelayedQuery {
     let part = |part: &QueryPart| {
         let QueryPart { shard, weight, work } = *part;
@@ -17,13 +17,13 @@
     RelayedQuery { ticket, id, class, time_left, parts, text }
 }
 
-/// Request classes and shards that this process knows.
+/// The request classes and shards that this process knows.
 pub(super) struct KnownDomain {
     pub(super) class_count: usize,
     pub(super) shards: u32,
 }
 
-/// A query of the predecessor; none if its request class or a shard is not known here.
+/// Decodes a query of the predecessor; `None` if its request class or a shard is unknown to this process.
 pub(super) fn decode_query(
     now: Timestamp,
     domain: KnownDomain,
--- a/crates/pipitcrank-server/src/upgrade/successor.rs
+++ b/crates/pipitcrank-server/src/upgrade/successor.rs
@@ -1,4 +1,4 @@
-//! The link to the successor: this process hands over to it.
+//! The predecessor's side of an upgrade: hands this process's work over to the successor.
 
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_handover::clock::monotonic_micros;
@@ -11,25 +11,25 @@
 use crate::clients::connection::AdoptedConnection;
 use crate::exchange::Exchange;
 
-/// The process that takes over.
+/// The process that takes the work over.
 pub(super) struct Successor {
     link: LinkSender,
-    /// Retries reserved for this process at the handover.
-    retries_reserved: u32,
-    /// It speaks this version, and has the state.
+    /// Retries delegated to this process at the handover.
+    delegated_retries: u32,
+    /// Whether the successor uses the same protocol version and was sent the state.
     pub(super) has_state: bool,
-    /// Client connections are passed to it.
+    /// Whether client connections are being transferred.
     pub(super) transferring: bool,
-    /// No query is open here any more.
+    /// Whether this process has reported that it has no open query.
     pub(super) drained: bool,
 }
 
 impl Successor {
     pub(super) fn new(link: LinkSender) -> Successor {
-        Successor { link, retries_reserved: 0, has_state: false, transferring: false, drained: false }
+        Successor { link, delegated_retries: 0, has_state: false, transferring: false, drained: false }
     }
 
-    /// Sends it the state; from now on this process only finishes its open queries.
+    /// Sends the state to the successor. From now on this process only finishes its open queries.
     pub(super) fn hand_over(&mut self, context: &UpgradeContext) {
         self.has_state = true;
         let now = context.event_loop.clock.now();
@@ -37,19 +37,19 @@
         let snapshot = context
             .event_loop
             .update(|e| e.begin_handover(now, monotonic_micros(), revision, context.max_deadline));
-        self.retries_reserved = snapshot.delegated_retries.count;
+        self.delegated_retries = snapshot.delegated_retries.count;
         let bytes = snapshot.encode().unwrap_or_else(|error| {
-            tracing::error!("the state can't be encoded: {error}");
+            tracing::error!("state can't be encoded, sending an empty snapshot: {error}");
             Vec::new()
         });
-        tracing::info!("handing over {} bytes of state", bytes.len());
+        tracing::info!("sending {} bytes of state to the successor", bytes.len());
         self.link.send(&ToSuccessor::Snapshot(bytes), None);
         self.report_held_resources(context);
         context.relay.start(self.link.clone());
         context.draining.send_replace(true);
     }
 
-    /// Tells it what this process still holds; that only shrinks.
+    /// Reports the connections and open queries that this process still holds, and lowers its limit of replica connections.
     pub(super) fn report_held_resources(&self, context: &UpgradeContext) {
         let (replicas, clients) = (&context.event_loop.replica_connections, &context.client_connections);
         let split = resource_split::split_connections(replicas.limit(), replicas.open());
@@ -62,29 +62,29 @@
         self.link.send(&held, None);
     }
 
-    /// Passes a client's connection to it.
+    /// Transfers a client connection to the successor.
     pub(super) fn transfer(&self, connection: AdoptedConnection) {
-        let AdoptedConnection { stream, read, request_timeout } = connection;
+        let AdoptedConnection { stream, buffered, request_timeout } = connection;
         if let Ok(stream) = stream.into_std() {
             let request_timeout = request_timeout.map(|time| TimeSpan::from_secs_f64(time.as_secs_f64()));
-            let message = ToSuccessor::ClientConnection { buffered: read.to_vec(), request_timeout };
+            let message = ToSuccessor::ClientConnection { buffered: buffered.to_vec(), request_timeout };
             self.link.send(&message, Some(stream.into()));
         }
     }
 
-    /// Sends it the last message.
+    /// Sends the last message to the successor.
     pub(super) fn finish(&self, context: &UpgradeContext) {
-        let reserved = self.retries_reserved;
+        let reserved = self.delegated_retries;
         let delegated_retries_used = context.event_loop.read(|e| e.delegated_retries_used(reserved));
         let counters = context.event_loop.counters.all();
         self.link.send(&ToSuccessor::Finished { delegated_retries_used, counters }, None);
     }
 
-    /// It has exited: this process continues alone.
+    /// Continues without the successor, which has exited.
     pub(super) fn abandon(self, context: &UpgradeContext) {
         let lost = context.relay.stop();
         if self.has_state {
-            tracing::warn!("continuing alone; {lost} queries were with the successor");
+            tracing::warn!("successor exited with {lost} relayed queries pending; continuing alone");
             context.resume_alone();
             context.event_loop.replica_connections.clear_peer_reservation();
             context.draining.send_replace(false);
--- a/crates/pipitcrank-server/src/upgrade/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -1,7 +1,7 @@
-//! The upgrade worker: obeys the supervisor over its link and reports how far it is.
+//! The upgrade worker: executes the supervisor's commands and reports its progress over the supervisor's link.
 //!
-//! All order and all timeouts are the supervisor's (`pipitcrank_handover::upgrade_state`); what each of two processes may
-//! use is decided in `resource_split`.
+//! The supervisor decides the order of steps and all timeouts (`pipitcrank_handover::upgrade_state`); `resource_split` decides the
+//! resources that each of the two processes may use.
 
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream as StdStream;
@@ -24,23 +24,24 @@
 use crate::exchange::Exchange;
 use crate::runtime::counter_names::{group, upgrade};
 
-/// Interval of heartbeats and of checks whether a step is done: a small part of any timeout that operators may set.
+/// Interval of heartbeats and progress checks; a small fraction of any timeout that operators may set.
 const TICK: Duration = Duration::from_millis(50);
 
-/// The other process of an upgrade.
+/// The other process of an upgrade, if one is in progress.
 enum Peer {
     None,
     Predecessor(Predecessor),
     Successor(Successor),
 }
 
-/// Whether the supervisor is still there.
+/// Whether the supervisor's link is still open.
 enum Supervision {
     Continues,
     Ended,
 }
 
-/// Obeys the supervisor until it exits; then this process shuts down, as nobody could upgrade or signal it any more.
+/// Executes the supervisor's commands until the supervisor exits. Then it requests the shutdown of this process, which could no
+/// longer be upgraded or signalled.
 pub async fn run(context: Rc<UpgradeContext>, supervisor: StdStream) -> Result<(), LinkError> {
     let mut worker = Worker::start(context, supervisor)?;
     while let Supervision::Continues = worker.step().await? {}
@@ -61,7 +62,7 @@
     peer: Peer,
     from_predecessor: Option<LinkReceiver>,
     from_successor: Option<LinkReceiver>,
-    /// Client connections that the acceptor gives up for the successor.
+    /// Receives client connections from the acceptor, to be sent to the successor.
     transfers: UnboundedSender<AdoptedConnection>,
     transferred: UnboundedReceiver<AdoptedConnection>,
     ticks: Interval,
@@ -110,7 +111,7 @@
     }
 
     fn supervisor_exited(&self) {
-        tracing::warn!("upgrade supervisor exited; worker shuts down");
+        tracing::warn!("upgrade supervisor exited, shutting down");
         self.context.use_initial_list();
         self.context.request_shutdown();
     }
@@ -183,10 +184,10 @@
                 }
             }
             Err(error) => {
-                tracing::info!("the link to the predecessor ended: {error}");
+                tracing::info!("link to the predecessor closed: {error}");
                 self.from_predecessor = None;
                 if let Peer::Predecessor(predecessor) = &mut self.peer {
-                    // Only now is it certain that no last message comes: what it might use counts as used.
+                    // No last message can arrive any more, so all delegated retries count as used.
                     predecessor.settle(&self.context, None);
                 }
             }
@@ -203,15 +204,15 @@
                 self.context.relay.respond(ticket, response);
             }
             (Ok(_), _) => {
-                tracing::warn!("the successor speaks another version");
+                tracing::warn!("successor uses an unsupported protocol version, closing its link");
                 self.from_successor = None;
             }
             (Err(error), _) => {
-                // The supervisor decides what follows; its queries are answered now.
-                tracing::info!("the link to the successor ended: {error}");
+                // The supervisor decides how the upgrade ends; the relayed queries are answered at once.
+                tracing::info!("link to the successor closed: {error}");
                 self.from_successor = None;
                 let lost = self.context.relay.stop();
-                tracing::warn!("{lost} queries were with the successor");
+                tracing::warn!("answered {lost} relayed queries that were pending at the successor");
             }
         }
     }
@@ -248,7 +249,7 @@
             successor.finish(&self.context);
         }
         self.supervisor.send(&ToSupervisor::HandedOver, None);
-        // What is queued is written before the tasks that write it end.
+        // Leaves the sender tasks time to write the queued messages before they end.
         tokio::time::sleep(TICK).await;
         let _ = self.context.acceptor.send(AcceptorCommand::Exit);
     }
