--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -1,7 +1,7 @@
-//! The node configuration: the variables NODE_* and the file that NODE_CONFIG names, read and checked.
+//! Reads and checks the node configuration: the environment variables NODE_* and the file that NODE_CONFIG names.
 //!
-//! Each part of the server is handed its own few values. An error names its key. What the decision module needs is read by
-//! `pipitcrank_core::config`.
+//! Each part of the server gets only the values that it needs. An error names its key. The settings of the decision module are read
+//! by `pipitcrank_core::config`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 use crate::runtime::clock::{Clock, duration};
 use crate::runtime::counters::Counters;
 
-/// Descriptors that are neither a client's nor a replica's: standard ones, the runtime's, listener, discovery.
+/// File descriptors besides those of clients and replicas: standard streams, runtime, listener and discovery.
 const OWN_DESCRIPTORS: u32 = 24;
 
-/// The node configuration. `V` looks variables up.
+/// The node configuration. `V` looks up environment variables.
 pub struct NodeConfig<V> {
     file: Value,
     variable: V,
 }
 
 impl<V: Fn(&str) -> Option<String>> NodeConfig<V> {
-    /// Parses the file's text; variables override it.
+    /// Parses the file's text; environment variables take precedence over it.
     pub fn parse(text: &str, variable: V) -> Result<NodeConfig<V>, ConfigError> {
         let not_json =
             |e| ConfigError { key: "NODE_CONFIG".to_string(), reason: format!("is not JSON: {e}") };
@@ -56,7 +56,7 @@
         self.text("/name", "NODE_NAME")
     }
 
-    /// Address that clients connect to.
+    /// Address on which clients connect.
     pub fn listen(&self) -> Result<SocketAddr, ConfigError> {
         let listen = self.text("/listen", "NODE_LISTEN")?;
         let wrong = |_| self.reader().error("/listen", &format!("is '{listen}', no address and port"));
@@ -66,12 +66,12 @@
     /// Address and port of the discovery service.
     pub fn discovery(&self) -> Result<String, ConfigError> {
         let address = self.text("/discovery", "NODE_DISCOVERY")?;
-        let sound = address.parse::<Authority>().is_ok_and(|a| a.port_u16().is_some());
+        let is_valid = address.parse::<Authority>().is_ok_and(|a| a.port_u16().is_some());
         let wrong = || self.reader().error("/discovery", &format!("is '{address}', no address and port"));
-        if sound { Ok(address) } else { Err(wrong()) }
+        if is_valid { Ok(address) } else { Err(wrong()) }
     }
 
-    /// What prevents a start: the first error of each part of the server, each key once.
+    /// The errors that prevent a start: the first of each part of the server, without repeated keys.
     pub fn faults(&self, clock: &Clock) -> Vec<ConfigError> {
         let parts = [
             self.name().err(),
@@ -97,7 +97,7 @@
         errors
     }
 
-    /// The first of what prevents a start.
+    /// Returns the first error that prevents a start, if any.
     pub fn check(&self, clock: &Clock) -> Result<(), ConfigError> {
         self.faults(clock).into_iter().next().map_or(Ok(()), Err)
     }
@@ -109,7 +109,7 @@
         let known = EndpointUpdate::deserialize(known).map_err(|e| wrong(e.to_string()))?;
         let revision = known.revision;
         let Endpoints { endpoints, .. } = known.endpoints(clock).map_err(|e| wrong(e.to_string()))?;
-        // Two parts of the platform may name zones differently: no replica would be local.
+        // If two parts of the platform spell zone names differently, no replica would count as local.
         let names = self.zones()?.map(|(_, names)| names);
         for (n, endpoint) in endpoints.iter().enumerate() {
             if let (Some(names), Some(zone)) = (&names, &endpoint.zone)
@@ -122,7 +122,7 @@
         Ok(EndpointList { revision, endpoints })
     }
 
-    /// Most connections to replicas and of clients together.
+    /// Maximum number of connections to replicas and of clients together.
     pub fn connection_limit(&self) -> Result<usize, ConfigError> {
         match self.reader().count("/limits/sockets")? {
             limit if limit >= 2 * OWN_DESCRIPTORS => Ok((limit - OWN_DESCRIPTORS) as usize),
@@ -132,19 +132,19 @@
         }
     }
 
-    /// The names of the request classes, in the module's order.
+    /// Names of the request classes, by id.
     pub fn classes(&self) -> Result<Vec<String>, ConfigError> {
         self.settings()?.classes()
     }
 
-    /// Whether replicas recognize a repeat by the client's key, by request class.
+    /// Whether replicas detect duplicates by the client's key, by request class.
     pub fn keyed_idempotency(&self) -> Result<Vec<bool>, ConfigError> {
         let settings = self.settings()?;
         let keyed = |n| Ok(settings.text(&format!("/classes/{n}/idempotency"))? == "keyed");
         (0..settings.classes()?.len()).map(keyed).collect()
     }
 
-    /// Priority weight of a complete answer, by request class; 1 where none is set.
+    /// Priority weight of a complete answer, by request class; 1 by default.
     pub fn priority_weights(&self) -> Result<Vec<f64>, ConfigError> {
         let settings = self.settings()?;
         (0..settings.classes()?.len())
@@ -152,7 +152,7 @@
             .collect()
     }
 
-    /// The longest deadline of a request class.
+    /// The longest deadline of all request classes.
     pub fn max_deadline(&self) -> Result<TimeSpan, ConfigError> {
         let settings = self.settings()?;
         let mut limits = (0..settings.classes()?.len()).map(|n| {
@@ -175,12 +175,12 @@
         self.settings()?.count("/domain/shards")
     }
 
-    /// Time within which events share a batch.
+    /// Interval of batches; events within one interval share a batch.
     pub fn tick_interval(&self) -> Result<TimeSpan, ConfigError> {
         self.settings()?.span("/tick_s")
     }
 
-    /// The exchange, with the decision module in it.
+    /// Creates the exchange with its decision module.
     pub fn exchange(&self, counters: Counters) -> Result<Exchange, ConfigError> {
         let settings = self.settings()?;
         for n in 0..settings.classes()?.len() {
@@ -190,10 +190,10 @@
             }
         }
         let zones = self.zones()?.map_or(Vec::new(), |(_, names)| names);
-        // Nothing is sent to a replica that drains, so its grace is not needed; it has to be set all the same.
+        // Required, although the exchange sends nothing to a draining replica and so needs no grace time.
         settings.span("/rules/drain_grace_s")?;
         let (seed, parts_per_call) = (self.seed()?, self.parts_per_call()?);
-        // The decision module counts in the same calls.
+        // The decision module must use the same number of parts per call.
         let mut all = self.file.clone();
         if let Some(value) = all.pointer_mut("/settings/domain/parts_a_call") {
             *value = parts_per_call.into();
@@ -209,7 +209,7 @@
         Ok(exchange)
     }
 
-    /// What the run-time check of the rules needs.
+    /// The settings of the audit.
     fn audit_rules(&self) -> Result<audit::AuditRules, ConfigError> {
         let settings = self.settings()?;
         let class = |n: usize| {
@@ -233,14 +233,14 @@
         })
     }
 
-    /// Seed of this process's random numbers.
+    /// Seed of this process's random number generator.
     pub fn seed(&self) -> Result<u64, ConfigError> {
         let seed = self.reader().text("/seed")?;
         let wrong = |_| self.reader().error("/seed", &format!("is '{seed}', not up to 16 hex digits"));
         u64::from_str_radix(seed, 16).map_err(wrong)
     }
 
-    /// Whether the discovery service pays for each call, and refuses them when there are too many.
+    /// Whether the discovery service is polled at a limited rate, since its calls are costly and rejected when too frequent.
     pub fn polls_discovery(&self) -> Result<bool, ConfigError> {
         let settings = self.settings()?;
         match settings.text_or("/registry_mode", "push")? {
@@ -250,36 +250,36 @@
         }
     }
 
-    /// Number of coordinators, this one included; 1 where none is set.
+    /// Number of coordinators including this one; 1 by default.
     pub fn coordinator_count(&self) -> Result<u32, ConfigError> {
         let settings = self.settings()?;
         Ok(settings.number_or("/balancers", 1.0)?.clamp(1.0, f64::from(u32::MAX)) as u32)
     }
 
-    /// The zone of this coordinator and the names of all; none where the platform names none.
+    /// The zone of this coordinator and the names of all zones; `None` if the platform has no zones.
     pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, ConfigError> {
         Ok(self.settings()?.zones()?.map(|zones| (zones.own, zones.names)))
     }
 
-    /// Parts that a connection to a replica carries at once.
+    /// Maximum number of parts in flight on a connection to a replica.
     pub fn streams_per_connection(&self) -> Result<usize, ConfigError> {
         Ok(self.settings()?.positive_count("/allowed/streams_per_conn")? as usize)
     }
 
-    /// Parts that one call carries: settings may allow more than a connection carries at once.
+    /// Maximum number of parts in one call, capped at the number that a connection carries at once.
     pub fn parts_per_call(&self) -> Result<u32, ConfigError> {
         let parts = self.settings()?.positive_count("/domain/parts_a_call")?;
         Ok(parts.min(self.streams_per_connection()? as u32))
     }
 
-    /// Time for a connection to a replica to come up.
+    /// Timeout for establishing a connection to a replica.
     pub fn connect_timeout(&self) -> Result<Duration, ConfigError> {
         Ok(duration(self.settings()?.span("/allowed/dial_timeout_s")?))
     }
 
-    /// After which a connection to a replica is closed when idle: before the replica would close it, earlier by as long as a
-    /// round trip may take at most, or by half the time that the replica keeps it. Where a connection may take as long to come
-    /// up as it may be idle, it would else be closed as it comes up.
+    /// Idle timeout of a connection to a replica. It ends before the replica's own idle timeout, by the longest round trip or by half
+    /// of the replica's timeout, whichever is shorter. Without the second bound, a connect timeout as long as the idle timeout
+    /// would close each connection as soon as it is established.
     pub fn idle_timeout(&self) -> Result<Duration, ConfigError> {
         let idle = duration(self.settings()?.span("/allowed/conn_idle_s")?);
         Ok(idle - self.connect_timeout()?.min(idle / 2))
--- a/crates/pipitcrank-server/src/reasons.rs
+++ b/crates/pipitcrank-server/src/reasons.rs
@@ -1,23 +1,24 @@
-//! Typed reasons of what is no plain success: why an attempt was not sent, why a part is sent again.
+//! Reasons for attempts that were not sent and for parts that are sent again.
 //!
-//! Why a connection ended is in `replicas/connection_end.rs`, why a query was refused in the core (`ids::RejectReason`).
+//! The reasons for the end of a connection are in `replicas/connection_end.rs`, those for a rejected query in the core
+//! (`ids::RejectReason`).
 
 use pipitcrank_core::ids::{AttemptDenied, AttemptOutcome};
 
-/// Why an attempt was dropped just before its first byte.
+/// Reason for dropping an attempt just before its first byte was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDenied {
-    /// Its query has ended.
+    /// The query has ended.
     QueryEnded,
-    /// Its client has closed.
+    /// The client has closed its connection.
     ClientClosed,
-    /// Its replica drains or is gone.
+    /// The replica is draining or no longer listed.
     ReplicaDrained,
-    /// Its deadline has passed.
+    /// The query's deadline has passed.
     DeadlinePassed,
-    /// An earlier attempt may have run, and this one may not follow it now.
+    /// An earlier attempt may have run, so that a retry is not safe now.
     RepeatForbidden,
-    /// Retries sent meanwhile have used the retry budget up.
+    /// Other retries have used up the retry budget since the decision.
     BudgetSpent,
 }
 
@@ -44,12 +45,12 @@
     }
 }
 
-/// Why a part is sent once more.
+/// Reason for sending a part again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResendReason {
-    /// A hedged request: an earlier attempt is in flight and overdue.
+    /// Hedged request, because an earlier attempt is in flight and overdue.
     Hedge,
-    /// A retry after an attempt that ended so.
+    /// Retry after an attempt with this outcome.
     After(AttemptOutcome),
 }
 
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of the server, joins them, and ends in order.
+//! Starts the parts of the server, connects them, and shuts them down gracefully.
 
 use std::cell::RefCell;
 use std::io;
@@ -33,9 +33,9 @@
 use crate::upgrade::relay::{NotRelayed, Relay};
 use crate::upgrade::worker;
 
-/// Interval at which stalls of the process are looked for.
+/// Interval of the checks for stalls of the process.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Exit code of a worker whose supervisor's link broke.
+/// Exit code of a worker whose link to the supervisor failed.
 const EXIT_LINK_BROKEN: i32 = 3;
 
 struct Signals {
@@ -54,17 +54,17 @@
     }
 }
 
-/// Serves until shutdown is requested and done, or until all has been handed over to another process.
+/// Serves until a requested shutdown is complete, or until all work has been handed over to another process.
 ///
-/// `supervisor`: the link to the upgrade supervisor, where there is one; the listener then comes from it. `stored`: what a
-/// process before this one knew.
+/// `supervisor` is the link to the upgrade supervisor, if there is one; it then also provides the listener. `stored` is the state
+/// stored by an earlier process.
 pub async fn serve(
     clock: Clock,
     supervisor: Option<StdStream>,
     transport_factory: Option<TransportFactory>,
     stored: Option<AgedSnapshot>,
 ) -> Result<(), ServeError> {
-    // Before all else: without a handler a signal ends the process, and what has connected meanwhile gets no answer.
+    // Installed first: without a handler a signal kills the process, and clients connected by then get no response.
     let Signals { hangup, terminate, interrupt } = Signals::install().map_err(ServeError::Signals)?;
     let file = node_config_file()?;
     let config = NodeConfig::parse(&file.text, env_variable as EnvVariable)?;
@@ -78,7 +78,7 @@
         None => start_alone(context, stored, &server.name, server.listen).await?,
         Some(supervisor) => {
             tokio::task::spawn_local(run_worker(context.clone(), supervisor));
-            tracing::info!("{} is checked and waits for the upgrade supervisor", server.name);
+            tracing::info!("{}: configuration checked, waiting for the upgrade supervisor", server.name);
         }
     }
     tokio::task::spawn_local(request_shutdown_on_signal(context.clone(), terminate, interrupt));
@@ -115,7 +115,7 @@
     Ok(())
 }
 
-/// Loads what is known and accepts clients; there is no supervisor.
+/// Loads the initial state and starts accepting clients, without a supervisor.
 async fn start_alone(
     context: &UpgradeContext,
     stored: Option<AgedSnapshot>,
@@ -127,30 +127,30 @@
     let listener = retry_open_for(START_TIMEOUT, || TcpListener::bind(listen)).await;
     let listener = listener.map_err(ServeError::Listen)?;
     let _ = context.acceptor.send(AcceptorCommand::Accept(listener));
-    tracing::info!("{name} serves at {listen}");
+    tracing::info!("{name} listening on {listen}");
     Ok(())
 }
 
-/// Loads the node configuration's endpoint list, and what a process before this one knew.
+/// Loads the node configuration's endpoint list and the state stored by an earlier process.
 fn load_initial_state(context: &UpgradeContext, stored: Option<AgedSnapshot>) {
     let Some(EndpointList { revision, endpoints }) = context.initial_list.take() else { return };
     let (event_loop, clock) = (&context.event_loop, &context.event_loop.clock);
     context.revision.set(Some(revision));
     event_loop.update(|e| e.update_endpoints(clock.now(), true, endpoints));
     if let Some(AgedSnapshot { age, snapshot }) = stored {
-        let later = snapshot.revision.filter(|&stored| stored > revision);
-        let use_list = later.is_some();
-        context.revision.set(Some(later.unwrap_or(revision)));
+        let newer = snapshot.revision.filter(|&stored| stored > revision);
+        let use_list = newer.is_some();
+        context.revision.set(Some(newer.unwrap_or(revision)));
         let (replicas, age_s) = (snapshot.replicas.len(), age.as_secs_f64());
-        tracing::info!(replicas, its_list = use_list, age_s, "goes on from what is stored");
+        tracing::info!(replicas, its_list = use_list, age_s, "restoring the state of an earlier process");
         event_loop.update(|e| e.restore(clock.now(), age, use_list, snapshot));
     }
 }
 
 async fn run_worker(context: Rc<UpgradeContext>, supervisor: StdStream) {
     if let Err(error) = worker::run(context, supervisor).await {
-        // The supervisor sees the link end, and this process.
-        tracing::error!("the upgrade supervisor's link broke: {error}");
+        // The supervisor detects the closed link and the exit.
+        tracing::error!("link to the upgrade supervisor failed, exiting: {error}");
         std::process::exit(EXIT_LINK_BROKEN);
     }
 }
@@ -166,11 +166,11 @@
     }
     context.shutdown.send_replace(Some(context.event_loop.clock.now()));
     context.draining.send_replace(true);
-    // Kept: a closed channel would read as a second request.
+    // Never returns, so that the shutdown channel stays open; a closed channel would count as a second request.
     std::future::pending::<()>().await;
 }
 
-/// Queries open when shutdown is requested are answered before the kill, as those are that come later.
+/// Caps the deadlines of queries open at the shutdown request, so that they are answered before the process is killed.
 async fn cap_deadlines_at_shutdown(
     event_loop: Rc<EventLoop>,
     mut shutdown_requested: ShutdownRequest,
@@ -190,7 +190,7 @@
     }
 }
 
-/// Hands the HTTP service's events to the exchange, or to the successor.
+/// Dispatches the HTTP service's events to the exchange or the successor.
 async fn dispatch_http_events(
     event_loop: Rc<EventLoop>,
     relay: Relay,
--- a/crates/pipitcrank-server/src/server_context.rs
+++ b/crates/pipitcrank-server/src/server_context.rs
@@ -1,4 +1,4 @@
-//! What subsystems beside the server are given: gateways to other sites, the store, common decisions.
+//! The interface of the server to other subsystems: the gateway to other sites, the store, and zone failover.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use crate::runtime::event_loop::EventLoop;
 use crate::runtime::shutdown::ShutdownRequest;
 
-/// The running server, as seen by the subsystems beside it.
+/// The running server, as seen by other subsystems.
 pub struct ServerContext {
     /// The event loop, with the exchange.
     pub event_loop: Rc<EventLoop>,
@@ -27,15 +27,15 @@
     pub shards: u32,
     /// Number of cells of the replica ring.
     pub cells: u32,
-    /// For how long a query may be open.
+    /// Maximum time for which a query may be open.
     pub max_deadline: TimeSpan,
     /// The next ticket.
     pub tickets: Arc<AtomicU64>,
-    /// Whether no new work of others is to be taken: another process takes over, or shutdown was requested.
+    /// Whether work from other processes must be rejected, because a successor takes over or shutdown was requested.
     pub draining: watch::Receiver<bool>,
-    /// When shutdown was requested.
+    /// Time of the shutdown request, if any.
     pub shutdown_requested: ShutdownRequest,
-    /// The platform's zones: the own one, and the names of all; none where the platform names none.
+    /// The zone of this coordinator and the names of all zones; `None` if the platform has no zones.
     pub zones: Option<(ZoneId, Vec<String>)>,
     /// Priority weight of a complete answer, by request class.
     pub priority_weights: Vec<f64>,
@@ -43,5 +43,5 @@
     pub revision: SharedRevision,
 }
 
-/// Makes the transport, for one that also reaches what local replicas are not, such as other sites.
+/// Creates a transport that reaches other destinations besides local replicas, such as other sites.
 pub type TransportFactory = Box<dyn FnOnce(ServerContext) -> Rc<RefCell<dyn ReplicaTransport>>>;
--- a/crates/pipitcrank-server/src/server_parts.rs
+++ b/crates/pipitcrank-server/src/server_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the server, made from the node configuration before anything runs.
+//! Builds the parts of the server from the node configuration.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     std::env::var(name).ok()
 }
 
-/// What the node configuration makes, before anything runs.
+/// The parts of the server, before any of them runs.
 pub(crate) struct Server {
     pub(crate) context: Rc<UpgradeContext>,
     pub(crate) replicas: Rc<RefCell<ReplicaPool>>,
@@ -57,7 +57,7 @@
     pub(crate) fn new(clock: &Clock, config: &NodeConfig<EnvVariable>) -> Result<Server, ConfigError> {
         let EventLoopParts { event_loop, client_connections, initial_list } =
             EventLoopParts::new(clock, config)?;
-        let replicas = make_replica_pool(config, &event_loop)?;
+        let replicas = create_replica_pool(config, &event_loop)?;
         let ((http_sender, http_events), (acceptor, acceptor_commands)) =
             (unbounded_channel(), unbounded_channel());
         let ((shutdown, shutdown_requested), (draining, is_draining)) =
@@ -115,7 +115,7 @@
     }
 }
 
-/// The event loop with the exchange, and what else follows from the limits and the list.
+/// The event loop with its exchange, the limiter of client connections and the initial endpoint list.
 struct EventLoopParts {
     event_loop: Rc<EventLoop>,
     client_connections: ConnectionLimiter,
@@ -133,7 +133,7 @@
     }
 }
 
-fn make_replica_pool(
+fn create_replica_pool(
     config: &NodeConfig<EnvVariable>,
     event_loop: &Rc<EventLoop>,
 ) -> Result<Rc<RefCell<ReplicaPool>>, ConfigError> {
@@ -141,7 +141,7 @@
     Ok(ReplicaPool::new(event_loop.clone(), streams, config.connect_timeout()?, config.idle_timeout()?))
 }
 
-/// Starts the watch of the endpoint list each time it is called.
+/// Returns a function that starts watching the endpoint list.
 fn discovery_starter(
     config: &NodeConfig<EnvVariable>,
     event_loop: &Rc<EventLoop>,
--- a/crates/pipitcrank-server/src/start_error.rs
+++ b/crates/pipitcrank-server/src/start_error.rs
@@ -1,4 +1,4 @@
-//! The node configuration's file, and why the server could not start.
+//! Reads the node configuration's file, and defines the errors that prevent a start.
 
 use std::io;
 use std::time::Duration;
@@ -7,22 +7,22 @@
 
 use crate::runtime::system_errors::retry_open_for_blocking;
 
-/// For how long a start waits out errors that may pass, of its configuration file and its address. Nine starts in ten are to
-/// serve within 10 s.
+/// Time for which a start retries transient errors of its configuration file and listen address. Nine of ten starts must serve
+/// within 10 s.
 pub const START_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The node configuration's file.
 pub struct NodeConfigFile {
     /// The path that `NODE_CONFIG` names.
     pub path: String,
-    /// What is in it.
+    /// The file's contents.
     pub text: String,
 }
 
-/// Why the node configuration's file can't be read.
+/// Error of reading the node configuration's file.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeConfigFileError {
-    /// The variable is not set, or is no text.
+    /// The variable is not set, or is not valid Unicode.
     #[error("NODE_CONFIG: {0}")]
     Variable(#[from] std::env::VarError),
     /// The file can't be read.
@@ -30,29 +30,29 @@
     Unreadable {
         /// The path.
         path: String,
-        /// What reading it ended with.
+        /// The I/O error.
         error: io::Error,
     },
 }
 
-/// Why the server could not start.
+/// Error that prevents the server from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// Signals can't be received.
+    /// The signal handlers can't be installed.
     #[error("{0}")]
     Signals(io::Error),
     /// The node configuration's file can't be read.
     #[error("{0}")]
     ConfigFile(#[from] NodeConfigFileError),
-    /// A key of the node configuration is faulty.
+    /// A key of the node configuration is missing or invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// The address can't be listened on.
+    /// The listen address can't be bound.
     #[error("/listen: {0}")]
     Listen(io::Error),
 }
 
-/// Reads the file that `NODE_CONFIG` names. It blocks, so it is called before anything else runs.
+/// Reads the file that `NODE_CONFIG` names. Blocks the thread, so it must be called before other tasks run.
 pub fn node_config_file() -> Result<NodeConfigFile, NodeConfigFileError> {
     let path = std::env::var("NODE_CONFIG")?;
     match retry_open_for_blocking(START_TIMEOUT, || std::fs::read_to_string(&path)) {
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! A node configuration with every key, as an earlier version read it. What the decision module takes of it is checked
-//! beside that module.
+//! Guards against changes in reading the node configuration: a file with every key gives the same values as in an earlier version.
+//! The tests of `pipitcrank-core` check the decision module's settings.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fixtures/node_config.json");
 
 #[test]
-fn a_node_configuration_with_every_key_is_read_as_by_an_earlier_version() {
+fn a_node_configuration_with_every_key_is_read_as_before() {
     let text = std::fs::read_to_string(FILE).unwrap();
     let config = NodeConfig::parse(&text, |_| None).unwrap();
     let clock = Clock::start();
