--- a/crates/pipitcrank-server/src/audit/checker.rs
+++ b/crates/pipitcrank-server/src/audit/checker.rs
@@ -84,8 +84,8 @@
     pub parts: usize,
 }
 
-/// Checks the coordinator's actions against the rules. Records of queries, parts and replicas are removed when the exchange releases
-/// these.
+/// Checks the coordinator's actions against the rules. Records of queries, parts and replicas are removed when the exchange
+/// releases these.
 pub struct Audit {
     rules: AuditRules,
     counters: Counters,
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Checks and records the final answer to a query. `weight` is the weight of the parts with a value in the answer, `None` if it
-    /// carries no values; `complete` is the answer's mark.
+    /// Checks and records the final answer to a query. `weight` is the weight of the parts with a value in the answer,
+    /// `None` if it carries no values; `complete` is the answer's mark.
     pub fn answered(&mut self, now: Timestamp, ticket: u64, weight: Option<f64>, complete: bool) {
         let Some(query) = self.queries.get_mut(&ticket) else { return };
         if std::mem::replace(&mut query.answered, true) {
--- a/crates/pipitcrank-server/src/clients/accept_queue.rs
+++ b/crates/pipitcrank-server/src/clients/accept_queue.rs
@@ -89,8 +89,8 @@
 }
 
 impl ClosingQueue {
-    /// Accepts the next client. A failed accept is retried at once and by later calls, since clients left in the queue are reset
-    /// when the listener closes.
+    /// Accepts the next client. A failed accept is retried at once and by later calls, since clients left in the queue are
+    /// reset when the listener closes.
     pub fn next(&self) -> NextClient {
         for _ in 0..MAX_CONSECUTIVE_FAILURES {
             let error = match self.accept() {
--- a/crates/pipitcrank-server/src/clients/acceptor.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor.rs
@@ -148,7 +148,7 @@
         match accepted {
             Ok(accepted) => self.server.serve_accepted(permit, accepted),
             Err(error) => {
-                tracing::error!("listener failed, closing it; no more clients are accepted: {error}");
+                tracing::error!("listener failed, no more clients are accepted: {error}");
                 self.listener = None;
             }
         }
@@ -188,13 +188,14 @@
         self.shutdown_since.is_some_and(|since| since.elapsed() >= duration(span))
     }
 
-    /// Closes overdue connections, and further ones while too few permits are free; while draining, closes every connection that
-    /// has no pending response. Also advances the shutdown.
+    /// Closes overdue connections, and further ones while too few permits are free; while draining, closes every connection
+    /// that has no pending response. Also advances the shutdown.
     fn check(&mut self) -> Flow {
         let connections = self.server.connections.clone();
         let spare = self.permits.limit().div_ceil(SPARE_ONE_IN);
-        let short = if self.draining { usize::MAX } else { spare.saturating_sub(self.permits.available()) };
-        connections.close_overdue(Instant::now(), short);
+        let shortage =
+            if self.draining { usize::MAX } else { spare.saturating_sub(self.permits.available()) };
+        connections.close_overdue(Instant::now(), shortage);
         if !self.has_passed(self.schedule.admit_until) {
             return Flow::Continue;
         }
@@ -210,7 +211,7 @@
             let rest = self.server.drain_queue(queue, &self.permits, &self.rejecting);
             self.closing_queue = rest.filter(|_| !past_queue_deadline);
             if self.closing_queue.is_none() {
-                tracing::info!("listener closed for shutdown, accept queue drained");
+                tracing::info!("listener closed for shutdown");
             }
         }
         // A partial request gets an error response before the process is killed.
--- a/crates/pipitcrank-server/src/clients/acceptor/tests.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor/tests.rs
@@ -107,8 +107,9 @@
     }
 }
 
-/// Requests the close of an idle connection in the same runtime pass in which `bytes` of a request become readable on it: one poll
-/// of the sockets reports both, and the close is requested before the read. Returns the response once `rest` was written too.
+/// Requests the close of an idle connection in the same runtime pass in which `bytes` of a request become readable on it:
+/// one poll of the sockets reports both, and the close is requested before the read. Returns the response once `rest` was
+/// written too.
 fn response_if_close_races_with_request(bytes: &[u8], rest: &[u8]) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -168,8 +169,8 @@
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("served"), "{answer:?}");
 }
 
-/// At the close of the listener each permit is held by an open request, and more clients wait in the accept queue than there are
-/// permits.
+/// At the close of the listener each permit is held by an open request, and more clients wait in the accept queue than
+/// there are permits.
 #[test]
 fn clients_in_the_accept_queue_of_a_closing_listener_are_answered() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/crates/pipitcrank-server/src/clients/client_connections.rs
+++ b/crates/pipitcrank-server/src/clients/client_connections.rs
@@ -1,5 +1,5 @@
-//! Tracks the phase of each client connection and its time limits, and selects the connections to close when permits run short. A
-//! connection whose query is being answered is never closed.
+//! Tracks the phase of each client connection and its time limits, and selects the connections to close when permits run
+//! short. A connection whose query is being answered is never closed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,21 +11,21 @@
 
 use super::arrival::BodyCompletion;
 
-/// Time to receive a whole request, from its first byte, or from the accept for the first request on a connection. An incomplete
-/// request must get an error or a close within 3 s, of which half a second may pass waiting for the CPU.
+/// Time to receive a whole request, from its first byte, or from the accept for the first request on a connection. An
+/// incomplete request must get an error or a close within 3 s, of which half a second may pass waiting for the CPU.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Idle timeout that applies even while permits are free.
 const MAX_IDLE: Duration = Duration::from_secs(60);
 /// Idle time after which a connection may be closed to free its permit, as clients expect.
 const IDLE_GRACE: Duration = Duration::from_secs(2);
-/// Time for the first byte on a new connection before it may be closed to free its permit. Clients connect only to send a request,
-/// and the limit is many times their network delay.
+/// Time for the first byte on a new connection before it may be closed to free its permit. Clients connect only to send a
+/// request, and the limit is many times their network delay.
 const NEW_GRACE: Duration = Duration::from_millis(100);
 /// Least time to read from a new connection, however long it waited in the accept queue.
 const MIN_READ_TIME: Duration = Duration::from_millis(250);
 /// Time after the accept within which bytes received before the accept are read.
 const BACKLOG_READ: Duration = Duration::from_millis(20);
-/// Time since its first byte after which an incomplete request may be closed to free its permit; clients send a request at once.
+/// Time after which a connection with an incomplete request may be closed to free its permit; clients send without pauses.
 const READING_GRACE: Duration = Duration::from_millis(1000);
 /// Time for a client to read its last response before the connection may be closed to free its permit.
 const LINGERING_GRACE: Duration = Duration::from_millis(250);
@@ -149,16 +149,17 @@
         self.flushed.get()
     }
 
-    /// Completes when the connection can be transferred or closed without loss: no request is open on it and its last response is
-    /// written. A partial request is no obstacle if `with_partial_request` is set; otherwise the connection must have been idle
-    /// for `idle`, or without a first byte for `NEW_GRACE`.
+    /// Completes when the connection can be transferred or closed without loss: no request is open on it and its last
+    /// response is written. A partial request is no obstacle if `with_partial_request` is set; otherwise the connection
+    /// must have been idle for `idle`, or without a first byte for `NEW_GRACE`.
     pub async fn wait_closable(&self, with_partial_request: bool, idle: Duration) {
         loop {
             let (phase, since) = self.phase.get();
             let closable_at = match phase {
                 _ if self.last_answer.get() => None,
                 ConnectionPhase::Idle if self.flushed.get() && with_partial_request => return,
-                // A request may be in transit when the connection closes; a connection in use is closed after its next response.
+                // A request may be in transit when the connection closes; a connection in use is closed after its next
+                // response.
                 ConnectionPhase::Idle if self.flushed.get() => Some(since + idle),
                 ConnectionPhase::New | ConnectionPhase::Reading if with_partial_request => return,
                 // A client that has just connected is about to send a request.
@@ -200,8 +201,8 @@
         self.request_deadline.get()
     }
 
-    /// Completes when the connection has to be closed. If the phase has changed since the close was requested, as by a request that
-    /// was unread at that moment, the close is cancelled.
+    /// Completes when the connection has to be closed. If the phase has changed since the close was requested, as by a
+    /// request that was unread at that moment, the close is cancelled.
     pub async fn close_requested(&self) {
         loop {
             self.close.notified().await;
@@ -265,8 +266,8 @@
         self.0.borrow_mut().retain(|other| !Rc::ptr_eq(other, connection));
     }
 
-    /// Closes all connections except those with a pending response and those whose client is still reading a response; the latter
-    /// last until the process is killed.
+    /// Closes all connections except those with a pending response and those whose client is still reading a response; the
+    /// latter last until the process is killed.
     pub fn close_inactive(&self) {
         let is_active = |connection: &ClientConnection| match connection.phase() {
             ConnectionPhase::Answering => true,
@@ -278,9 +279,9 @@
         inactive.for_each(|connection| connection.request_close());
     }
 
-    /// Closes connections that exceed the time limit of their phase, then evictable ones, earliest evictable first, until `short`
-    /// permits are about to be released.
-    pub fn close_overdue(&self, now: Instant, short: usize) {
+    /// Closes connections that exceed the time limit of their phase, then evictable ones, earliest evictable first, until
+    /// `shortage` permits are about to be released.
+    pub fn close_overdue(&self, now: Instant, shortage: usize) {
         let connections = self.0.borrow();
         let overdue = connections.iter().filter(|other| !other.closing.get() && other.is_overdue(now));
         overdue.for_each(|connection| connection.request_close());
@@ -291,7 +292,7 @@
             .filter_map(|other| Some((other.evictable_at().filter(|&at| at <= now)?, other.accepted, other)))
             .collect();
         evictable.sort_by_key(|&(at, accepted, _)| (at, accepted));
-        let chosen = evictable.iter().take(short.saturating_sub(closing));
+        let chosen = evictable.iter().take(shortage.saturating_sub(closing));
         chosen.for_each(|(.., connection)| connection.request_close());
     }
 }
--- a/crates/pipitcrank-server/src/clients/connection.rs
+++ b/crates/pipitcrank-server/src/clients/connection.rs
@@ -81,7 +81,7 @@
     let end = loop {
         let is_transfer = matches!(mode, ConnectionMode::Transfer(_));
         tokio::select! {
-            // Reads come first: an unread request may have arrived when the connection is closed for inactivity.
+            // The HTTP library is polled first, since a request may be unread when a close for inactivity is requested.
             biased;
             served = std::future::poll_fn(|cx| serving.poll_without_shutdown(cx)) => break end_of(served, &mode),
             () = connection.close_requested() => return close(&stream, connection).await,
@@ -135,8 +135,8 @@
     }
 }
 
-/// Completes when the client closes after a complete chunked body. Only the HTTP library parses the end of a chunked body, and it
-/// stops reading while it holds later bytes that it can't process yet. Those bytes are read and discarded here.
+/// Completes when the client closes after a complete chunked body. Only the HTTP library parses the end of a chunked body,
+/// and it stops reading while it holds later bytes that it can't process yet. Those bytes are read and discarded here.
 async fn closed_behind_body(stream: &Stream, connection: &ClientConnection) {
     connection.chunked_body_complete().await;
     let (mut chunk, mut read) = (Vec::with_capacity(READ_CHUNK_BYTES), 0);
--- a/crates/pipitcrank-server/src/clients/connection_server.rs
+++ b/crates/pipitcrank-server/src/clients/connection_server.rs
@@ -18,8 +18,8 @@
 use crate::runtime::counter_names::{client, group};
 use crate::runtime::counters::Counters;
 
-/// Limit of clients without a permit that are rejected concurrently. Each uses a file descriptor outside the limits of the client
-/// and replica sides.
+/// Limit of clients without a permit that are rejected concurrently. Each uses a file descriptor outside the limits of the
+/// client and replica sides.
 pub(super) const MAX_REJECTING: usize = 12;
 
 /// The state shared by the tasks of all client connections.
@@ -67,15 +67,16 @@
             let phase = connection.phase();
             tracing::debug!(target: REQUEST_LOG_TARGET, why = end.name(), at = ?phase, "client connection ended");
             if end.is_local() && phase == ConnectionPhase::Answering {
-                violated(&counters, Rule::NoCloseUnanswered, "request of a client connection", end.name());
+                violated(&counters, Rule::NoCloseUnanswered, "unknown, on a client connection", end.name());
             }
             connections.remove(&connection);
             drop(permit);
         });
     }
 
-    /// Serves or rejects the clients left in the accept queue of a closing listener; returns the queue if it may not be empty yet,
-    /// as there may be more clients than permits or file descriptors. Each client being rejected holds a clone of `rejecting`.
+    /// Serves or rejects the clients left in the accept queue of a closing listener; returns the queue if it may not be
+    /// empty yet, as there may be more clients than permits or file descriptors. Each client being rejected holds a clone
+    /// of `rejecting`.
     pub(super) fn drain_queue(
         &self,
         queue: ClosingQueue,
--- a/crates/pipitcrank-server/src/clients/http.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP service: decodes a client's request into a query for the exchange, and encodes its final response. It is independent of
-//! replicas.
+//! The HTTP service: decodes a client's request into a query for the exchange, and encodes its final response. It is
+//! independent of replicas.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -32,7 +32,7 @@
 const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Largest accepted `Req-Deadline-Ms`: one day.
 const MAX_DEADLINE_MS: i64 = 24 * 3600 * 1000;
-/// Waits in the accept queue up to this count as zero: a third of the slack of the deadlines sent to replicas.
+/// Longest wait in the accept queue that counts as zero: a third of the slack of the deadlines sent to replicas.
 const NEGLIGIBLE_ACCEPT_WAIT: TimeSpan = TimeSpan::from_millis(50);
 
 /// An event from the HTTP service to the exchange.
@@ -88,8 +88,8 @@
     Router::new().route("/up", get(up)).route("/counters", get(counters)).fallback(query).with_state(state)
 }
 
-/// Adds `Connection: close`. Only well-formed queries keep their connection open: an idle connection may not be closed for 2 s, so
-/// clients that send one health check or one invalid request would otherwise hold hundreds of permits.
+/// Adds `Connection: close`. Only well-formed queries keep their connection open: an idle connection may not be closed for
+/// 2 s, so clients that send one health check or one invalid request would otherwise hold hundreds of permits.
 fn last_on_connection(mut response: Response) -> Response {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
@@ -172,7 +172,7 @@
         return Err(RequestError::AmbiguousFraming);
     }
     let headers = QueryHeaders::read(state, class, &parts.headers)?;
-    // Bounded by the connection's limit as well: a body may never arrive, however late the client's deadline is.
+    // The connection's deadline applies as well: a body may never arrive, and the client's deadline may be a day away.
     let own = Instant::now() + duration(headers.time_left);
     let body_deadline = arrival.map_or(own, |arrival| arrival.deadline.min(own));
     let body = tokio::select! {
--- a/crates/pipitcrank-server/src/clients/linger.rs
+++ b/crates/pipitcrank-server/src/clients/linger.rs
@@ -32,7 +32,7 @@
 const NO_CAPACITY: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Rejects a client without a permit by a response, so that its connection is not reset.
+/// Sends a 503 response to a client without a permit, so that its connection is not reset.
 pub(super) async fn reject(stream: TcpStream) {
     let (stream, mut request) = (Stream::new(stream), Vec::with_capacity(REJECTED_REQUEST_BYTES));
     let _ = timeout(REJECTED_REQUEST_WAIT, stream.read_some(&mut request, Expects::More)).await;
--- a/crates/pipitcrank-server/src/clients/request_error.rs
+++ b/crates/pipitcrank-server/src/clients/request_error.rs
@@ -38,7 +38,7 @@
     /// The body is too large.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The body ended early.
+    /// The body ended before it was complete.
     #[error("the body did not come whole")]
     BodyIncomplete,
     /// The body is not JSON of the expected form.
--- a/crates/pipitcrank-server/src/clients/request_reader.rs
+++ b/crates/pipitcrank-server/src/clients/request_reader.rs
@@ -15,8 +15,8 @@
 use super::client_connections::{ClientConnection, ConnectionPhase};
 use crate::runtime::stream::{Expects, Stream};
 
-/// Bytes after a request that are discarded without a pause. A client that sends endlessly must not starve others of CPU time, and
-/// its close, which comes after all of these bytes, has to be detected soon.
+/// Bytes after a request that are discarded without a pause. A client that sends endlessly must not starve others of CPU
+/// time, and its close, which comes after all of these bytes, has to be detected soon.
 pub const DISCARD_CHUNK_BYTES: usize = 1 << 20;
 /// Pause after each discarded chunk.
 pub const DISCARD_PAUSE: Duration = Duration::from_millis(1);
@@ -41,7 +41,7 @@
     framing: Option<Framing>,
     /// Bytes of the body not yet received, if its length is known.
     body_left: u64,
-    /// Whether bytes received after the request: a pipelined request, or a body longer than its `Content-Length`.
+    /// Whether bytes arrived after the request: a pipelined request, or a body longer than its `Content-Length`.
     has_trailing_bytes: bool,
 }
 
--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the node configuration: the environment variables NODE_* and the file that NODE_CONFIG names.
 //!
-//! Each part of the server gets only the values that it needs. An error names its key. The settings of the decision module are read
-//! by `pipitcrank_core::config`.
+//! Each part of the server gets only the values that it needs. An error names its key. The settings of the decision module
+//! are read by `pipitcrank_core::config`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -56,19 +56,19 @@
         self.text("/name", "NODE_NAME")
     }
 
-    /// Address on which clients connect.
+    /// Listen address for clients.
     pub fn listen(&self) -> Result<SocketAddr, ConfigError> {
         let listen = self.text("/listen", "NODE_LISTEN")?;
-        let wrong = |_| self.reader().error("/listen", &format!("is '{listen}', no address and port"));
-        listen.parse().map_err(wrong)
+        let invalid = |_| self.reader().error("/listen", &format!("is '{listen}', no address and port"));
+        listen.parse().map_err(invalid)
     }
 
     /// Address and port of the discovery service.
     pub fn discovery(&self) -> Result<String, ConfigError> {
         let address = self.text("/discovery", "NODE_DISCOVERY")?;
         let is_valid = address.parse::<Authority>().is_ok_and(|a| a.port_u16().is_some());
-        let wrong = || self.reader().error("/discovery", &format!("is '{address}', no address and port"));
-        if is_valid { Ok(address) } else { Err(wrong()) }
+        let invalid = || self.reader().error("/discovery", &format!("is '{address}', no address and port"));
+        if is_valid { Ok(address) } else { Err(invalid()) }
     }
 
     /// The errors that prevent a start: the first of each part of the server, without repeated keys.
@@ -104,11 +104,11 @@
 
     /// The endpoint list to start with.
     pub fn initial_endpoints(&self, clock: &Clock) -> Result<EndpointList, ConfigError> {
-        let wrong = |reason: String| self.reader().error("/known", &format!("is no list: {reason}"));
-        let known = self.file.get("known").ok_or_else(|| wrong("it is missing".to_string()))?;
-        let known = EndpointUpdate::deserialize(known).map_err(|e| wrong(e.to_string()))?;
+        let invalid = |reason: String| self.reader().error("/known", &format!("is no list: {reason}"));
+        let known = self.file.get("known").ok_or_else(|| invalid("it is missing".to_string()))?;
+        let known = EndpointUpdate::deserialize(known).map_err(|e| invalid(e.to_string()))?;
         let revision = known.revision;
-        let Endpoints { endpoints, .. } = known.endpoints(clock).map_err(|e| wrong(e.to_string()))?;
+        let Endpoints { endpoints, .. } = known.endpoints(clock).map_err(|e| invalid(e.to_string()))?;
         // If two parts of the platform spell zone names differently, no replica would count as local.
         let names = self.zones()?.map(|(_, names)| names);
         for (n, endpoint) in endpoints.iter().enumerate() {
@@ -236,8 +236,8 @@
     /// Seed of this process's random number generator.
     pub fn seed(&self) -> Result<u64, ConfigError> {
         let seed = self.reader().text("/seed")?;
-        let wrong = |_| self.reader().error("/seed", &format!("is '{seed}', not up to 16 hex digits"));
-        u64::from_str_radix(seed, 16).map_err(wrong)
+        let invalid = |_| self.reader().error("/seed", &format!("is '{seed}', not up to 16 hex digits"));
+        u64::from_str_radix(seed, 16).map_err(invalid)
     }
 
     /// Whether the discovery service is polled at a limited rate, since its calls are costly and rejected when too frequent.
@@ -277,9 +277,9 @@
         Ok(duration(self.settings()?.span("/allowed/dial_timeout_s")?))
     }
 
-    /// Idle timeout of a connection to a replica. It ends before the replica's own idle timeout, by the longest round trip or by half
-    /// of the replica's timeout, whichever is shorter. Without the second bound, a connect timeout as long as the idle timeout
-    /// would close each connection as soon as it is established.
+    /// Idle timeout of a connection to a replica. It ends before the replica's own idle timeout, by the longest round trip
+    /// or by half of the replica's timeout, whichever is shorter. Without the second bound, a connect timeout as long as
+    /// the idle timeout would close each connection as soon as it is established.
     pub fn idle_timeout(&self) -> Result<Duration, ConfigError> {
         let idle = duration(self.settings()?.span("/allowed/conn_idle_s")?);
         Ok(idle - self.connect_timeout()?.min(idle / 2))
--- a/crates/pipitcrank-server/src/reasons.rs
+++ b/crates/pipitcrank-server/src/reasons.rs
@@ -32,7 +32,7 @@
 }
 
 impl SendDenied {
-    /// Its name in `/counters` and logs.
+    /// Name of the reason in `/counters` and logs.
     pub fn name(self) -> &'static str {
         match self {
             SendDenied::QueryEnded => "query_ended",
@@ -55,7 +55,7 @@
 }
 
 impl ResendReason {
-    /// Its name in `/counters` and logs.
+    /// Name of the reason in `/counters` and logs.
     pub fn name(self) -> &'static str {
         match self {
             ResendReason::Hedge => "hedge",
--- a/crates/pipitcrank-server/src/runtime/clock.rs
+++ b/crates/pipitcrank-server/src/runtime/clock.rs
@@ -1,7 +1,7 @@
 //! The process's clock: the core's timestamps on the machine's monotonic clock.
 //!
-//! The wall clock may be stepped at any time. It is used only to convert replicas' start times, which the discovery service reports
-//! in Unix time.
+//! The wall clock may be stepped at any time. It is used only to convert replicas' start times, which the discovery service
+//! reports in Unix time.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -53,9 +53,10 @@
         }
     }
 
-    /// Converts a start time. After a step of the wall clock it is unknown which offset the start time refers to; the latest result
-    /// that is not in the future is used, so that no slow start is skipped or prolonged by the length of the step. Later steps do
-    /// not change a converted start time; `sample` is called only for a start time seen for the first time.
+    /// Converts a start time. After a step of the wall clock it is unknown which offset the start time refers to; the
+    /// latest result that is not in the future is used, so that no slow start is skipped or prolonged by the length of the
+    /// step. Later steps do not change a converted start time; `sample` is called only for a start time seen for the first
+    /// time.
     fn start_time(&mut self, unix_ms: i64, sample: impl FnOnce() -> WallSample) -> Timestamp {
         if let Some(&at) = self.starts.get(&unix_ms) {
             return at;
@@ -86,8 +87,8 @@
         Timestamp::from_micros(self.start.elapsed().as_micros() as i64)
     }
 
-    /// Samples the wall clock's offset. Must be called often, so that a step is detected before a start time refers to the stepped
-    /// clock.
+    /// Samples the wall clock's offset. Must be called often, so that a step is detected before a start time refers to the
+    /// stepped clock.
     pub fn sample_wall_clock(&self) {
         let offset = self.sample().offset;
         self.wall().record_offset(offset);
--- a/crates/pipitcrank-server/src/runtime/connection_limits.rs
+++ b/crates/pipitcrank-server/src/runtime/connection_limits.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Limits the open connections of one side. The limits of both sides may sum to more than the capacity, since each side may use what
-/// the other does not need.
+/// Limits the open connections of one side. The limits of both sides may sum to more than the capacity, since each side may
+/// use what the other does not need.
 #[derive(Clone)]
 pub struct ConnectionLimiter {
     capacity: usize,
@@ -49,7 +49,8 @@
         ConnectionLimiter::of(Rc::new(SharedLimit { capacity: limit, ..SharedLimit::default() }), limit)
     }
 
-    /// Creates the limiters of two sides that share a capacity: a third is reserved for each, and either may use the last third.
+    /// Creates the limiters of two sides that share a capacity: a third is reserved for each, and either may use the last
+    /// third.
     pub fn shared(capacity: usize) -> (ConnectionLimiter, ConnectionLimiter) {
         let shared = Rc::new(SharedLimit { capacity, ..SharedLimit::default() });
         let side = || ConnectionLimiter::of(shared.clone(), capacity - capacity / RESERVED_ONE_IN);
@@ -127,7 +128,7 @@
         self.shared.released.notified()
     }
 
-    /// Requests that the other side releases permits that it does not need.
+    /// Requests the other side to release permits that it does not need.
     pub fn request_release(&self) {
         self.shared.release_requested.notify_one();
     }
--- a/crates/pipitcrank-server/src/runtime/counter_names.rs
+++ b/crates/pipitcrank-server/src/runtime/counter_names.rs
@@ -8,7 +8,7 @@
     pub const ACCEPT_ERRORS: &str = "accept_errors";
     /// Attempts that ended, by outcome.
     pub const ATTEMPTS: &str = "leaf_calls";
-    /// Refused requests, by error.
+    /// Rejected requests, by error.
     pub const BAD_REQUESTS: &str = "bad_requests";
     /// Client connections, by start and end.
     pub const CLIENTS: &str = "clients";
--- a/crates/pipitcrank-server/src/runtime/event_loop.rs
+++ b/crates/pipitcrank-server/src/runtime/event_loop.rs
@@ -10,8 +10,8 @@
 use crate::runtime::connection_limits::ConnectionLimiter;
 use crate::runtime::counters::Counters;
 
-/// Longest gap between two updates that does not count as a stall. After a stall, sockets may hold unread events. Half of the 0.1 s
-/// after a client's close within which an attempt may still begin.
+/// Longest gap between two updates that does not count as a stall; after a stall, sockets may hold unread events. The value
+/// is half of the 0.1 s after a client's close within which an attempt may still begin.
 const STALL_THRESHOLD: TimeSpan = TimeSpan::from_millis(50);
 /// Scheduler passes that input takes from a socket to the exchange: connection, HTTP service, exchange.
 const SCHEDULER_PASSES: u32 = 3;
@@ -69,8 +69,8 @@
         access(&self.exchange.borrow())
     }
 
-    /// Lets the sockets be read first after a stall. Must be awaited before work is started for a client, since the client's close
-    /// may be unread while an earlier event already requests an attempt.
+    /// Lets the sockets be read first after a stall. Must be awaited before work is started for a client, since the
+    /// client's close may be unread while an earlier event already requests an attempt.
     pub async fn yield_after_stall(&self) {
         if !self.stalled.get() && self.clock.now() - self.last_update.get() <= STALL_THRESHOLD {
             return;
--- a/crates/pipitcrank-server/src/runtime/mod.rs
+++ b/crates/pipitcrank-server/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! Shared foundations of the server: clock, event loop, connection limits, TCP streams, counters, system errors and the shutdown
-//! schedule.
+//! Shared foundations of the server: clock, event loop, connection limits, TCP streams, counters, system errors and the
+//! shutdown schedule.
 
 pub mod clock;
 pub mod connection_limits;
--- a/crates/pipitcrank-server/src/runtime/shutdown/tests.rs
+++ b/crates/pipitcrank-server/src/runtime/shutdown/tests.rs
@@ -23,7 +23,7 @@
         prop_assert!(admit_until.as_secs_f64() > 0.4, "new connections of the first 0.4 s are accepted");
         prop_assert!(idle.as_secs_f64() > 0.09, "a request in transit arrives within the idle timeout");
         prop_assert!(admit_until + idle < last_answer, "the last new connections can be idle before the last answer");
-        prop_assert!(last_answer.as_secs_f64() <= kill * 0.9, "a tenth of the grace period is left to write and read the last answer");
+        prop_assert!(last_answer.as_secs_f64() <= kill * 0.9, "time is left to write and read the last answer");
         prop_assert!(last_answer < accept_queue_until && accept_queue_until.as_secs_f64() < kill, "between the last answer and the kill");
     }
 }
--- a/crates/pipitcrank-server/src/runtime/stall_detector.rs
+++ b/crates/pipitcrank-server/src/runtime/stall_detector.rs
@@ -4,8 +4,8 @@
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-/// Longest gap between two ticks that does not count as a stall. Ticks occur every 50 ms, and the slack of 150 ms in the deadlines
-/// sent to replicas covers input that was unread during such a gap.
+/// Longest gap between two ticks that does not count as a stall. Ticks occur every 50 ms, and the slack of 150 ms in the
+/// deadlines sent to replicas covers input that was unread during such a gap.
 const STALL_THRESHOLD: TimeSpan = TimeSpan::from_millis(100);
 /// Time after a stall within which input received during it is read; the length of the stall if that is shorter.
 const BACKLOG: TimeSpan = TimeSpan::from_millis(250);
--- a/crates/pipitcrank-server/src/runtime/stream.rs
+++ b/crates/pipitcrank-server/src/runtime/stream.rs
@@ -1,10 +1,10 @@
 //! The stream type of all TCP connections: to clients, replicas and the discovery service. It reads and writes until the kernel
 //! reports that the call would block, and retries interrupted calls.
 //!
-//! tokio's `TcpStream` takes a short read or write as a sign that the socket is not ready, and then waits for the next readiness
-//! event. The kernel reports no new event for data that was already there, so if a read was short for another reason, the rest
-//! would stay unread. Another read after each short one would cost a system call per message, since most messages end with a short
-//! read. This type makes that read some milliseconds later, and only while more data is expected.
+//! tokio's `TcpStream` takes a short read or write as a sign that the socket is not ready, and then waits for the next
+//! readiness event. The kernel reports no new event for data that was already there, so if a read was short for another
+//! reason, the rest would stay unread. Another read after each short one would cost a system call per message, since most
+//! messages end with a short read. This type makes that read some milliseconds later, and only while more data is expected.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read};
--- a/crates/pipitcrank-server/src/runtime/system_errors.rs
+++ b/crates/pipitcrank-server/src/runtime/system_errors.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Policy for an error of connecting, binding or opening a file. Errors are transient if limits, ports or memory are exhausted, a
-/// signal interrupted the call, or the network may be down.
+/// Policy for an error of connecting, binding or opening a file. Errors are transient if limits, ports or memory are
+/// exhausted, a signal interrupted the call, or the network may be down.
 pub fn open_policy(error: &io::Error) -> ErrorPolicy {
     match Errno::from_io_error(error) {
         Some(Errno::INTR) => ErrorPolicy::RetryAtOnce,
--- a/crates/pipitcrank-server/src/serve.rs
+++ b/crates/pipitcrank-server/src/serve.rs
@@ -56,8 +56,8 @@
 
 /// Serves until a requested shutdown is complete, or until all work has been handed over to another process.
 ///
-/// `supervisor` is the link to the upgrade supervisor, if there is one; it then also provides the listener. `stored` is the state
-/// stored by an earlier process.
+/// `supervisor` is the link to the upgrade supervisor, if there is one; it then also provides the listener. `stored` is the
+/// state stored by an earlier process.
 pub async fn serve(
     clock: Clock,
     supervisor: Option<StdStream>,
--- a/crates/pipitcrank-server/src/upgrade/context.rs
+++ b/crates/pipitcrank-server/src/upgrade/context.rs
@@ -65,7 +65,7 @@
         is_there
     }
 
-    /// Continues without the other process. The number of requests that it sent is unknown, so the maximum is assumed.
+    /// Continues without the other process, whose use of the shared limits is unknown and assumed to be the maximum.
     pub fn resume_alone(&self) {
         let now = self.event_loop.clock.now();
         self.event_loop.update(|e| e.resume_alone(now));
--- a/crates/pipitcrank-server/src/upgrade/predecessor.rs
+++ b/crates/pipitcrank-server/src/upgrade/predecessor.rs
@@ -117,8 +117,8 @@
         context.event_loop.update(|e| e.submit(own_ticket, request, Box::new(responder)));
     }
 
-    /// Settles the retry budget with the predecessor, which has used `used` of its delegated retries. `None` means that it ended
-    /// without a last message; then all of them count as used.
+    /// Settles the retry budget with the predecessor, which has used `used` of its delegated retries. `None` means that it
+    /// ended without a last message; then all of them count as used.
     pub(super) fn settle(&mut self, context: &UpgradeContext, used: Option<u32>) {
         if let Some(delegated) = self.delegated_retries.take() {
             let used = used.unwrap_or(delegated).min(delegated);
--- a/crates/pipitcrank-server/src/upgrade/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -16,8 +16,8 @@
 use crate::runtime::counter_names::{group, query, upgrade};
 use crate::runtime::event_loop::EventLoop;
 
-/// Time before the client's deadline at which this process stops waiting for the successor, which may hang. It covers the delay of
-/// the link and of this thread.
+/// Time before the client's deadline at which this process stops waiting for the successor, which may hang. It covers the
+/// delay of the link and of this thread.
 const RESPONSE_MARGIN: TimeSpan = TimeSpan::from_millis(5);
 
 struct PendingQuery {
--- a/crates/pipitcrank-server/src/upgrade/relayed.rs
+++ b/crates/pipitcrank-server/src/upgrade/relayed.rs
@@ -17,7 +17,7 @@
     RelayedQuery { ticket, id, class, time_left, parts, text }
 }
 
-/// The request classes and shards that this process knows.
+/// The request classes and shards in this process's configuration.
 pub(super) struct KnownDomain {
     pub(super) class_count: usize,
     pub(super) shards: u32,
--- a/crates/pipitcrank-server/src/upgrade/worker.rs
+++ b/crates/pipitcrank-server/src/upgrade/worker.rs
@@ -1,7 +1,7 @@
 //! The upgrade worker: executes the supervisor's commands and reports its progress over the supervisor's link.
 //!
-//! The supervisor decides the order of steps and all timeouts (`pipitcrank_handover::upgrade_state`); `resource_split` decides the
-//! resources that each of the two processes may use.
+//! The supervisor decides the order of steps and all timeouts (`pipitcrank_handover::upgrade_state`); `resource_split`
+//! decides the resources that each of the two processes may use.
 
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream as StdStream;
@@ -62,7 +62,7 @@
     peer: Peer,
     from_predecessor: Option<LinkReceiver>,
     from_successor: Option<LinkReceiver>,
-    /// Receives client connections from the acceptor, to be sent to the successor.
+    /// Channel of the client connections that the acceptor releases for the successor.
     transfers: UnboundedSender<AdoptedConnection>,
     transferred: UnboundedReceiver<AdoptedConnection>,
     ticks: Interval,
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! Guards against changes in reading the node configuration: a file with every key gives the same values as in an earlier version.
+//! Checks that a node configuration with every key is read as in an earlier version.
 //! The tests of `pipitcrank-core` check the decision module's settings.
 
 use std::time::Duration;
