--- a/crates/pipitcrank-cli/src/arguments.rs
+++ b/crates/pipitcrank-cli/src/arguments.rs
@@ -21,8 +21,8 @@
 pub(crate) enum Command {
     /// Serve queries until SIGTERM, with the node configuration in the file that NODE_CONFIG names
     ///
-    /// NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override that file. SIGTERM starts a graceful shutdown, SIGHUP reloads
-    /// the files, SIGUSR2 starts an upgrade if the operators' file enables upgrades
+    /// NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override that file. SIGTERM starts a graceful shutdown, SIGHUP
+    /// reloads the files, SIGUSR2 starts an upgrade if the operators' file enables upgrades
     Serve {
         /// The operators' file (Dhall); without it all features that it can enable are off
         #[arg(long)]
@@ -54,8 +54,8 @@
         /// remaining voters form a new group without them
         #[arg(value_parser = ["show", "drain", "return", "freeze", "thaw", "begin"])]
         what: String,
-        /// Name of the zone, for drain and return; for begin the addresses of the lost voters, separated by commas, or
-        /// nothing to include all voters again
+        /// Name of the zone, for drain and return; for begin the addresses of the lost voters, separated by commas,
+        /// or nothing to include all voters again
         zone: Option<String>,
         /// Operators' file of a co-ordinator, which gives the zones, the voters and the secret
         #[arg(long)]
--- a/crates/pipitcrank-cli/src/failover_driver.rs
+++ b/crates/pipitcrank-cli/src/failover_driver.rs
@@ -1,5 +1,6 @@
-//! I/O of failover between zones: sends and receives datagrams on one UDP socket, collects evidence from the exchange,
-//! applies routing plans to it, and logs and counts events. The decisions are made in `pipitcrank-failover`.
+//! I/O of failover between zones: sends and receives datagrams on one UDP socket, collects evidence from the
+//! exchange, applies routing plans to it, and logs and counts events. The decisions are made in
+//! `pipitcrank-failover`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/pipitcrank-cli/src/logs.rs
+++ b/crates/pipitcrank-cli/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logging to standard error from a separate thread. Logging never blocks the caller: lines that exceed the buffer are
-//! dropped and counted.
+//! Logging to standard error from a separate thread. Logging never blocks the caller: lines that exceed the buffer
+//! are dropped and counted.
 
 use pipitcrank_config::LogsConfig;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
--- a/crates/pipitcrank-cli/src/serve.rs
+++ b/crates/pipitcrank-cli/src/serve.rs
@@ -1,5 +1,5 @@
-//! `pipitcrank serve`: runs a co-ordinator in this process, or an upgrade supervisor with workers. The operators' file
-//! enables the store, failover and the gateway.
+//! `pipitcrank serve`: runs a co-ordinator in this process, or an upgrade supervisor with workers. The operators'
+//! file enables the store, failover and the gateway.
 
 use std::cell::RefCell;
 use std::os::fd::AsFd;
@@ -86,7 +86,8 @@
 }
 
 /// Returns the factory that starts failover, the store and the gateway once the server's context is known; `None` if
-/// all of them are off. `opened`: the store and the state in it; `None` while another process may have the store open.
+/// all of them are off. `opened`: the store and the state in it; `None` while another process may have the store
+/// open.
 fn transport_factory(config: OperatorsConfig, opened: Option<OpenedStore>) -> Option<TransportFactory> {
     let OperatorsConfig { gateway, zones, store, .. } = config;
     if gateway.is_none() && zones.is_none() && store.is_none() {
--- a/crates/pipitcrank-cli/src/store_driver.rs
+++ b/crates/pipitcrank-cli/src/store_driver.rs
@@ -81,8 +81,8 @@
 }
 
 impl StoreDriver {
-    /// Opens and reads the store of the co-ordinator `owner`. After an error, which is logged, the co-ordinator serves
-    /// as if the store were empty.
+    /// Opens and reads the store of the co-ordinator `owner`. After an error, which is logged, the co-ordinator
+    /// serves as if the store were empty.
     pub(crate) fn open(config: &StoreConfig, owner: &str) -> (StoreDriver, StoredState) {
         let write_finished = Arc::new(Notify::new());
         let notify = write_finished.clone();
@@ -111,8 +111,8 @@
         (driver, state)
     }
 
-    /// Opens the store like [`StoreDriver::open`], but during an upgrade first waits until the other process has closed
-    /// the file or this process drains.
+    /// Opens the store like [`StoreDriver::open`], but during an upgrade first waits until the other process has
+    /// closed the file or this process drains.
     async fn open_when_free(
         config: &StoreConfig,
         owner: &str,
--- a/crates/pipitcrank-cli/src/zones_command.rs
+++ b/crates/pipitcrank-cli/src/zones_command.rs
@@ -11,7 +11,8 @@
 use crate::exit_code;
 use crate::operator_request::{OperatorRequest, send};
 
-/// Runs `pipitcrank zones ACTION [ARGUMENT]`. `address`: the only co-ordinator to contact, instead of the default ones.
+/// Runs `pipitcrank zones ACTION [ARGUMENT]`. `address`: the only co-ordinator to contact, instead of the default
+/// ones.
 pub(crate) fn zones_command(
     zones: &ZonesConfig,
     action: &str,
--- a/crates/pipitcrank-cli/tests/soak.rs
+++ b/crates/pipitcrank-cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak test in short, as CI plays it: real processes, two troubles at a time, judged by the rules. The long form is
+//! A short soak test for CI: real processes with two faults at a time, checked against the rules. The long form is
 //! `pipitcrank trial soak --seed N`.
 
 use std::path::Path;
@@ -13,14 +13,14 @@
     Path::new(env!("CARGO_BIN_EXE_pipitcrank"))
 }
 
-/// Plays that seed; what was broken.
+/// Runs the soak test with this seed and returns the broken rules.
 fn broken(seed: u64, only: Option<&str>) -> Vec<String> {
     let size = Size { lasts: Duration::from_secs(6), ..Size::SHORT };
     on_one_thread(LIMIT, play(program(), seed, size, only, false)).unwrap().broken
 }
 
 #[test]
-fn troubles_that_overlap_break_no_rule() {
+fn overlapping_faults_break_no_rule() {
     assert_eq!(broken(1, None), Vec::<String>::new());
 }
 
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn a_trouble_that_is_not_known_ends_with_those_that_are() {
+fn an_unknown_fault_name_is_an_error_that_lists_the_known_ones() {
     let size = Size { processes: 1, ..Size::SHORT };
-    let wrong = on_one_thread(LIMIT, play(program(), 1, size, Some("flod"), false)).map(|_| ()).unwrap_err();
-    let words = wrong.to_string();
-    assert!(words.contains("'flod'") && words.contains("short-reads, short-writes"), "{words}");
+    let error = on_one_thread(LIMIT, play(program(), 1, size, Some("flod"), false)).map(|_| ()).unwrap_err();
+    let message = error.to_string();
+    assert!(message.contains("'flod'") && message.contains("short-reads, short-writes"), "{message}");
 }
--- a/crates/pipitcrank-cli/tests/stand_ins/discovery.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery that spoils its calls by script.
+//! A stand-in for discovery with scripted faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,73 +13,74 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, oneshot};
 
-/// How a call ends.
+/// Fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallFault {
-    Hangs,
-    /// Closed without a word.
-    Refuses,
-    HeadOnly,
-    /// Half of the list, and then a close or nothing more.
-    Half,
-    HalfForEver,
-    Resets,
+    NoResponse,
+    /// The connection is closed without a response.
+    Close,
+    StallAfterHead,
+    /// Half of the list is sent and nothing after it.
+    StallInBody,
+    EndlessBody,
+    ResetAfterHead,
 }
 
-/// What the open watches of one life are told.
+/// The open watches of one incarnation.
 #[derive(Default)]
-struct Life {
-    /// Lines to be written to each watch, and those that have come for it.
+struct WatchGroup {
+    /// One sender per watch, for the lines to write to it.
     lines: RefCell<Vec<UnboundedSender<String>>>,
 }
 
 #[derive(Default)]
-struct Inside {
-    held: RefCell<(u64, Vec<Value>)>,
-    /// The last changes, as watches are told.
-    news: RefCell<String>,
-    script: RefCell<VecDeque<CallFault>>,
-    down: Cell<bool>,
-    up_again: Notify,
-    new_silent: Cell<bool>,
-    keeps_back: Cell<bool>,
-    life: RefCell<Rc<Life>>,
-    orphans: RefCell<Rc<Life>>,
-    watches: Cell<usize>,
-    calls: Cell<usize>,
-    open: Cell<usize>,
-    watched: Notify,
-    hold_look: RefCell<Option<oneshot::Sender<HeldPoll>>>,
-    /// Calls that it bears in a second, and when those of late came.
-    bears: Cell<Option<usize>>,
-    came: RefCell<VecDeque<Instant>>,
-    refused: Cell<usize>,
+struct DiscoveryState {
+    list: RefCell<(u64, Vec<Value>)>,
+    /// The last changes sent to watches.
+    last_changes: RefCell<String>,
+    scripted_faults: RefCell<VecDeque<CallFault>>,
+    is_down: Cell<bool>,
+    up_notify: Notify,
+    new_watches_silent: Cell<bool>,
+    withholds_changes: Cell<bool>,
+    current_watches: RefCell<Rc<WatchGroup>>,
+    orphaned_watches: RefCell<Rc<WatchGroup>>,
+    watch_count: Cell<usize>,
+    call_count: Cell<usize>,
+    open_connections: Cell<usize>,
+    watch_opened: Notify,
+    held_poll: RefCell<Option<oneshot::Sender<HeldPoll>>>,
+    /// Largest number of calls per second that are answered; unlimited if `None`.
+    capacity: Cell<Option<usize>>,
+    /// Arrival times of the calls of the last second.
+    recent_calls: RefCell<VecDeque<Instant>>,
+    rejected_calls: Cell<usize>,
 }
 
-impl Inside {
-    /// Whether one more is too many: also those refused cost it something.
-    fn overrun(&self) -> bool {
-        let Some(bears) = self.bears.get() else { return false };
-        let mut came = self.came.borrow_mut();
-        came.push_back(Instant::now());
-        came.retain(|t| t.elapsed() < Duration::from_secs(1));
-        let overrun = came.len() > bears;
-        self.refused.set(self.refused.get() + usize::from(overrun));
-        overrun
+impl DiscoveryState {
+    /// Counts a call and returns whether it exceeds the capacity. Rejected calls use capacity, too.
+    fn exceeds_capacity(&self) -> bool {
+        let Some(capacity) = self.capacity.get() else { return false };
+        let mut recent_calls = self.recent_calls.borrow_mut();
+        recent_calls.push_back(Instant::now());
+        recent_calls.retain(|t| t.elapsed() < Duration::from_secs(1));
+        let exceeds_capacity = recent_calls.len() > capacity;
+        self.rejected_calls.set(self.rejected_calls.get() + usize::from(exceeds_capacity));
+        exceeds_capacity
     }
 }
 
-/// A discovery that spoils its calls by script.
+/// A stand-in for discovery with scripted faults.
 pub struct ScriptedDiscovery {
     pub address: SocketAddr,
-    inside: Rc<Inside>,
+    state: Rc<DiscoveryState>,
 }
 
-/// A look at the list as it was, whose answer the test lets go.
+/// A poll whose response the test releases. The response is the list as of the poll's arrival.
 pub struct HeldPoll(oneshot::Sender<()>);
 
 impl HeldPoll {
-    pub fn answers(self) {
+    pub fn release(self) {
         let _ = self.0.send(());
     }
 }
@@ -92,129 +93,130 @@
     pub async fn start(rev: u64, rows: Vec<Value>) -> Result<ScriptedDiscovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let inside = Rc::new(Inside { held: RefCell::new((rev, rows)), ..Inside::default() });
-        let ours = inside.clone();
+        let state = Rc::new(DiscoveryState { list: RefCell::new((rev, rows)), ..DiscoveryState::default() });
+        let shared = state.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let inside = ours.clone();
+                let state = shared.clone();
                 tokio::task::spawn_local(async move {
-                    inside.open.set(inside.open.get() + 1);
-                    let _ = called(&inside, stream).await;
-                    inside.open.set(inside.open.get() - 1);
+                    state.open_connections.set(state.open_connections.get() + 1);
+                    let _ = handle_call(&state, stream).await;
+                    state.open_connections.set(state.open_connections.get() - 1);
                 });
             }
         });
-        Ok(ScriptedDiscovery { address, inside })
+        Ok(ScriptedDiscovery { address, state })
     }
 
     pub fn list(&self) -> Value {
-        let held = self.inside.held.borrow();
-        json!({"rev": held.0, "all": true, "targets": held.1})
+        let list = self.state.list.borrow();
+        json!({"rev": list.0, "all": true, "targets": list.1})
     }
 
-    /// Has that list, and tells watches of nothing.
-    pub fn holds_quietly(&self, rev: u64, rows: Vec<Value>) {
-        *self.inside.held.borrow_mut() = (rev, rows);
+    /// Replaces the list and sends nothing to watches.
+    pub fn set_list_silently(&self, rev: u64, rows: Vec<Value>) {
+        *self.state.list.borrow_mut() = (rev, rows);
     }
 
-    /// Has that list, and tells the watches that are not kept from it.
-    pub fn holds(&self, rev: u64, rows: Vec<Value>) {
-        self.holds_quietly(rev, rows);
-        if !self.inside.keeps_back.get() {
-            self.tells_watches(rev);
+    /// Replaces the list and sends it to watches as changes, unless changes are withheld.
+    pub fn set_list(&self, rev: u64, rows: Vec<Value>) {
+        self.set_list_silently(rev, rows);
+        if !self.state.withholds_changes.get() {
+            self.send_changes(rev);
         }
     }
 
-    /// Open watches are told of what it holds, as changes.
-    pub fn tells_watches(&self, rev: u64) {
-        let line = text(rev, false, &self.inside.held.borrow().1);
-        self.inside.life.borrow().lines.borrow().iter().for_each(|l| drop(l.send(line.clone())));
+    /// Sends all rows of the list to the open watches as changes.
+    pub fn send_changes(&self, rev: u64) {
+        let line = text(rev, false, &self.state.list.borrow().1);
+        self.state.current_watches.borrow().lines.borrow().iter().for_each(|l| drop(l.send(line.clone())));
     }
 
-    /// Watches open now say nothing more, and stay open.
-    pub fn silences_watches(&self) {
-        let lines = std::mem::take(&mut *self.inside.life.borrow().lines.borrow_mut());
-        // Kept: dropped they would close.
+    /// Stops sending on the open watches, which stay open.
+    pub fn silence_watches(&self) {
+        let lines = std::mem::take(&mut *self.state.current_watches.borrow().lines.borrow_mut());
+        // The senders are not just dropped, since that would end the watches.
         lines.into_iter().for_each(|l| drop(l.send("silent".to_string())));
     }
 
-    pub fn closes_watches(&self) {
-        let lines = std::mem::take(&mut *self.inside.life.borrow().lines.borrow_mut());
+    pub fn close_watches(&self) {
+        let lines = std::mem::take(&mut *self.state.current_watches.borrow().lines.borrow_mut());
         lines.into_iter().for_each(|l| drop(l.send("close".to_string())));
     }
 
-    pub fn silences_new_watches(&self) {
-        self.inside.new_silent.set(true);
+    pub fn silence_new_watches(&self) {
+        self.state.new_watches_silent.set(true);
     }
 
-    /// Watches get signs of life and no change.
-    pub fn keeps_changes_from_watches(&self) {
-        self.inside.keeps_back.set(true);
+    /// From now on watches receive keep-alive lines but no changes.
+    pub fn withhold_changes(&self) {
+        self.state.withholds_changes.set(true);
     }
 
-    pub fn watches_bring_half_for_ever(&self) {
-        let life = self.inside.life.borrow();
-        life.lines.borrow().iter().for_each(|l| drop(l.send("half for ever".to_string())));
+    pub fn send_endless_object(&self) {
+        let current_watches = self.state.current_watches.borrow();
+        current_watches.lines.borrow().iter().for_each(|l| drop(l.send("endless object".to_string())));
     }
 
-    /// The watches open now are an older life's: they go on with signs of life, and get only what is brought to them.
-    pub fn orphans_watches(&self) {
-        let before = self.inside.life.replace(Rc::default());
-        *self.inside.orphans.borrow_mut() = before;
+    /// Assigns the open watches to an earlier incarnation. They still receive keep-alive lines, but no changes except
+    /// those of `send_to_orphaned_watches`.
+    pub fn orphan_watches(&self) {
+        let orphaned = self.state.current_watches.replace(Rc::default());
+        *self.state.orphaned_watches.borrow_mut() = orphaned;
     }
 
-    pub fn orphans_bring(&self, rev: u64, rows: Vec<Value>) {
+    pub fn send_to_orphaned_watches(&self, rev: u64, rows: Vec<Value>) {
         let line = text(rev, false, &rows);
-        self.inside.orphans.borrow().lines.borrow().iter().for_each(|l| drop(l.send(line.clone())));
+        self.state.orphaned_watches.borrow().lines.borrow().iter().for_each(|l| drop(l.send(line.clone())));
     }
 
-    pub fn next_calls_are(&self, script: &[CallFault]) {
-        self.inside.script.borrow_mut().extend(script);
+    pub fn script_calls(&self, scripted_faults: &[CallFault]) {
+        self.state.scripted_faults.borrow_mut().extend(scripted_faults);
     }
 
-    /// While it is down it takes connections and says nothing to those that come, for ever.
-    pub fn is_down(&self, down: bool) {
-        self.inside.down.set(down);
+    /// While it is down, connections are accepted and calls never get a response.
+    pub fn set_down(&self, is_down: bool) {
+        self.state.is_down.set(is_down);
     }
 
-    /// It bears so many calls in a second, and refuses what comes beyond.
-    pub fn bears(&self, calls: usize) {
-        self.inside.bears.set(Some(calls));
+    /// Rejects calls beyond this number per second.
+    pub fn set_capacity(&self, calls: usize) {
+        self.state.capacity.set(Some(calls));
     }
 
-    pub fn refused(&self) -> usize {
-        self.inside.refused.get()
+    pub fn rejected_calls(&self) -> usize {
+        self.state.rejected_calls.get()
     }
 
-    /// The next look, as the list is when it is asked for.
-    pub async fn holds_next_look(&self) -> HeldPoll {
-        let (tell, told) = oneshot::channel();
-        *self.inside.hold_look.borrow_mut() = Some(tell);
-        told.await.expect("a look comes")
+    /// Waits for the next poll and withholds its response.
+    pub async fn hold_next_poll(&self) -> HeldPoll {
+        let (poll_sender, poll_received) = oneshot::channel();
+        *self.state.held_poll.borrow_mut() = Some(poll_sender);
+        poll_received.await.expect("a poll arrives")
     }
 
-    pub async fn until_watched(&self) {
-        while self.watches() == 0 {
-            self.inside.watched.notified().await;
+    pub async fn wait_for_watch(&self) {
+        while self.watch_count() == 0 {
+            self.state.watch_opened.notified().await;
         }
     }
 
-    /// Watches and calls begun, connections open.
-    pub fn watches(&self) -> usize {
-        self.inside.watches.get()
+    /// Number of watches started so far.
+    pub fn watch_count(&self) -> usize {
+        self.state.watch_count.get()
     }
 
-    pub fn calls(&self) -> usize {
-        self.inside.calls.get()
+    pub fn call_count(&self) -> usize {
+        self.state.call_count.get()
     }
 
-    pub fn open(&self) -> usize {
-        self.inside.open.get()
+    pub fn open_connections(&self) -> usize {
+        self.state.open_connections.get()
     }
 }
 
-/// Nothing is said; it ends as the other side closes.
-async fn hangs(mut stream: BufReader<TcpStream>) -> std::io::Result<()> {
+/// Sends nothing until the peer closes the connection.
+async fn hang(mut stream: BufReader<TcpStream>) -> std::io::Result<()> {
     while stream.read(&mut [0; 64]).await? > 0 {}
     Ok(())
 }
@@ -225,64 +227,64 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-async fn called(inside: &Rc<Inside>, stream: TcpStream) -> std::io::Result<()> {
+async fn handle_call(state: &Rc<DiscoveryState>, stream: TcpStream) -> std::io::Result<()> {
     let mut stream = BufReader::new(stream);
     let mut line = String::new();
     while stream.read_line(&mut line).await? > 2 && !line.ends_with("\r\n\r\n") {}
-    inside.calls.set(inside.calls.get() + 1);
+    state.call_count.set(state.call_count.get() + 1);
     let is_watch = line.contains("stream=1");
     if is_watch {
-        inside.watches.set(inside.watches.get() + 1);
-        inside.watched.notify_one();
+        state.watch_count.set(state.watch_count.get() + 1);
+        state.watch_opened.notify_one();
     }
-    if inside.overrun() {
+    if state.exceeds_capacity() {
         return stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
     }
-    let (rev, rows) = inside.held.borrow().clone();
+    let (rev, rows) = state.list.borrow().clone();
     let body = text(rev, true, &rows);
-    let held = if is_watch { None } else { inside.hold_look.borrow_mut().take() };
-    if let Some(held) = held {
-        let (go, gone) = oneshot::channel();
-        let _ = held.send(HeldPoll(go));
-        let _ = gone.await;
-        return looked(&mut stream, &body).await;
-    }
-    if inside.down.get() {
-        return hangs(stream).await;
-    }
-    let spoilt = inside.script.borrow_mut().pop_front();
-    match spoilt {
-        None if is_watch => watched(inside, stream, line, rev, body).await,
-        None => looked(&mut stream, &body).await,
-        Some(CallFault::Hangs) => hangs(stream).await,
-        Some(CallFault::Refuses) => Ok(()),
-        Some(CallFault::HeadOnly) => {
+    let poll = if is_watch { None } else { state.held_poll.borrow_mut().take() };
+    if let Some(poll) = poll {
+        let (release_sender, release_received) = oneshot::channel();
+        let _ = poll.send(HeldPoll(release_sender));
+        let _ = release_received.await;
+        return send_list(&mut stream, &body).await;
+    }
+    if state.is_down.get() {
+        return hang(stream).await;
+    }
+    let fault = state.scripted_faults.borrow_mut().pop_front();
+    match fault {
+        None if is_watch => serve_watch(state, stream, line, rev, body).await,
+        None => send_list(&mut stream, &body).await,
+        Some(CallFault::NoResponse) => hang(stream).await,
+        Some(CallFault::Close) => Ok(()),
+        Some(CallFault::StallAfterHead) => {
             stream.write_all(CHUNKED).await?;
-            hangs(stream).await
+            hang(stream).await
         }
-        Some(CallFault::Half) => {
+        Some(CallFault::StallInBody) => {
             stream.write_all(CHUNKED).await?;
             stream.write_all(&chunk(&body[..body.len() / 2])).await?;
-            hangs(stream).await
+            hang(stream).await
         }
-        Some(CallFault::HalfForEver) => {
+        Some(CallFault::EndlessBody) => {
             stream.write_all(CHUNKED).await?;
-            half_for_ever(&mut stream).await
+            send_endless_body(&mut stream).await
         }
-        Some(CallFault::Resets) => {
+        Some(CallFault::ResetAfterHead) => {
             stream.write_all(CHUNKED).await?;
             stream.get_ref().set_zero_linger()
         }
     }
 }
 
-async fn looked(stream: &mut BufReader<TcpStream>, body: &str) -> std::io::Result<()> {
+async fn send_list(stream: &mut BufReader<TcpStream>, body: &str) -> std::io::Result<()> {
     let head =
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}", body.len());
     stream.write_all(head.as_bytes()).await
 }
 
-async fn half_for_ever(stream: &mut BufReader<TcpStream>) -> std::io::Result<()> {
+async fn send_endless_body(stream: &mut BufReader<TcpStream>) -> std::io::Result<()> {
     stream.write_all(&chunk("{\"rev\":7,\"all\":true,\"targets\":[")).await?;
     loop {
         stream.write_all(&chunk("\n")).await?;
@@ -290,8 +292,8 @@
     }
 }
 
-async fn watched(
-    inside: &Rc<Inside>,
+async fn serve_watch(
+    state: &Rc<DiscoveryState>,
     mut stream: BufReader<TcpStream>,
     line: String,
     rev: u64,
@@ -299,23 +301,23 @@
 ) -> std::io::Result<()> {
     let index = line.split("index=").nth(1).and_then(|r| r.split([' ', '&']).next()?.parse::<u64>().ok());
     stream.write_all(CHUNKED).await?;
-    if inside.new_silent.get() {
-        return hangs(stream).await;
+    if state.new_watches_silent.get() {
+        return hang(stream).await;
     }
-    let (feed, mut fed) = unbounded_channel();
-    inside.life.borrow().lines.borrow_mut().push(feed.clone());
-    if index != Some(rev) && !inside.keeps_back.get() {
-        let _ = feed.send(body);
+    let (line_sender, mut lines_to_send) = unbounded_channel();
+    state.current_watches.borrow().lines.borrow_mut().push(line_sender.clone());
+    if index != Some(rev) && !state.withholds_changes.get() {
+        let _ = line_sender.send(body);
     }
-    drop(feed);
+    drop(line_sender);
     loop {
-        // A sign of life is due each 2 s.
-        match tokio::time::timeout(Duration::from_secs(1), fed.recv()).await {
-            Ok(Some(line)) if line == "silent" => return hangs(stream).await,
+        // The protocol requires a keep-alive line every 2 s.
+        match tokio::time::timeout(Duration::from_secs(1), lines_to_send.recv()).await {
+            Ok(Some(line)) if line == "silent" => return hang(stream).await,
             Ok(Some(line)) if line == "close" => return Ok(()),
-            Ok(Some(line)) if line == "half for ever" => return half_for_ever(&mut stream).await,
+            Ok(Some(line)) if line == "endless object" => return send_endless_body(&mut stream).await,
             Ok(Some(line)) => stream.write_all(&chunk(&(line + "\n"))).await?,
-            Ok(None) => return hangs(stream).await,
+            Ok(None) => return hang(stream).await,
             Err(_) => stream.write_all(&chunk("\n")).await?,
         }
     }
--- a/crates/pipitcrank-cli/tests/stand_ins/mod.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins that hold what they would say until a test lets them: replicas that hand out each part, a discovery that
-//! spoils its calls by script, a listener whose connections come up late.
-#![allow(dead_code, unused_imports)] // each test file uses some of them
+//! Stand-ins controlled by tests: replicas whose responses a test sends, a discovery with scripted faults, and a
+//! listener that delays connections.
+#![allow(dead_code, unused_imports)] // no test file uses all of them
 
 mod discovery;
 mod replica;
@@ -20,12 +20,12 @@
     Path::new(env!("CARGO_BIN_EXE_pipitcrank"))
 }
 
-/// Node configuration of a co-ordinator with that discovery and its replicas: one shard a cell, each held by two cells.
+/// Node configuration for this discovery and its replicas, with one shard per cell and two cells for each shard.
 pub fn node_config(source: &ScriptedDiscovery, cells: u32, sockets: u32) -> Result<Value> {
     node_config_of(source.address, source.list(), cells, cells, 5, sockets, 500)
 }
 
-/// A query of one part, as most tests need no other.
+/// A query with one part.
 pub fn one_part_query(id: &str) -> QueryRequest {
     let wait = Duration::from_secs(4);
     QueryRequest { id: id.to_string(), class: "view", shards: vec![0], wait, text: "c41e".to_string() }
--- a/crates/pipitcrank-cli/tests/stand_ins/replica.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas whose answers a test gives, and a listener whose connections come up late.
+//! Stand-in replicas whose responses a test sends, and a listener that delays connections.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,92 +13,96 @@
 
 enum ReplicaAction {
     Bytes(Vec<u8>),
-    /// Closes in order, or with a reset.
+    /// Closes the connection normally.
     Close,
     Reset,
 }
 
-/// One part that came, whose answer the test gives.
+/// A received part, to which the test responds.
 pub struct ReceivedPart {
     pub id: String,
-    /// What stood behind `k=` in its list.
+    /// Value of `k=` in the part's line: the client's key.
     pub key: Option<String>,
-    /// The time left, as the co-ordinator states it.
+    /// Remaining time as stated by the co-ordinator.
     pub time_left: Duration,
-    say: UnboundedSender<ReplicaAction>,
+    actions_sender: UnboundedSender<ReplicaAction>,
 }
 
 impl ReceivedPart {
-    fn says(&self, rest: &str) {
+    fn send_frame(&self, rest: &str) {
         let _ = self
-            .say
+            .actions_sender
             .send(ReplicaAction::Bytes([&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat()));
     }
 
-    pub fn answers(&self) {
-        self.says(&format!("A{} ok 7 -\nvalue", self.id));
+    pub fn answer(&self) {
+        self.send_frame(&format!("A{} ok 7 -\nvalue", self.id));
     }
 
-    pub fn fails(&self) {
-        self.says(&format!("A{} err 0 -\n", self.id));
+    pub fn fail(&self) {
+        self.send_frame(&format!("A{} err 0 -\n", self.id));
     }
 
-    /// The connection that it came on ends, in order or with a reset.
-    pub fn closes(&self) {
-        let _ = self.say.send(ReplicaAction::Close);
+    /// Closes the connection on which the part arrived.
+    pub fn close(&self) {
+        let _ = self.actions_sender.send(ReplicaAction::Close);
     }
 
-    pub fn resets(&self) {
-        let _ = self.say.send(ReplicaAction::Reset);
+    pub fn reset(&self) {
+        let _ = self.actions_sender.send(ReplicaAction::Reset);
     }
 }
 
 pub struct StandInReplica {
     pub address: SocketAddr,
-    calls: UnboundedReceiver<ReceivedPart>,
+    parts: UnboundedReceiver<ReceivedPart>,
     /// Ids of cancelled attempts.
     pub cancelled: Rc<RefCell<Vec<String>>>,
 }
 
 impl StandInReplica {
     pub async fn start() -> Result<StandInReplica> {
-        Ok(StandInReplica::behind(TcpListener::bind("127.0.0.1:0").await?))
+        Ok(StandInReplica::with_listener(TcpListener::bind("127.0.0.1:0").await?))
     }
 
-    pub fn behind(listener: TcpListener) -> StandInReplica {
+    pub fn with_listener(listener: TcpListener) -> StandInReplica {
         let address = listener.local_addr().expect("a listener has an address");
-        let (hand_out, calls) = unbounded_channel();
+        let (parts_sender, parts) = unbounded_channel();
         let cancelled: Rc<RefCell<Vec<String>>> = Rc::default();
-        let noted = cancelled.clone();
+        let cancelled_ids = cancelled.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(replica_connection(stream, hand_out.clone(), noted.clone()));
+                tokio::task::spawn_local(replica_connection(
+                    stream,
+                    parts_sender.clone(),
+                    cancelled_ids.clone(),
+                ));
             }
         });
-        StandInReplica { address, calls, cancelled }
+        StandInReplica { address, parts, cancelled }
     }
 
-    /// The next part that comes.
-    pub async fn call(&mut self) -> ReceivedPart {
-        self.calls.recv().await.expect("the stand-in goes on")
+    /// Waits for the next part.
+    pub async fn next_part(&mut self) -> ReceivedPart {
+        self.parts.recv().await.expect("the stand-in is running")
     }
 
-    /// What has come and was not taken yet.
-    pub fn came(&mut self) -> Option<ReceivedPart> {
-        self.calls.try_recv().ok()
+    /// The next part, if one has arrived.
+    pub fn try_next_part(&mut self) -> Option<ReceivedPart> {
+        self.parts.try_recv().ok()
     }
 }
 
 async fn replica_connection(
     stream: TcpStream,
-    hand_out: UnboundedSender<ReceivedPart>,
+    parts_sender: UnboundedSender<ReceivedPart>,
     cancelled: Rc<RefCell<Vec<String>>>,
 ) {
     let _ = stream.set_nodelay(true);
     let (mut from, to) = stream.into_split();
-    let (say, actions) = unbounded_channel();
-    // The connection ends with it.
-    let mut acting = tokio::task::spawn_local(act(to, actions));
+    let (actions_sender, actions) = unbounded_channel();
+    // Once this task has closed the connection, the loop below ends.
+    let mut performing = tokio::task::spawn_local(perform_actions(to, actions));
     loop {
         let frame = async {
             let mut rest = vec![0; from.read_u32().await? as usize];
@@ -110,23 +114,23 @@
                 Ok(rest) => rest,
                 Err(_) => return,
             },
-            _ = &mut acting => return,
+            _ = &mut performing => return,
         };
         let words = String::from_utf8_lossy(&rest[1..]).into_owned();
         let frame = |rest: &str| {
             ReplicaAction::Bytes([&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat())
         };
         match rest[0] {
-            b'L' => drop(say.send(frame("L-"))),
-            b'P' => drop(say.send(frame("Pok"))),
+            b'L' => drop(actions_sender.send(frame("L-"))),
+            b'P' => drop(actions_sender.send(frame("Pok"))),
             b'X' => cancelled.borrow_mut().push(words),
-            _ => hand_out_parts(&words, &say, &hand_out),
+            _ => send_parts(&words, &actions_sender, &parts_sender),
         }
     }
 }
 
-/// Carries out the test's actions on a connection.
-async fn act(mut to: OwnedWriteHalf, mut actions: UnboundedReceiver<ReplicaAction>) {
+/// Performs the test's actions on a connection.
+async fn perform_actions(mut to: OwnedWriteHalf, mut actions: UnboundedReceiver<ReplicaAction>) {
     while let Some(action) = actions.recv().await {
         match action {
             ReplicaAction::Bytes(bytes) => {
@@ -143,25 +147,30 @@
     }
 }
 
-/// Hands out the parts of one call.
-fn hand_out_parts(
-    mut call: &str,
-    say: &UnboundedSender<ReplicaAction>,
-    hand_out: &UnboundedSender<ReceivedPart>,
+/// Parses the parts of one call and passes them to the test.
+fn send_parts(
+    mut parts_text: &str,
+    actions_sender: &UnboundedSender<ReplicaAction>,
+    parts_sender: &UnboundedSender<ReceivedPart>,
 ) {
-    while let Some((line, after)) = call.split_once('\n') {
+    while let Some((line, after)) = parts_text.split_once('\n') {
         let words: Vec<&str> = line.split(' ').collect();
         let [id, _, list, length] = words[..] else { panic!("a part's line is '{line}'") };
         let key = list.split(',').find_map(|w| w.strip_prefix("k=")).map(str::to_string);
         let time_left = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok());
-        let time_left = Duration::from_millis(time_left.expect("the time left"));
-        let _ = hand_out.send(ReceivedPart { id: id.to_string(), key, time_left, say: say.clone() });
-        call = &after[length.parse::<usize>().expect("a length")..];
+        let time_left = Duration::from_millis(time_left.expect("a remaining time in milliseconds"));
+        let _ = parts_sender.send(ReceivedPart {
+            id: id.to_string(),
+            key,
+            time_left,
+            actions_sender: actions_sender.clone(),
+        });
+        parts_text = &after[length.parse::<usize>().expect("a length")..];
     }
 }
 
-/// A listener that takes up no connection until let: then those that wait come up when their own system tries again,
-/// a second after they began.
+/// A listener with a full accept queue, so that connections stay pending until the test accepts them. They then
+/// complete when the client's kernel resends its SYN, one second after the connect.
 pub struct SlowListener {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -174,16 +183,17 @@
         socket.bind("127.0.0.1:0".parse()?)?;
         let listener = socket.listen(0)?;
         let address = listener.local_addr()?;
-        // Until its queue is full.
+        // Fills the accept queue.
         let mut fillers = Vec::new();
-        while let Ok(up) = tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address)).await
+        while let Ok(stream) =
+            tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address)).await
         {
-            fillers.push(up?);
+            fillers.push(stream?);
         }
         Ok(SlowListener { listener, address, _fillers: fillers })
     }
 
-    pub fn let_up(self) -> StandInReplica {
-        StandInReplica::behind(self.listener)
+    pub fn accept_connections(self) -> StandInReplica {
+        StandInReplica::with_listener(self.listener)
     }
 }
--- a/crates/pipitcrank-cli/tests/threaded_stand_ins/mod.rs
+++ b/crates/pipitcrank-cli/tests/threaded_stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on threads of their own, for tests that block: replicas, a discovery that is fed line by line, the program,
-//! and clients' requests and answers.
+//! Stand-ins on threads, for blocking tests: replicas, a discovery whose lines a test sends, the program, and
+//! functions for clients' requests and answers.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,56 +13,56 @@
 
 pub const LIMIT: Duration = Duration::from_secs(30);
 
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+pub fn wait_for<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(start.elapsed() < LIMIT, "waited in vain for {what}");
+        assert!(start.elapsed() < LIMIT, "no {what} within {LIMIT:?}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// What a replica stand-in does with a call, given its parts (id, shard).
+/// Handles a call at a stand-in replica. Arguments: the connection, the parts (id, shard), and the test's releases.
 pub type PartHandler = fn(&mut TcpStream, &[(String, u32)], &Receiver<()>);
 
 pub fn send(to: &mut TcpStream, rest: &str) {
     let _ = to.write_all(&[&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat());
 }
 
-pub fn answers(to: &mut TcpStream, parts: &[(String, u32)], _: &Receiver<()>) {
+pub fn answer_parts(to: &mut TcpStream, parts: &[(String, u32)], _: &Receiver<()>) {
     for (id, shard) in parts {
         send(to, &format!("A{id} ok 7 -\nd{shard}"));
     }
 }
 
-pub fn closes(to: &mut TcpStream, _: &[(String, u32)], _: &Receiver<()>) {
+pub fn close_connection(to: &mut TcpStream, _: &[(String, u32)], _: &Receiver<()>) {
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
 
-pub fn babbles(to: &mut TcpStream, _: &[(String, u32)], _: &Receiver<()>) {
+pub fn send_unknown_frame(to: &mut TcpStream, _: &[(String, u32)], _: &Receiver<()>) {
     send(to, "?what");
 }
 
-pub fn held(to: &mut TcpStream, parts: &[(String, u32)], go: &Receiver<()>) {
-    let _ = go.recv_timeout(LIMIT);
-    answers(to, parts, go);
+pub fn answer_when_released(to: &mut TcpStream, parts: &[(String, u32)], release: &Receiver<()>) {
+    let _ = release.recv_timeout(LIMIT);
+    answer_parts(to, parts, release);
 }
 
 pub struct StandInReplica {
     pub address: SocketAddr,
-    /// Frames as they came.
-    pub heard: Receiver<String>,
-    pub go: Sender<()>,
+    /// Received frames, in order.
+    pub frames: Receiver<String>,
+    pub release: Sender<()>,
 }
 
 impl StandInReplica {
-    /// One connection after another; a second at the same time waits in the queue.
-    pub fn start(manner: PartHandler) -> StandInReplica {
+    /// Serves one connection at a time. Others wait in the accept queue.
+    pub fn start(handler: PartHandler) -> StandInReplica {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let ((hears, heard), (go, gone)) = (channel(), channel());
+        let ((frame_sender, frames), (release, released)) = (channel(), channel());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut head = [0; 4];
@@ -72,31 +72,31 @@
                         break;
                     }
                     let frame = String::from_utf8(rest).unwrap();
-                    let _ = hears.send(frame.clone());
+                    let _ = frame_sender.send(frame.clone());
                     if frame == "L" {
                         send(&mut stream, "Lqueue=0");
                     } else if let Some(call) = frame.strip_prefix('Q') {
-                        manner(&mut stream, &parts(call), &gone);
+                        handler(&mut stream, &parse_parts(call), &released);
                     }
                 }
             }
         });
-        StandInReplica { address, heard, go }
+        StandInReplica { address, frames, release }
     }
 
-    pub fn hear(&self, letter: char) -> String {
-        wait_for("a frame", || self.heard.try_recv().ok().filter(|f| f.starts_with(letter)))
+    pub fn wait_for_frame(&self, letter: char) -> String {
+        wait_for("a frame", || self.frames.try_recv().ok().filter(|f| f.starts_with(letter)))
     }
 }
 
-pub fn parts(mut call: &str) -> Vec<(String, u32)> {
+pub fn parse_parts(mut call: &str) -> Vec<(String, u32)> {
     let mut found = Vec::new();
     while let Some((line, rest)) = call.split_once('\n') {
         let words: Vec<&str> = line.split(' ').collect();
         let [id, shard, list, length] = words[..] else { panic!("a part's line is '{line}'") };
         assert!(list.starts_with("d="), "{list}");
         let (text, after) = rest.split_at(length.parse().unwrap());
-        assert_eq!(text, "c41e", "the query's text unchanged");
+        assert_eq!(text, "c41e", "the text of the query is passed on unchanged");
         found.push((id.to_string(), shard.parse().unwrap()));
         call = after;
     }
@@ -104,34 +104,35 @@
     found
 }
 
-/// A call that discovery got: its first line, and where lines are fed to its answer until that is dropped.
+/// A call received by discovery: its first line, and a sender for the lines of the response. Dropping the sender ends
+/// the response.
 pub type DiscoveryCall = (String, Sender<String>);
 
-/// A stand-in for discovery: each watch is told, with its index, and each look at the whole list; both are fed lines. A look
-/// that nobody feeds hangs.
+/// A stand-in for discovery. It passes watches and polls of the whole list to the test, which sends the lines of
+/// their responses. Without any lines, a response consists of keep-alive lines.
 pub struct Discovery {
     pub address: SocketAddr,
     pub watches: Receiver<DiscoveryCall>,
-    pub looks: Receiver<DiscoveryCall>,
+    pub polls: Receiver<DiscoveryCall>,
 }
 
 impl Discovery {
     pub fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let ((tell, watches), (tell_look, looks)) = (channel(), channel());
+        let ((watch_sender, watches), (poll_sender, polls)) = (channel(), channel());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut line = String::new();
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 reader.read_line(&mut line).unwrap();
-                let (lines, fed) = channel::<String>();
-                let to = if line.contains("stream=1") { &tell } else { &tell_look };
+                let (lines, lines_to_send) = channel::<String>();
+                let to = if line.contains("stream=1") { &watch_sender } else { &poll_sender };
                 let _ = to.send((line, lines));
                 thread::spawn(move || {
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     loop {
-                        let line = match fed.recv_timeout(Duration::from_secs(1)) {
+                        let line = match lines_to_send.recv_timeout(Duration::from_secs(1)) {
                             Ok(line) => line,
                             Err(std::sync::mpsc::RecvTimeoutError::Timeout) => String::new(),
                             Err(_) => {
@@ -146,15 +147,15 @@
                 });
             }
         });
-        Discovery { address, watches, looks }
+        Discovery { address, watches, polls }
     }
 
-    pub fn watch(&self) -> DiscoveryCall {
+    pub fn next_watch(&self) -> DiscoveryCall {
         self.watches.recv_timeout(LIMIT).expect("a watch")
     }
 
-    pub fn look(&self) -> DiscoveryCall {
-        self.looks.recv_timeout(LIMIT).expect("a look at the whole list")
+    pub fn next_poll(&self) -> DiscoveryCall {
+        self.polls.recv_timeout(LIMIT).expect("a poll of the whole list")
     }
 }
 
@@ -194,7 +195,7 @@
 }
 
 impl Node {
-    /// `n` gives each test an address of its own.
+    /// Starts the program. `n` must be unique, since it selects the address.
     pub fn start(n: u8, discovery: &Discovery, known: Value) -> Node {
         Node::start_with(n, discovery, known, 256)
     }
@@ -217,16 +218,16 @@
         Node { child, address, node_config }
     }
 
-    pub fn up(&self) {
+    pub fn wait_until_ready(&self) {
         wait_for("/up", || self.try_get("/up").filter(|a| a.starts_with("HTTP/1.1 200")));
     }
 
     pub fn try_get(&self, path: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).ok()?;
-        Some(answer)
+        let mut response = String::new();
+        stream.read_to_string(&mut response).ok()?;
+        Some(response)
     }
 
     pub fn send(&self, request: &str) -> TcpStream {
@@ -241,7 +242,7 @@
         assert!(kill.success());
     }
 
-    /// Changes one key of the node configuration and has it read again.
+    /// Changes one key of the node configuration and sends SIGHUP.
     pub fn reload(&self, key: &str, value: Value) {
         let mut config: Value = serde_json::from_slice(&std::fs::read(&self.node_config).unwrap()).unwrap();
         *config.pointer_mut(key).unwrap() = value;
@@ -249,23 +250,23 @@
         self.signal("-HUP");
     }
 
-    pub fn counted(&self, line: &str) {
+    pub fn wait_for_counter(&self, line: &str) {
         wait_for(line, || self.try_get("/counters").filter(|c| c.lines().any(|l| l == line)));
     }
 }
 
-pub fn post(id: &str, body: &str) -> String {
+pub fn query_request(id: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "POST /view HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 25000\r\nContent-Length: {length}\r\n\r\n{body}"
     )
 }
 
-pub const ASK: &str =
+pub const QUERY_BODY: &str =
     r#"{"shards":[{"shard":0,"weight":0.5,"cost":9000},{"shard":1,"weight":0.5}],"q":"c41e"}"#;
 
-/// Status and whole body of one answer, and whether the connection ends with it.
-pub fn answer(stream: TcpStream) -> (u16, String, bool) {
+/// Status and body of one answer, and whether it closes the connection.
+pub fn read_answer(stream: TcpStream) -> (u16, String, bool) {
     let mut reader = BufReader::new(stream);
     let (mut status, mut length, mut close) = (0, 0, false);
     loop {
@@ -293,6 +294,6 @@
     (body["complete"].as_bool().unwrap(), hits.collect())
 }
 
-pub fn whole() -> (bool, Vec<(u64, String)>) {
+pub fn all_hits() -> (bool, Vec<(u64, String)>) {
     (true, vec![(0, "d0".into()), (1, "d1".into())])
 }
--- a/crates/pipitcrank-cli/tests/upgrade.rs
+++ b/crates/pipitcrank-cli/tests/upgrade.rs
@@ -1,6 +1,6 @@
-//! Upgrades of the whole program under load, one kind of trouble a test, on stand-ins from the rig. Each test asks that
-//! no query is lost, no side-effecting part runs twice, no connection is refused or closed, and that the upgrade came
-//! about or was undone as it has to be.
+//! Upgrades of real processes under load with stand-in replicas, and one kind of fault per test. Each test checks
+//! that no query is lost, that no side-effecting part runs twice, that no connection is refused or closed, and that
+//! the upgrade completes or is rolled back as expected.
 
 use std::path::Path;
 use std::time::Duration;
@@ -14,36 +14,36 @@
     Path::new(env!("CARGO_BIN_EXE_pipitcrank"))
 }
 
-fn kept(outcome: Outcome) {
+fn assert_rules_hold(outcome: Outcome) {
     assert!(outcome.broken.is_empty(), "{:?} {:?}", outcome.broken, outcome.figures);
-    let asked = outcome.figures.iter().find(|(name, _)| name == "queries").map_or(0.0, |(_, n)| *n);
-    assert!(asked > 100.0, "there was a load: {asked}");
+    let queries = outcome.figures.iter().find(|(name, _)| name == "queries").map_or(0.0, |(_, n)| *n);
+    assert!(queries > 100.0, "expected a load of more than 100 queries, got {queries}");
 }
 
-/// After each trouble a plain upgrade: nothing of the first is left.
-fn survives(seed: u64, round: Round) {
-    kept(on_one_thread(LIMIT, rounds_of(program(), seed, &[round, Round::Plain])).unwrap());
+/// Runs a round with a fault and then an upgrade without one, which must succeed.
+fn check_round(seed: u64, round: Round) {
+    assert_rules_hold(on_one_thread(LIMIT, rounds_of(program(), seed, &[round, Round::Plain])).unwrap());
 }
 
 #[test]
-fn one_after_another_with_a_replica_that_drains_the_moment_before() {
-    survives(101, Round::Drained);
+fn a_replica_drains_just_before_the_upgrade() {
+    check_round(101, Round::Drained);
 }
 
 #[test]
-fn a_new_process_that_crashes_in_its_trial() {
-    survives(102, Round::NewCrashes(20));
-    survives(103, Round::NewCrashes(450));
+fn the_new_process_crashes_during_its_trial() {
+    check_round(102, Round::NewCrashes(20));
+    check_round(103, Round::NewCrashes(450));
 }
 
 #[test]
-fn a_new_process_that_stands_still_in_its_trial() {
-    survives(104, Round::NewHangs);
+fn the_new_process_hangs_during_its_trial() {
+    check_round(104, Round::NewHangs);
 }
 
 #[test]
-fn a_program_that_is_not_there_or_can_not_be_run() {
-    kept(
+fn the_new_program_is_missing_or_not_executable() {
+    assert_rules_hold(
         on_one_thread(
             LIMIT,
             rounds_of(program(), 105, &[Round::NoProgram, Round::NotExecutable, Round::Plain]),
@@ -53,33 +53,33 @@
 }
 
 #[test]
-fn a_program_that_ends_or_hangs_before_it_is_ready() {
-    survives(106, Round::CrashesBeforeReady);
-    survives(107, Round::HangsBeforeReady);
+fn the_new_process_crashes_or_hangs_before_it_is_ready() {
+    check_round(106, Round::CrashesBeforeReady);
+    check_round(107, Round::HangsBeforeReady);
 }
 
 #[test]
-fn a_program_that_says_what_no_worker_says() {
-    survives(108, Round::Noise);
+fn the_new_process_sends_invalid_messages() {
+    check_round(108, Round::Noise);
 }
 
 #[test]
-fn a_faulty_node_config() {
-    survives(109, Round::FaultyNodeConfig);
+fn the_node_config_is_invalid() {
+    check_round(109, Round::FaultyNodeConfig);
 }
 
 #[test]
-fn a_second_one_asked_for_and_a_reload_during_one() {
-    survives(110, Round::AskedTwice);
-    survives(111, Round::Reloaded);
+fn a_second_request_or_a_reload_during_an_upgrade() {
+    check_round(110, Round::AskedTwice);
+    check_round(111, Round::Reloaded);
 }
 
 #[test]
-fn an_old_process_that_is_killed_in_the_middle() {
-    survives(112, Round::OldKilled);
+fn the_old_process_is_killed_during_the_upgrade() {
+    check_round(112, Round::OldKilled);
 }
 
 #[test]
-fn at_twice_the_load_that_can_be_served() {
-    kept(on_one_thread(LIMIT, overloaded(program(), 113, 2)).unwrap());
+fn an_upgrade_at_twice_the_serving_capacity() {
+    assert_rules_hold(on_one_thread(LIMIT, overloaded(program(), 113, 2)).unwrap());
 }
--- a/crates/pipitcrank-config/src/lib.rs
+++ b/crates/pipitcrank-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' file: Dhall settings of a co-ordinator that are not part of the platform's node configuration. The
-//! Dhall library checks the types, and this crate checks the bounds. A file is accepted as a whole or not at all, and a
-//! fault names its key. Defaults for absent keys come from `deploy/operators.dhall` if the file imports it, and from
-//! this crate otherwise.
+//! Dhall library checks the types, and this crate checks the bounds. A file is accepted as a whole or not at all, and
+//! a fault names its key. Defaults for absent keys come from `deploy/operators.dhall` if the file imports it, and
+//! from this crate otherwise.
 //!
 //! Without an operators' file all sections are off. Each section has a module with two types: a public configuration,
 //! which the program uses, and a private form with the keys of the file, which is converted to the configuration.
--- a/crates/pipitcrank-config/src/store.rs
+++ b/crates/pipitcrank-config/src/store.rs
@@ -31,8 +31,8 @@
 }
 
 impl StoreForm {
-    /// Checks the section. Each write syncs the disk, and more than ten writes per second would not improve a restart.
-    /// Learned state older than a day is of no use.
+    /// Checks the section. Each write syncs the disk, and more than ten writes per second would not improve a
+    /// restart. Learned state older than a day is of no use.
     pub(crate) fn checked(self) -> Result<StoreConfig, ConfigError> {
         Ok(StoreConfig {
             path: checked_path(self.path)?,
--- a/crates/pipitcrank-config/src/zones.rs
+++ b/crates/pipitcrank-config/src/zones.rs
@@ -12,8 +12,8 @@
 const MAX_ZONES: usize = 16;
 /// Largest number of voters. The consensus protocol has the same limit.
 const MAX_VOTERS: usize = 7;
-/// Largest number of seed addresses. It exceeds the largest fleets several times, and a list of that length still takes
-/// only a small part of the largest accepted file.
+/// Largest number of seed addresses. It exceeds the largest fleets several times, and a list of that length still
+/// takes only a small part of the largest accepted file.
 pub(crate) const MAX_SEEDS: usize = 4096;
 /// Shortest secret, in bytes. A shorter one can be guessed.
 const MIN_SECRET_LENGTH: usize = 16;
@@ -216,8 +216,8 @@
     Ok(voters)
 }
 
-/// Checks that no single zone holds the majority of the voters, since its loss would stop all decisions. With two zones
-/// or fewer this can't be avoided, and is accepted.
+/// Checks that no single zone holds the majority of the voters, since its loss would stop all decisions. With two
+/// zones or fewer this can't be avoided, and is accepted.
 fn check_no_zone_has_majority(voters: &[Voter], zones: &[ZoneConfig]) -> Result<(), ConfigError> {
     if zones.len() <= 2 || voters.len() <= 1 {
         return Ok(());
