--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -61,7 +61,7 @@
             exit_code_of(Experiment { name, nodes: copies, zones, seed, json, plot }.play())
         }
         Command::Demo { seed } => {
-            exit_code_of(environment::program().and_then(|program| demo::play(&program, seed)))
+            exit_code_of(environment::program().and_then(|program| demo::run(&program, seed)))
         }
         Command::Trial { name, seed, rounds, only, json } => {
             let options = TrialOptions { seed, rounds, only: only.as_deref(), json };
--- a/crates/pipitcrank-cli/tests/crossings.rs
+++ b/crates/pipitcrank-cli/tests/crossings.rs
@@ -227,7 +227,7 @@
             n += 1;
             let mut asking = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
             let mut asking =
-                std::pin::pin!(asking.ask_in_pieces(one_part_query(&format!("view-new-{n}")), &[]));
+                std::pin::pin!(asking.send_in_pieces(one_part_query(&format!("view-new-{n}")), &[]));
             let at_b = tokio::select! {
                 call = a.call() => { call.answers(); false }
                 call = b.call() => { call.answers(); true }
@@ -362,7 +362,7 @@
         for n in 0..3 {
             let shards = vec![0, 1];
             let asked = QueryRequest { shards, ..one_part_query(&format!("view-{n}")) };
-            let mut asking = std::pin::pin!(client.ask_in_pieces(asked, &[]));
+            let mut asking = std::pin::pin!(client.send_in_pieces(asked, &[]));
             for _ in 0..2 {
                 tokio::select! {
                     call = replica.call() => call.answers(),
--- a/crates/pipitcrank-cli/tests/ending.rs
+++ b/crates/pipitcrank-cli/tests/ending.rs
@@ -12,7 +12,7 @@
 use rustix::process::Signal;
 
 const LIMIT: Duration = Duration::from_secs(60);
-const WORK: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
+const WORK: Work = Work { mean_time: Duration::from_millis(8), concurrency: 16 };
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_pipitcrank"))
@@ -44,7 +44,7 @@
                 Err(_) => refused += 1,
                 Ok(stream) => {
                     tasks.spawn_local(async move {
-                        DedicatedConnection::on(stream, ledger).ask_in_pieces(question(id), &[]).await
+                        DedicatedConnection::on(stream, ledger).send_in_pieces(question(id), &[]).await
                     });
                 }
             }
@@ -93,7 +93,7 @@
             let (kept, question) = (kept.clone(), asks(&name));
             tasks.spawn_local(async move {
                 tokio::time::sleep(at).await;
-                kept.ask(question).await;
+                kept.send(question).await;
             });
         };
         (0..8).for_each(|n| ask(format!("view-held-{n}"), Duration::ZERO));
@@ -118,7 +118,7 @@
             tasks.spawn_local(async move {
                 tokio::time::sleep(Duration::from_millis(380)).await;
                 let mut lone = DedicatedConnection::connect(address, ledger).await.unwrap();
-                lone.ask_in_pieces(question, &[(cut, grace + Duration::from_millis(100))]).await;
+                lone.send_in_pieces(question, &[(cut, grace + Duration::from_millis(100))]).await;
             });
         }
         while asked.elapsed() < grace && process.exit_status().is_none() {
@@ -172,7 +172,7 @@
         for n in 0..8 {
             let clients = clients.clone();
             let slow = QueryRequest { text: "lasts=1200".to_string(), ..question(format!("view-{n}")) };
-            tasks.spawn_local(async move { clients.ask(slow).await });
+            tasks.spawn_local(async move { clients.send(slow).await });
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
         let asked = Instant::now();
@@ -196,7 +196,7 @@
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(7, WORK).await?;
         let config = fleet.node_config(7, 1024, 3000)?;
-        let folder = pipitcrank_testkit::process::Folder::new("fifo")?;
+        let folder = pipitcrank_testkit::process::TempDir::new("fifo")?;
         let path = folder.path().join("charter.json");
         assert!(std::process::Command::new("mkfifo").arg(&path).status()?.success());
         let mut child = std::process::Command::new(program())
@@ -239,7 +239,7 @@
             let fleet = Fleet::start(2, WORK).await?;
             let steps = UpgradeTimes { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
             let mut process =
-                Process::start(program(), fleet.node_config(2, 1024, 3000)?, steps.file()).await?;
+                Process::start(program(), fleet.node_config(2, 1024, 3000)?, steps.operators_file()).await?;
             let clients = Clients::new(process.address, fleet.query_log.clone());
             let load = Load::start("load", 3, 100.0, 0.1, clients);
             tokio::time::sleep(Duration::from_millis(500)).await;
@@ -266,7 +266,8 @@
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(4, WORK).await?;
         let steps = UpgradeTimes { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
-        let process = Process::start(program(), fleet.node_config(4, 1024, 3000)?, steps.file()).await?;
+        let process =
+            Process::start(program(), fleet.node_config(4, 1024, 3000)?, steps.operators_file()).await?;
         let ledger = QueryLog::default();
         for n in 0..2 {
             for worker in process.workers() {
@@ -275,7 +276,7 @@
             // At once: nobody listens but the keeper.
             let stream = connect(process.address).await?;
             let ended = DedicatedConnection::on(stream, ledger.clone())
-                .ask_in_pieces(question(format!("view-{n}")), &[])
+                .send_in_pieces(question(format!("view-{n}")), &[])
                 .await;
             assert_eq!(ended, QueryOutcome::Complete, "{}", process.log());
         }
--- a/crates/pipitcrank-cli/tests/leaving.rs
+++ b/crates/pipitcrank-cli/tests/leaving.rs
@@ -158,7 +158,7 @@
             disconnect(client, how)?;
             counted(&process, "queries client_gone", 1).await;
             let mut other = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
-            let mut asking = std::pin::pin!(other.ask_in_pieces(one_part_query("view-2"), &[]));
+            let mut asking = std::pin::pin!(other.send_in_pieces(one_part_query("view-2"), &[]));
             tokio::select! {
                 () = counted(&process, "queries taken", 2) => {}
                 how = &mut asking => panic!("{how:?}: {}", process.log()),
@@ -185,7 +185,8 @@
     let mut warm = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
     let (mut at_a, mut at_b) = (false, false);
     for n in 0.. {
-        let mut asking = std::pin::pin!(warm.ask_in_pieces(one_part_query(&format!("{name}-warm-{n}")), &[]));
+        let mut asking =
+            std::pin::pin!(warm.send_in_pieces(one_part_query(&format!("{name}-warm-{n}")), &[]));
         tokio::select! {
             call = a.call() => { at_a = true; call.answers() }
             call = b.call() => { at_b = true; call.answers() }
--- a/crates/pipitcrank-cli/tests/lists.rs
+++ b/crates/pipitcrank-cli/tests/lists.rs
@@ -57,7 +57,7 @@
         let (id, wait) = (format!("view-{}", self.asked), Duration::from_millis(900));
         let question = QueryRequest { id, class: "view", shards: vec![0], wait, text: "c41e".to_string() };
         let mut lone = DedicatedConnection::connect(self.process.address, QueryLog::default()).await.unwrap();
-        let mut asking = std::pin::pin!(lone.ask_in_pieces(question, &[]));
+        let mut asking = std::pin::pin!(lone.send_in_pieces(question, &[]));
         let [a, b] = &mut self.replicas;
         let went = tokio::select! {
             call = a.call() => { call.answers(); false }
--- a/crates/pipitcrank-cli/tests/repeats.rs
+++ b/crates/pipitcrank-cli/tests/repeats.rs
@@ -160,7 +160,8 @@
         let mut replica = StandInReplica::start().await?;
         let source = ScriptedDiscovery::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
         let steps = UpgradeTimes { start: 3.0, settle: 1.5, silent: 0.5, finish: 8.0 };
-        let process = Process::start(program(), config_with_window(&source, 3.0, 1.0)?, steps.file()).await?;
+        let process =
+            Process::start(program(), config_with_window(&source, 3.0, 1.0)?, steps.operators_file()).await?;
         process.signal(Signal::USR2)?;
         let mut n = 0;
         while process.counter("upgrades done").await != Some(1) {
--- a/crates/pipitcrank-cli/tests/size.rs
+++ b/crates/pipitcrank-cli/tests/size.rs
@@ -18,7 +18,7 @@
 const REPLICAS: usize = 1024;
 const CELLS: u32 = 128;
 const SHARDS: u32 = 256;
-const WORK: Work = Work { usual: Duration::from_millis(2), at_once: 64 };
+const WORK: Work = Work { mean_time: Duration::from_millis(2), concurrency: 64 };
 /// Of both processes of an upgrade together, in kilobytes; built without optimization they hold more.
 const MEMORY: u64 = 96 * 1024;
 
@@ -45,7 +45,7 @@
         let shards = (0..40).map(|i| (n * 37 + i * 5) % SHARDS).collect();
         let wait = Duration::from_secs(4);
         clients
-            .ask(QueryRequest {
+            .send(QueryRequest {
                 id: format!("view-{name}-{n}"),
                 class: "view",
                 shards,
@@ -70,7 +70,8 @@
             node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, 6, 1024, 3000)?;
         let steps = UpgradeTimes { start: 10.0, settle: 0.6, silent: 2.0, finish: 8.0 };
         let process =
-            Process::start(Path::new(env!("CARGO_BIN_EXE_pipitcrank")), config, steps.file()).await?;
+            Process::start(Path::new(env!("CARGO_BIN_EXE_pipitcrank")), config, steps.operators_file())
+                .await?;
         let clients = Clients::new(process.address, ledger.clone());
         serves("told", &clients).await;
 
--- a/crates/pipitcrank-cli/tests/soak.rs
+++ b/crates/pipitcrank-cli/tests/soak.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_testkit::soak::{Size, play};
+use pipitcrank_testkit::soak::{Size, run};
 use pipitcrank_testkit::trial::on_one_thread;
 
 const LIMIT: Duration = Duration::from_secs(90);
@@ -15,8 +15,8 @@
 
 /// Plays that seed; what was broken.
 fn broken(seed: u64, only: Option<&str>) -> Vec<String> {
-    let size = Size { lasts: Duration::from_secs(6), ..Size::SHORT };
-    on_one_thread(LIMIT, play(program(), seed, size, only, false)).unwrap().broken
+    let size = Size { duration: Duration::from_secs(6), ..Size::SHORT };
+    on_one_thread(LIMIT, run(program(), seed, size, only, false)).unwrap().broken
 }
 
 #[test]
@@ -34,7 +34,7 @@
 #[test]
 fn a_trouble_that_is_not_known_ends_with_those_that_are() {
     let size = Size { processes: 1, ..Size::SHORT };
-    let wrong = on_one_thread(LIMIT, play(program(), 1, size, Some("flod"), false)).map(|_| ()).unwrap_err();
+    let wrong = on_one_thread(LIMIT, run(program(), 1, size, Some("flod"), false)).map(|_| ()).unwrap_err();
     let words = wrong.to_string();
     assert!(words.contains("'flod'") && words.contains("short-reads, short-writes"), "{words}");
 }
--- a/crates/pipitcrank-cli/tests/system_calls.rs
+++ b/crates/pipitcrank-cli/tests/system_calls.rs
@@ -17,7 +17,7 @@
 use stand_ins::{ScriptedDiscovery, StandInReplica, node_config, program};
 
 const LIMIT: Duration = Duration::from_secs(90);
-const WORK: Work = Work { usual: Duration::from_millis(4), at_once: 32 };
+const WORK: Work = Work { mean_time: Duration::from_millis(4), concurrency: 32 };
 
 struct Scene {
     fleet: Fleet,
@@ -47,7 +47,7 @@
             let clients = if n % 4 == 0 { new } else { kept.clone() };
             let question = question(&format!("view-{name}-{n}"));
             tasks.spawn_local(async move {
-                clients.ask(question).await;
+                clients.send(question).await;
             });
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -112,7 +112,7 @@
             let clients = Clients::new(scene.process.address, ledger.clone());
             let (asked, written) = (question(&id), Instant::now());
             let wait = asked.wait;
-            let asking = tokio::task::spawn_local(async move { clients.ask(asked).await });
+            let asking = tokio::task::spawn_local(async move { clients.send(asked).await });
             tokio::time::sleep(Duration::from_millis(fails_for)).await;
             scene.faults.set(SyscallFault::Accept, 0.0)?;
             asking.await?;
@@ -154,7 +154,7 @@
         while begun.elapsed() < lasts {
             n += 1;
             let asked = QueryRequest { shards: vec![0], ..question(&format!("view-{n}")) };
-            let asking = clients.ask(asked);
+            let asking = clients.send(asked);
             let mut asking = std::pin::pin!(asking);
             let call = tokio::select! {
                 call = old.call() => { counted[0] += 1; call }
@@ -223,7 +223,7 @@
             let clients = Clients::new(address, ledger.clone());
             let asked = QueryRequest { shards: vec![0], ..question(&format!("view-end-{n}")) };
             tasks.spawn_local(async move {
-                clients.ask(asked).await;
+                clients.send(asked).await;
             });
             tokio::time::sleep(Duration::from_millis(4)).await;
         };
--- a/crates/pipitcrank-testkit/src/client.rs
+++ b/crates/pipitcrank-testkit/src/client.rs
@@ -141,7 +141,7 @@
     }
 
     /// Sends the query, waits for the answer, and keeps the connection where it can be used again.
-    pub async fn ask(&self, query: QueryRequest) -> Option<HttpResponse> {
+    pub async fn send(&self, query: QueryRequest) -> Option<HttpResponse> {
         let begun = Instant::now();
         self.query_log.query_sent(&query.id, query.shards.len());
         let (response, outcome) = match tokio::time::timeout(query.wait + SLACK, self.exchange(&query)).await
@@ -158,7 +158,7 @@
     }
 
     /// Sends the query, and disconnects after a while without having read anything.
-    pub async fn ask_and_disconnect(&self, query: QueryRequest, after: Duration) {
+    pub async fn send_and_disconnect(&self, query: QueryRequest, after: Duration) {
         if let Ok(mut stream) = connect(self.address).await {
             let _ = stream.write_all(query.request().as_bytes()).await;
             tokio::time::sleep(after).await;
@@ -172,7 +172,7 @@
             let clients = Clients { idle: Rc::default(), ..self.clone() };
             let id = format!("view-{name}-{n}");
             asking.spawn_local(async move {
-                clients.ask(QueryRequest::short(&id)).await;
+                clients.send(QueryRequest::short(&id)).await;
                 clients.idle.take()
             });
         }
@@ -183,13 +183,13 @@
     }
 
     /// From now on a process is killed: what closes of the connections opened before it is the kill's, until
-    /// `kill_is_over`.
-    pub fn kill_begins(&self) {
+    /// `end_kill`.
+    pub fn begin_kill(&self) {
         self.kill.set(Some(Instant::now()));
     }
 
     /// The killed process has exited: idle connections that it held are closed now, and are dropped.
-    pub fn kill_is_over(&self) {
+    pub fn end_kill(&self) {
         let (open, closed): (Vec<_>, Vec<_>) =
             self.idle.take().into_iter().partition(IdleConnection::is_open);
         closed.iter().for_each(|idle| self.was_closed(idle.opened));
@@ -271,7 +271,7 @@
     }
 
     /// Sends the query in pieces, cut at these bytes, with a pause after each.
-    pub async fn ask_in_pieces(&mut self, query: QueryRequest, cuts: &[(usize, Duration)]) -> QueryOutcome {
+    pub async fn send_in_pieces(&mut self, query: QueryRequest, cuts: &[(usize, Duration)]) -> QueryOutcome {
         self.query_log.query_sent(&query.id, query.shards.len());
         let request = query.request();
         let mut from = 0;
--- a/crates/pipitcrank-testkit/src/datagram_network.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network.rs
@@ -26,13 +26,13 @@
     /// Each is delayed by up to that time at random, so that they are reordered.
     pub delay: Duration,
     /// Nothing passes.
-    pub silent: bool,
+    pub blocked: bool,
 }
 
 impl DatagramFaults {
     /// No faults.
     pub const NONE: DatagramFaults =
-        DatagramFaults { loss: 0.0, duplicated: 0.0, delay: Duration::ZERO, silent: false };
+        DatagramFaults { loss: 0.0, duplicated: 0.0, delay: Duration::ZERO, blocked: false };
 }
 
 /// What a network has passed on and dropped.
@@ -108,7 +108,7 @@
         let count = self.0.listen_addresses.borrow().len();
         for a in 0..count {
             for b in (0..count).filter(|b| set.contains(&a) != set.contains(b)) {
-                self.set_path(a, b, DatagramFaults { silent: true, ..DatagramFaults::NONE });
+                self.set_path(a, b, DatagramFaults { blocked: true, ..DatagramFaults::NONE });
             }
         }
     }
@@ -134,7 +134,7 @@
         let faults =
             if sender.is_none() { DatagramFaults::NONE } else { path_faults.unwrap_or(self.all.get()) };
         let mut rng = self.rng.borrow_mut();
-        if faults.silent || rng.random_bool(faults.loss) {
+        if faults.blocked || rng.random_bool(faults.loss) {
             self.lost.set(self.lost.get() + 1);
             return;
         }
--- a/crates/pipitcrank-testkit/src/datagram_network/tests.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network/tests.rs
@@ -6,7 +6,7 @@
         let net = DatagramNetwork::new(1);
         let (a, b) = (UdpSocket::bind("127.0.0.1:0").await?, UdpSocket::bind("127.0.0.1:0").await?);
         let (to_a, to_b) = (net.relay(a.local_addr()?).await?, net.relay(b.local_addr()?).await?);
-        net.set_path(0, 1, DatagramFaults { silent: true, ..DatagramFaults::NONE });
+        net.set_path(0, 1, DatagramFaults { blocked: true, ..DatagramFaults::NONE });
         net.set_path(1, 0, DatagramFaults { duplicated: 1.0, ..DatagramFaults::NONE });
         let mut bytes = [0; 9];
         a.send_to(b"lost", to_b).await?;
--- a/crates/pipitcrank-testkit/src/demo.rs
+++ b/crates/pipitcrank-testkit/src/demo.rs
@@ -25,10 +25,11 @@
 /// # Errors
 ///
 /// That the stand-ins or the program can't be started, or that the demo did not end in time.
-pub fn play(program: &Path, seed: u64) -> Result<i32> {
+pub fn run(program: &Path, seed: u64) -> Result<i32> {
     on_one_thread(LIMIT, async {
         println!("starting 12 stand-in leaves, discovery and one co-ordinator on loopback");
-        let fleet = Fleet::start(seed, Work { usual: Duration::from_millis(10), at_once: 16 }).await?;
+        let fleet =
+            Fleet::start(seed, Work { mean_time: Duration::from_millis(10), concurrency: 16 }).await?;
         let process = Process::start(program, fleet.node_config(seed, 1024, 2000)?, None).await?;
         let mut rng = Pcg64::seed_from_u64(seed);
         let query_logs = ["view", "rank", "sale"].map(|v| (v, QueryLog::default()));
@@ -42,7 +43,7 @@
             let query = random_query("demo", n, 0.0, &mut rng);
             let query_log = query_logs.iter().find(|(v, _)| *v == query.class).map(|(_, l)| l.clone());
             let clients = all.recording_in(query_log.unwrap_or_default());
-            tasks.spawn_local(async move { clients.ask(query).await });
+            tasks.spawn_local(async move { clients.send(query).await });
             tokio::time::sleep(PAUSE).await;
         }
         while tasks.join_next().await.is_some() {}
--- a/crates/pipitcrank-testkit/src/fleet.rs
+++ b/crates/pipitcrank-testkit/src/fleet.rs
@@ -128,7 +128,7 @@
                 tokio::time::sleep_until((start + Duration::from_secs_f64(due)).into()).await;
                 let clients = clients.clone();
                 tasks.spawn_local(async move {
-                    clients.ask(query).await;
+                    clients.send(query).await;
                 });
                 while tasks.try_join_next().is_some() {}
             }
--- a/crates/pipitcrank-testkit/src/link.rs
+++ b/crates/pipitcrank-testkit/src/link.rs
@@ -24,7 +24,7 @@
     /// Delay in one direction.
     pub delay: Duration,
     /// Up to that much more, at random.
-    pub spread: Duration,
+    pub jitter: Duration,
     /// Nothing passes forward; what is in transit stays.
     pub stalled_forward: bool,
     /// Nothing passes back.
@@ -33,9 +33,9 @@
 
 impl LinkConditions {
     /// Conditions of a healthy link of that round trip.
-    pub fn of(round_trip: Duration) -> LinkConditions {
+    pub fn with_round_trip(round_trip: Duration) -> LinkConditions {
         let delay = round_trip / 2;
-        LinkConditions { delay, spread: delay / 10, stalled_forward: false, stalled_back: false }
+        LinkConditions { delay, jitter: delay / 10, stalled_forward: false, stalled_back: false }
     }
 }
 
@@ -112,7 +112,7 @@
     }
 
     /// Closes all connections; new ones are accepted.
-    pub fn break_now(&self) {
+    pub fn close_connections(&self) {
         self.shared.cut.notify_waiters();
     }
 
@@ -153,7 +153,7 @@
             piece.truncate(n);
             shared.bytes.set(shared.bytes.get() + n as u64);
             let conditions = shared.conditions.get();
-            let more = conditions.spread.mul_f64(shared.rng.borrow_mut().random::<f64>());
+            let more = conditions.jitter.mul_f64(shared.rng.borrow_mut().random::<f64>());
             // Never before what went ahead of it.
             latest = latest.max(Instant::now() + conditions.delay + more);
             if way_in.send((latest, piece)).await.is_err() {
--- a/crates/pipitcrank-testkit/src/outcome.rs
+++ b/crates/pipitcrank-testkit/src/outcome.rs
@@ -29,14 +29,14 @@
     }
 
     /// Notes the promise as broken unless it was kept.
-    pub fn promise(&mut self, kept: bool, what: &str) {
+    pub fn expect_that(&mut self, kept: bool, what: &str) {
         if !kept {
             self.broken.push(what.to_string());
         }
     }
 
     /// One final answer a query, one run a side-effecting part.
-    pub(crate) fn expect_once_each(&mut self, query_log: &QueryLog) {
+    pub(crate) fn expect_exactly_once(&mut self, query_log: &QueryLog) {
         self.expect_zero("answered twice", query_log.answered_twice());
         self.expect_zero("side-effecting parts run twice", query_log.parts_run_again("sale-"));
         self.expect_zero("odd answers", query_log.unexpected_statuses());
--- a/crates/pipitcrank-testkit/src/process.rs
+++ b/crates/pipitcrank-testkit/src/process.rs
@@ -12,20 +12,20 @@
 use crate::client;
 
 /// A temporary folder, removed when dropped.
-pub struct Folder(PathBuf);
+pub struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     /// Creates the folder.
     ///
     /// # Errors
     ///
     /// That it can't be created.
-    pub fn new(name: &str) -> Result<Folder> {
+    pub fn new(name: &str) -> Result<TempDir> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("pipitcrank-{name}-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TempDir(path))
     }
 
     /// Where it is.
@@ -34,7 +34,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -50,7 +50,7 @@
     /// File of its node configuration.
     pub node_config_path: PathBuf,
     /// Its folder.
-    pub folder: Folder,
+    pub folder: TempDir,
     node_config: Value,
     /// Variables it is started with, beside its own.
     variables: Vec<(String, String)>,
@@ -80,7 +80,7 @@
 
 impl UpgradeTimes {
     /// An operators' file that turns upgrades on.
-    pub fn file(self) -> Option<String> {
+    pub fn operators_file(self) -> Option<String> {
         let UpgradeTimes { start, settle, silent, finish } = self;
         Some(format!(
             "{{ upgrade = Some {{ start_s = {start:?}, settle_s = {settle:?}, silent_s = {silent:?}, finish_s = {finish:?} }} }}"
@@ -92,7 +92,7 @@
     /// Starts a copy of the program. `node_config` is the node configuration; `operators` is the operators' file, if there is one. What it logs goes to `log` in its
     /// folder.
     pub async fn start(program: &Path, node_config: Value, operators: Option<String>) -> Result<Process> {
-        let folder = Folder::new("serve")?;
+        let folder = TempDir::new("serve")?;
         let own = folder.path().join("pipitcrank");
         std::fs::copy(program, &own).context("the program can't be copied")?;
         let process = Process::begin(own, folder, node_config, operators, Vec::new())?;
@@ -106,12 +106,12 @@
         node_config: Value,
         variables: Vec<(String, String)>,
     ) -> Result<Process> {
-        Process::begin(program.to_path_buf(), Folder::new("serve")?, node_config, None, variables)
+        Process::begin(program.to_path_buf(), TempDir::new("serve")?, node_config, None, variables)
     }
 
     fn begin(
         program: PathBuf,
-        folder: Folder,
+        folder: TempDir,
         node_config: Value,
         operators: Option<String>,
         variables: Vec<(String, String)>,
@@ -157,12 +157,12 @@
 
     /// Starts it anew after its end, as it was.
     pub async fn restart(&mut self, operators: Option<String>) -> Result<()> {
-        self.spawn_again(operators)?;
+        self.respawn(operators)?;
         self.wait_until_ready().await
     }
 
     /// The same, without waiting until it serves.
-    pub fn spawn_again(&mut self, operators: Option<String>) -> Result<()> {
+    pub fn respawn(&mut self, operators: Option<String>) -> Result<()> {
         self.child = Process::spawn(
             &self.program,
             &self.node_config_path,
--- a/crates/pipitcrank-testkit/src/replica.rs
+++ b/crates/pipitcrank-testkit/src/replica.rs
@@ -48,9 +48,9 @@
 #[derive(Clone, Copy)]
 pub struct Work {
     /// Work time of a part on average.
-    pub usual: Duration,
+    pub mean_time: Duration,
     /// Parts that it works on at once.
-    pub at_once: usize,
+    pub concurrency: usize,
 }
 
 /// What a replica in slow start may be sent in any window: `overload_factor` times what it does in it at its present
@@ -117,7 +117,7 @@
             address,
             behavior: Cell::new(ReplicaBehavior::Normal),
             work,
-            slots: Semaphore::new(work.at_once),
+            slots: Semaphore::new(work.concurrency),
             waiting: Cell::new(0),
             query_log,
             rng: RefCell::new(Pcg64::seed_from_u64(seed)),
@@ -172,7 +172,7 @@
     pub fn parts_over_slow_start(&self, limit: SlowStartLimit) -> u64 {
         let SlowStartLimit { overload_factor, initial_fraction, window } = limit;
         let Some((_, slow_start)) = *self.shared.slow_start.borrow() else { return 0 };
-        let warm = self.shared.work.at_once as f64 / self.shared.work.usual.as_secs_f64();
+        let warm = self.shared.work.concurrency as f64 / self.shared.work.mean_time.as_secs_f64();
         let over = |arrivals: &Vec<Duration>| {
             let each = arrivals.iter().enumerate().map(|(n, &at)| {
                 let first = arrivals.partition_point(|t| *t + window < at);
@@ -343,6 +343,6 @@
         }
         let factor = if let ReplicaBehavior::Slow(factor) = self.behavior.get() { factor } else { 1.0 };
         let rng: f64 = self.rng.borrow_mut().random();
-        self.work.usual.mul_f64(factor * (0.5 + rng))
+        self.work.mean_time.mul_f64(factor * (0.5 + rng))
     }
 }
--- a/crates/pipitcrank-testkit/src/soak/clients.rs
+++ b/crates/pipitcrank-testkit/src/soak/clients.rs
@@ -153,7 +153,7 @@
         ClientBehavior::SlowWriter | ClientBehavior::Pipelines => {
             clients.ask_on_new_connection(&query, place).await
         }
-        _ => (clients.ask_and_disconnect(&query, place, &mut rng).await, false),
+        _ => (clients.send_and_disconnect(&query, place, &mut rng).await, false),
     };
     let mut requests = clients.cluster.requests.borrow_mut();
     (requests[place].end, requests[place].corrupted) = (end, corrupted);
@@ -261,7 +261,7 @@
         stream.get_mut().write_all(request.as_bytes()).await
     }
 
-    async fn ask_and_disconnect(&self, query: &QueryRequest, place: usize, rng: &mut Pcg64) -> RequestEnd {
+    async fn send_and_disconnect(&self, query: &QueryRequest, place: usize, rng: &mut Pcg64) -> RequestEnd {
         let Ok(mut stream) = connect(self.address).await else { return RequestEnd::NotAccepted };
         let behind = "x".repeat(4000);
         let bytes = match query.behavior {
--- a/crates/pipitcrank-testkit/src/soak/cluster.rs
+++ b/crates/pipitcrank-testkit/src/soak/cluster.rs
@@ -29,7 +29,7 @@
 const SOCKETS: u32 = 256;
 const MOST_OPEN: u32 = 500;
 /// Part of a second's work that a replica does at once, and how long a part takes.
-pub const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
+pub const WORK: Work = Work { mean_time: Duration::from_millis(10), concurrency: 2 };
 
 /// Rules in the node configuration, as the verifier needs them.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
@@ -107,7 +107,7 @@
 }
 
 fn loopback() -> LinkConditions {
-    LinkConditions::of(Duration::from_micros(400))
+    LinkConditions::with_round_trip(Duration::from_micros(400))
 }
 
 impl SoakCluster {
--- a/crates/pipitcrank-testkit/src/soak/inject.rs
+++ b/crates/pipitcrank-testkit/src/soak/inject.rs
@@ -49,7 +49,9 @@
         FaultKind::LinkStalls => stall_link(cluster, planned).await,
         FaultKind::LinkBreaks => break_link(cluster, planned).await,
         FaultKind::DiscoveryStalls => stall_discovery(cluster, planned).await,
-        FaultKind::DiscoveryBreaks => cluster.discovery_links.iter().for_each(|link| link.break_now()),
+        FaultKind::DiscoveryBreaks => {
+            cluster.discovery_links.iter().for_each(|link| link.close_connections())
+        }
         FaultKind::DiscoveryDown => interrupt_discovery(cluster, planned, |link| link.cut()).await,
         FaultKind::ShortReads => fail_syscalls(node, planned, SyscallFault::ShortRead, 0.05).await?,
         FaultKind::ShortWrites => fail_syscalls(node, planned, SyscallFault::ShortWrite, 0.05).await?,
@@ -89,7 +91,7 @@
 /// Breaks the connections to the replica three times.
 async fn break_link(cluster: &SoakCluster, planned: &PlannedFault) {
     for _ in 0..3 {
-        cluster.replicas.borrow()[planned.replica].link.break_now();
+        cluster.replicas.borrow()[planned.replica].link.close_connections();
         tokio::time::sleep(planned.lasts / 3).await;
     }
 }
@@ -181,7 +183,7 @@
 
 async fn start_again(node: &Node, process: &mut Process) -> Result<()> {
     let begun = Instant::now();
-    process.spawn_again(None)?;
+    process.respawn(None)?;
     let up = tokio::time::timeout(START_LIMIT, process.wait_until_ready()).await;
     // What never serves is judged by that time.
     let took = if matches!(up, Ok(Ok(()))) { begun.elapsed() } else { START_LIMIT };
@@ -233,7 +235,7 @@
     LinkConditions {
         stalled_forward: there,
         stalled_back: back,
-        ..LinkConditions::of(Duration::from_micros(400))
+        ..LinkConditions::with_round_trip(Duration::from_micros(400))
     }
 }
 
--- a/crates/pipitcrank-testkit/src/soak/mod.rs
+++ b/crates/pipitcrank-testkit/src/soak/mod.rs
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// A name in `only` that no kind has, or a stand-in or process that can't be started.
-pub async fn play(
+pub async fn run(
     program: &Path,
     seed: u64,
     size: Size,
@@ -38,7 +38,7 @@
     let load: Vec<_> =
         (0..size.processes).map(|n| clients::Load::start(cluster.clone(), n, seed, size.rate)).collect();
     let faults = script::run(cluster.clone(), seed, size, only, verbose);
-    let (faults, ()) = tokio::join!(faults, tokio::time::sleep(size.lasts));
+    let (faults, ()) = tokio::join!(faults, tokio::time::sleep(size.duration));
     let faults = faults?;
     for each in load {
         each.stop().await?;
--- a/crates/pipitcrank-testkit/src/soak/script.rs
+++ b/crates/pipitcrank-testkit/src/soak/script.rs
@@ -45,9 +45,9 @@
     only: Option<FaultKind>,
     verbose: bool,
 ) -> Result<Vec<PlayedFault>> {
-    let until = Instant::now() + size.lasts;
+    let until = Instant::now() + size.duration;
     let mut lanes = JoinSet::new();
-    for lane in 0..size.overlap {
+    for lane in 0..size.concurrent_faults {
         let cluster = cluster.clone();
         lanes.spawn_local(async move {
             let mut rng = Pcg64::seed_from_u64(seed.wrapping_mul(31) + lane as u64);
--- a/crates/pipitcrank-testkit/src/soak/verifier.rs
+++ b/crates/pipitcrank-testkit/src/soak/verifier.rs
@@ -214,7 +214,7 @@
             .filter(|a| a.at >= started && replica.died.is_none_or(|died| a.at < died))
             .map(|a| a.at.saturating_duration_since(started))
             .collect();
-        let capacity = WORK.at_once as f64 / WORK.usual.as_secs_f64();
+        let capacity = WORK.concurrency as f64 / WORK.mean_time.as_secs_f64();
         for (n, &at) in arrivals.iter().enumerate().filter(|(_, at)| **at < WARM_UP) {
             let first = arrivals.partition_point(|t| *t + LOAD_WINDOW < at);
             let age = at.as_secs_f64() / WARM_UP.as_secs_f64();
@@ -265,7 +265,7 @@
         outcome.figure("plain requests failed", ended(500) as f64);
         let worst = self.cluster.lags.borrow().iter().map(|l| l.1).max().unwrap_or_default();
         outcome.figure("this program late by, ms", worst.as_secs_f64() * 1000.0);
-        outcome.promise(served as f64 >= taken as f64 * SERVED_LEAST, "hardly anybody was served");
+        outcome.expect_that(served as f64 >= taken as f64 * SERVED_LEAST, "hardly anybody was served");
         for (what, details) in &self.found {
             outcome.expect_zero(what, details.len() as u64);
             for detail in details.iter().take(EXAMPLES) {
--- a/crates/pipitcrank-testkit/src/syscall_faults.rs
+++ b/crates/pipitcrank-testkit/src/syscall_faults.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, Result, bail};
 
-use crate::process::Folder;
+use crate::process::TempDir;
 
 const SOURCE: &str = include_str!("../shim/faults.c");
 /// Places in the mapped file: as many rates as the source has kinds, then the wall clock's step, then the seed.
@@ -44,7 +44,7 @@
 
 /// The library, built once.
 pub struct FaultLibrary {
-    folder: Folder,
+    folder: TempDir,
 }
 
 impl FaultLibrary {
@@ -54,7 +54,7 @@
     ///
     /// That the compiler can't be started or fails.
     pub fn build() -> Result<FaultLibrary> {
-        let folder = Folder::new("shim")?;
+        let folder = TempDir::new("shim")?;
         let source = folder.path().join("faults.c");
         std::fs::write(&source, SOURCE)?;
         let built = Command::new("cc")
--- a/crates/pipitcrank-testkit/src/trial/gateway/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/cluster.rs
@@ -12,7 +12,7 @@
 use crate::query_log::QueryLog;
 use crate::replica::{ReplicaBehavior, Work};
 
-const WORK: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
+const WORK: Work = Work { mean_time: Duration::from_millis(8), concurrency: 16 };
 /// Sites by their index; the first lacks cells of its own.
 pub(super) const NAMES: [&str; 3] = ["north", "south", "west"];
 pub(super) const NORTH: usize = 0;
@@ -101,9 +101,13 @@
         let listens = [free_address()?, free_address()?, free_address()?];
         let mut links = Vec::new();
         for (n, round_trip) in round_trips.into_iter().enumerate() {
-            links.push(Link::start(seed ^ n as u64, listens[n + 1], LinkConditions::of(round_trip)).await?);
+            links.push(
+                Link::start(seed ^ n as u64, listens[n + 1], LinkConditions::with_round_trip(round_trip))
+                    .await?,
+            );
         }
-        let back = Link::start(seed ^ 9, listens[NORTH], LinkConditions::of(round_trips[0])).await?;
+        let back =
+            Link::start(seed ^ 9, listens[NORTH], LinkConditions::with_round_trip(round_trips[0])).await?;
         let mut sites = Vec::new();
         for (n, &listen) in listens.iter().enumerate() {
             let fleet = Fleet::start_with(seed ^ (n as u64) << 8, WORK, query_log.clone()).await?;
--- a/crates/pipitcrank-testkit/src/trial/gateway/inject.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/inject.rs
@@ -30,10 +30,10 @@
     /// Plays the fault, repairs the near link and pauses.
     pub(super) async fn play_fault(&mut self, fault: Fault, seed: u64, clients: &Clients) -> Result<()> {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let near = LinkConditions::of(NEAR_TRIP);
+        let near = LinkConditions::with_round_trip(NEAR_TRIP);
         match fault {
             Fault::Calm => sleep(FAULT_DURATION).await,
-            Fault::SlowWay => self.degrade(LinkConditions::of(Duration::from_millis(400))).await,
+            Fault::SlowWay => self.degrade(LinkConditions::with_round_trip(Duration::from_millis(400))).await,
             Fault::Flaps => self.flap().await,
             Fault::Stalls => {
                 self.degrade(LinkConditions { stalled_forward: true, stalled_back: true, ..near }).await;
@@ -74,7 +74,7 @@
 
     async fn flap(&self) {
         for _ in 0..6 {
-            self.links[0].break_now();
+            self.links[0].close_connections();
             sleep(FAULT_DURATION / 6).await;
         }
     }
@@ -82,11 +82,11 @@
     async fn cut_within(&self, rng: &mut Pcg64) {
         for _ in 0..10 {
             self.links[0].cut_after(Some(rng.random_range(1..2500)));
-            self.links[0].break_now();
+            self.links[0].close_connections();
             sleep(FAULT_DURATION / 10).await;
         }
         self.links[0].cut_after(None);
-        self.links[0].break_now();
+        self.links[0].close_connections();
     }
 
     async fn kill_far(&mut self) -> Result<()> {
@@ -119,10 +119,10 @@
     }
 
     async fn swap_round_trips(&self) {
-        self.links[0].set_conditions(LinkConditions::of(Duration::from_millis(200)));
-        self.links[1].set_conditions(LinkConditions::of(Duration::from_millis(5)));
+        self.links[0].set_conditions(LinkConditions::with_round_trip(Duration::from_millis(200)));
+        self.links[1].set_conditions(LinkConditions::with_round_trip(Duration::from_millis(5)));
         sleep(FAULT_DURATION).await;
-        self.links[1].set_conditions(LinkConditions::of(FAR_TRIP));
+        self.links[1].set_conditions(LinkConditions::with_round_trip(FAR_TRIP));
     }
 
     async fn disconnect_clients(&self, rng: &mut Pcg64, seed: u64, clients: &Clients) {
@@ -130,7 +130,7 @@
             let query = random_query(&format!("leaver{seed:x}"), u64::from(n), 0.0, rng);
             let after = Duration::from_millis(rng.random_range(1..40));
             let clients = clients.clone();
-            tokio::task::spawn_local(async move { clients.ask_and_disconnect(query, after).await });
+            tokio::task::spawn_local(async move { clients.send_and_disconnect(query, after).await });
             sleep(FAULT_DURATION / LEAVERS).await;
         }
     }
--- a/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
@@ -48,7 +48,7 @@
         report.query_log.count(QueryOutcome::Lost) + report.query_log.parts_run_again("sale-")
     };
     outcome.expect_zero("lost or run twice in the two others", lost(&shortest) + lost(&alone));
-    outcome.promise(
+    outcome.expect_that(
         both.query_log.service() > alone.query_log.service(),
         "the gateway served more than no far site",
     );
--- a/crates/pipitcrank-testkit/src/trial/gateway/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/run.rs
@@ -100,16 +100,16 @@
     outcome.figure("queries", query_log.total() as f64);
     outcome.expect_zero("lost", query_log.count(QueryOutcome::Lost) + query_log.open());
     outcome.expect_zero("refused connections", query_log.count(QueryOutcome::ConnectionRefused));
-    outcome.expect_once_each(query_log);
+    outcome.expect_exactly_once(query_log);
     let over = query_log.over_budget(BUDGET);
     outcome.figure("further runs over the budget of any window", over);
-    outcome.promise(over <= 0.0, "further calls, near and far together, stay within the budget");
+    outcome.expect_that(over <= 0.0, "further calls, near and far together, stay within the budget");
     outcome.query_outcomes(query_log);
     outcome.figure("answer ms, half", query_log.response_time_ms(0.5));
     outcome.figure("answer ms, 99 of 100", query_log.response_time_ms(0.99));
     outcome.figure("parts answered by other sites", report.forwarded_parts as f64);
     outcome.figure("of them too late", report.late_parts as f64);
-    outcome.promise(report.forwarded_parts > FORWARDED_LEAST, "other sites were needed");
+    outcome.expect_that(report.forwarded_parts > FORWARDED_LEAST, "other sites were needed");
     outcome.figure(
         "bytes on the links a part, heartbeats included",
         report.bytes as f64 / report.forwarded_parts.max(1) as f64,
@@ -119,5 +119,5 @@
         report.cpu_seconds * 1e6 / query_log.total() as f64,
     );
     let panicked = report.log.lines().find(|line| line.contains("panicked"));
-    outcome.promise(panicked.is_none(), &format!("nothing panics: {panicked:?}"));
+    outcome.expect_that(panicked.is_none(), &format!("nothing panics: {panicked:?}"));
 }
--- a/crates/pipitcrank-testkit/src/trial/gateway/table.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/table.rs
@@ -58,7 +58,7 @@
     while Instant::now() < until {
         tokio::time::sleep(breaks.min(until - Instant::now())).await;
         if breaks < LOAD_DURATION {
-            cluster.links.iter().for_each(Link::break_now);
+            cluster.links.iter().for_each(Link::close_connections);
         }
     }
     load.stop().await?;
--- a/crates/pipitcrank-testkit/src/trial/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/mod.rs
@@ -48,9 +48,9 @@
         "gateway-table" => on_one_thread(limit * 3, gateway::table(program, seed))?,
         "zones" => on_one_thread(limit * 2, zones::play(program, seed, only, !json))?,
         "return" => on_one_thread(limit * 3, returns::play(program, seed, only, !json))?,
-        "soak" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::FULL, only, !json))?,
-        "soak-hard" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::HARD, only, !json))?,
-        "soak-short" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::SHORT, only, !json))?,
+        "soak" => on_one_thread(limit * 2, soak::run(program, seed, soak::Size::FULL, only, !json))?,
+        "soak-hard" => on_one_thread(limit * 2, soak::run(program, seed, soak::Size::HARD, only, !json))?,
+        "soak-short" => on_one_thread(limit * 2, soak::run(program, seed, soak::Size::SHORT, only, !json))?,
         _ => bail!("no trial is named '{name}'; there are: {NAMES}"),
     };
     outcome.print(json)?;
--- a/crates/pipitcrank-testkit/src/trial/returns/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/cluster.rs
@@ -12,7 +12,7 @@
 use pipitcrank_failover::routing_table::Proximity;
 
 use crate::datagram_network::DatagramNetwork;
-use crate::process::{Folder, Process};
+use crate::process::{Process, TempDir};
 use crate::query_log::QueryLog;
 use crate::replica::Work;
 use crate::trial::observer::{Observations, ObservedMember, free_udp_address, observe, send_order};
@@ -25,7 +25,7 @@
 /// The zone that an operator drains before the outage, so that there is a decision to be remembered.
 pub(super) const DRAINED_ZONE: usize = 2;
 /// A replica does two hundred parts a second.
-const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
+const WORK: Work = Work { mean_time: Duration::from_millis(10), concurrency: 2 };
 /// Queries a second at each member; a query has 5.7 parts. Two zones of six replicas are left: eight tenths of what they
 /// carry.
 pub(super) const RATE: f64 = 22.0;
@@ -51,7 +51,7 @@
     _net: DatagramNetwork,
     pub members: Vec<Member>,
     pub observed: Rc<RefCell<Observations>>,
-    pub stores: Folder,
+    pub stores: TempDir,
     /// Members have stores.
     pub kept: bool,
     program: PathBuf,
@@ -84,7 +84,7 @@
 impl RestartCluster {
     pub(super) async fn start(program: &Path, seed: u64, kept: bool) -> Result<RestartCluster> {
         let fleet = ZonedFleet::start(seed, &ZONES, 0, WORK, QueryLog::default()).await?;
-        let (net, stores) = (DatagramNetwork::new(seed ^ 5), Folder::new("stores")?);
+        let (net, stores) = (DatagramNetwork::new(seed ^ 5), TempDir::new("stores")?);
         let mut addresses = Vec::new();
         for _ in 0..MEMBERS {
             let listen = free_udp_address().await?;
@@ -192,7 +192,7 @@
     pub(super) async fn restart(&mut self, members: &[usize]) -> Result<Instant> {
         for &n in members {
             let file = self.members[n].operators_file.clone();
-            self.members[n].process.spawn_again(Some(file))?;
+            self.members[n].process.respawn(Some(file))?;
         }
         let last = Instant::now();
         for &n in members {
--- a/crates/pipitcrank-testkit/src/trial/returns/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/figures.rs
@@ -46,18 +46,18 @@
         outcome.figure(&format!("{name}: most parts at a leaf in a second"), after.parts as f64);
         outcome.figure(&format!("{name}: most connections at a leaf in a second"), after.connections as f64);
         let promised = aims && case.keeps_stores() && case != Case::Failover;
-        outcome.promise(
+        outcome.expect_that(
             !promised || self.full.is_some_and(|s| s <= BACK_WITHIN_S),
             &format!(
                 "full service within {BACK_WITHIN_S} s where something was kept ({name}: {:?})",
                 self.full
             ),
         );
-        outcome.promise(
+        outcome.expect_that(
             !aims || after.parts as f64 <= MOST_PARTS,
             &format!("at most {MOST_PARTS} parts a second come to a leaf ({name}: {})", after.parts),
         );
-        self.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
+        self.missing.iter().for_each(|what| outcome.expect_that(false, &format!("{name}: {what}")));
     }
 }
 
@@ -107,7 +107,7 @@
         outcome.expect_zero("two decisions under one number", self.conflicting_decisions);
         outcome.expect_zero("acted on an older decision", self.regressions);
         outcome.figure("further runs over the budget", self.over_budget);
-        outcome.promise(self.over_budget <= 0.0, "further calls stay within the budgets");
+        outcome.expect_that(self.over_budget <= 0.0, "further calls stay within the budgets");
     }
 }
 
@@ -117,5 +117,5 @@
     // The store's library gives up some truncated files by a panic that is caught.
     let panicked = logs.lines().find(|line| line.contains("panicked") && !line.contains("'store'"));
     let name = case.name().to_lowercase();
-    outcome.promise(panicked.is_none(), &format!("{name}: nothing panics: {panicked:?}"));
+    outcome.expect_that(panicked.is_none(), &format!("{name}: nothing panics: {panicked:?}"));
 }
--- a/crates/pipitcrank-testkit/src/trial/upgrade/comparison.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/comparison.rs
@@ -54,7 +54,7 @@
 /// A process that can't be started, or does not end or upgrade in time.
 pub async fn known(program: &Path, seed: u64) -> Result<Outcome> {
     let mut outcome = Outcome::default();
-    for (name, operators_file) in [("an upgrade", UPGRADE_TIMES.file()), ("a restart", None)] {
+    for (name, operators_file) in [("an upgrade", UPGRADE_TIMES.operators_file()), ("a restart", None)] {
         let fleet = Fleet::start(seed, USUAL).await?;
         fleet.replicas[2].set_behavior(ReplicaBehavior::Slow(60.0));
         fleet.replicas[7].set_behavior(ReplicaBehavior::Fails);
--- a/crates/pipitcrank-testkit/src/trial/upgrade/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/figures.rs
@@ -24,7 +24,7 @@
     outcome.figure("rounds", script.len() as u32);
     outcome.figure("upgrades done", done.unwrap_or(0) as f64);
     outcome.figure("upgrades undone", undone.unwrap_or(0) as f64);
-    outcome.promise(
+    outcome.expect_that(
         (done, undone) == (Some(expected_done), Some(expected_undone)),
         &format!(
             "upgrades done and undone are {:?}, not {:?}",
@@ -48,7 +48,7 @@
     outcome.expect_zero("refused connections", query_log.count(QueryOutcome::ConnectionRefused));
     let unanswered = if killed { 0 } else { run.accepts.refused.get() };
     outcome.expect_zero("tries to connect without an answer", unanswered);
-    outcome.expect_once_each(query_log);
+    outcome.expect_exactly_once(query_log);
     let closed = run.idle.iter().filter(|connection| connection.is_closed()).count() as u64;
     if killed {
         outcome.figure("idle connections closed by the kill", closed as f64);
@@ -59,7 +59,7 @@
     if killed {
         let by_kill = run.clients.closed_by_kill.get();
         outcome.figure("kept connections closed by the kill", by_kill as f64);
-        outcome.promise(by_kill > 0, "none of the connections that rested was closed by the kill");
+        outcome.expect_that(by_kill > 0, "none of the connections that rested was closed by the kill");
     }
     outcome.query_outcomes(query_log);
 }
@@ -97,7 +97,7 @@
     let pids = process.workers();
     process.signal(Signal::TERM)?;
     let status = process.wait_for_exit(TERM_LIMIT).await;
-    outcome.promise(status.is_some_and(|s| s.success()), &format!("its end is {status:?}"));
+    outcome.expect_that(status.is_some_and(|s| s.success()), &format!("its end is {status:?}"));
     let left = pids.iter().filter(|pid| Path::new(&format!("/proc/{pid}")).exists()).count();
     outcome.expect_zero("workers left behind", left as u64);
     Ok(())
--- a/crates/pipitcrank-testkit/src/trial/upgrade/load.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/load.rs
@@ -8,7 +8,7 @@
 /// Queries a second; a debug build serves them as well.
 pub(super) const RATE: f64 = 150.0;
 /// Work of a part; sixteen at once at each replica.
-pub(super) const USUAL: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
+pub(super) const USUAL: Work = Work { mean_time: Duration::from_millis(8), concurrency: 16 };
 /// Fraction of sales that is in flight through most of a handover: one or two at any time. With many more the core takes
 /// their replicas to lag.
 pub(super) const SLOW_SALES: f64 = 0.03;
@@ -36,7 +36,7 @@
     pub(super) const USUAL: LoadProfile = LoadProfile { work: USUAL, rate: RATE, idle_clients: 200 };
     /// Twice as much as twelve replicas can do: they do 600 parts a second, some 110 queries.
     pub(super) const OVERLOAD: LoadProfile = LoadProfile {
-        work: Work { usual: Duration::from_millis(40), at_once: 2 },
+        work: Work { mean_time: Duration::from_millis(40), concurrency: 2 },
         rate: 220.0,
         idle_clients: 0,
     };
--- a/crates/pipitcrank-testkit/src/trial/upgrade/play_round.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/play_round.rs
@@ -121,11 +121,11 @@
             }
             (Round::NewHangs, Some(new)) => signal_worker(new, Signal::STOP),
             (Round::OldKilled, _) => {
-                self.clients.kill_begins();
+                self.clients.begin_kill();
                 old.iter().for_each(|&pid| signal_worker(pid, Signal::KILL));
                 let gone = async || !self.process.workers().iter().any(|pid| old.contains(pid));
                 wait_until("the killed process's end", TRIAL_LIMIT, gone).await?;
-                self.clients.kill_is_over();
+                self.clients.end_kill();
             }
             (Round::AskedTwice, _) => {
                 tokio::time::sleep(SECOND_SIGNAL).await;
--- a/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
@@ -41,11 +41,11 @@
             let ended = request.await?;
             let answered =
                 matches!(ended, QueryOutcome::Complete | QueryOutcome::Rejected) || round == Round::OldKilled;
-            outcome.promise(answered, &format!("round {}: a request in pieces ended {ended}", n + 1));
+            outcome.expect_that(answered, &format!("round {}: a request in pieces ended {ended}", n + 1));
         }
         let due = self.idle.iter_mut().enumerate().skip(n % IDLE_PERIOD).step_by(IDLE_PERIOD);
         for (m, connection) in due {
-            connection.ask_in_pieces(QueryRequest::short(&format!("view-idle{m}-{}", n + 1)), &[]).await;
+            connection.send_in_pieces(QueryRequest::short(&format!("view-idle{m}-{}", n + 1)), &[]).await;
         }
         Ok(())
     }
@@ -107,7 +107,7 @@
             tokio::time::sleep(before).await;
             match DedicatedConnection::connect(address, query_log).await {
                 // Sometimes none of it has arrived when the connection is handed over.
-                Ok(mut connection) => connection.ask_in_pieces(query, &[(cut, pause)]).await,
+                Ok(mut connection) => connection.send_in_pieces(query, &[(cut, pause)]).await,
                 Err(_) => QueryOutcome::ConnectionRefused,
             }
         })
--- a/crates/pipitcrank-testkit/src/trial/upgrade/session.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/session.rs
@@ -35,7 +35,7 @@
     pub(super) async fn start(program: &Path, seed: u64, profile: LoadProfile) -> Result<UpgradeRun> {
         let fleet = Fleet::start(seed, profile.work).await?;
         let node_config = fleet.node_config(seed, 1024, 3000)?;
-        let process = Process::start(program, node_config, UPGRADE_TIMES.file()).await?;
+        let process = Process::start(program, node_config, UPGRADE_TIMES.operators_file()).await?;
         let quiet = quiet_load(&process, seed, profile.rate).await?;
         let before = process.resource_usage();
         let clients = Clients::new(process.address, fleet.query_log.clone());
@@ -64,7 +64,7 @@
     let mut idle = Vec::new();
     for n in 0..count {
         let mut connection = DedicatedConnection::connect(address, query_log.clone()).await?;
-        let ended = connection.ask_in_pieces(QueryRequest::short(&format!("view-idle{n}-0")), &[]).await;
+        let ended = connection.send_in_pieces(QueryRequest::short(&format!("view-idle{n}-0")), &[]).await;
         ensure!(ended == QueryOutcome::Complete, "a client's first query: {ended}");
         idle.push(connection);
     }
--- a/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
@@ -40,7 +40,7 @@
 pub(super) const ALL_RETAINED: u16 = 1000;
 /// A replica does two hundred parts a second; a zone is offered about a third of its configured capacity, so that one
 /// alone carries nearly all three.
-const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
+const WORK: Work = Work { mean_time: Duration::from_millis(10), concurrency: 2 };
 /// Slow start as the node configuration states it.
 pub(super) const SLOW_START: SlowStartLimit =
     SlowStartLimit { overload_factor: 1.2, initial_fraction: 0.15, window: Duration::from_millis(1500) };
--- a/crates/pipitcrank-testkit/src/trial/zones/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/figures.rs
@@ -34,16 +34,16 @@
     pub(super) fn promises(&self, fault: Fault, aims: bool, outcome: &mut Outcome) {
         let name = fault.name().to_lowercase();
         if aims && matches!(fault, Fault::Replicas | Fault::Zone) {
-            outcome.promise(
+            outcome.expect_that(
                 self.moved.is_some_and(|s| s <= MOVED_WITHIN_S),
                 &format!("moved within {MOVED_WITHIN_S} s of a zone's loss ({name}: {:?})", self.moved),
             );
-            outcome.promise(
+            outcome.expect_that(
                 self.service >= LEAST_SERVICE,
                 &format!("service at least 97 % where the rest can carry it ({name}: {:.3})", self.service),
             );
         }
-        self.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
+        self.missing.iter().for_each(|what| outcome.expect_that(false, &format!("{name}: {what}")));
     }
 }
 
@@ -52,7 +52,7 @@
     let (near, across) = (after.near - before.near, after.across - before.across);
     let crossing = across as f64 / (near + across).max(1) as f64;
     outcome.figure("parts that cross zones on calm, %", crossing * 100.0);
-    outcome.promise(crossing < CROSSING_LIMIT, "under 5 % of parts cross zones on calm");
+    outcome.expect_that(crossing < CROSSING_LIMIT, "under 5 % of parts cross zones on calm");
 }
 
 /// Sums over all faults of a run.
@@ -106,7 +106,7 @@
         let over = cluster.fleet.parts_over_slow_start(SLOW_START);
         outcome.expect_zero("parts over what a cold leaf may get", over);
         outcome.figure("further runs over the budget", self.over_budget);
-        outcome.promise(self.over_budget <= 0.0, "further calls stay within the budgets");
+        outcome.expect_that(self.over_budget <= 0.0, "further calls stay within the budgets");
         for (name, mut values) in [("moved, s", self.moved), ("back home, s", self.back)] {
             values.sort_by(f64::total_cmp);
             if let (Some(middle), Some(longest)) = (values.get(values.len() / 2), values.last()) {
@@ -120,7 +120,7 @@
         outcome.figure("datagrams dropped on purpose", datagrams.dropped as f64);
         let logs: String = cluster.members.iter().map(|member| member.process.log()).collect();
         let panicked = logs.lines().find(|line| line.contains("panicked"));
-        outcome.promise(panicked.is_none(), &format!("nothing panics: {panicked:?}"));
+        outcome.expect_that(panicked.is_none(), &format!("nothing panics: {panicked:?}"));
     }
 }
 
--- a/crates/pipitcrank-testkit/src/trial/zones/replica_faults.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/replica_faults.rs
@@ -29,7 +29,7 @@
 
     pub(super) async fn play_lossy(&mut self, zone: usize, report: &mut FaultReport) {
         let delay = Duration::from_millis(60);
-        self.net.set_all(DatagramFaults { loss: 0.2, duplicated: 0.1, delay, silent: false });
+        self.net.set_all(DatagramFaults { loss: 0.2, duplicated: 0.1, delay, blocked: false });
         self.lose(zone, report, Duration::from_secs(1)).await;
         self.net.heal();
         self.wait_home(report, 25.0).await;
@@ -65,12 +65,12 @@
 
     pub(super) async fn play_cut(&mut self, zone: usize, other: usize, report: &mut FaultReport) {
         let begun = self.newest_decision();
-        self.fleet.cut(zone, other, true);
+        self.fleet.set_partitioned(zone, other, true);
         sleep_s(4).await;
         if self.moved_since(begun, None) {
             report.missing("a zone that the third reaches was left");
         }
-        self.fleet.cut(zone, other, false);
+        self.fleet.set_partitioned(zone, other, false);
         self.wait_home(report, 15.0).await;
     }
 
--- a/crates/pipitcrank-testkit/src/zoned_fleet.rs
+++ b/crates/pipitcrank-testkit/src/zoned_fleet.rs
@@ -39,7 +39,7 @@
 }
 
 fn healthy_link(from: usize, to: usize) -> LinkConditions {
-    LinkConditions::of(if from == to { NEAR } else { ACROSS })
+    LinkConditions::with_round_trip(if from == to { NEAR } else { ACROSS })
 }
 
 impl ZonedFleet {
@@ -158,7 +158,7 @@
     }
 
     /// Whether members of either zone reach no replica of the other.
-    pub fn cut(&self, a: usize, b: usize, silent: bool) {
+    pub fn set_partitioned(&self, a: usize, b: usize, silent: bool) {
         self.set_paths(a, b, silent);
         self.set_paths(b, a, silent);
     }
@@ -171,7 +171,7 @@
     /// The zone's replicas have just started, and discovery announces it; they count what arrives in slow start.
     pub fn begin_slow_start(&self, zone: usize, warm_up: Duration) {
         // A machine that starts knows of no connection: guards against what was written to the one before it.
-        self.links.iter().flat_map(|to| &to[zone]).for_each(Link::break_now);
+        self.links.iter().flat_map(|to| &to[zone]).for_each(Link::close_connections);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
         for (view, discovery) in self.discoveries.iter().enumerate() {
             if self.regions[self.views[view]] != self.regions[zone] {
