--- a/crates/pipitcrank-testkit/shim/faults.c
+++ b/crates/pipitcrank-testkit/shim/faults.c
@@ -1,5 +1,6 @@
-/* System calls that fail as Linux documents, for the process under test alone (LD_PRELOAD). How often each kind fails is
- * read from a file that the soak test maps and changes while the process runs. Nothing else of the process is touched. */
+/* Injects documented Linux system call failures into the process under test (LD_PRELOAD). The failure rate of each kind
+ * is read from a mapped file that the soak test writes while the process runs. Calls that do not fail behave as usual,
+ * except that clock_gettime adds the offset of the wall clock. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -15,7 +16,8 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The file: as many rates (per million calls) as there are kinds, then the steps of the wall clock in microseconds. */
+/* Layout of the file: one rate per kind (failures per million calls), the offset of the wall clock in microseconds, and
+ * the seed of the random numbers. */
 enum { SHORT_READ, SHORT_WRITE, ACCEPT, SOCKET, CONNECT, BIND, INTERRUPT, BROKEN, HOLD, OPEN, KINDS = 16 };
 struct control {
     volatile uint32_t rate[KINDS];
@@ -31,7 +33,7 @@
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void initialize(void) {
     const char *path = getenv("PIPITCRANK_FAULTS");
     int fd = path ? (int)REAL(open)(path, O_RDONLY | O_CLOEXEC) : -1;
     if (fd < 0)
@@ -56,8 +58,8 @@
     return rate && next() % 1000000 < rate;
 }
 
-static int fail_with(const int *kinds, int count) {
-    errno = kinds[next() % count];
+static int fail_with(const int *errors, int count) {
+    errno = errors[next() % count];
     return -1;
 }
 
@@ -77,21 +79,21 @@
 
 static int is_outgoing(int fd) { return fd >= 0 && fd < FILES && outgoing[fd]; }
 
-static int broken(int fd) {
-    static const int kinds[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
-    return is_outgoing(fd) && fails(BROKEN) ? fail_with(kinds, 3) : 0;
+static int connection_breaks(int fd) {
+    static const int errors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
+    return is_outgoing(fd) && fails(BROKEN) ? fail_with(errors, 3) : 0;
 }
 
-static size_t cut(size_t length) {
+static size_t shortened(size_t length) {
     size_t most = 1 + next() % SHORT_MOST;
     return length < most ? length : most;
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
-    if (interrupted() || broken(fd))
+    if (interrupted() || connection_breaks(fd))
         return -1;
     if (length > 1 && !(flags & MSG_PEEK) && fails(SHORT_READ))
-        length = cut(length);
+        length = shortened(length);
     return REAL(recv)(fd, buffer, length, flags);
 }
 
@@ -100,7 +102,7 @@
         return -1;
     hold();
     if (length > 1 && fails(SHORT_WRITE))
-        length = cut(length);
+        length = shortened(length);
     return REAL(send)(fd, buffer, length, flags);
 }
 
@@ -110,48 +112,48 @@
     hold();
     if (count > 0 && fails(SHORT_WRITE)) {
         struct iovec first = pieces[0];
-        first.iov_len = cut(first.iov_len);
+        first.iov_len = shortened(first.iov_len);
         return REAL(writev)(fd, &first, 1);
     }
     return REAL(writev)(fd, pieces, count);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-    static const int kinds[] = {ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EINTR};
+    static const int errors[] = {ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EINTR};
     if (fails(ACCEPT))
-        return fail_with(kinds, 5);
-    int taken = REAL(accept4)(fd, address, length, flags);
-    if (taken >= 0 && taken < FILES)
-        outgoing[taken] = 0;
-    return taken;
+        return fail_with(errors, 5);
+    int accepted = REAL(accept4)(fd, address, length, flags);
+    if (accepted >= 0 && accepted < FILES)
+        outgoing[accepted] = 0;
+    return accepted;
 }
 
 int socket(int domain, int type, int protocol) {
-    static const int kinds[] = {ENFILE, EMFILE, ENOBUFS};
-    return fails(SOCKET) ? fail_with(kinds, 3) : REAL(socket)(domain, type, protocol);
+    static const int errors[] = {ENFILE, EMFILE, ENOBUFS};
+    return fails(SOCKET) ? fail_with(errors, 3) : REAL(socket)(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    static const int kinds[] = {EADDRNOTAVAIL, ENETUNREACH, EINTR, ENOBUFS};
+    static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, EINTR, ENOBUFS};
     if (fails(CONNECT))
-        return fail_with(kinds, 4);
+        return fail_with(errors, 4);
     if (fd >= 0 && fd < FILES)
         outgoing[fd] = 1;
     return REAL(connect)(fd, address, length);
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
-    static const int kinds[] = {EADDRINUSE, ENOBUFS};
-    return fails(BIND) ? fail_with(kinds, 2) : REAL(bind)(fd, address, length);
+    static const int errors[] = {EADDRINUSE, ENOBUFS};
+    return fails(BIND) ? fail_with(errors, 2) : REAL(bind)(fd, address, length);
 }
 
 int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
     return interrupted() ? -1 : REAL(epoll_wait)(fd, events, most, timeout);
 }
 
-static int opens(const char *path) {
-    static const int kinds[] = {EMFILE, ENFILE, EIO};
-    return strstr(path, "charter") && fails(OPEN) ? fail_with(kinds, 3) : 0;
+static int open_fails(const char *path) {
+    static const int errors[] = {EMFILE, ENFILE, EIO};
+    return strstr(path, "charter") && fails(OPEN) ? fail_with(errors, 3) : 0;
 }
 
 int open64(const char *path, int flags, ...) {
@@ -159,7 +161,7 @@
     va_start(rest, flags);
     mode_t mode = va_arg(rest, mode_t);
     va_end(rest);
-    return opens(path) ? -1 : REAL(open64)(path, flags, mode);
+    return open_fails(path) ? -1 : REAL(open64)(path, flags, mode);
 }
 
 int clock_gettime(clockid_t which, struct timespec *time) {
--- a/crates/pipitcrank-testkit/src/client.rs
+++ b/crates/pipitcrank-testkit/src/client.rs
@@ -1,4 +1,5 @@
-//! Stand-in clients: queries over connections that are kept, each answer read whole and entered in the query log.
+//! Stand-in clients: they send queries over persistent connections, read each answer completely and record its
+//! outcome in the query log.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,26 +12,26 @@
 
 use crate::query_log::{QueryLog, QueryOutcome};
 
-/// A final answer counts for so long after the client's time.
-const SLACK: Duration = Duration::from_millis(300);
+/// How long after its deadline a client still accepts an answer.
+const DEADLINE_SLACK: Duration = Duration::from_millis(300);
 
 /// One query as a client sends it.
 #[derive(Clone)]
 pub struct QueryRequest {
-    /// Its id; the part before the first `-` is the request class.
+    /// Query id; the text before the first `-` is the request class.
     pub id: String,
-    /// Request class, as the node configuration names it.
+    /// Name of the request class in the node configuration.
     pub class: &'static str,
-    /// Shards to be queried, with equal weights.
+    /// Shards to query, with equal weights.
     pub shards: Vec<u32>,
-    /// How long the client waits, stated as the deadline.
+    /// How long the client waits for an answer; sent as the deadline.
     pub wait: Duration,
-    /// Text that the replicas get; `lasts=MS` sets the work time of a part.
+    /// Query text for the replicas; `lasts=MS` sets the processing time of each part.
     pub text: String,
 }
 
 impl QueryRequest {
-    /// A query that is answered soon.
+    /// Creates a `view` query for two shards with a deadline of 4 s.
     pub fn short(id: &str) -> QueryRequest {
         let wait = Duration::from_secs(4);
         QueryRequest {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The whole HTTP request.
+    /// The complete HTTP request, head and body.
     pub fn request(&self) -> String {
         let weight = 1.0 / self.shards.len() as f64;
         let shards: Vec<Value> = self.shards.iter().map(|s| json!({"shard": s, "weight": weight})).collect();
@@ -61,23 +62,23 @@
 pub struct HttpResponse {
     /// HTTP status.
     pub status: u16,
-    /// The whole body.
+    /// Complete body.
     pub body: String,
-    /// The connection can be used again.
+    /// Whether the connection can be reused.
     pub keep_alive: bool,
 }
 
-/// Reads one answer; none where the connection ends before it is whole.
-pub async fn read_response(from: &mut BufReader<TcpStream>) -> Option<HttpResponse> {
+/// Reads one response; `None` if it is malformed or the connection ends before the response is complete.
+pub async fn read_response(stream: &mut BufReader<TcpStream>) -> Option<HttpResponse> {
     let (mut status, mut length, mut keep_alive) = (0, 0, true);
     loop {
         let mut line = String::new();
-        if from.read_line(&mut line).await.ok()? == 0 {
+        if stream.read_line(&mut line).await.ok()? == 0 {
             return None;
         }
         let line = line.trim().to_lowercase();
-        if let Some(open_idle) = line.strip_prefix("http/1.1 ") {
-            status = open_idle.get(..3)?.parse().ok()?;
+        if let Some(rest) = line.strip_prefix("http/1.1 ") {
+            status = rest.get(..3)?.parse().ok()?;
         } else if let Some(n) = line.strip_prefix("content-length: ") {
             length = n.parse().ok()?;
         } else if line == "connection: close" {
@@ -87,7 +88,7 @@
         }
     }
     let mut body = vec![0; length];
-    from.read_exact(&mut body).await.ok()?;
+    stream.read_exact(&mut body).await.ok()?;
     Some(HttpResponse { status, body: String::from_utf8(body).ok()?, keep_alive })
 }
 
@@ -101,16 +102,16 @@
     }
 }
 
-/// Clients that share idle connections.
+/// Clients of one co-ordinator that share a pool of idle connections.
 #[derive(Clone)]
 pub struct Clients {
     address: SocketAddr,
-    /// Where queries are recorded.
+    /// Log that records the queries.
     pub query_log: QueryLog,
     idle: Rc<RefCell<Vec<IdleConnection>>>,
-    /// Idle connections that the coordinator closed.
+    /// Number of connections that the co-ordinator closed, other than by a kill.
     pub closed: Rc<Cell<u64>>,
-    /// Idle connections that a kill closed.
+    /// Number of connections that were closed because the process was killed.
     pub closed_by_kill: Rc<Cell<u64>>,
     kill: Rc<Cell<Option<Instant>>>,
 }
@@ -121,7 +122,7 @@
 }
 
 impl IdleConnection {
-    /// Whether the other side has neither closed it nor written to it.
+    /// Whether the peer has neither closed the connection nor sent unrequested bytes.
     fn is_open(&self) -> bool {
         let read = self.stream.get_ref().try_read(&mut [0; 1]);
         read.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
@@ -129,35 +130,35 @@
 }
 
 impl Clients {
-    /// Clients of the coordinator at that address, without a connection yet.
+    /// Creates clients of the co-ordinator at the address; no connection is opened.
     pub fn new(address: SocketAddr, query_log: QueryLog) -> Clients {
         let (idle, closed, closed_by_kill, kill) = Default::default();
         Clients { address, query_log, idle, closed, closed_by_kill, kill }
     }
 
-    /// The same connections, with the queries recorded in another log.
+    /// Returns clients that share these connections and record queries in another log.
     pub fn recording_in(&self, query_log: QueryLog) -> Clients {
         Clients { query_log, ..self.clone() }
     }
 
-    /// Sends the query, waits for the answer, and keeps the connection where it can be used again.
+    /// Sends the query and waits for its answer. The connection goes back to the pool if it can be reused.
     pub async fn send(&self, query: QueryRequest) -> Option<HttpResponse> {
-        let begun = Instant::now();
+        let started = Instant::now();
         self.query_log.query_sent(&query.id, query.shards.len());
-        let (response, outcome) = match tokio::time::timeout(query.wait + SLACK, self.exchange(&query)).await
-        {
-            Ok(Ok(response)) => {
-                let outcome = outcome_of(&response);
-                (Some(response), outcome)
-            }
-            Ok(Err(outcome)) => (None, outcome),
-            Err(_) => (None, QueryOutcome::Lost),
-        };
-        self.query_log.query_finished(&query.id, outcome, begun.elapsed());
+        let (response, outcome) =
+            match tokio::time::timeout(query.wait + DEADLINE_SLACK, self.exchange(&query)).await {
+                Ok(Ok(response)) => {
+                    let outcome = outcome_of(&response);
+                    (Some(response), outcome)
+                }
+                Ok(Err(outcome)) => (None, outcome),
+                Err(_) => (None, QueryOutcome::Lost),
+            };
+        self.query_log.query_finished(&query.id, outcome, started.elapsed());
         response
     }
 
-    /// Sends the query, and disconnects after a while without having read anything.
+    /// Sends the query and disconnects after a delay without reading the answer.
     pub async fn send_and_disconnect(&self, query: QueryRequest, after: Duration) {
         if let Ok(mut stream) = connect(self.address).await {
             let _ = stream.write_all(query.request().as_bytes()).await;
@@ -165,39 +166,39 @@
         }
     }
 
-    /// Opens that many idle connections, each of which has sent one query.
-    pub async fn open_idle(&self, name: &str, many: usize) {
-        let mut asking = tokio::task::JoinSet::new();
-        for n in 0..many {
+    /// Opens idle connections, each of which has carried one query.
+    pub async fn open_idle(&self, name: &str, count: usize) {
+        let mut tasks = tokio::task::JoinSet::new();
+        for n in 0..count {
             let clients = Clients { idle: Rc::default(), ..self.clone() };
             let id = format!("view-{name}-{n}");
-            asking.spawn_local(async move {
+            tasks.spawn_local(async move {
                 clients.send(QueryRequest::short(&id)).await;
                 clients.idle.take()
             });
         }
-        while let Some(Ok(idle)) = asking.join_next().await {
-            // Taken last: those in use stay on top.
+        while let Some(Ok(idle)) = tasks.join_next().await {
+            // Inserted at the bottom of the stack, so that the connections in use are still reused first.
             self.idle.borrow_mut().splice(0..0, idle);
         }
     }
 
-    /// From now on a process is killed: what closes of the connections opened before it is the kill's, until
-    /// `end_kill`.
+    /// Marks the start of a kill. Until `end_kill`, closed connections that were opened before this call are
+    /// attributed to the kill.
     pub fn begin_kill(&self) {
         self.kill.set(Some(Instant::now()));
     }
 
-    /// The killed process has exited: idle connections that it held are closed now, and are dropped.
+    /// Marks the exit of the killed process: counts and drops the idle connections that it closed.
     pub fn end_kill(&self) {
         let (open, closed): (Vec<_>, Vec<_>) =
             self.idle.take().into_iter().partition(IdleConnection::is_open);
-        closed.iter().for_each(|idle| self.was_closed(idle.opened));
+        closed.iter().for_each(|idle| self.count_closed(idle.opened));
         self.idle.replace(open);
         self.kill.set(None);
     }
 
-    fn was_closed(&self, opened: Instant) {
+    fn count_closed(&self, opened: Instant) {
         let counter = if self.kill.get().is_some_and(|kill| opened < kill) {
             &self.closed_by_kill
         } else {
@@ -206,14 +207,14 @@
         counter.set(counter.get() + 1);
     }
 
-    /// A kept connection that was not closed meanwhile, as clients look before they use one again.
+    /// Takes an idle connection that is still open, as real clients check before reuse.
     fn take_idle(&self) -> Option<IdleConnection> {
         loop {
             let idle = self.idle.borrow_mut().pop()?;
             if idle.is_open() {
                 return Some(idle);
             }
-            self.was_closed(idle.opened);
+            self.count_closed(idle.opened);
         }
     }
 
@@ -231,25 +232,25 @@
         if response.keep_alive {
             self.idle.borrow_mut().push(idle);
         } else {
-            // In order, with an answer: no kill's.
+            // Announced by `Connection: close` in the answer, so no kill is the cause.
             self.closed.set(self.closed.get() + 1);
         }
         Ok(response)
     }
 }
 
-/// Connects without delaying small writes.
+/// Connects with Nagle's algorithm off, so that small writes are not delayed.
 ///
 /// # Errors
 ///
-/// That the connection can't be opened.
+/// If the connection cannot be opened.
 pub async fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// A connection that one client holds for itself.
+/// A connection that is not shared with other clients.
 pub struct DedicatedConnection {
     stream: BufReader<TcpStream>,
     query_log: QueryLog,
@@ -260,17 +261,17 @@
     ///
     /// # Errors
     ///
-    /// That it can't be opened.
+    /// If the connection cannot be opened.
     pub async fn connect(address: SocketAddr, query_log: QueryLog) -> std::io::Result<DedicatedConnection> {
         Ok(DedicatedConnection::on(connect(address).await?, query_log))
     }
 
-    /// The same on a stream that is open.
+    /// Wraps a stream that is already open.
     pub fn on(stream: TcpStream, query_log: QueryLog) -> DedicatedConnection {
         DedicatedConnection { stream: BufReader::new(stream), query_log }
     }
 
-    /// Sends the query in pieces, cut at these bytes, with a pause after each.
+    /// Sends the query in pieces that end at the given byte offsets, with a pause after each piece.
     pub async fn send_in_pieces(&mut self, query: QueryRequest, cuts: &[(usize, Duration)]) -> QueryOutcome {
         self.query_log.query_sent(&query.id, query.shards.len());
         let request = query.request();
@@ -284,25 +285,26 @@
             from = cut;
             tokio::time::sleep(pause).await;
         }
-        // The client's own pauses do not count.
-        let begun = Instant::now();
+        // The response time excludes the pauses that the client made itself.
+        let started = Instant::now();
         if self.stream.get_mut().write_all(&request.as_bytes()[from..]).await.is_err() {
             outcome = Some(QueryOutcome::Lost);
         }
-        let answered = tokio::time::timeout(query.wait + SLACK, read_response(&mut self.stream)).await;
+        let response =
+            tokio::time::timeout(query.wait + DEADLINE_SLACK, read_response(&mut self.stream)).await;
         let outcome =
-            outcome.unwrap_or_else(|| answered.ok().flatten().map_or(QueryOutcome::Lost, |a| outcome_of(&a)));
-        self.query_log.query_finished(&query.id, outcome, begun.elapsed());
+            outcome.unwrap_or_else(|| response.ok().flatten().map_or(QueryOutcome::Lost, |r| outcome_of(&r)));
+        self.query_log.query_finished(&query.id, outcome, started.elapsed());
         outcome
     }
 
-    /// Whether the other side has closed it.
+    /// Whether the peer has closed the connection.
     pub fn is_closed(&self) -> bool {
         matches!(self.stream.get_ref().try_read(&mut [0; 1]), Ok(0))
     }
 }
 
-/// A plain GET; none where it is not answered in time.
+/// Sends a GET request; `None` without a response within 3 s.
 pub async fn get(address: SocketAddr, path: &str) -> Option<HttpResponse> {
     let request = async {
         let mut stream = BufReader::new(connect(address).await.ok()?);
--- a/crates/pipitcrank-testkit/src/datagram_network/tests.rs
+++ b/crates/pipitcrank-testkit/src/datagram_network/tests.rs
@@ -16,7 +16,7 @@
         }
         net.heal();
         a.send_to(b"passes", to_b).await?;
-        assert_eq!(b.recv(&mut bytes).await?, 6, "and what was lost stays lost");
+        assert_eq!(b.recv(&mut bytes).await?, 6, "only the datagram sent after the heal arrives");
         net.set_all(DatagramFaults { loss: 1.0, ..DatagramFaults::NONE });
         a.send_to(b"lost", to_b).await?;
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/pipitcrank-testkit/src/discovery.rs
+++ b/crates/pipitcrank-testkit/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery: the whole list on request, and a watch that goes on from an index.
+//! A stand-in for discovery. It serves the complete list on request and a watch that continues from a given index.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,85 +11,90 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// An empty line is due every 2 s.
+/// Interval between empty lines on an idle watch; the protocol requires at least one every 2 s.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// A stand-in discovery that listens on an address of its own.
+/// A stand-in discovery with its own listen address.
 pub struct Discovery {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Changes so far, each its own version; version 1 is the first list.
+    /// Changes so far, in the form sent to watches. Each has a revision of its own; revision 1 is the initial list.
     changes: Rc<RefCell<Vec<String>>>,
     newest: watch::Sender<usize>,
-    first: Value,
-    /// The list as changed so far.
-    now: Rc<RefCell<Vec<Value>>>,
+    initial: Value,
+    /// Current list.
+    current: Rc<RefCell<Vec<Value>>>,
 }
 
-/// One row of the list.
+/// Builds one row of the list.
 pub fn row(uid: &str, address: SocketAddr, cell: u32, state: &str, started_ms: i64) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "pod_group": cell, "state": state,
         "capacity_hint": 1.0, "boot_ms": started_ms})
 }
 
-fn list(rev: usize, all: bool, rows: Vec<Value>) -> Value {
-    json!({"rev": rev, "all": all, "targets": rows})
+fn list(rev: usize, complete: bool, rows: Vec<Value>) -> Value {
+    json!({"rev": rev, "all": complete, "targets": rows})
 }
 
 impl Discovery {
-    /// Starts it with those rows as its first list.
+    /// Starts a discovery with the rows as its initial list.
     ///
     /// # Errors
     ///
-    /// That it can't listen.
+    /// If the listener cannot be opened.
     pub async fn start(rows: Vec<Value>) -> Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (newest, latest) = watch::channel(1);
         let changes: Rc<RefCell<Vec<String>>> = Rc::default();
-        let now = Rc::new(RefCell::new(rows.clone()));
-        let (sent, rows_held) = (changes.clone(), now.clone());
+        let current = Rc::new(RefCell::new(rows.clone()));
+        let (served_changes, served_rows) = (changes.clone(), current.clone());
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(answer(stream, rows_held.clone(), sent.clone(), latest.clone()));
+                tokio::task::spawn_local(serve_connection(
+                    stream,
+                    served_rows.clone(),
+                    served_changes.clone(),
+                    latest.clone(),
+                ));
             }
         });
-        Ok(Discovery { address, changes, newest, first: list(1, true, rows), now })
+        Ok(Discovery { address, changes, newest, initial: list(1, true, rows), current })
     }
 
-    /// The first list, as a node configuration names it.
+    /// The initial list, in the form that a node configuration contains.
     pub fn initial_list(&self) -> Value {
-        self.first.clone()
+        self.initial.clone()
     }
 
-    /// Changes a row; watches get it.
+    /// Adds or replaces a row, or removes it if its state is `left`; watches get the change.
     pub fn update_row(&self, row: Value) {
         {
-            let mut now = self.now.borrow_mut();
-            now.retain(|r| r["uid"] != row["uid"]);
+            let mut current = self.current.borrow_mut();
+            current.retain(|r| r["uid"] != row["uid"]);
             if row["state"] != "left" {
-                now.push(row.clone());
+                current.push(row.clone());
             }
         }
         self.publish(|rev| list(rev, false, vec![row]).to_string());
     }
 
-    /// Replaces the list; watches get the whole of it, indented.
+    /// Replaces the list; watches get the complete list as indented JSON.
     pub fn replace_list(&self, rows: Vec<Value>) {
-        *self.now.borrow_mut() = rows.clone();
+        *self.current.borrow_mut() = rows.clone();
         self.publish(|rev| format!("{:#}", list(rev, true, rows)));
     }
 
-    fn publish(&self, what: impl FnOnce(usize) -> String) {
+    fn publish(&self, build: impl FnOnce(usize) -> String) {
         let rev = self.changes.borrow().len() + 2;
-        self.changes.borrow_mut().push(what(rev));
+        self.changes.borrow_mut().push(build(rev));
         self.newest.send_replace(rev);
     }
 }
 
-async fn answer(
+async fn serve_connection(
     stream: TcpStream,
-    now: Rc<RefCell<Vec<Value>>>,
+    current: Rc<RefCell<Vec<Value>>>,
     changes: Rc<RefCell<Vec<String>>>,
     mut latest: watch::Receiver<usize>,
 ) -> std::io::Result<()> {
@@ -100,10 +105,10 @@
     let index = line.split("index=").nth(1).and_then(|r| r.split([' ', '&']).next()?.parse::<usize>().ok());
     let Some(mut sent) = index.filter(|_| line.contains("stream=1")) else {
         let rev = changes.borrow().len() + 1;
-        let body = list(rev, true, now.borrow().clone()).to_string();
-        let head =
+        let body = list(rev, true, current.borrow().clone()).to_string();
+        let response =
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}", body.len());
-        return to.write_all(head.as_bytes()).await;
+        return to.write_all(response.as_bytes()).await;
     };
     to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     loop {
--- a/crates/pipitcrank-testkit/src/fleet.rs
+++ b/crates/pipitcrank-testkit/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of stand-in replicas with its discovery, the node configuration of its coordinator, and the load.
+//! A fleet of stand-in replicas with its discovery, the node configuration of a co-ordinator for it, and the query
+//! load.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
@@ -16,36 +17,36 @@
 use crate::query_log::QueryLog;
 use crate::replica::{StandInReplica, Work};
 
-/// Cells, and replicas a cell; a shard is held by two cells.
+/// Number of cells; each shard is held by two cells.
 const CELLS: u32 = 6;
-const REPLICAS_A_CELL: u32 = 2;
-/// Shards of the fleet.
+const REPLICAS_PER_CELL: u32 = 2;
+/// Number of shards in the fleet.
 pub const SHARDS: u32 = 12;
 
 /// Stand-in replicas and their discovery.
 pub struct Fleet {
-    /// The replicas, by cell in turn.
+    /// The replicas; replica `n` belongs to cell `n % CELLS`.
     pub replicas: Vec<StandInReplica>,
-    /// The discovery that lists them.
+    /// Discovery that lists the replicas.
     pub discovery: Discovery,
-    /// Where the parts that they run are recorded.
+    /// Log that records the parts run by the replicas.
     pub query_log: QueryLog,
 }
 
 impl Fleet {
-    /// Starts a fleet with a log of its own.
+    /// Starts a fleet with a new query log.
     ///
     /// # Errors
     ///
-    /// That a stand-in can't listen.
+    /// If a stand-in cannot listen.
     pub async fn start(seed: u64, work: Work) -> Result<Fleet> {
         Fleet::start_with(seed, work, QueryLog::default()).await
     }
 
-    /// The same with a query log that others share.
+    /// Starts a fleet that records its parts in the given query log.
     pub async fn start_with(seed: u64, work: Work, query_log: QueryLog) -> Result<Fleet> {
         let (mut replicas, mut rows) = (Vec::new(), Vec::new());
-        for n in 0..CELLS * REPLICAS_A_CELL {
+        for n in 0..CELLS * REPLICAS_PER_CELL {
             let replica = StandInReplica::start(seed ^ u64::from(n) << 32, work, query_log.clone()).await?;
             rows.push(row(&format!("leaf-{n}"), replica.address, n % CELLS, "active", 0));
             replicas.push(replica);
@@ -53,23 +54,24 @@
         Ok(Fleet { replicas, discovery: Discovery::start(rows).await?, query_log })
     }
 
-    /// Announces that the replica drains (`leaving`) or is back (`active`).
+    /// Publishes the state of a replica in discovery: `leaving` while it drains, `active` while it serves.
     pub fn set_replica_state(&self, replica: usize, state: &str) {
         let address = self.replicas[replica].address;
         self.discovery.update_row(row(&format!("leaf-{replica}"), address, replica as u32 % CELLS, state, 0));
     }
 
-    /// Node configuration of a coordinator of this fleet; it listens on an address that was free just before.
+    /// Node configuration of a co-ordinator of this fleet. Its listen address was unused when it was chosen.
     pub fn node_config(&self, seed: u64, sockets: u32, max_open: u32) -> Result<Value> {
         let discovery = &self.discovery;
         node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, seed, sockets, max_open)
     }
 }
 
-/// Node configuration of a coordinator that watches that discovery; it listens on an address that was free just before.
+/// Node configuration of a co-ordinator that watches the given discovery. Its listen address was unused when it was
+/// chosen.
 pub fn node_config_of(
     discovery: SocketAddr,
-    known: Value,
+    initial_list: Value,
     cells: u32,
     shards: u32,
     seed: u64,
@@ -81,7 +83,7 @@
     Ok(json!({
         "name": "stand-in", "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{:x}", seed & 0xffff_ffff), "limits": {"sockets": sockets, "memory_mb": 256, "cores": 1.0},
-        "known": known,
+        "known": initial_list,
         "settings": {
             "allowed": {"cancel": true, "probing": true, "may_duplicate": true, "retry_after": true,
                 "max_retry_after_s": 2.0, "try_limit": 4, "conn_idle_s": 30.0, "dial_timeout_s": 0.5,
@@ -97,8 +99,9 @@
     }))
 }
 
-/// An address that nobody else gets meanwhile: on a loopback address of this process's own, which no client's
-/// connection is made from.
+/// Returns an unused address. Its IP address (127.64.0.0 to 127.191.255.255) is derived from the process id: other test
+/// processes do not listen on it and no outgoing connection has it as its source, so the port stays free until the
+/// program under test binds it.
 pub fn free_address() -> Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -106,14 +109,15 @@
     Ok(TcpListener::bind(SocketAddr::from((ip, 0)))?.local_addr()?)
 }
 
-/// Sends queries at a mean rate until stopped; they arrive at random, and do not wait for answers.
+/// An open-loop query load with Poisson arrivals: queries do not wait for earlier answers.
 pub struct Load {
     running: Rc<Cell<bool>>,
     task: tokio::task::JoinHandle<u64>,
 }
 
 impl Load {
-    /// Starts the load, at `rate` queries a second. `slow_sales`: the fraction of sales whose part takes one to two seconds.
+    /// Starts the load at `rate` queries per second on average. `slow_sales` is the fraction of `sale` queries whose
+    /// part takes one to two seconds.
     pub fn start(name: &str, seed: u64, rate: f64, slow_sales: f64, clients: Clients) -> Load {
         let running = Rc::new(Cell::new(true));
         let (name, still_running) = (name.to_string(), running.clone());
@@ -138,27 +142,28 @@
         Load { running, task }
     }
 
-    /// Sends no more queries and waits for those that are open; how many were sent.
+    /// Stops sending, waits for the open queries and returns the number of queries sent.
     pub async fn stop(self) -> Result<u64> {
         self.running.set(false);
         Ok(self.task.await?)
     }
 }
 
-/// A query of a random class and random shards; `slow_sales` is the fraction of sales whose part takes one to two seconds.
+/// Draws a query of a random class for random shards. `slow_sales` is the fraction of `sale` queries whose part takes
+/// one to two seconds.
 pub fn random_query(name: &str, n: u64, slow_sales: f64, rng: &mut Pcg64) -> QueryRequest {
-    let kind: f64 = rng.random();
-    let some = |rng: &mut Pcg64, count: u32| {
+    let class_draw: f64 = rng.random();
+    let consecutive_shards = |rng: &mut Pcg64, count: u32| {
         let first = rng.random_range(0..SHARDS);
         (0..count).map(|i| (first + i) % SHARDS).collect()
     };
-    let (class, shards): (_, Vec<u32>) = if kind < 0.55 {
+    let (class, shards): (_, Vec<u32>) = if class_draw < 0.55 {
         let count = rng.random_range(4..=6);
-        ("view", some(rng, count))
-    } else if kind < 0.78 {
-        ("rank", some(rng, SHARDS))
+        ("view", consecutive_shards(rng, count))
+    } else if class_draw < 0.78 {
+        ("rank", consecutive_shards(rng, SHARDS))
     } else {
-        ("sale", some(rng, 1))
+        ("sale", consecutive_shards(rng, 1))
     };
     let slow = class == "sale" && rng.random_bool(slow_sales);
     let text = if slow { format!("lasts={}", rng.random_range(1000..2000)) } else { format!("text {n}") };
--- a/crates/pipitcrank-testkit/src/lib.rs
+++ b/crates/pipitcrank-testkit/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins written from the protocol, on loopback alone: replicas, discovery and clients; faults played by script; a
-//! query log that records how each query ended and how often each part ran; and the trials and the soak test that are
-//! played on them. Never linked into what serves.
+//! Test kit that uses loopback only: stand-in replicas, discovery and clients, each written from the protocol and not
+//! from the code under test; scripted faults; a query log that records how each query ended and how often each part
+//! ran; and the trials and the soak test. Serving code uses none of it.
 
 #![warn(missing_docs)]
 
--- a/crates/pipitcrank-testkit/src/link.rs
+++ b/crates/pipitcrank-testkit/src/link.rs
@@ -1,5 +1,5 @@
-//! A link between two addresses on loopback that can be made slow, uneven, silent in one direction or both, or closed, and
-//! healed again. Bytes keep their order, as on any connection.
+//! A TCP relay on loopback whose link can be delayed with jitter, stalled in one or both directions, cut and healed.
+//! Bytes keep their order, as on any TCP connection.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,25 +14,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc};
 
-/// Bytes in transit at most, in pieces: what a socket's buffer would hold.
-const PIECE: usize = 16 * 1024;
-const PIECES: usize = 64;
+/// Bytes read at once.
+const PIECE_BYTES: usize = 16 * 1024;
+/// Longest queue of pieces in transit: 64 of 16 KiB, about the contents of a socket buffer.
+const MAX_PIECES: usize = 64;
 
 /// Conditions of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
-    /// Delay in one direction.
+    /// Delay per direction.
     pub delay: Duration,
-    /// Up to that much more, at random.
+    /// Upper limit of the random extra delay.
     pub jitter: Duration,
-    /// Nothing passes forward; what is in transit stays.
+    /// No bytes are forwarded to the target address; bytes in transit are held.
     pub stalled_forward: bool,
-    /// Nothing passes back.
+    /// No bytes are forwarded back to the connecting side; bytes in transit are held.
     pub stalled_back: bool,
 }
 
 impl LinkConditions {
-    /// Conditions of a healthy link of that round trip.
+    /// Conditions of a healthy link with the given round trip and a jitter of a tenth of the delay.
     pub fn with_round_trip(round_trip: Duration) -> LinkConditions {
         let delay = round_trip / 2;
         LinkConditions { delay, jitter: delay / 10, stalled_forward: false, stalled_back: false }
@@ -42,51 +43,51 @@
 struct Shared {
     conditions: Cell<LinkConditions>,
     down: Cell<bool>,
-    cut: Notify,
+    closed: Notify,
     changed: Notify,
     rng: RefCell<Pcg64>,
     bytes: Cell<u64>,
-    /// Bytes that a new connection passes forward before it is closed.
+    /// Number of bytes that a new connection forwards to the target before it is closed; `None` sets no limit.
     cut_after: Cell<Option<usize>>,
 }
 
-/// A relay of connections to one address; clones share it.
+/// A relay to one target address; clones share it.
 #[derive(Clone)]
 pub struct Link {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     shared: Rc<Shared>,
 }
 
 impl Link {
-    /// Starts a link from a new address to that one.
+    /// Starts a link from a new listen address to the target address.
     ///
     /// # Errors
     ///
-    /// That it can't listen.
+    /// If the listener cannot be opened.
     pub async fn start(seed: u64, to: SocketAddr, conditions: LinkConditions) -> Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let shared = Rc::new(Shared {
             conditions: Cell::new(conditions),
             down: Cell::new(false),
-            cut: Notify::new(),
+            closed: Notify::new(),
             changed: Notify::new(),
             rng: RefCell::new(Pcg64::seed_from_u64(seed)),
             bytes: Cell::new(0),
             cut_after: Cell::new(None),
         });
-        let ours = shared.clone();
+        let listener_shared = shared.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if ours.down.get() {
+                if listener_shared.down.get() {
                     continue;
                 }
-                let shared = ours.clone();
+                let shared = listener_shared.clone();
                 tokio::task::spawn_local(async move {
                     tokio::select! {
-                        () = connection(&shared, stream, to) => {}
-                        () = shared.cut.notified() => {}
+                        () = relay_connection(&shared, stream, to) => {}
+                        () = shared.closed.notified() => {}
                     }
                 });
             }
@@ -94,90 +95,90 @@
         Ok(Link { address, shared })
     }
 
-    /// Sets the conditions from now on, for open connections as well.
+    /// Sets the conditions, for open connections as well.
     pub fn set_conditions(&self, conditions: LinkConditions) {
         self.shared.conditions.set(conditions);
         self.shared.changed.notify_waiters();
     }
 
-    /// Closes all connections and accepts none until it is healed.
+    /// Closes all connections and rejects new ones until `heal`.
     pub fn cut(&self) {
         self.shared.down.set(true);
-        self.shared.cut.notify_waiters();
+        self.shared.closed.notify_waiters();
     }
 
-    /// Lets connections come up again after `cut`.
+    /// Accepts new connections again after `cut`.
     pub fn heal(&self) {
         self.shared.down.set(false);
     }
 
-    /// Closes all connections; new ones are accepted.
+    /// Closes all connections; new ones are still accepted.
     pub fn close_connections(&self) {
-        self.shared.cut.notify_waiters();
+        self.shared.closed.notify_waiters();
     }
 
-    /// Each connection from now on passes that many bytes forward and is then closed; `None` sets no limit.
+    /// Closes each new connection after it has forwarded that many bytes to the target; `None` sets no limit.
     pub fn cut_after(&self, bytes: Option<usize>) {
         self.shared.cut_after.set(bytes);
     }
 
-    /// Bytes passed in both directions.
+    /// Number of bytes received in both directions.
     pub fn bytes(&self) -> u64 {
         self.shared.bytes.get()
     }
 }
 
-async fn connection(shared: &Rc<Shared>, near: TcpStream, to: SocketAddr) {
+async fn relay_connection(shared: &Rc<Shared>, near: TcpStream, to: SocketAddr) {
     let Ok(far) = TcpStream::connect(to).await else { return };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((near_from, near_to), (far_from, far_to)) = (near.into_split(), far.into_split());
     tokio::select! {
-        () = direction(shared, near_from, far_to, |w| w.stalled_forward, shared.cut_after.get()) => {}
-        () = direction(shared, far_from, near_to, |w| w.stalled_back, None) => {}
+        () = relay_direction(shared, near_from, far_to, |c| c.stalled_forward, shared.cut_after.get()) => {}
+        () = relay_direction(shared, far_from, near_to, |c| c.stalled_back, None) => {}
     }
 }
 
-async fn direction(
+async fn relay_direction(
     shared: &Rc<Shared>,
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     stalled: fn(&LinkConditions) -> bool,
-    mut passes: Option<usize>,
+    mut byte_limit: Option<usize>,
 ) {
-    let (way_in, mut way_out) = mpsc::channel::<(Instant, Vec<u8>)>(PIECES);
+    let (enqueue, mut pieces) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_PIECES);
     let reading = async move {
-        let mut latest = Instant::now();
+        let mut due = Instant::now();
         loop {
-            let mut piece = vec![0; PIECE];
+            let mut piece = vec![0; PIECE_BYTES];
             let Ok(n @ 1..) = from.read(&mut piece).await else { return };
             piece.truncate(n);
             shared.bytes.set(shared.bytes.get() + n as u64);
             let conditions = shared.conditions.get();
-            let more = conditions.jitter.mul_f64(shared.rng.borrow_mut().random::<f64>());
-            // Never before what went ahead of it.
-            latest = latest.max(Instant::now() + conditions.delay + more);
-            if way_in.send((latest, piece)).await.is_err() {
+            let extra = conditions.jitter.mul_f64(shared.rng.borrow_mut().random::<f64>());
+            // Never earlier than the previous piece, so that the order is kept.
+            due = due.max(Instant::now() + conditions.delay + extra);
+            if enqueue.send((due, piece)).await.is_err() {
                 return;
             }
         }
     };
     let writing = async {
-        while let Some((at, mut piece)) = way_out.recv().await {
+        while let Some((at, mut piece)) = pieces.recv().await {
             tokio::time::sleep_until(at.into()).await;
             while stalled(&shared.conditions.get()) {
                 shared.changed.notified().await;
             }
-            if let Some(left) = &mut passes {
-                piece.truncate(*left);
-                *left -= piece.len();
+            if let Some(remaining) = &mut byte_limit {
+                piece.truncate(*remaining);
+                *remaining -= piece.len();
             }
-            if to.write_all(&piece).await.is_err() || passes == Some(0) {
+            if to.write_all(&piece).await.is_err() || byte_limit == Some(0) {
                 return;
             }
         }
     };
     tokio::select! {
-        // What is in transit is passed on before the other side sees the end.
+        // Pieces in transit are forwarded before the other side gets the end of the stream.
         () = async { reading.await; std::future::pending().await } => {}
         () = writing => {}
     }
--- a/crates/pipitcrank-testkit/src/outcome.rs
+++ b/crates/pipitcrank-testkit/src/outcome.rs
@@ -1,16 +1,16 @@
-//! What a trial ends with: its figures in their order, and the promises that were not kept.
+//! Result of a trial: its figures and the expectations that were not met.
 
 use anyhow::Result;
 use serde::Serialize;
 
 use crate::query_log::{QueryLog, QueryOutcome};
 
-/// Figures in their order, and promises that were not kept.
+/// Result of a trial.
 #[derive(Default, Serialize)]
 pub struct Outcome {
-    /// Figures by name, in their order.
+    /// Names and values of the figures, in the order in which they are printed.
     pub figures: Vec<(String, f64)>,
-    /// Promises that were not kept.
+    /// Expectations that were not met.
     pub broken: Vec<String>,
 }
 
@@ -20,7 +20,7 @@
         self.figures.push((name.to_string(), value.into()));
     }
 
-    /// Adds a figure that has to be zero.
+    /// Adds a figure that must be zero.
     pub fn expect_zero(&mut self, name: &str, value: u64) {
         self.figure(name, value as f64);
         if value != 0 {
@@ -28,21 +28,21 @@
         }
     }
 
-    /// Notes the promise as broken unless it was kept.
-    pub fn expect_that(&mut self, kept: bool, what: &str) {
-        if !kept {
-            self.broken.push(what.to_string());
+    /// Records the expectation as broken unless it was met.
+    pub fn expect_that(&mut self, met: bool, expectation: &str) {
+        if !met {
+            self.broken.push(expectation.to_string());
         }
     }
 
-    /// One final answer a query, one run a side-effecting part.
+    /// Expects one final answer per query, one run per side-effecting part, and no unexpected status.
     pub(crate) fn expect_exactly_once(&mut self, query_log: &QueryLog) {
         self.expect_zero("answered twice", query_log.answered_twice());
         self.expect_zero("side-effecting parts run twice", query_log.parts_run_again("sale-"));
         self.expect_zero("odd answers", query_log.unexpected_statuses());
     }
 
-    /// How queries ended, and what ran again.
+    /// Adds the outcomes of the queries and the repeated runs of repeatable parts as figures.
     pub(crate) fn query_outcomes(&mut self, query_log: &QueryLog) {
         self.figure("merged", query_log.count(QueryOutcome::Complete) as f64);
         self.figure("merged in part", query_log.count(QueryOutcome::Partial) as f64);
--- a/crates/pipitcrank-testkit/src/process.rs
+++ b/crates/pipitcrank-testkit/src/process.rs
@@ -1,4 +1,5 @@
-//! The program under trial as a process of its own, in a folder of its own with its node configuration and operators' file.
+//! The program under test as a separate process, in a folder of its own with its node configuration and operators'
+//! file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,15 +12,15 @@
 
 use crate::client;
 
-/// A temporary folder, removed when dropped.
+/// A temporary folder that is removed when dropped.
 pub struct TempDir(PathBuf);
 
 impl TempDir {
-    /// Creates the folder.
+    /// Creates a folder whose name contains `name` and is unique.
     ///
     /// # Errors
     ///
-    /// That it can't be created.
+    /// If the folder cannot be created.
     pub fn new(name: &str) -> Result<TempDir> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -28,7 +29,7 @@
         Ok(TempDir(path))
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -40,23 +41,23 @@
     }
 }
 
-/// One process of the program and its workers; killed when dropped.
+/// A process of the program and its workers, killed when dropped.
 pub struct Process {
     child: Child,
-    /// Where it takes queries.
+    /// Address on which the process accepts queries.
     pub address: SocketAddr,
-    /// The program's file.
+    /// Path of the executable.
     pub program: PathBuf,
-    /// File of its node configuration.
+    /// Path of the node configuration.
     pub node_config_path: PathBuf,
-    /// Its folder.
+    /// Folder with the node configuration, the log and the operators' file.
     pub folder: TempDir,
     node_config: Value,
-    /// Variables it is started with, beside its own.
+    /// Environment variables set in addition to `NODE_CONFIG`.
     variables: Vec<(String, String)>,
 }
 
-/// What a process and its workers hold together.
+/// Resources held by a process and its workers together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceUsage {
     /// Resident memory, in kilobytes.
@@ -65,21 +66,21 @@
     pub descriptors: u64,
 }
 
-/// Times of an upgrade's steps, in seconds.
+/// Durations of the steps of an upgrade, in seconds.
 #[derive(Clone, Copy)]
 pub struct UpgradeTimes {
-    /// Longest time for the new process to start, and again to take over, in seconds.
+    /// Longest time for the new process to start; the same limit applies again to its takeover.
     pub start: f64,
-    /// Least trial of the new process, in seconds.
+    /// Shortest trial period of the new process.
     pub settle: f64,
-    /// Longest silence of the new process in its trial, in seconds.
+    /// Longest time without a message from the new process during its trial period.
     pub silent: f64,
-    /// Longest time for the old process to finish its queries, in seconds.
+    /// Longest time for the old process to finish its queries.
     pub finish: f64,
 }
 
 impl UpgradeTimes {
-    /// An operators' file that turns upgrades on.
+    /// Contents of an operators' file that enables upgrades with these durations.
     pub fn operators_file(self) -> Option<String> {
         let UpgradeTimes { start, settle, silent, finish } = self;
         Some(format!(
@@ -89,18 +90,18 @@
 }
 
 impl Process {
-    /// Starts a copy of the program. `node_config` is the node configuration; `operators` is the operators' file, if there is one. What it logs goes to `log` in its
-    /// folder.
+    /// Starts a copy of the program and waits until it serves. `operators` holds the contents of the operators' file,
+    /// if there is one. Standard error goes to the file `log` in the folder of the process.
     pub async fn start(program: &Path, node_config: Value, operators: Option<String>) -> Result<Process> {
         let folder = TempDir::new("serve")?;
-        let own = folder.path().join("pipitcrank");
-        std::fs::copy(program, &own).context("the program can't be copied")?;
-        let process = Process::begin(own, folder, node_config, operators, Vec::new())?;
+        let copy = folder.path().join("pipitcrank");
+        std::fs::copy(program, &copy).context("copying the program failed")?;
+        let process = Process::begin(copy, folder, node_config, operators, Vec::new())?;
         process.wait_until_ready().await?;
         Ok(process)
     }
 
-    /// Starts the program where it is, with those variables, and does not wait until it serves.
+    /// Starts the program without copying it, with additional environment variables, and does not wait until it serves.
     pub fn start_with(
         program: &Path,
         node_config: Value,
@@ -143,25 +144,26 @@
             std::fs::write(&path, text)?;
             command.arg("--operators").arg(path);
         }
-        // A copy just written may be held open for a moment by a child that another thread is about to start.
+        // A child that another thread has just forked may briefly hold the new copy open for writing: exec then fails
+        // with ETXTBSY.
         for _ in 0..100 {
             match command.spawn() {
                 Err(e) if e.kind() == std::io::ErrorKind::ExecutableFileBusy => {
                     std::thread::sleep(Duration::from_millis(20));
                 }
-                started => return started.context("the program can't be started"),
+                result => return result.context("starting the program failed"),
             }
         }
-        bail!("the program's file is held open for writing")
+        bail!("starting the program failed: its file was open for writing for 2 s")
     }
 
-    /// Starts it anew after its end, as it was.
+    /// Starts the process again after its exit and waits until it serves.
     pub async fn restart(&mut self, operators: Option<String>) -> Result<()> {
         self.respawn(operators)?;
         self.wait_until_ready().await
     }
 
-    /// The same, without waiting until it serves.
+    /// Starts the process again after its exit without waiting until it serves.
     pub fn respawn(&mut self, operators: Option<String>) -> Result<()> {
         self.child = Process::spawn(
             &self.program,
@@ -173,7 +175,7 @@
         Ok(())
     }
 
-    /// Waits until it serves.
+    /// Waits up to 20 s until `/up` answers with status 200.
     pub async fn wait_until_ready(&self) -> Result<()> {
         let until = Instant::now() + Duration::from_secs(20);
         while Instant::now() < until {
@@ -182,30 +184,30 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        bail!("it does not serve; its log: {}", self.log())
+        bail!("process did not serve within 20 s; its log: {}", self.log())
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> i32 {
         self.child.id() as i32
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process, not to its workers.
     ///
     /// # Errors
     ///
-    /// That the process is gone.
+    /// If the process no longer exists.
     pub fn signal(&self, signal: Signal) -> Result<()> {
-        let pid = Pid::from_raw(self.pid()).context("a process has a number")?;
-        kill_process(pid, signal).context("it can't be signalled")
+        let pid = Pid::from_raw(self.pid()).context("process id is 0")?;
+        kill_process(pid, signal).context("sending a signal to the process failed")
     }
 
-    /// Whether it has ended, and how.
+    /// Exit status, if the process has exited.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Killed outright, with what it held, and its workers with it.
+    /// Kills the process and its workers with SIGKILL.
     pub fn kill(&mut self) {
         let workers = self.workers();
         let _ = self.child.kill();
@@ -213,7 +215,7 @@
         workers.into_iter().for_each(|pid| signal_worker(pid, Signal::KILL));
     }
 
-    /// Processor time used by it and its workers that live, in seconds.
+    /// CPU time of the process and its live workers, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
         self.workers().into_iter().chain([self.pid()]).map(|pid| self.cpu_seconds_of(pid)).sum()
     }
@@ -221,12 +223,12 @@
     fn cpu_seconds_of(&self, pid: i32) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        // The 14th and 15th field (proc(5)) in ticks of a hundredth of a second; two stand before the bracket.
+        // utime and stime are fields 14 and 15 (proc(5)), in ticks of 10 ms; the first two fields end at the bracket.
         let ticks: u64 = [11, 12].iter().filter_map(|&n| fields.get(n)?.parse::<u64>().ok()).sum();
         ticks as f64 / 100.0
     }
 
-    /// Waits for its exit; none where it did not end in time.
+    /// Waits for the exit of the process; `None` if it is still running after `within`.
     pub async fn wait_for_exit(&mut self, within: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + within;
         while Instant::now() < until {
@@ -238,14 +240,14 @@
         None
     }
 
-    /// Its workers, the oldest first.
+    /// Process ids of the workers in ascending order, normally the oldest first.
     pub fn workers(&self) -> Vec<i32> {
         let pid = self.pid();
         let children =
             std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/children")).unwrap_or_default();
-        let mut found: Vec<i32> = children.split_whitespace().filter_map(|p| p.parse().ok()).collect();
-        found.sort();
-        found
+        let mut workers: Vec<i32> = children.split_whitespace().filter_map(|p| p.parse().ok()).collect();
+        workers.sort();
+        workers
     }
 
     /// Memory and descriptors of the process and its workers together.
@@ -260,30 +262,30 @@
         sum
     }
 
-    /// One counter's line.
-    pub async fn counter(&self, what: &str) -> Option<u64> {
+    /// Value of a counter from `/counters`, 0 if it is not listed; `None` without an answer.
+    pub async fn counter(&self, name: &str) -> Option<u64> {
         let answer = client::get(self.address, "/counters").await.filter(|a| a.status == 200)?;
-        let line = answer.body.lines().find_map(|l| l.strip_prefix(what)?.strip_prefix(' '));
+        let line = answer.body.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
         Some(line.and_then(|n| n.trim().parse().ok()).unwrap_or(0))
     }
 
-    /// The node configuration with one key changed, as it is read at the next start.
+    /// Writes the node configuration with one key changed. The process reads it at the next start or reload.
     pub fn override_node_config(&self, key: &str, value: Value) -> Result<()> {
         let mut node_config = self.node_config.clone();
-        *node_config.pointer_mut(key).context("a key of the charter")? = value;
+        *node_config.pointer_mut(key).context("key not found in the node configuration")? = value;
         Ok(std::fs::write(&self.node_config_path, node_config.to_string())?)
     }
 
-    /// Writes the node configuration as it was at the start.
+    /// Writes the original node configuration.
     ///
     /// # Errors
     ///
-    /// That the file can't be written.
+    /// If the file cannot be written.
     pub fn restore_node_config(&self) -> Result<()> {
         Ok(std::fs::write(&self.node_config_path, self.node_config.to_string())?)
     }
 
-    /// All that it has logged.
+    /// Complete log of the process; empty if it cannot be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
@@ -301,7 +303,7 @@
     }
 }
 
-/// Sends a signal to a worker that is alive.
+/// Sends a signal to a worker; errors, such as that it has exited, are ignored.
 pub fn signal_worker(pid: i32, signal: Signal) {
     if let Some(pid) = Pid::from_raw(pid) {
         let _ = kill_process(pid, signal);
--- a/crates/pipitcrank-testkit/src/query_log/tests.rs
+++ b/crates/pipitcrank-testkit/src/query_log/tests.rs
@@ -19,7 +19,11 @@
     }
     query_log.part_started("c@north.7f.0.12.4");
     query_log.part_started("c.4");
-    assert_eq!(query_log.parts_run_again("c"), 1, "the same part, at another site");
+    assert_eq!(
+        query_log.parts_run_again("c"),
+        1,
+        "a run of the same part for another site counts as a repeat"
+    );
     let budget =
         |free| RetryBudget { free, fraction: 0.0, window: Duration::from_secs(9), run_delay: Duration::ZERO };
     assert!(query_log.over_budget(budget(0.0)) >= 2.0);
--- a/crates/pipitcrank-testkit/src/query_outcome.rs
+++ b/crates/pipitcrank-testkit/src/query_outcome.rs
@@ -1,17 +1,17 @@
-//! How a query ended, as its client saw it.
+//! Outcome of a query as observed by its client.
 
-/// How a query ended for its client.
+/// Outcome of a query as observed by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QueryOutcome {
-    /// Answered, with all parts.
+    /// Answered with all parts.
     Complete,
-    /// Answered, with some parts missing.
+    /// Answered with some parts missing.
     Partial,
-    /// 503: harmless to repeat.
+    /// Rejected with status 503; the query may safely be repeated.
     Rejected,
-    /// 500: given up after work was begun.
+    /// Aborted with status 500 after some work had started.
     Aborted,
-    /// Another status: a fault of the stand-in client or of the coordinator.
+    /// Answered with another status: a fault of the stand-in client or of the co-ordinator.
     UnexpectedStatus(u16),
     /// The connection could not be opened.
     ConnectionRefused,
@@ -20,13 +20,13 @@
 }
 
 impl QueryOutcome {
-    /// Whether the client got an answer that it can use.
+    /// Whether the client got a usable answer.
     pub(crate) fn is_answered(self) -> bool {
         matches!(self, QueryOutcome::Complete | QueryOutcome::Partial)
     }
 }
 
-/// The spelling that the trials' promises print; staff match on it.
+/// The spelling printed in the broken expectations of trials; operators' scripts match it.
 impl std::fmt::Display for QueryOutcome {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
--- a/crates/pipitcrank-testkit/src/replica.rs
+++ b/crates/pipitcrank-testkit/src/replica.rs
@@ -1,5 +1,5 @@
-//! A stand-in replica: frames of four bytes of length, a letter and the rest. It works on a number of parts at once, the
-//! others wait in a queue, and where the queue is full it is busy.
+//! A stand-in replica. A frame is a length of four bytes, a letter for its type and the payload. The replica
+//! processes a limited number of parts concurrently and queues the others; it answers `busy` while the queue is full.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -18,65 +18,66 @@
 
 use crate::query_log::{Arrival, QueryLog};
 
-/// Parts that wait for work, at most.
-const WAITING: usize = 200;
-/// Longest frame taken from a co-ordinator.
-const LONGEST: usize = 1 << 20;
+/// Longest queue of parts.
+const MAX_QUEUE: usize = 200;
+/// Longest frame accepted from a co-ordinator, in bytes.
+const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// How a replica behaves.
+/// Behaviour of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplicaBehavior {
     /// Answers each part.
     Normal,
-    /// Takes that many times as long.
+    /// Multiplies the processing time by the factor.
     Slow(f64),
-    /// Works, and does not answer.
+    /// Processes each part and sends no answer.
     Silent,
-    /// Answers that it has failed.
+    /// Answers each part with an error.
     Fails,
     /// Rejects each part as busy.
     Busy,
-    /// Closes the connection when a call arrives, without having run it.
+    /// Closes the connection when a call arrives, without running its parts.
     Resets,
-    /// Works, and answers with what is no frame.
+    /// Processes each part and answers with a frame of an unknown type.
     Malformed,
-    /// Works, and sends half of each answer.
+    /// Processes each part and sends only the first half of the answer.
     Truncates,
 }
 
-/// How long a part takes: half to one and a half times the usual time at random; a text can set the time itself.
+/// Processing time and concurrency. A part takes 0.5 to 1.5 times the mean at random, unless the query text sets the
+/// time.
 #[derive(Clone, Copy)]
 pub struct Work {
-    /// Work time of a part on average.
+    /// Mean processing time of a part.
     pub mean_time: Duration,
-    /// Parts that it works on at once.
+    /// Number of parts processed concurrently.
     pub concurrency: usize,
 }
 
-/// What a replica in slow start may be sent in any window: `overload_factor` times what it does in it at its present
-/// warmth, which rises evenly from `initial_fraction` to 1.
+/// Limit on the parts that a replica in slow start may be sent in any window: `overload_factor` times its capacity in
+/// that window. The capacity rises linearly from `initial_fraction` of the full one to the full one.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartLimit {
-    /// Factor on what the replica does.
+    /// Factor on the replica's capacity.
     pub overload_factor: f64,
-    /// Fraction of its full capacity that the replica has at its start.
+    /// Fraction of its full capacity that the replica has at the start.
     pub initial_fraction: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Most parts and new connections that arrived at one replica in any stretch of some length.
+/// Highest numbers of parts and of new connections that arrived at one replica within one sliding window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeakArrivals {
-    /// Most parts.
+    /// Highest number of parts.
     pub parts: usize,
-    /// Most new connections.
+    /// Highest number of new connections.
     pub connections: usize,
 }
 
-/// A stand-in replica that listens on an address of its own.
+/// A stand-in replica with its own listen address.
 pub struct StandInReplica {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     shared: Rc<Shared>,
     accepting: tokio::task::JoinHandle<()>,
@@ -93,23 +94,24 @@
     killed: Notify,
     connections: Cell<usize>,
     most_connections: Cell<usize>,
-    /// Since when it is in slow start and for how long, and when parts arrived meanwhile.
+    /// Start and length of the latest slow start.
     slow_start: RefCell<Option<(Instant, Duration)>>,
+    /// Arrival times of parts during the latest slow start, since its beginning.
     slow_start_arrivals: RefCell<Vec<Duration>>,
-    /// The arrivals in earlier slow starts.
+    /// Arrival times during each earlier slow start.
     earlier_slow_starts: RefCell<Vec<Vec<Duration>>>,
-    /// When parts and connections arrived, since its start.
+    /// When the replica was started; `part_arrivals` and `connection_arrivals` count from then.
     start: Instant,
     part_arrivals: RefCell<Vec<Duration>>,
     connection_arrivals: RefCell<Vec<Duration>>,
 }
 
 impl StandInReplica {
-    /// Starts it; what it runs is recorded in the log.
+    /// Starts a replica that records the parts it runs in the log.
     ///
     /// # Errors
     ///
-    /// That it can't listen.
+    /// If the listener cannot be opened.
     pub async fn start(seed: u64, work: Work, query_log: QueryLog) -> Result<StandInReplica> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -131,16 +133,16 @@
             part_arrivals: RefCell::default(),
             connection_arrivals: RefCell::default(),
         });
-        let ours = shared.clone();
+        let listener_shared = shared.clone();
         let accepting = tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let shared = ours.clone();
+                let shared = listener_shared.clone();
                 tokio::task::spawn_local(async move {
                     shared.connection_arrivals.borrow_mut().push(shared.start.elapsed());
                     shared.connections.set(shared.connections.get() + 1);
                     shared.most_connections.set(shared.most_connections.get().max(shared.connections.get()));
                     tokio::select! {
-                        _ = connection(&shared, stream) => {}
+                        _ = serve_connection(&shared, stream) => {}
                         () = shared.killed.notified() => {}
                     }
                     shared.connections.set(shared.connections.get() - 1);
@@ -150,84 +152,84 @@
         Ok(StandInReplica { address, shared, accepting })
     }
 
-    /// Sets how it behaves from now on.
+    /// Sets the behaviour from now on.
     pub fn set_behavior(&self, behavior: ReplicaBehavior) {
         self.shared.behavior.set(behavior);
     }
 
-    /// Closes the listener and all connections for good.
+    /// Closes the listener and all connections permanently.
     pub fn kill(&self) {
         self.accepting.abort();
         self.shared.killed.notify_waiters();
     }
 
-    /// Begins a slow start of that length.
+    /// Begins a slow start of the given length.
     pub fn begin_slow_start(&self, slow_start: Duration) {
         let arrivals = std::mem::take(&mut *self.shared.slow_start_arrivals.borrow_mut());
         self.shared.earlier_slow_starts.borrow_mut().push(arrivals);
         *self.shared.slow_start.borrow_mut() = Some((Instant::now(), slow_start));
     }
 
-    /// Parts beyond what slow start allows in any window, over all its starts.
+    /// Largest excess of parts over the slow-start limit in any window, summed over all slow starts.
     pub fn parts_over_slow_start(&self, limit: SlowStartLimit) -> u64 {
         let SlowStartLimit { overload_factor, initial_fraction, window } = limit;
         let Some((_, slow_start)) = *self.shared.slow_start.borrow() else { return 0 };
-        let warm = self.shared.work.concurrency as f64 / self.shared.work.mean_time.as_secs_f64();
-        let over = |arrivals: &Vec<Duration>| {
+        let full_rate = self.shared.work.concurrency as f64 / self.shared.work.mean_time.as_secs_f64();
+        let excess = |arrivals: &Vec<Duration>| {
             let each = arrivals.iter().enumerate().map(|(n, &at)| {
                 let first = arrivals.partition_point(|t| *t + window < at);
                 let warmth = initial_fraction
                     + (1.0 - initial_fraction) * (at.as_secs_f64() / slow_start.as_secs_f64()).min(1.0);
-                let may = overload_factor * warmth * warm * window.as_secs_f64();
-                ((n + 1 - first) as f64 - may).max(0.0) as u64
+                let allowed = overload_factor * warmth * full_rate * window.as_secs_f64();
+                ((n + 1 - first) as f64 - allowed).max(0.0) as u64
             });
             each.max().unwrap_or(0)
         };
-        let earlier: u64 = self.shared.earlier_slow_starts.borrow().iter().map(over).sum();
-        earlier + over(&self.shared.slow_start_arrivals.borrow())
+        let earlier: u64 = self.shared.earlier_slow_starts.borrow().iter().map(excess).sum();
+        earlier + excess(&self.shared.slow_start_arrivals.borrow())
     }
 
-    /// Most parts and new connections that arrived in any stretch of that length between two points in time.
-    pub fn peak_arrivals(&self, stretch: Duration, from: Instant, to: Instant) -> PeakArrivals {
+    /// Peak arrivals in windows of the given length that end at an arrival between `from` and `to`.
+    pub fn peak_arrivals(&self, window: Duration, from: Instant, to: Instant) -> PeakArrivals {
         let shared = &self.shared;
         let (from, to) = (from - shared.start, to - shared.start);
-        let most = |arrivals: &[Duration]| {
+        let peak = |arrivals: &[Duration]| {
             let ends = arrivals.iter().enumerate().filter(|(_, at)| (from..to).contains(*at));
-            let first = |at: Duration| arrivals.partition_point(|t| *t + stretch <= at);
+            let first = |at: Duration| arrivals.partition_point(|t| *t + window <= at);
             ends.map(|(n, &at)| n + 1 - first(at)).max().unwrap_or(0)
         };
         PeakArrivals {
-            parts: most(&shared.part_arrivals.borrow()),
-            connections: most(&shared.connection_arrivals.borrow()),
+            parts: peak(&shared.part_arrivals.borrow()),
+            connections: peak(&shared.connection_arrivals.borrow()),
         }
     }
 
-    /// Most connections open at once so far.
+    /// Highest number of concurrently open connections so far.
     pub fn most_connections(&self) -> usize {
         self.shared.most_connections.get()
     }
 }
 
-fn frame(rest: &[u8]) -> Vec<u8> {
-    [&(rest.len() as u32).to_be_bytes()[..], rest].concat()
+fn frame(payload: &[u8]) -> Vec<u8> {
+    [&(payload.len() as u32).to_be_bytes()[..], payload].concat()
 }
 
 async fn read_frame(from: &mut OwnedReadHalf) -> std::io::Result<Vec<u8>> {
     let length = from.read_u32().await? as usize;
-    if length == 0 || length > LONGEST {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err(std::io::ErrorKind::InvalidData.into());
     }
-    let mut rest = vec![0; length];
-    from.read_exact(&mut rest).await?;
-    Ok(rest)
+    let mut frame = vec![0; length];
+    from.read_exact(&mut frame).await?;
+    Ok(frame)
 }
 
-async fn connection(shared: &Rc<Shared>, stream: TcpStream) -> std::io::Result<()> {
+async fn serve_connection(shared: &Rc<Shared>, stream: TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut from, mut to) = stream.into_split();
-    let (out, mut queued) = unbounded_channel::<Vec<u8>>();
+    let (out, mut outgoing) = unbounded_channel::<Vec<u8>>();
     tokio::task::spawn_local(async move {
-        while let Some(bytes) = queued.recv().await {
+        while let Some(bytes) = outgoing.recv().await {
             if to.write_all(&bytes).await.is_err() {
                 return;
             }
@@ -235,9 +237,9 @@
     });
     let cancelled: Rc<RefCell<BTreeSet<String>>> = Rc::default();
     loop {
-        let rest = read_frame(&mut from).await?;
-        let words = String::from_utf8_lossy(&rest[1..]).into_owned();
-        match rest[0] {
+        let frame_bytes = read_frame(&mut from).await?;
+        let payload = String::from_utf8_lossy(&frame_bytes[1..]).into_owned();
+        match frame_bytes[0] {
             b'L' => {
                 let _ = out.send(frame(format!("Lqueue={},inflight={}", shared.waiting.get(), 0).as_bytes()));
             }
@@ -245,12 +247,12 @@
                 let _ = out.send(frame(b"Pok"));
             }
             b'X' => {
-                cancelled.borrow_mut().insert(words);
+                cancelled.borrow_mut().insert(payload);
             }
             b'Q' if shared.behavior.get() == ReplicaBehavior::Resets => return Ok(()),
             b'Q' => {
-                for part in parts(&words) {
-                    shared.arrivals();
+                for part in parse_parts(&payload) {
+                    shared.record_arrival();
                     shared.query_log.part_arrived(|| Arrival {
                         part: part.id.clone(),
                         at: Instant::now(),
@@ -274,14 +276,14 @@
     text: String,
 }
 
-fn parts(mut call: &str) -> Vec<Part> {
-    let mut found = Vec::new();
+fn parse_parts(mut call: &str) -> Vec<Part> {
+    let mut parts = Vec::new();
     while let Some((line, rest)) = call.split_once('\n') {
         let words: Vec<&str> = line.split(' ').collect();
         let [id, shard, list, length] = words[..] else { break };
         let Some((text, after)) = length.parse().ok().and_then(|n| rest.split_at_checked(n)) else { break };
         let stated_deadline = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok()).unwrap_or(0);
-        found.push(Part {
+        parts.push(Part {
             id: id.to_string(),
             shard: shard.parse().unwrap_or(0),
             stated_deadline: Duration::from_millis(stated_deadline),
@@ -289,7 +291,7 @@
         });
         call = after;
     }
-    found
+    parts
 }
 
 fn accept_part(
@@ -299,7 +301,7 @@
     cancelled: Rc<RefCell<BTreeSet<String>>>,
 ) {
     let behavior = shared.behavior.get();
-    if behavior == ReplicaBehavior::Busy || shared.waiting.get() >= WAITING {
+    if behavior == ReplicaBehavior::Busy || shared.waiting.get() >= MAX_QUEUE {
         let _ = out.send(frame(format!("A{} busy 0 -\n", part.id).as_bytes()));
         return;
     }
@@ -320,14 +322,17 @@
             ReplicaBehavior::Malformed => frame(b"?what"),
             _ => frame(format!("A{} ok 7 -\nd{}-{}", part.id, part.shard, part.text.len()).as_bytes()),
         };
-        let half = answer.len() / 2;
-        let _ =
-            out.send(if behavior == ReplicaBehavior::Truncates { answer[..half].to_vec() } else { answer });
+        let half_length = answer.len() / 2;
+        let _ = out.send(if behavior == ReplicaBehavior::Truncates {
+            answer[..half_length].to_vec()
+        } else {
+            answer
+        });
     });
 }
 
 impl Shared {
-    fn arrivals(&self) {
+    fn record_arrival(&self) {
         self.part_arrivals.borrow_mut().push(self.start.elapsed());
         if let Some((since, slow_start)) = *self.slow_start.borrow()
             && since.elapsed() < slow_start
@@ -336,7 +341,7 @@
         }
     }
 
-    /// The work time of a part; a text of `lasts=MS` sets it.
+    /// Processing time of a part; the word `lasts=MS` in the query text sets it.
     fn work_time(&self, text: &str) -> Duration {
         if let Some(ms) = text.split(' ').find_map(|w| w.strip_prefix("lasts=")?.parse().ok()) {
             return Duration::from_millis(ms);
--- a/crates/pipitcrank-testkit/src/runtime.rs
+++ b/crates/pipitcrank-testkit/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The runtime that trials and tests run on: one thread, with a limit on the whole run.
+//! Single-threaded runtime for trials and tests, with a limit on the duration of the whole run.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 ///
 /// # Errors
 ///
-/// The future's own error, or that it did not end within `limit`.
+/// The error of the future, or an error if it did not end within `limit`.
 pub fn on_one_thread<T>(limit: Duration, run: impl Future<Output = Result<T>>) -> Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         match tokio::time::timeout(limit, run).await {
-            Ok(ended) => ended,
-            Err(_) => bail!("it did not end within {limit:?}"),
+            Ok(result) => result,
+            Err(_) => bail!("run did not end within {limit:?}"),
         }
     })
 }
--- a/crates/pipitcrank-testkit/src/syscall_faults.rs
+++ b/crates/pipitcrank-testkit/src/syscall_faults.rs
@@ -1,5 +1,6 @@
-//! System calls that fail in a process under test: a small library of our own (`shim/faults.c`), loaded into that process
-//! alone, reads from a mapped file how often each kind fails. The rates are changed while the process runs.
+//! Injects system call faults into one process under test. A shared library (`shim/faults.c`) is preloaded into that
+//! process and reads the failure rate of each kind of call from a mapped file. The rates can be changed while the
+//! process runs.
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -11,38 +12,39 @@
 use crate::process::TempDir;
 
 const SOURCE: &str = include_str!("../shim/faults.c");
-/// Places in the mapped file: as many rates as the source has kinds, then the wall clock's step, then the seed.
+/// Layout of the mapped file: as many rates as `shim/faults.c` has kinds, then the step of the wall clock, then the
+/// seed.
 const KINDS: u64 = 16;
-const WALL_STEP: u64 = KINDS * 4;
-const SEED: u64 = WALL_STEP + 8;
+const WALL_STEP_OFFSET: u64 = KINDS * 4;
+const SEED_OFFSET: u64 = WALL_STEP_OFFSET + 8;
 const MILLION: f64 = 1e6;
 
-/// Which call fails, in the order of the source.
+/// Kind of fault, in the order of the kinds in `shim/faults.c`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyscallFault {
-    /// A read brings 1 to 40 bytes while more are there.
+    /// A read returns 1 to 40 bytes although more may be available.
     ShortRead,
-    /// A write takes only a part of what is offered.
+    /// A write accepts 1 to 40 bytes of the data offered.
     ShortWrite,
-    /// ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EINTR.
+    /// `accept4` fails with ECONNABORTED, ENFILE, ENOBUFS, EMFILE or EINTR.
     Accept,
-    /// ENFILE, EMFILE, ENOBUFS.
+    /// `socket` fails with ENFILE, EMFILE or ENOBUFS.
     Socket,
-    /// EADDRNOTAVAIL, ENETUNREACH, EINTR, ENOBUFS.
+    /// `connect` fails with EADDRNOTAVAIL, ENETUNREACH, EINTR or ENOBUFS.
     Connect,
-    /// EADDRINUSE, ENOBUFS.
+    /// `bind` fails with EADDRINUSE or ENOBUFS.
     Bind,
-    /// EINTR at reads, writes and waits.
+    /// A read, write or wait fails with EINTR.
     Interrupt,
-    /// ETIMEDOUT, EHOSTUNREACH, ECONNRESET at reads from whom it has called.
+    /// A read on an outgoing connection fails with ETIMEDOUT, EHOSTUNREACH or ECONNRESET.
     Broken,
-    /// The process is held up for 140 ms before a write.
+    /// The process blocks for 140 ms before a write.
     Hold,
-    /// EMFILE, ENFILE, EIO as its configuration is opened.
+    /// Opening the node configuration fails with EMFILE, ENFILE or EIO.
     Open,
 }
 
-/// The library, built once.
+/// The compiled fault library, built once for all processes.
 pub struct FaultLibrary {
     folder: TempDir,
 }
@@ -52,20 +54,20 @@
     ///
     /// # Errors
     ///
-    /// That the compiler can't be started or fails.
+    /// If the compiler cannot be started or fails.
     pub fn build() -> Result<FaultLibrary> {
         let folder = TempDir::new("shim")?;
         let source = folder.path().join("faults.c");
         std::fs::write(&source, SOURCE)?;
-        let built = Command::new("cc")
+        let output = Command::new("cc")
             .args(["-shared", "-fPIC", "-O1", "-o"])
             .arg(folder.path().join("faults.so"))
             .arg(&source)
             .arg("-ldl")
             .output()
-            .context("cc can't be started")?;
-        if !built.status.success() {
-            bail!("the shim can't be built: {}", String::from_utf8_lossy(&built.stderr));
+            .context("starting the C compiler cc failed")?;
+        if !output.status.success() {
+            bail!("cc failed to build the fault library: {}", String::from_utf8_lossy(&output.stderr));
         }
         Ok(FaultLibrary { folder })
     }
@@ -74,17 +76,17 @@
         self.folder.path().join("faults.so")
     }
 
-    /// For one process: nothing fails yet.
+    /// Creates the fault controls of one process, with all rates at zero.
     pub fn for_process(&self, name: &str, seed: u64) -> Result<ProcessFaults> {
         let path = self.folder.path().join(format!("control-{name}"));
         let file = File::options().create(true).truncate(true).read(true).write(true).open(&path)?;
-        file.set_len(SEED + 8)?;
-        file.write_all_at(&seed.to_ne_bytes(), SEED)?;
+        file.set_len(SEED_OFFSET + 8)?;
+        file.write_all_at(&seed.to_ne_bytes(), SEED_OFFSET)?;
         Ok(ProcessFaults { file, path, library: self.library() })
     }
 }
 
-/// What fails in one process.
+/// Fault controls of one process.
 pub struct ProcessFaults {
     file: File,
     path: PathBuf,
@@ -92,7 +94,7 @@
 }
 
 impl ProcessFaults {
-    /// Variables that the process is started with.
+    /// Environment variables for the process.
     pub fn variables(&self) -> Vec<(String, String)> {
         let text = |path: &Path| path.display().to_string();
         vec![
@@ -101,14 +103,14 @@
         ]
     }
 
-    /// Sets the fraction of the calls that fail from now on.
+    /// Sets the fraction of calls that fail.
     pub fn set(&self, fault: SyscallFault, fraction: f64) -> Result<()> {
         let rate = (fraction.clamp(0.0, 1.0) * MILLION) as u32;
         Ok(self.file.write_all_at(&rate.to_ne_bytes(), fault as u64 * 4)?)
     }
 
-    /// From now on the process's wall clock is off by so many seconds.
+    /// Sets the offset of the wall clock in the process.
     pub fn step_wall_clock(&self, seconds: f64) -> Result<()> {
-        Ok(self.file.write_all_at(&((seconds * MILLION) as i64).to_ne_bytes(), WALL_STEP)?)
+        Ok(self.file.write_all_at(&((seconds * MILLION) as i64).to_ne_bytes(), WALL_STEP_OFFSET)?)
     }
 }
--- a/crates/pipitcrank-testkit/src/zoned_fleet.rs
+++ b/crates/pipitcrank-testkit/src/zoned_fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet in zones: each zone's replicas hold all shards, and members of each zone reach each replica over a link of
-//! their own, so that a zone can be unreachable for all, or the path between two zones alone. Each zone has a discovery of
-//! its own.
+//! A fleet in several zones. The replicas of each zone hold all shards. The members of each zone reach each replica
+//! over separate links, so that a zone can be made unreachable from all zones or from one other zone only. Each zone
+//! has its own discovery.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,40 +15,42 @@
 use crate::query_log::QueryLog;
 use crate::replica::{PeakArrivals, ReplicaBehavior, SlowStartLimit, StandInReplica, Work};
 
-/// Cells, each with one replica a zone; a shard is held by two cells.
+/// Number of cells, each with one replica per zone; each shard is held by two cells.
 pub const CELLS: u32 = 6;
-/// One round trip within a zone, and across.
-const NEAR: Duration = Duration::from_micros(400);
-const ACROSS: Duration = Duration::from_millis(2);
+/// Round trip within a zone.
+const ZONE_ROUND_TRIP: Duration = Duration::from_micros(400);
+/// Round trip between zones.
+const CROSS_ZONE_ROUND_TRIP: Duration = Duration::from_millis(2);
 
-/// Replicas in zones, with links of their own from each zone's members.
+/// Replicas in zones, with separate links from the members of each zone.
 pub struct ZonedFleet {
     /// Names of the zones.
     pub names: Vec<String>,
     regions: Vec<String>,
-    /// `[zone][cell]`.
+    /// The replicas, indexed as `[zone][cell]`.
     pub replicas: Vec<Vec<Rc<StandInReplica>>>,
-    /// `[view][zone][cell]`.
+    /// Links to the replicas, indexed as `[view][zone][cell]`. A view is a set of links with a discovery that lists
+    /// them.
     links: Vec<Vec<Vec<Link>>>,
-    /// Discovery of each view.
+    /// Discovery by view.
     pub discoveries: Vec<Discovery>,
-    /// The zone of each view: one a zone, and one more for the member that has links of its own.
+    /// Zone of each view: one view per zone, and a last one for the member with links of its own.
     views: Vec<usize>,
-    /// Where the parts that replicas run are recorded.
+    /// Log that records the parts run by the replicas.
     pub query_log: QueryLog,
 }
 
 fn healthy_link(from: usize, to: usize) -> LinkConditions {
-    LinkConditions::with_round_trip(if from == to { NEAR } else { ACROSS })
+    LinkConditions::with_round_trip(if from == to { ZONE_ROUND_TRIP } else { CROSS_ZONE_ROUND_TRIP })
 }
 
 impl ZonedFleet {
-    /// Starts the fleet: zones with the region of each, whose members know the replicas of their own region alone. One
+    /// Starts the fleet. `names` holds zone and region; discovery lists only the replicas of the member's region. One
     /// member of zone `isolated_view` has links of its own.
     ///
     /// # Errors
     ///
-    /// That a stand-in can't listen.
+    /// If a stand-in cannot listen.
     pub async fn start(
         seed: u64,
         names: &[(&str, &str)],
@@ -97,28 +99,28 @@
         Ok(ZonedFleet { names, regions, replicas, links, discoveries, views, query_log })
     }
 
-    /// The view of the member that has links of its own.
+    /// View of the member with links of its own.
     pub fn isolated_view(&self) -> usize {
         self.views.len() - 1
     }
 
-    /// Whether the member that has links of its own reaches no replica.
-    pub fn set_member_isolated(&self, silent: bool) {
+    /// Stalls or restores all links of the member with links of its own.
+    pub fn set_member_isolated(&self, isolated: bool) {
         let view = self.isolated_view();
         for (zone, links) in self.links[view].iter().enumerate() {
             let link_conditions = healthy_link(self.views[view], zone);
             links.iter().for_each(|l| {
                 l.set_conditions(LinkConditions {
-                    stalled_forward: silent,
-                    stalled_back: silent,
+                    stalled_forward: isolated,
+                    stalled_back: isolated,
                     ..link_conditions
                 })
             });
         }
     }
 
-    /// Node configuration of a member with that view. `platform`: whether the platform states the zones of replicas and
-    /// member.
+    /// Node configuration of a member with the view. `platform` is whether the platform reports the zones of the
+    /// replicas and of the member.
     pub fn node_config(&self, view: usize, seed: u64, platform: bool) -> Result<Value> {
         let (zone, discovery) = (self.views[view], &self.discoveries[view]);
         let mut node_config =
@@ -131,46 +133,48 @@
         Ok(node_config)
     }
 
-    /// Sets the links from one zone's members to another zone's replicas.
-    fn set_paths(&self, from: usize, to: usize, silent: bool) {
+    /// Stalls or restores the links from the members of one zone to the replicas of another.
+    fn set_paths(&self, from: usize, to: usize, stalled: bool) {
         for (view, _) in self.views.iter().enumerate().filter(|(_, zone)| **zone == from) {
             for link in &self.links[view][to] {
                 link.set_conditions(LinkConditions {
-                    stalled_forward: silent,
-                    stalled_back: silent,
+                    stalled_forward: stalled,
+                    stalled_back: stalled,
                     ..healthy_link(from, to)
                 });
             }
         }
     }
 
-    /// Whether the first replicas of a zone are unreachable, without a reset or a close.
-    pub fn set_unreachable(&self, zone: usize, replicas: usize, silent: bool) {
+    /// Stalls or restores all links to the first `replicas` replicas of a zone, without a reset or a close.
+    pub fn set_unreachable(&self, zone: usize, replicas: usize, unreachable: bool) {
         for (view, &from) in self.views.iter().enumerate() {
             for link in &self.links[view][zone][..replicas] {
                 link.set_conditions(LinkConditions {
-                    stalled_forward: silent,
-                    stalled_back: silent,
+                    stalled_forward: unreachable,
+                    stalled_back: unreachable,
                     ..healthy_link(from, zone)
                 });
             }
         }
     }
 
-    /// Whether members of either zone reach no replica of the other.
-    pub fn set_partitioned(&self, a: usize, b: usize, silent: bool) {
-        self.set_paths(a, b, silent);
-        self.set_paths(b, a, silent);
+    /// Stalls or restores the links between two zones, in both directions.
+    pub fn set_partitioned(&self, a: usize, b: usize, partitioned: bool) {
+        self.set_paths(a, b, partitioned);
+        self.set_paths(b, a, partitioned);
     }
 
-    /// Sets how all replicas of a zone behave.
+    /// Sets the behaviour of all replicas of a zone.
     pub fn set_zone_behavior(&self, zone: usize, behavior: ReplicaBehavior) {
         self.replicas[zone].iter().for_each(|l| l.set_behavior(behavior));
     }
 
-    /// The zone's replicas have just started, and discovery announces it; they count what arrives in slow start.
+    /// Simulates a restart of all replicas of a zone: their links close, discovery publishes the new start time, and
+    /// the replicas record the parts that arrive during slow start.
     pub fn begin_slow_start(&self, zone: usize, warm_up: Duration) {
-        // A machine that starts knows of no connection: guards against what was written to the one before it.
+        // A restarted machine has no open connections. Without the close, parts sent before the restart would arrive
+        // in slow start.
         self.links.iter().flat_map(|to| &to[zone]).for_each(Link::close_connections);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
         for (view, discovery) in self.discoveries.iter().enumerate() {
@@ -185,16 +189,16 @@
         self.replicas[zone].iter().for_each(|l| l.begin_slow_start(warm_up));
     }
 
-    /// Most parts, and most new connections, that arrived at any one replica in a stretch between two points in time.
-    pub fn peak_arrivals(&self, stretch: Duration, from: Instant, to: Instant) -> PeakArrivals {
-        let each = self.replicas.iter().flatten().map(|replica| replica.peak_arrivals(stretch, from, to));
-        each.fold(PeakArrivals::default(), |most, one| PeakArrivals {
-            parts: most.parts.max(one.parts),
-            connections: most.connections.max(one.connections),
+    /// Peak arrivals at any single replica, as in `StandInReplica::peak_arrivals`.
+    pub fn peak_arrivals(&self, window: Duration, from: Instant, to: Instant) -> PeakArrivals {
+        let each = self.replicas.iter().flatten().map(|replica| replica.peak_arrivals(window, from, to));
+        each.fold(PeakArrivals::default(), |peak, one| PeakArrivals {
+            parts: peak.parts.max(one.parts),
+            connections: peak.connections.max(one.connections),
         })
     }
 
-    /// Parts that arrived at a replica in slow start beyond what it may get in any window, over all replicas.
+    /// Excess of parts over the slow-start limit, summed over all replicas.
     pub fn parts_over_slow_start(&self, limit: SlowStartLimit) -> u64 {
         self.replicas.iter().flatten().map(|replica| replica.parts_over_slow_start(limit)).sum()
     }
