--- a/crates/pipitcrank-testkit/src/soak/clients.rs
+++ b/crates/pipitcrank-testkit/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak test: most are plain, some disconnect early, stop half way, write slowly, or send several requests at
-//! once. Each request and its end are recorded as its client saw them.
+//! Clients of a soak test. Most send plain requests; some disconnect early, send partial requests, write slowly or
+//! pipeline requests. Each request and its end are recorded as the client observed them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,37 +17,40 @@
 use super::requests::{ClientBehavior, Request, RequestEnd};
 use crate::client::{HttpResponse, connect, read_response};
 
-/// How long a client waits beyond its deadline for a late answer.
-const PATIENCE: Duration = Duration::from_millis(1500);
+/// How long after its deadline a client still waits for an answer.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(1500);
 
+/// Requests sent to one process at random times.
 pub struct Load {
     running: Rc<Cell<bool>>,
     task: tokio::task::JoinHandle<()>,
 }
 
+/// Clients of one process.
 struct Clients {
     cluster: Rc<SoakCluster>,
     node: usize,
     address: SocketAddr,
-    kept: RefCell<Vec<BufReader<TcpStream>>>,
+    idle: RefCell<Vec<BufReader<TcpStream>>>,
 }
 
 impl Load {
+    /// Starts the load on one process, at `rate` requests per second on average.
     pub fn start(cluster: Rc<SoakCluster>, node: usize, seed: u64, rate: f64) -> Load {
         let running = Rc::new(Cell::new(true));
-        let on = running.clone();
+        let still_running = running.clone();
         let task = tokio::task::spawn_local(async move {
             let mut rng = Pcg64::seed_from_u64(seed ^ (node as u64 + 1) << 40);
             let address = cluster.nodes[node].address;
-            let clients = Rc::new(Clients { cluster, node, address, kept: RefCell::default() });
+            let clients = Rc::new(Clients { cluster, node, address, idle: RefCell::default() });
             let (start, mut due, mut n) = (Instant::now(), 0.0, 0);
             let mut tasks = tokio::task::JoinSet::new();
-            while on.get() {
+            while still_running.get() {
                 due += -(1.0 - rng.random::<f64>()).ln() / rate;
                 n += 1;
-                let asking = ask(clients.clone(), n, rng.random());
+                let request = run_request(clients.clone(), n, rng.random());
                 tokio::time::sleep_until((start + Duration::from_secs_f64(due)).into()).await;
-                tasks.spawn_local(asking);
+                tasks.spawn_local(request);
                 while tasks.try_join_next().is_some() {}
             }
             while tasks.join_next().await.is_some() {}
@@ -55,7 +58,7 @@
         Load { running, task }
     }
 
-    /// Sends no more requests and waits for those that are open.
+    /// Stops sending and waits for the open requests.
     pub async fn stop(self) -> Result<()> {
         self.running.set(false);
         Ok(self.task.await?)
@@ -69,12 +72,12 @@
     behavior: ClientBehavior,
 }
 
-fn query(node: usize, n: u64, rng: &mut Pcg64) -> QueryRequest {
-    let kind: f64 = rng.random();
-    let (class, count) = match kind {
-        k if k < 0.45 => ("view", rng.random_range(2..=5)),
-        k if k < 0.65 => ("rank", rng.random_range(4..=8)),
-        k if k < 0.85 => ("sale", 1),
+fn random_query(node: usize, n: u64, rng: &mut Pcg64) -> QueryRequest {
+    let class_draw: f64 = rng.random();
+    let (class, count) = match class_draw {
+        x if x < 0.45 => ("view", rng.random_range(2..=5)),
+        x if x < 0.65 => ("rank", rng.random_range(4..=8)),
+        x if x < 0.85 => ("sale", 1),
         _ => ("pay", rng.random_range(1..=2)),
     };
     let first = rng.random_range(0..SHARDS);
@@ -118,49 +121,50 @@
         self.head(&format!("Content-Length: {}", body.len())) + &body
     }
 
-    fn chunked(&self) -> String {
+    fn chunked_request(&self) -> String {
         let body = self.body();
         let (first, second) = body.split_at(body.len() / 2);
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
         self.head("Transfer-Encoding: chunked") + &chunk(first) + &chunk(second) + "0\r\n\r\n"
     }
 
-    /// Whether each value is one that a replica gave.
-    fn is_answered_by(&self, answer: &HttpResponse) -> bool {
+    /// Whether each hit of the answer is one that a replica sent for a requested shard, and missing hits are reported.
+    fn matches_answer(&self, answer: &HttpResponse) -> bool {
         if answer.status != 200 {
             return true;
         }
         let Ok(body) = serde_json::from_str::<serde_json::Value>(&answer.body) else { return false };
         let Some(hits) = body["hits"].as_array() else { return false };
-        let sound = |hit: &serde_json::Value| {
+        let is_valid = |hit: &serde_json::Value| {
             let shard = hit["shard"].as_u64().unwrap_or(u64::MAX) as u32;
             self.shards.contains(&shard) && hit["doc"] == json!(format!("d{shard}-4"))
         };
-        let all = hits.len() == self.shards.len();
-        hits.iter().all(sound) && (all || body["complete"] == json!(false))
+        let complete = hits.len() == self.shards.len();
+        hits.iter().all(is_valid) && (complete || body["complete"] == json!(false))
     }
 }
 
-async fn ask(clients: Rc<Clients>, n: u64, seed: u64) {
+async fn run_request(clients: Rc<Clients>, n: u64, seed: u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let query = query(clients.node, n, &mut rng);
-    let place = clients.note(&query, Instant::now());
+    let query = random_query(clients.node, n, &mut rng);
+    let index = clients.record(&query, Instant::now());
     let (end, corrupted) = match query.behavior {
-        ClientBehavior::Plain | ClientBehavior::ShortDeadline => clients.ask(&query, place).await,
+        ClientBehavior::Plain | ClientBehavior::ShortDeadline => clients.send(&query, index).await,
         ClientBehavior::PartialRequest => {
-            (clients.send_partial_request(&query, place, &mut rng).await, false)
+            (clients.send_partial_request(&query, index, &mut rng).await, false)
         }
         ClientBehavior::SlowWriter | ClientBehavior::Pipelines => {
-            clients.ask_on_new_connection(&query, place).await
+            clients.send_on_new_connection(&query, index).await
         }
-        _ => (clients.send_and_disconnect(&query, place, &mut rng).await, false),
+        _ => (clients.send_and_disconnect(&query, index, &mut rng).await, false),
     };
     let mut requests = clients.cluster.requests.borrow_mut();
-    (requests[place].end, requests[place].corrupted) = (end, corrupted);
+    (requests[index].end, requests[index].corrupted) = (end, corrupted);
 }
 
 impl Clients {
-    fn note(&self, query: &QueryRequest, sent_at: Instant) -> usize {
+    /// Records a request as open and returns its index.
+    fn record(&self, query: &QueryRequest, sent_at: Instant) -> usize {
         let mut requests = self.cluster.requests.borrow_mut();
         requests.push(Request {
             id: query.id.clone(),
@@ -174,61 +178,61 @@
         requests.len() - 1
     }
 
-    /// Its last byte was written now.
-    fn sent_now(&self, place: usize) {
-        self.cluster.requests.borrow_mut()[place].sent_at = Instant::now();
+    /// Records that the last byte of the request was written now.
+    fn record_sent(&self, index: usize) {
+        self.cluster.requests.borrow_mut()[index].sent_at = Instant::now();
     }
 
-    /// A kept connection that was not closed meanwhile.
-    fn kept(&self) -> Option<BufReader<TcpStream>> {
+    /// Takes an idle connection that is still open.
+    fn take_idle(&self) -> Option<BufReader<TcpStream>> {
         loop {
-            let kept = self.kept.borrow_mut().pop()?;
-            let read = kept.get_ref().try_read(&mut [0; 1]);
+            let idle = self.idle.borrow_mut().pop()?;
+            let read = idle.get_ref().try_read(&mut [0; 1]);
             if read.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock) {
-                return Some(kept);
+                return Some(idle);
             }
         }
     }
 
-    async fn ask(&self, query: &QueryRequest, place: usize) -> (RequestEnd, bool) {
-        if let Some(stream) = self.kept() {
-            let (end, corrupted) = self.ask_on(stream, query, place, true).await;
-            // Once more, on a new connection.
+    async fn send(&self, query: &QueryRequest, index: usize) -> (RequestEnd, bool) {
+        if let Some(stream) = self.take_idle() {
+            let (end, corrupted) = self.send_on(stream, query, index, true).await;
+            // The request is sent again on a new connection if the idle one ended without an answer.
             if !matches!(end, RequestEnd::Interrupted { .. }) {
                 return (end, corrupted);
             }
         }
-        self.ask_on_new_connection(query, place).await
+        self.send_on_new_connection(query, index).await
     }
 
-    async fn ask_on_new_connection(&self, query: &QueryRequest, place: usize) -> (RequestEnd, bool) {
+    async fn send_on_new_connection(&self, query: &QueryRequest, index: usize) -> (RequestEnd, bool) {
         match connect(self.address).await {
-            Ok(stream) => self.ask_on(BufReader::new(stream), query, place, false).await,
+            Ok(stream) => self.send_on(BufReader::new(stream), query, index, false).await,
             Err(_) => (RequestEnd::NotAccepted, false),
         }
     }
 
-    async fn ask_on(
+    async fn send_on(
         &self,
         mut stream: BufReader<TcpStream>,
         query: &QueryRequest,
-        place: usize,
-        kept: bool,
+        index: usize,
+        reused: bool,
     ) -> (RequestEnd, bool) {
-        let cut = |kept| (RequestEnd::Interrupted { at: Instant::now(), kept }, false);
+        let interrupted = |reused| (RequestEnd::Interrupted { at: Instant::now(), reused }, false);
         if self.write_request(&mut stream, query).await.is_err() {
-            return cut(kept);
+            return interrupted(reused);
         }
-        self.sent_now(place);
-        let answered = tokio::time::timeout(query.wait + PATIENCE, read_response(&mut stream)).await;
-        match answered {
+        self.record_sent(index);
+        let response = tokio::time::timeout(query.wait + LATE_ANSWER_WAIT, read_response(&mut stream)).await;
+        match response {
             Err(_) => (RequestEnd::NoResponse, false),
-            Ok(None) => cut(kept),
+            Ok(None) => interrupted(reused),
             Ok(Some(answer)) => {
                 let at = Instant::now();
-                let corrupted = !query.is_answered_by(&answer);
+                let corrupted = !query.matches_answer(&answer);
                 if answer.keep_alive && query.behavior == ClientBehavior::Plain {
-                    self.kept.borrow_mut().push(stream);
+                    self.idle.borrow_mut().push(stream);
                 }
                 (RequestEnd::Answered { status: answer.status, at }, corrupted)
             }
@@ -261,18 +265,18 @@
         stream.get_mut().write_all(request.as_bytes()).await
     }
 
-    async fn send_and_disconnect(&self, query: &QueryRequest, place: usize, rng: &mut Pcg64) -> RequestEnd {
+    async fn send_and_disconnect(&self, query: &QueryRequest, index: usize, rng: &mut Pcg64) -> RequestEnd {
         let Ok(mut stream) = connect(self.address).await else { return RequestEnd::NotAccepted };
-        let behind = "x".repeat(4000);
+        let extra = "x".repeat(4000);
         let bytes = match query.behavior {
-            ClientBehavior::DisconnectsAfterExtraBytes => query.request() + &behind,
-            ClientBehavior::DisconnectsAfterExtraChunks => query.chunked() + &behind,
+            ClientBehavior::DisconnectsAfterExtraBytes => query.request() + &extra,
+            ClientBehavior::DisconnectsAfterExtraChunks => query.chunked_request() + &extra,
             _ => query.request(),
         };
         if stream.write_all(bytes.as_bytes()).await.is_err() {
-            return RequestEnd::Interrupted { at: Instant::now(), kept: false };
+            return RequestEnd::Interrupted { at: Instant::now(), reused: false };
         }
-        self.sent_now(place);
+        self.record_sent(index);
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..400))).await;
         if rng.random_bool(0.4) {
             let _ = stream.set_zero_linger();
@@ -281,14 +285,14 @@
         RequestEnd::Disconnected { at: Instant::now() }
     }
 
-    async fn send_partial_request(&self, query: &QueryRequest, place: usize, rng: &mut Pcg64) -> RequestEnd {
+    async fn send_partial_request(&self, query: &QueryRequest, index: usize, rng: &mut Pcg64) -> RequestEnd {
         let Ok(mut stream) = connect(self.address).await else { return RequestEnd::NotAccepted };
         let request = query.request();
         let cut = rng.random_range(1..request.len() - 1);
         if stream.write_all(&request.as_bytes()[..cut]).await.is_err() {
-            return RequestEnd::Interrupted { at: Instant::now(), kept: false };
+            return RequestEnd::Interrupted { at: Instant::now(), reused: false };
         }
-        self.sent_now(place);
+        self.record_sent(index);
         match tokio::time::timeout(Duration::from_secs(5), stream.read(&mut [0; 512])).await {
             Ok(_) => RequestEnd::Refused { at: Instant::now() },
             Err(_) => RequestEnd::NoResponse,
--- a/crates/pipitcrank-testkit/src/soak/cluster.rs
+++ b/crates/pipitcrank-testkit/src/soak/cluster.rs
@@ -1,5 +1,5 @@
-//! What a soak test is played on: processes, replicas behind links that can fail, discovery behind two of them, and the
-//! record of all that happened.
+//! Environment of a soak test: processes, replicas behind links that can fail, discovery behind two further links,
+//! and the records from which the result is verified.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -27,33 +27,35 @@
 pub const SHARDS: u32 = 12;
 const REPLICAS: usize = 12;
 const SOCKETS: u32 = 256;
-const MOST_OPEN: u32 = 500;
-/// Part of a second's work that a replica does at once, and how long a part takes.
+const MAX_OPEN: u32 = 500;
+/// Processing time and concurrency of each replica.
 pub const WORK: Work = Work { mean_time: Duration::from_millis(10), concurrency: 2 };
 
-/// Rules in the node configuration, as the verifier needs them.
+// Rules that the node configuration sets and the verifier checks.
+
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 pub const DEDUP_WINDOW: Duration = Duration::from_millis(1200);
 pub const WARM_UP: Duration = Duration::from_secs(8);
 pub const INITIAL_FRACTION: f64 = 0.05;
 pub const OVERLOAD_FACTOR: f64 = 1.0;
 pub const LOAD_WINDOW: Duration = Duration::from_millis(1000);
-/// Time from SIGTERM to SIGKILL: the longest deadline in the node configuration and 0.7 s more.
-pub const GRACE: Duration = Duration::from_millis(2700);
+/// Time from SIGTERM to SIGKILL: the longest deadline in the node configuration plus 0.7 s.
+pub const SHUTDOWN_GRACE: Duration = Duration::from_millis(2700);
 pub const LONGEST_DEADLINE_S: f64 = 2.0;
-/// How long this program's own lateness shows.
-const LAG_LASTS: Duration = Duration::from_millis(600);
+/// Time before and after a lag of this program within which observations may be affected by it.
+const LAG_EFFECT_TIME: Duration = Duration::from_millis(600);
 
-/// One replica, alive or dead.
+/// A replica that is running or has been killed.
 pub struct Replica {
     pub name: String,
     pub cell: u32,
     pub replica: StandInReplica,
     pub link: Link,
-    /// Unix time of its start in milliseconds, 0 if long ago; and when that was.
+    /// Unix time of the start in milliseconds, 0 if the replica is past its slow start.
     pub boot_ms: i64,
+    /// Time of the start; `None` if the replica is past its slow start.
     pub started: Option<Instant>,
-    /// When it died.
+    /// When the replica was killed.
     pub died: Option<Instant>,
 }
 
@@ -68,42 +70,43 @@
     pub process: Mutex<Process>,
     pub address: SocketAddr,
     pub faults: ProcessFaults,
-    /// When it was killed outright.
+    /// Times at which the process was killed with SIGKILL.
     pub kills: RefCell<Vec<Instant>>,
-    /// When it was shutting down, down or starting.
+    /// Periods in which the process was shutting down, down or starting.
     pub downtime: Periods,
-    /// When it was stopped or held up.
-    pub held_up: Periods,
-    /// Times from a start until it served.
+    /// Periods in which the process was stopped or its writes were delayed.
+    pub pauses: Periods,
+    /// Times from each start until the process served.
     pub ready: RefCell<Vec<Duration>>,
 }
 
+/// Environment of a soak test and its records.
 pub struct SoakCluster {
-    pub begun: Instant,
+    pub start: Instant,
     pub nodes: Vec<Node>,
     pub replicas: RefCell<Vec<Replica>>,
-    /// Replicas that died and were replaced.
+    /// Replicas that were killed and replaced.
     pub retired: RefCell<Vec<Replica>>,
     pub discovery: Discovery,
-    /// The links to discovery that node configurations name.
+    /// Links to discovery; a node configuration contains the address of one of them.
     pub discovery_links: [Link; 2],
     pub query_log: QueryLog,
     pub requests: RefCell<Vec<Request>>,
-    /// When each replica address was announced as draining or dead.
+    /// Periods in which a replica address was announced as draining or removed.
     pub drains: ReplicaPeriods,
-    /// When discovery could not be reached.
+    /// Periods in which discovery was unreachable.
     pub discovery_outages: Periods,
-    /// When the link to a replica was stalled.
+    /// Periods in which the link to a replica was stalled.
     pub stalls: ReplicaPeriods,
-    /// How late this program itself was, and when.
+    /// Delays of this program's own timers, with the times at which they were observed.
     pub lags: RefCell<Vec<(Instant, Duration)>>,
-    /// Replicas that some fault drains or replaces.
-    taken: RefCell<BTreeSet<usize>>,
-    /// Seconds by which all wall clocks are off.
+    /// Indices of the replicas that a fault has reserved to drain or replace.
+    reserved: RefCell<BTreeSet<usize>>,
+    /// Current offset of all wall clocks, in seconds.
     wall_step: Cell<f64>,
     next_replica: Cell<usize>,
     seed: u64,
-    _shim: FaultLibrary,
+    _fault_library: FaultLibrary,
 }
 
 fn loopback() -> LinkConditions {
@@ -115,16 +118,16 @@
         let query_log = QueryLog::with_arrivals();
         let mut replicas = Vec::new();
         for n in 0..REPLICAS {
-            replicas.push(replica(n, n as u32 % CELLS, seed, &query_log, None).await?);
+            replicas.push(start_replica(n, n as u32 % CELLS, seed, &query_log, None).await?);
         }
         let discovery = Discovery::start(replicas.iter().map(|r| r.row("active")).collect()).await?;
         let to_discovery = |n: u64| Link::start(seed ^ n, discovery.address, loopback());
         let discovery_links = [to_discovery(11).await?, to_discovery(12).await?];
-        let shim = FaultLibrary::build()?;
+        let fault_library = FaultLibrary::build()?;
         let mut nodes = Vec::new();
         for n in 0..size.processes {
             let node_config = node_config(&discovery, discovery_links[0].address, seed, n, size.processes)?;
-            let faults = shim.for_process(&n.to_string(), seed ^ (n as u64) << 8)?;
+            let faults = fault_library.for_process(&n.to_string(), seed ^ (n as u64) << 8)?;
             let process = Process::start_with(program, node_config, faults.variables())?;
             nodes.push(Node {
                 address: process.address,
@@ -132,7 +135,7 @@
                 faults,
                 kills: RefCell::default(),
                 downtime: Periods::default(),
-                held_up: Periods::default(),
+                pauses: Periods::default(),
                 ready: RefCell::default(),
             });
         }
@@ -140,7 +143,7 @@
             node.process.lock().await.wait_until_ready().await?;
         }
         let cluster = Rc::new(SoakCluster {
-            begun: Instant::now(),
+            start: Instant::now(),
             nodes,
             replicas: RefCell::new(replicas),
             retired: RefCell::default(),
@@ -152,22 +155,24 @@
             discovery_outages: Periods::default(),
             stalls: ReplicaPeriods::default(),
             lags: RefCell::default(),
-            taken: RefCell::default(),
+            reserved: RefCell::default(),
             wall_step: Cell::default(),
             next_replica: Cell::new(REPLICAS),
             seed,
-            _shim: shim,
+            _fault_library: fault_library,
         });
-        tokio::task::spawn_local(watch_own_lag(cluster.clone()));
+        tokio::task::spawn_local(record_own_lag(cluster.clone()));
         Ok(cluster)
     }
 
-    /// One clock for all machines: processes read it, and replicas' starts are announced by it.
+    /// Sets the offset of all wall clocks together, as on machines with a common time source: processes read the
+    /// clock, and discovery publishes the start times of replicas by it.
     pub fn step_all_wall_clocks(&self, seconds: f64) -> Result<()> {
         self.wall_step.set(seconds);
         self.nodes.iter().try_for_each(|node| node.faults.step_wall_clock(seconds))
     }
 
+    /// Announces that the replica drains.
     pub fn drain(&self, n: usize) {
         let replicas = self.replicas.borrow();
         let replica = &replicas[n];
@@ -175,6 +180,7 @@
         self.discovery.update_row(replica.row("leaving"));
     }
 
+    /// Announces that the replica serves again.
     pub fn undrain(&self, n: usize) {
         let replicas = self.replicas.borrow();
         let replica = &replicas[n];
@@ -182,7 +188,7 @@
         self.discovery.update_row(replica.row("active"));
     }
 
-    /// The replica dies without notice, and one in slow start takes its place some time later.
+    /// Kills a replica without announcement and replaces it by one in slow start after a delay.
     pub async fn replace(&self, n: usize, after: Duration) -> Result<()> {
         let (cell, old_row) = {
             let mut replicas = self.replicas.borrow_mut();
@@ -194,10 +200,10 @@
         tokio::time::sleep(after).await;
         let number = self.next_replica.replace(self.next_replica.get() + 1);
         let started = Instant::now();
-        let mut new = replica(number, cell, self.seed, &self.query_log, Some(started)).await?;
+        let mut new = start_replica(number, cell, self.seed, &self.query_log, Some(started)).await?;
         new.boot_ms += (self.wall_step.get() * 1000.0) as i64;
         new.replica.begin_slow_start(WARM_UP);
-        // It may have got the address of one that died.
+        // The operating system may have reused the address of a killed replica.
         self.drains.end_all(new.replica.address, started);
         let new_row = new.row("active");
         let died = self.replicas.borrow()[n].replica.address;
@@ -209,23 +215,24 @@
         Ok(())
     }
 
-    /// How late this program was around that time, all together.
+    /// Sum of the delays of this program's own timers around the given time.
     pub fn lag_at(&self, at: Instant) -> Duration {
-        let near = |t: Instant| t + LAG_LASTS >= at && t <= at + LAG_LASTS;
-        self.lags.borrow().iter().filter(|(t, _)| near(*t)).map(|l| l.1).sum()
+        let is_near = |t: Instant| t + LAG_EFFECT_TIME >= at && t <= at + LAG_EFFECT_TIME;
+        self.lags.borrow().iter().filter(|(t, _)| is_near(*t)).map(|l| l.1).sum()
     }
 
-    /// Reserves the replica of that number, or the next that no other fault drains or replaces; released when dropped.
+    /// Reserves the replica with the given index or the next unreserved one; `None` if all are reserved. The
+    /// reservation ends when the result is dropped.
     pub fn reserve_replica(&self, replica: usize) -> Option<ExclusiveReplica<'_>> {
         let count = self.replicas.borrow().len();
-        let mut taken = self.taken.borrow_mut();
-        let free = (0..count).map(|n| (replica + n) % count).find(|n| !taken.contains(n))?;
-        taken.insert(free);
+        let mut reserved = self.reserved.borrow_mut();
+        let free = (0..count).map(|n| (replica + n) % count).find(|n| !reserved.contains(n))?;
+        reserved.insert(free);
         Some(ExclusiveReplica { cluster: self, replica: free })
     }
 }
 
-/// A replica that one fault alone drains or replaces.
+/// A replica reserved for one fault that drains or replaces it.
 pub struct ExclusiveReplica<'a> {
     cluster: &'a SoakCluster,
     pub replica: usize,
@@ -233,17 +240,18 @@
 
 impl Drop for ExclusiveReplica<'_> {
     fn drop(&mut self) {
-        self.cluster.taken.borrow_mut().remove(&self.replica);
+        self.cluster.reserved.borrow_mut().remove(&self.replica);
     }
 }
 
 impl Node {
-    pub fn was_held_up(&self, from: Instant, to: Instant) -> bool {
-        self.held_up.overlap(from, to)
+    /// Whether the process was paused at any time from `from` to `to`.
+    pub fn was_paused(&self, from: Instant, to: Instant) -> bool {
+        self.pauses.overlap(from, to)
     }
 }
 
-async fn replica(
+async fn start_replica(
     number: usize,
     cell: u32,
     seed: u64,
@@ -252,21 +260,28 @@
 ) -> Result<Replica> {
     let replica = StandInReplica::start(seed ^ (number as u64) << 32, WORK, query_log.clone()).await?;
     let link = Link::start(seed ^ (number as u64) << 16, replica.address, loopback()).await?;
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).context("the clock stands before 1970")?;
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).context("system clock is before 1970")?;
     let boot_ms = if started.is_some() { now.as_millis() as i64 } else { 0 };
     Ok(Replica { name: format!("replica-{number}"), cell, replica, link, boot_ms, started, died: None })
 }
 
 fn node_config(
     discovery: &Discovery,
-    watched: SocketAddr,
+    discovery_address: SocketAddr,
     seed: u64,
     n: usize,
     processes: usize,
 ) -> Result<Value> {
-    let known = discovery.initial_list();
-    let mut node_config =
-        node_config_of(watched, known, CELLS, SHARDS, seed ^ ((n as u64 + 1) * 7919), SOCKETS, MOST_OPEN)?;
+    let initial_list = discovery.initial_list();
+    let mut node_config = node_config_of(
+        discovery_address,
+        initial_list,
+        CELLS,
+        SHARDS,
+        seed ^ ((n as u64 + 1) * 7919),
+        SOCKETS,
+        MAX_OPEN,
+    )?;
     node_config["name"] = json!(format!("soak-{n}"));
     let class = |name: &str, kind: &str| {
         json!({"name": name, "aim_s": 0.8, "hard_limit_s": LONGEST_DEADLINE_S, "idempotency": kind,
@@ -285,13 +300,13 @@
     Ok(node_config)
 }
 
-/// What this program sees late it must not hold against a process.
-async fn watch_own_lag(cluster: Rc<SoakCluster>) {
+/// Records delays of this program's own timers, so that the verifier does not attribute them to a process.
+async fn record_own_lag(cluster: Rc<SoakCluster>) {
     const STEP: Duration = Duration::from_millis(5);
     loop {
-        let begun = Instant::now();
+        let start = Instant::now();
         tokio::time::sleep(STEP).await;
-        let lag = begun.elapsed().saturating_sub(STEP);
+        let lag = start.elapsed().saturating_sub(STEP);
         if lag > STEP {
             cluster.lags.borrow_mut().push((Instant::now(), lag));
         }
--- a/crates/pipitcrank-testkit/src/soak/fault_kind.rs
+++ b/crates/pipitcrank-testkit/src/soak/fault_kind.rs
@@ -1,18 +1,18 @@
-//! Kinds of faults of a soak test, and their names.
+//! Fault kinds of a soak test and their names.
 
 use thiserror::Error;
 
-/// A name that no kind of fault has.
+/// Error for a name that no fault kind has.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("no trouble is named '{name}'; accepted: {accepted}")]
+#[error("unknown fault kind '{name}'; accepted: {accepted}")]
 pub struct UnknownFault {
-    /// The name.
+    /// The unknown name.
     name: String,
-    /// All names, with commas between them.
+    /// All accepted names, separated by commas.
     accepted: String,
 }
 
-/// One kind of fault.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     Restart,
@@ -49,7 +49,7 @@
     StepThenReplace,
 }
 
-/// All kinds with the names that `--only` takes and that the log of a run prints.
+/// All kinds with their names, which `--only` accepts and the output of a run contains.
 pub const FAULT_KINDS: [(FaultKind, &str); 32] = [
     (FaultKind::Restart, "restart"),
     (FaultKind::Kill, "kill"),
@@ -86,12 +86,12 @@
 ];
 
 impl FaultKind {
-    /// The kind of that name.
+    /// Returns the kind with the name.
     ///
     /// # Errors
     ///
-    /// That no kind has it, with the names that are accepted.
-    pub fn named(name: &str) -> Result<FaultKind, UnknownFault> {
+    /// If no kind has the name; the error lists the accepted names.
+    pub fn from_name(name: &str) -> Result<FaultKind, UnknownFault> {
         match FAULT_KINDS.iter().find(|(_, known)| *known == name) {
             Some((kind, _)) => Ok(*kind),
             None => {
@@ -101,13 +101,13 @@
         }
     }
 
-    /// The name that `--only` takes.
+    /// Name of the kind, as `--only` accepts it.
     pub fn name(self) -> &'static str {
         FAULT_KINDS.iter().find(|(kind, _)| *kind == self).map_or("", |(_, name)| name)
     }
 
-    /// Whether it happens to a replica; the others happen to a process.
-    pub fn is_of_replica(self) -> bool {
+    /// Whether the output names a replica as the target; otherwise it names a process.
+    pub fn targets_replica(self) -> bool {
         use FaultKind::*;
         matches!(
             self,
--- a/crates/pipitcrank-testkit/src/soak/inject.rs
+++ b/crates/pipitcrank-testkit/src/soak/inject.rs
@@ -1,11 +1,11 @@
-//! Plays one fault of a soak test on a process, a replica, discovery or the links between them.
+//! Injects one fault of a soak test into a process, a replica, discovery or the links between them.
 
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
 use rustix::process::Signal;
 
-use super::cluster::{GRACE, Node, SoakCluster};
+use super::cluster::{Node, SHUTDOWN_GRACE, SoakCluster};
 use super::fault_kind::FaultKind;
 use crate::client::connect;
 use crate::link::{Link, LinkConditions};
@@ -13,23 +13,23 @@
 use crate::replica::ReplicaBehavior;
 use crate::syscall_faults::SyscallFault;
 
-/// Longest time from a start until it serves that a soak waits.
+/// Longest wait for a started process to serve.
 const START_LIMIT: Duration = Duration::from_secs(20);
 
-/// What a lane has drawn for its next fault.
+/// A fault drawn by a lane.
 pub struct PlannedFault {
     pub kind: FaultKind,
-    /// The process it happens to.
+    /// Index of the process.
     pub node: usize,
-    /// The replica it happens to.
+    /// Index of the replica.
     pub replica: usize,
-    pub lasts: Duration,
-    /// A fraction for what else the kind leaves open.
+    pub duration: Duration,
+    /// Random number from 0 to 1 from which a kind derives its other parameters.
     pub fraction: f64,
 }
 
-/// Plays the fault; what it happened to.
-pub async fn play(cluster: &SoakCluster, planned: &PlannedFault) -> Result<String> {
+/// Injects the fault and returns the name of its target.
+pub async fn inject(cluster: &SoakCluster, planned: &PlannedFault) -> Result<String> {
     let node = &cluster.nodes[planned.node];
     let (on_node, on_replica) = (format!("process {}", planned.node), format!("replica {}", planned.replica));
     match planned.kind {
@@ -60,7 +60,7 @@
         FaultKind::Connects => fail_syscalls(node, planned, SyscallFault::Connect, 0.3).await?,
         FaultKind::Interrupts => fail_syscalls(node, planned, SyscallFault::Interrupt, 0.05).await?,
         FaultKind::Broken => fail_syscalls(node, planned, SyscallFault::Broken, 0.02).await?,
-        FaultKind::Holds => hold_up(node, planned).await?,
+        FaultKind::Holds => delay_writes(node, planned).await?,
         FaultKind::WallSteps => step_wall_clock(node, planned).await?,
         FaultKind::Flood => flood(node, planned).await,
         FaultKind::RestartWhileAcceptsFail => restart_while_accepts_fail(node, planned).await?,
@@ -68,66 +68,66 @@
         FaultKind::ReloadWhileOpensFail => reload_while_opens_fail(cluster, node, planned).await?,
         FaultKind::StepThenReplace => step_then_replace(cluster, planned).await?,
     }
-    Ok(if planned.kind.is_of_replica() { on_replica } else { on_node })
+    Ok(if planned.kind.targets_replica() { on_replica } else { on_node })
 }
 
-/// Reloads five times, with discovery at either address by turns.
+/// Reloads the process five times, with the two addresses of discovery in turn.
 async fn reload_repeatedly(cluster: &SoakCluster, node: &Node, planned: &PlannedFault) -> Result<()> {
     for n in 0..5 {
         reload(cluster, node, n % 2 == 0).await?;
-        tokio::time::sleep(planned.lasts / 40).await;
+        tokio::time::sleep(planned.duration / 40).await;
     }
     Ok(())
 }
 
-/// The replica dies, and one in slow start takes its place.
+/// Kills a replica and replaces it by one in slow start.
 async fn replace_replica(cluster: &SoakCluster, planned: &PlannedFault) -> Result<()> {
     if let Some(reserved) = cluster.reserve_replica(planned.replica) {
-        cluster.replace(reserved.replica, planned.lasts / 2).await?;
+        cluster.replace(reserved.replica, planned.duration / 2).await?;
     }
     Ok(())
 }
 
-/// Breaks the connections to the replica three times.
+/// Closes all connections to the replica three times.
 async fn break_link(cluster: &SoakCluster, planned: &PlannedFault) {
     for _ in 0..3 {
         cluster.replicas.borrow()[planned.replica].link.close_connections();
-        tokio::time::sleep(planned.lasts / 3).await;
+        tokio::time::sleep(planned.duration / 3).await;
     }
 }
 
-/// Nothing passes to or from discovery.
+/// Stalls all links to discovery in both directions.
 async fn stall_discovery(cluster: &SoakCluster, planned: &PlannedFault) {
     interrupt_discovery(cluster, planned, |link| link.set_conditions(stalled(true, true))).await;
 }
 
-/// Holds the process up before some of its writes.
-async fn hold_up(node: &Node, planned: &PlannedFault) -> Result<()> {
-    node.held_up.begin();
+/// Delays some of the writes of the process.
+async fn delay_writes(node: &Node, planned: &PlannedFault) -> Result<()> {
+    node.pauses.begin();
     fail_syscalls(node, planned, SyscallFault::Hold, 0.01).await?;
-    node.held_up.end();
+    node.pauses.end();
     Ok(())
 }
 
-/// Steps the process's wall clock to and fro.
+/// Steps the wall clock of the process backward and forward, and finally back to the correct time.
 async fn step_wall_clock(node: &Node, planned: &PlannedFault) -> Result<()> {
     for step in [-3600.0, 2.0, 3600.0, 0.0] {
         node.faults.step_wall_clock(step)?;
-        tokio::time::sleep(planned.lasts / 4).await;
+        tokio::time::sleep(planned.duration / 4).await;
     }
     Ok(())
 }
 
-/// Restarts while most accepts fail.
+/// Restarts the process while most calls of `accept4` fail.
 async fn restart_while_accepts_fail(node: &Node, planned: &PlannedFault) -> Result<()> {
     node.faults.set(SyscallFault::Accept, 0.6)?;
-    tokio::time::sleep(planned.lasts / 4).await;
+    tokio::time::sleep(planned.duration / 4).await;
     restart(node).await?;
     node.faults.set(SyscallFault::Accept, 0.0)?;
     Ok(())
 }
 
-/// Restarts while binding, opening sockets and opening files may fail.
+/// Restarts the process while calls that bind, open sockets or open its configuration may fail.
 async fn start_while_binds_fail(node: &Node) -> Result<()> {
     node.faults.set(SyscallFault::Bind, 0.8)?;
     node.faults.set(SyscallFault::Socket, 0.3)?;
@@ -139,39 +139,41 @@
     Ok(())
 }
 
-/// Reloads while the configuration can't be opened.
+/// Reloads the process while its configuration cannot be opened.
 async fn reload_while_opens_fail(cluster: &SoakCluster, node: &Node, planned: &PlannedFault) -> Result<()> {
     node.faults.set(SyscallFault::Open, 1.0)?;
     reload(cluster, node, true).await?;
-    tokio::time::sleep(planned.lasts.min(Duration::from_millis(800))).await;
+    tokio::time::sleep(planned.duration.min(Duration::from_millis(800))).await;
     node.faults.set(SyscallFault::Open, 0.0)?;
     Ok(())
 }
 
-/// Steps all wall clocks, and replaces a replica meanwhile.
+/// Steps all wall clocks together and replaces a replica before they are set back.
 async fn step_then_replace(cluster: &SoakCluster, planned: &PlannedFault) -> Result<()> {
-    // All machines read one clock: the replica's start is announced by the stepped one.
+    // The replica is on a machine with the same time source, so its published start time is stepped as well.
     let step = if planned.fraction < 0.5 { -3600.0 } else { 3600.0 };
     cluster.step_all_wall_clocks(step)?;
     if let Some(reserved) = cluster.reserve_replica(planned.replica) {
         cluster.replace(reserved.replica, Duration::from_millis(100)).await?;
     }
-    tokio::time::sleep(planned.lasts).await;
+    tokio::time::sleep(planned.duration).await;
     cluster.step_all_wall_clocks(0.0)?;
     Ok(())
 }
 
-/// SIGTERM, SIGKILL at the earliest time allowed, and a new start.
+/// Stops the process with SIGTERM, or with SIGKILL if it still runs after the shortest allowed grace time, and starts
+/// it again.
 async fn restart(node: &Node) -> Result<()> {
     let mut process = node.process.lock().await;
     node.downtime.begin();
     process.signal(Signal::TERM)?;
-    if process.wait_for_exit(GRACE).await.is_none() {
+    if process.wait_for_exit(SHUTDOWN_GRACE).await.is_none() {
         process.kill();
     }
     start_again(node, &mut process).await
 }
 
+/// Kills the process with SIGKILL and starts it again.
 async fn kill(node: &Node) -> Result<()> {
     let mut process = node.process.lock().await;
     node.downtime.begin();
@@ -182,58 +184,59 @@
 }
 
 async fn start_again(node: &Node, process: &mut Process) -> Result<()> {
-    let begun = Instant::now();
+    let start = Instant::now();
     process.respawn(None)?;
-    let up = tokio::time::timeout(START_LIMIT, process.wait_until_ready()).await;
-    // What never serves is judged by that time.
-    let took = if matches!(up, Ok(Ok(()))) { begun.elapsed() } else { START_LIMIT };
-    node.ready.borrow_mut().push(took);
+    let result = tokio::time::timeout(START_LIMIT, process.wait_until_ready()).await;
+    // For a process that never serves, the limit is recorded; the verifier reports it.
+    let ready_time = if matches!(result, Ok(Ok(()))) { start.elapsed() } else { START_LIMIT };
+    node.ready.borrow_mut().push(ready_time);
     node.downtime.end();
     Ok(())
 }
 
-/// A new configuration: discovery at one of its two addresses.
-async fn reload(cluster: &SoakCluster, node: &Node, second: bool) -> Result<()> {
+/// Reloads the process with a node configuration that contains one of the two addresses of discovery.
+async fn reload(cluster: &SoakCluster, node: &Node, second_address: bool) -> Result<()> {
     let process = node.process.lock().await;
-    let address = cluster.discovery_links[usize::from(second)].address.to_string();
+    let address = cluster.discovery_links[usize::from(second_address)].address.to_string();
     process.override_node_config("/discovery", address.into())?;
     process.signal(Signal::HUP)?;
     Ok(())
 }
 
+/// Stops the process with SIGSTOP for 100 to 350 ms.
 async fn pause(node: &Node, fraction: f64) -> Result<()> {
     let process = node.process.lock().await;
-    node.held_up.begin();
+    node.pauses.begin();
     process.signal(Signal::STOP)?;
     tokio::time::sleep(Duration::from_millis(100 + (250.0 * fraction) as u64)).await;
     process.signal(Signal::CONT)?;
-    node.held_up.end();
+    node.pauses.end();
     Ok(())
 }
 
 async fn set_behavior(cluster: &SoakCluster, planned: &PlannedFault, behavior: ReplicaBehavior) {
-    // It may be replaced meanwhile: the one that was troubled is the one that is well again.
+    // The replica may be replaced during the fault, so the behaviour is set and reset by name, not by index.
     let name = cluster.replicas.borrow()[planned.replica].name.clone();
     let set_all = |behavior| {
         let replicas = cluster.replicas.borrow();
         replicas.iter().filter(|r| r.name == name).for_each(|r| r.replica.set_behavior(behavior));
     };
     set_all(behavior);
-    tokio::time::sleep(planned.lasts).await;
+    tokio::time::sleep(planned.duration).await;
     set_all(ReplicaBehavior::Normal);
 }
 
 async fn drain(cluster: &SoakCluster, planned: &PlannedFault) {
     if let Some(reserved) = cluster.reserve_replica(planned.replica) {
         cluster.drain(reserved.replica);
-        tokio::time::sleep(planned.lasts * 4).await;
+        tokio::time::sleep(planned.duration * 4).await;
         cluster.undrain(reserved.replica);
     }
 }
 
-fn stalled(there: bool, back: bool) -> LinkConditions {
+fn stalled(forward: bool, back: bool) -> LinkConditions {
     LinkConditions {
-        stalled_forward: there,
+        stalled_forward: forward,
         stalled_back: back,
         ..LinkConditions::with_round_trip(Duration::from_micros(400))
     }
@@ -246,7 +249,7 @@
     };
     cluster.stalls.begin(replica);
     link.set_conditions(stalled(planned.fraction < 0.6, planned.fraction > 0.3));
-    tokio::time::sleep(planned.lasts).await;
+    tokio::time::sleep(planned.duration).await;
     link.set_conditions(stalled(false, false));
     cluster.stalls.end_first(replica);
 }
@@ -254,7 +257,7 @@
 async fn interrupt_discovery(cluster: &SoakCluster, planned: &PlannedFault, fault: impl Fn(&Link)) {
     cluster.discovery_outages.begin();
     cluster.discovery_links.iter().for_each(fault);
-    tokio::time::sleep(planned.lasts).await;
+    tokio::time::sleep(planned.duration).await;
     for link in &cluster.discovery_links {
         link.set_conditions(stalled(false, false));
         link.heal();
@@ -269,11 +272,11 @@
     fraction: f64,
 ) -> Result<()> {
     node.faults.set(fault, fraction)?;
-    tokio::time::sleep(planned.lasts).await;
+    tokio::time::sleep(planned.duration).await;
     node.faults.set(fault, 0.0)
 }
 
-/// Connections that say nothing, more than there are places for.
+/// Opens more idle connections than the process accepts.
 async fn flood(node: &Node, planned: &PlannedFault) {
     let mut idle = Vec::new();
     for _ in 0..(200.0 + planned.fraction * 200.0) as usize {
@@ -282,5 +285,5 @@
             _ => break,
         }
     }
-    tokio::time::sleep(planned.lasts).await;
+    tokio::time::sleep(planned.duration).await;
 }
--- a/crates/pipitcrank-testkit/src/soak/mod.rs
+++ b/crates/pipitcrank-testkit/src/soak/mod.rs
@@ -1,6 +1,6 @@
-//! The soak test: a few dozen processes of the program on loopback, with stand-in clients, replicas, discovery and links,
-//! under faults that overlap. What happens is scripted from a seed; the result is verified against the rules
-//! (`docs/rules.md`) from outside, and by each process's own run-time check.
+//! Soak test: up to a few dozen processes of the program on loopback with stand-in clients, replicas, discovery and
+//! links, under overlapping faults. A seed determines the script. The result is verified against the rules
+//! (`docs/rules.md`) from the observations of the stand-ins and from the run-time check of each process.
 
 mod clients;
 mod cluster;
@@ -21,11 +21,11 @@
 
 use crate::outcome::Outcome;
 
-/// Plays one seed. `only`: faults of that kind alone.
+/// Runs the soak test for one seed. `only` restricts the faults to the kind with that name.
 ///
 /// # Errors
 ///
-/// A name in `only` that no kind has, or a stand-in or process that can't be started.
+/// If no kind has the name in `only`, or a stand-in or process cannot be started.
 pub async fn run(
     program: &Path,
     seed: u64,
@@ -33,15 +33,15 @@
     only: Option<&str>,
     verbose: bool,
 ) -> Result<Outcome> {
-    let only = only.map(FaultKind::named).transpose()?;
+    let only = only.map(FaultKind::from_name).transpose()?;
     let cluster = cluster::SoakCluster::start(program, seed, size).await?;
-    let load: Vec<_> =
+    let loads: Vec<_> =
         (0..size.processes).map(|n| clients::Load::start(cluster.clone(), n, seed, size.rate)).collect();
     let faults = script::run(cluster.clone(), seed, size, only, verbose);
     let (faults, ()) = tokio::join!(faults, tokio::time::sleep(size.duration));
     let faults = faults?;
-    for each in load {
-        each.stop().await?;
+    for load in loads {
+        load.stop().await?;
     }
     verifier::verify(&cluster, faults).await
 }
--- a/crates/pipitcrank-testkit/src/soak/requests.rs
+++ b/crates/pipitcrank-testkit/src/soak/requests.rs
@@ -1,63 +1,56 @@
-//! Requests of a soak test as their clients saw them.
+//! Requests of a soak test as observed by their clients.
 
 use std::time::{Duration, Instant};
 
-/// How a client behaves.
+/// Behaviour of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientBehavior {
+    /// Sends one request, on an idle connection if there is one, and waits for the answer.
     Plain,
-    /// Closes or resets the connection before its answer.
+    /// Closes or resets the connection before the answer.
     Disconnects,
-    /// The same with bytes behind its request.
+    /// Sends extra bytes after the request, then closes or resets the connection before the answer.
     DisconnectsAfterExtraBytes,
-    /// The same behind a chunked body.
+    /// Sends extra bytes after a chunked request, then closes or resets the connection before the answer.
     DisconnectsAfterExtraChunks,
-    /// Sends half a request and keeps the connection open.
+    /// Sends only the first part of a request and keeps the connection open.
     PartialRequest,
-    /// Writes in pieces.
+    /// Writes the request in small pieces with pauses.
     SlowWriter,
-    /// Sends several requests at once.
+    /// Sends several requests on one connection without waiting for answers.
     Pipelines,
-    /// Has very little time.
+    /// Sets a deadline of less than 40 ms.
     ShortDeadline,
 }
 
-/// How it ended for its client.
+/// End of a request as observed by its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestEnd {
+    /// The request has not ended.
     Open,
-    Answered {
-        status: u16,
-        at: Instant,
-    },
-    /// The client closed.
-    Disconnected {
-        at: Instant,
-    },
-    /// Nobody listened, or a kept connection was found closed and the request went nowhere else.
+    /// An answer was received.
+    Answered { status: u16, at: Instant },
+    /// The client closed the connection.
+    Disconnected { at: Instant },
+    /// A new connection could not be opened, at the first attempt or after an idle connection had ended.
     NotAccepted,
-    /// A connection ended without an answer.
-    Interrupted {
-        at: Instant,
-        kept: bool,
-    },
-    /// Nothing arrived.
+    /// The connection ended without an answer; `reused` if it had carried an earlier request.
+    Interrupted { at: Instant, reused: bool },
+    /// No answer was received in time, and the connection stayed open.
     NoResponse,
-    /// Half a request: answered or closed.
-    Refused {
-        at: Instant,
-    },
+    /// A partial request was answered or its connection closed.
+    Refused { at: Instant },
 }
 
-/// A request as its client saw it.
+/// A request as observed by its client.
 pub struct Request {
     pub id: String,
     pub node: usize,
     pub behavior: ClientBehavior,
-    /// When its last byte was written.
+    /// When the last byte of the request was written.
     pub sent_at: Instant,
     pub wait: Duration,
     pub end: RequestEnd,
-    /// The answer is not what the replicas gave.
+    /// Whether the answer differs from what the replicas sent.
     pub corrupted: bool,
 }
--- a/crates/pipitcrank-testkit/src/soak/script.rs
+++ b/crates/pipitcrank-testkit/src/soak/script.rs
@@ -1,5 +1,5 @@
-//! The script of a soak test. Several lanes play one fault after another each, so that as many faults as there are lanes
-//! overlap; what each lane plays, on whom and for how long follows from the seed alone.
+//! Script of a soak test. Several lanes run concurrently, and each injects one fault after another, so that faults of
+//! different lanes overlap. The seed alone determines the kind, target and duration of each fault.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,15 +11,16 @@
 
 use super::cluster::SoakCluster;
 use super::fault_kind::{FAULT_KINDS, FaultKind};
-use super::inject::{PlannedFault, play};
+use super::inject::{PlannedFault, inject};
 use super::size::Size;
 
-/// Nothing begins so late that its end is not seen.
-const LAST_START: Duration = Duration::from_secs(3);
+/// Time before the end of the run in which no fault starts, so that the end of each fault is observed.
+const QUIET_TIME_AT_END: Duration = Duration::from_secs(3);
 
-/// One fault as it was played.
-pub struct PlayedFault {
+/// A fault that was injected.
+pub struct InjectedFault {
     pub kind: FaultKind,
+    /// The process or replica that it was injected into.
     pub on: String,
     pub from: Instant,
     pub to: Instant,
@@ -32,40 +33,40 @@
         kind: only.unwrap_or(kind),
         node: rng.random_range(0..size.processes),
         replica: rng.random_range(0..replicas),
-        lasts: Duration::from_millis(rng.random_range(600..2400)),
+        duration: Duration::from_millis(rng.random_range(600..2400)),
         fraction: rng.random(),
     }
 }
 
-/// Plays all lanes until the time is over; what was played.
+/// Runs all lanes until the end of the soak test and returns the injected faults.
 pub async fn run(
     cluster: Rc<SoakCluster>,
     seed: u64,
     size: Size,
     only: Option<FaultKind>,
     verbose: bool,
-) -> Result<Vec<PlayedFault>> {
+) -> Result<Vec<InjectedFault>> {
     let until = Instant::now() + size.duration;
     let mut lanes = JoinSet::new();
     for lane in 0..size.concurrent_faults {
         let cluster = cluster.clone();
         lanes.spawn_local(async move {
             let mut rng = Pcg64::seed_from_u64(seed.wrapping_mul(31) + lane as u64);
-            let mut played = Vec::new();
-            while Instant::now() + LAST_START < until {
+            let mut injected = Vec::new();
+            while Instant::now() + QUIET_TIME_AT_END < until {
                 tokio::time::sleep(Duration::from_millis(rng.random_range(0..400))).await;
                 let replicas = cluster.replicas.borrow().len();
                 let planned = draw(&mut rng, size, replicas, only);
                 let from = Instant::now();
-                let on = play(&cluster, &planned).await?;
+                let on = inject(&cluster, &planned).await?;
                 let (kind, to) = (planned.kind, Instant::now());
                 if verbose {
-                    let at = |t: Instant| (t - cluster.begun).as_secs_f64();
+                    let at = |t: Instant| (t - cluster.start).as_secs_f64();
                     eprintln!("{:7.3} to {:7.3}  {} {on}", at(from), at(to), kind.name());
                 }
-                played.push(PlayedFault { kind, on, from, to });
+                injected.push(InjectedFault { kind, on, from, to });
             }
-            Ok::<_, anyhow::Error>(played)
+            Ok::<_, anyhow::Error>(injected)
         });
     }
     let mut all = Vec::new();
--- a/crates/pipitcrank-testkit/src/soak/verifier.rs
+++ b/crates/pipitcrank-testkit/src/soak/verifier.rs
@@ -1,5 +1,5 @@
-//! Verifies a soak test against the rules: from outside, by what clients and replicas saw, and by each process's own
-//! run-time check. What this program saw late is not held against a process.
+//! Verifies a soak test against the rules, from the observations of clients and replicas and from the run-time check of
+//! each process. Limits allow for the delays of this program itself.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,133 +11,134 @@
     WARM_UP, WORK,
 };
 use super::requests::{ClientBehavior, Request, RequestEnd};
-use super::script::PlayedFault;
+use super::script::InjectedFault;
 use crate::outcome::Outcome;
 use crate::query_log::Arrival;
 
-/// A final answer counts for so long after the client's time.
+/// How long after the client's deadline a final answer is still in time.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// What the link and this program's own timers may take.
-const SEEN_LATE: Duration = Duration::from_millis(60);
-/// An attempt may begin so long after its client closed.
+/// Delay of observations by the link and by this program's timers.
+const OBSERVATION_DELAY: Duration = Duration::from_millis(60);
+/// How long after its client closed the connection an attempt may still start.
 const CLOSE_SLACK: Duration = Duration::from_millis(100);
-/// A process may be held up for so long between reading its clock and writing.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// The stated deadline may be that much more than the client has.
+/// Longest pause of a process between reading its clock and writing.
+const PAUSE_SLACK: Duration = Duration::from_millis(150);
+/// How much the stated deadline may exceed the remaining time of the client.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// What discovery has counts as announced that long after.
-const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
-/// Half a request gets an error or a close within that.
-const HALF_LIMIT: Duration = Duration::from_secs(3);
-/// From a start until it serves.
+/// Longest time until a process applies a change in discovery.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_secs(6);
+/// Time within which a partial request must be answered with an error or its connection closed.
+const PARTIAL_REQUEST_LIMIT: Duration = Duration::from_secs(3);
+/// Longest time from the start of a process until it serves.
 const READY_LIMIT: Duration = Duration::from_secs(10);
-/// Of the plain requests that were taken so many are served at least: a play in which nobody is served shows nothing.
-const SERVED_LEAST: f64 = 0.5;
-/// Examples of each violation that are named.
-const EXAMPLES: usize = 4;
+/// Least fraction of the accepted plain requests that must be served; a run with fewer shows nothing about the rules.
+const MIN_SERVED_FRACTION: f64 = 0.5;
+/// Number of examples printed for each rule that was broken.
+const MAX_EXAMPLES: usize = 4;
 
 struct Verifier<'a> {
     cluster: &'a SoakCluster,
-    found: BTreeMap<&'static str, Vec<String>>,
+    violations: BTreeMap<&'static str, Vec<String>>,
 }
 
-pub async fn verify(cluster: &SoakCluster, faults: Vec<PlayedFault>) -> Result<Outcome> {
-    let mut verifier = Verifier { cluster, found: BTreeMap::new() };
+/// Verifies the records of the cluster and returns the figures and the broken rules.
+pub async fn verify(cluster: &SoakCluster, faults: Vec<InjectedFault>) -> Result<Outcome> {
+    let mut verifier = Verifier { cluster, violations: BTreeMap::new() };
     for request in cluster.requests.borrow().iter() {
-        verifier.request(request);
+        verifier.check_request(request);
     }
     let arrivals = cluster.query_log.arrivals();
-    verifier.arrivals(&arrivals);
+    verifier.check_arrivals(&arrivals);
     for replica in cluster.replicas.borrow().iter().chain(cluster.retired.borrow().iter()) {
-        verifier.slow_start(replica, &arrivals);
+        verifier.check_slow_start(replica, &arrivals);
     }
     for (n, node) in cluster.nodes.iter().enumerate() {
-        verifier.process(n, node).await;
+        verifier.check_process(n, node).await;
     }
     Ok(verifier.outcome(&faults, arrivals.len()))
 }
 
 impl Verifier<'_> {
-    fn breaks(&mut self, what: &'static str, detail: String) {
-        self.found.entry(what).or_default().push(detail);
+    fn record(&mut self, rule: &'static str, detail: String) {
+        self.violations.entry(rule).or_default().push(detail);
     }
 
-    /// Seconds since the play began.
+    /// Seconds since the start of the run.
     fn at(&self, at: Instant) -> f64 {
-        at.saturating_duration_since(self.cluster.begun).as_secs_f64()
+        at.saturating_duration_since(self.cluster.start).as_secs_f64()
     }
 
-    fn request(&mut self, request: &Request) {
+    fn check_request(&mut self, request: &Request) {
         let node = &self.cluster.nodes[request.node];
-        let over = request.sent_at + request.wait + ANSWER_SLACK;
+        let due = request.sent_at + request.wait + ANSWER_SLACK;
         let killed = |until: Instant| {
             let kills = node.kills.borrow();
-            kills.iter().any(|k| *k + SEEN_LATE >= request.sent_at && *k <= until)
+            kills.iter().any(|k| *k + OBSERVATION_DELAY >= request.sent_at && *k <= until)
         };
         let sent_at =
             format!("{} {:?} asked at {:.3}", request.id, request.behavior, self.at(request.sent_at));
-        let named = |how: &str| format!("{sent_at} {how}");
+        let describe = |how: &str| format!("{sent_at} {how}");
         if request.corrupted {
-            self.breaks("answers not as replicas gave them", named(""));
+            self.record("answers not as replicas gave them", describe(""));
         }
         match &request.end {
             RequestEnd::Answered { status, at } => {
-                let late = at.saturating_duration_since(over + SEEN_LATE + self.cluster.lag_at(*at));
+                let late = at.saturating_duration_since(due + OBSERVATION_DELAY + self.cluster.lag_at(*at));
                 if late > Duration::ZERO && !killed(*at) {
-                    self.breaks("answers too late", named(&format!("by {late:?} more, {status}")));
+                    self.record("answers too late", describe(&format!("by {late:?} more, {status}")));
                 }
                 if !matches!(status, 200 | 429 | 500 | 503) {
-                    self.breaks("sound requests held to be faulty", named(&format!("status {status}")));
+                    self.record("sound requests held to be faulty", describe(&format!("status {status}")));
                 }
             }
-            RequestEnd::Interrupted { at, kept } if !killed(*at + SEEN_LATE) => {
-                let how = if *kept { "kept" } else { "new" };
-                self.breaks("requests cut off", named(&format!("cut at {:.3}, {how}", self.at(*at))));
+            RequestEnd::Interrupted { at, reused } if !killed(*at + OBSERVATION_DELAY) => {
+                let how = if *reused { "kept" } else { "new" };
+                self.record("requests cut off", describe(&format!("cut at {:.3}, {how}", self.at(*at))));
             }
             RequestEnd::NoResponse if request.behavior == ClientBehavior::PartialRequest => {
-                self.breaks("halves left without a word", named("5 s"));
+                self.record("halves left without a word", describe("5 s"));
             }
-            RequestEnd::NoResponse if !killed(over) => self.breaks("requests without an answer", named("")),
+            RequestEnd::NoResponse if !killed(due) => self.record("requests without an answer", describe("")),
             RequestEnd::Refused { at } => {
                 let took = at.saturating_duration_since(request.sent_at);
-                if took > HALF_LIMIT + SEEN_LATE + self.cluster.lag_at(*at) {
-                    self.breaks("halves left without a word", named(&format!("{took:?}")));
+                if took > PARTIAL_REQUEST_LIMIT + OBSERVATION_DELAY + self.cluster.lag_at(*at) {
+                    self.record("halves left without a word", describe(&format!("{took:?}")));
                 }
             }
             _ => {}
         }
     }
 
-    fn arrivals(&mut self, arrivals: &[Arrival]) {
+    fn check_arrivals(&mut self, arrivals: &[Arrival]) {
         let requests = self.cluster.requests.borrow();
         let by_id: BTreeMap<&str, &Request> = requests.iter().map(|r| (r.id.as_str(), r)).collect();
-        let mut first: BTreeMap<&str, Instant> = BTreeMap::new();
+        let mut first_arrivals: BTreeMap<&str, Instant> = BTreeMap::new();
         for arrival in arrivals {
             let Some((id, _)) = arrival.part.rsplit_once('.') else { continue };
             if arrival.part.starts_with("pay-") {
-                let since = *first.entry(&arrival.part).or_insert(arrival.at);
-                self.repeat(arrival, since);
+                let first = *first_arrivals.entry(&arrival.part).or_insert(arrival.at);
+                self.check_deduplication(arrival, first);
             }
             if let Some(request) = by_id.get(id) {
-                self.sent_for(request, arrival);
+                self.check_attempt(request, arrival);
             }
-            self.drained(arrival);
+            self.check_drain(arrival);
         }
         drop(requests);
         let again = self.cluster.query_log.parts_run_again("sale-");
         if again > 0 {
-            self.breaks("side-effecting parts run twice", format!("{again}"));
+            self.record("side-effecting parts run twice", format!("{again}"));
         }
     }
 
-    /// What is to be added to a limit where the process may have been held up, or this program late.
+    /// Allowance on a limit for a pause of the process and for delays of this program.
     fn slack(&self, request: &Request, at: Instant) -> Duration {
         let node = &self.cluster.nodes[request.node];
-        let held = node.was_held_up(at - Duration::from_millis(500), at);
-        SEEN_LATE + self.cluster.lag_at(at) + if held { HELD_UP } else { Duration::ZERO }
+        let was_paused = node.was_paused(at - Duration::from_millis(500), at);
+        OBSERVATION_DELAY + self.cluster.lag_at(at) + if was_paused { PAUSE_SLACK } else { Duration::ZERO }
     }
 
-    /// Whether the part was in transit while its link was stalled: it arrived later than it was sent.
+    /// Whether the link was stalled while the part was in transit, so that the part arrived long after it was sent.
     fn was_stalled(&self, arrival: &Arrival) -> bool {
         let before = arrival.at - Duration::from_millis(50);
         self.cluster
@@ -145,68 +146,70 @@
             .any(arrival.replica, |stall| stall.from <= arrival.at && stall.to.is_none_or(|to| to >= before))
     }
 
-    fn sent_for(&mut self, request: &Request, arrival: &Arrival) {
+    /// Checks that the attempt started before its client closed the connection or got its answer, and that its stated
+    /// deadline is within the remaining time of the client.
+    fn check_attempt(&mut self, request: &Request, arrival: &Arrival) {
         if self.was_stalled(arrival) {
             return;
         }
         let slack = self.slack(request, arrival.at);
-        let named = |verifier: &Verifier, how: String| {
+        let describe = |verifier: &Verifier, how: String| {
             format!("{} {:?} arrived at {:.3} {how}", arrival.part, request.behavior, verifier.at(arrival.at))
         };
         if let RequestEnd::Disconnected { at } = request.end {
             let after = arrival.at.saturating_duration_since(at);
             if after > CLOSE_SLACK + slack {
-                let named = named(self, format!("{after:?} after the close"));
-                self.breaks("attempts begun after the client closed", named);
+                let detail = describe(self, format!("{after:?} after the close"));
+                self.record("attempts begun after the client closed", detail);
             }
         }
         let left = (request.sent_at + request.wait).saturating_duration_since(arrival.at);
         if arrival.stated_deadline > left + DEADLINE_SLACK + slack {
-            let named = named(self, format!("told {:?}, left {left:?}", arrival.stated_deadline));
-            self.breaks("more time told than the client had", named);
+            let detail = describe(self, format!("told {:?}, left {left:?}", arrival.stated_deadline));
+            self.record("more time told than the client had", detail);
         }
         if let RequestEnd::Answered { at, .. } = request.end {
             let after = arrival.at.saturating_duration_since(at);
             if after > slack {
-                let named = named(self, format!("{after:?} after the answer"));
-                self.breaks("attempts begun after the answer", named);
+                let detail = describe(self, format!("{after:?} after the answer"));
+                self.record("attempts begun after the answer", detail);
             }
         }
     }
 
-    fn repeat(&mut self, arrival: &Arrival, first: Instant) {
+    fn check_deduplication(&mut self, arrival: &Arrival, first: Instant) {
         let after = arrival.at.saturating_duration_since(first);
-        let slack = SEEN_LATE + self.cluster.lag_at(arrival.at) + HELD_UP;
+        let slack = OBSERVATION_DELAY + self.cluster.lag_at(arrival.at) + PAUSE_SLACK;
         if after > DEDUP_WINDOW + slack && !self.was_stalled(arrival) {
             let detail = format!("{} {after:?} after the first", arrival.part);
-            self.breaks("deduplicated parts repeated beyond their window", detail);
+            self.record("deduplicated parts repeated beyond their window", detail);
         }
     }
 
-    fn drained(&mut self, arrival: &Arrival) {
+    fn check_drain(&mut self, arrival: &Arrival) {
         if self.was_stalled(arrival) {
             return;
         }
-        let excluded_by = |announced: Instant| {
-            let mut by = announced;
+        let excluded_from = |announced: Instant| {
+            let mut known_at = announced;
             for period in self.cluster.discovery_outages.all() {
-                if period.from <= by + ANNOUNCED_AFTER {
-                    by = by.max(period.to.unwrap_or(arrival.at));
+                if period.from <= known_at + ANNOUNCEMENT_DELAY {
+                    known_at = known_at.max(period.to.unwrap_or(arrival.at));
                 }
             }
-            by + ANNOUNCED_AFTER + DRAIN_GRACE + HELD_UP + SEEN_LATE
+            known_at + ANNOUNCEMENT_DELAY + DRAIN_GRACE + PAUSE_SLACK + OBSERVATION_DELAY
         };
-        let sent = self.cluster.drains.any(arrival.replica, |drain| {
-            arrival.at > excluded_by(drain.from) && drain.to.is_none_or(|to| arrival.at < to)
+        let is_violation = self.cluster.drains.any(arrival.replica, |drain| {
+            arrival.at > excluded_from(drain.from) && drain.to.is_none_or(|to| arrival.at < to)
         });
-        if sent {
+        if is_violation {
             let detail = format!("{} at {:.3}", arrival.part, self.at(arrival.at));
-            self.breaks("sent to a drained replica", detail);
+            self.record("sent to a drained replica", detail);
         }
     }
 
-    /// All that arrived at a replica in slow start, from all processes together.
-    fn slow_start(&mut self, replica: &Replica, arrivals: &[Arrival]) {
+    /// Checks the parts that arrived at a replica in slow start, from all processes together.
+    fn check_slow_start(&mut self, replica: &Replica, arrivals: &[Arrival]) {
         let Some(started) = replica.started else { return };
         let arrivals: Vec<Duration> = arrivals
             .iter()
@@ -224,56 +227,57 @@
             let count = n + 1 - first;
             if count as f64 > allowed + spread {
                 let detail = format!("{} {count} at {at:?}, allowed {:.0}", replica.name, allowed + spread);
-                return self.breaks("replicas in slow start sent too much", detail);
+                return self.record("replicas in slow start sent too much", detail);
             }
         }
     }
 
-    async fn process(&mut self, n: usize, node: &Node) {
+    async fn check_process(&mut self, n: usize, node: &Node) {
         let mut process = node.process.lock().await;
         let log = process.log();
-        let lines = |words: &str| log.lines().filter(|l| l.contains(words)).collect::<Vec<_>>();
+        let lines = |text: &str| log.lines().filter(|l| l.contains(text)).collect::<Vec<_>>();
         for line in lines("a rule is broken") {
-            self.breaks("rules broken by a process's own check", format!("process {n}: {line}"));
+            self.record("rules broken by a process's own check", format!("process {n}: {line}"));
         }
         for line in lines("panicked") {
-            self.breaks("panics", format!("process {n}: {line}"));
+            self.record("panics", format!("process {n}: {line}"));
         }
         if let Some(status) = process.exit_status() {
             let last = log.lines().last().unwrap_or("").to_string();
-            self.breaks("processes that ended by themselves", format!("process {n}: {status}; {last}"));
+            self.record("processes that ended by themselves", format!("process {n}: {status}; {last}"));
         }
         for ready in node.ready.borrow().iter().filter(|r| **r > READY_LIMIT) {
-            self.breaks("starts that took too long", format!("process {n}: {ready:?}"));
+            self.record("starts that took too long", format!("process {n}: {ready:?}"));
         }
     }
 
-    fn outcome(self, faults: &[PlayedFault], arrivals: usize) -> Outcome {
+    fn outcome(self, faults: &[InjectedFault], arrivals: usize) -> Outcome {
         let mut outcome = Outcome::default();
         let requests = self.cluster.requests.borrow();
         let plain = || requests.iter().filter(|r| r.behavior == ClientBehavior::Plain);
         let ended = |status: u16| {
             plain().filter(|r| matches!(r.end, RequestEnd::Answered { status: s, .. } if s == status)).count()
         };
-        let (served, taken) = (ended(200), plain().filter(|r| r.end != RequestEnd::NotAccepted).count());
+        let (served, accepted) = (ended(200), plain().filter(|r| r.end != RequestEnd::NotAccepted).count());
         outcome.figure("requests", requests.len() as f64);
         outcome.figure("parts that came to replicas", arrivals as f64);
         outcome.figure("troubles", faults.len() as f64);
-        outcome.figure("plain requests taken", taken as f64);
+        outcome.figure("plain requests taken", accepted as f64);
         outcome.figure("plain requests served", served as f64);
         outcome.figure("plain requests refused", ended(503) as f64);
         outcome.figure("plain requests failed", ended(500) as f64);
-        let worst = self.cluster.lags.borrow().iter().map(|l| l.1).max().unwrap_or_default();
-        outcome.figure("this program late by, ms", worst.as_secs_f64() * 1000.0);
-        outcome.expect_that(served as f64 >= taken as f64 * SERVED_LEAST, "hardly anybody was served");
-        for (what, details) in &self.found {
+        let max_lag = self.cluster.lags.borrow().iter().map(|l| l.1).max().unwrap_or_default();
+        outcome.figure("this program late by, ms", max_lag.as_secs_f64() * 1000.0);
+        outcome
+            .expect_that(served as f64 >= accepted as f64 * MIN_SERVED_FRACTION, "hardly anybody was served");
+        for (what, details) in &self.violations {
             outcome.expect_zero(what, details.len() as u64);
-            for detail in details.iter().take(EXAMPLES) {
+            for detail in details.iter().take(MAX_EXAMPLES) {
                 eprintln!("{what}: {detail}");
             }
         }
-        if !self.found.is_empty() {
-            for PlayedFault { kind, on, from, to } in faults {
+        if !self.violations.is_empty() {
+            for InjectedFault { kind, on, from, to } in faults {
                 eprintln!("trouble {:7.3} to {:7.3} {} {on}", self.at(*from), self.at(*to), kind.name());
             }
         }
