--- a/crates/pipitcrank-gateway/src/forward_service.rs
+++ b/crates/pipitcrank-gateway/src/forward_service.rs
@@ -125,7 +125,7 @@
         number: u64,
         sender: &MessageSender,
     ) -> bool {
-        if self.received.borrow_mut().status_or_bar(now, stream, number).is_some() {
+        if self.received.borrow_mut().status_or_mark_unknown(now, stream, number).is_some() {
             return false;
         }
         self.event_loop.counters.add("forwarded", "leaving");
@@ -216,7 +216,7 @@
     /// Sends what is known of a forward.
     pub(crate) fn send_status(&self, stream: &StreamId, number: u64, sender: &MessageSender) {
         let now = self.event_loop.clock.now();
-        let status = self.received.borrow_mut().status_or_bar(now, stream, number);
+        let status = self.received.borrow_mut().status_or_mark_unknown(now, stream, number);
         let Some(status) = status else {
             sender.send(LinkMessage::End { number, outcome: ForwardOutcome::Unknown, retries_made: 0 });
             return;
--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Raised with each change of a message's form.
-pub const VERSION: u16 = 1;
+pub const PROTOCOL_VERSION: u16 = 1;
 /// Bytes of the length in front of each message.
 const LENGTH_BYTES: usize = 4;
 /// Longest message, in bytes: the longest value of a part with what goes round it, or a query of 200 parts with the
@@ -32,7 +32,7 @@
 pub enum LinkMessage {
     /// First on each connection, from both sides.
     Hello {
-        /// [`VERSION`] of the sender.
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u16,
         /// The sender's site.
         site: String,
@@ -99,7 +99,7 @@
 
 impl LinkMessage {
     /// What carries queries and answers is sent on credit; the rest is small, and bounded by that.
-    pub fn costs_credit(&self) -> bool {
+    pub fn is_flow_controlled(&self) -> bool {
         matches!(
             self,
             LinkMessage::Forward(_)
--- a/crates/pipitcrank-gateway/src/link_client.rs
+++ b/crates/pipitcrank-gateway/src/link_client.rs
@@ -20,7 +20,7 @@
 use crate::link_connection::{Connection, Established};
 use crate::link_end::LinkEnd;
 use crate::remote_site::{LinkStream, LocalSite, RemoteSite, StreamCommand};
-use crate::site_health::{HEARTBEAT, SiteHealth};
+use crate::site_health::{HEARTBEAT_INTERVAL, SiteHealth};
 
 /// Time for a connection to be up, with its handshake: many round trips of any link that is of use.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -168,7 +168,7 @@
 
 /// Ends expired forwards and passes the site's delay on, at the interval of heartbeats.
 async fn monitor(local: Rc<LocalSite>, site: Rc<RemoteSite>) {
-    let mut heartbeats = tokio::time::interval(duration(HEARTBEAT));
+    let mut heartbeats = tokio::time::interval(duration(HEARTBEAT_INTERVAL));
     heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         heartbeats.tick().await;
--- a/crates/pipitcrank-gateway/src/link_connection.rs
+++ b/crates/pipitcrank-gateway/src/link_connection.rs
@@ -17,12 +17,12 @@
 
 use crate::flow_control::{INITIAL_CREDIT, ReceiveWindow, SendWindow};
 use crate::frames::{
-    CAPABILITIES, Forward, ForwardOutcome, ForwardPart, LinkMessage, VERSION, encode, take_frame,
+    CAPABILITIES, Forward, ForwardOutcome, ForwardPart, LinkMessage, PROTOCOL_VERSION, encode, take_frame,
 };
 use crate::link_end::LinkEnd;
 use crate::remote_site::{LinkStream, LocalSite, RemoteSite, StreamCommand};
 use crate::sent_forwards::{ForwardedPart, NewForward, Reconnection};
-use crate::site_health::HEARTBEAT;
+use crate::site_health::HEARTBEAT_INTERVAL;
 
 /// Nothing received for so long, with a heartbeat each 50 ms, ends the connection. The site has closed long before; this is
 /// for a link that stalls without an end.
@@ -48,7 +48,7 @@
         let mut stream = TcpStream::connect(site.address).await.map_err(|_| LinkEnd::Refused)?;
         let _ = stream.set_nodelay(true);
         let hello = LinkMessage::Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             site: local.name.clone(),
             incarnation: local.incarnation,
             stream: link_stream.number,
@@ -80,7 +80,7 @@
         let LinkMessage::Hello { version, site, incarnation, credit, .. } = hello else {
             return Err(LinkEnd::BadBytes);
         };
-        if version != VERSION {
+        if version != PROTOCOL_VERSION {
             return Err(LinkEnd::OtherVersion);
         }
         if site != expected_site {
@@ -158,7 +158,7 @@
     ) -> Result<Infallible, LinkEnd> {
         self.resolve_in_doubt(same_process);
         self.ping();
-        let mut heartbeats = tokio::time::interval(duration(HEARTBEAT));
+        let mut heartbeats = tokio::time::interval(duration(HEARTBEAT_INTERVAL));
         heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut last_message = Instant::now();
         loop {
@@ -193,8 +193,8 @@
     fn resolve_in_doubt(&mut self, same_process: bool) {
         let reconnection = self.link_stream.sent.borrow_mut().reconnected(same_process);
         match reconnection {
-            Reconnection::AskStatus(numbers) if numbers.is_empty() => {}
-            Reconnection::AskStatus(numbers) => self.send(&LinkMessage::StatusRequest { numbers }),
+            Reconnection::RequestStatus(numbers) if numbers.is_empty() => {}
+            Reconnection::RequestStatus(numbers) => self.send(&LinkMessage::StatusRequest { numbers }),
             Reconnection::Closed(closed) => {
                 closed.into_iter().for_each(|closed| self.site.close(self.local, closed));
             }
@@ -223,7 +223,7 @@
         if self.writing.is_empty()
             && let Some(number) = self.writing_forward.take()
         {
-            self.link_stream.sent.borrow_mut().written(number);
+            self.link_stream.sent.borrow_mut().mark_written(number);
             self.local.event_loop.counters.add("forwards", "sent");
         }
         Ok(())
@@ -311,7 +311,7 @@
                     return Err(LinkEnd::BadBytes);
                 }
             };
-            if message.costs_credit() && !self.receive_window.received(length) {
+            if message.is_flow_controlled() && !self.receive_window.received(length) {
                 return Err(LinkEnd::NoCredit);
             }
             if let Some(bytes) = self.receive_window.credit_to_return() {
--- a/crates/pipitcrank-gateway/src/link_session.rs
+++ b/crates/pipitcrank-gateway/src/link_session.rs
@@ -13,7 +13,7 @@
 
 use crate::flow_control::{INITIAL_CREDIT, ReceiveWindow};
 use crate::forward_service::ForwardService;
-use crate::frames::{CAPABILITIES, LinkMessage, VERSION, take_frame};
+use crate::frames::{CAPABILITIES, LinkMessage, PROTOCOL_VERSION, take_frame};
 use crate::link_end::LinkEnd;
 use crate::message_sender::{MessageSender, message_queue};
 use crate::received_forwards::StreamId;
@@ -51,7 +51,7 @@
         };
         let (sender, message_writer) = message_queue();
         sender.send(LinkMessage::Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             site: self.own_site.clone(),
             incarnation: self.incarnation,
             stream: stream_id.stream,
@@ -80,7 +80,7 @@
     /// Who a peer is by its first message, and the credit that it gives.
     fn peer_of(&self, hello: LinkMessage) -> Result<(StreamId, u32), LinkEnd> {
         match hello {
-            LinkMessage::Hello { version: VERSION, site, incarnation, stream, credit, .. } => {
+            LinkMessage::Hello { version: PROTOCOL_VERSION, site, incarnation, stream, credit, .. } => {
                 if !self.peers.contains(&site) {
                     tracing::warn!("'{site}' is not a configured site");
                     return Err(LinkEnd::UnknownSite);
@@ -152,7 +152,7 @@
                     return Err(LinkEnd::BadBytes);
                 }
             };
-            if message.costs_credit() && !self.window.received(length) {
+            if message.is_flow_controlled() && !self.window.received(length) {
                 return Err(LinkEnd::NoCredit);
             }
             if let Some(bytes) = self.window.credit_to_return() {
--- a/crates/pipitcrank-gateway/src/message_sender.rs
+++ b/crates/pipitcrank-gateway/src/message_sender.rs
@@ -61,7 +61,7 @@
                 let all = *returned.borrow_and_update();
                 window.replenish((all - seen).min(u64::from(u32::MAX)) as u32, u32::MAX);
                 seen = all;
-                if window.can_send() || !message.costs_credit() {
+                if window.can_send() || !message.is_flow_controlled() {
                     break;
                 }
                 if returned.changed().await.is_err() {
@@ -69,7 +69,7 @@
                 }
             }
             let bytes = encode(&message);
-            if message.costs_credit() {
+            if message.is_flow_controlled() {
                 window.consume(bytes.len());
             }
             if stream.write_all(&bytes).await.is_err() {
--- a/crates/pipitcrank-gateway/src/received_forwards.rs
+++ b/crates/pipitcrank-gateway/src/received_forwards.rs
@@ -199,7 +199,12 @@
     }
 
     /// Asked by number after a break: what is known; or none, as it never arrived, after which it is never begun.
-    pub fn status_or_bar(&mut self, now: Timestamp, stream: &StreamId, number: u64) -> Option<ForwardStatus> {
+    pub fn status_or_mark_unknown(
+        &mut self,
+        now: Timestamp,
+        stream: &StreamId,
+        number: u64,
+    ) -> Option<ForwardStatus> {
         let record = self.record(now, stream);
         if let Some(entry) = record.entries.get(&number) {
             return Some(ForwardStatus { answers: entry.answers.clone(), end: entry.end });
--- a/crates/pipitcrank-gateway/src/received_forwards/tests.rs
+++ b/crates/pipitcrank-gateway/src/received_forwards/tests.rs
@@ -38,7 +38,7 @@
     };
     assert_eq!(received.admit(now, &stream(1), &forward(1), true), Admission::Repeat);
     assert_eq!(
-        received.status_or_bar(now, &stream(1), 1),
+        received.status_or_mark_unknown(now, &stream(1), 1),
         Some(ForwardStatus { answers: vec![], end: None })
     );
     assert!(received.record_answer(id, 1, "v"));
@@ -49,7 +49,7 @@
         answers: vec![RecordedAnswer { shard: 1, value: "v".into() }],
         end: Some(end(ForwardOutcome::Complete, 2)),
     };
-    assert_eq!(received.status_or_bar(now, &stream(1), 1), Some(status));
+    assert_eq!(received.status_or_mark_unknown(now, &stream(1), 1), Some(status));
     assert!(
         matches!(received.admit(now, &stream(2), &forward(1), true), Admission::Begin(_)),
         "another incarnation's"
@@ -59,7 +59,7 @@
 #[test]
 fn a_forward_reported_unknown_is_never_begun() {
     let (mut received, now) = (ReceivedForwards::new("south", MAX_QUERY_TIME), Timestamp::from_micros(0));
-    assert_eq!(received.status_or_bar(now, &stream(1), 4), None);
+    assert_eq!(received.status_or_mark_unknown(now, &stream(1), 4), None);
     assert_eq!(
         received.admit(now, &stream(1), &forward(4), true),
         Admission::Refuse(ForwardOutcome::Unknown)
@@ -104,11 +104,11 @@
     }
     assert!(received.answer_bytes <= MAX_ANSWER_BYTES);
     assert_eq!(
-        received.status_or_bar(now, &stream(1), 1).unwrap().end,
+        received.status_or_mark_unknown(now, &stream(1), 1).unwrap().end,
         Some(end(ForwardOutcome::Aborted, 1))
     );
     assert_eq!(
-        received.status_or_bar(now, &stream(1), 300).unwrap().end,
+        received.status_or_mark_unknown(now, &stream(1), 300).unwrap().end,
         Some(end(ForwardOutcome::Complete, 1))
     );
 }
@@ -132,7 +132,7 @@
                     Admission::Repeat => prop_assert!(begun.contains(&(incarnation, number))),
                     Admission::Refuse(outcome) => prop_assert_eq!(outcome, ForwardOutcome::Unknown),
                 },
-                2 => if received.status_or_bar(now, &stream(incarnation), number).is_none() { denied.insert((incarnation, number)); },
+                2 => if received.status_or_mark_unknown(now, &stream(incarnation), number).is_none() { denied.insert((incarnation, number)); },
                 3 => { received.cancel(&stream(incarnation), number); }
                 _ => now = now + TimeSpan::from_millis(ms),
             }
--- a/crates/pipitcrank-gateway/src/sent_forwards.rs
+++ b/crates/pipitcrank-gateway/src/sent_forwards.rs
@@ -84,7 +84,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Reconnection<A> {
     /// The same process is there: it is asked for the status of these.
-    AskStatus(Vec<u64>),
+    RequestStatus(Vec<u64>),
     /// Another process is there, which can't tell: these may have run.
     Closed(Vec<ClosedForward<A>>),
 }
@@ -118,7 +118,7 @@
     }
 
     /// The last byte of its frame was written.
-    pub fn written(&mut self, number: u64) {
+    pub fn mark_written(&mut self, number: u64) {
         if let Some(outstanding) = self.outstanding.get_mut(&number) {
             outstanding.written = true;
         }
@@ -189,7 +189,7 @@
     pub fn reconnected(&mut self, same_process: bool) -> Reconnection<A> {
         if same_process {
             let in_doubt = self.outstanding.iter().filter(|(_, o)| o.in_doubt);
-            return Reconnection::AskStatus(in_doubt.map(|(number, _)| *number).collect());
+            return Reconnection::RequestStatus(in_doubt.map(|(number, _)| *number).collect());
         }
         let ended = self.outstanding.extract_if(.., |_, o| o.in_doubt);
         let closed =
--- a/crates/pipitcrank-gateway/src/sent_forwards/tests.rs
+++ b/crates/pipitcrank-gateway/src/sent_forwards/tests.rs
@@ -32,7 +32,7 @@
     }
     let mut f = SentForwards::default();
     let number = begin(&mut f, true);
-    f.written(number);
+    f.mark_written(number);
     assert_eq!(f.part_answered(number, 1), Some(10));
     let closed = f.connection_lost();
     assert_eq!((ends(&closed[0]), closed[0].retries_made), (vec![(20, AttemptOutcome::Disconnected)], None));
@@ -42,11 +42,11 @@
 fn a_non_idempotent_forward_in_doubt_waits_for_its_status() {
     let mut f = SentForwards::default();
     let number = begin(&mut f, false);
-    f.written(number);
+    f.mark_written(number);
     assert_eq!(f.connection_lost(), []);
-    assert_eq!(f.reconnected(true), Reconnection::AskStatus(vec![number]));
+    assert_eq!(f.reconnected(true), Reconnection::RequestStatus(vec![number]));
     assert_eq!(f.connection_lost(), [], "the link flaps");
-    assert_eq!(f.reconnected(true), Reconnection::AskStatus(vec![number]));
+    assert_eq!(f.reconnected(true), Reconnection::RequestStatus(vec![number]));
     let closed = f.end(number, ForwardOutcome::Unknown, 9).unwrap();
     assert_eq!(
         (ends(&closed)[0].1, closed.retries_made),
@@ -54,7 +54,7 @@
         "it never came, so it never ran"
     );
     let number = begin(&mut f, false);
-    f.written(number);
+    f.mark_written(number);
     f.connection_lost();
     let Reconnection::Closed(closed) = f.reconnected(false) else { panic!("another process") };
     assert_eq!(ends(&closed[0])[0].1, AttemptOutcome::Disconnected, "another process can't tell");
@@ -72,7 +72,7 @@
         (ForwardOutcome::Complete, AttemptOutcome::Fault),
     ] {
         let number = begin(&mut f, false);
-        f.written(number);
+        f.mark_written(number);
         assert_eq!(ends(&f.end(number, ended, 1).unwrap()), [(10, outcome), (20, outcome)]);
         assert_eq!(f.end(number, ended, 1), None, "one end");
     }
@@ -137,7 +137,7 @@
                     vec![]
                 }
                 Step::Write if newest == 0 => vec![],
-                Step::Write => { f.written(newest); written.extend([next_attempt.saturating_sub(2), next_attempt.saturating_sub(1)]); vec![] }
+                Step::Write => { f.mark_written(newest); written.extend([next_attempt.saturating_sub(2), next_attempt.saturating_sub(1)]); vec![] }
                 Step::Part(shard) => {
                     if let Some(attempt) = f.part_answered(newest, shard) {
                         prop_assert!(open.contains(&attempt));
@@ -151,7 +151,7 @@
                 }
                 Step::LoseConnection => f.connection_lost(),
                 Step::Reconnect(same) => match f.reconnected(same) {
-                    Reconnection::AskStatus(_) => vec![],
+                    Reconnection::RequestStatus(_) => vec![],
                     Reconnection::Closed(closed) => closed,
                 },
                 Step::Cancel(attempt) => { if f.cancel(attempt).is_some() { open.retain(|c| *c != attempt); } vec![] }
--- a/crates/pipitcrank-gateway/src/site_health.rs
+++ b/crates/pipitcrank-gateway/src/site_health.rs
@@ -35,7 +35,7 @@
 /// Mean deviations on top of the mean, as in RFC 6298.
 const DEVIATIONS: f64 = 4.0;
 /// Interval of heartbeats on a link.
-pub const HEARTBEAT: TimeSpan = TimeSpan::from_millis(50);
+pub const HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
 /// A site is closed after so many heartbeat intervals, and `SILENT_ROUND_TRIPS`, without a message.
 const SILENT_HEARTBEATS: f64 = 3.0;
 /// See [`SILENT_HEARTBEATS`].
@@ -233,7 +233,7 @@
             self.ejection = EjectionState::Trial { answered: 0, ejections };
         }
         let round_trip = self.round_trip_bound().filter(|_| self.links_up > 0)?;
-        let max_silence = HEARTBEAT * SILENT_HEARTBEATS + round_trip * SILENT_ROUND_TRIPS;
+        let max_silence = HEARTBEAT_INTERVAL * SILENT_HEARTBEATS + round_trip * SILENT_ROUND_TRIPS;
         let admitted = match self.ejection {
             EjectionState::Healthy { .. } => true,
             EjectionState::Ejected { .. } => false,
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -13,7 +13,7 @@
 use pipitcrank_core::ids::{AttemptOutcome, ReplicaId};
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 use pipitcrank_gateway::frames::{
-    Forward, ForwardOutcome, ForwardPart, LinkMessage, VERSION, encode, take_frame,
+    Forward, ForwardOutcome, ForwardPart, LinkMessage, PROTOCOL_VERSION, encode, take_frame,
 };
 use pipitcrank_gateway::link_server::LinkServer;
 use pipitcrank_server::exchange::{AttemptId, Endpoint, Exchange, ReplicaTransport};
@@ -134,7 +134,7 @@
 
     async fn connected(scene: &Scene, incarnation: u64) -> Peer {
         let mut peer = Peer::connect(scene).await;
-        peer.send(&hello("north", VERSION, incarnation)).await;
+        peer.send(&hello("north", PROTOCOL_VERSION, incarnation)).await;
         let Some(LinkMessage::Hello { site, incarnation: 77, .. }) = peer.receive().await else {
             panic!("no handshake")
         };
@@ -325,12 +325,12 @@
         let endless = [&u32::MAX.to_be_bytes()[..], &[0; 50]].concat();
         let wrong_direction = encode(&LinkMessage::PartAnswer { number: 9, shard: 0, value: "x".into() });
         for (hello_bytes, then, why) in [
-            (encode(&hello("east", VERSION, 1)), vec![], "peers stranger"),
-            (encode(&hello("north", VERSION + 1, 1)), vec![], "peers other_version"),
+            (encode(&hello("east", PROTOCOL_VERSION, 1)), vec![], "peers stranger"),
+            (encode(&hello("north", PROTOCOL_VERSION + 1, 1)), vec![], "peers other_version"),
             (b"GET / HTTP/1.1\r\n\r\n".to_vec(), vec![], "peers bad_bytes"),
-            (encode(&hello("north", VERSION, 2)), endless, "peers bad_bytes"),
-            (encode(&hello("north", VERSION, 3)), wrong_direction, "peers bad_bytes"),
-            (encode(&hello("north", VERSION, 4)), vec![0, 0, 0, 2, 99, 99], "peers bad_bytes"),
+            (encode(&hello("north", PROTOCOL_VERSION, 2)), endless, "peers bad_bytes"),
+            (encode(&hello("north", PROTOCOL_VERSION, 3)), wrong_direction, "peers bad_bytes"),
+            (encode(&hello("north", PROTOCOL_VERSION, 4)), vec![0, 0, 0, 2, 99, 99], "peers bad_bytes"),
         ] {
             let counted = || {
                 let (what, which) = why.split_once(' ').unwrap();
