--- a/crates/pipitcrank-gateway/src/flow_control.rs
+++ b/crates/pipitcrank-gateway/src/flow_control.rs
@@ -1,56 +1,58 @@
-//! Flow control of one direction of a link, in bytes of frames: the sender stops without credit, the receiver returns
-//! credit as it takes frames out. So neither side's memory grows with what the other sends.
+//! Credit-based flow control of one direction of a link, in bytes of frames. The sender stops when it has no credit,
+//! and the receiver returns credit as it consumes frames, so a peer cannot make the other side buffer without bound.
 
-/// Credit at the start, in bytes: a hundred usual forwards or answers, and several of the longest.
+/// Initial credit, in bytes: enough for a hundred typical forwards or answers, or for several of maximum length.
 pub const INITIAL_CREDIT: u32 = 1 << 20;
-/// Credit is returned in steps of so many bytes: a frame of nine bytes for each.
+/// Number of consumed bytes after which credit is returned, in one frame of nine bytes.
 const CREDIT_STEP: u32 = INITIAL_CREDIT / 8;
 
-/// The sending side.
+/// Credit account of the sending side.
 #[derive(Debug, Default)]
 pub struct SendWindow {
     credit: i64,
 }
 
 impl SendWindow {
-    /// A window with that much credit, in bytes.
+    /// A window with an initial credit of `initial` bytes.
     pub fn new(initial: u32) -> SendWindow {
         SendWindow { credit: i64::from(initial) }
     }
 
-    /// Whether a frame may be begun. One may overdraw, so that no frame is too long for any credit.
+    /// Whether another frame may be sent. A frame may exceed the remaining credit, so that a long frame never waits
+    /// for ever.
     pub fn can_send(&self) -> bool {
         self.credit > 0
     }
 
-    /// A frame of so many bytes is sent.
+    /// Deducts a sent frame of `bytes` bytes.
     pub fn consume(&mut self, bytes: usize) {
         self.credit -= bytes as i64;
     }
 
-    /// Credit was returned; false where there is more than `limit` now, which no sound peer causes.
+    /// Adds `bytes` of returned credit. Returns false if the credit is above `limit` now: the peer has violated the
+    /// protocol.
     pub fn replenish(&mut self, bytes: u32, limit: u32) -> bool {
         self.credit += i64::from(bytes);
         self.credit <= i64::from(limit)
     }
 }
 
-/// The receiving side.
+/// Credit account of the receiving side.
 #[derive(Debug, Default)]
 pub struct ReceiveWindow {
-    /// Bytes taken out, for which no credit was returned yet.
+    /// Consumed bytes for which no credit has been returned yet.
     unreturned: u32,
-    /// Credit that the sender has.
+    /// Remaining credit of the sender, in bytes.
     credit: i64,
 }
 
 impl ReceiveWindow {
-    /// A window with [`INITIAL_CREDIT`].
+    /// A window whose sender has [`INITIAL_CREDIT`].
     pub fn new() -> ReceiveWindow {
         ReceiveWindow { unreturned: 0, credit: i64::from(INITIAL_CREDIT) }
     }
 
-    /// A frame of so many bytes was received; false where it was begun without credit.
+    /// Records a received frame of `bytes` bytes. Returns false if the sender had no credit for it.
     pub fn received(&mut self, bytes: usize) -> bool {
         let had_credit = self.credit > 0;
         self.credit -= bytes as i64;
@@ -58,7 +60,7 @@
         had_credit
     }
 
-    /// Credit to return now, in bytes.
+    /// Credit that is due to be returned to the sender, in bytes; `None` until enough bytes are consumed.
     pub fn credit_to_return(&mut self) -> Option<u32> {
         let bytes = (self.unreturned >= CREDIT_STEP).then(|| std::mem::take(&mut self.unreturned))?;
         self.credit += i64::from(bytes);
--- a/crates/pipitcrank-gateway/src/forward_service.rs
+++ b/crates/pipitcrank-gateway/src/forward_service.rs
@@ -1,5 +1,5 @@
-//! Forwards of other sites as queries of our own exchange; their answers go back part by part. What is begun, repeated or
-//! refused is decided by [`ReceivedForwards`].
+//! Executes forwards from other sites as queries of the local exchange and sends the answers back part by part.
+//! [`ReceivedForwards`] decides whether a forward is started, answered again or refused.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 use crate::message_sender::MessageSender;
 use crate::received_forwards::{Admission, ForwardEnd, ReceivedForwards, StreamId};
 
-/// A query that runs for another site.
+/// A forward that is running as a query of the local exchange.
 struct RunningForward {
     ticket: u64,
     retries_made: Rc<Cell<u32>>,
@@ -30,14 +30,14 @@
     sender: MessageSender,
 }
 
-/// Runs forwards of other sites.
+/// Executes the forwards of other sites.
 pub(crate) struct ForwardService {
     event_loop: Rc<EventLoop>,
     classes: Vec<String>,
     shards: u32,
     tickets: Arc<AtomicU64>,
     received: RefCell<ReceivedForwards>,
-    /// By the forward's id; each is removed at its end.
+    /// Running forwards by id; each is removed when it ends.
     running: RefCell<BTreeMap<u64, RunningForward>>,
     connections: RefCell<BTreeMap<StreamId, Connection>>,
     last_generation: Cell<u64>,
@@ -59,9 +59,9 @@
         }
     }
 
-    /// A new connection of a stream; its generation. From here on nothing of an older one is handled, so that what was
-    /// reported as unknown can't arrive after all.
-    pub(crate) fn connect(&self, stream: &StreamId, sender: MessageSender) -> u64 {
+    /// Registers a new connection of a stream and returns the connection's generation. Messages on older connections of
+    /// the stream are ignored from then on, so that a forward reported as unknown can't arrive later.
+    pub(crate) fn register_connection(&self, stream: &StreamId, sender: MessageSender) -> u64 {
         let generation = self.last_generation.get() + 1;
         self.last_generation.set(generation);
         self.connections.borrow_mut().insert(stream.clone(), Connection { generation, sender });
@@ -72,13 +72,13 @@
         self.connections.borrow().get(stream).is_some_and(|newest| newest.generation == generation)
     }
 
-    pub(crate) fn disconnect(&self, stream: &StreamId, generation: u64) {
+    pub(crate) fn unregister_connection(&self, stream: &StreamId, generation: u64) {
         if self.is_newest(stream, generation) {
             self.connections.borrow_mut().remove(stream);
         }
     }
 
-    /// Whether a forward of that stream runs.
+    /// Whether a forward of the stream is running.
     pub(crate) fn has_running(&self, stream: &StreamId) -> bool {
         let received = self.received.borrow();
         let is_of_stream = |id: &u64| received.key(*id).is_some_and(|key| key.stream == *stream);
@@ -103,21 +103,22 @@
             Admission::Begin(id) => {
                 self.event_loop.counters.add("forwarded", "begun");
                 let class = RequestClassId(class.unwrap_or(0) as u16);
-                self.begin(id, stream, class, forward, idempotency_key);
+                self.start_forward(id, stream, class, forward, idempotency_key);
             }
             Admission::Repeat => {
                 self.event_loop.counters.add("forwarded", "again");
                 self.send_status(stream, forward.number, sender);
             }
             Admission::Refuse(outcome) => {
-                let is_late = outcome == ForwardOutcome::TooLate;
-                self.event_loop.counters.add("forwarded", if is_late { "late" } else { "refused" });
+                let is_too_late = outcome == ForwardOutcome::TooLate;
+                self.event_loop.counters.add("forwarded", if is_too_late { "late" } else { "refused" });
                 sender.send(LinkMessage::End { number: forward.number, outcome, retries_made: 0 });
             }
         }
     }
 
-    /// Refuses a forward that is new: nothing of it was begun, and it may go elsewhere at once. A repeat is not refused.
+    /// Refuses a new forward, so that the peer can send it elsewhere at once. Returns false without refusing if the
+    /// forward is a repeat.
     fn refuse_while_draining(
         &self,
         now: Timestamp,
@@ -133,7 +134,7 @@
         true
     }
 
-    fn begin(
+    fn start_forward(
         self: &Rc<Self>,
         id: u64,
         stream: &StreamId,
@@ -143,7 +144,7 @@
     ) {
         let part_count = forward.parts.len();
         let request = QueryRequest {
-            // Unique among all that is held here; the origin's name stays readable.
+            // Unique among all queries of this process; the id at the origin site stays readable in it.
             id: format!(
                 "{}@{}.{:x}.{}.{}",
                 forward.query_id, stream.site, stream.incarnation, stream.stream, forward.number
@@ -159,13 +160,13 @@
         let running = RunningForward { ticket, retries_made: retries_made.clone() };
         self.running.borrow_mut().insert(id, running);
         let service = self.clone();
-        let on_answer = Box::new(move |shard: u32, value: &str| service.part_answered(id, shard, value));
+        let on_part_answer = Box::new(move |shard: u32, value: &str| service.part_answered(id, shard, value));
         let service = self.clone();
         let on_end = Box::new(move |response: QueryResponse| service.query_ended(id, response, part_count));
         let delegated = DelegatedRequest {
             retries: forward.delegated_retries,
             retries_used: retries_made,
-            on_part: on_answer,
+            on_part: on_part_answer,
         };
         self.event_loop.update(|exchange| exchange.submit_forwarded(ticket, request, delegated, on_end));
     }
@@ -173,34 +174,35 @@
     fn part_answered(&self, id: u64, shard: u32, value: &str) {
         if self.received.borrow_mut().record_answer(id, shard, value) {
             let value = value.to_string();
-            self.send(id, |number| LinkMessage::PartAnswer { number, shard, value });
+            self.send_to_peer(id, |number| LinkMessage::PartAnswer { number, shard, value });
         }
     }
 
     fn query_ended(&self, id: u64, response: QueryResponse, part_count: usize) {
         let running = self.running.borrow_mut().remove(&id);
         let retries_made = running.map_or(0, |running| running.retries_made.get());
-        let outcome = outcome_of(&response, part_count);
-        let counted = match outcome {
+        let outcome = forward_outcome(&response, part_count);
+        let counter = match outcome {
             ForwardOutcome::Complete => "done",
             ForwardOutcome::Rejected { .. } => "rejected",
             _ => "aborted",
         };
-        self.event_loop.counters.add("forwarded", counted);
+        self.event_loop.counters.add("forwarded", counter);
         if self.received.borrow_mut().record_end(id, ForwardEnd { outcome, retries_made }) {
-            self.send(id, |number| LinkMessage::End { number, outcome, retries_made });
+            self.send_to_peer(id, |number| LinkMessage::End { number, outcome, retries_made });
         }
     }
 
-    /// Sends over the newest connection of the forward's stream; without one the record keeps it to be asked for.
-    fn send(&self, id: u64, message: impl FnOnce(u64) -> LinkMessage) {
+    /// Sends a message on the newest connection of the forward's stream. Without a connection nothing is sent; the peer
+    /// can request the status of the forward later.
+    fn send_to_peer(&self, id: u64, message: impl FnOnce(u64) -> LinkMessage) {
         let Some(key) = self.received.borrow().key(id) else { return };
         if let Some(connection) = self.connections.borrow().get(&key.stream) {
             connection.sender.send(message(key.number));
         }
     }
 
-    /// The peer waits for the forward no more.
+    /// Cancels a forward whose answers the peer no longer needs.
     pub(crate) fn handle_cancel(&self, stream: &StreamId, number: u64, sender: &MessageSender) {
         let Some(id) = self.received.borrow_mut().cancel(stream, number) else { return };
         let running = self.running.borrow_mut().remove(&id);
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Sends what is known of a forward.
+    /// Sends the recorded answers and the end of a forward, or reports the forward as unknown.
     pub(crate) fn send_status(&self, stream: &StreamId, number: u64, sender: &MessageSender) {
         let now = self.event_loop.clock.now();
         let status = self.received.borrow_mut().status_or_mark_unknown(now, stream, number);
@@ -230,22 +232,22 @@
     }
 }
 
-/// The parts as those of a query: their weights become fractions of the forward.
+/// Converts the parts of a forward to the parts of a query; weights become fractions of the forward's total weight.
 fn query_parts(parts: &[ForwardPart]) -> Vec<QueryPart> {
     let total: f64 = parts.iter().map(|part| part.weight).sum();
-    let even = 1.0 / parts.len() as f64;
+    let equal_weight = 1.0 / parts.len() as f64;
     let query_part = |part: &ForwardPart| QueryPart {
         shard: part.shard,
-        weight: if total > 0.0 { part.weight / total } else { even },
+        weight: if total > 0.0 { part.weight / total } else { equal_weight },
         work: part.estimated_work,
     };
     parts.iter().map(query_part).collect()
 }
 
-fn outcome_of(response: &QueryResponse, part_count: usize) -> ForwardOutcome {
+fn forward_outcome(response: &QueryResponse, part_count: usize) -> ForwardOutcome {
     match response {
         QueryResponse::Answered { hits, .. } if hits.len() == part_count => ForwardOutcome::Complete,
-        // Of a partial answer the parts that are missing may have run.
+        // The missing parts of a partial answer may have been executed.
         QueryResponse::Answered { .. } | QueryResponse::Aborted => ForwardOutcome::Aborted,
         QueryResponse::Rejected { retry_after } => ForwardOutcome::Rejected { retry_after: *retry_after },
         QueryResponse::DuplicateId => ForwardOutcome::NotServed,
--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -1,104 +1,105 @@
-//! The link's protocol, version 1. A frame is four bytes of length, most significant first, and a message in postcard's
-//! wire format (postcard.jamesmunns.com/wire-format: varints, strings with their length, an enum's variant by number).
-//! Fields are encoded by position, so their names here are free and their order and types are not. `docs/gateway.md` has
-//! each message field by field.
+//! The link protocol, version 1. A frame is a length of four bytes, most significant first, and a message in postcard's
+//! wire format (postcard.jamesmunns.com/wire-format: varints, length-prefixed strings, enum variants by number). Fields
+//! are encoded by position: renaming a field is compatible, changing its order or type is not. `docs/gateway.md`
+//! describes each message field by field.
 
 use bytes::{Buf, BytesMut};
 use pipitcrank_core::time::TimeSpan;
 use pipitcrank_server::clients::http::is_valid_idempotency_key;
 use serde::{Deserialize, Serialize};
 
-/// Raised with each change of a message's form.
+/// Protocol version; increased with each change of a message's encoding.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// Bytes of the length in front of each message.
+/// Length of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Longest message, in bytes: the longest value of a part with what goes round it, or a query of 200 parts with the
-/// longest body.
+/// Maximum length of a message, in bytes: enough for the longest answer to a part with its other fields, and for a
+/// query of 200 parts with the longest body.
 pub const MAX_MESSAGE_LENGTH: usize = 160 * 1024;
-/// Longest name of a site, in bytes.
+/// Maximum length of a site name, in bytes.
 pub const MAX_SITE_NAME_LENGTH: usize = 64;
-/// Most numbers in one status request.
+/// Maximum number of forwards in one status request.
 const MAX_STATUS_NUMBERS: usize = 10_000;
-/// Longest time that a forward can have left.
+/// Maximum time that a forward may have left until its deadline.
 const MAX_TIME_LEFT: TimeSpan = TimeSpan::from_millis(24 * 3600 * 1000);
-/// Largest weight or estimated work of a part.
+/// Maximum weight of a part, and maximum estimated work of a part in seconds.
 const MAX_PART_NUMBER: f64 = 1e6;
 
-/// What one side can do beyond the messages of its version, as bits; none yet.
+/// Bit set of the optional features that this side supports in addition to its protocol version; none exist yet.
 pub const CAPABILITIES: u32 = 0;
 
 /// A message on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LinkMessage {
-    /// First on each connection, from both sides.
+    /// The handshake: the first message on each connection, sent by both sides.
     Hello {
         /// [`PROTOCOL_VERSION`] of the sender.
         version: u16,
-        /// The sender's site.
+        /// Name of the sender's site.
         site: String,
-        /// Tells the sending process from any other of its site.
+        /// Distinguishes the sending process from all other processes of its site.
         incarnation: u64,
-        /// Number of the stream among those between the two sites.
+        /// Number of the stream among the streams between the two sites.
         stream: u16,
-        /// Credit given to the receiver, in bytes.
+        /// Initial flow-control credit of the receiver of this message, in bytes.
         credit: u32,
-        /// What the sender can do beyond the version's messages.
+        /// The sender's optional features; see [`CAPABILITIES`].
         capabilities: u32,
     },
-    /// Parts of one query.
+    /// A forward whose query has no idempotency key.
     Forward(Forward),
-    /// Nobody waits for the forward any more.
+    /// The sender no longer needs answers to the forward.
     Cancel {
         /// The forward's number.
         number: u64,
     },
-    /// The answer to one part.
+    /// The answer to one part of a forward.
     PartAnswer {
         /// The forward's number.
         number: u64,
         /// The part's shard.
         shard: u32,
-        /// The answer.
+        /// The answer, as the replica returned it.
         value: String,
     },
-    /// The last message on a forward.
+    /// The last message about a forward.
     End {
         /// The forward's number.
         number: u64,
-        /// What becomes of the parts that were not answered.
+        /// Outcome of the forward, which applies to its unanswered parts.
         outcome: ForwardOutcome,
-        /// Retries made of those delegated with the forward.
+        /// Number of delegated retries that were made.
         retries_made: u32,
     },
-    /// After a new connection: asks what became of these forwards.
+    /// Sent after a reconnection: requests the status of forwards that were in doubt.
     StatusRequest {
         /// The forwards' numbers.
         numbers: Vec<u64>,
     },
-    /// Credit returned.
+    /// Returns credit to the receiver of this message.
     Credit {
-        /// Bytes that may be sent in addition.
+        /// Additional credit, in bytes.
         bytes: u32,
     },
-    /// A heartbeat.
+    /// A heartbeat request.
     Ping {
-        /// The sender's own time, in microseconds.
+        /// The sender's clock, in microseconds.
         sent_us: i64,
     },
-    /// The answer to a heartbeat.
+    /// The reply to a [`LinkMessage::Ping`].
     Pong {
-        /// The time of the ping, as sent.
+        /// `sent_us` of the ping.
         sent_us: i64,
-        /// The answering side's own time, in microseconds.
+        /// The replying side's clock, in microseconds.
         answered_us: i64,
     },
-    /// A forward whose query came with an idempotency key. Last, so that the older messages keep their form; a peer that
-    /// does not know it ends the link.
+    /// A forward whose query has an idempotency key. This variant was added last, so that the encoding of the older
+    /// messages did not change; a peer that does not support it closes the link.
     ForwardWithKey(Forward, String),
 }
 
 impl LinkMessage {
-    /// What carries queries and answers is sent on credit; the rest is small, and bounded by that.
+    /// Whether the message uses credit. Forwards, answers and ends of forwards do. All other messages are small, and
+    /// the credit limits their number indirectly.
     pub fn is_flow_controlled(&self) -> bool {
         matches!(
             self,
@@ -110,73 +111,74 @@
     }
 }
 
-/// Parts of one query that another site is to answer.
+/// Parts of one query, sent to another site for execution.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Forward {
-    /// Counts from 1 on each stream of an incarnation, and is never used again.
+    /// Number of the forward on its stream; counts from 1 in each incarnation and is never reused.
     pub number: u64,
-    /// The query's name at its origin.
+    /// Id of the query at its origin site.
     pub query_id: String,
     /// Name of the request class.
     pub class: String,
-    /// Time left when it was written, less the round trip.
+    /// Time left until the deadline when the forward was encoded, less the round trip.
     pub time_left: TimeSpan,
-    /// Retries that may be made for it.
+    /// Maximum number of retries that the receiving site may make for the forward.
     pub delegated_retries: u32,
-    /// Sites crossed, the origin first.
+    /// Names of the sites that the forward has crossed, origin first.
     pub sites_crossed: Vec<String>,
-    /// Its parts.
+    /// The parts to execute.
     pub parts: Vec<ForwardPart>,
-    /// The query's text.
+    /// Text of the query.
     pub text: String,
 }
 
 /// One part of a forward.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardPart {
-    /// Its shard.
+    /// The part's shard.
     pub shard: u32,
-    /// Its weight in the query.
+    /// Weight of the part in the query.
     pub weight: f64,
-    /// The client's estimate of the work, in seconds.
+    /// The client's estimate of the part's work, in seconds.
     pub estimated_work: Option<f64>,
 }
 
-/// How a forward ended at the site that it was sent to.
+/// How a forward ended at the receiving site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardOutcome {
-    /// All its parts were answered.
+    /// All parts were answered.
     Complete,
-    /// Those not answered never ran, or may run again.
+    /// The unanswered parts were not executed, or can safely be executed again.
     Rejected {
-        /// How long to send nothing more.
+        /// Time during which the sender should send no further forward.
         retry_after: TimeSpan,
     },
-    /// Those not answered may have run.
+    /// The unanswered parts may have been executed.
     Aborted,
-    /// Nothing of it was begun: it could not be back in time.
+    /// No part was started: too little time was left, or the receiving site is draining.
     TooLate,
-    /// Nothing of it was begun: it crossed this site, or too many, or names what is not known here.
+    /// No part was started: the list of crossed sites is not acceptable, the request class or a shard is unknown, or
+    /// the query id is already in use.
     NotServed,
-    /// Never received, in answer to a status request; it will not be begun either.
+    /// The forward had not been received when its status was requested; it is not started if it arrives later.
     Unknown,
 }
 
-/// Why bytes are no frame.
+/// Reason why received bytes are not a valid frame.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The message is empty or longer than [`MAX_MESSAGE_LENGTH`].
-    #[error("a frame of {0} bytes")]
+    /// The length is zero or above [`MAX_MESSAGE_LENGTH`].
+    #[error("message length of {0} bytes is not within 1 to {MAX_MESSAGE_LENGTH} bytes")]
     Length(usize),
-    /// The bytes are no message.
-    #[error("a frame that can't be read")]
+    /// The bytes are not exactly one message.
+    #[error("frame is not exactly one message of protocol version {PROTOCOL_VERSION}")]
     Malformed,
-    /// A message with a value that is out of bounds.
-    #[error("a message with an invalid value")]
+    /// The message has a value that is out of bounds.
+    #[error("a value in the message is out of bounds")]
     Invalid,
 }
 
-/// The message as a frame.
+/// Encodes the message as a frame.
 pub fn encode(message: &LinkMessage) -> Vec<u8> {
     let mut frame = vec![0; LENGTH_BYTES];
     frame.extend(postcard::to_allocvec(message).unwrap_or_default());
@@ -185,13 +187,14 @@
     frame
 }
 
-/// Takes the first whole frame out of the buffer: its message and its length in bytes.
+/// Removes the first frame from the buffer and returns its message and its length in bytes, or `None` while the frame
+/// is incomplete.
 ///
 /// # Errors
-/// The bytes are no frame; the link can't be read any further.
+/// The buffer does not begin with a valid frame; the link must be closed.
 pub fn take_frame(buffer: &mut BytesMut) -> Result<Option<(LinkMessage, usize)>, FrameError> {
-    let Some(head) = buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
-    let length = u32::from_be_bytes(*head) as usize;
+    let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*prefix) as usize;
     if length == 0 || length > MAX_MESSAGE_LENGTH {
         return Err(FrameError::Length(length));
     }
@@ -208,11 +211,11 @@
     if is_valid(&message) { Ok(Some((message, LENGTH_BYTES + length))) } else { Err(FrameError::Invalid) }
 }
 
-/// Whether all values are within bounds: numbers such as NaN would go into the decisions.
+/// Whether all values are within bounds; a weight of NaN, for example, would distort routing decisions.
 fn is_valid(message: &LinkMessage) -> bool {
     match message {
         LinkMessage::Hello { site, .. } => !site.is_empty() && site.len() <= MAX_SITE_NAME_LENGTH,
-        // The key goes into a list that replicas read.
+        // The key becomes part of a list that replicas parse, so list syntax in it is rejected.
         LinkMessage::ForwardWithKey(_, key) if !is_valid_idempotency_key(key) => false,
         LinkMessage::Forward(forward) | LinkMessage::ForwardWithKey(forward, _) => is_valid_forward(forward),
         LinkMessage::End { outcome: ForwardOutcome::Rejected { retry_after }, .. } => {
--- a/crates/pipitcrank-gateway/src/frames/tests.rs
+++ b/crates/pipitcrank-gateway/src/frames/tests.rs
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn random_bytes_are_no_frame_or_a_valid_one(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn random_bytes_yield_only_valid_messages(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut buffer = BytesMut::from(&noise[..]);
         while let Ok(Some((message, _))) = take_frame(&mut buffer) { prop_assert!(is_valid(&message)); }
     }
@@ -53,29 +53,32 @@
 
 #[test]
 fn values_out_of_bounds_are_rejected() {
-    let bad = |change: fn(&mut Forward)| {
+    let decode_changed = |change: fn(&mut Forward)| {
         let mut f = forward();
         change(&mut f);
         take_frame(&mut BytesMut::from(&encode(&LinkMessage::Forward(f))[..]))
     };
-    assert_eq!(bad(|f| f.number = 0), Err(FrameError::Invalid));
-    assert_eq!(bad(|f| f.parts.clear()), Err(FrameError::Invalid));
-    assert_eq!(bad(|f| f.parts[1].shard = 3), Err(FrameError::Invalid), "a shard twice");
-    assert_eq!(bad(|f| f.parts[0].weight = f64::NAN), Err(FrameError::Invalid));
-    assert_eq!(bad(|f| f.parts[0].estimated_work = Some(-1.0)), Err(FrameError::Invalid));
-    assert_eq!(bad(|f| f.time_left = TimeSpan::from_millis(i64::MAX / 2000)), Err(FrameError::Invalid));
+    assert_eq!(decode_changed(|f| f.number = 0), Err(FrameError::Invalid));
+    assert_eq!(decode_changed(|f| f.parts.clear()), Err(FrameError::Invalid));
+    assert_eq!(decode_changed(|f| f.parts[1].shard = 3), Err(FrameError::Invalid), "duplicate shard");
+    assert_eq!(decode_changed(|f| f.parts[0].weight = f64::NAN), Err(FrameError::Invalid));
+    assert_eq!(decode_changed(|f| f.parts[0].estimated_work = Some(-1.0)), Err(FrameError::Invalid));
+    assert_eq!(
+        decode_changed(|f| f.time_left = TimeSpan::from_millis(i64::MAX / 2000)),
+        Err(FrameError::Invalid)
+    );
     assert_eq!(take_frame(&mut BytesMut::from(&[0u8; 4][..])), Err(FrameError::Length(0)));
     assert!(matches!(take_frame(&mut BytesMut::from(&[255u8; 4][..])), Err(FrameError::Length(_))));
 }
 
 #[test]
 fn an_idempotency_key_with_list_syntax_is_rejected() {
-    let read = |key: &str| {
+    let decode_with_key = |key: &str| {
         take_frame(&mut BytesMut::from(&encode(&LinkMessage::ForwardWithKey(forward(), key.into()))[..]))
     };
-    assert!(read("\"19dd-61b8\"").is_ok());
+    assert!(decode_with_key("\"19dd-61b8\"").is_ok());
     let long = "k".repeat(257);
     for key in ["", "a,d=9", "a b", "a\nb", &long] {
-        assert_eq!(read(key), Err(FrameError::Invalid), "{key}");
+        assert_eq!(decode_with_key(key), Err(FrameError::Invalid), "{key}");
     }
 }
--- a/crates/pipitcrank-gateway/src/lib.rs
+++ b/crates/pipitcrank-gateway/src/lib.rs
@@ -1,9 +1,12 @@
-//! The gateway between sites: parts of a query go over a link to another site and are answered there.
+//! The gateway between sites: parts of a query are forwarded over a link to another site, which answers them.
 //!
-//! State machines, without I/O: [`site_health`] (may parts be sent there, and what does the detour cost),
-//! [`sent_forwards`] (what of ours is outstanding on a stream, and what becomes of it when the link breaks),
-//! [`received_forwards`] (what others sent us, so that nothing runs twice), [`flow_control`]. [`frames`] is the link's
-//! protocol. Drivers: [`link_client`] sends parts, [`link_server`] answers them.
+//! State machines without I/O:
+//! - [`site_health`] decides whether parts may be sent to a site and which delay the site's cells have.
+//! - [`sent_forwards`] tracks the outstanding forwards of a stream and their outcomes when its connection breaks.
+//! - [`received_forwards`] records the forwards received from other sites, so that none is executed twice.
+//! - [`flow_control`] limits the bytes in flight in each direction.
+//!
+//! [`frames`] defines the link protocol. Drivers: [`link_client`] sends forwards, [`link_server`] answers them.
 
 pub mod flow_control;
 mod forward_service;
--- a/crates/pipitcrank-gateway/src/link_client.rs
+++ b/crates/pipitcrank-gateway/src/link_client.rs
@@ -1,6 +1,6 @@
-//! Sends parts to other sites over lasting connections. What may be sent is decided by the exchange's last check before
-//! the first byte, where it may go by [`SiteHealth`], and what a broken link means by
-//! [`crate::sent_forwards::SentForwards`].
+//! Sends parts to other sites over persistent connections. The exchange authorizes each forward before its first byte
+//! is written, [`SiteHealth`] decides whether a site may receive forwards, and [`crate::sent_forwards::SentForwards`]
+//! determines the outcomes when a connection breaks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,53 +17,53 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::time::MissedTickBehavior;
 
-use crate::link_connection::{Connection, Established};
+use crate::link_connection::{Connection, OpenConnection};
 use crate::link_end::LinkEnd;
 use crate::remote_site::{LinkStream, LocalSite, RemoteSite, StreamCommand};
 use crate::site_health::{HEARTBEAT_INTERVAL, SiteHealth};
 
-/// Time for a connection to be up, with its handshake: many round trips of any link that is of use.
+/// Time limit for connecting, including the handshake: many round trips of any usable link.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause between the first two attempts to connect; doubled with each failure, and spread by up to a half by the stream's
-/// number, so that streams and sites do not reconnect in step.
+/// Pause after the first failed attempt to connect. Each further failure doubles the pause, and the stream's number
+/// extends it by less than a half, so that streams and sites do not reconnect in step.
 const MIN_RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two attempts to connect.
+/// Maximum pause between two attempts to connect, without the extension by the stream's number.
 const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(1600);
-/// Different spreads of the pause.
-const RECONNECT_SPREADS: u16 = 4;
+/// Number of different values that the extension of the pause can have.
+const RECONNECT_STAGGER_STEPS: u16 = 4;
 
-/// Sends to local replicas as ever, and to cells of other sites over their links.
+/// Sends attempts to local replicas through the replica pool, and to cells of other sites over links.
 pub struct LinkClient {
     replicas: Rc<RefCell<ReplicaPool>>,
-    /// The site of each replica that stands for a cell of another site.
+    /// Site of each replica id that represents a cell of another site.
     remote: BTreeMap<ReplicaId, Rc<RemoteSite>>,
     local: Rc<LocalSite>,
 }
 
-/// Another site: its name and where it accepts links.
+/// Configuration of another site.
 pub struct PeerSite {
-    /// Its name.
+    /// Name of the site.
     pub name: String,
-    /// Where it accepts links.
+    /// Address on which the site accepts links.
     pub address: SocketAddr,
 }
 
 /// Settings of the links to other sites.
 pub struct LinkClientConfig {
-    /// This site's name.
+    /// Name of the local site.
     pub own_site: String,
-    /// Tells this process from any other of its site.
+    /// Distinguishes this process from all other processes of its site.
     pub incarnation: u64,
     /// The other sites.
     pub peers: Vec<PeerSite>,
-    /// Connections kept to each.
+    /// Number of streams, and so of connections, to each site.
     pub streams_per_site: u16,
-    /// Added to the round trip of remote replicas, so that local ones are preferred.
+    /// Added to the round trip of remote replicas, so that local replicas are preferred.
     pub local_preference: TimeSpan,
 }
 
 impl LinkClient {
-    /// Starts the tasks that keep links to all peers.
+    /// Starts the tasks that keep the links to all peers connected.
     pub fn start(context: ServerContext, config: LinkClientConfig) -> LinkClient {
         let ServerContext { event_loop, replicas, classes, cells, .. } = context;
         let LinkClientConfig { own_site, incarnation, peers, streams_per_site, local_preference } = config;
@@ -128,17 +128,18 @@
         let Some(site) = self.remote.get(&replica) else {
             return self.replicas.borrow_mut().send_attempts(replica, attempts);
         };
-        let up = site.streams.iter().filter(|stream| stream.is_up.get());
-        match up.min_by_key(|stream| stream.queued.get() + stream.sent.borrow().outstanding()) {
+        let connected_streams = site.streams.iter().filter(|stream| stream.is_up.get());
+        match connected_streams.min_by_key(|stream| stream.queued.get() + stream.sent.borrow().outstanding())
+        {
             Some(stream) => {
                 stream.queued.set(stream.queued.get() + 1);
-                // The stream's task takes all commands, also while its link is down.
+                // The stream's task receives commands also while its connection is down.
                 let _ = stream.commands.send(StreamCommand::Forward { replica, attempts });
             }
             None => {
                 let local = self.local.clone();
-                // Not at once: the exchange is running this call.
-                tokio::task::spawn_local(async move { local.never_began(replica, attempts) });
+                // Runs in a separate task, because the exchange can't be updated during its own call of this function.
+                tokio::task::spawn_local(async move { local.attempts_never_started(replica, attempts) });
             }
         }
     }
@@ -159,14 +160,14 @@
     }
 
     fn send_load_probe(&mut self, replica: ReplicaId) {
-        // The decision module asks for no probe of a site; heartbeats tell more.
+        // Load probes are sent to local replicas only: remote sites are monitored by heartbeats.
         if !self.remote.contains_key(&replica) {
             self.replicas.borrow_mut().send_load_probe(replica);
         }
     }
 }
 
-/// Ends expired forwards and passes the site's delay on, at the interval of heartbeats.
+/// Ends expired forwards and publishes the site's delay once per heartbeat interval.
 async fn monitor(local: Rc<LocalSite>, site: Rc<RemoteSite>) {
     let mut heartbeats = tokio::time::interval(duration(HEARTBEAT_INTERVAL));
     heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -177,7 +178,7 @@
     }
 }
 
-/// Keeps a stream connected, for ever.
+/// Keeps a stream connected; never returns.
 async fn keep_connected(
     local: Rc<LocalSite>,
     site: Rc<RemoteSite>,
@@ -187,11 +188,11 @@
     let mut pause = MIN_RECONNECT_PAUSE;
     let mut last_incarnation: Option<u64> = None;
     loop {
-        let connect = tokio::time::timeout(CONNECT_TIMEOUT, Established::connect(&local, &site, &stream));
-        // What is queued meanwhile never ran.
+        let connect = tokio::time::timeout(CONNECT_TIMEOUT, OpenConnection::connect(&local, &site, &stream));
+        // Commands received while connecting are rejected: their attempts were never started.
         let connected = tokio::select! {
             connected = connect => connected.unwrap_or(Err(LinkEnd::ConnectTimeout)),
-            () = stream.reject_all(&local, &mut commands) => Err(LinkEnd::CommandsClosed),
+            () = stream.reject_commands(&local, &mut commands) => Err(LinkEnd::CommandsClosed),
         };
         match connected {
             Ok(established) => {
@@ -203,24 +204,30 @@
             }
             Err(end) => {
                 local.event_loop.counters.add("links", end.name());
-                tracing::debug!(site = site.name, stream = stream.number, "no link: {end}");
+                tracing::debug!(
+                    site = site.name,
+                    stream = stream.number,
+                    "could not connect to the site: {end}; next attempt after at least {pause:?}"
+                );
             }
         }
-        let spread = pause / 2 * u32::from(stream.number % RECONNECT_SPREADS) / u32::from(RECONNECT_SPREADS);
+        let stagger = pause / 2 * u32::from(stream.number % RECONNECT_STAGGER_STEPS)
+            / u32::from(RECONNECT_STAGGER_STEPS);
         tokio::select! {
-            () = tokio::time::sleep(pause + spread) => {}
-            () = stream.reject_all(&local, &mut commands) => {}
+            () = tokio::time::sleep(pause + stagger) => {}
+            () = stream.reject_commands(&local, &mut commands) => {}
         }
         pause = (pause * 2).min(MAX_RECONNECT_PAUSE);
     }
 }
 
-/// Runs a connection until its end, and ends what was outstanding on it.
+/// Runs a connection until it ends, then rejects the queued commands and closes the outstanding forwards, except those
+/// in doubt that wait for a reconnection.
 async fn run_connection(
     local: &LocalSite,
     site: &RemoteSite,
     stream: &LinkStream,
-    established: Established,
+    established: OpenConnection,
     same_process: bool,
     commands: &mut UnboundedReceiver<StreamCommand>,
 ) {
@@ -230,12 +237,16 @@
     let end = Connection::new(local, site, stream, established).run(same_process, commands).await;
     stream.is_up.set(false);
     site.health.borrow_mut().link_down();
-    tracing::warn!(site = site.name, stream = stream.number, "link ended: {end}");
+    tracing::warn!(
+        site = site.name,
+        stream = stream.number,
+        "connection to the site ended: {end}; reconnecting"
+    );
     local.event_loop.counters.add("links", end.name());
     while let Ok(command) = commands.try_recv() {
         stream.reject(local, command);
     }
-    let lost = stream.sent.borrow_mut().connection_lost();
-    lost.into_iter().for_each(|closed| site.close(local, closed));
+    let closed_forwards = stream.sent.borrow_mut().connection_lost();
+    closed_forwards.into_iter().for_each(|closed| site.close_forward(local, closed));
     site.publish_delay(local);
 }
--- a/crates/pipitcrank-gateway/src/link_connection.rs
+++ b/crates/pipitcrank-gateway/src/link_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a stream to another site: its handshake, and its messages until it ends.
+//! Client side of one connection of a stream to another site: the handshake, and the messages until it ends.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -24,27 +24,27 @@
 use crate::sent_forwards::{ForwardedPart, NewForward, Reconnection};
 use crate::site_health::HEARTBEAT_INTERVAL;
 
-/// Nothing received for so long, with a heartbeat each 50 ms, ends the connection. The site has closed long before; this is
-/// for a link that stalls without an end.
+/// Time without received bytes after which the connection is closed. Heartbeats are sent every 50 ms, so the site stops
+/// receiving forwards long before; this timeout ends connections that stall without a transport error.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A connection after its handshake.
-pub(crate) struct Established {
+/// A connected TCP stream whose handshake is complete.
+pub(crate) struct OpenConnection {
     stream: TcpStream,
-    /// The peer's process.
+    /// Incarnation of the peer's process.
     pub(crate) incarnation: u64,
-    /// Credit that the peer gives, in bytes.
+    /// Initial credit that the peer granted, in bytes.
     credit: u32,
-    /// Bytes received after the handshake.
+    /// Bytes that were received after the peer's handshake message.
     received: BytesMut,
 }
 
-impl Established {
+impl OpenConnection {
     pub(crate) async fn connect(
         local: &LocalSite,
         site: &RemoteSite,
         link_stream: &LinkStream,
-    ) -> Result<Established, LinkEnd> {
+    ) -> Result<OpenConnection, LinkEnd> {
         let mut stream = TcpStream::connect(site.address).await.map_err(|_| LinkEnd::Refused)?;
         let _ = stream.set_nodelay(true);
         let hello = LinkMessage::Hello {
@@ -59,7 +59,7 @@
         let mut received = BytesMut::new();
         loop {
             match take_frame(&mut received) {
-                Ok(Some((hello, _))) => return Established::new(stream, received, hello, &site.name),
+                Ok(Some((hello, _))) => return OpenConnection::new(stream, received, hello, &site.name),
                 Ok(None) => {}
                 Err(_) => return Err(LinkEnd::BadBytes),
             }
@@ -76,7 +76,7 @@
         received: BytesMut,
         hello: LinkMessage,
         expected_site: &str,
-    ) -> Result<Established, LinkEnd> {
+    ) -> Result<OpenConnection, LinkEnd> {
         let LinkMessage::Hello { version, site, incarnation, credit, .. } = hello else {
             return Err(LinkEnd::BadBytes);
         };
@@ -86,18 +86,18 @@
         if site != expected_site {
             return Err(LinkEnd::OtherSite);
         }
-        Ok(Established { stream, incarnation, credit, received })
+        Ok(OpenConnection { stream, incarnation, credit, received })
     }
 }
 
-/// A frame to be written.
+/// A frame that waits to be written.
 struct OutgoingFrame {
     bytes: Vec<u8>,
-    /// The number of the forward that it is, if it is one.
-    forward: Option<u64>,
+    /// Number of the forward in the frame, if it carries one.
+    forward_number: Option<u64>,
 }
 
-/// A connection while it is up.
+/// An open connection, on which messages are exchanged with the peer.
 pub(crate) struct Connection<'a> {
     local: &'a LocalSite,
     site: &'a RemoteSite,
@@ -105,15 +105,15 @@
     stream: TcpStream,
     received: BytesMut,
     send_window: SendWindow,
-    /// Credit that the peer gave at first, in bytes.
+    /// Initial credit that the peer granted, in bytes.
     initial_credit: u32,
     receive_window: ReceiveWindow,
-    /// What is left of the frame that is being written.
-    writing: Bytes,
-    /// The number of the forward that is being written, if it is one.
-    writing_forward: Option<u64>,
-    /// Frames that wait: small ones, and forwards of the last command.
-    waiting: VecDeque<OutgoingFrame>,
+    /// Rest of the frame that is being written.
+    current_frame: Bytes,
+    /// Number of the forward in the frame that is being written, if it carries one.
+    current_forward: Option<u64>,
+    /// Frames that wait to be written: small messages, and the forwards of the last command.
+    queued_frames: VecDeque<OutgoingFrame>,
 }
 
 impl<'a> Connection<'a> {
@@ -121,9 +121,9 @@
         local: &'a LocalSite,
         site: &'a RemoteSite,
         link_stream: &'a LinkStream,
-        established: Established,
+        established: OpenConnection,
     ) -> Connection<'a> {
-        let Established { stream, credit, received, .. } = established;
+        let OpenConnection { stream, credit, received, .. } = established;
         Connection {
             local,
             site,
@@ -133,13 +133,14 @@
             send_window: SendWindow::new(credit),
             initial_credit: credit,
             receive_window: ReceiveWindow::new(),
-            writing: Bytes::new(),
-            writing_forward: None,
-            waiting: VecDeque::new(),
+            current_frame: Bytes::new(),
+            current_forward: None,
+            queued_frames: VecDeque::new(),
         }
     }
 
-    /// Runs until the connection ends. `same_process`: the peer is the process of the connection before.
+    /// Runs until the connection ends. `same_process` is whether the peer is the same process as on the previous
+    /// connection.
     pub(crate) async fn run(
         mut self,
         same_process: bool,
@@ -162,17 +163,17 @@
         heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut last_message = Instant::now();
         loop {
-            self.take_frames()?;
-            if self.writing.is_empty() {
+            self.process_frames()?;
+            if self.current_frame.is_empty() {
                 self.begin_next_frame();
             }
-            let idle = self.writing.is_empty();
+            let is_idle = self.current_frame.is_empty();
             tokio::select! {
                 biased;
                 _ = self.stream.readable() => if self.read()? {
                     last_message = Instant::now();
                 },
-                ready = self.stream.writable(), if !idle => {
+                ready = self.stream.writable(), if !is_idle => {
                     ready.map_err(|_| LinkEnd::Reset)?;
                     self.write()?;
                 }
@@ -182,26 +183,26 @@
                     }
                     self.ping();
                 }
-                Some(command) = commands.recv(), if idle && self.send_window.can_send() => {
+                Some(command) = commands.recv(), if is_idle && self.send_window.can_send() => {
                     self.handle_command(command);
                 }
             }
         }
     }
 
-    /// Asks what became of forwards that were in doubt, or ends them.
+    /// Requests the status of forwards in doubt from the same process, or ends them if the peer is another process.
     fn resolve_in_doubt(&mut self, same_process: bool) {
         let reconnection = self.link_stream.sent.borrow_mut().reconnected(same_process);
         match reconnection {
             Reconnection::RequestStatus(numbers) if numbers.is_empty() => {}
             Reconnection::RequestStatus(numbers) => self.send(&LinkMessage::StatusRequest { numbers }),
             Reconnection::Closed(closed) => {
-                closed.into_iter().for_each(|closed| self.site.close(self.local, closed));
+                closed.into_iter().for_each(|closed| self.site.close_forward(self.local, closed));
             }
         }
     }
 
-    /// Reads what is there; whether anything was.
+    /// Reads the available bytes and returns whether there were any.
     fn read(&mut self) -> Result<bool, LinkEnd> {
         match self.stream.try_read_buf(&mut self.received) {
             Ok(0) => Err(LinkEnd::Closed),
@@ -215,13 +216,13 @@
     }
 
     fn write(&mut self) -> Result<(), LinkEnd> {
-        match self.stream.try_write(&self.writing) {
-            Ok(written) => self.writing.advance(written),
+        match self.stream.try_write(&self.current_frame) {
+            Ok(written) => self.current_frame.advance(written),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return Err(LinkEnd::Reset),
         }
-        if self.writing.is_empty()
-            && let Some(number) = self.writing_forward.take()
+        if self.current_frame.is_empty()
+            && let Some(number) = self.current_forward.take()
         {
             self.link_stream.sent.borrow_mut().mark_written(number);
             self.local.event_loop.counters.add("forwards", "sent");
@@ -230,35 +231,36 @@
     }
 
     fn send(&mut self, message: &LinkMessage) {
-        self.waiting.push_back(OutgoingFrame { bytes: encode(message), forward: None });
+        self.queued_frames.push_back(OutgoingFrame { bytes: encode(message), forward_number: None });
     }
 
-    /// One at a time: while frames wait to be read by the peer a second ping tells nothing more.
+    /// Queues a heartbeat unless frames are waiting to be written. While the peer does not read, more pings would only
+    /// lengthen the queue.
     fn ping(&mut self) {
-        if self.waiting.is_empty() && self.writing.is_empty() {
+        if self.queued_frames.is_empty() && self.current_frame.is_empty() {
             let sent_us = self.local.event_loop.clock.now().as_micros();
             self.send(&LinkMessage::Ping { sent_us });
         }
     }
 
     fn begin_next_frame(&mut self) {
-        if let Some(OutgoingFrame { bytes, forward }) = self.waiting.pop_front() {
-            if forward.is_some() {
+        if let Some(OutgoingFrame { bytes, forward_number }) = self.queued_frames.pop_front() {
+            if forward_number.is_some() {
                 self.send_window.consume(bytes.len());
             }
-            (self.writing, self.writing_forward) = (bytes.into(), forward);
+            (self.current_frame, self.current_forward) = (bytes.into(), forward_number);
         }
     }
 
     fn handle_command(&mut self, command: StreamCommand) {
         match command {
             StreamCommand::Cancel { number } => self.send(&LinkMessage::Cancel { number }),
-            StreamCommand::Forward { replica, attempts } => self.forward(replica, attempts),
+            StreamCommand::Forward { replica, attempts } => self.queue_forwards(replica, attempts),
         }
     }
 
-    /// Queues the frames of what may still be sent.
-    fn forward(&mut self, replica: ReplicaId, mut attempts: Vec<AttemptId>) {
+    /// Queues frames for those attempts that the exchange still authorizes.
+    fn queue_forwards(&mut self, replica: ReplicaId, mut attempts: Vec<AttemptId>) {
         self.link_stream.queued.set(self.link_stream.queued.get() - 1);
         let now = self.local.event_loop.clock.now();
         let round_trip = self.site.health.borrow().round_trip_bound().unwrap_or(TimeSpan::ZERO);
@@ -298,16 +300,19 @@
             None => LinkMessage::Forward(forward),
             Some(key) => LinkMessage::ForwardWithKey(forward, key.to_string()),
         };
-        self.waiting.push_back(OutgoingFrame { bytes: encode(&message), forward: Some(number) });
+        self.queued_frames.push_back(OutgoingFrame { bytes: encode(&message), forward_number: Some(number) });
     }
 
-    fn take_frames(&mut self) -> Result<(), LinkEnd> {
+    fn process_frames(&mut self) -> Result<(), LinkEnd> {
         loop {
             let (message, length) = match take_frame(&mut self.received) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
                 Err(error) => {
-                    tracing::warn!(site = self.site.name, "{error}");
+                    tracing::warn!(
+                        site = self.site.name,
+                        "received an invalid frame, closing the connection: {error}"
+                    );
                     return Err(LinkEnd::BadBytes);
                 }
             };
@@ -317,11 +322,11 @@
             if let Some(bytes) = self.receive_window.credit_to_return() {
                 self.send(&LinkMessage::Credit { bytes });
             }
-            self.handle(message)?;
+            self.handle_message(message)?;
         }
     }
 
-    fn handle(&mut self, message: LinkMessage) -> Result<(), LinkEnd> {
+    fn handle_message(&mut self, message: LinkMessage) -> Result<(), LinkEnd> {
         let now = self.local.event_loop.clock.now();
         match message {
             LinkMessage::PartAnswer { number, shard, value } => {
@@ -364,7 +369,7 @@
     fn handle_end(&self, number: u64, outcome: ForwardOutcome, retries_made: u32) {
         let closed = self.link_stream.sent.borrow_mut().end(number, outcome, retries_made);
         match closed {
-            Some(closed) => self.site.close(self.local, closed),
+            Some(closed) => self.site.close_forward(self.local, closed),
             None if outcome == ForwardOutcome::Unknown => {}
             None => self.local.event_loop.counters.add("forwards", "late_ends"),
         }
--- a/crates/pipitcrank-gateway/src/link_end.rs
+++ b/crates/pipitcrank-gateway/src/link_end.rs
@@ -1,6 +1,6 @@
-//! Why a link ended, or was not made.
+//! Reasons why a connection of a link ended or could not be established.
 
-/// Why a link ended, or was not made, on either side.
+/// Reason why a connection of a link ended or could not be established, on either side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.name())]
 pub(crate) enum LinkEnd {
@@ -8,36 +8,36 @@
     Closed,
     /// Reading or writing failed.
     Reset,
-    /// Nothing was received for too long.
+    /// No bytes were received within the time limit.
     Silent,
-    /// The peer sent what is no frame, or a message that it may not send.
+    /// The peer sent an invalid frame, or a message that is not allowed in its role or state.
     BadBytes,
-    /// The peer sent without credit.
+    /// The peer sent a message without credit for it.
     NoCredit,
-    /// The peer returned more credit than was used.
+    /// The peer returned more credit than this side had used.
     BadCredit,
-    /// The peer speaks another version.
+    /// The peer uses another protocol version.
     OtherVersion,
-    /// Client: the connection was refused.
+    /// Client: the TCP connection to the peer failed.
     Refused,
-    /// Client: the connection was not up in time.
+    /// Client: the connection and its handshake were not complete within the time limit.
     ConnectTimeout,
-    /// Client: nothing sends commands to the stream any more.
+    /// Client: the stream's command channel was closed.
     CommandsClosed,
-    /// Client: another site answered.
+    /// Client: the peer's site has another name than the configured one.
     OtherSite,
     /// Server: the peer's site is not configured.
     UnknownSite,
-    /// Server: the peer opened a newer connection of the same stream.
+    /// Server: the peer opened a newer connection for the same stream.
     Replaced,
-    /// Server: too many messages wait to be written.
+    /// Server: too many messages are queued for the peer.
     NotReading,
-    /// Server: this process drains, and has nothing of the peer left.
+    /// Server: this process is draining, and no message or forward of the peer is outstanding.
     Draining,
 }
 
 impl LinkEnd {
-    /// The name in counters and logs.
+    /// Name of the reason in counters and log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             LinkEnd::Closed => "closed",
--- a/crates/pipitcrank-gateway/src/link_server.rs
+++ b/crates/pipitcrank-gateway/src/link_server.rs
@@ -1,4 +1,4 @@
-//! Accepts links of other sites, whose forwards are answered here.
+//! Accepts links from other sites and serves the forwards received on them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,18 +11,18 @@
 use crate::forward_service::ForwardService;
 use crate::link_session::SessionContext;
 
-/// Between two attempts to listen or accept: during an upgrade the address is the old process's.
+/// Pause between two attempts to listen or to accept. During an upgrade the old process may still hold the address.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Server of links of other sites.
+/// Server for the links from other sites.
 pub struct LinkServer {
     sessions: Rc<SessionContext>,
     draining: watch::Receiver<bool>,
 }
 
 impl LinkServer {
-    /// A server of the site `own_site`, whose process is distinguished from others by `incarnation`. `peers` are the names of the
-    /// sites whose links are accepted.
+    /// A server of the site `own_site`. `incarnation` distinguishes this process from all other processes of the site;
+    /// `peers` are the names of the sites whose links are accepted.
     pub fn new(context: &ServerContext, own_site: &str, incarnation: u64, peers: Vec<String>) -> LinkServer {
         let sessions = SessionContext {
             event_loop: context.event_loop.clone(),
@@ -35,27 +35,29 @@
         LinkServer { sessions: Rc::new(sessions), draining: context.draining.clone() }
     }
 
-    /// Accepts links, except while draining: then the address is free for the process that takes over, and links end as
-    /// soon as nothing of theirs runs.
+    /// Accepts links, except while draining. A draining process releases the address to its successor and closes each
+    /// link when none of its forwards is running.
     pub async fn listen(self, address: SocketAddr) {
         let mut draining = self.draining.clone();
-        let mut is_logged = false;
+        let mut failure_logged = false;
         loop {
             let _ = draining.wait_for(|draining| !draining).await;
             match TcpListener::bind(address).await {
                 Ok(listener) => {
-                    tracing::info!("accepting links of other sites at {address}");
+                    tracing::info!("accepting links from other sites on {address}");
                     tokio::select! {
                         () = self.accept(listener) => {}
                         _ = draining.wait_for(|draining| *draining) => {
-                            tracing::info!("draining: no more links are accepted");
+                            tracing::info!("draining: stopped accepting links on {address}");
                         }
                     }
-                    is_logged = false;
+                    failure_logged = false;
                 }
                 Err(error) => {
-                    if !std::mem::replace(&mut is_logged, true) {
-                        tracing::warn!("/gateway/listen: {address}: {error}; trying again");
+                    if !std::mem::replace(&mut failure_logged, true) {
+                        tracing::warn!(
+                            "/gateway/listen: can't listen on {address}: {error}; retrying every {LISTEN_RETRY_INTERVAL:?}"
+                        );
                     }
                     tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
                 }
@@ -70,8 +72,8 @@
                 continue;
             };
             let event_loop = &self.sessions.event_loop;
-            // Links are not encrypted yet, so they stay on the machine. Peers' connections count against the limit of
-            // connections, as replicas' do: it holds however many co-ordinators a site has.
+            // Links are not encrypted yet, so only loopback connections are accepted. They count against the same limit
+            // as connections to replicas, so that the limit holds for any number of co-ordinators in a site.
             let permit = event_loop.replica_connections.try_acquire().filter(|_| from.ip().is_loopback());
             let Some(permit) = permit else {
                 event_loop.counters.add("peers", "turned_away");
@@ -81,7 +83,7 @@
             tokio::task::spawn_local(async move {
                 let end = sessions.serve(stream).await;
                 sessions.event_loop.counters.add("peers", end.name());
-                tracing::info!("a peer's link ended: {end}");
+                tracing::info!("link from {from} ended: {end}");
                 drop(permit);
             });
         }
--- a/crates/pipitcrank-gateway/src/link_session.rs
+++ b/crates/pipitcrank-gateway/src/link_session.rs
@@ -1,4 +1,4 @@
-//! A peer's link on the server side: its handshake, and its messages until the link ends.
+//! Server side of a peer's link: the handshake, and the messages until the link ends.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,16 +18,18 @@
 use crate::message_sender::{MessageSender, message_queue};
 use crate::received_forwards::StreamId;
 
-/// Time for a peer's first message.
+/// Time limit for a peer's first message.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A peer's heartbeats come each 50 ms; without any for so long its link is dead.
+/// Time without received bytes after which a link is closed; peers send a heartbeat every 50 ms.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
-/// While draining a link is looked at so often; what was on its way when draining began is answered yet.
+/// Interval at which a draining session checks whether its link can be closed. The link stays open for at least this
+/// long, so that messages in transit when draining began are still answered.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Messages that wait to be written to one peer: one that keeps asking and does not read is cut off.
-const MAX_WAITING_MESSAGES: usize = 50_000;
+/// Maximum number of messages queued for one peer; a peer that sends requests without reading the replies is
+/// disconnected.
+const MAX_QUEUED_MESSAGES: usize = 50_000;
 
-/// What all sessions share.
+/// State shared by all sessions.
 pub(crate) struct SessionContext {
     pub(crate) event_loop: Rc<EventLoop>,
     pub(crate) own_site: String,
@@ -44,11 +46,13 @@
         let _ = stream.set_nodelay(true);
         let (mut reader, writer) = stream.into_split();
         let mut buffer = BytesMut::new();
-        let hello = tokio::time::timeout(HANDSHAKE_TIMEOUT, first_message(&mut reader, &mut buffer)).await;
-        let (stream_id, credit) = match hello.unwrap_or(Err(LinkEnd::Silent)).and_then(|m| self.peer_of(m)) {
-            Ok(peer) => peer,
-            Err(end) => return end,
-        };
+        let hello =
+            tokio::time::timeout(HANDSHAKE_TIMEOUT, receive_first_message(&mut reader, &mut buffer)).await;
+        let (stream_id, credit) =
+            match hello.unwrap_or(Err(LinkEnd::Silent)).and_then(|m| self.identify_peer(m)) {
+                Ok(peer) => peer,
+                Err(end) => return end,
+            };
         let (sender, message_writer) = message_queue();
         sender.send(LinkMessage::Hello {
             version: PROTOCOL_VERSION,
@@ -58,7 +62,7 @@
             credit: INITIAL_CREDIT,
             capabilities: CAPABILITIES,
         });
-        let generation = self.service.connect(&stream_id, sender.clone());
+        let generation = self.service.register_connection(&stream_id, sender.clone());
         let (credit_returned, returned) = watch::channel(0u64);
         let writing = tokio::task::spawn_local(message_writer.run(writer, credit, returned));
         let mut session = Session {
@@ -72,17 +76,17 @@
             window: ReceiveWindow::new(),
         };
         let end = session.run().await;
-        self.service.disconnect(&session.stream_id, generation);
+        self.service.unregister_connection(&session.stream_id, generation);
         writing.abort();
         end
     }
 
-    /// Who a peer is by its first message, and the credit that it gives.
-    fn peer_of(&self, hello: LinkMessage) -> Result<(StreamId, u32), LinkEnd> {
+    /// Checks a peer's first message and returns its stream and the credit that it grants, in bytes.
+    fn identify_peer(&self, hello: LinkMessage) -> Result<(StreamId, u32), LinkEnd> {
         match hello {
             LinkMessage::Hello { version: PROTOCOL_VERSION, site, incarnation, stream, credit, .. } => {
                 if !self.peers.contains(&site) {
-                    tracing::warn!("'{site}' is not a configured site");
+                    tracing::warn!("rejecting the link of site '{site}': it is not a configured site");
                     return Err(LinkEnd::UnknownSite);
                 }
                 Ok((StreamId { site, incarnation, stream }, credit))
@@ -93,7 +97,7 @@
     }
 }
 
-/// A link after its handshake.
+/// State of a link after its handshake.
 struct Session<'a> {
     context: &'a SessionContext,
     stream_id: StreamId,
@@ -101,7 +105,7 @@
     reader: OwnedReadHalf,
     buffer: BytesMut,
     sender: MessageSender,
-    /// Counts all credit that the peer returned, in bytes.
+    /// Total credit that the peer has returned, in bytes.
     credit_returned: watch::Sender<u64>,
     window: ReceiveWindow,
 }
@@ -110,7 +114,7 @@
     async fn run(&mut self) -> LinkEnd {
         let mut draining_since = None;
         loop {
-            if let Err(end) = self.take_frames() {
+            if let Err(end) = self.process_frames() {
                 return end;
             }
             let draining = *self.context.draining.borrow();
@@ -129,26 +133,30 @@
         }
     }
 
-    /// Whether draining began some time ago and nothing of the peer is left.
+    /// Whether draining began at least [`DRAIN_CHECK_INTERVAL`] ago, no message is queued for the peer and none of its
+    /// forwards is running.
     fn is_drained(&self, draining_since: Option<Instant>) -> bool {
         draining_since.is_some_and(|since| since.elapsed() >= DRAIN_CHECK_INTERVAL)
-            && self.sender.waiting() == 0
+            && self.sender.queued() == 0
             && !self.context.service.has_running(&self.stream_id)
     }
 
-    fn take_frames(&mut self) -> Result<(), LinkEnd> {
+    fn process_frames(&mut self) -> Result<(), LinkEnd> {
         loop {
             if !self.context.service.is_newest(&self.stream_id, self.generation) {
                 return Err(LinkEnd::Replaced);
             }
-            if self.sender.waiting() > MAX_WAITING_MESSAGES {
+            if self.sender.queued() > MAX_QUEUED_MESSAGES {
                 return Err(LinkEnd::NotReading);
             }
             let (message, length) = match take_frame(&mut self.buffer) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
                 Err(error) => {
-                    tracing::warn!("site {} sent {error}", self.stream_id.site);
+                    tracing::warn!(
+                        "site {} sent an invalid frame, closing its link: {error}",
+                        self.stream_id.site
+                    );
                     return Err(LinkEnd::BadBytes);
                 }
             };
@@ -158,11 +166,11 @@
             if let Some(bytes) = self.window.credit_to_return() {
                 self.sender.send(LinkMessage::Credit { bytes });
             }
-            self.handle(message)?;
+            self.handle_message(message)?;
         }
     }
 
-    fn handle(&mut self, message: LinkMessage) -> Result<(), LinkEnd> {
+    fn handle_message(&mut self, message: LinkMessage) -> Result<(), LinkEnd> {
         let (service, stream_id, sender) = (&self.context.service, &self.stream_id, &self.sender);
         match message {
             LinkMessage::Forward(forward) => service.handle_forward(stream_id, forward, None, sender),
@@ -174,7 +182,7 @@
                 numbers.into_iter().for_each(|number| service.send_status(stream_id, number, sender));
             }
             LinkMessage::Credit { bytes } => {
-                self.credit_returned.send_modify(|all| *all = all.saturating_add(u64::from(bytes)));
+                self.credit_returned.send_modify(|total| *total = total.saturating_add(u64::from(bytes)));
             }
             LinkMessage::Ping { sent_us } => {
                 let answered_us = self.context.event_loop.clock.now().as_micros();
@@ -189,7 +197,10 @@
     }
 }
 
-async fn first_message(reader: &mut OwnedReadHalf, buffer: &mut BytesMut) -> Result<LinkMessage, LinkEnd> {
+async fn receive_first_message(
+    reader: &mut OwnedReadHalf,
+    buffer: &mut BytesMut,
+) -> Result<LinkMessage, LinkEnd> {
     loop {
         match take_frame(buffer) {
             Ok(Some((message, _))) => return Ok(message),
--- a/crates/pipitcrank-gateway/src/message_sender.rs
+++ b/crates/pipitcrank-gateway/src/message_sender.rs
@@ -1,4 +1,5 @@
-//! Messages to one peer: queued by whoever has something to send, written in order as far as the peer's credit goes.
+//! Queue of messages to one peer. Any task of the process can append to it; one writer sends the messages in order,
+//! within the peer's credit.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,43 +12,43 @@
 use crate::flow_control::SendWindow;
 use crate::frames::{LinkMessage, encode};
 
-/// Queue of messages to one connection.
+/// Sending end of the message queue of one connection.
 #[derive(Clone)]
 pub(crate) struct MessageSender {
     queue: UnboundedSender<LinkMessage>,
-    waiting: Rc<Cell<usize>>,
+    queued: Rc<Cell<usize>>,
 }
 
-/// The other end of the queue, which writes the messages.
+/// Receiving end of the message queue, which writes the messages to the connection.
 pub(crate) struct MessageWriter {
     queue: UnboundedReceiver<LinkMessage>,
-    waiting: Rc<Cell<usize>>,
+    queued: Rc<Cell<usize>>,
 }
 
-/// An empty queue.
+/// Creates an empty message queue.
 pub(crate) fn message_queue() -> (MessageSender, MessageWriter) {
     let (sender, receiver) = unbounded_channel();
-    let waiting: Rc<Cell<usize>> = Rc::default();
-    let writer = MessageWriter { queue: receiver, waiting: waiting.clone() };
-    (MessageSender { queue: sender, waiting }, writer)
+    let queued: Rc<Cell<usize>> = Rc::default();
+    let writer = MessageWriter { queue: receiver, queued: queued.clone() };
+    (MessageSender { queue: sender, queued }, writer)
 }
 
 impl MessageSender {
     pub(crate) fn send(&self, message: LinkMessage) {
         if self.queue.send(message).is_ok() {
-            self.waiting.set(self.waiting.get() + 1);
+            self.queued.set(self.queued.get() + 1);
         }
     }
 
-    /// How many messages wait to be written.
-    pub(crate) fn waiting(&self) -> usize {
-        self.waiting.get()
+    /// Number of messages that are not written yet.
+    pub(crate) fn queued(&self) -> usize {
+        self.queued.get()
     }
 }
 
 impl MessageWriter {
-    /// Writes until the stream or the queue ends. `credit` is what the peer gave at first; `returned` counts all that it
-    /// returned since, in bytes.
+    /// Writes messages until the connection or the queue is closed. `credit` is the initial credit that the peer
+    /// granted; `returned` is the total that it has returned since, both in bytes.
     pub(crate) async fn run(
         mut self,
         mut stream: OwnedWriteHalf,
@@ -55,12 +56,12 @@
         mut returned: watch::Receiver<u64>,
     ) {
         let mut window = SendWindow::new(credit);
-        let mut seen = 0;
+        let mut applied = 0;
         while let Some(message) = self.queue.recv().await {
             loop {
-                let all = *returned.borrow_and_update();
-                window.replenish((all - seen).min(u64::from(u32::MAX)) as u32, u32::MAX);
-                seen = all;
+                let total = *returned.borrow_and_update();
+                window.replenish((total - applied).min(u64::from(u32::MAX)) as u32, u32::MAX);
+                applied = total;
                 if window.can_send() || !message.is_flow_controlled() {
                     break;
                 }
@@ -75,7 +76,7 @@
             if stream.write_all(&bytes).await.is_err() {
                 return;
             }
-            self.waiting.set(self.waiting.get() - 1);
+            self.queued.set(self.queued.get() - 1);
         }
     }
 }
--- a/crates/pipitcrank-gateway/src/received_forwards.rs
+++ b/crates/pipitcrank-gateway/src/received_forwards.rs
@@ -1,5 +1,6 @@
-//! What other sites forwarded to this one, by stream and number, for as long as a repeat can arrive: nothing is begun
-//! twice. No I/O. A peer whose link broke asks by number what became of its forwards and is answered from here.
+//! Record of the forwards received from other sites, by stream and number. Entries are kept for as long as a repeat can
+//! arrive, so that no forward is started twice. The record also answers the status requests that peers send after a
+//! connection broke. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,19 +8,21 @@
 
 use crate::frames::{Forward, ForwardOutcome};
 
-/// Most sites that a forward may have crossed when it arrives: one, its origin. Each hop costs a round trip of the
-/// client's time, and a site that is asked answers from its own replicas.
+/// Maximum number of sites that an arriving forward may have crossed: its origin only. Each hop costs a round trip of
+/// the client's time, so a site answers forwards from its own replicas.
 const MAX_SITES_CROSSED: usize = 1;
-/// With less time left a forward is not begun: a tick here and a replica's quickest answer.
+/// Minimum time left with which a forward is started: one tick of this process plus the fastest answer of a replica.
 const MIN_TIME_LEFT: TimeSpan = TimeSpan::from_millis(5);
-/// Forwards recorded over all streams. Beyond that none is accepted: forgetting one that may be asked for is worse.
+/// Maximum number of recorded forwards over all streams. Further forwards are rejected, since removing an entry whose
+/// status can still be requested would be worse.
 pub const MAX_FORWARDS: usize = 20_000;
-/// Retry-after of a peer whose forward is rejected as too many are recorded.
+/// Retry-after of a forward that is rejected because the record is full.
 const RETRY_AFTER: TimeSpan = TimeSpan::from_millis(100);
-/// Bytes of answers kept for streams that may ask again; beyond it the oldest are reported as aborted.
+/// Maximum total size of the recorded answers, in bytes. Beyond it the answers of the oldest forwards are dropped, and
+/// these forwards are reported as aborted.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Streams recorded: four of each of a thousand co-ordinators. Of those without a forward the one not heard from for
-/// longest is removed.
+/// Maximum number of recorded streams: four for each of a thousand co-ordinators. Beyond it the least recently used
+/// stream without forwards is removed.
 const MAX_STREAMS: usize = 4096;
 
 /// One stream of one process of a site.
@@ -27,33 +30,33 @@
 pub struct StreamId {
     /// The peer's site.
     pub site: String,
-    /// Tells the peer's process from any other of its site.
+    /// Distinguishes the peer's process from all other processes of its site.
     pub incarnation: u64,
     /// Number of the stream.
     pub stream: u16,
 }
 
-/// A forward as its peer knows it.
+/// Identity of a forward between the two sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardKey {
-    /// The stream it came on.
+    /// Stream on which the forward was received.
     pub stream: StreamId,
-    /// Its number there.
+    /// Number of the forward on the stream.
     pub number: u64,
 }
 
-/// What is to be done with a forward that arrived.
+/// Decision about an arriving forward.
 #[derive(Debug, PartialEq)]
 pub enum Admission {
-    /// It is begun, under that id.
+    /// The forward is new and is started under this id.
     Begin(u64),
-    /// It runs, or has ended: what is known is sent again.
+    /// The forward is running or has ended: its status is sent again.
     Repeat,
-    /// It is not begun, and never will be.
+    /// The forward is not started, now or later, and ends with this outcome.
     Refuse(ForwardOutcome),
 }
 
-/// The answer to one part.
+/// A recorded answer to one part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedAnswer {
     /// The part's shard.
@@ -62,21 +65,21 @@
     pub value: String,
 }
 
-/// How a forward ended here.
+/// The end of a forward on this site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ForwardEnd {
-    /// What becomes of the parts that were not answered.
+    /// Outcome of the forward, which applies to its unanswered parts.
     pub outcome: ForwardOutcome,
-    /// Retries made of those delegated with it.
+    /// Number of delegated retries that were made.
     pub retries_made: u32,
 }
 
-/// What is known of a forward.
+/// Recorded status of a forward.
 #[derive(Debug, PartialEq)]
 pub struct ForwardStatus {
-    /// Parts answered so far.
+    /// Answers so far.
     pub answers: Vec<RecordedAnswer>,
-    /// Its end, where it has ended.
+    /// End of the forward; `None` while it is running.
     pub end: Option<ForwardEnd>,
 }
 
@@ -88,7 +91,7 @@
 }
 
 impl Entry {
-    /// Drops the answers; how many bytes they had.
+    /// Drops the answers and returns their size in bytes.
     fn drop_answers(&mut self) -> usize {
         self.answers.drain(..).map(|answer| answer.value.len()).sum()
     }
@@ -97,40 +100,41 @@
 #[derive(Default)]
 struct StreamRecord {
     entries: BTreeMap<u64, Entry>,
-    /// Numbers that were asked for and had not arrived: they may still be on an old connection and are not begun.
-    barred: BTreeSet<u64>,
-    /// All below are forgotten and none of them is begun.
-    first_open: u64,
-    last_heard: Timestamp,
+    /// Numbers whose forwards were reported as unknown. They may still arrive from an old connection and are not
+    /// started.
+    reported_unknown: BTreeSet<u64>,
+    /// Lowest number that can still be started; entries of lower numbers may have been removed already.
+    min_startable: u64,
+    last_message: Timestamp,
 }
 
 /// Record of the forwards of all peers.
 #[derive(Default)]
 pub struct ReceivedForwards {
     streams: BTreeMap<StreamId, StreamRecord>,
-    /// Where the entry of each id is.
+    /// Stream and number of each recorded forward, by id.
     keys: BTreeMap<u64, ForwardKey>,
-    /// When entries expire, oldest first.
+    /// Expiry times of the entries, in order of insertion.
     expiries: VecDeque<(Timestamp, ForwardKey)>,
     last_id: u64,
     answer_bytes: usize,
     own_site: String,
-    /// How long a repeat can arrive: the longest deadline.
+    /// Maximum deadline of a query, and so the time within which a repeat can arrive.
     max_query_time: TimeSpan,
 }
 
 impl ReceivedForwards {
-    /// An empty record of the site `own_site`; `max_query_time` is the longest deadline of a query.
+    /// An empty record of the site `own_site`; `max_query_time` is the maximum deadline of a query.
     pub fn new(own_site: &str, max_query_time: TimeSpan) -> ReceivedForwards {
         ReceivedForwards { own_site: own_site.to_string(), max_query_time, ..ReceivedForwards::default() }
     }
 
-    /// How many forwards are recorded.
+    /// Number of recorded forwards.
     pub fn count(&self) -> usize {
         self.keys.len()
     }
 
-    /// A forward arrived. `is_known`: its request class and shards are.
+    /// Decides about an arriving forward. `is_known` is whether its request class and shards exist on this site.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -142,8 +146,8 @@
         if record.entries.contains_key(&forward.number) {
             return Admission::Repeat;
         }
-        // It was reported as unknown and arrives late, or so late that it is forgotten.
-        if record.barred.contains(&forward.number) || forward.number < record.first_open {
+        // The forward was reported as unknown, or its entry may have expired already, so it may be a repeat.
+        if record.reported_unknown.contains(&forward.number) || forward.number < record.min_startable {
             return Admission::Refuse(ForwardOutcome::Unknown);
         }
         let crossed = &forward.sites_crossed;
@@ -171,9 +175,9 @@
         self.last_id
     }
 
-    /// A part is answered. False where its forward has ended or is forgotten.
+    /// Records the answer to a part. Returns false if the part has an answer, or the forward has ended or was removed.
     pub fn record_answer(&mut self, id: u64, shard: u32, value: &str) -> bool {
-        let Some(entry) = self.open_entry(id) else { return false };
+        let Some(entry) = self.running_entry(id) else { return false };
         if entry.answers.iter().any(|answer| answer.shard == shard) {
             return false;
         }
@@ -183,22 +187,23 @@
         true
     }
 
-    /// The forward has ended. False where it had before, or is forgotten.
+    /// Records the end of a forward. Returns false if it had ended before or was removed.
     pub fn record_end(&mut self, id: u64, end: ForwardEnd) -> bool {
-        let Some(entry) = self.open_entry(id) else { return false };
+        let Some(entry) = self.running_entry(id) else { return false };
         entry.end = Some(end);
         true
     }
 
-    /// The peer cancelled it: answers are dropped. Its id where it still runs.
+    /// Drops the answers of a forward that its peer cancelled. Returns the forward's id if it is still running.
     pub fn cancel(&mut self, stream: &StreamId, number: u64) -> Option<u64> {
         let entry = self.streams.get_mut(stream)?.entries.get_mut(&number)?;
         let (id, bytes) = (entry.id, entry.drop_answers());
         self.answer_bytes -= bytes;
-        self.open_entry(id).map(|_| id)
+        self.running_entry(id).map(|_| id)
     }
 
-    /// Asked by number after a break: what is known; or none, as it never arrived, after which it is never begun.
+    /// Returns the status of a forward. Returns `None` if the forward never arrived; it is then marked as unknown and
+    /// not started if it arrives later.
     pub fn status_or_mark_unknown(
         &mut self,
         now: Timestamp,
@@ -209,25 +214,26 @@
         if let Some(entry) = record.entries.get(&number) {
             return Some(ForwardStatus { answers: entry.answers.clone(), end: entry.end });
         }
-        if record.barred.len() >= MAX_FORWARDS {
-            // All below are as good as forgotten.
-            record.first_open = record.first_open.max(record.barred.pop_first().map_or(0, |n| n + 1));
+        if record.reported_unknown.len() >= MAX_FORWARDS {
+            // Bounds the set: the lowest number and all numbers below it can't be started any more.
+            record.min_startable =
+                record.min_startable.max(record.reported_unknown.pop_first().map_or(0, |n| n + 1));
         }
-        record.barred.insert(number);
+        record.reported_unknown.insert(number);
         None
     }
 
-    /// Where messages on the forward of that id go.
+    /// Stream and number of the forward `id`, to which messages about it are addressed.
     pub fn key(&self, id: u64) -> Option<ForwardKey> {
         self.keys.get(&id).cloned()
     }
 
-    /// The record of a stream that a message came on.
+    /// Record of the stream that a message was received on; created if it does not exist.
     fn record(&mut self, now: Timestamp, stream: &StreamId) -> &mut StreamRecord {
         self.remove_expired(now);
-        self.evict_idle_stream(stream);
+        self.make_room_for_stream(stream);
         let record = self.streams.entry(stream.clone()).or_default();
-        record.last_heard = now;
+        record.last_message = now;
         record
     }
 
@@ -236,14 +242,15 @@
         self.streams.get_mut(&key.stream)?.entries.get_mut(&key.number)
     }
 
-    /// The entry of a forward that has not ended.
-    fn open_entry(&mut self, id: u64) -> Option<&mut Entry> {
+    /// Entry of a forward that is still running.
+    fn running_entry(&mut self, id: u64) -> Option<&mut Entry> {
         self.entry(id).filter(|entry| entry.end.is_none())
     }
 
     fn remove_expired(&mut self, now: Timestamp) {
         while let Some((expires, key)) = self.expiries.pop_front() {
-            // Not in strict order, as deadlines differ: one kept a little longer holds up those behind it.
+            // Deadlines differ, so the queue is only roughly in order of expiry: an entry with a late expiry delays the
+            // removal of those behind it.
             if expires > now {
                 self.expiries.push_front((expires, key));
                 return;
@@ -253,13 +260,14 @@
                 debug_assert!(entry.expires <= now);
                 self.keys.remove(&entry.id);
                 self.answer_bytes -= entry.drop_answers();
-                record.first_open = record.first_open.max(key.number + 1);
+                record.min_startable = record.min_startable.max(key.number + 1);
             }
         }
     }
 
-    /// Bounds the answers kept for peers that never ask: a forward whose answers are dropped is reported as aborted, so it
-    /// may have run.
+    /// Drops the oldest answers above [`MAX_ANSWER_BYTES`], except those of the forward `newest`, to bound the memory
+    /// for answers that no peer requests again. A forward whose answers are dropped is reported as aborted, so the peer
+    /// treats it as possibly executed.
     fn limit_answer_bytes(&mut self, newest: u64) {
         while self.answer_bytes > MAX_ANSWER_BYTES {
             let has_answers = |key: &ForwardKey| {
@@ -275,13 +283,13 @@
         }
     }
 
-    /// Makes room for a stream that is not recorded yet.
-    fn evict_idle_stream(&mut self, stream: &StreamId) {
+    /// Removes the least recently used stream without forwards if the record is full and `stream` is not in it yet.
+    fn make_room_for_stream(&mut self, stream: &StreamId) {
         if self.streams.len() < MAX_STREAMS || self.streams.contains_key(stream) {
             return;
         }
         let idle = self.streams.iter().filter(|(_, record)| record.entries.is_empty());
-        let oldest = idle.min_by_key(|(_, record)| record.last_heard);
+        let oldest = idle.min_by_key(|(_, record)| record.last_message);
         if let Some(evicted) = oldest.map(|(id, _)| id.clone()) {
             self.streams.remove(&evicted);
         }
--- a/crates/pipitcrank-gateway/src/received_forwards/tests.rs
+++ b/crates/pipitcrank-gateway/src/received_forwards/tests.rs
@@ -34,7 +34,7 @@
 fn a_repeat_is_answered_from_the_record() {
     let (mut received, now) = (ReceivedForwards::new("south", MAX_QUERY_TIME), Timestamp::from_micros(0));
     let Admission::Begin(id) = received.admit(now, &stream(1), &forward(1), true) else {
-        panic!("it is new")
+        panic!("a new forward must be started")
     };
     assert_eq!(received.admit(now, &stream(1), &forward(1), true), Admission::Repeat);
     assert_eq!(
@@ -42,9 +42,9 @@
         Some(ForwardStatus { answers: vec![], end: None })
     );
     assert!(received.record_answer(id, 1, "v"));
-    assert!(!received.record_answer(id, 1, "w"), "once");
+    assert!(!received.record_answer(id, 1, "w"), "a part is answered once");
     assert!(received.record_end(id, end(ForwardOutcome::Complete, 2)));
-    assert!(!received.record_end(id, end(ForwardOutcome::Aborted, 0)), "one end");
+    assert!(!received.record_end(id, end(ForwardOutcome::Aborted, 0)), "a forward ends once");
     let status = ForwardStatus {
         answers: vec![RecordedAnswer { shard: 1, value: "v".into() }],
         end: Some(end(ForwardOutcome::Complete, 2)),
@@ -52,7 +52,7 @@
     assert_eq!(received.status_or_mark_unknown(now, &stream(1), 1), Some(status));
     assert!(
         matches!(received.admit(now, &stream(2), &forward(1), true), Admission::Begin(_)),
-        "another incarnation's"
+        "the same number from another incarnation is new"
     );
 }
 
@@ -80,7 +80,7 @@
     assert_eq!(
         admit(&|f| f.sites_crossed = vec!["west".into()], true),
         not_served,
-        "it names another origin"
+        "the first crossed site is not the peer"
     );
     assert_eq!(admit(&|f| f.sites_crossed.clear(), true), not_served);
     assert_eq!(admit(&|_| (), false), not_served);
@@ -88,7 +88,7 @@
         admit(&|f| f.time_left = TimeSpan::from_millis(2), true),
         Admission::Refuse(ForwardOutcome::TooLate)
     );
-    assert!(matches!(admit(&|_| (), true), Admission::Begin(_)), "none of that was begun");
+    assert!(matches!(admit(&|_| (), true), Admission::Begin(_)), "refused forwards were not recorded");
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let value = "x".repeat(64 * 1024);
     for n in 1..=300 {
         let Admission::Begin(id) = received.admit(now, &stream(1), &forward(n), true) else {
-            panic!("it is new")
+            panic!("a new forward must be started")
         };
         received.record_answer(id, 1, &value);
         received.record_end(id, end(ForwardOutcome::Complete, 1));
@@ -116,25 +116,25 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against a plain set of all that was ever begun: nothing twice, nothing after it was reported unknown, and nothing
-    /// is recorded for longer than it can be asked for.
+    /// Compared with a set of all started forwards: no forward starts twice or after it was reported as unknown, and no entry
+    /// outlives the time within which a repeat can arrive.
     #[test]
     fn nothing_is_begun_twice(steps in proptest::collection::vec((0u8..5, 1u64..12, 0u64..2, 0i64..3000), 0..300)) {
         let (mut received, mut now) = (ReceivedForwards::new("south", MAX_QUERY_TIME), Timestamp::from_micros(0));
-        let (mut begun, mut denied) = (BTreeSet::new(), BTreeSet::new());
-        for (kind, number, incarnation, ms) in steps {
+        let (mut started, mut unknown) = (BTreeSet::new(), BTreeSet::new());
+        for (kind, number, incarnation, delay_ms) in steps {
             match kind {
                 0 | 1 => match received.admit(now, &stream(incarnation), &forward(number), true) {
                     Admission::Begin(_) => {
-                        prop_assert!(begun.insert((incarnation, number)), "begun twice");
-                        prop_assert!(!denied.contains(&(incarnation, number)), "begun after it was denied");
+                        prop_assert!(started.insert((incarnation, number)), "forward started twice");
+                        prop_assert!(!unknown.contains(&(incarnation, number)), "forward started after it was reported as unknown");
                     }
-                    Admission::Repeat => prop_assert!(begun.contains(&(incarnation, number))),
+                    Admission::Repeat => prop_assert!(started.contains(&(incarnation, number))),
                     Admission::Refuse(outcome) => prop_assert_eq!(outcome, ForwardOutcome::Unknown),
                 },
-                2 => if received.status_or_mark_unknown(now, &stream(incarnation), number).is_none() { denied.insert((incarnation, number)); },
+                2 => if received.status_or_mark_unknown(now, &stream(incarnation), number).is_none() { unknown.insert((incarnation, number)); },
                 3 => { received.cancel(&stream(incarnation), number); }
-                _ => now = now + TimeSpan::from_millis(ms),
+                _ => now = now + TimeSpan::from_millis(delay_ms),
             }
         }
         now = now + MAX_QUERY_TIME + MAX_QUERY_TIME;
--- a/crates/pipitcrank-gateway/src/remote_site.rs
+++ b/crates/pipitcrank-gateway/src/remote_site.rs
@@ -1,4 +1,5 @@
-//! Another site as this one sends to it: its streams and its health, and what both tell the exchange.
+//! State of another site on the sending side: its streams and its health, and the events that both report to the
+//! exchange.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,13 +14,13 @@
 use crate::sent_forwards::{ClosedForward, SentForwards};
 use crate::site_health::{ForwardResult, SiteHealth};
 
-/// A change of a site's delay by less than this fraction and [`MIN_DELAY_CHANGE_S`] is not passed on: each change makes
-/// the decision module look at all candidates again.
+/// Changes of a site's delay up to this fraction of the published delay plus [`MIN_DELAY_CHANGE_S`] are not published,
+/// since each published change makes the decision module re-evaluate all candidates.
 const MIN_DELAY_CHANGE: f64 = 0.1;
-/// See [`MIN_DELAY_CHANGE`]; in seconds.
+/// Constant part of the threshold described at [`MIN_DELAY_CHANGE`], in seconds.
 const MIN_DELAY_CHANGE_S: f64 = 0.001;
 
-/// This site, and what its tasks share.
+/// The local site, with the state that its tasks share.
 pub(crate) struct LocalSite {
     pub(crate) event_loop: Rc<EventLoop>,
     pub(crate) name: String,
@@ -28,33 +29,33 @@
     pub(crate) classes: Vec<String>,
 }
 
-/// What a stream's task is to do.
+/// Command to the task of a stream.
 pub(crate) enum StreamCommand {
     Forward { replica: ReplicaId, attempts: Vec<AttemptId> },
     Cancel { number: u64 },
 }
 
-/// One stream of forwards: a connection while it is up, and what outlasts it.
+/// One stream of forwards to another site. Its state outlasts the individual connections.
 pub(crate) struct LinkStream {
     pub(crate) number: u16,
     pub(crate) commands: UnboundedSender<StreamCommand>,
     pub(crate) sent: RefCell<SentForwards<AttemptId>>,
-    /// Forward commands that wait; with the outstanding forwards they say how busy the stream is.
+    /// Number of queued forward commands, which count towards the load by which a stream is selected.
     pub(crate) queued: Cell<usize>,
     pub(crate) is_up: Cell<bool>,
 }
 
 impl LinkStream {
-    /// Ends the attempts of a command that can't be carried out: they never ran.
+    /// Rejects a command that can't be executed: the attempts in it are reported as never started.
     pub(crate) fn reject(&self, local: &LocalSite, command: StreamCommand) {
         if let StreamCommand::Forward { replica, attempts } = command {
             self.queued.set(self.queued.get() - 1);
-            local.never_began(replica, attempts);
+            local.attempts_never_started(replica, attempts);
         }
     }
 
-    /// Rejects commands for as long as there are senders.
-    pub(crate) async fn reject_all(
+    /// Rejects commands until the command channel is closed.
+    pub(crate) async fn reject_commands(
         &self,
         local: &LocalSite,
         commands: &mut UnboundedReceiver<StreamCommand>,
@@ -66,28 +67,28 @@
 }
 
 impl LocalSite {
-    /// Nothing of these attempts was sent.
-    pub(crate) fn never_began(&self, replica: ReplicaId, attempts: Vec<AttemptId>) {
+    /// Reports to the exchange that these attempts were never sent.
+    pub(crate) fn attempts_never_started(&self, replica: ReplicaId, attempts: Vec<AttemptId>) {
         self.event_loop.update(|exchange| {
             attempts.into_iter().for_each(|attempt| exchange.attempt_never_started(replica, attempt))
         });
     }
 }
 
-/// Another site.
+/// Another site, to which forwards are sent.
 pub(crate) struct RemoteSite {
-    /// Its number with the exchange.
+    /// Number of the site in the exchange.
     pub(crate) number: u16,
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
     pub(crate) health: RefCell<SiteHealth>,
     pub(crate) streams: Vec<Rc<LinkStream>>,
-    /// The delay that the exchange has; none while the site is closed.
+    /// The delay last published to the exchange; `None` while the site is closed.
     pub(crate) published_delay: Cell<Option<TimeSpan>>,
 }
 
 impl RemoteSite {
-    /// Passes the site's delay on to the exchange, where it differs by enough to matter.
+    /// Publishes the site's delay to the exchange if it differs enough from the last published delay.
     pub(crate) fn publish_delay(&self, local: &LocalSite) {
         let delay = self.health.borrow_mut().delay(local.event_loop.clock.now());
         let published = self.published_delay.get();
@@ -95,26 +96,26 @@
             return;
         }
         if delay.is_some() != published.is_some() {
-            let (state, counted) = if delay.is_some() { ("open", "opened") } else { ("closed", "closed") };
+            let (state, counter) = if delay.is_some() { ("open", "opened") } else { ("closed", "closed") };
             let delay_ms = delay.map(|delay| delay.as_secs_f64() * 1000.0);
-            tracing::info!(site = self.name, delay_ms, "site is {state}");
-            local.event_loop.counters.add("sites", counted);
+            tracing::info!(site = self.name, delay_ms, "remote site is now {state} for forwards");
+            local.event_loop.counters.add("sites", counter);
         }
         self.published_delay.set(delay);
         local.event_loop.update(|exchange| exchange.set_remote_delay(self.number, delay));
     }
 
-    /// A forward has ended: for the site's health, the retry budget and the attempts.
-    pub(crate) fn close(&self, local: &LocalSite, closed: ClosedForward<AttemptId>) {
+    /// Reports a closed forward to the site's health, the retry budget and its attempts.
+    pub(crate) fn close_forward(&self, local: &LocalSite, closed: ClosedForward<AttemptId>) {
         let now = local.event_loop.clock.now();
         self.health.borrow_mut().forward_ended(now, closed.health_id, closed.result);
-        let counted = match closed.result {
+        let counter = match closed.result {
             ForwardResult::Answered => "answered",
             ForwardResult::Rejected(_) => "rejected",
             ForwardResult::Neutral => "over",
             ForwardResult::Failed => "failed",
         };
-        local.event_loop.counters.add("forwards", counted);
+        local.event_loop.counters.add("forwards", counter);
         local.event_loop.update(|exchange| {
             if let Some(retries_made) = closed.retries_made {
                 exchange.delegation_returned(now, closed.delegation, retries_made);
@@ -126,12 +127,12 @@
         self.publish_delay(local);
     }
 
-    /// Ends forwards past their deadline.
+    /// Closes the forwards whose deadline has passed.
     pub(crate) fn expire_forwards(&self, local: &LocalSite) {
         let now = local.event_loop.clock.now();
         for stream in &self.streams {
             let expired = stream.sent.borrow_mut().expire(now);
-            expired.into_iter().for_each(|closed| self.close(local, closed));
+            expired.into_iter().for_each(|closed| self.close_forward(local, closed));
         }
     }
 }
--- a/crates/pipitcrank-gateway/src/sent_forwards.rs
+++ b/crates/pipitcrank-gateway/src/sent_forwards.rs
@@ -1,15 +1,16 @@
-//! Forwards that are outstanding on one stream, by number, and what each change of its connection means for them. No I/O.
-//! Outcomes keep their meaning between sites:
+//! Outstanding forwards of one stream, by number, and their outcomes when its connection breaks. No I/O.
+//! Attempt outcomes keep their meaning across sites:
 //!
-//! | what is known | outcome of the part's attempt |
+//! | state of the part's forward | outcome of the part's attempt |
 //! | --- | --- |
-//! | answered | success |
-//! | its frame was not written whole; or the other site says that it was never received, that nothing of it was begun, that it rejects it | never ran |
-//! | written whole, and the link broke, or another process answers there now | may have run |
-//! | the other site says that it failed | ran and failed, or may have |
+//! | the part was answered | success |
+//! | the frame was not written completely | not executed |
+//! | the other site reported that the forward was never received, was not started or is rejected | not executed |
+//! | the frame was written completely, then the connection broke or the peer's process was replaced | may have been executed |
+//! | the other site reported a failure | executed and failed, or may have been executed |
 //!
-//! A part that is not idempotent and in doubt waits for a new connection to the same process, which is asked by number;
-//! until then, or its deadline, it is neither retried nor cancelled.
+//! A non-idempotent forward in doubt waits for a new connection to the same process and a status request for its
+//! number. Until its status is received or its deadline passes, its parts are neither retried nor cancelled.
 
 use std::collections::BTreeMap;
 
@@ -19,55 +20,55 @@
 use crate::frames::ForwardOutcome;
 use crate::site_health::ForwardResult;
 
-/// One part of a forward and the attempt that it is.
+/// One part of a forward, with the attempt that the part belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ForwardedPart<A> {
     /// The part's shard.
     pub shard: u32,
-    /// The exchange's attempt.
+    /// The attempt in the exchange.
     pub attempt: A,
 }
 
-/// A forward that is about to be sent.
+/// A forward to be sent.
 #[derive(Debug)]
 pub struct NewForward<A> {
-    /// Its parts.
+    /// The parts of the forward.
     pub parts: Vec<ForwardedPart<A>>,
-    /// Whether its parts may run twice.
+    /// Whether the parts may be executed twice.
     pub idempotent: bool,
-    /// The exchange's number of the retries delegated with it.
+    /// Number of the retry delegation in the exchange.
     pub delegation: u64,
-    /// Its number in [`crate::site_health::SiteHealth`].
+    /// Id of the forward in [`crate::site_health::SiteHealth`].
     pub health_id: u64,
-    /// When its attempts end at the latest.
+    /// Deadline of the attempts.
     pub deadline: Timestamp,
 }
 
 struct OutstandingForward<A> {
-    /// What was sent; answered and cancelled parts are removed.
+    /// The forward without its answered and cancelled parts.
     forward: NewForward<A>,
-    /// Its frame was written whole.
+    /// Whether the frame was written completely.
     written: bool,
-    /// The connection that it was written to is lost.
+    /// Whether the forward was written to a connection that has ended since.
     in_doubt: bool,
-    /// A part of it was answered.
+    /// Whether a part was answered.
     any_answered: bool,
 }
 
 /// A forward that has ended.
 #[derive(Debug, PartialEq)]
 pub struct ClosedForward<A> {
-    /// Attempts of parts not answered.
+    /// Attempts of the unanswered parts.
     pub attempts: Vec<A>,
-    /// How these attempts end.
+    /// Outcome of these attempts.
     pub outcome: AttemptOutcome,
-    /// The exchange's number of the retries delegated with it.
+    /// Number of the retry delegation in the exchange.
     pub delegation: u64,
-    /// How many of those were made; none where that is not known.
+    /// Number of delegated retries that were made; `None` if unknown.
     pub retries_made: Option<u32>,
-    /// Its number in [`crate::site_health::SiteHealth`].
+    /// Id of the forward in [`crate::site_health::SiteHealth`].
     pub health_id: u64,
-    /// What it tells of the site's health.
+    /// Result for the site's health.
     pub result: ForwardResult,
 }
 
@@ -76,23 +77,23 @@
 pub struct CancelledPart {
     /// The forward's number.
     pub number: u64,
-    /// None of the forward's parts is waited for any more.
+    /// Whether no part of the forward is outstanding any more.
     pub last: bool,
 }
 
-/// What is to be done with forwards in doubt after a new connection.
+/// Handling of the forwards in doubt after a reconnection.
 #[derive(Debug, PartialEq)]
 pub enum Reconnection<A> {
-    /// The same process is there: it is asked for the status of these.
+    /// The peer is the same process: request the status of these forwards.
     RequestStatus(Vec<u64>),
-    /// Another process is there, which can't tell: these may have run.
+    /// The peer is another process, which has no record of these forwards: they may have been executed.
     Closed(Vec<ClosedForward<A>>),
 }
 
 /// Outstanding forwards of one stream.
 pub struct SentForwards<A> {
     next_number: u64,
-    /// Each is removed at its end or deadline.
+    /// Outstanding forwards by number; each is removed when it ends or its deadline passes.
     outstanding: BTreeMap<u64, OutstandingForward<A>>,
 }
 
@@ -103,28 +104,28 @@
 }
 
 impl<A: Copy + PartialEq> SentForwards<A> {
-    /// How many forwards are outstanding.
+    /// Number of outstanding forwards.
     pub fn outstanding(&self) -> usize {
         self.outstanding.len()
     }
 
-    /// Adds a forward whose frame is about to be begun; its number.
+    /// Adds a forward before its frame is queued for sending, and returns its number.
     pub fn begin(&mut self, forward: NewForward<A>) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        let new = OutstandingForward { forward, written: false, in_doubt: false, any_answered: false };
-        self.outstanding.insert(number, new);
+        let entry = OutstandingForward { forward, written: false, in_doubt: false, any_answered: false };
+        self.outstanding.insert(number, entry);
         number
     }
 
-    /// The last byte of its frame was written.
+    /// Records that the frame of the forward was written completely.
     pub fn mark_written(&mut self, number: u64) {
         if let Some(outstanding) = self.outstanding.get_mut(&number) {
             outstanding.written = true;
         }
     }
 
-    /// A part was answered: its attempt, the first time.
+    /// Records the answer to a part and returns the part's attempt; `None` if the part is not outstanding.
     pub fn part_answered(&mut self, number: u64, shard: u32) -> Option<A> {
         let outstanding = self.outstanding.get_mut(&number)?;
         outstanding.any_answered = true;
@@ -133,7 +134,7 @@
         Some(parts.swap_remove(index).attempt)
     }
 
-    /// The other site says that the forward has ended; none where it had ended before.
+    /// Closes a forward whose end the other site reported; returns `None` if it was not outstanding.
     pub fn end(
         &mut self,
         number: u64,
@@ -141,42 +142,45 @@
         retries_made: u32,
     ) -> Option<ClosedForward<A>> {
         let outstanding = self.outstanding.remove(&number)?;
-        let all_answered = outstanding.all_answered();
+        let is_settled = outstanding.is_settled();
         let (attempt_outcome, result) = match outcome {
-            ForwardOutcome::Complete if all_answered => (AttemptOutcome::Success, ForwardResult::Answered),
-            // A faulty peer may call a forward complete and leave parts out: they may have run.
+            ForwardOutcome::Complete if is_settled => (AttemptOutcome::Success, ForwardResult::Answered),
+            // A faulty peer can report a forward complete without all answers; the missing parts may have been
+            // executed.
             ForwardOutcome::Complete => (AttemptOutcome::Fault, ForwardResult::Failed),
             ForwardOutcome::Rejected { retry_after } => {
                 (AttemptOutcome::NoCapacity, ForwardResult::Rejected(retry_after))
             }
-            ForwardOutcome::Aborted if all_answered => (AttemptOutcome::Fault, ForwardResult::Neutral),
+            ForwardOutcome::Aborted if is_settled => (AttemptOutcome::Fault, ForwardResult::Neutral),
             ForwardOutcome::Aborted => (AttemptOutcome::Fault, ForwardResult::Failed),
             ForwardOutcome::TooLate => (AttemptOutcome::NeverSent, ForwardResult::Neutral),
             ForwardOutcome::NotServed => (AttemptOutcome::Unreachable, ForwardResult::Failed),
             ForwardOutcome::Unknown => (AttemptOutcome::Unreachable, ForwardResult::Neutral),
         };
-        let not_begun =
+        let not_started =
             matches!(outcome, ForwardOutcome::TooLate | ForwardOutcome::NotServed | ForwardOutcome::Unknown);
-        // What was not begun made no retries, whatever the peer says.
-        let retries_made = if not_begun { 0 } else { retries_made };
+        // A forward that was not started made no retries; a different count from the peer is ignored.
+        let retries_made = if not_started { 0 } else { retries_made };
         Some(outstanding.close(attempt_outcome, Some(retries_made), result))
     }
 
-    /// Nobody waits for the attempt any more.
+    /// Removes the part of a cancelled attempt; returns `None` if it is not outstanding.
     pub fn cancel(&mut self, attempt: A) -> Option<CancelledPart> {
-        let has = |o: &OutstandingForward<A>| o.forward.parts.iter().any(|part| part.attempt == attempt);
-        let (&number, outstanding) = self.outstanding.iter_mut().find(|(_, o)| has(o))?;
+        let has_attempt =
+            |o: &OutstandingForward<A>| o.forward.parts.iter().any(|part| part.attempt == attempt);
+        let (&number, outstanding) = self.outstanding.iter_mut().find(|(_, o)| has_attempt(o))?;
         outstanding.forward.parts.retain(|part| part.attempt != attempt);
-        Some(CancelledPart { number, last: outstanding.all_answered() })
+        Some(CancelledPart { number, last: outstanding.is_settled() })
     }
 
-    /// The connection is lost. What may be sent elsewhere ends now; what is in doubt and not idempotent waits.
+    /// Handles the end of the connection: closes and returns all forwards except those that are in doubt and not
+    /// idempotent, which wait for a new connection.
     pub fn connection_lost(&mut self) -> Vec<ClosedForward<A>> {
-        let ends = |o: &OutstandingForward<A>| !o.written || o.forward.idempotent || o.all_answered();
+        let can_close = |o: &OutstandingForward<A>| !o.written || o.forward.idempotent || o.is_settled();
         let ended: Vec<OutstandingForward<A>> =
-            self.outstanding.extract_if(.., |_, o| ends(o)).map(|(_, o)| o).collect();
+            self.outstanding.extract_if(.., |_, o| can_close(o)).map(|(_, o)| o).collect();
         self.outstanding.values_mut().for_each(|o| o.in_doubt = true);
-        let closed = ended.into_iter().map(|o| match (o.written, o.all_answered()) {
+        let closed = ended.into_iter().map(|o| match (o.written, o.is_settled()) {
             (false, _) => o.close(AttemptOutcome::Unreachable, Some(0), ForwardResult::Failed),
             (true, true) => o.close(AttemptOutcome::Disconnected, None, ForwardResult::Neutral),
             (true, false) => o.close(AttemptOutcome::Disconnected, None, ForwardResult::Failed),
@@ -184,8 +188,8 @@
         closed.collect()
     }
 
-    /// A new connection is up. The same process is asked what became of forwards in doubt; another can't tell, and its not
-    /// knowing them proves nothing: they may have run.
+    /// Handles a new connection. The same process can report the status of forwards in doubt. Another process has no
+    /// record of them, which does not prove that they were not executed, so they are closed as possibly executed.
     pub fn reconnected(&mut self, same_process: bool) -> Reconnection<A> {
         if same_process {
             let in_doubt = self.outstanding.iter().filter(|(_, o)| o.in_doubt);
@@ -197,12 +201,13 @@
         Reconnection::Closed(closed)
     }
 
-    /// Removes those past their deadline: their attempts have ended by it already, and delegated retries count as made.
+    /// Closes the forwards past their deadline. Their attempts have timed out already, and the delegated retries count
+    /// as made.
     pub fn expire(&mut self, now: Timestamp) -> Vec<ClosedForward<A>> {
         let ended = self.outstanding.extract_if(.., |_, o| o.forward.deadline <= now);
         let closed = ended.map(|(_, o)| {
-            let neutral = o.all_answered() || o.any_answered;
-            let result = if neutral { ForwardResult::Neutral } else { ForwardResult::Failed };
+            let is_neutral = o.is_settled() || o.any_answered;
+            let result = if is_neutral { ForwardResult::Neutral } else { ForwardResult::Failed };
             o.close(AttemptOutcome::TimedOut, None, result)
         });
         closed.collect()
@@ -210,8 +215,8 @@
 }
 
 impl<A: Copy> OutstandingForward<A> {
-    /// No part is waited for: each was answered or cancelled.
-    fn all_answered(&self) -> bool {
+    /// Whether no part is outstanding: each was answered or cancelled.
+    fn is_settled(&self) -> bool {
         self.forward.parts.is_empty()
     }
 
--- a/crates/pipitcrank-gateway/src/sent_forwards/tests.rs
+++ b/crates/pipitcrank-gateway/src/sent_forwards/tests.rs
@@ -12,57 +12,69 @@
     NewForward { parts, idempotent, delegation, health_id, deadline: deadline() }
 }
 
-/// The attempts that a closed forward ends, each with its outcome.
-fn ends(closed: &ClosedForward<u32>) -> Vec<(u32, AttemptOutcome)> {
+/// Attempts that end with a closed forward, each with its outcome.
+fn attempt_outcomes(closed: &ClosedForward<u32>) -> Vec<(u32, AttemptOutcome)> {
     closed.attempts.iter().map(|attempt| (*attempt, closed.outcome)).collect()
 }
 
-fn begin(f: &mut SentForwards<u32>, idempotent: bool) -> u64 {
-    f.begin(new_forward([(1, 10), (2, 20)], idempotent, 5, 6))
+fn begin(forwards: &mut SentForwards<u32>, idempotent: bool) -> u64 {
+    forwards.begin(new_forward([(1, 10), (2, 20)], idempotent, 5, 6))
 }
 
 #[test]
-fn a_frame_not_written_whole_never_ran_and_a_written_one_may_have() {
+fn incomplete_frame_never_ran_and_complete_one_may_have() {
     for idempotent in [true, false] {
-        let mut f = SentForwards::default();
-        begin(&mut f, idempotent);
-        let closed = f.connection_lost();
-        assert_eq!(ends(&closed[0]), [(10, AttemptOutcome::Unreachable), (20, AttemptOutcome::Unreachable)]);
+        let mut forwards = SentForwards::default();
+        begin(&mut forwards, idempotent);
+        let closed = forwards.connection_lost();
+        assert_eq!(
+            attempt_outcomes(&closed[0]),
+            [(10, AttemptOutcome::Unreachable), (20, AttemptOutcome::Unreachable)]
+        );
         assert_eq!(closed[0].retries_made, Some(0));
     }
-    let mut f = SentForwards::default();
-    let number = begin(&mut f, true);
-    f.mark_written(number);
-    assert_eq!(f.part_answered(number, 1), Some(10));
-    let closed = f.connection_lost();
-    assert_eq!((ends(&closed[0]), closed[0].retries_made), (vec![(20, AttemptOutcome::Disconnected)], None));
+    let mut forwards = SentForwards::default();
+    let number = begin(&mut forwards, true);
+    forwards.mark_written(number);
+    assert_eq!(forwards.part_answered(number, 1), Some(10));
+    let closed = forwards.connection_lost();
+    assert_eq!(
+        (attempt_outcomes(&closed[0]), closed[0].retries_made),
+        (vec![(20, AttemptOutcome::Disconnected)], None)
+    );
 }
 
 #[test]
 fn a_non_idempotent_forward_in_doubt_waits_for_its_status() {
-    let mut f = SentForwards::default();
-    let number = begin(&mut f, false);
-    f.mark_written(number);
-    assert_eq!(f.connection_lost(), []);
-    assert_eq!(f.reconnected(true), Reconnection::RequestStatus(vec![number]));
-    assert_eq!(f.connection_lost(), [], "the link flaps");
-    assert_eq!(f.reconnected(true), Reconnection::RequestStatus(vec![number]));
-    let closed = f.end(number, ForwardOutcome::Unknown, 9).unwrap();
+    let mut forwards = SentForwards::default();
+    let number = begin(&mut forwards, false);
+    forwards.mark_written(number);
+    assert_eq!(forwards.connection_lost(), []);
+    assert_eq!(forwards.reconnected(true), Reconnection::RequestStatus(vec![number]));
+    assert_eq!(forwards.connection_lost(), [], "the connection is lost again");
+    assert_eq!(forwards.reconnected(true), Reconnection::RequestStatus(vec![number]));
+    let closed = forwards.end(number, ForwardOutcome::Unknown, 9).unwrap();
     assert_eq!(
-        (ends(&closed)[0].1, closed.retries_made),
+        (attempt_outcomes(&closed)[0].1, closed.retries_made),
         (AttemptOutcome::Unreachable, Some(0)),
-        "it never came, so it never ran"
+        "a forward that was not received was not executed"
+    );
+    let number = begin(&mut forwards, false);
+    forwards.mark_written(number);
+    forwards.connection_lost();
+    let Reconnection::Closed(closed) = forwards.reconnected(false) else {
+        panic!("expected closed forwards after a reconnection to another process")
+    };
+    assert_eq!(
+        attempt_outcomes(&closed[0])[0].1,
+        AttemptOutcome::Disconnected,
+        "another process has no record of the forward"
     );
-    let number = begin(&mut f, false);
-    f.mark_written(number);
-    f.connection_lost();
-    let Reconnection::Closed(closed) = f.reconnected(false) else { panic!("another process") };
-    assert_eq!(ends(&closed[0])[0].1, AttemptOutcome::Disconnected, "another process can't tell");
 }
 
 #[test]
 fn a_rejection_proves_that_nothing_ran_and_an_abort_does_not() {
-    let mut f = SentForwards::default();
+    let mut forwards = SentForwards::default();
     let retry_after = TimeSpan::from_millis(70);
     for (ended, outcome) in [
         (ForwardOutcome::Rejected { retry_after }, AttemptOutcome::NoCapacity),
@@ -71,25 +83,28 @@
         (ForwardOutcome::NotServed, AttemptOutcome::Unreachable),
         (ForwardOutcome::Complete, AttemptOutcome::Fault),
     ] {
-        let number = begin(&mut f, false);
-        f.mark_written(number);
-        assert_eq!(ends(&f.end(number, ended, 1).unwrap()), [(10, outcome), (20, outcome)]);
-        assert_eq!(f.end(number, ended, 1), None, "one end");
+        let number = begin(&mut forwards, false);
+        forwards.mark_written(number);
+        assert_eq!(
+            attempt_outcomes(&forwards.end(number, ended, 1).unwrap()),
+            [(10, outcome), (20, outcome)]
+        );
+        assert_eq!(forwards.end(number, ended, 1), None, "a second end is ignored");
     }
 }
 
 #[test]
 fn cancelled_parts_are_not_answered_and_the_last_one_cancels_the_forward() {
-    let mut f = SentForwards::default();
-    let number = begin(&mut f, true);
-    assert_eq!(f.cancel(10), Some(CancelledPart { number, last: false }));
-    assert_eq!(f.part_answered(number, 1), None);
-    assert_eq!(f.cancel(20), Some(CancelledPart { number, last: true }));
-    assert_eq!(f.cancel(20), None);
+    let mut forwards = SentForwards::default();
+    let number = begin(&mut forwards, true);
+    assert_eq!(forwards.cancel(10), Some(CancelledPart { number, last: false }));
+    assert_eq!(forwards.part_answered(number, 1), None);
+    assert_eq!(forwards.cancel(20), Some(CancelledPart { number, last: true }));
+    assert_eq!(forwards.cancel(20), None);
     assert_eq!(
-        f.end(number, ForwardOutcome::Aborted, 2).unwrap().retries_made,
+        forwards.end(number, ForwardOutcome::Aborted, 2).unwrap().retries_made,
         Some(2),
-        "what it spent still counts"
+        "retries of a cancelled forward count"
     );
 }
 
@@ -121,50 +136,51 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 500, ..ProptestConfig::default() })]
 
-    /// Each attempt ends once, and one whose frame was written whole counts as never run only where the other site says so.
+    /// Each attempt ends once. An attempt whose frame was written completely ends as not executed only if the other site
+    /// reported it.
     #[test]
     fn each_attempt_ends_once_with_the_right_outcome(steps in proptest::collection::vec(step(), 0..150)) {
-        let mut f: SentForwards<u32> = SentForwards::default();
+        let mut forwards: SentForwards<u32> = SentForwards::default();
         let (mut next_attempt, mut open, mut written) = (0, Vec::new(), Vec::new());
         let mut newest = 0;
         for step in steps {
-            let site_says = matches!(step, Step::End(_));
+            let reported_by_site = matches!(step, Step::End(_));
             let closed: Vec<ClosedForward<u32>> = match step {
                 Step::Begin(idempotent) => {
-                    newest = f.begin(new_forward([(0, next_attempt), (1, next_attempt + 1)], idempotent, 0, 0));
+                    newest = forwards.begin(new_forward([(0, next_attempt), (1, next_attempt + 1)], idempotent, 0, 0));
                     open.extend([next_attempt, next_attempt + 1]);
                     next_attempt += 2;
                     vec![]
                 }
                 Step::Write if newest == 0 => vec![],
-                Step::Write => { f.mark_written(newest); written.extend([next_attempt.saturating_sub(2), next_attempt.saturating_sub(1)]); vec![] }
+                Step::Write => { forwards.mark_written(newest); written.extend([next_attempt.saturating_sub(2), next_attempt.saturating_sub(1)]); vec![] }
                 Step::Part(shard) => {
-                    if let Some(attempt) = f.part_answered(newest, shard) {
+                    if let Some(attempt) = forwards.part_answered(newest, shard) {
                         prop_assert!(open.contains(&attempt));
-                        open.retain(|c| *c != attempt);
+                        open.retain(|other| *other != attempt);
                     }
                     vec![]
                 }
                 Step::End(n) => {
                     let outcomes = [ForwardOutcome::Complete, ForwardOutcome::Rejected { retry_after: TimeSpan::ZERO }, ForwardOutcome::Aborted, ForwardOutcome::TooLate, ForwardOutcome::NotServed, ForwardOutcome::Unknown];
-                    f.end(newest, outcomes[n as usize], 1).into_iter().collect()
+                    forwards.end(newest, outcomes[n as usize], 1).into_iter().collect()
                 }
-                Step::LoseConnection => f.connection_lost(),
-                Step::Reconnect(same) => match f.reconnected(same) {
+                Step::LoseConnection => forwards.connection_lost(),
+                Step::Reconnect(same) => match forwards.reconnected(same) {
                     Reconnection::RequestStatus(_) => vec![],
                     Reconnection::Closed(closed) => closed,
                 },
-                Step::Cancel(attempt) => { if f.cancel(attempt).is_some() { open.retain(|c| *c != attempt); } vec![] }
-                Step::Expire => f.expire(deadline()),
+                Step::Cancel(attempt) => { if forwards.cancel(attempt).is_some() { open.retain(|other| *other != attempt); } vec![] }
+                Step::Expire => forwards.expire(deadline()),
             };
-            for (attempt, outcome) in closed.into_iter().flat_map(|closed| ends(&closed)) {
-                prop_assert!(open.contains(&attempt), "it ends twice");
-                open.retain(|c| *c != attempt);
-                let never = matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NoCapacity | AttemptOutcome::NeverSent);
-                prop_assert!(!never || site_says || !written.contains(&attempt), "{attempt} was written whole: {outcome:?}");
+            for (attempt, outcome) in closed.into_iter().flat_map(|closed| attempt_outcomes(&closed)) {
+                prop_assert!(open.contains(&attempt), "attempt ended twice");
+                open.retain(|other| *other != attempt);
+                let not_executed = matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NoCapacity | AttemptOutcome::NeverSent);
+                prop_assert!(!not_executed || reported_by_site || !written.contains(&attempt), "attempt {attempt} was written completely: {outcome:?}");
             }
         }
-        f.expire(deadline()).into_iter().flat_map(|closed| ends(&closed)).for_each(|(attempt, _)| open.retain(|c| *c != attempt));
-        prop_assert!(open.is_empty() && f.outstanding() == 0, "all end by their deadline");
+        forwards.expire(deadline()).into_iter().flat_map(|closed| attempt_outcomes(&closed)).for_each(|(attempt, _)| open.retain(|other| *other != attempt));
+        prop_assert!(open.is_empty() && forwards.outstanding() == 0, "forwards are outstanding after their deadline");
     }
 }
--- a/crates/pipitcrank-gateway/src/site_health.rs
+++ b/crates/pipitcrank-gateway/src/site_health.rs
@@ -1,63 +1,64 @@
-//! Whether parts may be sent to a site, and what the detour costs: decided here for each site, from what its links say and
-//! how forwards ended. No I/O. The result narrows the choice: the decision module takes a site's cells as candidates at
-//! that delay, or not at all; it still chooses among what is left.
+//! Health of one remote site: whether it is open, which means that parts may be sent to it, and the delay of its cells.
+//! Both follow from the state of its links and the outcomes of forwards. No I/O. The decision module adds the cells of
+//! an open site to its candidates, with that delay, and ignores those of a closed site.
 //!
 //! ```text
-//! no link, no round trip known           -> closed
-//! nothing received for too long          -> closed until something is
-//! asked to retry later                   -> closed until then; no failure of the site (it is overloaded, not broken)
-//! MAX_FAILURES forwards in a row failed  -> ejected, twice as long each time, then on trial: one forward at a time
-//! TRIALS_TO_RETURN trials answered       -> open
-//! else                                   -> open, at the bound of the round trip + the preference of local replicas
+//! no connection, or round trip unknown          -> closed
+//! nothing received for too long                 -> closed until the next message
+//! forwards outstanding, none answered too long  -> closed until the next answer
+//! rejection with a retry-after                  -> closed until it has passed; no failure, as the site is only overloaded
+//! MAX_FAILURES consecutive failures             -> ejected, twice as long each time; then trials, one forward at a time
+//! TRIALS_TO_RETURN trials answered              -> open
+//! otherwise                                     -> open, delay = bound of the round trip + local preference
 //! ```
 
 use std::collections::BTreeMap;
 
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-/// Failed forwards in a row that eject a site: one may be a replica's fault.
+/// Consecutive failed forwards after which a site is ejected; a single failure may be the fault of one replica.
 const MAX_FAILURES: u32 = 3;
-/// Answered trials in a row that end an ejection.
+/// Consecutive answered trials after which a site is healthy again.
 const TRIALS_TO_RETURN: u32 = 3;
-/// First ejection: some round trips of any link that is of use.
+/// Duration of the first ejection: several round trips of any usable link.
 const EJECTION_TIME: TimeSpan = TimeSpan::from_millis(500);
-/// Longest ejection: short against an outage, so that the end of one is seen soon.
+/// Maximum duration of an ejection; short compared with an outage, so that recovery is detected soon.
 const MAX_EJECTION_TIME: TimeSpan = TimeSpan::from_millis(8000);
-/// Most doublings of an ejection that are computed.
+/// Maximum number of doublings in the computation of an ejection's duration.
 const MAX_EJECTION_DOUBLINGS: u32 = 10;
-/// Weight of the newest round trip in the mean (RFC 6298, section 2: alpha).
+/// Weight of the newest sample in a mean (RFC 6298, section 2: alpha).
 const MEAN_WEIGHT: f64 = 0.125;
 /// Weight of the newest deviation in the mean deviation (RFC 6298, section 2: beta).
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// Weight in the mean of a round trip above the bound: the mean would take a second to show a link that becomes slow at
-/// once under load.
+/// Weight in the mean of a round trip above the bound. With [`MEAN_WEIGHT`] the mean would take a second to follow a
+/// link that suddenly becomes slow under load.
 const OUTLIER_WEIGHT: f64 = 0.5;
-/// Mean deviations on top of the mean, as in RFC 6298.
-const DEVIATIONS: f64 = 4.0;
+/// Number of mean deviations between the mean and the bound, as in RFC 6298.
+const DEVIATION_MULTIPLIER: f64 = 4.0;
 /// Interval of heartbeats on a link.
 pub const HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
-/// A site is closed after so many heartbeat intervals, and `SILENT_ROUND_TRIPS`, without a message.
-const SILENT_HEARTBEATS: f64 = 3.0;
-/// See [`SILENT_HEARTBEATS`].
-const SILENT_ROUND_TRIPS: f64 = 2.0;
-/// Longest time that a site can ask for before the next forward.
+/// A site is closed after this many heartbeat intervals plus [`MAX_SILENT_ROUND_TRIPS`] round trips without a message.
+const MAX_SILENT_HEARTBEATS: f64 = 3.0;
+/// See [`MAX_SILENT_HEARTBEATS`].
+const MAX_SILENT_ROUND_TRIPS: f64 = 2.0;
+/// Maximum retry-after; a longer one in a rejection is shortened to it.
 const MAX_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(2000);
-/// A site that answers pings, but no forward for so many of its usual times and at least `MIN_STUCK_TIME`, is closed until
-/// it does: it accepts and is silent. Usual times scatter threefold.
-const STUCK_USUAL_TIMES: f64 = 6.0;
-/// See [`STUCK_USUAL_TIMES`].
-const MIN_STUCK_TIME: TimeSpan = TimeSpan::from_millis(300);
+/// Multiple of the mean duration of forwards. A site that answers pings, but no forward for this long and for at least
+/// [`MIN_STALL_TIME`], is closed until it answers one. Normal durations vary by a factor of three.
+const STALL_FACTOR: f64 = 6.0;
+/// See [`STALL_FACTOR`].
+const MIN_STALL_TIME: TimeSpan = TimeSpan::from_millis(300);
 
-/// What the end of a forward tells of the site's health.
+/// Outcome of a forward in terms of the site's health.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ForwardResult {
-    /// All its parts were answered.
+    /// All parts were answered.
     Answered,
-    /// The site is overloaded: nothing more is to be sent for so long.
+    /// The site is overloaded and should receive no forwards for this time.
     Rejected(TimeSpan),
-    /// It could not have been back in time, or was cancelled by us: tells nothing of the site.
+    /// The forward had too little time left or was cancelled, which indicates nothing about the site.
     Neutral,
-    /// Failed, lost with its link, or not answered by its deadline.
+    /// The forward failed, was lost with its connection, or was not answered by its deadline.
     Failed,
 }
 
@@ -76,15 +77,15 @@
 }
 
 impl RoundTrip {
-    /// What a round trip takes at most, in all but rare cases.
+    /// Upper bound of nearly all round trips, in seconds.
     fn bound(self) -> f64 {
-        self.mean + DEVIATIONS * self.deviation
+        self.mean + DEVIATION_MULTIPLIER * self.deviation
     }
 
     fn updated(self, newest: f64) -> RoundTrip {
         let RoundTrip { mean, deviation } = self;
         let deviation = deviation + DEVIATION_WEIGHT * ((newest - mean).abs() - deviation);
-        let is_outlier = newest > mean + DEVIATIONS * deviation;
+        let is_outlier = newest > mean + DEVIATION_MULTIPLIER * deviation;
         let weight = if is_outlier { OUTLIER_WEIGHT } else { MEAN_WEIGHT };
         RoundTrip { mean: mean + weight * (newest - mean), deviation }
     }
@@ -92,24 +93,24 @@
 
 /// Health of one site.
 pub struct SiteHealth {
-    /// Added to the round trip, so that local replicas are preferred.
+    /// Added to the round trip, so that local replicas are preferred over the site's.
     local_preference: TimeSpan,
     links_up: u32,
     round_trip: Option<RoundTrip>,
     last_message: Timestamp,
     retry_after: Timestamp,
     ejection: EjectionState,
-    /// When each outstanding forward was sent; removed at its end.
+    /// Send time of each outstanding forward, by id; removed when the forward ends.
     outstanding: BTreeMap<u64, Timestamp>,
-    /// When a forward was last answered, in whole or part.
+    /// Last time of progress: an answer, a rejection, or a forward sent while none was outstanding.
     last_answer: Timestamp,
-    /// How long forwards usually take, in seconds.
-    usual_time: Option<f64>,
+    /// Mean duration of answered forwards, in seconds.
+    mean_duration: Option<f64>,
     last_id: u64,
 }
 
 impl SiteHealth {
-    /// A site without a link; `local_preference` is added to its round trip.
+    /// A site without a connection; `local_preference` is added to its round trip.
     pub fn new(local_preference: TimeSpan) -> SiteHealth {
         let never = Timestamp::from_micros(i64::MIN / 4);
         SiteHealth {
@@ -121,32 +122,32 @@
             ejection: EjectionState::Healthy { failures: 0 },
             outstanding: BTreeMap::new(),
             last_answer: never,
-            usual_time: None,
+            mean_duration: None,
             last_id: 0,
         }
     }
 
-    /// A link to the site is up.
+    /// Records that a connection to the site was established.
     pub fn link_up(&mut self, now: Timestamp) {
         self.links_up += 1;
         self.last_message = now;
     }
 
-    /// A link to the site is down.
+    /// Records that a connection to the site has ended.
     pub fn link_down(&mut self) {
         self.links_up = self.links_up.saturating_sub(1);
         if self.links_up == 0 {
-            // The next connection may take another path.
+            // The next connection may use another network path.
             self.round_trip = None;
         }
     }
 
-    /// Something was received from the site.
+    /// Records that bytes were received from the site.
     pub fn message_received(&mut self, now: Timestamp) {
         self.last_message = now;
     }
 
-    /// A heartbeat was answered after so long.
+    /// Records the round trip of a heartbeat.
     pub fn round_trip_measured(&mut self, now: Timestamp, round_trip: TimeSpan) {
         self.last_message = now;
         let newest = round_trip.as_secs_f64().max(0.0);
@@ -156,17 +157,17 @@
         });
     }
 
-    /// What a round trip takes at most, in all but rare cases; none without a link.
+    /// Upper bound of nearly all round trips; `None` if unknown.
     pub fn round_trip_bound(&self) -> Option<TimeSpan> {
         self.round_trip.map(|known| TimeSpan::from_secs_f64(known.bound()))
     }
 
-    /// The mean round trip; none without a link.
+    /// Mean round trip; `None` if unknown.
     pub fn mean_round_trip(&self) -> Option<TimeSpan> {
         self.round_trip.map(|known| TimeSpan::from_secs_f64(known.mean))
     }
 
-    /// A forward is sent; its id here.
+    /// Records that a forward is sent and returns its id in this state machine.
     pub fn forward_sent(&mut self, now: Timestamp) -> u64 {
         self.last_id += 1;
         if self.outstanding.is_empty() {
@@ -176,12 +177,12 @@
         self.last_id
     }
 
-    /// Part of a forward was answered.
+    /// Records that a part of a forward was answered.
     pub fn part_answered(&mut self, now: Timestamp) {
         self.last_answer = now;
     }
 
-    /// The forward of that id has ended.
+    /// Records the result of the forward `id`.
     pub fn forward_ended(&mut self, now: Timestamp, id: u64, result: ForwardResult) {
         let Some(sent) = self.outstanding.remove(&id) else { return };
         match result {
@@ -197,8 +198,9 @@
 
     fn forward_answered(&mut self, now: Timestamp, sent: Timestamp) {
         self.last_answer = now;
-        let took = (now - sent).as_secs_f64();
-        self.usual_time = Some(self.usual_time.map_or(took, |usual| usual + MEAN_WEIGHT * (took - usual)));
+        let duration = (now - sent).as_secs_f64();
+        self.mean_duration =
+            Some(self.mean_duration.map_or(duration, |mean| mean + MEAN_WEIGHT * (duration - mean)));
         self.ejection = match self.ejection {
             EjectionState::Trial { answered, ejections } if answered + 1 < TRIALS_TO_RETURN => {
                 EjectionState::Trial { answered: answered + 1, ejections }
@@ -225,7 +227,7 @@
         }
     }
 
-    /// The delay of the site's cells while parts may be sent there; none while it is closed.
+    /// Delay of the site's cells while the site is open; `None` while it is closed.
     pub fn delay(&mut self, now: Timestamp) -> Option<TimeSpan> {
         if let EjectionState::Ejected { until, ejections } = self.ejection
             && now >= until
@@ -233,28 +235,28 @@
             self.ejection = EjectionState::Trial { answered: 0, ejections };
         }
         let round_trip = self.round_trip_bound().filter(|_| self.links_up > 0)?;
-        let max_silence = HEARTBEAT_INTERVAL * SILENT_HEARTBEATS + round_trip * SILENT_ROUND_TRIPS;
-        let admitted = match self.ejection {
+        let max_silence = HEARTBEAT_INTERVAL * MAX_SILENT_HEARTBEATS + round_trip * MAX_SILENT_ROUND_TRIPS;
+        let ejection_permits = match self.ejection {
             EjectionState::Healthy { .. } => true,
             EjectionState::Ejected { .. } => false,
             EjectionState::Trial { .. } => self.outstanding.is_empty(),
         };
-        let is_open = admitted
+        let is_open = ejection_permits
             && now - self.last_message <= max_silence
             && now >= self.retry_after
-            && !self.is_stuck(now);
+            && !self.is_stalled(now);
         is_open.then(|| round_trip + self.local_preference)
     }
 
-    /// It has forwards of ours and answers none.
-    fn is_stuck(&self, now: Timestamp) -> bool {
+    /// Whether forwards are outstanding and none has been answered for too long.
+    fn is_stalled(&self, now: Timestamp) -> bool {
         let Some(&oldest) = self.outstanding.values().min() else { return false };
-        let usual = TimeSpan::from_secs_f64(self.usual_time.unwrap_or(0.0)) * STUCK_USUAL_TIMES;
+        let max_duration = TimeSpan::from_secs_f64(self.mean_duration.unwrap_or(0.0)) * STALL_FACTOR;
         let round_trip = self.mean_round_trip().unwrap_or(TimeSpan::ZERO);
-        now - oldest.max(self.last_answer) > usual.max(MIN_STUCK_TIME + round_trip)
+        now - oldest.max(self.last_answer) > max_duration.max(MIN_STALL_TIME + round_trip)
     }
 
-    /// How many forwards are outstanding.
+    /// Number of outstanding forwards.
     pub fn outstanding(&self) -> usize {
         self.outstanding.len()
     }
