--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -1,4 +1,4 @@
-//! The link server on a real socket against a peer that may do anything, and the retry budget delegated to another site.
+//! Tests of the link server over TCP with a scripted peer, and of the retry budget with delegation to another site.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -35,22 +35,23 @@
   "sets":1,"shards":4,"span":1},"rules":{"cold_from":0.3,"cold_s":9.0,"drain_grace_s":2.0,"fall_s":1.5,
   "overload_factor":4.0},"tick_s":0.001}"#;
 
-/// A replica side that answers each part at once, once for each run that it counts, or holds it.
+/// Transport that records the attempts sent to replicas, and answers each at once if `answers` is set.
 struct CountingReplicas {
     event_loop: Rc<EventLoop>,
-    ran: Rc<RefCell<Vec<AttemptId>>>,
+    executed: Rc<RefCell<Vec<AttemptId>>>,
     answers: bool,
 }
 
 impl ReplicaTransport for CountingReplicas {
     fn set_address(&mut self, _: ReplicaId, _: SocketAddr) {}
     fn remove_replica(&mut self, _: ReplicaId) {}
-    fn send_attempts(&mut self, _: ReplicaId, parts: Vec<AttemptId>) {
-        self.ran.borrow_mut().extend(&parts);
+    fn send_attempts(&mut self, _: ReplicaId, attempts: Vec<AttemptId>) {
+        self.executed.borrow_mut().extend(&attempts);
         let (event_loop, answers) = (self.event_loop.clone(), self.answers);
         tokio::task::spawn_local(async move {
-            for call in parts.into_iter().filter(|_| answers) {
-                event_loop.update(|e| e.attempt_ended(call, AttemptOutcome::Success, Some("v".into()), None));
+            for attempt in attempts.into_iter().filter(|_| answers) {
+                event_loop
+                    .update(|e| e.attempt_ended(attempt, AttemptOutcome::Success, Some("v".into()), None));
             }
         });
     }
@@ -58,24 +59,24 @@
     fn send_load_probe(&mut self, _: ReplicaId) {}
 }
 
-struct Scene {
+struct Harness {
     address: SocketAddr,
     event_loop: Rc<EventLoop>,
-    ran: Rc<RefCell<Vec<AttemptId>>>,
-    leave: watch::Sender<bool>,
+    executed: Rc<RefCell<Vec<AttemptId>>>,
+    draining: watch::Sender<bool>,
 }
 
-fn play(answers: bool, scene: impl AsyncFnOnce(Scene)) {
+fn run_with_server(answers: bool, test: impl AsyncFnOnce(Harness)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = free.local_addr().unwrap();
-        drop(free);
+        let reserved = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = reserved.local_addr().unwrap();
+        drop(reserved);
         let (clock, counters) = (Clock::start(), Counters::default());
         let coordinator =
             SettingsReader::new(&serde_json::from_str(NODE_CONFIG).unwrap()).coordinator(1).unwrap();
         let mut exchange = Exchange::new(coordinator, 1000, 4, counters.clone());
-        let row = Endpoint {
+        let endpoint = Endpoint {
             uid: "l".into(),
             address: Some(address),
             cell: 0,
@@ -83,10 +84,10 @@
             up: true,
             started: None,
         };
-        exchange.update_endpoints(clock.now(), true, vec![row]);
+        exchange.update_endpoints(clock.now(), true, vec![endpoint]);
         let event_loop = Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange));
-        let (second, ran) = (Duration::from_secs(1), Rc::default());
-        let (leave, left) = watch::channel(false);
+        let (second, executed) = (Duration::from_secs(1), Rc::default());
+        let (draining, draining_receiver) = watch::channel(false);
         let context = ServerContext {
             event_loop: event_loop.clone(),
             replicas: ReplicaPool::new(event_loop.clone(), 8, second, second),
@@ -95,7 +96,7 @@
             cells: 1,
             max_deadline: TimeSpan::from_millis(6000),
             tickets: Arc::new(AtomicU64::new(0)),
-            draining: left.clone(),
+            draining: draining_receiver.clone(),
             shutdown_requested: watch::channel(None).1,
             zones: None,
             priority_weights: vec![1.0; 2],
@@ -105,38 +106,41 @@
         tokio::task::spawn_local(server.listen(address));
         let replicas: Rc<RefCell<dyn ReplicaTransport>> = Rc::new(RefCell::new(CountingReplicas {
             event_loop: event_loop.clone(),
-            ran: Rc::clone(&ran),
+            executed: Rc::clone(&executed),
             answers,
         }));
-        let turns = event_loop.clone();
-        tokio::task::spawn_local(async move { turns.run(TimeSpan::from_millis(1), &*replicas).await });
-        tokio::time::timeout(Duration::from_secs(30), scene(Scene { address, event_loop, ran, leave }))
-            .await
-            .unwrap();
+        let loop_handle = event_loop.clone();
+        tokio::task::spawn_local(async move { loop_handle.run(TimeSpan::from_millis(1), &*replicas).await });
+        tokio::time::timeout(
+            Duration::from_secs(30),
+            test(Harness { address, event_loop, executed, draining }),
+        )
+        .await
+        .unwrap();
     });
 }
 
 struct Peer {
     stream: TcpStream,
-    read: BytesMut,
+    buffer: BytesMut,
 }
 
 impl Peer {
-    async fn connect(scene: &Scene) -> Peer {
+    async fn connect(harness: &Harness) -> Peer {
         for _ in 0..200 {
-            if let Ok(stream) = TcpStream::connect(scene.address).await {
-                return Peer { stream, read: BytesMut::new() };
+            if let Ok(stream) = TcpStream::connect(harness.address).await {
+                return Peer { stream, buffer: BytesMut::new() };
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("nobody listens");
+        panic!("could not connect to the link server within 2 s");
     }
 
-    async fn connected(scene: &Scene, incarnation: u64) -> Peer {
-        let mut peer = Peer::connect(scene).await;
+    async fn connected(harness: &Harness, incarnation: u64) -> Peer {
+        let mut peer = Peer::connect(harness).await;
         peer.send(&hello("north", PROTOCOL_VERSION, incarnation)).await;
         let Some(LinkMessage::Hello { site, incarnation: 77, .. }) = peer.receive().await else {
-            panic!("no handshake")
+            panic!("expected the handshake of incarnation 77")
         };
         assert_eq!(site, "south");
         peer
@@ -150,23 +154,23 @@
         let _ = self.stream.write_all(bytes).await;
     }
 
-    /// The next message, none at the end.
+    /// Receives the next message; `None` at the end of the connection.
     async fn receive(&mut self) -> Option<LinkMessage> {
         loop {
-            if let Some((message, _)) = take_frame(&mut self.read).unwrap() {
+            if let Some((message, _)) = take_frame(&mut self.buffer).unwrap() {
                 return Some(message);
             }
-            if !matches!(self.stream.read_buf(&mut self.read).await, Ok(1..)) {
+            if !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(1..)) {
                 return None;
             }
         }
     }
 
-    /// The answers to a forward, up to its end.
+    /// Receives the answers to a forward up to its end; returns their shards and the outcome.
     async fn status(&mut self) -> (Vec<u32>, ForwardOutcome) {
         let mut shards = Vec::new();
         loop {
-            match self.receive().await.expect("an end of it") {
+            match self.receive().await.expect("the connection closed before the end of the forward") {
                 LinkMessage::PartAnswer { shard, .. } => shards.push(shard),
                 LinkMessage::End { outcome, .. } => return (shards, outcome),
                 _ => {}
@@ -204,67 +208,67 @@
 }
 
 #[test]
-fn parts_come_back_and_a_repeat_is_answered_without_running_again() {
-    play(true, async |scene| {
-        let mut peer = Peer::connected(&scene, 1).await;
+fn repeated_forward_is_answered_without_running_again() {
+    run_with_server(true, async |harness| {
+        let mut peer = Peer::connected(&harness, 1).await;
         peer.send(&forward(1, "sale")).await;
         let (mut shards, outcome) = peer.status().await;
         shards.sort_unstable();
         assert_eq!((shards, outcome), (vec![0, 2], ForwardOutcome::Complete));
-        assert_eq!(scene.ran.borrow().len(), 2);
-        // The same over the same link, over a new one, and asked by number.
+        assert_eq!(harness.executed.borrow().len(), 2);
+        // Repeats of the forward: on the same connection, on a new one, and as a status request.
         peer.send(&forward(1, "sale")).await;
         assert_eq!(peer.status().await.1, ForwardOutcome::Complete);
         drop(peer);
-        let mut peer = Peer::connected(&scene, 1).await;
+        let mut peer = Peer::connected(&harness, 1).await;
         peer.send(&forward(1, "sale")).await;
         assert_eq!(peer.status().await.0.len(), 2);
         peer.send(&LinkMessage::StatusRequest { numbers: vec![1] }).await;
         assert_eq!(peer.status().await.0.len(), 2);
-        assert_eq!(scene.ran.borrow().len(), 2, "nothing ran again");
+        assert_eq!(harness.executed.borrow().len(), 2, "a repeat is not executed");
     });
 }
 
 #[test]
-fn a_forward_cut_at_any_byte_never_ran_and_one_that_came_whole_is_known_after_the_break() {
-    play(true, async |scene| {
+fn truncated_forward_never_runs_and_complete_one_is_recorded() {
+    run_with_server(true, async |harness| {
         let whole = encode(&forward(1, "sale"));
         for cut in 0..whole.len() {
-            let mut peer = Peer::connected(&scene, 100 + cut as u64).await;
+            let mut peer = Peer::connected(&harness, 100 + cut as u64).await;
             peer.write(&whole[..cut]).await;
             drop(peer);
-            let mut peer = Peer::connected(&scene, 100 + cut as u64).await;
+            let mut peer = Peer::connected(&harness, 100 + cut as u64).await;
             peer.send(&LinkMessage::StatusRequest { numbers: vec![1] }).await;
             assert_eq!(peer.status().await, (vec![], ForwardOutcome::Unknown), "cut at {cut}");
-            // It arrives after all: it was reported unknown, so it is not begun.
+            // The forward was reported as unknown, so it is not started when it arrives later.
             peer.write(&whole).await;
             assert_eq!(peer.status().await, (vec![], ForwardOutcome::Unknown));
         }
-        assert!(scene.ran.borrow().is_empty(), "nothing of it ran");
-        let mut peer = Peer::connected(&scene, 5).await;
+        assert!(harness.executed.borrow().is_empty(), "a truncated forward is not executed");
+        let mut peer = Peer::connected(&harness, 5).await;
         peer.write(&whole).await;
         assert!(matches!(peer.receive().await, Some(LinkMessage::PartAnswer { .. })));
         drop(peer);
-        let mut peer = Peer::connected(&scene, 5).await;
+        let mut peer = Peer::connected(&harness, 5).await;
         peer.send(&LinkMessage::StatusRequest { numbers: vec![1] }).await;
         assert_eq!(peer.status().await.1, ForwardOutcome::Complete);
-        assert_eq!(scene.ran.borrow().len(), 2, "once");
+        assert_eq!(harness.executed.borrow().len(), 2, "each part is executed once");
     });
 }
 
 #[test]
-fn an_answer_cut_at_any_byte_is_sent_again_over_the_next_link() {
-    play(true, async |scene| {
-        let mut done = 0;
+fn truncated_answer_is_sent_again_on_the_next_link() {
+    run_with_server(true, async |harness| {
+        let mut answered_parts = 0;
         for n in 0..24 {
-            let mut peer = Peer::connected(&scene, 7).await;
+            let mut peer = Peer::connected(&harness, 7).await;
             peer.send(&forward(n + 1, "sale")).await;
-            let mut some = vec![0; n as usize];
-            let _ = peer.stream.read_exact(&mut some).await;
+            let mut partial = vec![0; n as usize];
+            let _ = peer.stream.read_exact(&mut partial).await;
             drop(peer);
-            let mut peer = Peer::connected(&scene, 7).await;
+            let mut peer = Peer::connected(&harness, 7).await;
             peer.send(&LinkMessage::StatusRequest { numbers: vec![n + 1] }).await;
-            // Either it had come whole, and is answered once, or it never ran.
+            // The forward was either received completely and executed once, or it was not executed.
             let (shards, outcome) = peer.status().await;
             assert!(
                 matches!(
@@ -273,17 +277,21 @@
                 ),
                 "{shards:?} {outcome:?}"
             );
-            done += shards.len();
+            answered_parts += shards.len();
         }
-        assert!(done > 20, "most had come whole");
-        assert_eq!(scene.ran.borrow().len(), done, "each ran once, and those that did not come never");
+        assert!(answered_parts > 20, "most forwards were received completely");
+        assert_eq!(
+            harness.executed.borrow().len(),
+            answered_parts,
+            "each answered part was executed once, and no other part was executed"
+        );
     });
 }
 
 #[test]
 fn forwards_not_served_here_or_too_late_are_refused_at_once() {
-    play(true, async |scene| {
-        let mut peer = Peer::connected(&scene, 1).await;
+    run_with_server(true, async |harness| {
+        let mut peer = Peer::connected(&harness, 1).await;
         let mut n = 0;
         for (change, outcome) in [
             ((|f| f.time_left = TimeSpan::from_millis(1)) as fn(&mut Forward), ForwardOutcome::TooLate),
@@ -299,92 +307,103 @@
             peer.send(&LinkMessage::Forward(f)).await;
             assert_eq!(peer.status().await, (vec![], outcome));
         }
-        assert!(scene.ran.borrow().is_empty());
+        assert!(harness.executed.borrow().is_empty());
     });
 }
 
 #[test]
 fn a_cancelled_forward_ends_its_query_and_reports_its_retries() {
-    play(false, async |scene| {
-        let mut peer = Peer::connected(&scene, 1).await;
+    run_with_server(false, async |harness| {
+        let mut peer = Peer::connected(&harness, 1).await;
         peer.send(&forward(1, "view")).await;
-        while scene.ran.borrow().is_empty() {
+        while harness.executed.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         peer.send(&LinkMessage::Cancel { number: 1 }).await;
         assert_eq!(peer.status().await, (vec![], ForwardOutcome::Aborted));
         tokio::time::sleep(Duration::from_millis(20)).await;
-        assert!(scene.event_loop.read(Exchange::is_drained), "nothing is held for it");
+        assert!(
+            harness.event_loop.read(Exchange::is_drained),
+            "a cancelled forward leaves no state in the exchange"
+        );
     });
 }
 
 #[test]
-fn unknown_sites_other_versions_and_bad_frames_end_their_own_link_only() {
-    play(true, async |scene| {
-        let mut other = Peer::connected(&scene, 1).await;
-        let endless = [&u32::MAX.to_be_bytes()[..], &[0; 50]].concat();
+fn invalid_peers_end_only_their_own_link() {
+    run_with_server(true, async |harness| {
+        let mut other = Peer::connected(&harness, 1).await;
+        let oversized = [&u32::MAX.to_be_bytes()[..], &[0; 50]].concat();
         let wrong_direction = encode(&LinkMessage::PartAnswer { number: 9, shard: 0, value: "x".into() });
-        for (hello_bytes, then, why) in [
+        for (hello_bytes, next_bytes, counter) in [
             (encode(&hello("east", PROTOCOL_VERSION, 1)), vec![], "peers stranger"),
             (encode(&hello("north", PROTOCOL_VERSION + 1, 1)), vec![], "peers other_version"),
             (b"GET / HTTP/1.1\r\n\r\n".to_vec(), vec![], "peers bad_bytes"),
-            (encode(&hello("north", PROTOCOL_VERSION, 2)), endless, "peers bad_bytes"),
+            (encode(&hello("north", PROTOCOL_VERSION, 2)), oversized, "peers bad_bytes"),
             (encode(&hello("north", PROTOCOL_VERSION, 3)), wrong_direction, "peers bad_bytes"),
             (encode(&hello("north", PROTOCOL_VERSION, 4)), vec![0, 0, 0, 2, 99, 99], "peers bad_bytes"),
         ] {
-            let counted = || {
-                let (what, which) = why.split_once(' ').unwrap();
-                scene
+            let counter_value = || {
+                let (group, name) = counter.split_once(' ').unwrap();
+                harness
                     .event_loop
                     .counters
                     .all()
                     .iter()
-                    .find(|c| c.group == what && c.name == which)
+                    .find(|c| c.group == group && c.name == name)
                     .map_or(0, |c| c.value)
             };
-            let before = counted();
-            let mut peer = Peer::connect(&scene).await;
+            let before = counter_value();
+            let mut peer = Peer::connect(&harness).await;
             peer.write(&hello_bytes).await;
-            peer.write(&then).await;
+            peer.write(&next_bytes).await;
             while peer.receive().await.is_some() {}
-            assert_eq!(counted(), before + 1, "{why}");
+            assert_eq!(counter_value(), before + 1, "{counter}");
         }
         other.send(&forward(1, "view")).await;
-        assert_eq!(other.status().await.1, ForwardOutcome::Complete, "others go on");
+        assert_eq!(other.status().await.1, ForwardOutcome::Complete, "the links of other peers continue");
     });
 }
 
 #[test]
-fn a_draining_site_begins_nothing_new_answers_what_it_has_and_frees_its_address() {
-    play(true, async |scene| {
-        let mut peer = Peer::connected(&scene, 1).await;
+fn draining_site_refuses_new_forwards_and_releases_its_address() {
+    run_with_server(true, async |harness| {
+        let mut peer = Peer::connected(&harness, 1).await;
         peer.send(&forward(1, "sale")).await;
         assert_eq!(peer.status().await.1, ForwardOutcome::Complete);
-        scene.leave.send_replace(true);
+        harness.draining.send_replace(true);
         peer.send(&forward(2, "sale")).await;
         peer.send(&forward(1, "sale")).await;
-        assert_eq!(peer.status().await, (vec![], ForwardOutcome::TooLate), "it may go elsewhere");
-        assert_eq!(peer.status().await.1, ForwardOutcome::Complete, "a repeat is known");
+        assert_eq!(
+            peer.status().await,
+            (vec![], ForwardOutcome::TooLate),
+            "a new forward is refused while draining"
+        );
+        assert_eq!(peer.status().await.1, ForwardOutcome::Complete, "a repeat is answered while draining");
         while peer.receive().await.is_some() {}
-        assert_eq!(scene.ran.borrow().len(), 2);
-        drop(std::net::TcpListener::bind(scene.address).expect("the address is free"));
-        scene.leave.send_replace(false);
-        let mut peer = Peer::connected(&scene, 2).await;
+        assert_eq!(harness.executed.borrow().len(), 2);
+        drop(std::net::TcpListener::bind(harness.address).expect("the address is released"));
+        harness.draining.send_replace(false);
+        let mut peer = Peer::connected(&harness, 2).await;
         peer.send(&forward(1, "view")).await;
-        assert_eq!(peer.status().await.1, ForwardOutcome::Complete, "it stays after all");
+        assert_eq!(
+            peer.status().await.1,
+            ForwardOutcome::Complete,
+            "forwards are accepted again after draining is cancelled"
+        );
     });
 }
 
 #[test]
 fn an_older_link_of_the_same_stream_is_closed() {
-    play(true, async |scene| {
-        let mut old = Peer::connected(&scene, 1).await;
-        let mut new = Peer::connected(&scene, 1).await;
+    run_with_server(true, async |harness| {
+        let mut old = Peer::connected(&harness, 1).await;
+        let mut new = Peer::connected(&harness, 1).await;
         new.send(&LinkMessage::StatusRequest { numbers: vec![1] }).await;
         assert_eq!(new.status().await.1, ForwardOutcome::Unknown);
         old.send(&forward(1, "sale")).await;
         while old.receive().await.is_some() {}
-        assert!(scene.ran.borrow().is_empty(), "what was reported unknown does not arrive after all");
+        assert!(harness.executed.borrow().is_empty(), "a forward reported as unknown is not executed");
     });
 }
 
@@ -395,7 +414,7 @@
     LocalRetry,
     Delegate(u32, i64),
     RemoteRetry(usize),
-    Return(usize),
+    ReturnUnused(usize),
     LinkBreaks(usize),
 }
 
@@ -408,7 +427,7 @@
         (1u32..4, 100i64..6000).prop_map(|(n, ms)| Step::Delegate(n, ms)),
         (0usize..6).prop_map(Step::RemoteRetry),
         (0usize..6).prop_map(Step::RemoteRetry),
-        (0usize..6).prop_map(Step::Return),
+        (0usize..6).prop_map(Step::ReturnUnused),
         (0usize..6).prop_map(Step::LinkBreaks),
     ]
 }
@@ -416,9 +435,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 1500, ..ProptestConfig::default() })]
 
-    /// The local budget alone decides what is delegated; other sites make retries at any time up to the deadline of the
-    /// delegation, also after the link broke and nothing is returned. Checked against the rule as worded at each retry of
-    /// either.
+    /// Retries are delegated from the local budget only. Other sites make delegated retries at any time up to the deadline of
+    /// the delegation, even after the link broke and unused retries are not returned. The budget rule is checked at each
+    /// local and each delegated retry.
     #[test]
     fn local_and_delegated_retries_together_keep_the_budget(
         steps in proptest::collection::vec(step(), 0..250), free in 0u32..6, fraction in 0.0f64..0.6, span_ms in 500i64..8000)
@@ -426,9 +445,9 @@
         let (free, span) = (f64::from(free), TimeSpan::from_millis(span_ms));
         let mut budget = RetryBudget::new(fraction, free, Some(span));
         let (mut now, mut accepted, mut retries) = (Timestamp::default(), Vec::new(), Vec::new());
-        let mut out: Vec<(u64, u32, u32, Timestamp, bool)> = Vec::new();
+        let mut delegations: Vec<(u64, u32, u32, Timestamp, bool)> = Vec::new();
         let mut delegation = 0;
-        let kept = |now: Timestamp, accepted: &[Timestamp], retries: &[Timestamp]| {
+        let is_within_budget = |now: Timestamp, accepted: &[Timestamp], retries: &[Timestamp]| {
             let accepted = accepted.iter().filter(|&&t| now - t < span).count() as f64;
             let retries = retries.iter().filter(|&&t| now - t <= span).count() as f64;
             retries <= free + fraction * accepted + 1e-9
@@ -440,26 +459,26 @@
                 Step::LocalRetry => if budget.remaining(now) >= 1.0 {
                     budget.spend(now);
                     retries.push(now);
-                    prop_assert!(kept(now, &accepted, &retries), "a local retry");
+                    prop_assert!(is_within_budget(now, &accepted, &retries), "budget exceeded by a local retry");
                 }
                 Step::Delegate(most, ms) => {
                     delegation += 1;
                     let until = now + TimeSpan::from_millis(ms);
                     let n = budget.delegate_up_to(now, delegation, most, until);
-                    out.push((delegation, n, n, until, true));
+                    delegations.push((delegation, n, n, until, true));
                 }
-                Step::RemoteRetry(n) => if let Some((_, _, left, until, _)) = out.get_mut(n)
+                Step::RemoteRetry(n) => if let Some((_, _, left, until, _)) = delegations.get_mut(n)
                     && *left > 0 && now < *until
                 {
                     *left -= 1;
                     retries.push(now);
-                    prop_assert!(kept(now, &accepted, &retries), "a remote retry");
+                    prop_assert!(is_within_budget(now, &accepted, &retries), "budget exceeded by a remote retry");
                 }
-                Step::Return(n) => if n < out.len() {
-                    let (delegation, delegated, left, _, linked) = out.remove(n);
-                    if linked { budget.settle_delegation(now, delegation, delegated - left); } else { out.push((delegation, delegated, left, now, linked)); }
+                Step::ReturnUnused(n) => if n < delegations.len() {
+                    let (delegation, delegated, left, _, linked) = delegations.remove(n);
+                    if linked { budget.settle_delegation(now, delegation, delegated - left); } else { delegations.push((delegation, delegated, left, now, linked)); }
                 }
-                Step::LinkBreaks(n) => if let Some(o) = out.get_mut(n) { o.4 = false; },
+                Step::LinkBreaks(n) => if let Some(o) = delegations.get_mut(n) { o.4 = false; },
             }
         }
     }
--- a/crates/pipitcrank-gateway/tests/stored_forms.rs
+++ b/crates/pipitcrank-gateway/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! Frames of the link between gateways, against bytes of an earlier version.
+//! Compatibility of link frames with bytes that an earlier version encoded.
 
 use bytes::BytesMut;
 use pipitcrank_core::time::TimeSpan;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn frames_of_a_link_are_read_and_written_as_by_an_earlier_version() {
+fn link_frames_are_compatible_with_an_earlier_version() {
     let end = |outcome| LinkMessage::End { number: 7, outcome, retries_made: 2 };
     let hello = LinkMessage::Hello {
         version: 1,
