--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -174,7 +174,7 @@
     #[error("frame is not exactly one message of protocol version {PROTOCOL_VERSION}")]
     Malformed,
     /// The message has a value that is out of bounds.
-    #[error("a value in the message is out of bounds")]
+    #[error("link message has a value outside its allowed range")]
     Invalid,
 }
 
--- a/crates/pipitcrank-gateway/src/message_sender.rs
+++ b/crates/pipitcrank-gateway/src/message_sender.rs
@@ -1,5 +1,5 @@
-//! Queue of messages to one peer. Any task of the process can append to it; one writer sends the messages in order,
-//! within the peer's credit.
+//! Queue of messages to one peer: tasks append messages to it, and one writer sends them in order, within the peer's
+//! credit.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/pipitcrank-gateway/src/received_forwards/tests.rs
+++ b/crates/pipitcrank-gateway/src/received_forwards/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_forward_reported_unknown_is_never_begun() {
+fn a_forward_reported_unknown_is_never_started() {
     let (mut received, now) = (ReceivedForwards::new("south", MAX_QUERY_TIME), Timestamp::from_micros(0));
     assert_eq!(received.status_or_mark_unknown(now, &stream(1), 4), None);
     assert_eq!(
@@ -119,7 +119,7 @@
     /// Compared with a set of all started forwards: no forward starts twice or after it was reported as unknown, and no entry
     /// outlives the time within which a repeat can arrive.
     #[test]
-    fn nothing_is_begun_twice(steps in proptest::collection::vec((0u8..5, 1u64..12, 0u64..2, 0i64..3000), 0..300)) {
+    fn no_forward_starts_twice(steps in proptest::collection::vec((0u8..5, 1u64..12, 0u64..2, 0i64..3000), 0..300)) {
         let (mut received, mut now) = (ReceivedForwards::new("south", MAX_QUERY_TIME), Timestamp::from_micros(0));
         let (mut started, mut unknown) = (BTreeSet::new(), BTreeSet::new());
         for (kind, number, incarnation, delay_ms) in steps {
