--- a/crates/pipitcrank-gateway/src/link_server.rs
+++ b/crates/pipitcrank-gateway/src/link_server.rs
@@ -56,7 +56,7 @@
                 Err(error) => {
                     if !std::mem::replace(&mut failure_logged, true) {
                         tracing::warn!(
-                            "/gateway/listen: can't listen on {address}: {error}; retrying every {LISTEN_RETRY_INTERVAL:?}"
+                            "/gateway/listen: can't listen on {address}: {error}; retry every {LISTEN_RETRY_INTERVAL:?}"
                         );
                     }
                     tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
--- a/crates/pipitcrank-gateway/src/sent_forwards.rs
+++ b/crates/pipitcrank-gateway/src/sent_forwards.rs
@@ -6,7 +6,7 @@
 //! | the part was answered | success |
 //! | the frame was not written completely | not executed |
 //! | the other site reported that the forward was never received, was not started or is rejected | not executed |
-//! | the frame was written completely, then the connection broke or the peer's process was replaced | may have been executed |
+//! | the frame was written, then the connection broke or the peer's process was replaced | may have been executed |
 //! | the other site reported a failure | executed and failed, or may have been executed |
 //!
 //! A non-idempotent forward in doubt waits for a new connection to the same process and a status request for its
--- a/crates/pipitcrank-gateway/src/site_health.rs
+++ b/crates/pipitcrank-gateway/src/site_health.rs
@@ -6,8 +6,8 @@
 //! no connection, or round trip unknown          -> closed
 //! nothing received for too long                 -> closed until the next message
 //! forwards outstanding, none answered too long  -> closed until the next answer
-//! rejection with a retry-after                  -> closed until it has passed; no failure, as the site is only overloaded
-//! MAX_FAILURES consecutive failures             -> ejected, twice as long each time; then trials, one forward at a time
+//! rejection with a retry-after                  -> closed until it has passed; no failure, only overload
+//! MAX_FAILURES consecutive failures             -> ejected, twice as long each time; then trials with one forward each
 //! TRIALS_TO_RETURN trials answered              -> open
 //! otherwise                                     -> open, delay = bound of the round trip + local preference
 //! ```
