--- a/crates/pipitcrank-testkit/src/query_log.rs
+++ b/crates/pipitcrank-testkit/src/query_log.rs
@@ -279,9 +279,9 @@
     }
     let RetryBudget { free, fraction, window, run_delay } = budget;
     let excess = repeated_runs.iter().map(|&t| {
-        let made = count_between(repeated_runs, t.saturating_sub(window), t);
-        let earned = count_between(&sent_times, t.saturating_sub(window + run_delay), t);
-        made as f64 - free - fraction * earned as f64
+        let run_count = count_between(repeated_runs, t.saturating_sub(window), t);
+        let sent_count = count_between(&sent_times, t.saturating_sub(window + run_delay), t);
+        run_count as f64 - free - fraction * sent_count as f64
     });
     excess.fold(-free, f64::max)
 }
--- a/crates/pipitcrank-testkit/src/replica.rs
+++ b/crates/pipitcrank-testkit/src/replica.rs
@@ -279,10 +279,11 @@
 fn parse_parts(mut call: &str) -> Vec<Part> {
     let mut parts = Vec::new();
     while let Some((line, rest)) = call.split_once('\n') {
-        let words: Vec<&str> = line.split(' ').collect();
-        let [id, shard, list, length] = words[..] else { break };
+        let fields: Vec<&str> = line.split(' ').collect();
+        let [id, shard, options, length] = fields[..] else { break };
         let Some((text, after)) = length.parse().ok().and_then(|n| rest.split_at_checked(n)) else { break };
-        let stated_deadline = list.split(',').find_map(|w| w.strip_prefix("d=")?.parse().ok()).unwrap_or(0);
+        let stated_deadline =
+            options.split(',').find_map(|option| option.strip_prefix("d=")?.parse().ok()).unwrap_or(0);
         parts.push(Part {
             id: id.to_string(),
             shard: shard.parse().unwrap_or(0),
@@ -347,7 +348,7 @@
             return Duration::from_millis(ms);
         }
         let factor = if let ReplicaBehavior::Slow(factor) = self.behavior.get() { factor } else { 1.0 };
-        let rng: f64 = self.rng.borrow_mut().random();
-        self.work.mean_time.mul_f64(factor * (0.5 + rng))
+        let random: f64 = self.rng.borrow_mut().random();
+        self.work.mean_time.mul_f64(factor * (0.5 + random))
     }
 }
