--- a/crates/pipitcrank-simulation/src/zones/report.rs
+++ b/crates/pipitcrank-simulation/src/zones/report.rs
@@ -70,10 +70,10 @@
     pub decisions: usize,
     /// Datagrams a second and node before the outage.
     #[serde(rename = "datagrams_calm")]
-    pub calm_datagrams: f64,
+    pub datagrams_before_outage: f64,
     /// Bytes a second and node before the outage.
     #[serde(rename = "bytes_calm")]
-    pub calm_bytes: f64,
+    pub bytes_before_outage: f64,
     /// Datagrams a second and node over the whole run.
     pub datagrams: f64,
     /// Bytes a second and node over the whole run.
@@ -114,8 +114,8 @@
             time_to_return_s: common.time_to_return_s,
             spread: spread_times(world),
             decisions: world.decisions.decisions.len(),
-            calm_datagrams: common.calm_traffic.datagrams as f64 / per_node / OUTAGE.start,
-            calm_bytes: common.calm_traffic.bytes as f64 / per_node / OUTAGE.start,
+            datagrams_before_outage: common.calm_traffic.datagrams as f64 / per_node / OUTAGE.start,
+            bytes_before_outage: common.calm_traffic.bytes as f64 / per_node / OUTAGE.start,
             datagrams: sent.datagrams as f64 / per_node / END_S,
             bytes: sent.bytes as f64 / per_node / END_S,
             busiest_node_bytes: common.busiest_node_bytes() as f64 / END_S,
