--- a/crates/pipitcrank-sim-adapter/src/endpoint_row.rs
+++ b/crates/pipitcrank-sim-adapter/src/endpoint_row.rs
@@ -1,4 +1,4 @@
-//! One row of an endpoint list.
+//! Row of an endpoint list.
 
 use pipitcrank_core::time::Timestamp;
 
@@ -15,25 +15,27 @@
 }
 
 impl EndpointRow {
-    /// Lifecycles on the wire: up, leaving, down.
+    /// Lifecycle of a replica that accepts parts.
     const UP: &str = "U";
+    /// Lifecycle of a replica that drains.
     const LEAVING: &str = "L";
+    /// Lifecycle of a replica that has stopped. Its row may have no cell.
     const DOWN: &str = "D";
 
     pub fn read(line: &Line) -> Result<EndpointRow, ProtocolError> {
-        if line.word() != "ROW" {
-            return Err(line.error("rows", "counts more rows than follow"));
+        if line.keyword() != "ROW" {
+            return Err(line.error("rows", "is larger than the number of ROW lines"));
         }
         let lifecycle = line.field("lifecycle")?;
         if ![Self::UP, Self::LEAVING, Self::DOWN].contains(&lifecycle) {
-            return Err(line.error("lifecycle", &format!("is '{lifecycle}', none of U, L, D")));
+            return Err(line.error("lifecycle", &format!("is '{lifecycle}', expected U, L or D")));
         }
-        let started = line.amount_or("start_time_s", 0.0)?;
+        let started = line.finite_or("start_time_s", 0.0)?;
         let is_down = lifecycle == Self::DOWN;
         Ok(EndpointRow {
             replica: line.field("replica")?.to_string(),
-            zone: line.optional("zone").map(str::to_string),
-            cell: if is_down { line.number_in_or("cell", 0)? } else { line.number_in("cell")? },
+            zone: line.optional_field("zone").map(str::to_string),
+            cell: if is_down { line.parse_or("cell", 0)? } else { line.parse("cell")? },
             is_up: lifecycle == Self::UP,
             started: (started != 0.0).then(|| Timestamp::from_secs_f64(started)),
         })
--- a/crates/pipitcrank-sim-adapter/src/instance.rs
+++ b/crates/pipitcrank-sim-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One co-ordinator on the wire: its events in, its actions out.
+//! One co-ordinator of a session: decodes its events and collects its actions.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -15,10 +15,10 @@
 use crate::line::Line;
 use crate::protocol_error::ProtocolError;
 
-/// The endpoint lists received last, by the number that each has on the wire.
+/// Endpoint lists by reference number.
 pub type EndpointLists = BTreeMap<u32, Vec<EndpointRow>>;
 
-/// One co-ordinator.
+/// A co-ordinator with its pending output and the names of its request classes and zones.
 pub struct Instance {
     output: InstanceOutput,
     coordinator: Coordinator,
@@ -26,75 +26,75 @@
     zones: Vec<String>,
 }
 
-/// The fields of a query or a part that has arrived.
+/// Fields of a new query or a new part.
 struct WorkItem<'a> {
     job: &'a str,
     query_number: u64,
-    /// Number of a query's parts, or a part's fraction of the whole answer.
-    amount: f64,
+    /// Number of parts of a query, or weight of a part as a fraction of the whole answer.
+    count_or_weight: f64,
     work_hint: Option<f64>,
-    /// Below 0 for a query.
+    /// Shard of a part; negative for a query.
     shard: i64,
 }
 
 impl<'a> WorkItem<'a> {
     fn read(line: &Line<'a>) -> Result<WorkItem<'a>, ProtocolError> {
-        let (job, query_number) = (line.field("job")?, line.number_in("ask_no")?);
-        let amount = line.amount("share_or_count")?;
-        let is_hint_valid = line.number_in::<u64>("state_bits")? & 1 == 1;
-        let work_hint = line.optional_amount("effort_s")?.filter(|_| is_hint_valid);
-        let shard = line.number_in("range_no")?;
-        Ok(WorkItem { job, query_number, amount, work_hint, shard })
+        let (job, query_number) = (line.field("job")?, line.parse("ask_no")?);
+        let count_or_weight = line.finite("share_or_count")?;
+        let is_hint_valid = line.parse::<u64>("state_bits")? & 1 == 1;
+        let work_hint = line.optional_finite("effort_s")?.filter(|_| is_hint_valid);
+        let shard = line.parse("range_no")?;
+        Ok(WorkItem { job, query_number, count_or_weight, work_hint, shard })
     }
 }
 
 impl Instance {
-    /// Starts a co-ordinator as configured by the line.
+    /// Creates a co-ordinator from the settings and the seed in the line.
     pub fn start(line: &Line, name: &str) -> Result<Instance, ProtocolError> {
-        let seed = line.number_in("init_seed")?;
+        let seed = line.parse("init_seed")?;
         let settings: Value = serde_json::from_str(line.field("conf")?)
-            .map_err(|e| line.error("conf", &format!("is not the JSON expected: {e}")))?;
-        let not_accepted = |error: ConfigError| line.error("conf", &error.to_string());
+            .map_err(|e| line.error("conf", &format!("is not valid JSON: {e}")))?;
+        let invalid_settings = |error: ConfigError| line.error("conf", &error.to_string());
         let settings = SettingsReader::new(&settings);
-        let coordinator = settings.coordinator(seed).map_err(not_accepted)?;
-        let classes = settings.classes().map_err(not_accepted)?;
-        let zones = settings.zones().map_err(not_accepted)?.map_or(Vec::new(), |zones| zones.names);
+        let coordinator = settings.coordinator(seed).map_err(invalid_settings)?;
+        let classes = settings.classes().map_err(invalid_settings)?;
+        let zones = settings.zones().map_err(invalid_settings)?.map_or(Vec::new(), |zones| zones.names);
         Ok(Instance { output: InstanceOutput::new(name), coordinator, classes, zones })
     }
 
-    /// Hands one event to the coordinator.
+    /// Passes one event to the co-ordinator.
     pub fn handle(
         &mut self,
         now: Timestamp,
         line: &Line,
         lists: &EndpointLists,
     ) -> Result<(), ProtocolError> {
-        match line.word() {
+        match line.keyword() {
             "NEW_INSTANCE" => self.coordinator.start(&mut self.output),
-            "DISCOVERY" => self.endpoint_list(now, line, lists)?,
-            "WORK_ITEM" => self.work_item(now, line)?,
-            "FINISHED" => self.attempt_ended(now, line)?,
+            "DISCOVERY" => self.update_endpoint_list(now, line, lists)?,
+            "WORK_ITEM" => self.handle_work_item(now, line)?,
+            "FINISHED" => self.end_attempt(now, line)?,
             "DROPPED" => self.cancel_query(now, line)?,
-            "ELAPSED" => self.coordinator.timer_fired(&mut self.output, now, line.number_in("label")?),
-            "HEALTH" => self.load_probe_ended(now, line)?,
-            // Streamed answers and messages between co-ordinators have no part in the decisions.
+            "ELAPSED" => self.coordinator.timer_fired(&mut self.output, now, line.parse("label")?),
+            "HEALTH" => self.end_load_probe(now, line)?,
+            // Streamed answers and messages between co-ordinators do not affect decisions.
             "FIRST" | "MEMO" => {}
-            word => return Err(line.error("i", &format!("comes with '{word}', an event that is not known"))),
+            keyword => return Err(line.error("i", &format!("belongs to '{keyword}', an unknown event"))),
         }
         Ok(())
     }
 
-    /// The batch has ended.
+    /// Dispatches pending work at the end of a batch.
     pub fn dispatch(&mut self, now: Timestamp) {
         self.coordinator.dispatch(&mut self.output, now);
     }
 
-    /// Writes the reply.
-    pub fn flush(&mut self, output: &mut dyn Write) -> io::Result<()> {
-        self.output.flush(output)
+    /// Writes the reply to the batch.
+    pub fn write_reply(&mut self, output: &mut dyn Write) -> io::Result<()> {
+        self.output.write_reply(output)
     }
 
-    fn endpoint_list(
+    fn update_endpoint_list(
         &mut self,
         now: Timestamp,
         line: &Line,
@@ -106,10 +106,10 @@
             return Ok(());
         }
         if !["Partial", "Complete", "Persisted"].contains(&scope) {
-            return Err(line.error("scope", &format!("is '{scope}', which is not known")));
+            return Err(line.error("scope", &format!("is '{scope}', an unknown scope")));
         }
-        let rows = lists.get(&line.number_in("ref")?);
-        let rows = rows.ok_or_else(|| line.error("ref", "names no list received"))?;
+        let rows = lists.get(&line.parse("ref")?);
+        let rows = rows.ok_or_else(|| line.error("ref", "does not name a registered endpoint list"))?;
         self.coordinator.begin_endpoint_list(scope != "Partial");
         for row in rows {
             self.list_replica(row);
@@ -126,49 +126,50 @@
         }
     }
 
-    fn work_item(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
+    fn handle_work_item(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
         let item = WorkItem::read(line)?;
         if item.shard >= 0 { self.add_part(now, line, item) } else { self.start_query(now, line, item) }
     }
 
     fn add_part(&mut self, now: Timestamp, line: &Line, item: WorkItem) -> Result<(), ProtocolError> {
-        let shard = u32::try_from(item.shard).map_err(|_| line.error("range_no", "is too large"))?;
+        let shard = u32::try_from(item.shard)
+            .map_err(|_| line.error("range_no", "is too large for a shard number"))?;
         let Some(&query) = self.output.queries_by_number.get(&item.query_number) else { return Ok(()) };
         if self.output.parts.find(item.job).is_some() {
-            return Err(line.error("job", "repeats an id that is held"));
+            return Err(line.error("job", "repeats the id of an open part"));
         }
         let id = PartId(self.output.parts.intern(item.job));
-        let part = NewPart { id, query, shard, weight: item.amount, work_hint: item.work_hint };
+        let part = NewPart { id, query, shard, weight: item.count_or_weight, work_hint: item.work_hint };
         self.coordinator.add_part(&mut self.output, now, part);
         Ok(())
     }
 
     fn start_query(&mut self, now: Timestamp, line: &Line, item: WorkItem) -> Result<(), ProtocolError> {
         let class = line.field("class")?;
-        let class = self.classes.iter().position(|known| known == class);
-        let class = class.ok_or_else(|| line.error("class", "is not among the settings'"))?;
-        let is_held = self.output.queries.find(item.job).is_some()
+        let class = self.classes.iter().position(|configured| configured == class);
+        let class = class.ok_or_else(|| line.error("class", "is not a configured request class"))?;
+        let is_duplicate = self.output.queries.find(item.job).is_some()
             || self.output.queries_by_number.contains_key(&item.query_number);
-        if is_held {
-            return Err(line.error("job", "repeats an id that is held"));
+        if is_duplicate {
+            return Err(line.error("job", "or 'ask_no' repeats the id of an open query"));
         }
         let id = QueryId(self.output.queries.intern(item.job));
         self.output.queries_by_number.insert(item.query_number, id);
         let query = NewQuery {
             id,
             class: RequestClassId(class as u16),
-            time_left: TimeSpan::from_secs_f64(line.amount("remaining_s")?),
+            time_left: TimeSpan::from_secs_f64(line.finite("remaining_s")?),
             work_hint: item.work_hint,
-            part_count: item.amount,
+            part_count: item.count_or_weight,
         };
         self.coordinator.start_query(&mut self.output, now, query);
         Ok(())
     }
 
-    fn attempt_ended(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
-        let number = line.number_in("trial")?;
+    fn end_attempt(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
+        let number = line.parse("trial")?;
         let outcome = outcome(line)?;
-        self.load_report(now, line)?;
+        self.record_load_report(now, line)?;
         if let Some(part) = self.output.parts.find(line.field("job")?) {
             let attempt = AttemptId { part: PartId(part), number };
             self.coordinator.attempt_ended(&mut self.output, now, attempt, outcome);
@@ -183,8 +184,8 @@
         Ok(())
     }
 
-    fn load_probe_ended(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
-        self.load_report(now, line)?;
+    fn end_load_probe(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
+        self.record_load_report(now, line)?;
         let outcome = outcome(line)?;
         if let Some(replica) = self.output.replicas.find(line.field("replica")?) {
             self.coordinator.load_probe_ended(now, ReplicaId(replica), outcome);
@@ -192,9 +193,9 @@
         Ok(())
     }
 
-    /// The load report that came with the line, if one did.
-    fn load_report(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
-        let Some(pairs) = line.optional("feedback") else { return Ok(()) };
+    /// Records the load report in the line, if there is one.
+    fn record_load_report(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
+        let Some(pairs) = line.optional_field("feedback") else { return Ok(()) };
         let Some(replica) = self.output.replicas.find(line.field("replica")?) else { return Ok(()) };
         let queued = report_value(line, pairs, "backlog")?;
         let in_flight = report_value(line, pairs, "outstanding")?;
@@ -203,13 +204,13 @@
     }
 }
 
-/// A finite number of a load report, where it is there.
+/// Returns a value of a load report, or `None` if the report does not contain it.
 fn report_value(line: &Line, pairs: &str, name: &str) -> Result<Option<f64>, ProtocolError> {
     let mut pairs = pairs.split(',').filter_map(|pair| pair.split_once(':'));
     let Some((_, text)) = pairs.find(|(key, _)| *key == name) else { return Ok(None) };
     match text.parse::<f64>().ok().filter(|value| value.is_finite()) {
         Some(value) => Ok(Some(value)),
-        None => Err(line.error("feedback", &format!("has no number for '{name}'"))),
+        None => Err(line.error("feedback", &format!("has no finite number for '{name}'"))),
     }
 }
 
@@ -223,6 +224,6 @@
         "cut" => AttemptOutcome::Disconnected,
         "undone" => AttemptOutcome::Cancelled,
         "stale_send" => AttemptOutcome::NeverSent,
-        other => return Err(line.error("result", &format!("is '{other}', which is not known"))),
+        other => return Err(line.error("result", &format!("is '{other}', an unknown result"))),
     })
 }
--- a/crates/pipitcrank-sim-adapter/src/instance_output.rs
+++ b/crates/pipitcrank-sim-adapter/src/instance_output.rs
@@ -1,4 +1,4 @@
-//! What a coordinator asks for, as lines of the wire.
+//! Encodes the actions of a co-ordinator as lines of output.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -8,16 +8,16 @@
 use pipitcrank_core::output::CoordinatorOutput;
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
-/// The names of one instance and its reply so far.
+/// Names used by one instance, and the pending part of its reply.
 #[derive(Default)]
 pub struct InstanceOutput {
     instance: String,
     pub queries: Interner,
     pub parts: Interner,
     pub replicas: Interner,
-    /// Queries by the number that they have on the wire; an entry ends with the query's.
+    /// Queries that are not released, by their `ask_no`.
     pub queries_by_number: BTreeMap<u64, QueryId>,
-    /// Emptied when it is written.
+    /// Lines that are not written yet.
     reply: String,
 }
 
@@ -26,15 +26,16 @@
         InstanceOutput { instance: instance.to_string(), ..InstanceOutput::default() }
     }
 
-    pub fn flush(&mut self, output: &mut dyn Write) -> io::Result<()> {
+    /// Writes the pending lines and clears them.
+    pub fn write_reply(&mut self, output: &mut dyn Write) -> io::Result<()> {
         output.write_all(self.reply.as_bytes())?;
         self.reply.clear();
         Ok(())
     }
 
-    /// Adds a line to the reply: a word, the instance and other fields.
-    fn push(&mut self, word: &str, fields: &str) {
-        self.reply.push_str(&format!("{word} i={} {fields}\n", self.instance));
+    /// Appends a line to the reply: the keyword, the instance and the given fields.
+    fn push_line(&mut self, keyword: &str, fields: &str) {
+        self.reply.push_str(&format!("{keyword} i={} {fields}\n", self.instance));
     }
 }
 
@@ -43,54 +44,54 @@
         let (job, replica) = (self.parts.name(part.0), self.replicas.name(replica.0));
         let deadline_s = deadline.as_secs_f64();
         let fields = format!("job={job} replica={replica} abandon_at_s={deadline_s:.6}");
-        self.push("SEND", &fields);
+        self.push_line("SEND", &fields);
     }
 
     fn cancel_attempt(&mut self, attempt: AttemptId) {
         let job = self.parts.name(attempt.part.0);
         let fields = format!("job={job} trial={}", attempt.number);
-        self.push("ABANDON", &fields);
+        self.push_line("ABANDON", &fields);
     }
 
     fn answer(&mut self, query: QueryId, is_complete: bool) {
         let job = self.queries.name(query.0);
         let fields = format!("job={job} complete={}", u8::from(is_complete));
-        self.push("RESPOND", &fields);
+        self.push_line("RESPOND", &fields);
     }
 
     fn reject(&mut self, query: QueryId, retry_after: TimeSpan, _reason: RejectReason) {
         let job = self.queries.name(query.0);
         let fields = format!("job={job} stay_away_s={:.6}", retry_after.as_secs_f64());
-        self.push("DECLINE", &fields);
+        self.push_line("DECLINE", &fields);
     }
 
     fn abort(&mut self, query: QueryId, _reason: RejectReason) {
         let fields = format!("job={}", self.queries.name(query.0));
-        self.push("DROP_REQUEST", &fields);
+        self.push_line("DROP_REQUEST", &fields);
     }
 
     fn set_timer(&mut self, at: Timestamp, label: u64) {
         let fields = format!("alarm_time_s={:.6} label={label}", at.as_secs_f64());
-        self.push("NOTIFY_ME", &fields);
+        self.push_line("NOTIFY_ME", &fields);
     }
 
     fn send_load_probe(&mut self, replica: ReplicaId) {
         let fields = format!("replica={}", self.replicas.name(replica.0));
-        self.push("CHECK", &fields);
+        self.push_line("CHECK", &fields);
     }
 
     fn watch_endpoints(&mut self) {
-        self.push("KEEP_INFORMED", "complete=1");
+        self.push_line("KEEP_INFORMED", "complete=1");
     }
 
     fn log(&mut self, text: &str) {
         let fields = format!("body_text={text}");
-        self.push("TRACE", &fields);
+        self.push_line("TRACE", &fields);
     }
 
     fn release_query(&mut self, query: QueryId) {
         self.queries.release(query.0);
-        self.queries_by_number.retain(|_, known| *known != query);
+        self.queries_by_number.retain(|_, held| *held != query);
     }
 
     fn release_part(&mut self, part: PartId) {
--- a/crates/pipitcrank-sim-adapter/src/main.rs
+++ b/crates/pipitcrank-sim-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! The simulator's wire on standard input and output: decodes batches of events, maps names to small indices, calls the
-//! coordinators, and writes what they ask for. Nothing is decided here.
+//! Connects co-ordinators to an external simulator through standard input and output. The adapter decodes
+//! batches of events, maps names to small indices, calls the co-ordinators and writes their actions. It makes
+//! no decisions of its own.
 
 mod endpoint_row;
 mod instance;
@@ -11,15 +12,15 @@
 
 use std::io::{self, BufWriter};
 
-/// Size of the output buffer, in bytes.
-const OUTPUT_BUFFER: usize = 1 << 16;
-/// Exit status after malformed input.
-const EXIT_MALFORMED: i32 = 2;
+/// Capacity of the output buffer in bytes.
+const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
+/// Exit status after malformed input or an I/O error.
+const EXIT_PROTOCOL_ERROR: i32 = 2;
 
 fn main() {
-    let mut output = BufWriter::with_capacity(OUTPUT_BUFFER, io::stdout().lock());
+    let mut output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
     if let Err(error) = session::run(&mut io::stdin().lock(), &mut output) {
         eprintln!("pipitcrank-sim-adapter: {error}");
-        std::process::exit(EXIT_MALFORMED);
+        std::process::exit(EXIT_PROTOCOL_ERROR);
     }
 }
--- a/crates/pipitcrank-sim-adapter/src/session.rs
+++ b/crates/pipitcrank-sim-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! A session with the simulator: batches of events in, a reply for each.
+//! Session with the simulator: reads batches of events and writes one reply per batch.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -10,52 +10,55 @@
 use crate::line_reader::LineReader;
 use crate::protocol_error::ProtocolError;
 
-/// The co-ordinators of a session.
+/// Co-ordinators and endpoint lists of a session.
 #[derive(Default)]
 struct Session {
-    /// By name; an entry ends with the instance (RETIRE).
+    /// Running instances by name. RETIRE removes one.
     instances: BTreeMap<String, Instance>,
-    /// The last list under each of the wire's sixteen numbers.
+    /// Last endpoint list registered under each of the sixteen reference numbers of the protocol.
     lists: EndpointLists,
-    /// Instances with events in the present batch, in the order of their first ones.
-    touched: Vec<String>,
+    /// Instances with events in the current batch, in the order of their first event.
+    batch_instances: Vec<String>,
 }
 
-/// Plays the input to its end.
+/// Processes the input to its end.
 pub fn run(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), ProtocolError> {
     let mut reader = LineReader::new(input);
     let mut session = Session::default();
     let mut batch_time: Option<Timestamp> = None;
     while let Some(line) = reader.next()? {
-        match (line.word(), batch_time) {
+        match (line.keyword(), batch_time) {
             ("", None) => {}
-            ("MARK", None) => batch_time = Some(Timestamp::from_secs_f64(line.amount("t_s")?)),
-            (word, None) => {
-                return Err(ProtocolError::OutsideBatch { line: line.number(), word: word.to_string() });
+            ("MARK", None) => batch_time = Some(Timestamp::from_secs_f64(line.finite("t_s")?)),
+            (keyword, None) => {
+                return Err(ProtocolError::OutsideBatch {
+                    line: line.number(),
+                    keyword: keyword.to_string(),
+                });
             }
             ("COMMIT", Some(now)) => {
-                let not_written = |source| ProtocolError::NotWritten { line: line.number(), source };
-                session.commit(now, output).map_err(not_written)?;
+                let write_failed = |source| ProtocolError::WriteFailed { line: line.number(), source };
+                session.commit(now, output).map_err(write_failed)?;
                 batch_time = None;
             }
             ("REGISTER", Some(_)) => {
-                let (reference, count) = (line.number_in("ref")?, line.number_in("rows")?);
-                let rows = reader.rows(count)?;
+                let (reference, count) = (line.parse("ref")?, line.parse("rows")?);
+                let rows = reader.read_rows(count)?;
                 session.lists.insert(reference, rows);
             }
-            (_, Some(now)) => session.event(now, &line)?,
+            (_, Some(now)) => session.handle_event(now, &line)?,
         }
     }
     match batch_time {
         None => Ok(()),
-        Some(_) => Err(ProtocolError::EndsInBatch { line: reader.number() }),
+        Some(_) => Err(ProtocolError::IncompleteBatch { line: reader.number() }),
     }
 }
 
 impl Session {
-    fn event(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
+    fn handle_event(&mut self, now: Timestamp, line: &Line) -> Result<(), ProtocolError> {
         let name = line.field("i")?;
-        match line.word() {
+        match line.keyword() {
             "NEW_INSTANCE" => {
                 self.instances.insert(name.to_string(), Instance::start(line, name)?);
             }
@@ -66,19 +69,19 @@
             _ => {}
         }
         let instance = self.instances.get_mut(name);
-        let instance = instance.ok_or_else(|| line.error("i", "names no running instance"))?;
-        if !self.touched.iter().any(|touched| touched == name) {
-            self.touched.push(name.to_string());
+        let instance = instance.ok_or_else(|| line.error("i", "does not name a running instance"))?;
+        if !self.batch_instances.iter().any(|listed| listed == name) {
+            self.batch_instances.push(name.to_string());
         }
         instance.handle(now, line, &self.lists)
     }
 
-    /// Ends the batch: lets its instances dispatch and writes their replies.
+    /// Ends the batch: dispatches the instances that had events and writes their replies.
     fn commit(&mut self, now: Timestamp, output: &mut dyn Write) -> io::Result<()> {
-        for name in self.touched.drain(..) {
+        for name in self.batch_instances.drain(..) {
             if let Some(instance) = self.instances.get_mut(&name) {
                 instance.dispatch(now);
-                instance.flush(output)?;
+                instance.write_reply(output)?;
             }
         }
         output.write_all(b"DONE\n")?;
