--- a/crates/pipitcrank-simulation/src/event_queue.rs
+++ b/crates/pipitcrank-simulation/src/event_queue.rs
@@ -1,39 +1,39 @@
-//! What is to happen, in the order of simulated time.
+//! Queue of scheduled events, in the order of simulated time.
 
 use std::collections::BTreeMap;
 
 use pipitcrank_core::time::Timestamp;
 
-/// What happens next.
+/// A scheduled event.
 pub enum SimulationEvent {
-    /// A datagram arrives.
+    /// Arrival of a datagram.
     Datagram {
         /// Index of the node that receives it.
         node: usize,
-        /// Its content.
+        /// Content of the datagram.
         bytes: Vec<u8>,
     },
-    /// The deadline of the node with this index has come.
+    /// Deadline of the node with this index.
     NodeDeadline(usize),
-    /// Load and replicas advance by a step.
+    /// Next step of the load and the replicas.
     Step,
 }
 
-/// Events by time; of several at one time the one scheduled first comes first.
+/// Events by time. Events at the same time are returned in the order in which they were scheduled.
 #[derive(Default)]
 pub struct EventQueue {
     events: BTreeMap<(Timestamp, u64), SimulationEvent>,
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 impl EventQueue {
-    /// Adds an event.
+    /// Schedules an event.
     pub fn schedule(&mut self, at: Timestamp, event: SimulationEvent) {
-        self.scheduled += 1;
-        self.events.insert((at, self.scheduled), event);
+        self.scheduled_count += 1;
+        self.events.insert((at, self.scheduled_count), event);
     }
 
-    /// Removes the next event.
+    /// Removes and returns the earliest event.
     pub fn pop(&mut self) -> Option<(Timestamp, SimulationEvent)> {
         self.events.pop_first().map(|((at, _), event)| (at, event))
     }
--- a/crates/pipitcrank-simulation/src/lib.rs
+++ b/crates/pipitcrank-simulation/src/lib.rs
@@ -1,11 +1,13 @@
-//! The emulator: many nodes in simulated time, in zones, on a network with faults, in front of replicas with queues. It
-//! drives the state machines that the program drives, and has no rules of its own. The same seed gives the same bytes.
+//! Emulator of many nodes in simulated time: nodes in zones, a network with faults, and replicas with queues.
+//! It runs the same state machines as the program and adds no routing or failover rules to them. Runs with
+//! the same seed give byte-identical results.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `event_queue`, `network` | what happens next; datagrams in transit, with delay, loss and partitions |
-//! | `zone_replicas` | a zone's replicas as one queue, which can fail, be slow or warm up |
-//! | `zones` | the experiment `zones` |
+//! | `event_queue` | events in the order of simulated time |
+//! | `network` | datagrams in transit, with delay, loss and partitions |
+//! | `zone_replicas` | replicas of a zone as one queue, which can fail, slow down or warm up |
+//! | `zones` | experiment `zones`: the failure of a zone under load |
 //! | `plot` | time series as an SVG image |
 
 pub mod event_queue;
--- a/crates/pipitcrank-simulation/src/network.rs
+++ b/crates/pipitcrank-simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! Datagrams in transit in simulated time.
+//! Simulated network with delay, loss and partitions.
 
 use std::collections::BTreeSet;
 
@@ -8,18 +8,19 @@
 
 use crate::event_queue::{EventQueue, SimulationEvent};
 
+/// Minimum delay of a datagram.
 const MIN_DELAY: TimeSpan = TimeSpan::from_millis(1);
 
-/// Datagrams sent, of all nodes.
+/// Number and size of the datagrams sent by all nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// How many.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total size in bytes.
     pub bytes: u64,
 }
 
-/// Where a datagram goes.
+/// Receiver of a datagram.
 #[derive(Clone, Copy, Debug)]
 pub struct Destination {
     /// Index of the node.
@@ -33,21 +34,21 @@
     rng: Pcg64,
     /// Fraction of datagrams lost.
     pub loss: f64,
-    /// Longest delay beyond the shortest possible one.
+    /// Largest delay in addition to the minimum delay of the network.
     pub max_delay: TimeSpan,
-    /// Pairs of zones, from and to, between which no datagram arrives.
+    /// Pairs of sending and receiving zone whose datagrams are dropped.
     pub partitions: BTreeSet<(u16, u16)>,
-    /// What was sent so far.
+    /// Traffic sent so far, with lost datagrams included.
     pub sent: Traffic,
 }
 
 impl Network {
-    /// A network without partitions.
+    /// Creates a network without partitions.
     pub fn new(rng: Pcg64, loss: f64, max_delay: TimeSpan) -> Network {
         Network { rng, loss, max_delay, partitions: BTreeSet::new(), sent: Traffic::default() }
     }
 
-    /// Sends a datagram from a node of `from_zone`; `None` is an address at which no node is.
+    /// Sends a datagram from a node of `from_zone`. A datagram to `None`, an address without a node, is lost.
     pub fn send(
         &mut self,
         queue: &mut EventQueue,
--- a/crates/pipitcrank-simulation/src/plot.rs
+++ b/crates/pipitcrank-simulation/src/plot.rs
@@ -1,11 +1,12 @@
-//! Time series as an SVG image.
+//! Charts of time series as an SVG image.
 
 use std::path::{Path, PathBuf};
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-const SIZE: (u32, u32) = (960, 640);
+/// Width and height of the image in pixels.
+const IMAGE_SIZE: (u32, u32) = (960, 640);
 const COLORS: [RGBColor; 6] = [BLUE, RED, GREEN, MAGENTA, CYAN, BLACK];
 const MARGIN: u32 = 10;
 const X_LABEL_HEIGHT: u32 = 28;
@@ -17,39 +18,39 @@
 pub struct Point {
     /// Seconds since the start.
     pub seconds: f64,
-    /// The value then.
+    /// Value at that time.
     pub value: f64,
 }
 
-/// A line of a chart.
+/// One line of a chart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Series {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its points, by time.
+    /// Points in the order of time.
     pub points: Vec<Point>,
 }
 
 /// A chart of several series.
 #[derive(Clone, Copy, Debug)]
 pub struct Chart<'a> {
-    /// Its caption.
+    /// Caption of the chart.
     pub title: &'a str,
-    /// Its lines.
+    /// Lines of the chart.
     pub series: &'a [Series],
 }
 
-/// The image could not be drawn or written.
+/// Error in drawing or writing the image.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {reason}", .path.display())]
 pub struct PlotError {
-    /// The image's path.
+    /// Path of the image.
     pub path: PathBuf,
-    /// The reason of the drawing library or the operating system.
+    /// Error text of the drawing library or the operating system.
     pub reason: String,
 }
 
-/// Draws two charts, one above the other.
+/// Draws two charts, one above the other, into an SVG file.
 pub fn draw(path: &Path, upper: Chart, lower: Chart) -> Result<(), PlotError> {
     draw_charts(path, upper, lower)
         .map_err(|error| PlotError { path: path.to_path_buf(), reason: error.to_string() })
@@ -59,9 +60,9 @@
 type SvgError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
 fn draw_charts<'a>(path: &'a Path, upper: Chart, lower: Chart) -> Result<(), SvgError<'a>> {
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, IMAGE_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let (above, below) = area.split_vertically(SIZE.1 / 2);
+    let (above, below) = area.split_vertically(IMAGE_SIZE.1 / 2);
     draw_chart(&above, upper)?;
     draw_chart(&below, lower)?;
     area.present()
--- a/crates/pipitcrank-simulation/src/zone_replicas/tests.rs
+++ b/crates/pipitcrank-simulation/src/zone_replicas/tests.rs
@@ -2,10 +2,11 @@
 
 const STEP: TimeSpan = TimeSpan::from_millis(100);
 
-fn run(replicas: &mut ZoneReplicas, from: i64, steps: i64, parts: f64) -> StepOutcome {
+/// Runs consecutive steps with `parts` arriving in each; returns the sums of the outcomes.
+fn run(replicas: &mut ZoneReplicas, first_step: i64, steps: i64, parts: f64) -> StepOutcome {
     let mut sum = StepOutcome::default();
     for n in 0..steps {
-        let step = replicas.step(Timestamp::from_micros((from + n) * 100_000), parts, STEP);
+        let step = replicas.step(Timestamp::from_micros((first_step + n) * 100_000), parts, STEP);
         sum.in_time += step.in_time;
         sum.late += step.late;
         sum.rejected += step.rejected;
@@ -15,10 +16,10 @@
 }
 
 #[test]
-fn load_within_capacity_is_in_time_and_beyond_it_fills_the_queue() {
+fn overload_fills_queue_and_rejects_parts() {
     let mut replicas = ZoneReplicas::new(10, 100.0);
-    let calm = run(&mut replicas, 0, 50, 90.0);
-    assert!(calm.in_time > 4499.0 && calm.late == 0.0);
+    let normal = run(&mut replicas, 0, 50, 90.0);
+    assert!(normal.in_time > 4499.0 && normal.late == 0.0);
     let overload = run(&mut replicas, 50, 100, 150.0);
     assert!(overload.late > 0.0 && overload.rejected > 0.0, "{overload:?}");
     replicas.fail();
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn warming_replicas_answer_less_and_count_the_excess() {
+fn warming_replicas_count_parts_beyond_slow_start_allowance() {
     let mut replicas = ZoneReplicas::new(10, 100.0);
     replicas.restart(Timestamp::default());
     run(&mut replicas, 0, 20, 100.0);
--- a/crates/pipitcrank-simulation/src/zones.rs
+++ b/crates/pipitcrank-simulation/src/zones.rs
@@ -1,12 +1,14 @@
-//! The experiment `zones`: the replicas of a zone fail under load and come back cold. It is played in each
-//! [`RoutingMode`] from one seed; measured are the time to decide and to move, messages and bytes of a node, service and
-//! load.
+//! Experiment `zones`: the replicas of a zone fail under load and later restart cold. The experiment runs in
+//! each [`RoutingMode`] with the same seed. It measures the times to decide and to move the load, the
+//! datagrams and bytes sent per node, the service and the load of the zones.
 //!
-//! Single attempts are not played at this size. In their place: a part sent to a failed zone is retried elsewhere within
-//! the retry budget, and is not answered otherwise; each node notices a zone's silence at a moment of its own, some tenths
-//! of a second after it began, and then sends that zone's parts evenly to the others, in any mode. In
-//! [`RoutingMode::Independent`] a node probes its own zone now and then; by the common decision a zone stays closed until
-//! evidence says otherwise.
+//! Single attempts are not simulated, because of the number of nodes. The experiment uses a simpler model: a
+//! part sent to a failed zone is retried in another zone within the retry budget, or else stays unanswered.
+//! Each node detects the outage of a zone after its own delay of some tenths of a second. In the modes
+//! [`RoutingMode::CommonDecision`] and [`RoutingMode::IgnoreZones`] it then divides the parts of that zone
+//! evenly among the others. In [`RoutingMode::Independent`] a node whose own zone fails sends to the other
+//! zones and probes its own zone from time to time. With the common decision a zone stays closed until there
+//! is evidence that it has recovered.
 
 mod decision_log;
 mod node;
@@ -21,19 +23,19 @@
 use crate::plot::Series;
 use run::Runs;
 
-/// What the experiment came to.
+/// Results of the experiment.
 pub struct ZonesExperiment {
-    /// The figures.
+    /// Measured values.
     pub report: ZonesReport,
-    /// In each mode, the fraction of the demand that is answered in time.
+    /// Fraction of the demand answered in time, by mode.
     pub service: Vec<Series>,
-    /// By the common decision, the load of each zone as a fraction of its capacity.
+    /// Load of each zone as a fraction of its capacity, with the common decision.
     pub load: Vec<Series>,
 }
 
-/// Plays the experiment with `nodes` nodes in `zones` zones.
+/// Runs the experiment with `nodes` nodes in `zones` zones.
 pub fn run_experiment(nodes: usize, zones: usize, seed: u64) -> ZonesExperiment {
-    let runs = Runs::play(nodes, zones, seed);
+    let runs = Runs::simulate(nodes, zones, seed);
     let report = ZonesReport::new(nodes, zones, seed, &runs);
     let service = runs.by_mode().map(|(name, run)| Series { name: name.into(), points: run.service.clone() });
     let zone_load = |(zone, points)| Series { name: format!("zone {zone}"), points };
--- a/crates/pipitcrank-simulation/src/zones/decision_log.rs
+++ b/crates/pipitcrank-simulation/src/zones/decision_log.rs
@@ -1,58 +1,60 @@
-//! When decisions were made, and when nodes acted on them.
+//! Log of decisions and of the nodes that applied them.
 
 use std::collections::BTreeMap;
 
 use pipitcrank_core::time::Timestamp;
 use pipitcrank_failover::decision::{Decision, ZoneDecision, ZoneState};
 
-/// A decision counts as spread once this many of a hundred nodes act on it.
+/// Percentage of nodes that must have applied a decision for it to count as spread.
 const SPREAD_PERCENT: usize = 99;
 
-/// What a decision says of a zone.
+/// State of a zone according to a decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneOutcome {
+pub struct DecidedZoneState {
     pub state: ZoneState,
-    /// Thousandths of its usual load that it keeps.
+    /// Fraction of its usual load that the zone keeps, in thousandths.
     pub retained: u16,
 }
 
-/// A decision as it was first seen.
+/// A decision, with the time at which the first node received it.
 pub struct DecisionRecord {
     pub at: Timestamp,
-    pub zones: Vec<ZoneOutcome>,
+    pub zones: Vec<DecidedZoneState>,
 }
 
-/// How nodes came to act on a decision.
+/// Progress of the nodes in applying a decision.
 #[derive(Clone, Copy)]
 pub struct Application {
+    /// Time at which the first node applied the decision.
     pub first: Timestamp,
     pub nodes: usize,
-    /// When nearly all nodes acted on it.
+    /// Time at which `SPREAD_PERCENT` of the nodes had applied the decision.
     pub spread: Option<Timestamp>,
 }
 
-/// All decisions of a run, by number.
+/// All decisions of a run and their applications, by decision number.
 #[derive(Default)]
 pub struct DecisionLog {
     pub decisions: BTreeMap<u64, DecisionRecord>,
     pub applications: BTreeMap<u64, Application>,
-    /// How often two decisions had one number.
+    /// Number of times that a decision differed from the recorded decision with the same number.
     pub conflicts: u64,
-    /// How often a node went from a decision to an older one.
+    /// Number of times that a node changed from a decision to an older one.
     pub regressions: u64,
 }
 
 impl DecisionLog {
-    /// A node learned of a decision.
+    /// Records that a node received a decision.
     pub fn record_decision(&mut self, now: Timestamp, decision: &Decision) {
-        let outcome = |zone: &ZoneDecision| ZoneOutcome { state: zone.state, retained: zone.retained };
-        let zones: Vec<ZoneOutcome> = decision.zones.iter().map(outcome).collect();
+        let zone_state =
+            |zone: &ZoneDecision| DecidedZoneState { state: zone.state, retained: zone.retained };
+        let zones: Vec<DecidedZoneState> = decision.zones.iter().map(zone_state).collect();
         let record = || DecisionRecord { at: now, zones: zones.clone() };
-        let first = self.decisions.entry(decision.number).or_insert_with(record);
-        self.conflicts += u64::from(first.zones != zones);
+        let recorded = self.decisions.entry(decision.number).or_insert_with(record);
+        self.conflicts += u64::from(recorded.zones != zones);
     }
 
-    /// One of `nodes` nodes goes from decision `previous` to `number`.
+    /// Records that one of `nodes` nodes changed from decision `previous` to decision `number`.
     pub fn record_application(&mut self, now: Timestamp, previous: u64, number: u64, nodes: usize) {
         if number == previous {
             return;
--- a/crates/pipitcrank-simulation/src/zones/node.rs
+++ b/crates/pipitcrank-simulation/src/zones/node.rs
@@ -1,4 +1,4 @@
-//! One simulated node.
+//! Simulated node.
 
 use std::net::SocketAddr;
 
@@ -17,24 +17,24 @@
     USABLE_CAPACITY,
 };
 
-/// The key under which nodes seal their datagrams.
+/// Secret from which the nodes derive the key that seals their datagrams.
 const SECRET: &str = "the lab's";
-/// Incarnation of the first node, in microseconds since 1970; a moment without meaning.
+/// Incarnation of the first node in microseconds since 1970. The value is arbitrary.
 const FIRST_INCARNATION: u64 = 1_700_000_000_000_000;
 
-/// How nodes choose zones.
+/// Rule by which nodes choose zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingMode {
-    /// By the common decision.
+    /// All nodes follow the common decision.
     CommonDecision,
-    /// Each by its own observations, its own zone first.
+    /// Each node follows its own observations and prefers its own zone.
     Independent,
-    /// Evenly over all zones.
+    /// Nodes divide their demand evenly among all zones.
     IgnoreZones,
 }
 
 impl RoutingMode {
-    /// Its name in the report.
+    /// Name of the mode in the report.
     pub fn name(self) -> &'static str {
         match self {
             RoutingMode::CommonDecision => "common",
@@ -44,35 +44,37 @@
     }
 }
 
-/// The decision that a node acts on.
+/// Number and status of the decision that a node applies.
 #[derive(Clone, Copy, PartialEq)]
 pub struct CurrentDecision {
     pub number: u64,
     pub status: DecisionStatus,
 }
 
+/// A node with its failover state and its current routing.
 pub struct SimulatedNode {
-    /// Takes part in the common decision, in that mode.
+    /// Failover node, in the mode [`RoutingMode::CommonDecision`].
     pub failover: Option<FailoverNode>,
     pub zone: usize,
-    /// After how many seconds of silence the node notices it.
+    /// Time in seconds from the start of an outage until the node detects it.
     pub detection_delay_s: f64,
-    /// For how many seconds it stays away from its zone where it decides alone.
+    /// Time in seconds for which the node avoids its own zone before it probes the zone, in the mode
+    /// [`RoutingMode::Independent`].
     probe_delay_s: f64,
-    /// Since when it stays away from its zone.
-    away_since: Option<Timestamp>,
+    /// Time since which the node avoids its own zone, if it does.
+    avoided_since: Option<Timestamp>,
     pub plan: RoutingPlan,
     pub decision: CurrentDecision,
-    /// Its next deadline; `None` before its start.
+    /// Next deadline of the node; `None` before its start.
     pub deadline: Option<Timestamp>,
 }
 
-/// The address of the node with this index.
+/// Address of the node with this index.
 pub fn address(index: usize) -> SocketAddr {
     ([127, 1 + (index >> 16) as u8, (index >> 8) as u8, index as u8], 7000).into()
 }
 
-/// The nodes as members of the cluster, spread over the zones in turn.
+/// The nodes as members of the cluster, assigned to the zones in turn.
 pub fn peers(nodes: usize, zones: usize) -> Vec<Peer> {
     let peer = |index| Peer {
         address: address(index),
@@ -83,18 +85,18 @@
 }
 
 impl SimulatedNode {
-    /// A node that sends all to its own zone.
+    /// Creates a node that sends all its parts to its own zone.
     pub fn new(own: &Peer, failover: Option<FailoverNode>, rng: &mut Pcg64) -> SimulatedNode {
-        let home = ZoneFraction { zone: own.zone, permille: 1000 };
+        let own_zone = ZoneFraction { zone: own.zone, permille: 1000 };
         SimulatedNode {
             failover,
             zone: usize::from(own.zone),
             detection_delay_s: rng.random_range(DETECTION_DELAY_S),
             probe_delay_s: rng.random_range(PROBE_DELAY_S),
-            away_since: None,
+            avoided_since: None,
             plan: RoutingPlan {
                 decision_number: 0,
-                fractions: vec![home],
+                fractions: vec![own_zone],
                 closed_zones: Vec::new(),
                 shed: 0,
             },
@@ -103,28 +105,29 @@
         }
     }
 
-    /// Whether a node that decides alone sends to its own zone now: it leaves once it notices the zone's silence, and
-    /// probes it after a while.
-    pub fn sends_to_own_zone(&mut self, now: Timestamp, notices_silence: bool) -> bool {
-        let probing_for = self.away_since.map(|since| (now - since).as_secs_f64() - self.probe_delay_s);
+    /// Whether the node sends to its own zone now, in the mode [`RoutingMode::Independent`]. The node avoids
+    /// the zone once it has detected an outage, and probes the zone after its probe delay.
+    pub fn sends_to_own_zone(&mut self, now: Timestamp, detects_outage: bool) -> bool {
+        let probing_for = self.avoided_since.map(|since| (now - since).as_secs_f64() - self.probe_delay_s);
         match probing_for {
-            None if notices_silence => self.away_since = Some(now),
-            // The probe has shown whether the zone answers.
+            None if detects_outage => self.avoided_since = Some(now),
+            // The probe has run for long enough to show whether the zone answers.
             Some(probing_for) if probing_for >= self.detection_delay_s => {
-                self.away_since = notices_silence.then_some(now);
+                self.avoided_since = detects_outage.then_some(now);
             }
             _ => {}
         }
-        self.away_since.is_none_or(|since| (now - since).as_secs_f64() >= self.probe_delay_s)
+        self.avoided_since.is_none_or(|since| (now - since).as_secs_f64() >= self.probe_delay_s)
     }
 
-    /// Whether the node may run at `now`: a deadline that was moved since is no longer due.
+    /// Whether the deadline of the node is due at `now`. A scheduled deadline is not due if it was postponed
+    /// afterwards.
     pub fn is_due(&self, now: Timestamp) -> bool {
         self.deadline.is_none_or(|deadline| now >= deadline)
     }
 }
 
-/// A member of the common decision that knows all others.
+/// Creates a failover node whose member list contains all nodes.
 pub fn failover_node(
     start: Timestamp,
     own: &Peer,
--- a/crates/pipitcrank-simulation/src/zones/report.rs
+++ b/crates/pipitcrank-simulation/src/zones/report.rs
@@ -1,4 +1,4 @@
-//! The figures of the experiment. Their names in JSON are a contract, and stay.
+//! Report of the experiment. Its JSON keys are part of the public interface and must not change.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,14 @@
 use super::run::{Run, Runs};
 use super::world::World;
 
-/// From the first node to act on a decision until nearly all do, over all decisions; in JSON a list of both.
+/// Times from the first node that applies a decision until nearly all nodes have applied it, over all
+/// decisions. Serialized as a list of the two values.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct SpreadTimes {
-    /// The median, in seconds.
+    /// Median in seconds.
     pub median_s: f64,
-    /// The longest, in seconds.
+    /// Maximum in seconds.
     pub max_s: f64,
 }
 
@@ -25,13 +26,13 @@
     }
 }
 
-/// Fractions of the demand that were answered in time; in JSON a list of both.
+/// Fractions of the demand answered in time. Serialized as a list of the two values.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct ServiceFractions {
-    /// During the outage.
+    /// Fraction during the outage.
     pub in_outage: f64,
-    /// From the outage's beginning to the end.
+    /// Fraction from the start of the outage to the end of the run.
     pub to_end: f64,
 }
 
@@ -41,7 +42,8 @@
     }
 }
 
-/// What was measured, in the order shown. Where nothing else is said, in the mode of the common decision.
+/// Measured values, in the order of their output. Values that are not given by mode are those with the common
+/// decision.
 #[derive(Clone, Debug, Serialize)]
 pub struct ZonesReport {
     /// Number of nodes.
@@ -49,50 +51,51 @@
     pub nodes: usize,
     /// Number of zones.
     pub zones: usize,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Seconds from the outage to the first decision that suspects the zone.
+    /// Seconds from the start of the outage to the first decision in which the zone is suspected.
     #[serde(rename = "suspected_s")]
     pub time_to_suspect_s: Option<f64>,
-    /// Seconds from the outage to the first decision that takes the zone out of service.
+    /// Seconds from the start of the outage to the first decision in which the zone is out of service.
     #[serde(rename = "out_s")]
     pub time_to_remove_s: Option<f64>,
-    /// Seconds from the outage until nearly all nodes act on that decision.
+    /// Seconds from the start of the outage until nearly all nodes have applied the lowest-numbered
+    /// decision in which the zone is out of service.
     #[serde(rename = "moved_s")]
     pub time_to_move_s: Option<f64>,
-    /// Seconds from the return of the replicas until the zone gets its load again.
+    /// Seconds from the restart of the replicas until the zone receives its even share of the load.
     #[serde(rename = "home_s")]
     pub time_to_return_s: Option<f64>,
-    /// Time for a decision to spread.
+    /// Times for a decision to spread.
     #[serde(rename = "spread_s")]
     pub spread: SpreadTimes,
     /// Number of decisions.
     pub decisions: usize,
-    /// Datagrams a second and node before the outage.
+    /// Datagrams per second and node before the outage.
     #[serde(rename = "datagrams_calm")]
     pub datagrams_before_outage: f64,
-    /// Bytes a second and node before the outage.
+    /// Bytes per second and node before the outage.
     #[serde(rename = "bytes_calm")]
     pub bytes_before_outage: f64,
-    /// Datagrams a second and node over the whole run.
+    /// Datagrams per second and node over the whole run.
     pub datagrams: f64,
-    /// Bytes a second and node over the whole run.
+    /// Bytes per second and node over the whole run.
     pub bytes: f64,
-    /// Bytes a second of the busiest node over the whole run.
+    /// Bytes per second sent by the busiest node over the whole run.
     #[serde(rename = "bytes_busiest")]
     pub busiest_node_bytes: f64,
-    /// Service in each mode.
+    /// Fractions of the demand answered in time, by mode.
     pub service: BTreeMap<&'static str, ServiceFractions>,
-    /// Highest load of a zone that serves as a fraction of its capacity, in each mode.
+    /// Highest load of a zone whose replicas have not failed, as a fraction of its capacity, by mode.
     #[serde(rename = "peak")]
     pub peak_load: BTreeMap<&'static str, f64>,
-    /// Parts sent to warming replicas beyond their allowance, in each mode.
+    /// Parts sent to warming replicas beyond the slow-start allowance, by mode.
     #[serde(rename = "cold_pushed_over")]
     pub slow_start_excess: BTreeMap<&'static str, f64>,
-    /// How often two decisions had one number.
+    /// Number of times that different decisions had the same number.
     #[serde(rename = "two_under_one_number")]
     pub conflicting_decisions: u64,
-    /// How often a node went from a decision to an older one.
+    /// Number of times that a node changed from a decision to an older one.
     #[serde(rename = "older_acted_on")]
     pub decision_regressions: u64,
 }
@@ -113,9 +116,9 @@
             time_to_move_s: time_to_move(world, zone),
             time_to_return_s: common.time_to_return_s,
             spread: spread_times(world),
-            decisions: world.decisions.decisions.len(),
-            datagrams_before_outage: common.calm_traffic.datagrams as f64 / per_node / OUTAGE.start,
-            bytes_before_outage: common.calm_traffic.bytes as f64 / per_node / OUTAGE.start,
+            decisions: world.decision_log.decisions.len(),
+            datagrams_before_outage: common.traffic_before_outage.datagrams as f64 / per_node / OUTAGE.start,
+            bytes_before_outage: common.traffic_before_outage.bytes as f64 / per_node / OUTAGE.start,
             datagrams: sent.datagrams as f64 / per_node / END_S,
             bytes: sent.bytes as f64 / per_node / END_S,
             busiest_node_bytes: common.busiest_node_bytes() as f64 / END_S,
@@ -125,27 +128,29 @@
             }),
             peak_load: by_mode(runs, |run| run.peak_load),
             slow_start_excess: by_mode(runs, Run::slow_start_excess),
-            conflicting_decisions: world.decisions.conflicts,
-            decision_regressions: world.decisions.regressions,
+            conflicting_decisions: world.decision_log.conflicts,
+            decision_regressions: world.decision_log.regressions,
         }
     }
 }
 
-fn by_mode<T>(runs: &Runs, figure: impl Fn(&Run) -> T) -> BTreeMap<&'static str, T> {
-    runs.by_mode().into_iter().map(|(name, run)| (name, figure(run))).collect()
+/// Evaluates a value for each run, by the name of its mode.
+fn by_mode<T>(runs: &Runs, value: impl Fn(&Run) -> T) -> BTreeMap<&'static str, T> {
+    runs.by_mode().into_iter().map(|(name, run)| (name, value(run))).collect()
 }
 
-/// Seconds from the outage to the earliest decision that puts the zone into this state.
+/// Seconds from the start of the outage to the first decision in which the zone has this state.
 fn first_decision(world: &World, zone: usize, state: ZoneState) -> Option<f64> {
-    let times = world.decisions.decisions.values();
-    let in_outage = times
+    let decisions = world.decision_log.decisions.values();
+    let since_outage = decisions
         .filter(|decision| decision.at.as_secs_f64() >= OUTAGE.start && decision.zones[zone].state == state);
-    in_outage.map(|decision| decision.at.as_secs_f64() - OUTAGE.start).min_by(f64::total_cmp)
+    since_outage.map(|decision| decision.at.as_secs_f64() - OUTAGE.start).min_by(f64::total_cmp)
 }
 
-/// Seconds from the outage until nearly all nodes act on the lowest-numbered decision without the zone.
+/// Seconds from the start of the outage until nearly all nodes have applied the lowest-numbered decision in
+/// which the zone is out of service.
 fn time_to_move(world: &World, zone: usize) -> Option<f64> {
-    let log = &world.decisions;
+    let log = &world.decision_log;
     let (number, _) = log.decisions.iter().find(|(_, decision)| {
         let state = decision.zones[zone].state;
         decision.at.as_secs_f64() >= OUTAGE.start && state == ZoneState::OutOfService
@@ -155,9 +160,10 @@
 }
 
 fn spread_times(world: &World) -> SpreadTimes {
-    let applications = world.decisions.applications.values();
-    let mut times: Vec<f64> =
-        applications.filter_map(|it| Some((it.spread? - it.first).as_secs_f64())).collect();
+    let applications = world.decision_log.applications.values();
+    let mut times: Vec<f64> = applications
+        .filter_map(|application| Some((application.spread? - application.first).as_secs_f64()))
+        .collect();
     times.sort_by(f64::total_cmp);
     SpreadTimes {
         median_s: times.get(times.len() / 2).copied().unwrap_or(0.0),
--- a/crates/pipitcrank-simulation/src/zones/run.rs
+++ b/crates/pipitcrank-simulation/src/zones/run.rs
@@ -1,4 +1,4 @@
-//! One run of the experiment in one routing mode.
+//! Runs of the experiment, one for each routing mode.
 
 use pipitcrank_core::time::Timestamp;
 
@@ -9,10 +9,10 @@
 use crate::network::Traffic;
 use crate::plot::Point;
 
-/// A zone is back once it gets this fraction of its even share of the load.
+/// Fraction of an even share of the load at which the failed zone counts as returned.
 const RETURNED_FRACTION: f64 = 0.99;
 
-/// Demand over some time, and what of it was answered in time.
+/// Demand over a period, and the part of it that was answered in time.
 #[derive(Clone, Copy, Default)]
 pub struct Service {
     demand: f64,
@@ -30,24 +30,25 @@
     }
 }
 
+/// State and measurements of a run in one routing mode.
 pub struct Run {
     pub world: World,
     pub failing_zone: usize,
-    /// By step, the fraction of the demand that is answered in time.
+    /// Fraction of the demand answered in time, by step.
     pub service: Vec<Point>,
-    /// By zone and step, the load as a fraction of the capacity.
+    /// Load of each zone as a fraction of its capacity, by step.
     pub load: Vec<Vec<Point>>,
     pub service_in_outage: Service,
     pub service_to_end: Service,
     pub peak_load: f64,
-    /// What was sent before the outage.
-    pub calm_traffic: Traffic,
+    /// Traffic sent before the outage.
+    pub traffic_before_outage: Traffic,
     pub time_to_return_s: Option<f64>,
 }
 
 impl Run {
-    /// Plays the experiment to its end.
-    pub fn play(nodes: usize, zones: usize, seed: u64, mode: RoutingMode) -> Run {
+    /// Runs the experiment to its end in one mode.
+    pub fn simulate(nodes: usize, zones: usize, seed: u64, mode: RoutingMode) -> Run {
         let mut run = Run {
             world: World::new(nodes, zones, seed, mode),
             failing_zone: seed as usize % zones,
@@ -56,7 +57,7 @@
             service_in_outage: Service::default(),
             service_to_end: Service::default(),
             peak_load: 0.0,
-            calm_traffic: Traffic::default(),
+            traffic_before_outage: Traffic::default(),
             time_to_return_s: None,
         };
         while let Some((now, event)) = run.world.queue.pop() {
@@ -73,18 +74,18 @@
     }
 
     fn on_step(&mut self, now: Timestamp) {
-        let at = now.as_secs_f64();
-        if self.world.outage.is_none() && OUTAGE.contains(&at) {
-            self.calm_traffic = self.world.network.sent;
+        let seconds = now.as_secs_f64();
+        if self.world.outage.is_none() && OUTAGE.contains(&seconds) {
+            self.traffic_before_outage = self.world.network.sent;
             self.world.zones[self.failing_zone].fail();
-            self.world.outage = Some(Outage { zone: self.failing_zone, since: now });
+            self.world.outage = Some(Outage { zone: self.failing_zone, started_at: now });
         }
-        if self.world.outage.is_some() && at >= OUTAGE.end {
+        if self.world.outage.is_some() && seconds >= OUTAGE.end {
             self.world.zones[self.failing_zone].restart(now);
             self.world.outage = None;
         }
         let step = self.world.step(now);
-        self.measure(at, &step);
+        self.measure(seconds, &step);
         self.world.queue.schedule(now + STEP, SimulationEvent::Step);
     }
 
@@ -104,26 +105,26 @@
             self.service_to_end.add(step);
         }
         let total: f64 = step.load.iter().sum();
-        let even = total / step.load.len() as f64;
-        let returned = step.load[self.failing_zone] >= even * RETURNED_FRACTION;
-        if seconds >= OUTAGE.end && self.time_to_return_s.is_none() && returned {
+        let even_share = total / step.load.len() as f64;
+        let has_returned = step.load[self.failing_zone] >= even_share * RETURNED_FRACTION;
+        if seconds >= OUTAGE.end && self.time_to_return_s.is_none() && has_returned {
             self.time_to_return_s = Some(seconds - OUTAGE.end);
         }
     }
 
-    /// Parts sent to warming replicas beyond their allowance.
+    /// Number of parts sent to warming replicas beyond the slow-start allowance.
     pub fn slow_start_excess(&self) -> f64 {
         self.world.zones.iter().map(|zone| zone.slow_start_excess).sum()
     }
 
-    /// Bytes that the busiest node sent.
+    /// Number of bytes sent by the busiest node.
     pub fn busiest_node_bytes(&self) -> u64 {
         let failover = self.world.nodes.iter().filter_map(|node| node.failover.as_ref());
         failover.map(|failover| failover.sent().bytes).max().unwrap_or(0)
     }
 }
 
-/// Runs of all routing modes from one seed.
+/// Runs in all routing modes with the same seed.
 pub struct Runs {
     pub common: Run,
     independent: Run,
@@ -131,15 +132,16 @@
 }
 
 impl Runs {
-    pub fn play(nodes: usize, zones: usize, seed: u64) -> Runs {
+    /// Runs the experiment in each mode.
+    pub fn simulate(nodes: usize, zones: usize, seed: u64) -> Runs {
         Runs {
-            common: Run::play(nodes, zones, seed, RoutingMode::CommonDecision),
-            independent: Run::play(nodes, zones, seed, RoutingMode::Independent),
-            ignoring: Run::play(nodes, zones, seed, RoutingMode::IgnoreZones),
+            common: Run::simulate(nodes, zones, seed, RoutingMode::CommonDecision),
+            independent: Run::simulate(nodes, zones, seed, RoutingMode::Independent),
+            ignoring: Run::simulate(nodes, zones, seed, RoutingMode::IgnoreZones),
         }
     }
 
-    /// Each run by its mode's name.
+    /// Runs by the name of their mode.
     pub fn by_mode(&self) -> [(&'static str, &Run); 3] {
         [
             (RoutingMode::CommonDecision.name(), &self.common),
--- a/crates/pipitcrank-simulation/src/zones/tests.rs
+++ b/crates/pipitcrank-simulation/src/zones/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn all_nodes_leave_a_failed_zone_and_the_common_decision_serves_more() {
+fn common_decision_moves_load_and_serves_more() {
     let report = run_experiment(30, 3, 1).report;
     assert!(report.time_to_move_s.is_some_and(|s| s < 3.5), "{report:?}");
     assert!(report.time_to_return_s.is_some(), "{report:?}");
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes() {
+fn same_seed_gives_same_bytes() {
     let bytes = |seed| serde_json::to_string(&run_experiment(12, 3, seed).report).unwrap();
     assert_eq!(bytes(2), bytes(2));
     assert_ne!(bytes(2), bytes(3));
--- a/crates/pipitcrank-simulation/src/zones/world.rs
+++ b/crates/pipitcrank-simulation/src/zones/world.rs
@@ -1,4 +1,4 @@
-//! All nodes, the network between them, and the replicas of all zones.
+//! The simulated system: all nodes, the network between them and the replicas of all zones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,46 +21,48 @@
 use crate::network::{Destination, Network};
 use crate::zone_replicas::ZoneReplicas;
 
-/// A zone that fails.
+/// Outage of a zone.
 #[derive(Clone, Copy)]
 pub struct Outage {
     pub zone: usize,
-    pub since: Timestamp,
+    pub started_at: Timestamp,
 }
 
-/// A zone's weight among those that a node sends to.
+/// Weight of a zone in the division of the demand of a node.
 #[derive(Clone, Copy)]
 struct ZoneWeight {
     zone: usize,
     weight: f64,
 }
 
-/// How a node divides its demand.
+/// Division of the demand of a node among zones.
 struct Routing {
     weights: Vec<ZoneWeight>,
-    /// Thousandths that no zone can carry.
+    /// Fraction of the demand that is shed because no zone has the capacity for it, in thousandths.
     shed: u16,
 }
 
-/// What became of a step's demand.
+/// Demand and load of a step.
 pub struct StepSummary {
-    /// Parts asked for.
+    /// Number of parts in the demand.
     pub demand: f64,
-    /// Parts answered in time.
+    /// Number of parts answered in time.
     pub in_time: f64,
-    /// Parts a second sent to each zone.
+    /// Load of each zone in parts per second.
     pub load: Vec<f64>,
 }
 
+/// State of the simulated system in one routing mode.
 pub struct World {
     pub queue: EventQueue,
     pub network: Network,
     pub nodes: Vec<SimulatedNode>,
+    /// Indices of the nodes by address.
     indices: BTreeMap<SocketAddr, usize>,
     pub zones: Vec<ZoneReplicas>,
     pub outage: Option<Outage>,
     mode: RoutingMode,
-    pub decisions: DecisionLog,
+    pub decision_log: DecisionLog,
 }
 
 impl World {
@@ -75,7 +77,7 @@
             zones: (0..zones).map(|_| ZoneReplicas::new(REPLICAS_PER_ZONE, REPLICA_CAPACITY)).collect(),
             outage: None,
             mode,
-            decisions: DecisionLog::default(),
+            decision_log: DecisionLog::default(),
         };
         let proximity = Proximity::new(&vec!["r".to_string(); zones]);
         let peers = peers(nodes, zones);
@@ -90,7 +92,7 @@
         world
     }
 
-    /// The node's deadline has come, if it has not been moved since.
+    /// Runs the node if its deadline is due. A deadline that was postponed after it was scheduled is ignored.
     pub fn on_deadline(&mut self, now: Timestamp, node: usize) {
         if self.nodes[node].is_due(now) {
             self.nodes[node].deadline = Some(now);
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Gives a node a datagram, if there is one, and its turn; sends what it wants to send.
+    /// Runs a node at `now`: handles the datagram, if there is one, reports evidence that is due, applies a
+    /// new decision, sends the datagrams of the node and schedules its next deadline.
     pub fn run_node(&mut self, now: Timestamp, node: usize, datagram: Option<&[u8]>) {
         let Some(failover) = &mut self.nodes[node].failover else { return };
         let report_due = failover.take_report_due(now);
@@ -114,16 +117,16 @@
         failover.tick(now);
         for event in failover.take_events() {
             if let NodeEvent::Decided(decision) = event {
-                self.decisions.record_decision(now, &decision);
+                self.decision_log.record_decision(now, &decision);
             }
         }
-        self.follow_decision(now, node);
+        self.apply_decision(now, node);
         self.send_datagrams(now, node);
         self.schedule_deadline(now, node);
     }
 
-    /// Has the node act on the decision that it follows now.
-    fn follow_decision(&mut self, now: Timestamp, node: usize) {
+    /// Applies the current decision of the node's failover state, if it has changed.
+    fn apply_decision(&mut self, now: Timestamp, node: usize) {
         let count = self.nodes.len();
         let node = &mut self.nodes[node];
         let Some(failover) = &node.failover else { return };
@@ -132,7 +135,7 @@
         if decision == node.decision {
             return;
         }
-        self.decisions.record_application(now, node.decision.number, decision.number, count);
+        self.decision_log.record_application(now, node.decision.number, decision.number, count);
         node.plan = failover.routing_plan(now);
         node.decision = decision;
     }
@@ -158,11 +161,11 @@
         }
     }
 
-    /// What the node observes of each zone's replicas.
+    /// Replica counts of each zone as observed by the node.
     fn replica_counts(&self, now: Timestamp, node: usize) -> Vec<ReplicaCounts> {
         let counts = |(zone, replicas): (usize, &ZoneReplicas)| {
             let listed = replicas.count;
-            if self.notices_silence(now, node, zone) {
+            if self.detects_outage(now, node, zone) {
                 return ReplicaCounts { listed, silent: listed, ..ReplicaCounts::default() };
             }
             let saturated = if replicas.queue_delay_s(now) > SATURATED_DELAY_S { listed } else { 0 };
@@ -173,20 +176,22 @@
         self.zones.iter().enumerate().map(counts).collect()
     }
 
-    /// Parts a second of all clients.
+    /// Demand of all clients in parts per second.
     fn demand(&self) -> f64 {
         self.zones.iter().map(ZoneReplicas::full_capacity).sum::<f64>() * DEMAND_FRACTION
     }
 
-    fn notices_silence(&self, now: Timestamp, node: usize, zone: usize) -> bool {
+    /// Whether the node has detected an outage of the zone.
+    fn detects_outage(&self, now: Timestamp, node: usize, zone: usize) -> bool {
         self.outage.is_some_and(|outage| {
-            let silent_for = (now - outage.since).as_secs_f64();
-            outage.zone == zone && silent_for >= self.nodes[node].detection_delay_s
+            let outage_s = (now - outage.started_at).as_secs_f64();
+            outage.zone == zone && outage_s >= self.nodes[node].detection_delay_s
         })
     }
 
-    /// The fractions without a zone whose silence the node notices: its part goes to the others, evenly.
-    fn without_silent_zone(
+    /// Converts fractions to weights. The weight of a zone whose outage the node has detected is divided
+    /// evenly among the other zones.
+    fn weights_without_failed_zone(
         &self,
         now: Timestamp,
         node: usize,
@@ -197,36 +202,40 @@
         for fraction in fractions {
             weights[usize::from(fraction.zone)] += f64::from(fraction.permille);
         }
-        let is_silent = |&zone: &usize| weights[zone] > 0.0 && self.notices_silence(now, node, zone);
-        if let Some(silent) = (0..zones).find(is_silent) {
-            let moved = std::mem::take(&mut weights[silent]) / (zones - 1) as f64;
-            (0..zones).filter(|zone| *zone != silent).for_each(|zone| weights[zone] += moved);
+        let has_failed = |&zone: &usize| weights[zone] > 0.0 && self.detects_outage(now, node, zone);
+        if let Some(failed) = (0..zones).find(has_failed) {
+            let moved = std::mem::take(&mut weights[failed]) / (zones - 1) as f64;
+            (0..zones).filter(|zone| *zone != failed).for_each(|zone| weights[zone] += moved);
         }
         weights.into_iter().enumerate().map(|(zone, weight)| ZoneWeight { zone, weight }).collect()
     }
 
+    /// Division of the demand of a node in the current mode.
     fn routing(&mut self, now: Timestamp, node: usize) -> Routing {
         match self.mode {
             RoutingMode::CommonDecision => {
                 let plan = &self.nodes[node].plan;
-                Routing { weights: self.without_silent_zone(now, node, &plan.fractions), shed: plan.shed }
+                Routing {
+                    weights: self.weights_without_failed_zone(now, node, &plan.fractions),
+                    shed: plan.shed,
+                }
             }
             RoutingMode::Independent => {
                 let own = self.nodes[node].zone;
-                let silent = self.notices_silence(now, node, own);
-                let home = self.nodes[node].sends_to_own_zone(now, silent);
-                let zones = (0..self.zones.len()).filter(|&zone| (zone == own) == home);
+                let detects_outage = self.detects_outage(now, node, own);
+                let sends_to_own = self.nodes[node].sends_to_own_zone(now, detects_outage);
+                let zones = (0..self.zones.len()).filter(|&zone| (zone == own) == sends_to_own);
                 Routing { weights: zones.map(|zone| ZoneWeight { zone, weight: 1.0 }).collect(), shed: 0 }
             }
             RoutingMode::IgnoreZones => {
                 let zones = 0..self.zones.len() as u16;
                 let even: Vec<_> = zones.map(|zone| ZoneFraction { zone, permille: 100 }).collect();
-                Routing { weights: self.without_silent_zone(now, node, &even), shed: 0 }
+                Routing { weights: self.weights_without_failed_zone(now, node, &even), shed: 0 }
             }
         }
     }
 
-    /// Advances load and replicas by a step.
+    /// Advances the load and the replicas by a step.
     pub fn step(&mut self, now: Timestamp) -> StepSummary {
         let node_demand = self.demand() / self.nodes.len() as f64 * STEP.as_secs_f64();
         let mut parts = vec![0.0; self.zones.len()];
@@ -245,7 +254,8 @@
             in_time += outcome.in_time;
             retried += outcome.unanswered * RETRIED_FRACTION;
         }
-        // Retries go to zones with free capacity; they are few, and so are in time.
+        // Retries go to zones with free capacity. They are few, so all of them are counted as answered in
+        // time.
         in_time += retried;
         let demand = node_demand * self.nodes.len() as f64;
         let load = parts.iter().map(|parts| parts / STEP.as_secs_f64()).collect();
