--- a/crates/pipitcrank-cost/src/decisions.rs
+++ b/crates/pipitcrank-cost/src/decisions.rs
@@ -1,4 +1,4 @@
-//! A checksum of decisions on a generated stream.
+//! Checksum of the decisions on a generated stream of events.
 
 use crc32fast::Hasher;
 use pipitcrank_core::ids::{AttemptId, AttemptOutcome};
@@ -7,16 +7,17 @@
 
 use crate::harness::ExchangeHarness;
 
-/// Batches of a stream.
+/// Number of batches in a stream.
 const BATCHES: u32 = 4000;
 
-/// Checksum of all that the coordinator asked for on a stream of that seed: queries of all request classes, answers, faults,
-/// silence, clients that disconnect, replicas that come and go.
+/// Returns the checksum of the calls, cancellations and responses on the stream generated from `seed`. The
+/// stream contains queries of all request classes, answers, faults, missing answers, clients that disconnect,
+/// and replicas that start and drain.
 pub fn checksum(seed: u64) -> u32 {
     let mut stream = Stream {
         rng: Pcg64::seed_from_u64(seed),
         harness: ExchangeHarness::new(24, 12, 40, 300),
-        sum: Hasher::new(),
+        hasher: Hasher::new(),
         in_flight: Vec::new(),
         tickets: Vec::new(),
     };
@@ -24,19 +25,20 @@
         stream.generate_event();
         let ms = stream.rng.random_range(1..12);
         stream.harness.run_batch(ms);
-        stream.add_decisions();
+        stream.hash_decisions();
     }
     for (kind, count) in stream.harness.responses.borrow().iter() {
-        stream.sum.update(kind.as_bytes());
-        stream.sum.update(&count.to_le_bytes());
+        stream.hasher.update(kind.as_bytes());
+        stream.hasher.update(&count.to_le_bytes());
     }
-    stream.sum.finalize()
+    stream.hasher.finalize()
 }
 
+/// A generated stream and the checksum of the decisions made on it so far.
 struct Stream {
     rng: Pcg64,
     harness: ExchangeHarness,
-    sum: Hasher,
+    hasher: Hasher,
     in_flight: Vec<AttemptId>,
     tickets: Vec<u64>,
 }
@@ -47,9 +49,9 @@
             0..=2 => {
                 let class = self.rng.random_range(0..3u16);
                 let parts = [6, 20, 1][class as usize];
-                let wait_ms = self.rng.random_range(300..4000);
-                let first = self.rng.random_range(0..40);
-                self.tickets.push(self.harness.submit(class, first, parts, wait_ms));
+                let time_limit_ms = self.rng.random_range(300..4000);
+                let first_shard = self.rng.random_range(0..40);
+                self.tickets.push(self.harness.submit(class, first_shard, parts, time_limit_ms));
             }
             3..=7 if !self.in_flight.is_empty() => self.end_some_attempts(),
             8 if !self.tickets.is_empty() && self.rng.random_bool(0.2) => {
@@ -78,18 +80,18 @@
         }
     }
 
-    fn add_decisions(&mut self) {
+    fn hash_decisions(&mut self) {
         for (replica, attempts) in &self.harness.transport.calls {
-            self.sum.update(&replica.0.to_le_bytes());
+            self.hasher.update(&replica.0.to_le_bytes());
             for AttemptId { part, number } in attempts {
-                self.sum.update(&part.0.to_le_bytes());
-                self.sum.update(&number.to_le_bytes());
+                self.hasher.update(&part.0.to_le_bytes());
+                self.hasher.update(&number.to_le_bytes());
             }
         }
         for (replica, attempt) in self.harness.transport.cancelled.drain(..) {
             let AttemptId { part, number } = attempt;
             let bytes = [&replica.0.to_le_bytes()[..], &part.0.to_le_bytes(), &number.to_le_bytes(), b"x"];
-            self.sum.update(&bytes.concat());
+            self.hasher.update(&bytes.concat());
             self.in_flight.retain(|other| *other != attempt);
         }
         self.in_flight.extend(self.harness.authorize_all());
--- a/crates/pipitcrank-cost/src/harness.rs
+++ b/crates/pipitcrank-cost/src/harness.rs
@@ -1,5 +1,5 @@
-//! The exchange with the decision module in it, driven by hand: replicas that answer when settings, and a note of all that is
-//! submitted of them.
+//! Harness that runs an exchange with its co-ordinator in simulated time. The harness ends attempts on
+//! request of the caller and records the requests to replicas.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,14 +15,14 @@
 use pipitcrank_server::runtime::counters::Counters;
 use serde_json::json;
 
-/// What the exchange submitted for, in order.
+/// Transport that records all requests of the exchange, in order.
 #[derive(Default)]
 pub struct RecordingTransport {
-    /// Calls that have not been authorized.
+    /// Calls that `authorize_all` has not processed yet.
     pub calls: Vec<(ReplicaId, Vec<AttemptId>)>,
-    /// Attempts cancelled.
+    /// Cancelled attempts.
     pub cancelled: Vec<(ReplicaId, AttemptId)>,
-    /// Replicas probed.
+    /// Replicas that were sent a load probe.
     pub probes: Vec<ReplicaId>,
 }
 
@@ -40,23 +40,24 @@
     }
 }
 
-/// An exchange with replicas that answer when told.
+/// An exchange whose replicas answer only through `end_attempt`.
 pub struct ExchangeHarness {
     /// The exchange.
     pub exchange: Exchange,
-    /// What it asked for.
+    /// Requests of the exchange.
     pub transport: RecordingTransport,
-    /// The present time.
+    /// Current simulated time.
     pub now: Timestamp,
-    /// Numbers of responses, by kind.
+    /// Number of responses by kind.
     pub responses: Rc<RefCell<BTreeMap<&'static str, u64>>>,
     cells: u32,
     shards: u32,
-    submitted: u64,
+    submitted_count: u64,
 }
 
 impl ExchangeHarness {
-    /// Replicas that hold so many shards in a ring of cells; `max_open` queries and parts may be open.
+    /// Creates an exchange with `replicas` replicas that hold `shards` shards in a ring of `cells` cells. The
+    /// exchange has a limit of `max_open` open queries and parts.
     pub fn new(replicas: u32, cells: u32, shards: u32, max_open: usize) -> ExchangeHarness {
         let class = |name: &str, kind: &str| json!({"name": name, "aim_s": 2.0, "hard_limit_s": 6.0, "idempotency": kind});
         let settings = json!({
@@ -69,7 +70,7 @@
             "tick_s": 0.005
         });
         let coordinator =
-            SettingsReader::new(&settings).coordinator(11).expect("settings of our own are good");
+            SettingsReader::new(&settings).coordinator(11).expect("the settings of the harness are invalid");
         let mut exchange = Exchange::new(coordinator, max_open, 8, Counters::default());
         exchange.update_endpoints(
             Timestamp::default(),
@@ -84,25 +85,25 @@
             responses,
             cells,
             shards,
-            submitted: 0,
+            submitted_count: 0,
         };
         harness.run_batch(5);
         harness
     }
 
-    /// Lets time pass, and runs a batch.
+    /// Advances the time by `ms` milliseconds and runs a batch.
     pub fn run_batch(&mut self, ms: i64) {
         self.now = self.now + TimeSpan::from_millis(ms);
         self.exchange.run_batch(self.now, &mut self.transport);
     }
 
-    /// The endpoint list names the replica as up or draining.
+    /// Sends a partial endpoint list with one replica, which is either up or draining.
     pub fn change_replica(&mut self, n: u32, up: bool) {
         let endpoint = endpoint(n, self.cells, up);
         self.exchange.update_endpoints(self.now, false, vec![endpoint]);
     }
 
-    /// The complete endpoint list names so many replicas, all up.
+    /// Sends a complete endpoint list of `replicas` replicas, all up.
     pub fn list_all(&mut self, replicas: u32) {
         self.exchange.update_endpoints(
             self.now,
@@ -111,15 +112,15 @@
         );
     }
 
-    /// Submits a query of consecutive shards; returns its ticket.
-    pub fn submit(&mut self, class: u16, first: u32, parts: u32, wait_ms: i64) -> u64 {
-        self.submitted += 1;
+    /// Submits a query of `parts` consecutive shards that begin at `first_shard`; returns its ticket.
+    pub fn submit(&mut self, class: u16, first_shard: u32, parts: u32, time_limit_ms: i64) -> u64 {
+        self.submitted_count += 1;
         let weight = 1.0 / f64::from(parts);
-        let part = |n| QueryPart { shard: (first + n) % self.shards, weight, work: Some(0.01) };
+        let part = |n| QueryPart { shard: (first_shard + n) % self.shards, weight, work: Some(0.01) };
         let request = QueryRequest {
-            id: format!("q{}", self.submitted),
+            id: format!("q{}", self.submitted_count),
             class: RequestClassId(class),
-            deadline: self.now + TimeSpan::from_millis(wait_ms),
+            deadline: self.now + TimeSpan::from_millis(time_limit_ms),
             parts: (0..parts).map(part).collect(),
             idempotency_key: None,
             text: "c41e".into(),
@@ -135,29 +136,29 @@
             };
             *responses.borrow_mut().entry(kind).or_default() += 1;
         });
-        self.exchange.submit(self.submitted, request, sink);
-        self.submitted
+        self.exchange.submit(self.submitted_count, request, sink);
+        self.submitted_count
     }
 
-    /// All calls transport go, and their parts are out.
+    /// Authorizes all recorded calls; returns the attempts that are sent.
     pub fn authorize_all(&mut self) -> Vec<AttemptId> {
-        let mut out = Vec::new();
-        for (replica, mut parts) in std::mem::take(&mut self.transport.calls) {
-            self.exchange.authorize_send(self.now, replica, &mut parts);
-            out.extend(parts);
+        let mut sent = Vec::new();
+        for (replica, mut attempts) in std::mem::take(&mut self.transport.calls) {
+            self.exchange.authorize_send(self.now, replica, &mut attempts);
+            sent.extend(attempts);
         }
-        out
+        sent
     }
 
-    /// Ends an attempt.
+    /// Ends an attempt with the outcome. A successful attempt returns a value.
     pub fn end_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
         let value = (outcome == AttemptOutcome::Success).then(|| "value".to_string());
         self.exchange.attempt_ended(attempt, outcome, value, None);
     }
 
-    /// Serves one query, with replicas that answer within two batches.
-    pub fn serve_one(&mut self, class: u16, first: u32, parts: u32) {
-        self.submit(class, first, parts, 4000);
+    /// Submits one query and runs batches until it is answered. All sent attempts succeed.
+    pub fn serve_one(&mut self, class: u16, first_shard: u32, parts: u32) {
+        self.submit(class, first_shard, parts, 4000);
         for _ in 0..400 {
             self.run_batch(5);
             for attempt in self.authorize_all() {
@@ -167,7 +168,7 @@
                 return;
             }
         }
-        panic!("a query of {parts} parts was not answered");
+        panic!("query with {parts} parts was not answered within 400 batches");
     }
 }
 
--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -1,8 +1,9 @@
-//! Cost of a query, by counts that do not depend on the load of the machine: blocks and bytes allocated, by scenario, with
-//! the exchange alone.
+//! Measures the cost of queries in the exchange alone by counts that do not depend on the load of the
+//! machine: the number of memory blocks and bytes allocated in each scenario.
 //!
-//! `hold` writes the figures to a file, `check` fails where one grew by over 5 % and names it. The decisions made on generated
-//! streams are held in the same way, by a checksum: an optimization must not change them.
+//! `hold` writes the figures to a file. `check` compares the current figures with the file; it fails and
+//! names each figure that has grown by more than 5 %. The file also contains checksums of the decisions on
+//! generated streams, since an optimization must not change decisions.
 
 mod decisions;
 mod figures;
@@ -23,11 +24,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Print all figures, with times, which are never judged
+    /// Print all figures, including times, which `check` ignores
     Show,
-    /// Fail where a figure grew by over 5 % against the file, or a decision changed
+    /// Compare with the file; fail if a figure grew by more than 5 % or a decision changed
     Check { file: PathBuf },
-    /// Write today's figures to the file: to raise one on purpose, say why in the commit
+    /// Write the current figures to the file; explain intended growth in the commit message
     Hold { file: PathBuf },
 }
 
@@ -47,7 +48,9 @@
 }
 
 fn check(file: &Path, figures: &Figures) -> Result<()> {
-    let held: Figures = serde_json::from_str(&std::fs::read_to_string(file).context("the file held")?)?;
+    let held: Figures = serde_json::from_str(
+        &std::fs::read_to_string(file).context("failed to read the file of held figures")?,
+    )?;
     let regressions = regressions(&held, figures);
     for line in &regressions {
         eprintln!("{line}");
--- a/crates/pipitcrank-cost/src/tests.rs
+++ b/crates/pipitcrank-cost/src/tests.rs
@@ -1,14 +1,15 @@
 use super::*;
 
 #[test]
-fn growth_loss_and_other_decisions_are_named_and_times_are_not_judged() {
+fn regressions_name_growth_loss_and_changed_decisions_but_not_times() {
     let held: Figures = [("a: blocks", 100.0), ("a: us", 5.0), ("decisions on stream 1", 7.0), ("gone", 1.0)]
         .map(|(k, v)| (k.to_string(), v))
         .into();
-    let now: Figures = [("a: blocks", 106.0), ("a: us", 500.0), ("decisions on stream 1", 8.0), ("new", 1.0)]
-        .map(|(k, v)| (k.to_string(), v))
-        .into();
-    let lines = regressions(&held, &now);
+    let current: Figures =
+        [("a: blocks", 106.0), ("a: us", 500.0), ("decisions on stream 1", 8.0), ("new", 1.0)]
+            .map(|(k, v)| (k.to_string(), v))
+            .into();
+    let lines = regressions(&held, &current);
     for name in ["a: blocks", "decisions on stream 1", "gone", "new"] {
         assert!(lines.iter().any(|l| l.starts_with(name)), "{name}: {lines:?}");
     }
