--- a/crates/pipitcrank-cost/src/main.rs
+++ b/crates/pipitcrank-cost/src/main.rs
@@ -26,7 +26,7 @@
 enum Command {
     /// Print all figures, including times, which `check` ignores
     Show,
-    /// Compare with the file; fail if a figure grew by more than 5 % or a decision changed
+    /// Compare the current figures with the file; fail if one grew by more than 5 % or a decision changed
     Check { file: PathBuf },
     /// Write the current figures to the file; explain intended growth in the commit message
     Hold { file: PathBuf },
--- a/crates/pipitcrank-sim-adapter/src/instance_output.rs
+++ b/crates/pipitcrank-sim-adapter/src/instance_output.rs
@@ -15,7 +15,7 @@
     pub queries: Interner,
     pub parts: Interner,
     pub replicas: Interner,
-    /// Queries that are not released, by their `ask_no`.
+    /// Queries that are not released, by the number (`ask_no`) that the simulator assigned.
     pub queries_by_number: BTreeMap<u64, QueryId>,
     /// Lines that are not written yet.
     reply: String,
--- a/crates/pipitcrank-simulation/src/zones/parameters.rs
+++ b/crates/pipitcrank-simulation/src/zones/parameters.rs
@@ -37,7 +37,7 @@
 pub const MAX_DELAY: TimeSpan = TimeSpan::from_millis(4);
 /// Queue delay in seconds above which replicas are reported as saturated.
 pub const SATURATED_DELAY_S: f64 = 1.0;
-/// Time for which a node applies a decision without a heartbeat from the voters.
+/// Time after the last heartbeat for which a node applies a decision unchanged.
 pub const DECISION_HOLD: TimeSpan = TimeSpan::from_millis(10_000);
 /// Shortest time from a run of a node to its next deadline.
 pub const MIN_DEADLINE_DELAY: TimeSpan = TimeSpan::from_millis(1);
