--- a/crates/pipitcrank-server/src/discovery/endpoint_update.rs
+++ b/crates/pipitcrank-server/src/discovery/endpoint_update.rs
@@ -63,7 +63,7 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointError {
     /// An endpoint is not an address with a port.
-    #[error("expected an address and a port, got endpoint '{endpoint}' of replica {uid}")]
+    #[error("endpoint '{endpoint}' of {uid}")]
     Address {
         /// The endpoint as sent.
         endpoint: String,
@@ -71,7 +71,7 @@
         uid: String,
     },
     /// A replica that has not left lacks its endpoint or its cell.
-    #[error("expected both an endpoint and a pod_group for replica {uid}, got at most one of them")]
+    #[error("no endpoint or pod_group of {uid}")]
     Missing {
         /// Uid of the replica.
         uid: String,
