--- a/crates/pipitcrank-cli/src/failover_driver.rs
+++ b/crates/pipitcrank-cli/src/failover_driver.rs
@@ -161,7 +161,7 @@
 }
 
 fn restore(now: Timestamp, node: &mut FailoverNode, state: StoredState) {
-    let StoredState { recovered, voter_memory } = state;
+    let StoredState { recovered, voter_state } = state;
     if let Some(decision) = &recovered.decision {
         let (generation, count) = (decision.number >> 32, decision.number as u32);
         tracing::info!(
@@ -169,7 +169,7 @@
             "restored decision {generation}.{count}; older ones are ignored"
         );
     }
-    node.restore(now, recovered.decision, recovered.members, voter_memory);
+    node.restore(now, recovered.decision, recovered.members, voter_state);
 }
 
 struct FailoverDriver {
@@ -268,14 +268,14 @@
 
     fn save(&mut self, now: Timestamp) {
         let Some(store) = &mut self.store else { return };
-        if let Some(memory) = self.node.take_persistent_state() {
-            store.save_voter_memory(&memory);
+        if let Some(voter_state) = self.node.take_persistent_state() {
+            store.save_voter_state(&voter_state);
         }
-        if self.node.awaits_persistence() && store.is_memory_saved() {
+        if self.node.awaits_persistence() && store.is_voter_state_saved() {
             self.node.state_persisted(now);
         }
         let restart_state = || self.node.restart_state();
-        store.save_learned_state_if_due(now, &self.event_loop, &self.revision, restart_state);
+        store.save_last_known_state_if_due(now, &self.event_loop, &self.revision, restart_state);
     }
 
     fn update_routing(&mut self, now: Timestamp) {
--- a/crates/pipitcrank-cli/src/store_driver.rs
+++ b/crates/pipitcrank-cli/src/store_driver.rs
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct StoredState {
     pub(crate) recovered: RecoveredState,
-    pub(crate) voter_memory: Option<PersistentVoterState>,
+    pub(crate) voter_state: Option<PersistentVoterState>,
 }
 
 /// A store, if there is one, and what a process before this one left in it.
@@ -70,7 +70,7 @@
     write_finished: Arc<Notify>,
     last_write: Option<Timestamp>,
     /// Number of the newest voter memory to be written.
-    memory_sequence: u64,
+    voter_state_sequence: u64,
     /// The error that was logged last.
     logged_error: Option<StoreError>,
     is_slow: bool,
@@ -93,7 +93,7 @@
             config: config.clone(),
             write_finished,
             last_write: None,
-            memory_sequence: 0,
+            voter_state_sequence: 0,
             logged_error: None,
             is_slow: false,
         };
@@ -126,22 +126,23 @@
     }
 
     fn decode(&self, values: &StoredValues) -> StoredState {
-        let voter_memory = values.voter_memory.as_deref().and_then(|bytes| self.decode_voter_memory(bytes));
-        let learned_state = values.learned_state.as_deref();
-        let recovered = learned_state.and_then(|bytes| self.decode_learned_state(bytes)).unwrap_or_default();
-        StoredState { recovered, voter_memory }
+        let voter_state = values.voter_state.as_deref().and_then(|bytes| self.decode_voter_state(bytes));
+        let last_known_state = values.last_known_state.as_deref();
+        let recovered =
+            last_known_state.and_then(|bytes| self.decode_last_known_state(bytes)).unwrap_or_default();
+        StoredState { recovered, voter_state }
     }
 
-    fn decode_voter_memory(&self, bytes: &[u8]) -> Option<PersistentVoterState> {
-        let memory = PersistentVoterState::decode(bytes);
-        if memory.is_none() {
+    fn decode_voter_state(&self, bytes: &[u8]) -> Option<PersistentVoterState> {
+        let voter_state = PersistentVoterState::decode(bytes);
+        if voter_state.is_none() {
             let path = self.config.path.display();
             tracing::warn!("/store/path {path}: voter memory can't be read; returning as a new voter");
         }
-        memory
+        voter_state
     }
 
-    fn decode_learned_state(&self, bytes: &[u8]) -> Option<RecoveredState> {
+    fn decode_last_known_state(&self, bytes: &[u8]) -> Option<RecoveredState> {
         let path = self.config.path.display();
         let Some(state) = LastKnownState::decode(bytes) else {
             tracing::warn!("/store/path {path}: learned state can't be read; it is not used");
@@ -162,17 +163,17 @@
     }
 
     /// Has the voter memory written.
-    pub(crate) fn save_voter_memory(&mut self, memory: &PersistentVoterState) {
-        self.memory_sequence = self.store.save_voter_memory(memory.encode());
+    pub(crate) fn save_voter_state(&mut self, voter_state: &PersistentVoterState) {
+        self.voter_state_sequence = self.store.save_voter_state(voter_state.encode());
     }
 
     /// Whether the newest voter memory is on disk.
-    pub(crate) fn is_memory_saved(&self) -> bool {
-        self.store.synced_sequence() >= self.memory_sequence
+    pub(crate) fn is_voter_state_saved(&self) -> bool {
+        self.store.synced_sequence() >= self.voter_state_sequence
     }
 
     /// Has the learned state written where that is due, and logs errors of the disk.
-    pub(crate) fn save_learned_state_if_due(
+    pub(crate) fn save_last_known_state_if_due(
         &mut self,
         now: Timestamp,
         event_loop: &EventLoop,
@@ -189,7 +190,7 @@
             event_loop.update(|exchange| exchange.snapshot(now, monotonic_micros(), revision.get()));
         let RestartState { decision, members } = restart_state();
         let state = LastKnownState::new(read_clocks(), &snapshot, decision, members);
-        self.store.save_learned_state(state.encode());
+        self.store.save_last_known_state(state.encode());
         event_loop.counters.add("store", "written");
     }
 
@@ -237,6 +238,6 @@
             () = tokio::time::sleep_until(next_write) => {}
         }
         let now = event_loop.clock.now();
-        driver.save_learned_state_if_due(now, &event_loop, &revision, RestartState::default);
+        driver.save_last_known_state_if_due(now, &event_loop, &revision, RestartState::default);
     }
 }
--- a/crates/pipitcrank-recovery/src/store.rs
+++ b/crates/pipitcrank-recovery/src/store.rs
@@ -82,15 +82,15 @@
 
     /// Queues a voter memory, which replaces a pending one. Returns the sequence number that
     /// [`Store::synced_sequence`] reaches once the memory is synced.
-    pub fn save_voter_memory(&mut self, bytes: Vec<u8>) -> u64 {
+    pub fn save_voter_state(&mut self, bytes: Vec<u8>) -> u64 {
         self.last_sequence += 1;
-        self.shared.queue_voter_memory(self.last_sequence, bytes);
+        self.shared.queue_voter_state(self.last_sequence, bytes);
         self.last_sequence
     }
 
     /// Queues a learned state, which replaces a pending one.
-    pub fn save_learned_state(&mut self, bytes: Vec<u8>) {
-        self.shared.queue_learned_state(bytes);
+    pub fn save_last_known_state(&mut self, bytes: Vec<u8>) {
+        self.shared.queue_last_known_state(bytes);
     }
 
     /// Sequence number of the last synced voter memory.
--- a/crates/pipitcrank-recovery/src/store/database_file.rs
+++ b/crates/pipitcrank-recovery/src/store/database_file.rs
@@ -7,7 +7,8 @@
 
 use super::error::{Corruption, StoreError};
 use super::format::{
-    FORMAT_VERSION, HEADER_KEY, LEARNED_STATE_KEY, TABLE, VOTER_MEMORY_KEY, prepend_checksum, verify_checksum,
+    FORMAT_VERSION, HEADER_KEY, LAST_KNOWN_STATE_KEY, TABLE, VOTER_STATE_KEY, prepend_checksum,
+    verify_checksum,
 };
 
 /// Opens or creates the database. Tests pass one that simulates disk faults.
@@ -17,9 +18,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredValues {
     /// Encoded voter memory.
-    pub voter_memory: Option<Vec<u8>>,
+    pub voter_state: Option<Vec<u8>>,
     /// Encoded learned state.
-    pub learned_state: Option<Vec<u8>>,
+    pub last_known_state: Option<Vec<u8>>,
 }
 
 /// Database file of the node `owner`, open or closed.
@@ -100,8 +101,8 @@
         let header = read_value(&table, HEADER_KEY)?.ok_or(Corruption::NoHeader)?;
         self.check_header(&header)?;
         Ok(StoredValues {
-            voter_memory: read_value(&table, VOTER_MEMORY_KEY)?,
-            learned_state: read_value(&table, LEARNED_STATE_KEY)?,
+            voter_state: read_value(&table, VOTER_STATE_KEY)?,
+            last_known_state: read_value(&table, LAST_KNOWN_STATE_KEY)?,
         })
     }
 
@@ -120,8 +121,8 @@
     /// Writes the given values in one transaction, which is synced when the function returns.
     pub fn write(
         &mut self,
-        voter_memory: Option<&[u8]>,
-        learned_state: Option<&[u8]>,
+        voter_state: Option<&[u8]>,
+        last_known_state: Option<&[u8]>,
     ) -> Result<(), StoreError> {
         if self.database.is_none() {
             // Another node's file may have replaced this one while it was closed; reopening checks the header again.
@@ -131,8 +132,8 @@
         let header = [&FORMAT_VERSION.to_be_bytes()[..], self.owner.as_bytes()].concat();
         let values = [
             (HEADER_KEY, Some(&header[..])),
-            (VOTER_MEMORY_KEY, voter_memory),
-            (LEARNED_STATE_KEY, learned_state),
+            (VOTER_STATE_KEY, voter_state),
+            (LAST_KNOWN_STATE_KEY, last_known_state),
         ];
         let written = write_values(database, &values);
         if written.is_err() {
--- a/crates/pipitcrank-recovery/src/store/format.rs
+++ b/crates/pipitcrank-recovery/src/store/format.rs
@@ -11,8 +11,8 @@
 pub const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
 /// Key of the header, which holds the format version and the owner's name.
 pub const HEADER_KEY: &str = "head";
-pub const VOTER_MEMORY_KEY: &str = "promises";
-pub const LEARNED_STATE_KEY: &str = "beliefs";
+pub const VOTER_STATE_KEY: &str = "promises";
+pub const LAST_KNOWN_STATE_KEY: &str = "beliefs";
 
 /// Prepends a checksum to `value`, since the database verifies the checksums of its pages only after a crash.
 pub fn prepend_checksum(value: &[u8]) -> Vec<u8> {
--- a/crates/pipitcrank-recovery/src/store/shared.rs
+++ b/crates/pipitcrank-recovery/src/store/shared.rs
@@ -25,22 +25,22 @@
 /// Values to be written. Only the newest value of each kind is kept, which bounds the size of the queue.
 #[derive(Clone, Default)]
 pub struct PendingWrites {
-    pub voter_memory: Option<SequencedValue>,
-    pub learned_state: Option<Vec<u8>>,
+    pub voter_state: Option<SequencedValue>,
+    pub last_known_state: Option<Vec<u8>>,
 }
 
 impl PendingWrites {
     pub fn is_empty(&self) -> bool {
-        self.voter_memory.is_none() && self.learned_state.is_none()
+        self.voter_state.is_none() && self.last_known_state.is_none()
     }
 
     /// Removes the values of `written`, except those that a newer value has replaced.
     fn remove_written(&mut self, written: &PendingWrites) {
-        if let Some(synced) = &written.voter_memory {
-            self.voter_memory = self.voter_memory.take().filter(|newer| newer.sequence > synced.sequence);
+        if let Some(synced) = &written.voter_state {
+            self.voter_state = self.voter_state.take().filter(|newer| newer.sequence > synced.sequence);
         }
-        self.learned_state =
-            self.learned_state.take().filter(|newer| Some(newer) != written.learned_state.as_ref());
+        self.last_known_state =
+            self.last_known_state.take().filter(|newer| Some(newer) != written.last_known_state.as_ref());
     }
 }
 
@@ -76,12 +76,12 @@
 
     // Functions for the store's owner.
 
-    pub fn queue_voter_memory(&self, sequence: u64, bytes: Vec<u8>) {
-        self.queue(|pending| pending.voter_memory = Some(SequencedValue { sequence, bytes }));
+    pub fn queue_voter_state(&self, sequence: u64, bytes: Vec<u8>) {
+        self.queue(|pending| pending.voter_state = Some(SequencedValue { sequence, bytes }));
     }
 
-    pub fn queue_learned_state(&self, bytes: Vec<u8>) {
-        self.queue(|pending| pending.learned_state = Some(bytes));
+    pub fn queue_last_known_state(&self, bytes: Vec<u8>) {
+        self.queue(|pending| pending.last_known_state = Some(bytes));
     }
 
     fn queue(&self, set: impl FnOnce(&mut PendingWrites)) {
@@ -141,7 +141,7 @@
 
     pub fn set_written(&self, written: &PendingWrites) {
         let mut state = self.lock();
-        if let Some(synced) = &written.voter_memory {
+        if let Some(synced) = &written.voter_state {
             state.synced_sequence = synced.sequence;
         }
         state.pending.remove_written(written);
--- a/crates/pipitcrank-recovery/src/store/tests.rs
+++ b/crates/pipitcrank-recovery/src/store/tests.rs
@@ -23,9 +23,9 @@
     }
 }
 
-fn write_voter_memory(path: &Path, bytes: &[u8]) {
+fn write_voter_state(path: &Path, bytes: &[u8]) {
     let (mut store, _) = open(path, "n1");
-    let sequence = store.save_voter_memory(bytes.to_vec());
+    let sequence = store.save_voter_state(bytes.to_vec());
     wait_until(|| store.synced_sequence() >= sequence);
 }
 
@@ -36,14 +36,14 @@
     let (mut store, found) = open(&path, "n1");
     assert_eq!(found, Ok(StoredValues::default()));
     for n in 0..50u8 {
-        store.save_voter_memory(vec![n; 100]);
-        store.save_learned_state(vec![n; 3]);
+        store.save_voter_state(vec![n; 100]);
+        store.save_last_known_state(vec![n; 3]);
     }
     drop(store);
     let (store, found) = open(&path, "n1");
     assert_eq!(
         found,
-        Ok(StoredValues { voter_memory: Some(vec![49; 100]), learned_state: Some(vec![49; 3]) })
+        Ok(StoredValues { voter_state: Some(vec![49; 100]), last_known_state: Some(vec![49; 3]) })
     );
     assert_eq!(store.write_status().error, None);
 }
@@ -55,7 +55,7 @@
     let (first, _) = open(&path, "n1");
     let (mut second, found) = open(&path, "n1");
     assert_eq!(found, Err(StoreError::InUse));
-    let sequence = second.save_voter_memory(vec![1]);
+    let sequence = second.save_voter_state(vec![1]);
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!((second.synced_sequence(), second.write_status().error), (0, Some(StoreError::InUse)));
     drop(first);
@@ -66,13 +66,13 @@
 fn files_of_another_owner_or_version_are_left_unchanged() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
-    write_voter_memory(&path, b"mine");
+    write_voter_state(&path, b"mine");
     let before = std::fs::read(&path).unwrap();
     let (mut store, found) = open(&path, "n2");
     assert_eq!(found, Err(StoreError::OtherOwner("n1".into())));
-    store.save_voter_memory(b"other".to_vec());
+    store.save_voter_state(b"other".to_vec());
     drop(store);
-    assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(b"mine".to_vec()));
+    assert_eq!(open(&path, "n1").1.unwrap().voter_state, Some(b"mine".to_vec()));
     assert_eq!(before.len(), std::fs::read(&path).unwrap().len());
     // A file with the header of a later format version.
     let database = Database::create(&path).unwrap();
@@ -89,7 +89,7 @@
     let directory = tempfile::tempdir().unwrap();
     for (n, damage) in [0usize, 1, 2, 3, 4].into_iter().enumerate() {
         let path = directory.path().join(format!("store{n}"));
-        write_voter_memory(&path, &[7; 2000]);
+        write_voter_state(&path, &[7; 2000]);
         let mut bytes = std::fs::read(&path).unwrap();
         match damage {
             0 => bytes.truncate(bytes.len() / 2),
@@ -111,11 +111,11 @@
             Err(StoreError::NotWritable(_)) => {}
             other => panic!("damage {damage}: expected a corrupt or unwritable file, got {other:?}"),
         }
-        let sequence = store.save_voter_memory(b"anew".to_vec());
+        let sequence = store.save_voter_state(b"anew".to_vec());
         if store.write_status().error.is_none() || damage != 1 {
             wait_until(|| store.synced_sequence() >= sequence);
             drop(store);
-            assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(b"anew".to_vec()));
+            assert_eq!(open(&path, "n1").1.unwrap().voter_state, Some(b"anew".to_vec()));
         }
     }
 }
@@ -182,10 +182,10 @@
     let state = Arc::new(AtomicU8::new(0));
     let mut store = open_on_disk(&path, &state);
     assert_eq!(store.stored_values(TEST_TIMEOUT), Ok(StoredValues::default()));
-    let first = store.save_voter_memory(vec![1; 64]);
+    let first = store.save_voter_state(vec![1; 64]);
     wait_until(|| store.synced_sequence() >= first);
     state.store(FULL, Ordering::Relaxed);
-    let second = store.save_voter_memory(vec![2; 64]);
+    let second = store.save_voter_state(vec![2; 64]);
     wait_until(|| matches!(store.write_status().error, Some(StoreError::NotWritable(_))));
     assert_eq!(store.synced_sequence(), first, "a voter memory that is not on disk was reported as synced");
     assert!(store.write_status().pending_for > Duration::ZERO);
@@ -193,19 +193,19 @@
     wait_until(|| store.synced_sequence() >= second);
     assert_eq!(store.write_status(), WriteStatus { error: None, pending_for: Duration::ZERO });
     drop(store);
-    assert_eq!(open(&path, "n1").1.unwrap().voter_memory, Some(vec![2; 64]));
+    assert_eq!(open(&path, "n1").1.unwrap().voter_state, Some(vec![2; 64]));
 }
 
 #[test]
 fn slow_disk_does_not_block_the_caller() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
-    write_voter_memory(&path, &[1]);
+    write_voter_state(&path, &[1]);
     let state = Arc::new(AtomicU8::new(SLOW));
     let mut store = open_on_disk(&path, &state);
     let _ = store.stored_values(TEST_TIMEOUT);
     let start = Instant::now();
-    let last = (0..100).map(|n| store.save_voter_memory(vec![n; 64])).last().unwrap();
+    let last = (0..100).map(|n| store.save_voter_state(vec![n; 64])).last().unwrap();
     assert!(start.elapsed() < Duration::from_millis(100), "saving a voter memory waited for the disk");
     wait_until(|| store.write_status().pending_for > Duration::from_millis(50));
     state.store(0, Ordering::Relaxed);
@@ -218,7 +218,7 @@
     let path = directory.path().join("missing").join("store");
     let (mut store, found) = open(&path, "n1");
     assert!(matches!(found, Err(StoreError::NotWritable(_))), "{found:?}");
-    let sequence = store.save_voter_memory(vec![1]);
+    let sequence = store.save_voter_state(vec![1]);
     std::fs::create_dir(path.parent().unwrap()).unwrap();
     wait_until(|| store.synced_sequence() >= sequence);
 }
--- a/crates/pipitcrank-recovery/src/store/writer.rs
+++ b/crates/pipitcrank-recovery/src/store/writer.rs
@@ -22,8 +22,8 @@
             }
             return;
         }
-        let memory = pending.voter_memory.as_ref().map(|memory| &memory.bytes[..]);
-        let written = file.write(memory, pending.learned_state.as_deref());
+        let voter_state = pending.voter_state.as_ref().map(|state| &state.bytes[..]);
+        let written = file.write(voter_state, pending.last_known_state.as_deref());
         let failed = written.is_err();
         match written {
             Ok(()) => shared.set_written(&pending),
--- a/crates/pipitcrank-recovery/tests/stored_forms.rs
+++ b/crates/pipitcrank-recovery/tests/stored_forms.rs
@@ -33,26 +33,26 @@
     );
 }
 
-/// The fixture is a store file of an earlier version with a voter memory and a learned state.
+/// The fixture is a store file of an earlier version with a voter state and a last known state.
 #[test]
 fn store_of_an_earlier_version_is_read_and_written() {
-    let memory = &fixtures::read("voter_memory.hex")["in_a_group"];
+    let voter_state = &fixtures::read("voter_memory.hex")["in_a_group"];
     let file = fixtures::path("store.redb");
     if !file.exists() && std::env::var("FIXTURES").is_ok_and(|mode| mode == "write") {
         let mut store = Store::open(file.clone(), OWNER.into(), || {});
-        store.save_voter_memory(memory.clone());
-        store.save_learned_state(state().encode());
+        store.save_voter_state(voter_state.clone());
+        store.save_last_known_state(state().encode());
     }
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("store");
     std::fs::copy(&file, &path).unwrap();
     let mut store = Store::open(path.clone(), OWNER.into(), || {});
     let stored = store.stored_values(TEST_TIMEOUT).unwrap();
-    assert_eq!(stored.voter_memory.as_ref(), Some(memory));
-    assert_eq!(&PersistentVoterState::decode(memory).unwrap().encode(), memory);
-    assert_eq!(stored.learned_state, Some(state().encode()));
-    store.save_voter_memory(vec![1]);
+    assert_eq!(stored.voter_state.as_ref(), Some(voter_state));
+    assert_eq!(&PersistentVoterState::decode(voter_state).unwrap().encode(), voter_state);
+    assert_eq!(stored.last_known_state, Some(state().encode()));
+    store.save_voter_state(vec![1]);
     drop(store);
     let stored = Store::open(path, OWNER.into(), || {}).stored_values(TEST_TIMEOUT).unwrap();
-    assert_eq!((stored.voter_memory, stored.learned_state), (Some(vec![1]), Some(state().encode())));
+    assert_eq!((stored.voter_state, stored.last_known_state), (Some(vec![1]), Some(state().encode())));
 }
--- a/crates/pipitcrank-server/src/audit/checker.rs
+++ b/crates/pipitcrank-server/src/audit/checker.rs
@@ -58,7 +58,7 @@
 }
 
 enum AttemptState {
-    InFlight,
+    Outstanding,
     NeverRan,
     MayHaveRun,
 }
@@ -153,7 +153,7 @@
         }
         let id = query.id.clone();
         if let Some(record) = self.parts.get_mut(&part) {
-            record.attempts.push(AttemptRecord { number, at: now, state: AttemptState::InFlight });
+            record.attempts.push(AttemptRecord { number, at: now, state: AttemptState::Outstanding });
         }
         if is_retry && !forwarded {
             self.record_retry(now, &id);
@@ -171,7 +171,7 @@
         let rules = &self.rules;
         let class = &rules.classes[query.class.0 as usize];
         let may_have_run = part.attempts.iter().find(|a| !matches!(a.state, AttemptState::NeverRan));
-        let in_flight = part.attempts.iter().any(|a| matches!(a.state, AttemptState::InFlight));
+        let outstanding = part.attempts.iter().any(|a| matches!(a.state, AttemptState::Outstanding));
         let drained = self.draining.get(&sent.replica).is_some_and(|&at| now - at > rules.drain_grace);
         let closed = query.closed.is_some_and(|at| now - at > CLOSE_SLACK);
         let unsafe_retry = class.idempotency == Idempotency::NonIdempotent && may_have_run.is_some();
@@ -185,7 +185,7 @@
             (too_long, Rule::DeadlineNotExtended, "the deadline sent is later than the client's"),
             (unsafe_retry, Rule::NoUnsafeRetry, "an earlier attempt may have run"),
             (late_retry, Rule::RetryWithinWindow, "the deduplication window from the first attempt is over"),
-            (in_flight && !rules.may_hedge, Rule::NoForbiddenHedge, "an earlier attempt is in flight"),
+            (outstanding && !rules.may_hedge, Rule::NoForbiddenHedge, "an earlier attempt is in flight"),
             (too_many, Rule::AttemptLimit, "the part already has the maximum number of attempts"),
             (drained, Rule::NothingSentToDraining, "the replica is draining or no longer listed"),
         ];
--- a/crates/pipitcrank-server/src/exchange/coordinator_output.rs
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -5,7 +5,7 @@
 use pipitcrank_core::time::{TimeSpan, Timestamp};
 
 use super::query::{QueryResponse, REQUEST_LOG_TARGET};
-use super::request_table::{Command, InFlightAttempt, RequestTable};
+use super::request_table::{Command, OutstandingAttempt, RequestTable};
 use crate::reasons::ResendReason;
 use crate::runtime::counter_names::{group, query};
 
@@ -46,7 +46,7 @@
     fn resend_reason(&self, part: PartId) -> Option<ResendReason> {
         let entry = self.parts.get(&part.0).filter(|entry| entry.attempts > 0)?;
         let attempts = AttemptId { part, number: 0 }..=AttemptId { part, number: u32::MAX };
-        if self.in_flight.range(attempts).next().is_some() {
+        if self.outstanding.range(attempts).next().is_some() {
             return Some(ResendReason::Hedge);
         }
         entry.last_outcome.map(ResendReason::After)
@@ -68,13 +68,13 @@
         if let Some(delegated) = delegated.filter(|_| attempt.number > 0) {
             delegated.retries_used.set(delegated.retries_used.get() + 1);
         }
-        self.in_flight.insert(attempt, InFlightAttempt { replica, deadline: until, authorized: false });
+        self.outstanding.insert(attempt, OutstandingAttempt { replica, deadline: until, authorized: false });
         self.attempt_deadlines.insert((until, attempt));
         self.commands.push(Command::SendAttempt(replica, attempt));
     }
 
     fn cancel_attempt(&mut self, attempt: AttemptId) {
-        if let Some(replica) = self.in_flight.get(&attempt).map(|entry| entry.replica) {
+        if let Some(replica) = self.outstanding.get(&attempt).map(|entry| entry.replica) {
             self.commands.push(Command::CancelAttempt(replica, attempt));
         }
     }
--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -109,7 +109,7 @@
     }
 
     /// Continues alone after the other process has exited without a report of its retries.
-    pub fn resume_alone(&mut self, now: Timestamp) {
+    pub fn resume_without_peer(&mut self, now: Timestamp) {
         self.coordinator.resume_without_peer(now);
         self.open_in_peer = 0;
     }
--- a/crates/pipitcrank-server/src/exchange/remote_sites.rs
+++ b/crates/pipitcrank-server/src/exchange/remote_sites.rs
@@ -94,7 +94,7 @@
     }
 
     fn make_forward(&mut self, now: Timestamp, query: u32, attempts: &[AttemptId]) -> OutgoingForward {
-        let deadlines = attempts.iter().map(|attempt| self.table.in_flight[attempt].deadline);
+        let deadlines = attempts.iter().map(|attempt| self.table.outstanding[attempt].deadline);
         let deadline = deadlines.min().unwrap_or(now);
         self.last_delegation += 1;
         let delegation = self.last_delegation;
--- a/crates/pipitcrank-server/src/exchange/request_table.rs
+++ b/crates/pipitcrank-server/src/exchange/request_table.rs
@@ -57,7 +57,7 @@
     }
 }
 
-pub(super) struct InFlightAttempt {
+pub(super) struct OutstandingAttempt {
     pub(super) replica: ReplicaId,
     pub(super) deadline: Timestamp,
     /// Whether the attempt has passed the send guard. Its frame is then being written or already written.
@@ -84,7 +84,7 @@
     pub(super) replicas: BTreeMap<u32, ReplicaEntry>,
     /// Query index by ticket.
     pub(super) tickets: BTreeMap<u64, u32>,
-    pub(super) in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+    pub(super) outstanding: BTreeMap<AttemptId, OutstandingAttempt>,
     /// Deadlines of the attempts in flight.
     pub(super) attempt_deadlines: BTreeSet<(Timestamp, AttemptId)>,
     /// The coordinator's timers with their labels; removed as they fire.
@@ -99,7 +99,7 @@
 impl RequestTable {
     /// Removes an attempt from those in flight. Returns its replica, or `None` if the attempt has already ended.
     pub(super) fn close_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Option<ReplicaId> {
-        let InFlightAttempt { replica, deadline, .. } = self.in_flight.remove(&attempt)?;
+        let OutstandingAttempt { replica, deadline, .. } = self.outstanding.remove(&attempt)?;
         if let Some(audit) = &mut self.audit {
             audit.attempt_ended(attempt, outcome);
         }
--- a/crates/pipitcrank-server/src/exchange/send_guard.rs
+++ b/crates/pipitcrank-server/src/exchange/send_guard.rs
@@ -41,7 +41,7 @@
     ) -> Option<CallPart> {
         // A cancelled attempt that is still queued may have the same id as a newer attempt of another part, since part
         // indices are reused. The newer attempt is sent only to its own replica, and only once.
-        let entry = self.table.in_flight.get_mut(&attempt);
+        let entry = self.table.outstanding.get_mut(&attempt);
         let entry = entry.filter(|entry| entry.replica == replica && !entry.authorized)?;
         entry.authorized = true;
         let deadline = entry.deadline;
@@ -107,7 +107,7 @@
     /// Ends an attempt that is queued for `replica` and will never be sent. If its id now belongs to an attempt of
     /// another part that has been sent, that attempt is left unchanged; otherwise it would be sent a second time.
     pub fn attempt_never_started(&mut self, replica: ReplicaId, attempt: AttemptId) {
-        let entry = self.table.in_flight.get(&attempt);
+        let entry = self.table.outstanding.get(&attempt);
         if entry.is_some_and(|entry| entry.replica == replica && !entry.authorized) {
             self.attempt_ended(attempt, AttemptOutcome::Unreachable, None, None);
         }
@@ -116,7 +116,7 @@
     /// Revokes the authorization of attempts of which no byte was written. They pass the send guard again.
     pub fn return_unwritten(&mut self, attempts: &[AttemptId]) {
         for &attempt in attempts {
-            self.table.in_flight.get_mut(&attempt).into_iter().for_each(|entry| entry.authorized = false);
+            self.table.outstanding.get_mut(&attempt).into_iter().for_each(|entry| entry.authorized = false);
             if let Some(audit) = &mut self.table.audit {
                 audit.unsent(attempt);
             }
--- a/crates/pipitcrank-server/src/exchange/state.rs
+++ b/crates/pipitcrank-server/src/exchange/state.rs
@@ -187,8 +187,8 @@
     }
 
     /// Whether the attempt has not ended.
-    pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
-        self.table.in_flight.contains_key(&attempt)
+    pub fn is_outstanding(&self, attempt: AttemptId) -> bool {
+        self.table.outstanding.contains_key(&attempt)
     }
 
     /// Time at which the next batch is due if no event is queued before.
--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -302,7 +302,7 @@
         let allowed = event_loop.update(|e| e.authorize_send(now, state.replica, &mut attempts));
         let mut assigned = state.assigned.borrow_mut();
         // Attempts that the send guard dropped have ended and are no longer in flight.
-        assigned.retain(|a| a.part_id.is_some() || event_loop.read(|e| e.is_in_flight(a.attempt)));
+        assigned.retain(|a| a.part_id.is_some() || event_loop.read(|e| e.is_outstanding(a.attempt)));
         if allowed.is_empty() {
             return None;
         }
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -64,7 +64,7 @@
 }
 
 /// A connection to one replica, and a query whose only attempt is in flight.
-async fn one_attempt_in_flight() -> (TcpStream, Stream, Rc<EventLoop>, AttemptId) {
+async fn one_outstanding_attempt() -> (TcpStream, Stream, Rc<EventLoop>, AttemptId) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).await.unwrap();
@@ -95,7 +95,7 @@
     exchange.submit(1, request, Box::new(|_: QueryResponse| ()));
     exchange.run_batch(clock.now(), &mut NullTransport);
     let attempt = AttemptId { part: PartId(0), number: 0 };
-    assert!(exchange.is_in_flight(attempt));
+    assert!(exchange.is_outstanding(attempt));
     (Rc::new(EventLoop::new(clock, counters, ConnectionLimiter::new(9), exchange)), attempt)
 }
 
@@ -156,7 +156,7 @@
 /// attempt that is queued on another connection.
 #[tokio::test]
 async fn a_call_assigned_to_another_connection_is_not_sent_here() {
-    let (_replica_end, stream, event_loop, attempt) = one_attempt_in_flight().await;
+    let (_replica_end, stream, event_loop, attempt) = one_outstanding_attempt().await;
     let (commands, _) = unbounded_channel();
     let unassigned = ConnectionState::new(ReplicaId(0), commands.clone());
     let owner =
@@ -175,7 +175,7 @@
 
 #[tokio::test]
 async fn an_unwritten_call_passes_the_send_guard_again() {
-    let (_unread, stream, event_loop, attempt) = one_attempt_in_flight().await;
+    let (_unread, stream, event_loop, attempt) = one_outstanding_attempt().await;
     while stream.try_write(&[0; 1 << 16]).is_ok() {}
     let (commands, _) = unbounded_channel();
     let state =
@@ -198,7 +198,7 @@
 #[tokio::test]
 async fn a_queued_probe_of_a_draining_replica_is_not_sent() {
     for drains in [false, true] {
-        let (replica_end, stream, event_loop, _attempt) = one_attempt_in_flight().await;
+        let (replica_end, stream, event_loop, _attempt) = one_outstanding_attempt().await;
         let (commands, _queue) = unbounded_channel();
         let state = ConnectionState::new(ReplicaId(0), commands);
         state.probes_pending.set(1);
--- a/crates/pipitcrank-server/src/upgrade/context.rs
+++ b/crates/pipitcrank-server/src/upgrade/context.rs
@@ -66,9 +66,9 @@
     }
 
     /// Continues without the other process, whose use of the shared limits is unknown and assumed to be the maximum.
-    pub fn resume_alone(&self) {
+    pub fn resume_without_peer(&self) {
         let now = self.event_loop.clock.now();
-        self.event_loop.update(|e| e.resume_alone(now));
+        self.event_loop.update(|e| e.resume_without_peer(now));
     }
 
     /// Requests the shutdown of this process; a repeated request has no effect.
--- a/crates/pipitcrank-server/src/upgrade/predecessor.rs
+++ b/crates/pipitcrank-server/src/upgrade/predecessor.rs
@@ -134,7 +134,7 @@
         // The predecessor may have exited before it sent its state; then only the initial list is available.
         if context.has_initial_list() {
             context.use_initial_list();
-            context.resume_alone();
+            context.resume_without_peer();
         }
         self.settle(context, None);
     }
@@ -166,7 +166,7 @@
             );
             context.event_loop.counters.add(group::UPGRADES, upgrade::SNAPSHOTS_REFUSED);
             context.use_initial_list();
-            context.resume_alone();
+            context.resume_without_peer();
             0
         }
     }
--- a/crates/pipitcrank-server/src/upgrade/successor.rs
+++ b/crates/pipitcrank-server/src/upgrade/successor.rs
@@ -85,7 +85,7 @@
         let lost = context.relay.stop();
         if self.has_state {
             tracing::warn!("successor exited with {lost} relayed queries pending; continuing alone");
-            context.resume_alone();
+            context.resume_without_peer();
             context.event_loop.replica_connections.clear_peer_reservation();
             context.draining.send_replace(false);
         }
--- a/crates/pipitcrank-server/tests/exchange/handover.rs
+++ b/crates/pipitcrank-server/tests/exchange/handover.rs
@@ -92,7 +92,7 @@
     harness.submit_query("q", 0, 0..1, 4000);
     (1002..1050).step_by(5).for_each(|ms| harness.run_batch(ms));
     assert!(harness.transport.calls.is_empty(), "the slow-start allowance belongs to the successor");
-    harness.exchange.resume_alone(at(1050));
+    harness.exchange.resume_without_peer(at(1050));
     (1055..2500).step_by(5).for_each(|ms| harness.run_batch(ms));
     assert!(harness.transport.calls.is_empty(), "the sends of the successor are unknown for one window");
     harness.submit_query("r", 0, 0..1, 5000);
