--- a/crates/pipitcrank-cli/src/evidence_collector.rs
+++ b/crates/pipitcrank-cli/src/evidence_collector.rs
@@ -130,11 +130,11 @@
     let small = |n: u32| n.min(u32::from(u16::MAX)) as u16;
     ReplicaCounts {
         listed: small(observed.listed),
-        answering: small(observed.responsive),
-        silent: small(observed.unresponsive),
+        responsive: small(observed.responsive),
+        unresponsive: small(observed.unresponsive),
         failing: small(observed.failing),
-        saturated: small(observed.overloaded),
-        warming_up: small(observed.in_slow_start),
+        saturated: small(observed.saturated),
+        warming_up: small(observed.warming_up),
         answered_parts,
     }
 }
--- a/crates/pipitcrank-core/src/coordinator/zone_observation.rs
+++ b/crates/pipitcrank-core/src/coordinator/zone_observation.rs
@@ -40,14 +40,14 @@
         observation.listed += 1;
         observation.recently_responded += u32::from(health.responded_within(now, RECENT_WINDOW));
         observation.suspected += u32::from(is_suspected(now, replica));
-        observation.in_slow_start += u32::from(self.slow_start.is_warming_up(replica.started, now));
+        observation.warming_up += u32::from(self.slow_start.is_warming_up(replica.started, now));
         observation.outstanding += replica.load.outstanding.len() as u32;
         if replica.site == Site::RemoteClosed || health.is_failing(now) {
             observation.failing += 1;
         } else if self.is_unresponsive(now, replica) {
             observation.unresponsive += 1;
         } else if replica.load.lag().remaining(now) >= OVERLOADED_LAG_S {
-            observation.overloaded += 1;
+            observation.saturated += 1;
         } else if health.responded_within(now, RESPONSIVE_WINDOW) {
             observation.responsive += 1;
         }
--- a/crates/pipitcrank-core/src/coordinator/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -64,9 +64,9 @@
     /// Replicas that are ejected for faults or cannot be reached.
     pub failing: u32,
     /// Replicas with a lag similar to that of a replica that rejects attempts for lack of capacity.
-    pub overloaded: u32,
+    pub saturated: u32,
     /// Replicas in slow start.
-    pub in_slow_start: u32,
+    pub warming_up: u32,
     /// Replicas that responded within the last half second.
     pub recently_responded: u32,
     /// Replicas with at least one recent unanswered attempt or probe, which may not be enough for
--- a/crates/pipitcrank-failover/src/controller/tests.rs
+++ b/crates/pipitcrank-failover/src/controller/tests.rs
@@ -57,9 +57,9 @@
                 let saturated = self.saturated[to].min(10 - silent);
                 ReplicaCounts {
                     listed: 10,
-                    silent,
+                    unresponsive: silent,
                     saturated,
-                    answering: 10 - silent - saturated,
+                    responsive: 10 - silent - saturated,
                     answered_parts: self.answered_parts,
                     ..ReplicaCounts::default()
                 }
--- a/crates/pipitcrank-failover/src/follower/tests.rs
+++ b/crates/pipitcrank-failover/src/follower/tests.rs
@@ -23,7 +23,12 @@
 fn replica_counts(silent: [u16; 3]) -> Vec<ReplicaCounts> {
     silent
         .iter()
-        .map(|&s| ReplicaCounts { listed: 10, answering: 10 - s, silent: s, ..ReplicaCounts::default() })
+        .map(|&s| ReplicaCounts {
+            listed: 10,
+            responsive: 10 - s,
+            unresponsive: s,
+            ..ReplicaCounts::default()
+        })
         .collect()
 }
 
--- a/crates/pipitcrank-failover/src/node/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/node/stored_forms.rs
@@ -43,8 +43,8 @@
 fn messages_between_nodes_are_read_and_written_as_by_an_earlier_version() {
     let counts = ReplicaCounts {
         listed: 9,
-        answering: 1,
-        silent: 2,
+        responsive: 1,
+        unresponsive: 2,
         failing: 3,
         saturated: 4,
         warming_up: 5,
--- a/crates/pipitcrank-membership/src/evidence/report.rs
+++ b/crates/pipitcrank-membership/src/evidence/report.rs
@@ -8,9 +8,9 @@
     /// Replicas in the endpoint list.
     pub listed: u16,
     /// Replicas that answer and have spare capacity.
-    pub answering: u16,
+    pub responsive: u16,
     /// Replicas that give no answer.
-    pub silent: u16,
+    pub unresponsive: u16,
     /// Replicas that answer with errors.
     pub failing: u16,
     /// Replicas that answer and have queued work.
@@ -24,13 +24,13 @@
 impl ReplicaCounts {
     /// Number of replicas whose condition was observed.
     pub fn observed(&self) -> u32 {
-        [self.answering, self.silent, self.failing, self.saturated].iter().map(|&n| u32::from(n)).sum()
+        [self.responsive, self.unresponsive, self.failing, self.saturated].iter().map(|&n| u32::from(n)).sum()
     }
 
     /// Fraction of the observed replicas that give no usable answer; none if no replica was observed.
     pub fn unhealthy_fraction(&self) -> Option<f64> {
         let observed = self.observed();
-        let unhealthy = u32::from(self.silent) + u32::from(self.failing);
+        let unhealthy = u32::from(self.unresponsive) + u32::from(self.failing);
         (observed > 0).then(|| f64::from(unhealthy) / f64::from(observed))
     }
 
--- a/crates/pipitcrank-membership/src/evidence/table.rs
+++ b/crates/pipitcrank-membership/src/evidence/table.rs
@@ -117,7 +117,7 @@
 fn combine(reports: &[&EvidenceReport], to: usize) -> EvidenceCell {
     let counts = || reports.iter().map(|report| report.replica_counts[to]);
     let observing = || counts().filter(|counts| counts.observed() > 0);
-    let answering = |counts: ReplicaCounts| f64::from(counts.answering) + f64::from(counts.saturated);
+    let answering = |counts: ReplicaCounts| f64::from(counts.responsive) + f64::from(counts.saturated);
     EvidenceCell {
         reporters: reports.len(),
         unhealthy_fraction: median(observing().filter_map(|c| c.unhealthy_fraction())),
--- a/crates/pipitcrank-membership/src/evidence/tests.rs
+++ b/crates/pipitcrank-membership/src/evidence/tests.rs
@@ -9,8 +9,8 @@
     ([127, 0, 0, 1], n).into()
 }
 
-fn counts(answering: u16, silent: u16) -> ReplicaCounts {
-    ReplicaCounts { listed: answering + silent, answering, silent, ..ReplicaCounts::default() }
+fn counts(responsive: u16, unresponsive: u16) -> ReplicaCounts {
+    ReplicaCounts { listed: responsive + unresponsive, responsive, unresponsive, ..ReplicaCounts::default() }
 }
 
 /// Builds a matrix from three nodes per zone. `silent[from][to]` of ten replicas of zone `to` are silent as
@@ -95,7 +95,7 @@
 #[test]
 fn a_slow_zone_is_not_a_dead_one() {
     let mut table = EvidenceTable::new(2);
-    let slow = ReplicaCounts { listed: 10, saturated: 9, answering: 1, ..ReplicaCounts::default() };
+    let slow = ReplicaCounts { listed: 10, saturated: 9, responsive: 1, ..ReplicaCounts::default() };
     table.record(
         Timestamp::default(),
         at(1),
@@ -114,10 +114,10 @@
 #[test]
 fn old_and_invalid_reports_do_not_count() {
     let mut table = EvidenceTable::new(2);
-    let report = |sequence, answering| EvidenceReport {
+    let report = |sequence, responsive| EvidenceReport {
         zone: 0,
         sequence,
-        replica_counts: vec![counts(answering, 0); 2],
+        replica_counts: vec![counts(responsive, 0); 2],
         demand: 5,
         nodes: 1,
     };
@@ -136,7 +136,7 @@
         1,
         EvidenceReport { replica_counts: vec![], ..report(1, 1) }
     ));
-    let over = ReplicaCounts { listed: 1, answering: 5, ..ReplicaCounts::default() };
+    let over = ReplicaCounts { listed: 1, responsive: 5, ..ReplicaCounts::default() };
     assert!(!table.record(
         Timestamp::default(),
         at(2),
--- a/crates/pipitcrank-membership/src/members/stored_forms.rs
+++ b/crates/pipitcrank-membership/src/members/stored_forms.rs
@@ -41,8 +41,8 @@
 fn evidence_is_read_and_written_as_by_an_earlier_version() {
     let counts = ReplicaCounts {
         listed: 9,
-        answering: 1,
-        silent: 2,
+        responsive: 1,
+        unresponsive: 2,
         failing: 3,
         saturated: 4,
         warming_up: 5,
--- a/crates/pipitcrank-simulation/src/zones/world.rs
+++ b/crates/pipitcrank-simulation/src/zones/world.rs
@@ -163,12 +163,12 @@
         let counts = |(zone, replicas): (usize, &ZoneReplicas)| {
             let listed = replicas.count;
             if self.notices_silence(now, node, zone) {
-                return ReplicaCounts { listed, silent: listed, ..ReplicaCounts::default() };
+                return ReplicaCounts { listed, unresponsive: listed, ..ReplicaCounts::default() };
             }
             let saturated = if replicas.queue_delay_s(now) > SATURATED_DELAY_S { listed } else { 0 };
             let warming_up = if replicas.is_warming_up(now) { listed } else { 0 };
-            let answering = listed - saturated;
-            ReplicaCounts { listed, answering, saturated, warming_up, ..ReplicaCounts::default() }
+            let responsive = listed - saturated;
+            ReplicaCounts { listed, responsive, saturated, warming_up, ..ReplicaCounts::default() }
         };
         self.zones.iter().enumerate().map(counts).collect()
     }
