--- a/crates/pipitcrank-cli/src/evidence_collector.rs
+++ b/crates/pipitcrank-cli/src/evidence_collector.rs
@@ -133,11 +133,11 @@
     let saturating = |n: u32| n.min(u32::from(u16::MAX)) as u16;
     ReplicaCounts {
         listed: saturating(observed.listed),
-        answering: saturating(observed.responsive),
-        silent: saturating(observed.unresponsive),
+        responsive: saturating(observed.responsive),
+        unresponsive: saturating(observed.unresponsive),
         failing: saturating(observed.failing),
-        saturated: saturating(observed.overloaded),
-        warming_up: saturating(observed.in_slow_start),
+        saturated: saturating(observed.saturated),
+        warming_up: saturating(observed.warming_up),
         answered_parts,
     }
 }
--- a/crates/pipitcrank-cli/src/store_driver.rs
+++ b/crates/pipitcrank-cli/src/store_driver.rs
@@ -1,5 +1,5 @@
 //! Access to this co-ordinator's store: opens it, restores the state saved by the previous process, and saves the
-//! learned state at intervals. `pipitcrank-recovery` decides which parts of the saved state are still valid.
+//! last known state at intervals. `pipitcrank-recovery` decides which parts of the saved state are still valid.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct StoredState {
     pub(crate) recovered: RecoveredState,
-    pub(crate) voter_memory: Option<PersistentVoterState>,
+    pub(crate) voter_state: Option<PersistentVoterState>,
 }
 
 /// A store, if one is configured, and the state in it.
@@ -69,8 +69,8 @@
     /// Notified after each write, whether it succeeded or failed.
     write_finished: Arc<Notify>,
     last_write: Option<Timestamp>,
-    /// Sequence number of the newest voter memory passed to the store.
-    memory_sequence: u64,
+    /// Sequence number of the newest voter state passed to the store.
+    voter_state_sequence: u64,
     /// The error logged last; `None` after a successful write.
     logged_error: Option<StoreError>,
     is_slow: bool,
@@ -93,7 +93,7 @@
             config: config.clone(),
             write_finished,
             last_write: None,
-            memory_sequence: 0,
+            voter_state_sequence: 0,
             logged_error: None,
             is_slow: false,
         };
@@ -129,27 +129,30 @@
     }
 
     fn decode(&self, values: &StoredValues) -> StoredState {
-        let voter_memory = values.voter_memory.as_deref().and_then(|bytes| self.decode_voter_memory(bytes));
-        let learned_state = values.learned_state.as_deref();
-        let recovered = learned_state.and_then(|bytes| self.decode_learned_state(bytes)).unwrap_or_default();
-        StoredState { recovered, voter_memory }
+        let voter_state = values.voter_state.as_deref().and_then(|bytes| self.decode_voter_state(bytes));
+        let last_known_state = values.last_known_state.as_deref();
+        let recovered =
+            last_known_state.and_then(|bytes| self.decode_last_known_state(bytes)).unwrap_or_default();
+        StoredState { recovered, voter_state }
     }
 
-    fn decode_voter_memory(&self, bytes: &[u8]) -> Option<PersistentVoterState> {
-        let memory = PersistentVoterState::decode(bytes);
-        if memory.is_none() {
+    fn decode_voter_state(&self, bytes: &[u8]) -> Option<PersistentVoterState> {
+        let voter_state = PersistentVoterState::decode(bytes);
+        if voter_state.is_none() {
             let path = self.config.path.display();
             tracing::warn!(
-                "/store/path {path}: stored voter memory can't be decoded; rejoining as a new voter"
+                "/store/path {path}: stored voter state can't be decoded; rejoining as a new voter"
             );
         }
-        memory
+        voter_state
     }
 
-    fn decode_learned_state(&self, bytes: &[u8]) -> Option<RecoveredState> {
+    fn decode_last_known_state(&self, bytes: &[u8]) -> Option<RecoveredState> {
         let path = self.config.path.display();
         let Some(state) = LastKnownState::decode(bytes) else {
-            tracing::warn!("/store/path {path}: stored learned state can't be decoded; starting without it");
+            tracing::warn!(
+                "/store/path {path}: stored last known state can't be decoded; starting without it"
+            );
             return None;
         };
         let recovered = state.recover(read_clocks(), time_span(self.config.max_age));
@@ -166,18 +169,18 @@
         self.write_finished.notified().await;
     }
 
-    /// Starts a write of the voter memory.
-    pub(crate) fn save_voter_memory(&mut self, memory: &PersistentVoterState) {
-        self.memory_sequence = self.store.save_voter_memory(memory.encode());
+    /// Starts a write of the voter state.
+    pub(crate) fn save_voter_state(&mut self, voter_state: &PersistentVoterState) {
+        self.voter_state_sequence = self.store.save_voter_state(voter_state.encode());
     }
 
-    /// Whether the newest voter memory is on disk.
-    pub(crate) fn is_memory_saved(&self) -> bool {
-        self.store.synced_sequence() >= self.memory_sequence
+    /// Whether the newest voter state is on disk.
+    pub(crate) fn is_voter_state_saved(&self) -> bool {
+        self.store.synced_sequence() >= self.voter_state_sequence
     }
 
-    /// Starts a write of the learned state if one is due, and logs errors of earlier writes.
-    pub(crate) fn save_learned_state_if_due(
+    /// Starts a write of the last known state if one is due, and logs errors of earlier writes.
+    pub(crate) fn save_last_known_state_if_due(
         &mut self,
         now: Timestamp,
         event_loop: &EventLoop,
@@ -194,11 +197,11 @@
             event_loop.update(|exchange| exchange.snapshot(now, monotonic_micros(), revision.get()));
         let RestartState { decision, members } = restart_state();
         let state = LastKnownState::new(read_clocks(), &snapshot, decision, members);
-        self.store.save_learned_state(state.encode());
+        self.store.save_last_known_state(state.encode());
         event_loop.counters.add("store", "written");
     }
 
-    /// Time at which the next write of the learned state is due.
+    /// Time at which the next write of the last known state is due.
     pub(crate) fn next_write(&self) -> Timestamp {
         let interval = time_span(self.config.write_interval);
         self.last_write.map_or(Timestamp::default(), |last| last + interval)
@@ -229,7 +232,7 @@
     }
 }
 
-/// Saves the learned state at intervals until this process drains, for a co-ordinator without failover.
+/// Saves the last known state at intervals until this process drains, for a co-ordinator without failover.
 pub(crate) async fn save_until_draining(
     mut driver: StoreDriver,
     event_loop: Rc<EventLoop>,
@@ -244,6 +247,6 @@
             () = tokio::time::sleep_until(next_write) => {}
         }
         let now = event_loop.clock.now();
-        driver.save_learned_state_if_due(now, &event_loop, &revision, RestartState::default);
+        driver.save_last_known_state_if_due(now, &event_loop, &revision, RestartState::default);
     }
 }
--- a/crates/pipitcrank-cli/tests/client_disconnects.rs
+++ b/crates/pipitcrank-cli/tests/client_disconnects.rs
@@ -167,7 +167,7 @@
             disconnect(client, disconnect_kind)?;
             wait_for_counter(&process, "queries client_gone", 1).await;
             let mut other = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
-            let mut pending_query = std::pin::pin!(other.ask_in_pieces(one_part_query("view-2"), &[]));
+            let mut pending_query = std::pin::pin!(other.send_in_pieces(one_part_query("view-2"), &[]));
             tokio::select! {
                 () = wait_for_counter(&process, "queries taken", 2) => {}
                 outcome = &mut pending_query => panic!("{outcome:?}: {}", process.log()),
@@ -200,7 +200,7 @@
     let (mut at_a, mut at_b) = (false, false);
     for n in 0.. {
         let mut pending_query =
-            std::pin::pin!(connection.ask_in_pieces(one_part_query(&format!("{name}-warm-{n}")), &[]));
+            std::pin::pin!(connection.send_in_pieces(one_part_query(&format!("{name}-warm-{n}")), &[]));
         tokio::select! {
             part = a.next_part() => { at_a = true; part.answer() }
             part = b.next_part() => { at_b = true; part.answer() }
--- a/crates/pipitcrank-cli/tests/deduplication.rs
+++ b/crates/pipitcrank-cli/tests/deduplication.rs
@@ -180,7 +180,7 @@
         let source = ScriptedDiscovery::start(1, vec![row("a", replica.address, 0, "active", 0)]).await?;
         let upgrade_times = UpgradeTimes { start: 3.0, settle: 1.5, silent: 0.5, finish: 8.0 };
         let process =
-            Process::start(program(), config_with_window(&source, 3.0, 1.0)?, upgrade_times.file()).await?;
+            Process::start(program(), config_with_window(&source, 3.0, 1.0)?, upgrade_times.operators_file()).await?;
         process.signal(Signal::USR2)?;
         let mut n = 0;
         while process.counter("upgrades done").await != Some(1) {
--- a/crates/pipitcrank-cli/tests/endpoint_list.rs
+++ b/crates/pipitcrank-cli/tests/endpoint_list.rs
@@ -59,7 +59,7 @@
         let query = QueryRequest { id, class: "view", shards: vec![0], wait, text: "c41e".to_string() };
         let mut connection =
             DedicatedConnection::connect(self.process.address, QueryLog::default()).await.unwrap();
-        let mut pending_query = std::pin::pin!(connection.ask_in_pieces(query, &[]));
+        let mut pending_query = std::pin::pin!(connection.send_in_pieces(query, &[]));
         let [a, b] = &mut self.replicas;
         let reached_second = tokio::select! {
             part = a.next_part() => { part.answer(); false }
--- a/crates/pipitcrank-cli/tests/large_fleet.rs
+++ b/crates/pipitcrank-cli/tests/large_fleet.rs
@@ -18,7 +18,7 @@
 const REPLICAS: usize = 1024;
 const CELLS: u32 = 128;
 const SHARDS: u32 = 256;
-const WORK: Work = Work { usual: Duration::from_millis(2), at_once: 64 };
+const WORK: Work = Work { mean_time: Duration::from_millis(2), concurrency: 64 };
 /// Largest memory of both processes of an upgrade together, in kilobytes. Optimized builds need less.
 const MAX_MEMORY_KB: u64 = 96 * 1024;
 
@@ -45,7 +45,7 @@
         let shards = (0..40).map(|i| (n * 37 + i * 5) % SHARDS).collect();
         let wait = Duration::from_secs(4);
         clients
-            .ask(QueryRequest {
+            .send(QueryRequest {
                 id: format!("view-{name}-{n}"),
                 class: "view",
                 shards,
@@ -69,8 +69,12 @@
         let config =
             node_config_of(discovery.address, discovery.initial_list(), CELLS, SHARDS, 6, 1024, 3000)?;
         let upgrade_times = UpgradeTimes { start: 10.0, settle: 0.6, silent: 2.0, finish: 8.0 };
-        let process =
-            Process::start(Path::new(env!("CARGO_BIN_EXE_pipitcrank")), config, upgrade_times.file()).await?;
+        let process = Process::start(
+            Path::new(env!("CARGO_BIN_EXE_pipitcrank")),
+            config,
+            upgrade_times.operators_file(),
+        )
+        .await?;
         let clients = Clients::new(process.address, query_log.clone());
         check_queries_complete("loaded", &clients).await;
 
--- a/crates/pipitcrank-cli/tests/races.rs
+++ b/crates/pipitcrank-cli/tests/races.rs
@@ -233,7 +233,7 @@
             n += 1;
             let mut connection = DedicatedConnection::connect(process.address, QueryLog::default()).await?;
             let mut pending_query =
-                std::pin::pin!(connection.ask_in_pieces(one_part_query(&format!("view-new-{n}")), &[]));
+                std::pin::pin!(connection.send_in_pieces(one_part_query(&format!("view-new-{n}")), &[]));
             let reached_b = tokio::select! {
                 part = a.next_part() => { part.answer(); false }
                 part = b.next_part() => { part.answer(); true }
@@ -381,7 +381,7 @@
         for n in 0..3 {
             let shards = vec![0, 1];
             let query = QueryRequest { shards, ..one_part_query(&format!("view-{n}")) };
-            let mut pending_query = std::pin::pin!(client.ask_in_pieces(query, &[]));
+            let mut pending_query = std::pin::pin!(client.send_in_pieces(query, &[]));
             for _ in 0..2 {
                 tokio::select! {
                     part = replica.next_part() => part.answer(),
--- a/crates/pipitcrank-cli/tests/shutdown.rs
+++ b/crates/pipitcrank-cli/tests/shutdown.rs
@@ -12,7 +12,7 @@
 use rustix::process::Signal;
 
 const LIMIT: Duration = Duration::from_secs(60);
-const WORK: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
+const WORK: Work = Work { mean_time: Duration::from_millis(8), concurrency: 16 };
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_pipitcrank"))
@@ -45,7 +45,9 @@
                 Err(_) => refused += 1,
                 Ok(stream) => {
                     tasks.spawn_local(async move {
-                        DedicatedConnection::on(stream, query_log).ask_in_pieces(query_request(id), &[]).await
+                        DedicatedConnection::on(stream, query_log)
+                            .send_in_pieces(query_request(id), &[])
+                            .await
                     });
                 }
             }
@@ -99,7 +101,7 @@
             let (shared_clients, query_request) = (shared_clients.clone(), query_with_wait(&name));
             tasks.spawn_local(async move {
                 tokio::time::sleep(at).await;
-                shared_clients.ask(query_request).await;
+                shared_clients.send(query_request).await;
             });
         };
         (0..8).for_each(|n| ask(format!("view-held-{n}"), Duration::ZERO));
@@ -126,7 +128,7 @@
                 tokio::time::sleep(Duration::from_millis(380)).await;
                 let mut connection = DedicatedConnection::connect(address, query_log).await.unwrap();
                 connection
-                    .ask_in_pieces(query_request, &[(cut, shutdown_grace + Duration::from_millis(100))])
+                    .send_in_pieces(query_request, &[(cut, shutdown_grace + Duration::from_millis(100))])
                     .await;
             });
         }
@@ -191,7 +193,7 @@
         for n in 0..8 {
             let clients = clients.clone();
             let slow = QueryRequest { text: "lasts=1200".to_string(), ..query_request(format!("view-{n}")) };
-            tasks.spawn_local(async move { clients.ask(slow).await });
+            tasks.spawn_local(async move { clients.send(slow).await });
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
         let signalled_at = Instant::now();
@@ -216,7 +218,7 @@
     on_one_thread(LIMIT, async {
         let fleet = Fleet::start(7, WORK).await?;
         let config = fleet.node_config(7, 1024, 3000)?;
-        let folder = pipitcrank_testkit::process::Folder::new("fifo")?;
+        let folder = pipitcrank_testkit::process::TempDir::new("fifo")?;
         let path = folder.path().join("charter.json");
         assert!(std::process::Command::new("mkfifo").arg(&path).status()?.success());
         let mut child = std::process::Command::new(program())
@@ -259,7 +261,8 @@
             let fleet = Fleet::start(2, WORK).await?;
             let upgrade_times = UpgradeTimes { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
             let mut process =
-                Process::start(program(), fleet.node_config(2, 1024, 3000)?, upgrade_times.file()).await?;
+                Process::start(program(), fleet.node_config(2, 1024, 3000)?, upgrade_times.operators_file())
+                    .await?;
             let clients = Clients::new(process.address, fleet.query_log.clone());
             let load = Load::start("load", 3, 100.0, 0.1, clients);
             tokio::time::sleep(Duration::from_millis(500)).await;
@@ -287,7 +290,8 @@
         let fleet = Fleet::start(4, WORK).await?;
         let upgrade_times = UpgradeTimes { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
         let process =
-            Process::start(program(), fleet.node_config(4, 1024, 3000)?, upgrade_times.file()).await?;
+            Process::start(program(), fleet.node_config(4, 1024, 3000)?, upgrade_times.operators_file())
+                .await?;
         let query_log = QueryLog::default();
         for n in 0..2 {
             for worker in process.workers() {
@@ -296,7 +300,7 @@
             // Right after the kill only the supervisor has the listener.
             let stream = connect(process.address).await?;
             let exit_status = DedicatedConnection::on(stream, query_log.clone())
-                .ask_in_pieces(query_request(format!("view-{n}")), &[])
+                .send_in_pieces(query_request(format!("view-{n}")), &[])
                 .await;
             assert_eq!(exit_status, QueryOutcome::Complete, "{}", process.log());
         }
--- a/crates/pipitcrank-cli/tests/soak.rs
+++ b/crates/pipitcrank-cli/tests/soak.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_testkit::soak::{Size, play};
+use pipitcrank_testkit::soak::{Size, run};
 use pipitcrank_testkit::trial::on_one_thread;
 
 const LIMIT: Duration = Duration::from_secs(90);
@@ -15,8 +15,8 @@
 
 /// Runs the soak test with this seed and returns the broken rules.
 fn broken(seed: u64, only: Option<&str>) -> Vec<String> {
-    let size = Size { lasts: Duration::from_secs(6), ..Size::SHORT };
-    on_one_thread(LIMIT, play(program(), seed, size, only, false)).unwrap().broken
+    let size = Size { duration: Duration::from_secs(6), ..Size::SHORT };
+    on_one_thread(LIMIT, run(program(), seed, size, only, false)).unwrap().broken
 }
 
 #[test]
@@ -34,7 +34,7 @@
 #[test]
 fn an_unknown_fault_name_is_an_error_that_lists_the_known_ones() {
     let size = Size { processes: 1, ..Size::SHORT };
-    let error = on_one_thread(LIMIT, play(program(), 1, size, Some("flod"), false)).map(|_| ()).unwrap_err();
+    let error = on_one_thread(LIMIT, run(program(), 1, size, Some("flod"), false)).map(|_| ()).unwrap_err();
     let message = error.to_string();
     assert!(message.contains("'flod'") && message.contains("short-reads, short-writes"), "{message}");
 }
--- a/crates/pipitcrank-cli/tests/system_calls.rs
+++ b/crates/pipitcrank-cli/tests/system_calls.rs
@@ -18,7 +18,7 @@
 use stand_ins::{ScriptedDiscovery, StandInReplica, node_config, program};
 
 const LIMIT: Duration = Duration::from_secs(90);
-const WORK: Work = Work { usual: Duration::from_millis(4), at_once: 32 };
+const WORK: Work = Work { mean_time: Duration::from_millis(4), concurrency: 32 };
 
 struct Fixture {
     fleet: Fleet,
@@ -48,7 +48,7 @@
             let clients = if n % 4 == 0 { new } else { shared_clients.clone() };
             let query_request = query_request(&format!("view-{name}-{n}"));
             tasks.spawn_local(async move {
-                clients.ask(query_request).await;
+                clients.send(query_request).await;
             });
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -118,7 +118,7 @@
             let clients = Clients::new(fixture.process.address, query_log.clone());
             let (query, written) = (query_request(&id), Instant::now());
             let wait = query.wait;
-            let pending_query = tokio::task::spawn_local(async move { clients.ask(query).await });
+            let pending_query = tokio::task::spawn_local(async move { clients.send(query).await });
             tokio::time::sleep(Duration::from_millis(fails_for)).await;
             fixture.faults.set(SyscallFault::Accept, 0.0)?;
             pending_query.await?;
@@ -161,7 +161,7 @@
         while started_at.elapsed() < duration {
             n += 1;
             let query = QueryRequest { shards: vec![0], ..query_request(&format!("view-{n}")) };
-            let pending_query = clients.ask(query);
+            let pending_query = clients.send(query);
             let mut pending_query = std::pin::pin!(pending_query);
             let part = tokio::select! {
                 part = old.next_part() => { counts[0] += 1; part }
@@ -231,7 +231,7 @@
             let clients = Clients::new(address, query_log.clone());
             let query = QueryRequest { shards: vec![0], ..query_request(&format!("view-end-{n}")) };
             tasks.spawn_local(async move {
-                clients.ask(query).await;
+                clients.send(query).await;
             });
             tokio::time::sleep(Duration::from_millis(4)).await;
         };
