--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -65,7 +65,7 @@
         }
         Command::Trial { name, seed, rounds, only, json } => {
             let options = TrialOptions { seed, rounds, only: only.as_deref(), json };
-            exit_code_of(environment::program().and_then(|program| trial::play(&program, &name, options)))
+            exit_code_of(environment::program().and_then(|program| trial::run(&program, &name, options)))
         }
     }
 }
--- a/crates/pipitcrank-cli/tests/gateway.rs
+++ b/crates/pipitcrank-cli/tests/gateway.rs
@@ -4,12 +4,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_testkit::trial::gateway::{Fault, through};
+use pipitcrank_testkit::trial::gateway::{Fault, run_single_fault};
 use pipitcrank_testkit::trial::on_one_thread;
 
 fn survives(seed: u64, fault: Fault) {
     let program = Path::new(env!("CARGO_BIN_EXE_pipitcrank"));
-    let outcome = on_one_thread(Duration::from_secs(90), through(program, seed, fault)).unwrap();
+    let outcome = on_one_thread(Duration::from_secs(90), run_single_fault(program, seed, fault)).unwrap();
     assert!(outcome.broken.is_empty(), "{:?} {:?}", outcome.broken, outcome.figures);
 }
 
--- a/crates/pipitcrank-cli/tests/returns.rs
+++ b/crates/pipitcrank-cli/tests/returns.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pipitcrank_testkit::trial::on_one_thread;
-use pipitcrank_testkit::trial::returns::{Case, through};
+use pipitcrank_testkit::trial::returns::{Case, run_cases};
 
 /// Twelve processes are enough at a time.
 static ONE: Mutex<()> = Mutex::new(());
@@ -14,7 +14,7 @@
 fn comes_back(seed: u64, cases: &[Case]) {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     let program = Path::new(env!("CARGO_BIN_EXE_pipitcrank"));
-    let run = through(program, seed, cases, false, false);
+    let run = run_cases(program, seed, cases, false, false);
     let outcome = on_one_thread(Duration::from_secs(240), run).unwrap();
     assert!(outcome.broken.is_empty(), "{:?} {:?}", outcome.broken, outcome.figures);
 }
@@ -26,7 +26,7 @@
 
 #[test]
 fn half_on_stores_of_before_the_last_decision() {
-    comes_back(402, &[Case::Old]);
+    comes_back(402, &[Case::StaleStores]);
 }
 
 #[test]
--- a/crates/pipitcrank-cli/tests/upgrade.rs
+++ b/crates/pipitcrank-cli/tests/upgrade.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_testkit::trial::upgrade::{Round, overloaded, rounds_of};
+use pipitcrank_testkit::trial::upgrade::{Round, run_overloaded, run_usual_rounds};
 use pipitcrank_testkit::trial::{Outcome, on_one_thread};
 
 const LIMIT: Duration = Duration::from_secs(120);
@@ -22,7 +22,7 @@
 
 /// After each trouble a plain upgrade: nothing of the first is left.
 fn survives(seed: u64, round: Round) {
-    kept(on_one_thread(LIMIT, rounds_of(program(), seed, &[round, Round::Plain])).unwrap());
+    kept(on_one_thread(LIMIT, run_usual_rounds(program(), seed, &[round, Round::Plain])).unwrap());
 }
 
 #[test]
@@ -46,7 +46,7 @@
     kept(
         on_one_thread(
             LIMIT,
-            rounds_of(program(), 105, &[Round::NoProgram, Round::NotExecutable, Round::Plain]),
+            run_usual_rounds(program(), 105, &[Round::NoProgram, Round::NotExecutable, Round::Plain]),
         )
         .unwrap(),
     );
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_program_that_says_what_no_worker_says() {
-    survives(108, Round::Noise);
+    survives(108, Round::BadOutput);
 }
 
 #[test]
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_second_one_asked_for_and_a_reload_during_one() {
-    survives(110, Round::AskedTwice);
+    survives(110, Round::RequestedTwice);
     survives(111, Round::Reloaded);
 }
 
@@ -81,5 +81,5 @@
 
 #[test]
 fn at_twice_the_load_that_can_be_served() {
-    kept(on_one_thread(LIMIT, overloaded(program(), 113, 2)).unwrap());
+    kept(on_one_thread(LIMIT, run_overloaded(program(), 113, 2)).unwrap());
 }
--- a/crates/pipitcrank-cli/tests/zones.rs
+++ b/crates/pipitcrank-cli/tests/zones.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use pipitcrank_testkit::trial::on_one_thread;
-use pipitcrank_testkit::trial::zones::{Fault, through};
+use pipitcrank_testkit::trial::zones::{Fault, run_faults};
 
 /// Ten processes are enough at a time.
 static ONE: Mutex<()> = Mutex::new(());
@@ -16,19 +16,19 @@
 fn survives(seed: u64, faults: &[Fault]) {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     let program = Path::new(env!("CARGO_BIN_EXE_pipitcrank"));
-    let run = through(program, seed, faults, false, false);
+    let run = run_faults(program, seed, faults, false, false);
     let outcome = on_one_thread(Duration::from_secs(240), run).unwrap();
     assert!(outcome.broken.is_empty(), "{:?} {:?}", outcome.broken, outcome.figures);
 }
 
 #[test]
 fn a_lost_zone_strangers_and_copies_that_hear_nobody() {
-    survives(301, &[Fault::Replicas, Fault::Strangers, Fault::Parted]);
+    survives(301, &[Fault::Replicas, Fault::InvalidDatagrams, Fault::Partitioned]);
 }
 
 #[test]
 fn a_leader_that_stands_still_and_an_operator_during_a_failover() {
-    survives(302, &[Fault::Leader, Fault::Drain]);
+    survives(302, &[Fault::LeaderStopped, Fault::Drain]);
 }
 
 /// A file of one copy, with its node configuration beside it or none.
--- a/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
@@ -18,7 +18,7 @@
 use cluster::Reach;
 pub use fault::Fault;
 use run::{RunReport, promises, run};
-pub use table::table;
+pub use table::run_table;
 
 use crate::outcome::Outcome;
 use crate::query_log::QueryOutcome;
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// A process that can't be started or does not do what a fault needs of it.
-pub async fn play(program: &Path, seed: u64, verbose: bool) -> Result<Outcome> {
+pub async fn run_trial(program: &Path, seed: u64, verbose: bool) -> Result<Outcome> {
     let mut script = fault::ALL;
     script.shuffle(&mut Pcg64::seed_from_u64(seed));
     let (both, shortest, alone) = tokio::join!(
@@ -60,7 +60,7 @@
 /// # Errors
 ///
 /// A process that can't be started or does not do what the fault needs of it.
-pub async fn through(program: &Path, seed: u64, fault: Fault) -> Result<Outcome> {
+pub async fn run_single_fault(program: &Path, seed: u64, fault: Fault) -> Result<Outcome> {
     let report = run(program, seed, Reach::Both, &[Fault::Calm, fault, Fault::Calm], false).await?;
     let mut outcome = Outcome::default();
     promises(&mut outcome, &report);
--- a/crates/pipitcrank-testkit/src/trial/gateway/table.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/table.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// A process that can't be started.
-pub async fn table(program: &Path, seed: u64) -> Result<Outcome> {
+pub async fn run_table(program: &Path, seed: u64) -> Result<Outcome> {
     let mut outcome = Outcome::default();
     for ms in [1, 10, 50, 100, 200, 400] {
         let trip = Duration::from_millis(ms);
--- a/crates/pipitcrank-testkit/src/trial/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/mod.rs
@@ -37,17 +37,17 @@
 }
 
 /// Plays one; the exit code.
-pub fn play(program: &Path, name: &str, options: TrialOptions) -> Result<i32> {
+pub fn run(program: &Path, name: &str, options: TrialOptions) -> Result<i32> {
     let TrialOptions { seed, rounds, only, json } = options;
     let limit = LONGEST + A_ROUND * rounds;
     let outcome = match name {
-        "upgrade" => on_one_thread(limit, upgrade::play(program, seed, rounds, only, !json))?,
-        "upgrade-overloaded" => on_one_thread(limit, upgrade::overloaded(program, seed, rounds))?,
-        "upgrade-known" => on_one_thread(limit, upgrade::known(program, seed))?,
-        "gateway" => on_one_thread(limit, gateway::play(program, seed, !json))?,
-        "gateway-table" => on_one_thread(limit * 3, gateway::table(program, seed))?,
-        "zones" => on_one_thread(limit * 2, zones::play(program, seed, only, !json))?,
-        "return" => on_one_thread(limit * 3, returns::play(program, seed, only, !json))?,
+        "upgrade" => on_one_thread(limit, upgrade::run_trial(program, seed, rounds, only, !json))?,
+        "upgrade-overloaded" => on_one_thread(limit, upgrade::run_overloaded(program, seed, rounds))?,
+        "upgrade-known" => on_one_thread(limit, upgrade::run_with_bad_replicas(program, seed))?,
+        "gateway" => on_one_thread(limit, gateway::run_trial(program, seed, !json))?,
+        "gateway-table" => on_one_thread(limit * 3, gateway::run_table(program, seed))?,
+        "zones" => on_one_thread(limit * 2, zones::run_trial(program, seed, only, !json))?,
+        "return" => on_one_thread(limit * 3, returns::run_trial(program, seed, only, !json))?,
         "soak" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::FULL, only, !json))?,
         "soak-hard" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::HARD, only, !json))?,
         "soak-short" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::SHORT, only, !json))?,
--- a/crates/pipitcrank-testkit/src/trial/returns/case.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/case.rs
@@ -4,47 +4,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
     /// All die, nothing is kept.
-    Nothing,
+    NoStores,
     /// All but one die, nothing is kept.
-    Survivors,
+    OneSurvivor,
     /// All die, each has its store.
     Stores,
     /// Nine die, each has its store.
-    Both,
+    ThreeSurvivors,
     /// All die, and half restart on a store of before the last decision.
-    Old,
+    StaleStores,
     /// All die, and the voters' stores are gone.
-    Lost,
+    LostVoterStores,
     /// All die, and half of the stores are truncated.
-    Torn,
+    TruncatedStores,
     /// All die, and die again a second after their restart.
-    Twice,
+    KilledTwice,
     /// Eight are stopped for six seconds.
     Stopped,
     /// All die while a zone is lost, which returns later.
     Failover,
     /// One member dies 0.8 s after each of its starts.
-    Crasher,
+    CrashLoop,
     /// Each is shut down gracefully and started again, one after the other.
-    Rolling,
+    RollingRestart,
     /// All die, the voters' stores are gone, and one voter stays away: begun anew by an operator's command.
     Begin,
 }
 
 /// All cases with the names that `--only` takes and that figures and messages print; the four kinds of memory first.
 pub const CASES: [(Case, &str); 13] = [
-    (Case::Nothing, "Nothing"),
-    (Case::Survivors, "Survivors"),
+    (Case::NoStores, "Nothing"),
+    (Case::OneSurvivor, "Survivors"),
     (Case::Stores, "Stores"),
-    (Case::Both, "Both"),
-    (Case::Old, "Old"),
-    (Case::Lost, "Lost"),
-    (Case::Torn, "Torn"),
-    (Case::Twice, "Twice"),
+    (Case::ThreeSurvivors, "Both"),
+    (Case::StaleStores, "Old"),
+    (Case::LostVoterStores, "Lost"),
+    (Case::TruncatedStores, "Torn"),
+    (Case::KilledTwice, "Twice"),
     (Case::Stopped, "Stopped"),
     (Case::Failover, "Failover"),
-    (Case::Crasher, "Crasher"),
-    (Case::Rolling, "Rolling"),
+    (Case::CrashLoop, "Crasher"),
+    (Case::RollingRestart, "Rolling"),
     (Case::Begin, "Begin"),
 ];
 
@@ -56,6 +56,6 @@
 
     /// Whether members have stores.
     pub(super) fn keeps_stores(self) -> bool {
-        !matches!(self, Case::Nothing | Case::Survivors)
+        !matches!(self, Case::NoStores | Case::OneSurvivor)
     }
 }
--- a/crates/pipitcrank-testkit/src/trial/returns/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/figures.rs
@@ -78,8 +78,8 @@
     pub(super) fn add(&mut self, case: Case, cluster: &RestartCluster, logs: &[QueryLog]) {
         // At members that no fault touched; those shut down gracefully lose nothing that was accepted either.
         let untouched = |n: usize| match case {
-            Case::Survivors => n == MEMBERS - 1,
-            Case::Rolling => true,
+            Case::OneSurvivor => n == MEMBERS - 1,
+            Case::RollingRestart => true,
             _ => false,
         };
         for n in (0..MEMBERS).filter(|&n| untouched(n)) {
--- a/crates/pipitcrank-testkit/src/trial/returns/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/mod.rs
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// A name in `only` that no case has, or a process that can't be started or does not do what the script needs of it.
-pub async fn play(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
+pub async fn run_trial(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
     let mut cases: Vec<Case> = CASES.iter().map(|(case, _)| *case).collect();
     match only {
         Some(name) => {
@@ -49,7 +49,7 @@
             cases.truncate(CASES_PER_RUN);
         }
     }
-    through(program, seed, &cases, verbose, true).await
+    run_cases(program, seed, &cases, verbose, true).await
 }
 
 /// Plays those cases, a cluster each. `aims`: whether times and loads are promised, too; the rules always are.
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// A process that can't be started or does not do what the script needs of it.
-pub async fn through(
+pub async fn run_cases(
     program: &Path,
     seed: u64,
     cases: &[Case],
--- a/crates/pipitcrank-testkit/src/trial/returns/outage.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/outage.rs
@@ -50,10 +50,10 @@
         let mut order: Vec<usize> = (0..MEMBERS).collect();
         order.shuffle(&mut rng);
         let dead: Vec<usize> = match case {
-            Case::Survivors => order.iter().copied().filter(|&n| n != MEMBERS - 1).collect(),
-            Case::Both => order[..9].to_vec(),
+            Case::OneSurvivor => order.iter().copied().filter(|&n| n != MEMBERS - 1).collect(),
+            Case::ThreeSurvivors => order[..9].to_vec(),
             Case::Stopped => order[..8].to_vec(),
-            Case::Crasher => vec![ZONES.len() + rng.random_range(0..MEMBERS - ZONES.len())],
+            Case::CrashLoop => vec![ZONES.len() + rng.random_range(0..MEMBERS - ZONES.len())],
             _ => order,
         };
         let lost_zone = rng.random_range(0..DRAINED_ZONE);
@@ -85,17 +85,17 @@
     ) -> Result<Instant> {
         let started = match outage.case {
             Case::Stopped => self.stop_for_a_while(&outage.dead).await,
-            Case::Rolling => self.restart_one_by_one(report).await?,
+            Case::RollingRestart => self.restart_one_by_one(report).await?,
             _ => self.kill_and_restart(&mut outage, copies).await?,
         };
         match outage.case {
             Case::Begin => self.begin_anew(newest, report).await,
-            Case::Twice => {
+            Case::KilledTwice => {
                 tokio::time::sleep(Duration::from_secs(1).saturating_sub(started.elapsed())).await;
                 self.kill(&outage.dead);
                 self.restart(&outage.dead).await
             }
-            Case::Crasher => self.crash_repeatedly(&outage.dead, started).await,
+            Case::CrashLoop => self.crash_repeatedly(&outage.dead, started).await,
             Case::Failover => {
                 sleep_ms(2000).await;
                 self.fleet.begin_slow_start(outage.lost_zone, Duration::from_secs(4));
@@ -150,17 +150,17 @@
 
     fn damage_stores(&self, case: Case, copies: &[StoreCopy]) -> Result<()> {
         match case {
-            Case::Old => {
+            Case::StaleStores => {
                 for StoreCopy { store, copy } in copies {
                     std::fs::copy(copy, store)?;
                 }
             }
-            Case::Lost | Case::Begin => {
+            Case::LostVoterStores | Case::Begin => {
                 for voter in &self.members[..ZONES.len()] {
                     std::fs::remove_file(&voter.store)?;
                 }
             }
-            Case::Torn => {
+            Case::TruncatedStores => {
                 for member in self.members.iter().step_by(2) {
                     let store = std::fs::OpenOptions::new().write(true).open(&member.store)?;
                     store.set_len(store.metadata()?.len() / 2)?;
--- a/crates/pipitcrank-testkit/src/trial/returns/recovery.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/recovery.rs
@@ -45,14 +45,14 @@
     /// Plays one case under load; `logs` are those of the clients, by member.
     pub(super) async fn play(&mut self, case: Case, seed: u64, logs: &[QueryLog]) -> Result<CaseReport> {
         let mut report = CaseReport::default();
-        let copies = if case == Case::Old { self.copy_stores().await? } else { Vec::new() };
+        let copies = if case == Case::StaleStores { self.copy_stores().await? } else { Vec::new() };
         let usual = self.drain_zone(logs, &mut report).await?;
         let newest = self.newest_decision();
         let outage = Outage::draw(case, seed);
         let started = self.play_outage(outage, &copies, newest, &mut report).await?;
         self.measure_recovery(started, usual, logs, &mut report).await;
         // What was decided is not lost with the processes, where a majority of voters kept it.
-        let kept = self.kept && case != Case::Lost;
+        let kept = self.kept && case != Case::LostVoterStores;
         let drained = case != Case::Failover;
         if kept && !self.all(|_, d| d.number >= newest && (!drained || RestartCluster::is_drained(d))) {
             report.missing("what was decided before did not outlive the processes");
--- a/crates/pipitcrank-testkit/src/trial/upgrade/comparison.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/comparison.rs
@@ -52,7 +52,7 @@
 /// # Errors
 ///
 /// A process that can't be started, or does not end or upgrade in time.
-pub async fn known(program: &Path, seed: u64) -> Result<Outcome> {
+pub async fn run_with_bad_replicas(program: &Path, seed: u64) -> Result<Outcome> {
     let mut outcome = Outcome::default();
     for (name, operators_file) in [("an upgrade", UPGRADE_TIMES.file()), ("a restart", None)] {
         let fleet = Fleet::start(seed, USUAL).await?;
--- a/crates/pipitcrank-testkit/src/trial/upgrade/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/mod.rs
@@ -17,7 +17,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-pub use comparison::known;
+pub use comparison::run_with_bad_replicas;
 use load::LoadProfile;
 pub use round::Round;
 use round::{KINDS, script};
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// A name in `only` that no kind begins with, or a process that can't be started or does not do what a round needs of it.
-pub async fn play(
+pub async fn run_trial(
     program: &Path,
     seed: u64,
     rounds: u32,
@@ -56,7 +56,7 @@
 /// # Errors
 ///
 /// A process that can't be started or does not do what a round needs of it.
-pub async fn rounds_of(program: &Path, seed: u64, script: &[Round]) -> Result<Outcome> {
+pub async fn run_usual_rounds(program: &Path, seed: u64, script: &[Round]) -> Result<Outcome> {
     run_rounds(program, seed, script, LoadProfile::USUAL, false).await
 }
 
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// A process that can't be started, or an upgrade that does not end.
-pub async fn overloaded(program: &Path, seed: u64, rounds: u32) -> Result<Outcome> {
+pub async fn run_overloaded(program: &Path, seed: u64, rounds: u32) -> Result<Outcome> {
     let script = vec![Round::Plain; rounds as usize];
     run_rounds(program, seed, &script, LoadProfile::OVERLOAD, false).await
 }
--- a/crates/pipitcrank-testkit/src/trial/upgrade/play_round.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/play_round.rs
@@ -86,7 +86,7 @@
             Round::NotExecutable => Replacement::Script("exit 0", 0o644),
             Round::HangsBeforeReady => Replacement::Script("exec sleep 100", 0o755),
             Round::CrashesBeforeReady => Replacement::Script("exit 70", 0o755),
-            Round::Noise => Replacement::Script("head -c 300 /dev/urandom >&0; exec sleep 100", 0o755),
+            Round::BadOutput => Replacement::Script("head -c 300 /dev/urandom >&0; exec sleep 100", 0o755),
             Round::FaultyNodeConfig => {
                 return self.process.override_node_config("/settings/tick_s", json!("soon"));
             }
@@ -127,7 +127,7 @@
                 wait_until("the killed process's end", TRIAL_LIMIT, gone).await?;
                 self.clients.kill_is_over();
             }
-            (Round::AskedTwice, _) => {
+            (Round::RequestedTwice, _) => {
                 tokio::time::sleep(SECOND_SIGNAL).await;
                 self.process.signal(Signal::USR2)?;
             }
--- a/crates/pipitcrank-testkit/src/trial/upgrade/round.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/round.rs
@@ -41,9 +41,9 @@
     /// The node configuration has a value of the wrong type.
     FaultyNodeConfig,
     /// A program that writes what no worker writes.
-    Noise,
+    BadOutput,
     /// A second upgrade is requested during the first.
-    AskedTwice,
+    RequestedTwice,
     /// The node configuration is reloaded during the upgrade.
     Reloaded,
     /// A replica drains the moment before.
@@ -58,7 +58,7 @@
     pub(super) fn expected(self) -> UpgradeCounts {
         let (done, undone) = match self {
             Round::Plain | Round::Reloaded | Round::Drained | Round::OldKilled => (1, 0),
-            Round::AskedTwice => (1, 1),
+            Round::RequestedTwice => (1, 1),
             _ => (0, 1),
         };
         UpgradeCounts { done, undone }
@@ -77,8 +77,8 @@
             Round::HangsBeforeReady => f.write_str("HangsBeforeReady"),
             Round::CrashesBeforeReady => f.write_str("CrashesBeforeReady"),
             Round::FaultyNodeConfig => f.write_str("FaultyCharter"),
-            Round::Noise => f.write_str("Noise"),
-            Round::AskedTwice => f.write_str("AskedTwice"),
+            Round::BadOutput => f.write_str("Noise"),
+            Round::RequestedTwice => f.write_str("AskedTwice"),
             Round::Reloaded => f.write_str("Reloaded"),
             Round::Drained => f.write_str("Drained"),
             Round::OldKilled => f.write_str("OldKilled"),
@@ -96,8 +96,8 @@
     Round::HangsBeforeReady,
     Round::CrashesBeforeReady,
     Round::FaultyNodeConfig,
-    Round::Noise,
-    Round::AskedTwice,
+    Round::BadOutput,
+    Round::RequestedTwice,
     Round::Reloaded,
     Round::Drained,
 ];
--- a/crates/pipitcrank-testkit/src/trial/zones/fault.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/fault.rs
@@ -10,21 +10,21 @@
     /// Replicas and members of a zone.
     Zone,
     /// Members of a zone are killed, its replicas live.
-    Copies,
+    Members,
     /// Half of a zone's replicas.
-    Half,
+    HalfZone,
     /// A zone's replicas become unreachable and return every 1.5 s.
     Flaps,
     /// Members of a zone receive nothing from the others; its replicas are healthy for all.
-    Parted,
+    Partitioned,
     /// Members of one zone do not reach the replicas of another, in both directions; the third zone reaches both.
     Cut,
     /// The leading voter is stopped for 5 s while a zone is lost, and then continues.
-    Leader,
+    LeaderStopped,
     /// Two of three voters die while a zone is lost, and restart without a store.
-    Majority,
+    MajorityKilled,
     /// A second zone is lost while the first is half moved.
-    Two,
+    TwoZones,
     /// A zone accepts everything and answers late.
     Slow,
     /// One member ends by SIGTERM and another is upgraded while a zone is being left.
@@ -34,11 +34,11 @@
     /// A zone is lost while datagrams are dropped, duplicated and delayed.
     Lossy,
     /// One member reaches no replica anywhere, and reports so of all zones.
-    Sick,
+    IsolatedMember,
     /// A whole region loses its replicas while its links still answer heartbeats.
     Region,
     /// Datagrams that are forged, truncated, replayed, too long, or of another version.
-    Strangers,
+    InvalidDatagrams,
 }
 
 /// All faults in the order of the enum, with the names that `--only` takes and that figures and messages print.
@@ -46,21 +46,21 @@
     (Fault::Calm, "Calm"),
     (Fault::Replicas, "Leaves"),
     (Fault::Zone, "Zone"),
-    (Fault::Copies, "Copies"),
-    (Fault::Half, "Half"),
+    (Fault::Members, "Copies"),
+    (Fault::HalfZone, "Half"),
     (Fault::Flaps, "Flaps"),
-    (Fault::Parted, "Parted"),
+    (Fault::Partitioned, "Parted"),
     (Fault::Cut, "Cut"),
-    (Fault::Leader, "Leader"),
-    (Fault::Majority, "Majority"),
-    (Fault::Two, "Two"),
+    (Fault::LeaderStopped, "Leader"),
+    (Fault::MajorityKilled, "Majority"),
+    (Fault::TwoZones, "Two"),
     (Fault::Slow, "Slow"),
     (Fault::Restarts, "Restarts"),
     (Fault::Drain, "Drain"),
     (Fault::Lossy, "Lossy"),
-    (Fault::Sick, "Sick"),
+    (Fault::IsolatedMember, "Sick"),
     (Fault::Region, "Region"),
-    (Fault::Strangers, "Strangers"),
+    (Fault::InvalidDatagrams, "Strangers"),
 ];
 
 impl Fault {
--- a/crates/pipitcrank-testkit/src/trial/zones/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/mod.rs
@@ -21,7 +21,7 @@
 pub use cluster::MOVED_WITHIN_S;
 use cluster::RoutingMode;
 pub use fault::{FAULTS, Fault};
-pub use run::through;
+pub use run::run_faults;
 
 use crate::outcome::Outcome;
 use crate::query_log::QueryOutcome;
@@ -35,9 +35,9 @@
 /// # Errors
 ///
 /// A name in `only` that no fault has, or a process that can't be started or does not do what the script needs of it.
-pub async fn play(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
+pub async fn run_trial(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
     let faults = script(seed, only)?;
-    let mut outcome = through(program, seed, &faults, verbose, true).await?;
+    let mut outcome = run_faults(program, seed, &faults, verbose, true).await?;
     if only.is_none() {
         for (mode, name) in
             [(RoutingMode::Independent, "each copy alone"), (RoutingMode::ZoneBlind, "no zones")]
--- a/crates/pipitcrank-testkit/src/trial/zones/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/run.rs
@@ -95,21 +95,21 @@
             Fault::Calm => tokio::time::sleep(Duration::from_secs(5)).await,
             Fault::Replicas => self.play_replicas(zone, &mut report).await,
             Fault::Zone => self.play_zone(zone, &mut report).await?,
-            Fault::Copies => self.play_members(zone, &mut report).await?,
-            Fault::Half => self.play_half(zone, &mut report).await,
+            Fault::Members => self.play_members(zone, &mut report).await?,
+            Fault::HalfZone => self.play_half(zone, &mut report).await,
             Fault::Flaps => self.play_flaps(zone, &mut report).await,
-            Fault::Parted => self.play_parted(zone, &mut report).await,
+            Fault::Partitioned => self.play_parted(zone, &mut report).await,
             Fault::Cut => self.play_cut(zone, other, &mut report).await,
-            Fault::Leader => self.play_leader(&mut report).await,
-            Fault::Majority => self.play_majority(all, &mut report).await?,
-            Fault::Two => self.play_two(all, &mut report).await,
+            Fault::LeaderStopped => self.play_leader(&mut report).await,
+            Fault::MajorityKilled => self.play_majority(all, &mut report).await?,
+            Fault::TwoZones => self.play_two(all, &mut report).await,
             Fault::Slow => self.play_slow(zone, &mut report).await,
             Fault::Restarts => self.play_restarts(zone, other, &mut report).await?,
             Fault::Drain => self.play_drain(all, &mut report).await?,
             Fault::Lossy => self.play_lossy(zone, &mut report).await,
-            Fault::Sick => self.play_sick(&mut report).await,
+            Fault::IsolatedMember => self.play_sick(&mut report).await,
             Fault::Region => self.play_region(&mut report).await,
-            Fault::Strangers => self.play_strangers(&mut targets.rng, &mut report).await?,
+            Fault::InvalidDatagrams => self.play_strangers(&mut targets.rng, &mut report).await?,
         }
         Ok(report)
     }
@@ -118,12 +118,12 @@
     fn unaffected_members(&self, fault: Fault) -> Vec<usize> {
         let Targets { zone, other, .. } = Targets::draw(self.seed, fault);
         let unaffected = |n: &usize| match fault {
-            Fault::Zone | Fault::Copies => !self.takes_part(*n) || self.members[*n].zone != zone,
+            Fault::Zone | Fault::Members => !self.takes_part(*n) || self.members[*n].zone != zone,
             // Any voter may have led; the others go on.
-            Fault::Leader => *n >= NORTH_ZONES,
-            Fault::Majority => *n != zone && *n != other,
+            Fault::LeaderStopped => *n >= NORTH_ZONES,
+            Fault::MajorityKilled => *n != zone && *n != other,
             // It can't serve, and says so.
-            Fault::Sick => *n != ISOLATED_MEMBER,
+            Fault::IsolatedMember => *n != ISOLATED_MEMBER,
             // One shuts down gracefully, and its clients find it closed.
             Fault::Restarts => self.members[*n].zone != other || *n < NORTH_ZONES,
             _ => true,
@@ -162,7 +162,7 @@
 /// # Errors
 ///
 /// A process that can't be started or does not do what the script needs of it.
-pub async fn through(
+pub async fn run_faults(
     program: &Path,
     seed: u64,
     faults: &[Fault],
