--- a/crates/pipitcrank-testkit/src/trial/gateway/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster that the gateway trial plays on: three sites joined by links that can fail.
+//! The cluster of the gateway trial: three sites joined by links that can fail.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,32 +13,34 @@
 use crate::replica::{ReplicaBehavior, Work};
 
 const WORK: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
-/// Sites by their index; the first lacks cells of its own.
-pub(super) const NAMES: [&str; 3] = ["north", "south", "west"];
+/// Names of the sites by index.
+pub(super) const SITE_NAMES: [&str; 3] = ["north", "south", "west"];
 pub(super) const NORTH: usize = 0;
 pub(super) const SOUTH: usize = 1;
 const WEST: usize = 2;
-/// Cells of a site.
+/// Number of cells in a site.
 const CELLS: u32 = 6;
-/// Time by which near replicas are preferred, beside the link's own, in seconds.
+/// Penalty for far replicas in addition to the link's round-trip time, in seconds.
 const PREFER_NEAR_S: f64 = 0.02;
-/// Queries a second at the first site.
+/// Load on the first site, in queries per second.
 pub(super) const RATE: f64 = 80.0;
-/// Pause after a fault, and before the load begins: links come up.
-pub(super) const PAUSE: Duration = Duration::from_millis(500);
-/// Round trip from north to south, and to west.
-pub(super) const NEAR_TRIP: Duration = Duration::from_millis(10);
-pub(super) const FAR_TRIP: Duration = Duration::from_millis(40);
-/// Operators' file section: far sites can be upgraded.
+/// Pause after a fault and before the load begins, for links to connect.
+pub(super) const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Round-trip time from north to south.
+pub(super) const NEAR_ROUND_TRIP: Duration = Duration::from_millis(10);
+/// Round-trip time from north to west.
+pub(super) const FAR_ROUND_TRIP: Duration = Duration::from_millis(40);
+/// The `upgrade` section of the operators' file, needed to upgrade the far site.
 const UPGRADE_SECTION: &str =
     "upgrade = Some { start_s = 3.0, settle_s = 0.6, silent_s = 0.5, finish_s = 8.0 }";
 
-/// Who is reached from the first site.
+/// Far sites that the first site reaches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Reach {
     /// Both far sites.
     Both,
-    /// The one with the shortest round trip, whatever becomes of it, without a penalty for being far.
+    /// Only the site with the shortest initial round-trip time, also after it becomes slower, and without a penalty
+    /// for far replicas.
     Shortest,
     /// No far site.
     Nobody,
@@ -52,22 +54,22 @@
 }
 
 impl Site {
-    /// Starts the process again after its end.
+    /// Restarts the process after it has exited.
     pub(super) async fn restart(&mut self) -> Result<()> {
         self.process.restart(self.operators_file.clone()).await
     }
 }
 
-/// All sites and the links from the first.
+/// All sites and the links from the first site.
 pub(super) struct SiteCluster {
-    /// By index, as in `NAMES`.
+    /// The sites, in the order of `SITE_NAMES`.
     pub sites: Vec<Site>,
-    /// From north to the two others.
+    /// Links from north to the two other sites.
     pub links: Vec<Link>,
     pub query_log: QueryLog,
 }
 
-/// A far site as the operators' file names it.
+/// A far site in the operators' file.
 struct Peer {
     site: usize,
     address: SocketAddr,
@@ -75,9 +77,9 @@
 
 fn operators_file(site: usize, listen: SocketAddr, peers: &[Peer], prefer_near_s: f64) -> String {
     let entry =
-        |peer: &Peer| format!("{{ name = \"{}\", address = \"{}\" }}", NAMES[peer.site], peer.address);
+        |peer: &Peer| format!("{{ name = \"{}\", address = \"{}\" }}", SITE_NAMES[peer.site], peer.address);
     let sites: Vec<String> = peers.iter().map(entry).collect();
-    // An empty list would need its type.
+    // An empty list needs a type annotation in Dhall.
     let sites = if sites.is_empty() {
         "[] : List { name : Text, address : Text }".to_string()
     } else {
@@ -85,12 +87,12 @@
     };
     format!(
         "{{ gateway = Some {{ site = \"{}\", listen = \"{listen}\", connections = 2, prefer_near_s = {prefer_near_s:?}, sites = {sites} }}, {UPGRADE_SECTION} }}",
-        NAMES[site]
+        SITE_NAMES[site]
     )
 }
 
 impl SiteCluster {
-    /// `round_trips`: of the links from north to the two others.
+    /// Starts the sites and links. `round_trips` are the round-trip times from north to the two other sites.
     pub(super) async fn start(
         program: &Path,
         seed: u64,
@@ -114,7 +116,7 @@
                 (NORTH, Reach::Shortest) => (vec![south], 0.0),
                 (NORTH, Reach::Nobody) => (vec![], PREFER_NEAR_S),
                 (SOUTH, _) => (vec![Peer { site: NORTH, address: back.address }], PREFER_NEAR_S),
-                // A site is named to those that it takes links from, too.
+                // The file of a site also names the sites that it accepts links from.
                 _ => (vec![Peer { site: NORTH, address: listens[NORTH] }], PREFER_NEAR_S),
             };
             let standalone = n == NORTH && reach == Reach::Nobody;
@@ -126,7 +128,8 @@
         Ok(SiteCluster { sites, links, query_log })
     }
 
-    /// Sets how the replicas of two cells behave: where they are busy, nobody near holds the shards of both.
+    /// Sets the behaviour of the replicas of two cells. If both are busy, the site has no other replicas for their
+    /// common shards.
     pub(super) fn set_cell_behavior(&self, site: usize, cells: [u32; 2], behavior: ReplicaBehavior) {
         for (n, replica) in self.sites[site].fleet.replicas.iter().enumerate() {
             if cells.contains(&(n as u32 % CELLS)) {
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Sets how all replicas of a site behave.
+    /// Sets the behaviour of all replicas of a site.
     pub(super) fn set_site_behavior(&self, site: usize, behavior: ReplicaBehavior) {
         self.sites[site].fleet.replicas.iter().for_each(|replica| replica.set_behavior(behavior));
     }
--- a/crates/pipitcrank-testkit/src/trial/gateway/fault.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/fault.rs
@@ -1,37 +1,37 @@
-//! Faults that the gateway trial plays.
+//! Faults of the gateway trial.
 
-/// A fault of the gateway trial; its `Debug` spelling is what a run prints.
+/// A fault of the gateway trial. Runs print its `Debug` form.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Nothing fails.
     Calm,
-    /// The round trip to the near site rises.
+    /// The round-trip time to the near site increases.
     SlowWay,
-    /// Links are broken every few hundred milliseconds.
+    /// The link is broken every few hundred milliseconds.
     Flaps,
     /// The link accepts connections and passes nothing.
     Stalls,
-    /// The link passes nothing on the way back.
+    /// The link passes nothing in the direction of answers.
     StallsBack,
     /// The link is down.
     Cut,
     /// Each new connection is cut after some bytes.
     CutWithin,
-    /// The far process is killed and started again.
+    /// The far process is killed and restarted.
     Killed,
-    /// The far process is shut down gracefully and started again.
+    /// The far process is shut down gracefully and restarted.
     Restarted,
     /// The far process is upgraded.
     Upgraded,
-    /// The other far site has the shorter round trip.
+    /// The other far site has the shorter round-trip time.
     Swapped,
     /// Clients disconnect while their parts are in flight.
     Leavers,
-    /// Both sites lack cells, and forward to each other.
+    /// Two sites have busy cells and forward to each other.
     Mutual,
     /// The far site's replicas are all busy.
     FarFull,
-    /// Replicas of the far site are dead, and its endpoint list still has them.
+    /// Replicas of the far site have died but are still in its endpoint list.
     FarStale,
 }
 
--- a/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
@@ -1,6 +1,6 @@
-//! Trial of the gateway: three sites on loopback, joined by links that can be slow, silent, cut and healed; one site whose
-//! own replicas of two cells are busy, so that the others are needed. The same seed is played with the gateway, with the
-//! site of the shortest round trip alone, and without any far site.
+//! Gateway trial: three sites on loopback, joined by links that can be slow, stalled or cut. At the first site the
+//! replicas of two cells are busy, so that it needs the other sites. The same seed runs with the gateway, with only
+//! the site of the shortest round trip, and without far sites.
 
 mod cluster;
 mod fault;
@@ -23,11 +23,12 @@
 use crate::outcome::Outcome;
 use crate::query_log::QueryOutcome;
 
-/// All faults in the seed's order; the three ways of reaching others beside each other on the same script.
+/// Runs all faults in the order given by the seed, with the same script at once on three clusters that differ in
+/// which far sites are reached.
 ///
 /// # Errors
 ///
-/// A process that can't be started or does not do what a fault needs of it.
+/// Returns an error if a process can't be started or fails a step of a fault.
 pub async fn run_trial(program: &Path, seed: u64, verbose: bool) -> Result<Outcome> {
     let mut script = fault::ALL;
     script.shuffle(&mut Pcg64::seed_from_u64(seed));
@@ -55,11 +56,11 @@
     Ok(outcome)
 }
 
-/// The gateway alone through one fault, between two calm periods.
+/// Runs one fault with the gateway, between two periods without faults.
 ///
 /// # Errors
 ///
-/// A process that can't be started or does not do what the fault needs of it.
+/// Returns an error if a process can't be started or fails a step of the fault.
 pub async fn run_single_fault(program: &Path, seed: u64, fault: Fault) -> Result<Outcome> {
     let report = run(program, seed, Reach::Both, &[Fault::Calm, fault, Fault::Calm], false).await?;
     let mut outcome = Outcome::default();
--- a/crates/pipitcrank-testkit/src/trial/gateway/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/run.rs
@@ -1,10 +1,12 @@
-//! One run of the gateway trial: a script of faults under load, and what was measured.
+//! One run of the gateway trial: a script of faults under load, and the results.
 
 use std::path::Path;
 
 use anyhow::{Context, Result};
 
-use super::cluster::{FAR_TRIP, NAMES, NEAR_TRIP, NORTH, PAUSE, RATE, Reach, SiteCluster};
+use super::cluster::{
+    FAR_ROUND_TRIP, NEAR_ROUND_TRIP, NORTH, RATE, Reach, SETTLE_TIME, SITE_NAMES, SiteCluster,
+};
 use super::fault::Fault;
 use crate::client::{Clients, get};
 use crate::fleet::Load;
@@ -13,13 +15,14 @@
 use crate::query_log::{QueryLog, QueryOutcome, RetryBudget};
 use crate::replica::ReplicaBehavior;
 
-/// Fraction of sales whose part takes one to two seconds: one is in flight at most breaks of a link.
+/// Fraction of queries that are sales with a part of one to two seconds, so that one is in flight at most breaks of a
+/// link.
 const SLOW_SALES: f64 = 0.05;
-/// Cells that the first site lacks.
-const NORTH_CELLS: [u32; 2] = [0, 1];
-/// Parts that other sites answer at least, or the run shows nothing.
-const FORWARDED_LEAST: u64 = 100;
-/// Retry budget as the stand-in node configuration states it.
+/// Cells whose replicas at the first site are busy.
+const NORTH_BUSY_CELLS: [u32; 2] = [0, 1];
+/// Minimum number of parts answered by other sites for a run to be meaningful.
+const MIN_FORWARDED_PARTS: u64 = 100;
+/// Retry budget, as in the node configuration of the trial.
 const BUDGET: RetryBudget = RetryBudget {
     free: 5.0,
     fraction: 0.1,
@@ -27,14 +30,14 @@
     run_delay: std::time::Duration::from_secs(2),
 };
 
-/// What was measured in one run.
+/// Results of one run.
 pub(super) struct RunReport {
     pub query_log: QueryLog,
     /// Parts that other sites answered.
     pub forwarded_parts: u64,
-    /// Those of them that came too late.
+    /// Parts that other sites answered too late.
     late_parts: u64,
-    /// Bytes on all links.
+    /// Bytes on all links from the first site.
     bytes: u64,
     /// Processor time of all sites.
     pub cpu_seconds: f64,
@@ -42,9 +45,9 @@
     log: String,
 }
 
-/// Takes two cells from the first site, so that other sites are needed.
-pub(super) fn lack_cells(cluster: &SiteCluster) {
-    cluster.set_cell_behavior(NORTH, NORTH_CELLS, ReplicaBehavior::Busy);
+/// Makes the replicas of two cells at the first site busy, so that other sites are needed.
+pub(super) fn make_cells_busy(cluster: &SiteCluster) {
+    cluster.set_cell_behavior(NORTH, NORTH_BUSY_CELLS, ReplicaBehavior::Busy);
 }
 
 pub(super) async fn run(
@@ -54,9 +57,9 @@
     script: &[Fault],
     verbose: bool,
 ) -> Result<RunReport> {
-    let mut cluster = SiteCluster::start(program, seed, reach, [NEAR_TRIP, FAR_TRIP]).await?;
-    lack_cells(&cluster);
-    tokio::time::sleep(PAUSE).await;
+    let mut cluster = SiteCluster::start(program, seed, reach, [NEAR_ROUND_TRIP, FAR_ROUND_TRIP]).await?;
+    make_cells_busy(&cluster);
+    tokio::time::sleep(SETTLE_TIME).await;
     let clients = Clients::new(cluster.sites[NORTH].process.address, cluster.query_log.clone());
     let load = Load::start("load", seed ^ 2, RATE, SLOW_SALES, clients.clone());
     for (n, fault) in script.iter().enumerate() {
@@ -65,7 +68,7 @@
             println!("{:>2}: {fault:?}, after {total} queries, service {service:.3}", n + 1);
         }
         cluster
-            .play_fault(*fault, seed ^ (n as u64) << 16, &clients)
+            .inject_fault(*fault, seed ^ (n as u64) << 16, &clients)
             .await
             .with_context(|| format!("{fault:?}"))?;
     }
@@ -85,7 +88,7 @@
 }
 
 async fn save_logs(cluster: &SiteCluster, reach: Reach, folder: &str) -> Result<()> {
-    for (site, name) in cluster.sites.iter().zip(NAMES) {
+    for (site, name) in cluster.sites.iter().zip(SITE_NAMES) {
         std::fs::write(format!("{folder}/{reach:?}-{name}.log"), site.process.log())?;
     }
     let north = cluster.sites[NORTH].process.address;
@@ -94,7 +97,7 @@
     Ok(())
 }
 
-/// Figures and promises of a run with the gateway.
+/// Reports the figures of a run with the gateway and checks its requirements.
 pub(super) fn promises(outcome: &mut Outcome, report: &RunReport) {
     let query_log = &report.query_log;
     outcome.figure("queries", query_log.total() as f64);
@@ -109,7 +112,7 @@
     outcome.figure("answer ms, 99 of 100", query_log.response_time_ms(0.99));
     outcome.figure("parts answered by other sites", report.forwarded_parts as f64);
     outcome.figure("of them too late", report.late_parts as f64);
-    outcome.promise(report.forwarded_parts > FORWARDED_LEAST, "other sites were needed");
+    outcome.promise(report.forwarded_parts > MIN_FORWARDED_PARTS, "other sites were needed");
     outcome.figure(
         "bytes on the links a part, heartbeats included",
         report.bytes as f64 / report.forwarded_parts.max(1) as f64,
--- a/crates/pipitcrank-testkit/src/trial/observer.rs
+++ b/crates/pipitcrank-testkit/src/trial/observer.rs
@@ -1,5 +1,5 @@
-//! Observes all members of a cluster over the failover protocol: polls each for its status and keeps what it answered,
-//! and sends operators' orders.
+//! Observes all members of a cluster over the failover protocol: polls the status of each member, records the
+//! answers, and sends operators' orders.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,34 +19,36 @@
 
 /// Pause between two polls of all members.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long an order is repeated until it is answered, and the pause between two repeats.
+/// Time limit for an answer to an order.
 const ORDER_LIMIT: Duration = Duration::from_secs(6);
+/// Pause between two retransmissions of an order.
 const ORDER_INTERVAL: Duration = Duration::from_millis(300);
-/// Longest datagram read.
+/// Size of the receive buffer.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// A member to observe: its address, and whether it is meant to be running.
+/// A member to observe.
 pub(super) struct ObservedMember {
     pub address: SocketAddr,
+    /// Whether the script expects the member to be running.
     pub up: Rc<Cell<bool>>,
 }
 
-/// What was observed of the members.
+/// Decisions and statuses that the members reported.
 #[derive(Default)]
 pub(super) struct Observations {
-    /// All decisions reported, by number.
+    /// All reported decisions by number.
     pub decisions: BTreeMap<u64, Decision>,
-    /// When each was first reported.
+    /// Time of the first report of each decision, by decision number.
     pub first_seen: BTreeMap<u64, Instant>,
-    /// Reports of a decision that differs from one known under the same number.
+    /// Number of reports whose decision differs from an earlier one with the same number.
     pub conflicting_decisions: u64,
-    /// Reports of an older decision than the member reported before.
+    /// Number of reports whose decision is older than one that the same member reported before.
     pub regressions: u64,
-    /// Decisions that route more to a zone than it can carry.
+    /// Number of decisions that route more load to a zone than its capacity.
     pub over_capacity: u64,
-    /// The newest decision that each member reported.
+    /// Number of the newest decision that each member reported.
     pub newest: BTreeMap<usize, u64>,
-    /// The last status of each member, and when it came.
+    /// Last status of each member with its time of receipt.
     pub last: BTreeMap<usize, (Instant, StatusReport)>,
 }
 
@@ -75,13 +77,13 @@
         self.decisions.insert(decision.number, decision.clone());
     }
 
-    /// Forgets a member whose process is replaced by another.
+    /// Discards the observations of a member whose process has been replaced.
     pub(super) fn forget(&mut self, member: usize) {
         self.newest.remove(&member);
         self.last.remove(&member);
     }
 
-    /// The newest decision known anywhere, 0 if there is none.
+    /// Number of the newest decision that any member reported, or 0 if there is none.
     pub(super) fn newest_number(&self) -> u64 {
         self.decisions.last_key_value().map_or(0, |(number, _)| *number)
     }
@@ -92,7 +94,7 @@
     Ok(OperatorClient::new(derive_key(SECRET), socket.local_addr()?, since))
 }
 
-/// Polls all members in a task of its own, for as long as the runtime lives; only those meant to be running are recorded.
+/// Starts a task that polls all members until the runtime ends. Statuses of members that should be down are ignored.
 pub(super) async fn observe(
     observed: Rc<RefCell<Observations>>,
     members: Vec<ObservedMember>,
@@ -117,7 +119,7 @@
                     continue;
                 };
                 let Some(index) = members.iter().position(|member| member.address == from) else { continue };
-                // What a member sent before it was killed may still arrive.
+                // A datagram that a member sent before it was killed may still arrive.
                 if members[index].up.get() {
                     observed.borrow_mut().record(index, status, &proximity);
                 }
@@ -127,11 +129,12 @@
     Ok(())
 }
 
-/// Sends an operator's order to all voters until the leader answers, as the program's `zones` command does.
+/// Sends an operator's order to all voters until the leader answers, as the program's `zones` command does. An order
+/// without an answer counts as rejected.
 ///
 /// # Errors
 ///
-/// A socket that can't be opened. An order that nobody answers counts as rejected.
+/// Returns an error if the socket can't be opened.
 pub(super) async fn send_order(voters: &[SocketAddr], order: OperatorOrder) -> Result<OperatorAnswer> {
     let socket = UdpSocket::bind("127.0.0.1:0").await?;
     let mut client = operator_client(&socket)?;
@@ -155,7 +158,7 @@
     Ok(OperatorAnswer::Rejected("no answer".to_string()))
 }
 
-/// A UDP address that nothing else uses.
+/// Returns an unused UDP address on loopback.
 pub(super) async fn free_udp_address() -> Result<SocketAddr> {
     Ok(UdpSocket::bind((free_address()?.ip(), 0)).await?.local_addr()?)
 }
--- a/crates/pipitcrank-testkit/src/trial/operators_file.rs
+++ b/crates/pipitcrank-testkit/src/trial/operators_file.rs
@@ -1,13 +1,14 @@
-//! The operators' file section on zones, as trials give it to a member.
+//! The `zones` section of the operators' file that trials pass to a member.
 
 use std::net::SocketAddr;
 
-/// Secret that all members of a trial share.
+/// Secret shared by all members of a trial.
 pub(super) const SECRET: &str = "a secret of the trial's own";
-/// Parts a second that one replica is configured to carry.
+/// Configured capacity of one replica, in parts per second.
 const REPLICA_CAPACITY: f64 = 160.0;
 
-/// The section for a member of zone `own`, of (zone, region) pairs: short times, voters with their zones.
+/// Builds the `zones` section for a member of the zone at index `own`, with time settings of a few seconds to keep the
+/// trial short. `zones` holds (zone, region) pairs; voter `n` is in zone `n`.
 pub(super) fn zones_section(
     zones: &[(&str, &str)],
     own: usize,
--- a/crates/pipitcrank-testkit/src/trial/returns/case.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/case.rs
@@ -1,37 +1,39 @@
-//! Cases of the return trial: what members restart from, and what fails beside it.
+//! Cases of the return trial.
 
-/// What members restart from, and what fails beside it.
+/// A case of the return trial: which members fail, and what state they restart from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// All die, nothing is kept.
+    /// All members are killed; they have no stores.
     NoStores,
-    /// All but one die, nothing is kept.
+    /// All members but one are killed; they have no stores.
     OneSurvivor,
-    /// All die, each has its store.
+    /// All members are killed; each restarts with its store.
     Stores,
-    /// Nine die, each has its store.
+    /// Nine of the twelve members are killed; each restarts with its store.
     ThreeSurvivors,
-    /// All die, and half restart on a store of before the last decision.
+    /// All members are killed; half of them restart with a store from before the last decision.
     StaleStores,
-    /// All die, and the voters' stores are gone.
+    /// All members are killed, and the stores of all voters are deleted.
     LostVoterStores,
-    /// All die, and half of the stores are truncated.
+    /// All members are killed, and half of the stores are truncated.
     TruncatedStores,
-    /// All die, and die again a second after their restart.
+    /// All members are killed, and killed again one second after their restart.
     KilledTwice,
-    /// Eight are stopped for six seconds.
+    /// Eight members are stopped by SIGSTOP for six seconds.
     Stopped,
-    /// All die while a zone is lost, which returns later.
+    /// All members are killed while a zone is lost; the zone is restored after their restart.
     Failover,
-    /// One member dies 0.8 s after each of its starts.
+    /// One member is killed 0.8 s after each of its starts.
     CrashLoop,
-    /// Each is shut down gracefully and started again, one after the other.
+    /// Each member in turn is shut down gracefully and restarted.
     RollingRestart,
-    /// All die, the voters' stores are gone, and one voter stays away: begun anew by an operator's command.
+    /// All members are killed, the stores of all voters are deleted, and one voter does not restart, so that an
+    /// operator has to start the decisions anew by the `zones begin` command.
     Begin,
 }
 
-/// All cases with the names that `--only` takes and that figures and messages print; the four kinds of memory first.
+/// All cases with their names in `--only`, figures and messages. Every run includes the first `FIXED_CASES`, which
+/// cover restarts with and without stores.
 pub const CASES: [(Case, &str); 13] = [
     (Case::NoStores, "Nothing"),
     (Case::OneSurvivor, "Survivors"),
@@ -49,12 +51,12 @@
 ];
 
 impl Case {
-    /// The name that `--only` takes and that figures and messages print.
+    /// The name of the case in `--only`, figures and messages.
     pub fn name(self) -> &'static str {
         CASES.iter().find(|(case, _)| *case == self).map_or("", |(_, name)| name)
     }
 
-    /// Whether members have stores.
+    /// Whether the members have stores.
     pub(super) fn keeps_stores(self) -> bool {
         !matches!(self, Case::NoStores | Case::OneSurvivor)
     }
--- a/crates/pipitcrank-testkit/src/trial/returns/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster that the return trial plays on: twelve members in three zones, with or without stores.
+//! The cluster of the return trial: twelve members in three zones, with or without stores.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,19 +19,19 @@
 use crate::trial::operators_file::zones_section;
 use crate::zoned_fleet::ZonedFleet;
 
-/// (zone, region); the first member of each zone votes.
+/// All zones as (zone, region) pairs. The first member of each zone is a voter.
 pub(super) const ZONES: [(&str, &str); 3] = [("a", "north"), ("b", "north"), ("c", "north")];
 pub(super) const MEMBERS: usize = 12;
-/// The zone that an operator drains before the outage, so that there is a decision to be remembered.
+/// Index of the zone drained before the outage, which makes a decision that has to survive the restart.
 pub(super) const DRAINED_ZONE: usize = 2;
-/// A replica does two hundred parts a second.
+/// Work of a replica, which serves 200 parts per second.
 const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
-/// Queries a second at each member; a query has 5.7 parts. Two zones of six replicas are left: eight tenths of what they
-/// carry.
+/// Load on each member, in queries per second. At 5.7 parts per query the load is 0.8 of the capacity of the two
+/// zones of six replicas that are not drained.
 pub(super) const RATE: f64 = 22.0;
-/// Longest wait for members to find each other, in seconds.
+/// Time limit for all members to follow a common decision after their start, in seconds.
 const JOIN_LIMIT_S: f64 = 15.0;
-/// A status older than that does not count.
+/// Age from which a status is ignored.
 const STATUS_MAX_AGE: Duration = Duration::from_secs(1);
 
 /// One process of the program.
@@ -40,27 +40,27 @@
     pub known_as: SocketAddr,
     operators_file: String,
     pub store: PathBuf,
-    /// It is meant to be running.
+    /// Whether the script expects the member to be running.
     pub up: Rc<Cell<bool>>,
 }
 
 /// All members and their replicas.
 pub(super) struct RestartCluster {
     pub fleet: ZonedFleet,
-    // Held: relays end with it.
+    // Held because its relays stop when it is dropped.
     _net: DatagramNetwork,
     pub members: Vec<Member>,
     pub observed: Rc<RefCell<Observations>>,
     pub stores: Folder,
-    /// Members have stores.
-    pub kept: bool,
+    /// Whether the members have stores.
+    pub stores_enabled: bool,
     program: PathBuf,
 }
 
-/// What one of the program's commands came to.
+/// Result of one of the program's commands.
 pub(super) struct CommandResult {
     pub done: bool,
-    /// What it printed.
+    /// Standard output and standard error.
     pub text: String,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl RestartCluster {
-    pub(super) async fn start(program: &Path, seed: u64, kept: bool) -> Result<RestartCluster> {
+    pub(super) async fn start(program: &Path, seed: u64, stores_enabled: bool) -> Result<RestartCluster> {
         let fleet = ZonedFleet::start(seed, &ZONES, 0, WORK, QueryLog::default()).await?;
         let (net, stores) = (DatagramNetwork::new(seed ^ 5), Folder::new("stores")?);
         let mut addresses = Vec::new();
@@ -95,7 +95,8 @@
         let mut members = Vec::new();
         for (n, &(listen, known_as)) in addresses.iter().enumerate() {
             let store = stores.path().join(format!("n{n}"));
-            let file = operators_file(zone_of(n), listen, known_as, &voters, kept.then_some(&store));
+            let file =
+                operators_file(zone_of(n), listen, known_as, &voters, stores_enabled.then_some(&store));
             let mut node_config = fleet.node_config(zone_of(n), seed ^ n as u64, true)?;
             node_config["name"] = format!("n{n}").into();
             let process = Process::start(program, node_config, Some(file.clone())).await?;
@@ -103,12 +104,19 @@
             members.push(Member { process, known_as, operators_file: file, store, up });
         }
         let program = program.into();
-        let cluster =
-            RestartCluster { fleet, _net: net, members, observed: Rc::default(), stores, kept, program };
+        let cluster = RestartCluster {
+            fleet,
+            _net: net,
+            members,
+            observed: Rc::default(),
+            stores,
+            stores_enabled,
+            program,
+        };
         cluster.observe().await?;
         ensure!(
             cluster.until(RestartCluster::all_follow, JOIN_LIMIT_S).await.is_some(),
-            "copies do not find together: {}",
+            "members do not follow a common decision after {JOIN_LIMIT_S} s: {}",
             cluster.logs()
         );
         Ok(cluster)
@@ -123,12 +131,12 @@
         observe(self.observed.clone(), observed, proximity).await
     }
 
-    /// Whether all members that are meant to be running follow the common decision.
+    /// Whether all members that should be running follow the common decision.
     pub(super) fn all_follow(&self) -> bool {
         self.all(|status, _| status == "following")
     }
 
-    /// Whether the recent status and decision of all members that are meant to be running satisfy the condition.
+    /// Whether all members that should be running have a recent status whose text and decision satisfy the condition.
     pub(super) fn all(&self, condition: impl Fn(&str, &Decision) -> bool) -> bool {
         let observed = self.observed.borrow();
         (0..MEMBERS).filter(|&n| self.members[n].up.get()).all(|n| {
@@ -139,7 +147,7 @@
         })
     }
 
-    /// Waits for the condition; the seconds that it took, none where it did not come about.
+    /// Waits for the condition. Returns the seconds that it took, or `None` after `limit_s` seconds.
     pub(super) async fn until(
         &self,
         condition: impl Fn(&RestartCluster) -> bool,
@@ -160,14 +168,14 @@
         self.members.iter().map(tail).collect::<Vec<_>>().join("\n--\n")
     }
 
-    /// Sends an operator's order to the voters.
+    /// Sends an operator's order to the voters and returns the answer.
     pub(super) async fn order(&self, order: OperatorOrder) -> Result<OperatorAnswer> {
         let voters: Vec<SocketAddr> =
             self.members[..ZONES.len()].iter().map(|member| member.known_as).collect();
         send_order(&voters, order).await
     }
 
-    /// Kills those members at once.
+    /// Kills the members at once.
     pub(super) fn kill(&mut self, members: &[usize]) {
         for &n in members {
             self.members[n].up.set(false);
@@ -178,17 +186,17 @@
         }
     }
 
-    /// Its process has ended. The decision that it followed still counts where it has a store: the next may not follow
-    /// an older one.
+    /// Discards the last status of a member whose process has ended. The newest decision that it reported is kept if
+    /// it has a store, because its next process must not follow an older one.
     pub(super) fn forget(&self, member: usize) {
         let mut observed = self.observed.borrow_mut();
         observed.last.remove(&member);
-        if !self.kept {
+        if !self.stores_enabled {
             observed.newest.remove(&member);
         }
     }
 
-    /// Starts those members at once and waits until they serve; when the last of them was started.
+    /// Starts the members at once and waits until they serve. Returns the time at which the last of them was started.
     pub(super) async fn restart(&mut self, members: &[usize]) -> Result<Instant> {
         for &n in members {
             let file = self.members[n].operators_file.clone();
@@ -202,7 +210,7 @@
         Ok(last)
     }
 
-    /// Runs one of the program's commands as an operator would, with that member's file.
+    /// Runs one of the program's commands with the operators' file of a member.
     pub(super) async fn command(&self, member: usize, words: &[&str]) -> Result<CommandResult> {
         let path = self.stores.path().join("asks.dhall");
         std::fs::write(&path, &self.members[member].operators_file)?;
@@ -212,13 +220,13 @@
         Ok(CommandResult { done: output.status.success(), text })
     }
 
-    /// Whether the decision has the drained zone out of service.
+    /// Whether the drained zone is out of service in the decision.
     pub(super) fn is_drained(decision: &Decision) -> bool {
         let zone = &decision.zones[DRAINED_ZONE];
         zone.state == ZoneState::OutOfService && zone.drained
     }
 
-    /// The newest decision's number known anywhere.
+    /// Number of the newest decision that any member reported.
     pub(super) fn newest_decision(&self) -> u64 {
         self.observed.borrow().newest_number()
     }
--- a/crates/pipitcrank-testkit/src/trial/returns/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/figures.rs
@@ -1,4 +1,4 @@
-//! Figures and promises of the return trial.
+//! Figures and requirements of the return trial.
 
 use super::case::Case;
 use super::cluster::{MEMBERS, RestartCluster};
@@ -6,13 +6,13 @@
 use crate::outcome::Outcome;
 use crate::query_log::{QueryLog, QueryOutcome, RetryBudget};
 
-/// Longest time to full service that is promised where something was kept, from the last process's start, in seconds.
+/// Required time limit from the start of the last process to full service if members have stores, in seconds.
 const BACK_WITHIN_S: f64 = 5.0;
-/// Most parts that may arrive at one replica in a second: 1.2 times what it does.
+/// Limit on parts that arrive at one replica in a second: 1.2 times the 200 parts that it serves.
 const MOST_PARTS: f64 = 1.2 * 200.0;
-/// Figure where a time never came.
-const NEVER_S: f64 = 99.0;
-/// Retry budget of one member as the node configuration states it.
+/// Figure printed for a time that was not reached within its limit, in seconds.
+const TIMED_OUT_S: f64 = 99.0;
+/// Retry budget of one member, as in the node configuration.
 const BUDGET: RetryBudget = RetryBudget {
     free: 5.0,
     fraction: 0.1,
@@ -36,16 +36,17 @@
         );
     }
 
-    /// Figures and promises of one case: times and loads are promised where `aims` is set, the rest always.
-    pub(super) fn figures(&self, case: Case, aims: bool, outcome: &mut Outcome) {
+    /// Reports the figures of one case and checks its requirements. Limits on times and loads are checked only if
+    /// `check_targets` is set; the expectations of the case itself are always checked.
+    pub(super) fn figures(&self, case: Case, check_targets: bool, outcome: &mut Outcome) {
         let name = case.name().to_lowercase();
-        outcome.figure(&format!("{name}: full service, s"), self.full.unwrap_or(NEVER_S));
-        outcome.figure(&format!("{name}: one decision, s"), self.agreed.unwrap_or(NEVER_S));
+        outcome.figure(&format!("{name}: full service, s"), self.full.unwrap_or(TIMED_OUT_S));
+        outcome.figure(&format!("{name}: one decision, s"), self.agreed.unwrap_or(TIMED_OUT_S));
         outcome.figure(&format!("{name}: errors in ten seconds, %"), self.errors * 100.0);
         let after = self.after;
         outcome.figure(&format!("{name}: most parts at a leaf in a second"), after.parts as f64);
         outcome.figure(&format!("{name}: most connections at a leaf in a second"), after.connections as f64);
-        let promised = aims && case.keeps_stores() && case != Case::Failover;
+        let promised = check_targets && case.keeps_stores() && case != Case::Failover;
         outcome.promise(
             !promised || self.full.is_some_and(|s| s <= BACK_WITHIN_S),
             &format!(
@@ -54,29 +55,29 @@
             ),
         );
         outcome.promise(
-            !aims || after.parts as f64 <= MOST_PARTS,
+            !check_targets || after.parts as f64 <= MOST_PARTS,
             &format!("at most {MOST_PARTS} parts a second come to a leaf ({name}: {})", after.parts),
         );
-        self.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
+        self.failures.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
     }
 }
 
-/// Sums over all cases of a run.
+/// Totals over all cases of a run.
 #[derive(Default)]
 pub(super) struct Totals {
     lost: u64,
     answered_twice: u64,
     unexpected_statuses: u64,
-    sales_run_again: u64,
+    sales_repeated: u64,
     conflicting_decisions: u64,
     regressions: u64,
     over_budget: f64,
 }
 
 impl Totals {
-    /// Adds one case, with the logs of its clients by member.
+    /// Adds the results of one case; `logs` are the query logs by member.
     pub(super) fn add(&mut self, case: Case, cluster: &RestartCluster, logs: &[QueryLog]) {
-        // At members that no fault touched; those shut down gracefully lose nothing that was accepted either.
+        // A member that no fault affects loses no query, and a graceful shutdown loses no accepted query.
         let untouched = |n: usize| match case {
             Case::OneSurvivor => n == MEMBERS - 1,
             Case::RollingRestart => true,
@@ -88,8 +89,9 @@
         self.answered_twice += logs.iter().map(QueryLog::answered_twice).sum::<u64>();
         self.unexpected_statuses += logs.iter().map(QueryLog::unexpected_statuses).sum::<u64>();
         let query_log = &cluster.fleet.query_log;
-        self.sales_run_again += query_log.parts_run_again("sale-");
-        // A process that died leaves its budget to the next where it has a store; without, each start has one.
+        self.sales_repeated += query_log.parts_run_again("sale-");
+        // With a store, the restarted process continues the budget of the killed one. Without, each start has a new
+        // budget.
         let starts = if case.keeps_stores() { MEMBERS } else { 2 * MEMBERS } as f64;
         let budget = RetryBudget { free: BUDGET.free * starts, ..BUDGET };
         let all_logs: Vec<&QueryLog> = logs.iter().collect();
@@ -103,7 +105,7 @@
         outcome.expect_zero("lost at copies that no fault touched", self.lost);
         outcome.expect_zero("answered twice", self.answered_twice);
         outcome.expect_zero("odd answers", self.unexpected_statuses);
-        outcome.expect_zero("side-effecting parts run twice", self.sales_run_again);
+        outcome.expect_zero("side-effecting parts run twice", self.sales_repeated);
         outcome.expect_zero("two decisions under one number", self.conflicting_decisions);
         outcome.expect_zero("acted on an older decision", self.regressions);
         outcome.figure("further runs over the budget", self.over_budget);
@@ -111,10 +113,10 @@
     }
 }
 
-/// Promises that no process of the case panicked.
+/// Checks that no process of the case panicked.
 pub(super) fn promise_no_panic(case: Case, cluster: &RestartCluster, outcome: &mut Outcome) {
     let logs: String = cluster.members.iter().map(|member| member.process.log()).collect();
-    // The store's library gives up some truncated files by a panic that is caught.
+    // The store's library panics on some truncated files; the program catches these panics.
     let panicked = logs.lines().find(|line| line.contains("panicked") && !line.contains("'store'"));
     let name = case.name().to_lowercase();
     outcome.promise(panicked.is_none(), &format!("{name}: nothing panics: {panicked:?}"));
--- a/crates/pipitcrank-testkit/src/trial/returns/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/mod.rs
@@ -1,7 +1,7 @@
-//! Trial of return: twelve members of the program in three zones, under load, most of them killed at once and started
-//! again: with nothing, with what each kept in its store, with survivors, with stores that are old, truncated or lost. An
-//! observer polls each member ten times a second for the decision it follows, and holds it against what it followed
-//! before.
+//! Return trial. Twelve members in three zones run under load; most of them are killed at once and restarted: without
+//! stores, with their stores, with some members still running, or with stores that are stale, truncated or lost. An
+//! observer polls each member ten times a second for the decision that it follows and compares it with the decisions
+//! that the member followed before.
 
 mod case;
 mod cluster;
@@ -26,23 +26,23 @@
 use crate::outcome::Outcome;
 use crate::query_log::QueryLog;
 
-/// Cases that every run has: the first of `CASES`.
+/// Number of cases from the start of `CASES` that every run includes.
 const FIXED_CASES: usize = 4;
-/// Cases of a run.
+/// Number of cases in a run.
 const CASES_PER_RUN: usize = 7;
 
-/// Cases in the seed's order, the four kinds of memory first.
+/// Runs the fixed cases and then further cases in the order given by the seed, or only the case named in `only`.
 ///
 /// # Errors
 ///
-/// A name in `only` that no case has, or a process that can't be started or does not do what the script needs of it.
+/// Returns an error if no case has the name in `only`, or if a process can't be started or fails a step of the script.
 pub async fn run_trial(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
     let mut cases: Vec<Case> = CASES.iter().map(|(case, _)| *case).collect();
     match only {
         Some(name) => {
             cases.retain(|case| case.name().eq_ignore_ascii_case(name));
             let known = CASES.map(|(_, name)| name).join(", ");
-            ensure!(!cases.is_empty(), "no case is named '{name}'; there are: [{known}]");
+            ensure!(!cases.is_empty(), "unknown case '{name}'; expected one of: [{known}]");
         }
         None => {
             cases[FIXED_CASES..].shuffle(&mut Pcg64::seed_from_u64(seed));
@@ -52,17 +52,18 @@
     run_cases(program, seed, &cases, verbose, true).await
 }
 
-/// Plays those cases, a cluster each. `aims`: whether times and loads are promised, too; the rules always are.
+/// Runs each of the cases on a cluster of its own. Limits on times and loads are checked only if `check_targets` is
+/// set; all other requirements are always checked.
 ///
 /// # Errors
 ///
-/// A process that can't be started or does not do what the script needs of it.
+/// Returns an error if a process can't be started or fails a step of the script.
 pub async fn run_cases(
     program: &Path,
     seed: u64,
     cases: &[Case],
     verbose: bool,
-    aims: bool,
+    check_targets: bool,
 ) -> Result<Outcome> {
     let mut outcome = Outcome::default();
     let mut totals = Totals::default();
@@ -76,14 +77,14 @@
                 Load::start(&name, seed ^ (n as u64) << 8, cluster::RATE, 0.0, clients)
             })
             .collect();
-        let report = cluster.play(case, seed, &logs).await?;
+        let report = cluster.run_case(case, seed, &logs).await?;
         for load in loads {
             load.stop().await?;
         }
         if verbose {
             report.print(case);
         }
-        report.figures(case, aims, &mut outcome);
+        report.figures(case, check_targets, &mut outcome);
         totals.add(case, &cluster, &logs);
         figures::promise_no_panic(case, &cluster, &mut outcome);
     }
--- a/crates/pipitcrank-testkit/src/trial/returns/outage.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/outage.rs
@@ -1,4 +1,4 @@
-//! The outages of the return trial: which members die or stop, and how they restart.
+//! Outages of the return trial: killed and stopped members, and their restart.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -14,13 +14,13 @@
 use super::report::CaseReport;
 use crate::process::signal_worker;
 
-/// The member whose file operators' commands use.
+/// Index of the member whose operators' file is passed to commands.
 const COMMAND_MEMBER: usize = 1;
-/// The voter that stays away in `Case::Begin`.
+/// Index of the voter that does not restart with the others in `Case::Begin`.
 const ABSENT_VOTER: usize = 0;
-/// Replicas of one zone.
+/// Number of replicas in one zone.
 const REPLICAS_PER_ZONE: usize = 6;
-/// How long members are stopped in `Case::Stopped`.
+/// Time for which members are stopped in `Case::Stopped`.
 const STOPPED: Duration = Duration::from_secs(6);
 const TERM_LIMIT: Duration = Duration::from_secs(10);
 
@@ -28,18 +28,18 @@
     tokio::time::sleep(Duration::from_millis(milliseconds)).await;
 }
 
-/// A member's store, and a copy of it made before the last decision.
+/// Path of a member's store, and path of a copy made before the last decision.
 pub(super) struct StoreCopy {
     store: PathBuf,
     copy: PathBuf,
 }
 
-/// What the seed has drawn for a case.
+/// Outage drawn by the seed for a case.
 pub(super) struct Outage {
     case: Case,
-    /// Members that die or are stopped.
-    dead: Vec<usize>,
-    /// The zone that is lost in `Case::Failover`.
+    /// Members that are killed or stopped.
+    affected: Vec<usize>,
+    /// Zone that is lost in `Case::Failover`.
     lost_zone: usize,
     rng: Pcg64,
 }
@@ -49,7 +49,7 @@
         let mut rng = Pcg64::seed_from_u64(seed ^ case as u64);
         let mut order: Vec<usize> = (0..MEMBERS).collect();
         order.shuffle(&mut rng);
-        let dead: Vec<usize> = match case {
+        let affected: Vec<usize> = match case {
             Case::OneSurvivor => order.iter().copied().filter(|&n| n != MEMBERS - 1).collect(),
             Case::ThreeSurvivors => order[..9].to_vec(),
             Case::Stopped => order[..8].to_vec(),
@@ -57,12 +57,12 @@
             _ => order,
         };
         let lost_zone = rng.random_range(0..DRAINED_ZONE);
-        Outage { case, dead, lost_zone, rng }
+        Outage { case, affected, lost_zone, rng }
     }
 }
 
 impl RestartCluster {
-    /// Copies the stores of half of the members.
+    /// Copies the stores of the members with odd indices.
     pub(super) async fn copy_stores(&self) -> Result<Vec<StoreCopy>> {
         sleep_ms(1000).await;
         let mut copies = Vec::new();
@@ -75,8 +75,9 @@
         Ok(copies)
     }
 
-    /// Plays the outage; when the last process was started, or went on. `newest` is the last decision before it.
-    pub(super) async fn play_outage(
+    /// Runs the outage. `newest` is the number of the last decision before it. Returns the time at which the last
+    /// process started or continued.
+    pub(super) async fn run_outage(
         &mut self,
         mut outage: Outage,
         copies: &[StoreCopy],
@@ -84,7 +85,7 @@
         report: &mut CaseReport,
     ) -> Result<Instant> {
         let started = match outage.case {
-            Case::Stopped => self.stop_for_a_while(&outage.dead).await,
+            Case::Stopped => self.stop_and_continue(&outage.affected).await,
             Case::RollingRestart => self.restart_one_by_one(report).await?,
             _ => self.kill_and_restart(&mut outage, copies).await?,
         };
@@ -92,10 +93,10 @@
             Case::Begin => self.begin_anew(newest, report).await,
             Case::KilledTwice => {
                 tokio::time::sleep(Duration::from_secs(1).saturating_sub(started.elapsed())).await;
-                self.kill(&outage.dead);
-                self.restart(&outage.dead).await
+                self.kill(&outage.affected);
+                self.restart(&outage.affected).await
             }
-            Case::CrashLoop => self.crash_repeatedly(&outage.dead, started).await,
+            Case::CrashLoop => self.crash_repeatedly(&outage.affected, started).await,
             Case::Failover => {
                 sleep_ms(2000).await;
                 self.fleet.begin_slow_start(outage.lost_zone, Duration::from_secs(4));
@@ -106,7 +107,7 @@
         }
     }
 
-    async fn stop_for_a_while(&self, members: &[usize]) -> Instant {
+    async fn stop_and_continue(&self, members: &[usize]) -> Instant {
         let set_up = |up| members.iter().for_each(|&n| self.members[n].up.set(up));
         let signal_all =
             |signal| members.iter().for_each(|&n| signal_worker(self.members[n].process.pid(), signal));
@@ -119,16 +120,16 @@
     }
 
     async fn restart_one_by_one(&mut self, report: &mut CaseReport) -> Result<Instant> {
-        // With a zone drained nobody should; the plan says so.
+        // Members should not be restarted while a zone is drained, so the plan has to be rejected.
         let plan = self.command(COMMAND_MEMBER, &["restart-plan"]).await?;
         if plan.done || !plan.text.contains("is not at home") {
-            report.missing(format!("a plan while a zone is drained: {}", plan.text));
+            report.fail(format!("a plan while a zone is drained: {}", plan.text));
         }
         for n in 0..MEMBERS {
             self.members[n].up.set(false);
             self.members[n].process.signal(Signal::TERM)?;
             let exit = self.members[n].process.wait_for_exit(TERM_LIMIT).await;
-            ensure!(exit.is_some(), "its end after SIGTERM");
+            ensure!(exit.is_some(), "member {n} did not exit after SIGTERM");
             self.forget(n);
             self.restart(&[n]).await?;
         }
@@ -140,11 +141,11 @@
             self.fleet.set_unreachable(outage.lost_zone, REPLICAS_PER_ZONE, true);
             sleep_ms(700).await;
         }
-        self.kill(&outage.dead);
+        self.kill(&outage.affected);
         self.damage_stores(outage.case, copies)?;
         sleep_ms(500 + outage.rng.random_range(0..1000)).await;
         let absent = (outage.case == Case::Begin).then_some(ABSENT_VOTER);
-        let returning: Vec<usize> = outage.dead.iter().copied().filter(|&n| Some(n) != absent).collect();
+        let returning: Vec<usize> = outage.affected.iter().copied().filter(|&n| Some(n) != absent).collect();
         self.restart(&returning).await
     }
 
@@ -180,33 +181,33 @@
         Ok(started)
     }
 
-    /// Two of three voters have no store and the third is away: an operator has the decisions begun anew, and takes that
-    /// back when the third has returned.
+    /// Recovers from an outage in which two of three voters have no store and the third is down: an operator starts the
+    /// decisions anew without the third voter, and reverts that order when the third voter has restarted.
     async fn begin_anew(&mut self, newest: u64, report: &mut CaseReport) -> Result<Instant> {
-        // As long as founding takes, were it to begin without the third voter.
+        // Long enough for the two voters to start anew by themselves, which they must not do.
         sleep_ms(6000).await;
         let begun =
             self.observed.borrow().decisions.last_key_value().is_some_and(|(n, _)| n >> 32 > newest >> 32);
         if begun {
-            report.missing("two of three voters without memory began anew by themselves");
+            report.fail("two of three voters without memory began anew by themselves");
         }
         let absent = self.members[ABSENT_VOTER].known_as.to_string();
         let begin = self.command(COMMAND_MEMBER, &["zones", "begin", &absent]).await?;
         if !begin.done {
-            report.missing(format!("`zones begin` was not done: {}", begin.text));
+            report.fail(format!("`zones begin` was not done: {}", begin.text));
         }
         if self.until(RestartCluster::all_follow, 15.0).await.is_none() {
-            report.missing("nothing was begun anew without the dead voter");
+            report.fail("nothing was begun anew without the dead voter");
         }
         let again = self.command(COMMAND_MEMBER, &["zones", "begin", &absent]).await?;
         if again.done || !again.text.contains("leader") {
-            report.missing(format!("`zones begin` with a leader: {}", again.text));
+            report.fail(format!("`zones begin` with a leader: {}", again.text));
         }
-        // It is back after all.
+        // The absent voter restarts.
         let started = self.restart(&[ABSENT_VOTER]).await?;
         let back = self.command(COMMAND_MEMBER, &["zones", "begin"]).await?;
         if !back.done {
-            report.missing(format!("`zones begin` was not taken back: {}", back.text));
+            report.fail(format!("`zones begin` was not taken back: {}", back.text));
         }
         Ok(started)
     }
--- a/crates/pipitcrank-testkit/src/trial/returns/recovery.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/recovery.rs
@@ -1,4 +1,4 @@
-//! One case of the return trial from beginning to end: the drain before the outage, and how the cluster recovers.
+//! Runs one case of the return trial: the drain before the outage, the outage and the recovery.
 
 use std::time::{Duration, Instant};
 
@@ -12,22 +12,23 @@
 use super::report::CaseReport;
 use crate::query_log::{QueryLog, ServiceTotals};
 
-/// Full service: that fraction of what was served before, in each of `HOLDS` seconds from then on.
+/// Full service is reached when each of the next `FULL_FOR_S` seconds has at least this fraction of the service
+/// before the outage.
 const FULL_FRACTION: f64 = 0.95;
-const HOLDS: u64 = 5;
-/// Step at which the beginning of full service is looked for.
+const FULL_FOR_S: u64 = 5;
+/// Interval between the moments tested for full service.
 const FULL_STEP_MS: u64 = 250;
-/// Time after the last start within which full service is looked for and errors are counted.
-const BACK_LIMIT: Duration = Duration::from_secs(10);
+/// Period after the last start in which full service may begin and errors are counted.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(10);
 const ONE_SECOND: Duration = Duration::from_secs(1);
-/// The end of the usual time that is left out: its queries may still be open.
-const OPEN_QUERIES: Duration = Duration::from_millis(500);
+/// Time left out at the end of the baseline period, whose queries may still be open.
+const OPEN_QUERY_MARGIN: Duration = Duration::from_millis(500);
 
-/// What queries sent within some time were served, over all members.
+/// Service of the queries sent within a period, over all members.
 struct Service {
-    /// Utility earned over utility offered.
+    /// Utility earned divided by utility offered.
     fraction: f64,
-    /// Queries that got no answer they can use.
+    /// Number of queries that got no usable answer.
     failed: u64,
 }
 
@@ -42,20 +43,20 @@
 }
 
 impl RestartCluster {
-    /// Plays one case under load; `logs` are those of the clients, by member.
-    pub(super) async fn play(&mut self, case: Case, seed: u64, logs: &[QueryLog]) -> Result<CaseReport> {
+    /// Runs one case under load; `logs` are the query logs by member.
+    pub(super) async fn run_case(&mut self, case: Case, seed: u64, logs: &[QueryLog]) -> Result<CaseReport> {
         let mut report = CaseReport::default();
         let copies = if case == Case::StaleStores { self.copy_stores().await? } else { Vec::new() };
-        let usual = self.drain_zone(logs, &mut report).await?;
+        let baseline = self.drain_zone(logs, &mut report).await?;
         let newest = self.newest_decision();
         let outage = Outage::draw(case, seed);
-        let started = self.play_outage(outage, &copies, newest, &mut report).await?;
-        self.measure_recovery(started, usual, logs, &mut report).await;
-        // What was decided is not lost with the processes, where a majority of voters kept it.
-        let kept = self.kept && case != Case::LostVoterStores;
+        let started = self.run_outage(outage, &copies, newest, &mut report).await?;
+        self.measure_recovery(started, baseline, logs, &mut report).await;
+        // A decision survives the processes if a majority of the voters have it in their stores.
+        let kept = self.stores_enabled && case != Case::LostVoterStores;
         let drained = case != Case::Failover;
         if kept && !self.all(|_, d| d.number >= newest && (!drained || RestartCluster::is_drained(d))) {
-            report.missing("what was decided before did not outlive the processes");
+            report.fail("what was decided before did not outlive the processes");
         }
         if case == Case::Stores {
             self.check_return_and_plan(&mut report).await?;
@@ -63,53 +64,54 @@
         Ok(report)
     }
 
-    /// Drains a zone, and measures the usual service without it.
+    /// Drains a zone and returns the baseline service without it.
     async fn drain_zone(&self, logs: &[QueryLog], report: &mut CaseReport) -> Result<f64> {
         match self.order(OperatorOrder::Drain(DRAINED_ZONE as u16)).await? {
             OperatorAnswer::Decided(_) => {}
-            answer => report.missing(format!("the zone was not drained: {answer:?}")),
+            answer => report.fail(format!("the zone was not drained: {answer:?}")),
         }
         let drained = |cluster: &RestartCluster| cluster.all(|_, d| RestartCluster::is_drained(d));
         let out = self.until(drained, 15.0).await;
-        ensure!(out.is_some(), "the drained zone was not left: {}", self.logs());
+        ensure!(out.is_some(), "routing did not move off the drained zone: {}", self.logs());
         tokio::time::sleep(ONE_SECOND).await;
         let from = Instant::now();
         tokio::time::sleep(Duration::from_secs(3)).await;
         let to = Instant::now();
         report.before = self.fleet.peak_arrivals(ONE_SECOND, from, to);
-        Ok(service(logs, from, to - OPEN_QUERIES).fraction)
+        Ok(service(logs, from, to - OPEN_QUERY_MARGIN).fraction)
     }
 
     async fn measure_recovery(
         &self,
         started: Instant,
-        usual: f64,
+        baseline: f64,
         logs: &[QueryLog],
         report: &mut CaseReport,
     ) {
         let agreed = self.until(RestartCluster::all_follow, 20.0).await;
         report.agreed = agreed.map(|_| started.elapsed().as_secs_f64());
         if report.agreed.is_none() {
-            report.missing(format!("copies do not find together again: {}", self.logs()));
+            report.fail(format!("copies do not find together again: {}", self.logs()));
         }
-        let measured = started + BACK_LIMIT + Duration::from_secs(HOLDS);
+        let measured = started + RECOVERY_LIMIT + Duration::from_secs(FULL_FOR_S);
         tokio::time::sleep(measured.saturating_duration_since(Instant::now())).await;
         let end = Instant::now();
-        // The first moment from which each of the next seconds holds what was before.
+        // Finds the first moment from which each of the next seconds has full service.
         let after = |ms: u64| started + Duration::from_millis(ms);
-        let is_full = |ms: u64| service(logs, after(ms), after(ms + 1000)).fraction >= FULL_FRACTION * usual;
-        let limit_ms = BACK_LIMIT.as_millis() as u64;
+        let is_full =
+            |ms: u64| service(logs, after(ms), after(ms + 1000)).fraction >= FULL_FRACTION * baseline;
+        let limit_ms = RECOVERY_LIMIT.as_millis() as u64;
         let full = (0..=(limit_ms / FULL_STEP_MS))
             .map(|n| n * FULL_STEP_MS)
-            .find(|&ms| (0..HOLDS).all(|second| is_full(ms + second * 1000)));
+            .find(|&ms| (0..FULL_FOR_S).all(|second| is_full(ms + second * 1000)));
         report.full = full.map(|ms| ms as f64 / 1000.0);
         let failed = service(logs, started, after(limit_ms)).failed;
-        let offered = RATE * MEMBERS as f64 * BACK_LIMIT.as_secs_f64();
+        let offered = RATE * MEMBERS as f64 * RECOVERY_LIMIT.as_secs_f64();
         report.errors = failed as f64 / offered;
         report.after = self.fleet.peak_arrivals(ONE_SECOND, started, end);
     }
 
-    /// The drained zone can be returned, and a restart can be planned again.
+    /// Checks that the drained zone can be returned to service and that a restart can then be planned.
     async fn check_return_and_plan(&self, report: &mut CaseReport) -> Result<()> {
         let answer = self.order(OperatorOrder::Return(DRAINED_ZONE as u16)).await?;
         let home = |cluster: &RestartCluster| {
@@ -118,14 +120,14 @@
             })
         };
         if !matches!(answer, OperatorAnswer::Decided(_)) || self.until(home, 15.0).await.is_none() {
-            report.missing(format!("the drained zone did not return: {answer:?}"));
+            report.fail(format!("the drained zone did not return: {answer:?}"));
         }
         let plan = self.command(1, &["restart-plan", "--share", "0.25"]).await?;
         let last = plan.text.lines().last().unwrap_or("");
         let named =
             self.members.iter().filter(|member| plan.text.contains(&member.known_as.to_string())).count();
         if !plan.done || named != MEMBERS || !last.contains("voter") {
-            report.missing(format!("no plan of a restart: {}", plan.text));
+            report.fail(format!("no plan of a restart: {}", plan.text));
         }
         Ok(())
     }
--- a/crates/pipitcrank-testkit/src/trial/returns/report.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/report.rs
@@ -1,27 +1,27 @@
-//! What was observed of one case.
+//! Results of one case of the return trial.
 
 use crate::replica::PeakArrivals;
 
-/// What was observed of one case.
+/// Results of one case.
 #[derive(Default)]
 pub(super) struct CaseReport {
     /// Seconds from the last start to full service.
     pub full: Option<f64>,
-    /// Seconds until all members follow the same decision again.
+    /// Seconds from the last start until all members follow the same decision.
     pub agreed: Option<f64>,
-    /// Fraction of the queries of the first ten seconds that got no answer they can use.
+    /// Fraction of the queries of the first ten seconds that got no usable answer.
     pub errors: f64,
-    /// Most that arrived at one replica in a second, before the outage.
+    /// Peak arrivals at one replica in a second before the outage.
     pub before: PeakArrivals,
-    /// The same after the restart.
+    /// Peak arrivals at one replica in a second after the restart.
     pub after: PeakArrivals,
-    /// Expectations that did not hold.
-    pub missing: Vec<String>,
+    /// Expectations that were not met.
+    pub failures: Vec<String>,
 }
 
 impl CaseReport {
-    /// Notes that an expectation did not hold.
-    pub(super) fn missing(&mut self, what: impl Into<String>) {
-        self.missing.push(what.into());
+    /// Records an expectation that was not met.
+    pub(super) fn fail(&mut self, what: impl Into<String>) {
+        self.failures.push(what.into());
     }
 }
--- a/crates/pipitcrank-testkit/src/trial/upgrade/comparison.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/comparison.rs
@@ -1,5 +1,5 @@
-//! What upgrades are compared with: plain restarts under the same load, and the first seconds after an upgrade and after a
-//! restart.
+//! Comparisons for the upgrade trial: plain restarts under the same load, and the first seconds after an upgrade and
+//! after a restart.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use anyhow::{Result, ensure};
 use rustix::process::Signal;
 
-use super::load::{QUIET_S, RATE, SLOW_SALES, TERM_LIMIT, UPGRADE_TIMES, USUAL};
+use super::load::{BASELINE_S, RATE, SLOW_SALES, TERM_LIMIT, UPGRADE_TIMES, USUAL};
 use super::wait::wait_until;
 use crate::client::Clients;
 use crate::fleet::{Fleet, Load};
@@ -16,14 +16,14 @@
 use crate::query_log::{QueryLog, QueryOutcome};
 use crate::replica::ReplicaBehavior;
 
-/// Restarts beside the upgrades: each loses its queries in the same way.
+/// Number of restarts; two are enough because each loses queries in the same way.
 const RESTARTS: u32 = 2;
-/// What counts as soon: some times the usual response time, a small part of what the bad replica takes.
-const SOON: Duration = Duration::from_millis(100);
-/// How long after an upgrade or a restart queries count, in seconds.
-const FIRST_S: f64 = 10.0;
+/// Limit for a prompt answer: a few times the usual response time and a small part of the slow replica's.
+const PROMPT: Duration = Duration::from_millis(100);
+/// Length of the measured period after an upgrade or a restart, in seconds.
+const MEASURED_S: f64 = 10.0;
 
-/// The same load while the program is shut down and started anew, as without upgrades.
+/// Runs the load of the upgrade trial while the program is shut down and restarted instead of upgraded.
 pub(super) async fn restarts(program: &Path, seed: u64, outcome: &mut Outcome) -> Result<()> {
     let fleet = Fleet::start(seed ^ 7, USUAL).await?;
     let mut process = Process::start(program, fleet.node_config(seed, 1024, 3000)?, None).await?;
@@ -32,7 +32,7 @@
     for _ in 0..RESTARTS {
         tokio::time::sleep(Duration::from_secs(1)).await;
         process.signal(Signal::TERM)?;
-        ensure!(process.wait_for_exit(TERM_LIMIT).await.is_some(), "it does not end after SIGTERM");
+        ensure!(process.wait_for_exit(TERM_LIMIT).await.is_some(), "the process did not exit after SIGTERM");
         process.restart(None).await?;
     }
     load.stop().await?;
@@ -46,12 +46,13 @@
     Ok(())
 }
 
-/// With two bad replicas: how well queries are served in the first seconds after an upgrade, and after a restart that
-/// knows the endpoint list alone.
+/// Compares the first seconds after an upgrade with those after a restart while one replica is slow and another
+/// fails. The upgraded process takes over the state of the replicas; the restarted one starts with the endpoint list
+/// alone.
 ///
 /// # Errors
 ///
-/// A process that can't be started, or does not end or upgrade in time.
+/// Returns an error if a process can't be started, or does not exit or upgrade in time.
 pub async fn run_with_bad_replicas(program: &Path, seed: u64) -> Result<Outcome> {
     let mut outcome = Outcome::default();
     for (name, operators_file) in [("an upgrade", UPGRADE_TIMES.file()), ("a restart", None)] {
@@ -62,11 +63,11 @@
             Process::start(program, fleet.node_config(seed, 1024, 3000)?, operators_file.clone()).await?;
         let clients = Clients::new(process.address, QueryLog::default());
         let load = Load::start("warm", seed ^ 1, RATE, 0.0, clients.clone());
-        tokio::time::sleep(Duration::from_secs_f64(QUIET_S)).await;
-        let before = clients.query_log.answered_within(SOON);
+        tokio::time::sleep(Duration::from_secs_f64(BASELINE_S)).await;
+        let before = clients.query_log.answered_within(PROMPT);
         if operators_file.is_some() {
             process.signal(Signal::USR2)?;
-            wait_until("an upgrade", Duration::from_secs(20), async || {
+            wait_until("the upgrade", Duration::from_secs(20), async || {
                 process.counter("upgrades done").await == Some(1)
             })
             .await?;
@@ -74,18 +75,21 @@
         } else {
             load.stop().await?;
             process.signal(Signal::TERM)?;
-            ensure!(process.wait_for_exit(TERM_LIMIT).await.is_some(), "it does not end after SIGTERM");
+            ensure!(
+                process.wait_for_exit(TERM_LIMIT).await.is_some(),
+                "the process did not exit after SIGTERM"
+            );
             process.restart(None).await?;
         }
         let clients = clients.recording_in(QueryLog::default());
         let load = Load::start("first", seed ^ 2, RATE, 0.0, clients.clone());
-        tokio::time::sleep(Duration::from_secs_f64(FIRST_S)).await;
+        tokio::time::sleep(Duration::from_secs_f64(MEASURED_S)).await;
         load.stop().await?;
         let query_log = &clients.query_log;
         outcome.figure(&format!("merged soon before {name}, %"), before * 100.0);
         outcome.figure(
             &format!("merged soon in the first seconds after {name}, %"),
-            query_log.answered_within(SOON) * 100.0,
+            query_log.answered_within(PROMPT) * 100.0,
         );
         outcome.figure(&format!("answer ms, 99 of 100, after {name}"), query_log.response_time_ms(0.99));
         if operators_file.is_some() {
--- a/crates/pipitcrank-testkit/src/trial/upgrade/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/figures.rs
@@ -1,4 +1,4 @@
-//! Figures and promises of the upgrade trial.
+//! Figures and requirements of the upgrade trial.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 use crate::process::ResourceUsage;
 use crate::query_log::QueryOutcome;
 
-/// How many upgrades came about, as the program counts them.
+/// Reports and checks the program's counters of upgrades.
 pub(super) fn upgrades(
     script: &[Round],
     run: &UpgradeRun,
@@ -34,11 +34,11 @@
     );
 }
 
-/// How queries and connections ended.
+/// Reports and checks the outcomes of queries and connections.
 pub(super) fn queries(script: &[Round], run: &UpgradeRun, outcome: &mut Outcome) {
     let query_log = &run.fleet.query_log;
     outcome.figure("queries", query_log.total() as f64);
-    // What a killed process held is lost with it, whatever the other does.
+    // The queries of a killed process are lost with it.
     let killed = script.contains(&Round::OldKilled);
     let lost = query_log.count(QueryOutcome::Lost);
     outcome.expect_zero("lost", query_log.open() + if killed { 0 } else { lost });
@@ -64,9 +64,9 @@
     outcome.query_outcomes(query_log);
 }
 
-/// Response times with upgrades and without.
+/// Reports response times with and without upgrades.
 pub(super) fn response_times(run: &UpgradeRun, outcome: &mut Outcome) {
-    for (name, log) in [("with upgrades", &run.fleet.query_log), ("without", &run.quiet)] {
+    for (name, log) in [("with upgrades", &run.fleet.query_log), ("without", &run.baseline)] {
         outcome.figure(&format!("answer ms, half, {name}"), log.response_time_ms(0.5));
         outcome.figure(&format!("answer ms, 99 of 100, {name}"), log.response_time_ms(0.99));
         outcome.figure(&format!("answer ms, longest, {name}"), log.longest_ms());
@@ -75,7 +75,7 @@
     outcome.figure("longest time to accept and answer, ms", longest_accept.as_secs_f64() * 1000.0);
 }
 
-/// Memory and descriptors before, during and after the upgrades.
+/// Reports memory and descriptors before, during and after the upgrades.
 pub(super) fn resources(run: &UpgradeRun, after: ResourceUsage, outcome: &mut Outcome) {
     let (before, peak) = (run.before, run.peak.get());
     outcome.figure("memory before, MB", before.memory_kb as f64 / 1024.0);
@@ -86,9 +86,10 @@
     outcome.figure("descriptors after", after.descriptors as f64);
 }
 
-/// Shuts the process down gracefully; nothing of it may be left.
+/// Shuts the process down gracefully and checks that no worker is left. Writes its log to the file named by
+/// `TRIAL_LOG`, if set.
 pub(super) async fn shutdown(run: UpgradeRun, outcome: &mut Outcome) -> Result<()> {
-    // Fields that are not named live until the end.
+    // The fleet and the idle connections have to stay open until the process has exited.
     let UpgradeRun { mut process, accepts, fleet: _fleet, idle: _idle, .. } = run;
     drop(accepts);
     if let Ok(path) = std::env::var("TRIAL_LOG") {
--- a/crates/pipitcrank-testkit/src/trial/upgrade/load.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/load.rs
@@ -5,19 +5,19 @@
 use crate::process::UpgradeTimes;
 use crate::replica::Work;
 
-/// Queries a second; a debug build serves them as well.
+/// Load in queries per second, low enough for a debug build.
 pub(super) const RATE: f64 = 150.0;
-/// Work of a part; sixteen at once at each replica.
+/// Usual work of a replica: 8 ms per part, with up to 16 parts at a time.
 pub(super) const USUAL: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
-/// Fraction of sales that is in flight through most of a handover: one or two at any time. With many more the core takes
-/// their replicas to lag.
+/// Fraction of queries that are slow sales, which leaves one or two in flight at any time, also through most of a
+/// handover. With many more, the core classifies their replicas as slow.
 pub(super) const SLOW_SALES: f64 = 0.03;
-/// Load before the first upgrade, in seconds.
-pub(super) const QUIET_S: f64 = 5.0;
-/// Times of an upgrade's steps.
+/// Time under load before the first upgrade, in seconds.
+pub(super) const BASELINE_S: f64 = 5.0;
+/// Time limits of an upgrade's steps.
 pub(super) const UPGRADE_TIMES: UpgradeTimes =
     UpgradeTimes { start: 3.0, settle: 0.6, silent: 0.5, finish: 8.0 };
-/// Longest time from SIGTERM to the process's exit.
+/// Time limit from SIGTERM to the exit of the process.
 pub(super) const TERM_LIMIT: Duration = Duration::from_secs(15);
 
 /// The load of one run.
@@ -25,16 +25,16 @@
 pub(super) struct LoadProfile {
     /// Work of a part at a replica.
     pub work: Work,
-    /// Queries a second.
+    /// Load in queries per second.
     pub rate: f64,
-    /// Connections that send one query at first, and then one every ten rounds.
+    /// Number of connections that send one query at the start and then one every ten rounds.
     pub idle_clients: usize,
 }
 
 impl LoadProfile {
-    /// What replicas can serve with ease.
+    /// Load well below the capacity of the replicas.
     pub(super) const USUAL: LoadProfile = LoadProfile { work: USUAL, rate: RATE, idle_clients: 200 };
-    /// Twice as much as twelve replicas can do: they do 600 parts a second, some 110 queries.
+    /// Load of twice the capacity of the twelve replicas, which serve 600 parts or about 110 queries per second.
     pub(super) const OVERLOAD: LoadProfile = LoadProfile {
         work: Work { usual: Duration::from_millis(40), at_once: 2 },
         rate: 220.0,
--- a/crates/pipitcrank-testkit/src/trial/upgrade/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/mod.rs
@@ -1,13 +1,13 @@
-//! Trial of upgrades: upgrades under load, plain ones and such that go wrong at every step, beside the same load without any
-//! and with plain restarts.
+//! Upgrade trial: successful upgrades and upgrades that fail at each step, under load. The same load without upgrades
+//! and with plain restarts serves as comparison.
 
 mod comparison;
 mod figures;
 mod load;
-mod play_round;
 mod probes;
 mod round;
 mod run;
+mod run_round;
 mod session;
 mod wait;
 
@@ -25,12 +25,13 @@
 
 use crate::outcome::Outcome;
 
-/// All kinds in the seed's order, or one kind alone where it is named; beside it the same load without upgrades, and
-/// with restarts.
+/// Runs rounds of all kinds in the order given by the seed, or only of the kind whose name begins with `only`. For
+/// comparison, also runs the same load without upgrades and with restarts.
 ///
 /// # Errors
 ///
-/// A name in `only` that no kind begins with, or a process that can't be started or does not do what a round needs of it.
+/// Returns an error if no kind's name begins with `only`, or if a process can't be started or fails a step of a
+/// round.
 pub async fn run_trial(
     program: &Path,
     seed: u64,
@@ -42,7 +43,7 @@
         None => script(&mut Pcg64::seed_from_u64(seed), rounds),
         Some(only) => {
             let named = |kind: &&Round| kind.to_string().to_lowercase().starts_with(&only.to_lowercase());
-            let kind = *KINDS.iter().find(named).with_context(|| format!("no round is named {only}"))?;
+            let kind = *KINDS.iter().find(named).with_context(|| format!("unknown round '{only}'"))?;
             vec![kind; rounds as usize]
         }
     };
@@ -51,21 +52,21 @@
     Ok(outcome)
 }
 
-/// Those rounds under the usual load.
+/// Runs the rounds under the usual load.
 ///
 /// # Errors
 ///
-/// A process that can't be started or does not do what a round needs of it.
+/// Returns an error if a process can't be started or fails a step of a round.
 pub async fn run_usual_rounds(program: &Path, seed: u64, script: &[Round]) -> Result<Outcome> {
     run_rounds(program, seed, script, LoadProfile::USUAL, false).await
 }
 
-/// Plain upgrades at twice the load that the replicas can serve. No idle clients: where connections are short they are
-/// closed, as they are without an upgrade.
+/// Runs upgrades without faults at twice the load that the replicas can serve. There are no idle clients, because the
+/// program closes idle connections when connections run short, with or without an upgrade.
 ///
 /// # Errors
 ///
-/// A process that can't be started, or an upgrade that does not end.
+/// Returns an error if a process can't be started or an upgrade does not finish.
 pub async fn run_overloaded(program: &Path, seed: u64, rounds: u32) -> Result<Outcome> {
     let script = vec![Round::Plain; rounds as usize];
     run_rounds(program, seed, &script, LoadProfile::OVERLOAD, false).await
--- a/crates/pipitcrank-testkit/src/trial/upgrade/probes.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/probes.rs
@@ -1,4 +1,4 @@
-//! Probes that go on through all rounds of the upgrade trial.
+//! Probes that run through all rounds of the upgrade trial.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -8,13 +8,13 @@
 use crate::client::get;
 use crate::process::ResourceUsage;
 
-/// Pause between two connections of the accept probe.
+/// Pause between two requests of the accept probe.
 const PROBE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longest time in which nobody answered a client that had just connected.
+/// Sends `/up` requests on new connections and records the longest response time.
 pub(super) struct AcceptProbe {
     pub longest: Rc<Cell<Duration>>,
-    /// Attempts that got no answer.
+    /// Number of requests without an answer.
     pub refused: Rc<Cell<u64>>,
     task: tokio::task::JoinHandle<()>,
 }
@@ -25,9 +25,9 @@
         let (most, unanswered) = (longest.clone(), refused.clone());
         let task = tokio::task::spawn_local(async move {
             loop {
-                let begun = Instant::now();
+                let started = Instant::now();
                 match get(address, "/up").await {
-                    Some(_) => most.set(most.get().max(begun.elapsed())),
+                    Some(_) => most.set(most.get().max(started.elapsed())),
                     None => unanswered.set(unanswered.get() + 1),
                 }
                 tokio::time::sleep(PROBE_INTERVAL).await;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Most memory and descriptors held, of all its processes together.
+/// Peak memory and descriptors of the program's processes together.
 #[derive(Clone, Default)]
 pub(super) struct PeakUsage(Rc<Cell<ResourceUsage>>);
 
--- a/crates/pipitcrank-testkit/src/trial/upgrade/round.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/round.rs
@@ -1,15 +1,15 @@
-//! Rounds of the upgrade trial: what goes wrong in each, and their order.
+//! Rounds of the upgrade trial: the fault of each round, and the order of rounds.
 
 use rand::Rng;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64;
 
-/// Upgrades by how they ended, as the program's counters have them.
+/// Number of upgrades by outcome, as in the program's counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct UpgradeCounts {
-    /// The new process took over.
+    /// Upgrades in which the new process took over.
     pub done: u64,
-    /// The old process went on.
+    /// Upgrades after which the old process continued.
     pub undone: u64,
 }
 
@@ -21,40 +21,40 @@
     }
 }
 
-/// What happens in one round.
+/// Kind of a round.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Round {
-    /// Nothing goes wrong.
+    /// The upgrade has no fault.
     Plain,
-    /// The new process is killed so many milliseconds into its trial.
+    /// The new process is killed the given number of milliseconds into its trial period.
     NewCrashes(u64),
-    /// The new process is stopped in its trial.
+    /// The new process is stopped by SIGSTOP in its trial period.
     NewHangs,
     /// The program's file is missing.
     NoProgram,
     /// The program's file is not executable.
     NotExecutable,
-    /// The program does nothing.
+    /// The new program hangs before it is ready.
     HangsBeforeReady,
-    /// The program exits at once.
+    /// The new program exits at once.
     CrashesBeforeReady,
     /// The node configuration has a value of the wrong type.
     FaultyNodeConfig,
-    /// A program that writes what no worker writes.
+    /// The new program writes random bytes to the handover socket.
     BadOutput,
     /// A second upgrade is requested during the first.
     RequestedTwice,
     /// The node configuration is reloaded during the upgrade.
     Reloaded,
-    /// A replica drains the moment before.
+    /// A replica begins to drain just before the upgrade.
     Drained,
-    /// The old process is killed in the trial: what it held is lost with it, and is counted apart. Idle connections are
-    /// held there then, so that the kill closes some each time.
+    /// The old process is killed during the trial period. Its queries and connections are lost and are counted
+    /// separately. The round opens idle connections first, so that the kill always closes some.
     OldKilled,
 }
 
 impl Round {
-    /// Upgrades that come about in the round, and that do not.
+    /// Expected changes of the upgrade counters in the round.
     pub(super) fn expected(self) -> UpgradeCounts {
         let (done, undone) = match self {
             Round::Plain | Round::Reloaded | Round::Drained | Round::OldKilled => (1, 0),
@@ -65,7 +65,7 @@
     }
 }
 
-/// The spelling that `--only` takes and that messages print.
+/// Formats the name used by `--only` and in messages.
 impl std::fmt::Display for Round {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -86,7 +86,7 @@
     }
 }
 
-/// All kinds but `OldKilled`, which loses what the old process held.
+/// All kinds except `OldKilled`, which loses queries of the old process.
 pub(super) const KINDS: [Round; 12] = [
     Round::Plain,
     Round::NewCrashes(0),
@@ -102,13 +102,13 @@
     Round::Drained,
 ];
 
-/// Each kind comes up as rounds go on; the order is the seed's.
+/// Builds a script of the given number of rounds that repeats all kinds in random order.
 pub(super) fn script(rng: &mut Pcg64, rounds: u32) -> Vec<Round> {
     let mut kinds = KINDS;
     let mut script = Vec::new();
     while script.len() < rounds as usize {
         kinds.shuffle(rng);
-        // Every second one is plain: what goes wrong happens on a chain of upgrades that did not.
+        // A plain round follows each kind, so that faults also occur in processes that have already been upgraded.
         script.extend(kinds.iter().flat_map(|k| [*k, Round::Plain]));
     }
     script.truncate(rounds as usize);
--- a/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
@@ -1,4 +1,4 @@
-//! A run of the upgrade trial: one process under load through all rounds.
+//! Runs the rounds of the upgrade trial on one process under load.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,24 +18,31 @@
 use crate::outcome::Outcome;
 use crate::query_log::{QueryLog, QueryOutcome};
 
-/// Idle connections held where a process is killed: some of them with it, whatever the load takes from them.
-const RESTING: usize = 40;
-/// An idle client sends a query every that many rounds.
+/// Number of idle connections opened before a process is killed, so that some are still idle in that process even if
+/// the load uses others.
+const IDLE_PER_KILL: usize = 40;
+/// Number of rounds between two queries of an idle client.
 const IDLE_PERIOD: usize = 10;
-/// Clients of a round that send their request in pieces.
+/// Number of clients per round that send their request in pieces.
 const PARTIAL_CLIENTS: usize = 8;
-/// Lines of the process's log that an error quotes.
+/// Number of log lines quoted in an error.
 const LOG_TAIL: usize = 40;
 
 impl UpgradeRun {
-    async fn play(&mut self, n: usize, round: Round, rng: &mut Pcg64, outcome: &mut Outcome) -> Result<()> {
+    async fn run_one(
+        &mut self,
+        n: usize,
+        round: Round,
+        rng: &mut Pcg64,
+        outcome: &mut Outcome,
+    ) -> Result<()> {
         let partial = send_partial_requests(self.process.address, &self.fleet.query_log, n, rng);
         if round == Round::OldKilled {
-            self.clients.open_idle(&format!("rest{n}"), RESTING).await;
+            self.clients.open_idle(&format!("rest{n}"), IDLE_PER_KILL).await;
         }
-        self.play_round(round)
-            .await
-            .with_context(|| format!("round {}, {round}; its log ends: {}", n + 1, self.log_tail()))?;
+        self.run_round(round).await.with_context(|| {
+            format!("round {} ({round}) failed; end of the log: {}", n + 1, self.log_tail())
+        })?;
         self.expected = self.expected + round.expected();
         for request in partial {
             let ended = request.await?;
@@ -58,7 +65,7 @@
     }
 }
 
-/// Plays those rounds in their order; figures and promises of the whole run.
+/// Runs the rounds in the given order, and returns the figures and unmet requirements of the whole run.
 pub(super) async fn run_rounds(
     program: &Path,
     seed: u64,
@@ -76,7 +83,7 @@
             let (all, rejected) = (log.total(), log.count(QueryOutcome::Rejected));
             println!("round {:>3}: {round}, after {all} queries, {rejected} rejected", n + 1);
         }
-        run.play(n, round, &mut rng, &mut outcome).await?;
+        run.run_one(n, round, &mut rng, &mut outcome).await?;
     }
     let done = run.process.counter("upgrades done").await;
     let undone = run.process.counter("upgrades undone").await;
@@ -90,7 +97,8 @@
     Ok(outcome)
 }
 
-/// Clients that have sent a part of their head, or of their body, while the round goes on.
+/// Starts clients that send only part of their request, cut in the head or in the body, and the rest later in the
+/// round.
 fn send_partial_requests(
     address: SocketAddr,
     query_log: &QueryLog,
@@ -106,7 +114,7 @@
         tokio::task::spawn_local(async move {
             tokio::time::sleep(before).await;
             match DedicatedConnection::connect(address, query_log).await {
-                // Sometimes none of it has arrived when the connection is handed over.
+                // The first client sends no byte before its pause, so the connection may be handed over without data.
                 Ok(mut connection) => connection.ask_in_pieces(query, &[(cut, pause)]).await,
                 Err(_) => QueryOutcome::ConnectionRefused,
             }
--- a/crates/pipitcrank-testkit/src/trial/upgrade/play_round.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/run_round.rs
@@ -1,4 +1,4 @@
-//! Plays one round of the upgrade trial: what goes wrong before, during and after the request for an upgrade.
+//! Runs one round of the upgrade trial and injects its faults before and after the request for an upgrade.
 
 use std::cell::Cell;
 use std::os::unix::fs::PermissionsExt;
@@ -13,26 +13,26 @@
 use super::wait::wait_until;
 use crate::process::{Process, signal_worker};
 
-/// The replica that drains in `Round::Drained`.
+/// Index of the replica that drains in `Round::Drained`.
 const DRAINED_REPLICA: usize = 3;
-/// Longest wait for the new process's trial, and for a killed process to be gone.
+/// Time limit for the new worker to enter its trial period, and for a killed worker to disappear.
 const TRIAL_LIMIT: Duration = Duration::from_secs(5);
-/// Longest wait for the upgrade to end either way.
+/// Time limit for the upgrade to succeed or to be undone.
 const UPGRADE_LIMIT: Duration = Duration::from_secs(25);
-/// Time from the first signal to a second one.
-const SECOND_SIGNAL: Duration = Duration::from_millis(150);
+/// Time between the first and the second signal.
+const SECOND_SIGNAL_DELAY: Duration = Duration::from_millis(150);
 
-/// What stands in the place of the program's file.
+/// Replacement for the program's file.
 enum Replacement {
     Nothing,
-    /// A shell script, with the file's mode.
+    /// A shell script and its file mode.
     Script(&'static str, u32),
 }
 
-/// Moves the program's file away until `restore_program`.
+/// Replaces the program's file until `restore_program` is called.
 fn replace_program(process: &Process, replacement: Replacement) -> Result<()> {
-    let (real, kept) = (&process.program, process.program.with_extension("kept"));
-    std::fs::rename(real, &kept)?;
+    let (real, saved) = (&process.program, process.program.with_extension("kept"));
+    std::fs::rename(real, &saved)?;
     if let Replacement::Script(script, mode) = replacement {
         std::fs::write(real, format!("#!/bin/sh\n{script}\n"))?;
         std::fs::set_permissions(real, std::fs::Permissions::from_mode(mode))?;
@@ -41,9 +41,9 @@
 }
 
 fn restore_program(process: &Process) -> Result<()> {
-    let kept = process.program.with_extension("kept");
-    if kept.exists() {
-        std::fs::rename(kept, &process.program)?;
+    let saved = process.program.with_extension("kept");
+    if saved.exists() {
+        std::fs::rename(saved, &process.program)?;
     }
     Ok(())
 }
@@ -55,8 +55,10 @@
 }
 
 impl UpgradeRun {
-    pub(super) async fn play_round(&mut self, round: Round) -> Result<()> {
-        let before = upgrade_counts(&self.process).await.context("its counters")?;
+    pub(super) async fn run_round(&mut self, round: Round) -> Result<()> {
+        let before = upgrade_counts(&self.process)
+            .await
+            .context("the process did not answer the request for its counters")?;
         self.prepare(round)?;
         let old = self.process.workers();
         self.process.signal(Signal::USR2)?;
@@ -64,9 +66,9 @@
             Round::NewCrashes(_) | Round::NewHangs | Round::OldKilled => self.wait_for_trial(&old).await?,
             _ => None,
         };
-        self.disturb(round, &old, new).await?;
+        self.inject(round, &old, new).await?;
         let expected = before + round.expected();
-        let ended = wait_until("the upgrade's end", UPGRADE_LIMIT, async || {
+        let ended = wait_until("the end of the upgrade", UPGRADE_LIMIT, async || {
             self.peak.observe(self.process.resource_usage());
             upgrade_counts(&self.process).await == Some(expected) && self.process.workers().len() == 1
         })
@@ -79,7 +81,7 @@
         ended
     }
 
-    /// What goes wrong before the upgrade is requested.
+    /// Injects the faults that precede the request for an upgrade.
     fn prepare(&self, round: Round) -> Result<()> {
         let replacement = match round {
             Round::NoProgram => Replacement::Nothing,
@@ -99,10 +101,10 @@
         replace_program(&self.process, replacement)
     }
 
-    /// Waits until the new worker is on trial; its process id.
+    /// Waits until the new worker is in its trial period and returns its process id.
     async fn wait_for_trial(&self, old: &[i32]) -> Result<Option<i32>> {
         let new = Cell::new(None);
-        wait_until("a trial", TRIAL_LIMIT, async || {
+        wait_until("the new worker's trial period", TRIAL_LIMIT, async || {
             let log = self.process.log();
             new.set(self.process.workers().into_iter().find(|pid| !old.contains(pid)));
             new.get().is_some()
@@ -112,8 +114,9 @@
         Ok(new.get())
     }
 
-    /// What goes wrong during the upgrade; `new` is the worker on trial, where the round waits for one.
-    async fn disturb(&self, round: Round, old: &[i32], new: Option<i32>) -> Result<()> {
+    /// Injects the faults that occur during the upgrade. `new` is the new worker, if the round waits for its trial
+    /// period.
+    async fn inject(&self, round: Round, old: &[i32], new: Option<i32>) -> Result<()> {
         match (round, new) {
             (Round::NewCrashes(after_ms), Some(new)) => {
                 tokio::time::sleep(Duration::from_millis(after_ms)).await;
@@ -124,15 +127,15 @@
                 self.clients.kill_begins();
                 old.iter().for_each(|&pid| signal_worker(pid, Signal::KILL));
                 let gone = async || !self.process.workers().iter().any(|pid| old.contains(pid));
-                wait_until("the killed process's end", TRIAL_LIMIT, gone).await?;
+                wait_until("the end of the killed worker", TRIAL_LIMIT, gone).await?;
                 self.clients.kill_is_over();
             }
             (Round::RequestedTwice, _) => {
-                tokio::time::sleep(SECOND_SIGNAL).await;
+                tokio::time::sleep(SECOND_SIGNAL_DELAY).await;
                 self.process.signal(Signal::USR2)?;
             }
             (Round::Reloaded, _) => {
-                tokio::time::sleep(SECOND_SIGNAL).await;
+                tokio::time::sleep(SECOND_SIGNAL_DELAY).await;
                 self.process.signal(Signal::HUP)?;
             }
             _ => {}
--- a/crates/pipitcrank-testkit/src/trial/upgrade/wait.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/wait.rs
@@ -1,14 +1,14 @@
-//! Waiting for a condition, within a limit.
+//! Waits for a condition with a time limit.
 
 use std::time::{Duration, Instant};
 
 use anyhow::{Result, bail};
 
-/// Waits for the condition.
+/// Waits until the condition holds.
 ///
 /// # Errors
 ///
-/// That it did not come about within the limit.
+/// Returns an error that names `what` if the condition does not hold within the limit.
 pub(super) async fn wait_until(
     what: &str,
     limit: Duration,
@@ -21,5 +21,5 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    bail!("waited in vain for {what}")
+    bail!("timed out after {limit:?} waiting for {what}")
 }
--- a/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
@@ -1,5 +1,5 @@
-//! The cluster that the zones trial plays on: members in three zones of one region and in a second region, one member of
-//! the version before, replicas in each zone, and a network between members that can fail.
+//! The cluster of the zones trial: members in three zones of one region and in a second region, one member without
+//! failover as in the previous version, replicas in each zone, and a network between members that injects faults.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -24,50 +24,50 @@
 use crate::trial::operators_file::zones_section;
 use crate::zoned_fleet::{CELLS, ZonedFleet};
 
-/// (zone, region): the faults' region, and another that the gateway alone reaches.
+/// All zones as (zone, region) pairs. Faults occur in the first region; the second is reached only through the gateway.
 pub(super) const ALL_ZONES: [(&str, &str); 4] =
     [("a", "north"), ("b", "north"), ("c", "north"), ("d", "south")];
-/// Zones of the region that has the faults, each with one voter.
+/// Number of zones in the first region, each with one voter.
 pub(super) const NORTH_ZONES: usize = 3;
-/// The zone of the other region.
+/// Index of the zone in the second region.
 pub(super) const SOUTH_ZONE: usize = 3;
 const MEMBERS_PER_ZONE: usize = 3;
-/// The member with links of its own to all replicas.
+/// Index of the member whose links to all replicas can fail separately from those of other members.
 pub(super) const ISOLATED_MEMBER: usize = 7;
-/// Replicas of one zone.
+/// Number of replicas in one zone.
 pub(super) const REPLICAS_PER_ZONE: usize = CELLS as usize;
-/// Routing per mille that a healthy zone retains.
+/// Share of its routing that a healthy zone retains, per mille.
 pub(super) const ALL_RETAINED: u16 = 1000;
-/// A replica does two hundred parts a second; a zone is offered about a third of its configured capacity, so that one
-/// alone carries nearly all three.
+/// Work of a replica, which serves 200 parts per second. The load on a zone is about a third of its configured
+/// capacity, so one zone alone can carry nearly the load of all three.
 const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
-/// Slow start as the node configuration states it.
+/// Slow-start limits set in the node configuration.
 pub(super) const SLOW_START: SlowStartLimit =
     SlowStartLimit { overload_factor: 1.2, initial_fraction: 0.15, window: Duration::from_millis(1500) };
-/// How long a returned replica is in slow start.
-const WARM_UP: Duration = Duration::from_secs(8);
-/// Retry budget of one member as the node configuration states it.
+/// Duration of slow start for a restored replica.
+const SLOW_START_TIME: Duration = Duration::from_secs(8);
+/// Retry budget of one member, as in the node configuration.
 pub(super) const BUDGET: RetryBudget = RetryBudget {
     free: 5.0,
     fraction: 0.1,
     window: Duration::from_secs(10),
     run_delay: Duration::from_secs(2),
 };
-/// Longest time to leave a lost zone that is promised, in seconds.
+/// Required time limit for moving all routing off a lost zone, in seconds.
 pub const MOVED_WITHIN_S: f64 = 3.0;
-/// Longest wait for a lost zone to be left, in seconds.
+/// Time limit of the trial's wait for routing to move off a lost zone, in seconds.
 const MOVE_LIMIT_S: f64 = 12.0;
-/// Longest wait for members to find each other, in seconds.
+/// Time limit for all members to follow a common decision after their start, in seconds.
 const JOIN_LIMIT_S: f64 = 15.0;
 
-/// How members route by zones.
+/// How members choose zones for their parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RoutingMode {
-    /// By the common decision.
+    /// Members follow the common decision.
     Agreed,
-    /// Each by what it observes itself, its own zone first.
+    /// Each member prefers its own zone and relies only on its own observations.
     Independent,
-    /// Zones do not count.
+    /// Members ignore zones.
     ZoneBlind,
 }
 
@@ -75,12 +75,12 @@
 pub(super) struct Member {
     pub process: Process,
     pub zone: usize,
-    /// Where it takes datagrams, behind the network's relay.
+    /// Address on which the member receives datagrams from its relay.
     pub listen: SocketAddr,
-    /// The relay's address, by which others know it.
+    /// Address of the relay, to which other members send.
     pub known_as: SocketAddr,
     operators_file: Option<String>,
-    /// It is meant to be running.
+    /// Whether the script expects the member to be running.
     pub up: Rc<Cell<bool>>,
 }
 
@@ -94,14 +94,14 @@
     pub seed: u64,
 }
 
-/// Where a member listens for datagrams, before and behind its relay.
+/// Zone of a member, its datagram address and the address of its relay.
 struct MemberAddress {
     zone: usize,
     listen: SocketAddr,
     known_as: SocketAddr,
 }
 
-/// Where a member takes gateway links, and the member of the other region that it keeps links to.
+/// Address on which a member accepts gateway links, and the address of its peer in the other region.
 #[derive(Clone, Copy)]
 struct GatewayAddresses {
     listen: SocketAddr,
@@ -120,7 +120,7 @@
     )
 }
 
-/// The node configuration of a member, with slow start as tight as the trial has it.
+/// Builds the node configuration of a member with the limits of `SLOW_START`.
 fn node_config(fleet: &ZonedFleet, view: usize, seed: u64, mode: RoutingMode) -> Result<serde_json::Value> {
     let mut node_config = fleet.node_config(view, seed, mode != RoutingMode::ZoneBlind)?;
     let rules = &mut node_config["settings"]["rules"];
@@ -147,12 +147,12 @@
     addresses: &[MemberAddress],
 ) -> Result<Vec<Member>> {
     let gateways: Vec<SocketAddr> = addresses.iter().map(|_| free_address()).collect::<Result<_>>()?;
-    // The first of each zone votes.
+    // The first member of each zone in the first region is a voter.
     let voters: Vec<SocketAddr> = addresses[..NORTH_ZONES].iter().map(|address| address.known_as).collect();
     let mut members = Vec::new();
     for (n, address) in addresses.iter().enumerate() {
         let &MemberAddress { zone, listen, known_as } = address;
-        // Each keeps links to one member of the other region.
+        // Each member has gateway links to one member of the other region.
         let other = if zone == SOUTH_ZONE {
             n % MEMBERS_PER_ZONE
         } else {
@@ -166,7 +166,7 @@
         let up = Rc::new(Cell::new(true));
         members.push(Member { process, zone, listen, known_as, operators_file: file, up });
     }
-    // One of the version before: it knows of no others.
+    // A member without an operators' file stands for the previous version, which has no failover.
     let process = Process::start(program, node_config(fleet, 0, seed ^ 99, mode)?, None).await?;
     let unused = free_address()?;
     let up = Rc::new(Cell::new(true));
@@ -187,14 +187,14 @@
             let all_follow = |cluster: &ZoneCluster| cluster.all_follow();
             ensure!(
                 cluster.until(all_follow, JOIN_LIMIT_S).await.is_some(),
-                "copies do not find together: {}",
+                "members do not follow a common decision after {JOIN_LIMIT_S} s: {}",
                 cluster.logs()
             );
         }
         Ok(cluster)
     }
 
-    /// Polls the members that take part, for as long as the cluster lives.
+    /// Starts polling the members that take part in failover.
     async fn observe(&self) -> Result<()> {
         let taking_part = self.members.iter().filter(|member| member.operators_file.is_some());
         let observed = taking_part
@@ -204,17 +204,17 @@
         observe(self.observed.clone(), observed, proximity).await
     }
 
-    /// Whether the member takes part in the common decision; the one of the version before does not.
+    /// Whether the member takes part in failover; the member of the previous version does not.
     pub(super) fn takes_part(&self, member: usize) -> bool {
         self.members[member].operators_file.is_some()
     }
 
-    /// Members that take part and are meant to be running.
+    /// Members that take part in failover and should be running.
     pub(super) fn live_members(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.members.len()).filter(|&n| self.takes_part(n) && self.members[n].up.get())
     }
 
-    /// The live members of a zone.
+    /// The live members of a zone, in order of their index.
     pub(super) fn live_members_of(&self, zone: usize) -> Vec<usize> {
         self.live_members().filter(|&n| self.members[n].zone == zone).collect()
     }
@@ -226,8 +226,9 @@
         observed.last.get(&member).is_some_and(|(at, status)| recent(at) && condition(status))
     }
 
-    /// Whether all live members report the zone's state and retained routing per mille to satisfy the condition.
-    pub(super) fn all_know(&self, zone: usize, condition: impl Fn(ZoneState, u16) -> bool) -> bool {
+    /// Whether `condition` holds for the zone's state and retained routing, per mille, in the status of every live
+    /// member.
+    pub(super) fn all_report(&self, zone: usize, condition: impl Fn(ZoneState, u16) -> bool) -> bool {
         self.live_members().all(|n| {
             self.reports(n, |status| {
                 let decision = status.decision.as_ref();
@@ -236,33 +237,33 @@
         })
     }
 
-    /// Whether all live members know the zone to be out of service.
+    /// Whether all live members report the zone as out of service.
     pub(super) fn is_out(&self, zone: usize) -> bool {
-        self.all_know(zone, |state, _| state == ZoneState::OutOfService)
+        self.all_report(zone, |state, _| state == ZoneState::OutOfService)
     }
 
-    /// Whether all live members know that routing is being moved off the zone.
+    /// Whether all live members report that routing is moving off the zone.
     pub(super) fn is_moving(&self, zone: usize) -> bool {
-        self.all_know(zone, |_, retained| retained < ALL_RETAINED)
+        self.all_report(zone, |_, retained| retained < ALL_RETAINED)
     }
 
-    /// Whether all live members know that the zone keeps all of its routing.
-    pub(super) fn keeps_all(&self, zone: usize) -> bool {
-        self.all_know(zone, |_, retained| retained == ALL_RETAINED)
+    /// Whether all live members report that the zone retains all of its routing.
+    pub(super) fn retains_all(&self, zone: usize) -> bool {
+        self.all_report(zone, |_, retained| retained == ALL_RETAINED)
     }
 
     fn all_follow(&self) -> bool {
         self.live_members().all(|n| self.reports(n, |status| status.status == "following"))
     }
 
-    fn all_home(&self) -> bool {
+    fn all_serving(&self) -> bool {
         let serves = |zone| {
-            self.all_know(zone, |state, retained| state == ZoneState::Serving && retained == ALL_RETAINED)
+            self.all_report(zone, |state, retained| state == ZoneState::Serving && retained == ALL_RETAINED)
         };
         (0..ALL_ZONES.len()).all(serves) && self.all_follow()
     }
 
-    /// Waits for the condition; the seconds that it took, none where it did not come about.
+    /// Waits for the condition. Returns the seconds that it took, or `None` after `limit_s` seconds.
     pub(super) async fn until(&self, condition: impl Fn(&ZoneCluster) -> bool, limit_s: f64) -> Option<f64> {
         let start = Instant::now();
         while start.elapsed().as_secs_f64() < limit_s {
@@ -274,7 +275,7 @@
         None
     }
 
-    /// The voter that the first voter which names one takes for the leader.
+    /// The leader reported by the first running voter that reports one.
     pub(super) fn leader(&self) -> Option<usize> {
         let observed = self.observed.borrow();
         let named_by = |n: usize| {
@@ -306,45 +307,46 @@
         self.members.iter().map(tail).collect::<Vec<_>>().join("\n--\n")
     }
 
-    /// Sends an operator's order to the voters.
+    /// Sends an operator's order to the voters and returns the answer.
     pub(super) async fn order(&self, order: OperatorOrder) -> Result<OperatorAnswer> {
         let voters: Vec<SocketAddr> =
             self.members[..NORTH_ZONES].iter().map(|member| member.known_as).collect();
         send_order(&voters, order).await
     }
 
-    /// Makes all replicas of a zone unreachable, waits until all members have left it, and returns it in slow start.
-    pub(super) async fn lose(&mut self, zone: usize, report: &mut FaultReport, out_for: Duration) {
+    /// Makes all replicas of a zone unreachable, waits until no member routes to it, and restores it after `out_for`.
+    pub(super) async fn fail_zone(&mut self, zone: usize, report: &mut FaultReport, out_for: Duration) {
         self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, true);
         let moved = self.until(|cluster| cluster.is_out(zone), MOVE_LIMIT_S).await;
         report.moved = moved;
         report.late = moved.filter(|seconds| *seconds > MOVED_WITHIN_S).map(|_| self.history());
         if moved.is_none() {
-            report.missing(format!("zone {} was not left: {}", ALL_ZONES[zone].0, self.history()));
+            report.fail(format!("zone {} was not left: {}", ALL_ZONES[zone].0, self.history()));
         }
         tokio::time::sleep(out_for).await;
-        self.heal(zone);
+        self.restore_zone(zone);
     }
 
-    /// Returns the replicas of a zone, in slow start.
-    pub(super) fn heal(&self, zone: usize) {
-        self.fleet.begin_slow_start(zone, WARM_UP);
+    /// Makes the replicas of a zone reachable again, in slow start.
+    pub(super) fn restore_zone(&self, zone: usize) {
+        self.fleet.begin_slow_start(zone, SLOW_START_TIME);
         self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, false);
     }
 
-    /// Waits until all zones serve again.
-    pub(super) async fn wait_home(&self, report: &mut FaultReport, limit_s: f64) {
-        report.back = self.until(ZoneCluster::all_home, limit_s).await;
-        if report.back.is_none() {
+    /// Waits until all live members report that all zones serve with full routing.
+    pub(super) async fn wait_for_recovery(&self, report: &mut FaultReport, limit_s: f64) {
+        report.recovered = self.until(ZoneCluster::all_serving, limit_s).await;
+        if report.recovered.is_none() {
             let observed = self.observed.borrow();
             let decision = observed.decisions.last_key_value().map(|(_, d)| format!("{d:?}"));
             let statuses: Vec<String> =
                 observed.last.values().map(|(_, status)| status.status.clone()).collect();
-            report.missing(format!("not all is home: {decision:?} {statuses:?}"));
+            report.fail(format!("not all is home: {decision:?} {statuses:?}"));
         }
     }
 
-    /// The last decisions in short, and the voters' view of the evidence.
+    /// Summary of the last decisions and of the evidence that the voters report, for messages about failed
+    /// requirements.
     pub(super) fn history(&self) -> String {
         let observed = self.observed.borrow();
         let zone_text =
@@ -364,17 +366,17 @@
         format!("{} | evidence {}", lines.join("; "), evidence.join(" / "))
     }
 
-    /// The newest decision's number known anywhere.
+    /// Number of the newest decision that any member reported.
     pub(super) fn newest_decision(&self) -> u64 {
         self.observed.borrow().newest_number()
     }
 
-    /// All decisions after that number.
+    /// All reported decisions with a higher number.
     pub(super) fn decisions_since(&self, number: u64) -> Vec<Decision> {
         self.observed.borrow().decisions.range(number + 1..).map(|(_, d)| d.clone()).collect()
     }
 
-    /// Whether any decision after that number moved routing off the zone, or off any zone where none is named.
+    /// Whether any decision with a higher number moved routing off the zone, or off any zone if `zone` is `None`.
     pub(super) fn moved_since(&self, number: u64, zone: Option<usize>) -> bool {
         let moved = |zones: &[ZoneDecision]| match zone {
             Some(zone) => zones[zone].retained < ALL_RETAINED,
@@ -383,23 +385,23 @@
         self.decisions_since(number).iter().any(|d| moved(&d.zones))
     }
 
-    /// Parts that stayed in the coordinator's zone and parts that crossed zones, over all live members.
+    /// Sums the counters of parts within the zone and across zones over all live members.
     pub(super) async fn part_locality(&self) -> PartLocality {
         let mut sum = PartLocality::default();
         for n in self.live_members() {
             let process = &self.members[n].process;
-            sum.near += process.counter("zones parts_near").await.unwrap_or(0);
-            sum.across += process.counter("zones parts_across").await.unwrap_or(0);
+            sum.same_zone += process.counter("zones parts_near").await.unwrap_or(0);
+            sum.cross_zone += process.counter("zones parts_across").await.unwrap_or(0);
         }
         sum
     }
 }
 
-/// Parts by where they went.
+/// Number of parts by destination.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PartLocality {
-    /// Within the coordinator's zone.
-    pub near: u64,
-    /// To another zone.
-    pub across: u64,
+    /// Parts sent within the co-ordinator's zone.
+    pub same_zone: u64,
+    /// Parts sent to another zone.
+    pub cross_zone: u64,
 }
--- a/crates/pipitcrank-testkit/src/trial/zones/fault.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/fault.rs
@@ -1,47 +1,47 @@
-//! Faults that the zones trial plays.
+//! Faults of the zones trial.
 
 /// A fault of the zones trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     /// Nothing fails.
     Calm,
-    /// All replicas of a zone become unreachable while its members live; they return in slow start.
+    /// All replicas of a zone become unreachable and later return in slow start; its members keep running.
     Replicas,
-    /// Replicas and members of a zone.
+    /// The members of a zone are killed and its replicas become unreachable.
     Zone,
-    /// Members of a zone are killed, its replicas live.
+    /// The members of a zone are killed; its replicas keep running.
     Members,
-    /// Half of a zone's replicas.
+    /// Half of a zone's replicas become unreachable.
     HalfZone,
-    /// A zone's replicas become unreachable and return every 1.5 s.
+    /// The replicas of a zone alternate between unreachable and reachable every 1.5 s.
     Flaps,
-    /// Members of a zone receive nothing from the others; its replicas are healthy for all.
+    /// The members of a zone are partitioned from the other members; its replicas stay reachable for all members.
     Partitioned,
-    /// Members of one zone do not reach the replicas of another, in both directions; the third zone reaches both.
+    /// The members of each of two zones can't reach the replicas of the other zone; the third zone reaches both.
     Cut,
-    /// The leading voter is stopped for 5 s while a zone is lost, and then continues.
+    /// The leader is stopped by SIGSTOP for 5 s while a zone is lost, and then continues.
     LeaderStopped,
-    /// Two of three voters die while a zone is lost, and restart without a store.
+    /// Two of three voters are killed, a zone is lost, and the voters restart without a store.
     MajorityKilled,
-    /// A second zone is lost while the first is half moved.
+    /// A second zone is lost while routing is moving off the first.
     TwoZones,
-    /// A zone accepts everything and answers late.
+    /// The replicas of a zone accept all parts and answer late.
     Slow,
-    /// One member ends by SIGTERM and another is upgraded while a zone is being left.
+    /// One member is terminated by SIGTERM and another is upgraded while routing moves off a lost zone.
     Restarts,
-    /// An operator drains a zone while another is lost, and returns it.
+    /// An operator drains a zone while another is lost, and later returns it to service.
     Drain,
-    /// A zone is lost while datagrams are dropped, duplicated and delayed.
+    /// A zone is lost while datagrams between members are dropped, duplicated and delayed.
     Lossy,
-    /// One member reaches no replica anywhere, and reports so of all zones.
+    /// One member reaches no replica and reports all zones as unreachable.
     IsolatedMember,
-    /// A whole region loses its replicas while its links still answer heartbeats.
+    /// All replicas of a region become unreachable while its gateway links still answer heartbeats.
     Region,
-    /// Datagrams that are forged, truncated, replayed, too long, or of another version.
+    /// A member receives datagrams that are forged, truncated, replayed, too long or of another version.
     InvalidDatagrams,
 }
 
-/// All faults in the order of the enum, with the names that `--only` takes and that figures and messages print.
+/// All faults in the order of the enum, with their names in `--only`, figures and messages.
 pub const FAULTS: [(Fault, &str); 18] = [
     (Fault::Calm, "Calm"),
     (Fault::Replicas, "Leaves"),
@@ -64,7 +64,7 @@
 ];
 
 impl Fault {
-    /// The name that `--only` takes and that figures and messages print.
+    /// The name of the fault in `--only`, figures and messages.
     pub fn name(self) -> &'static str {
         FAULTS.iter().find(|(fault, _)| *fault == self).map_or("", |(_, name)| name)
     }
--- a/crates/pipitcrank-testkit/src/trial/zones/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/figures.rs
@@ -1,4 +1,4 @@
-//! Figures and promises of the zones trial.
+//! Figures and requirements of the zones trial.
 
 use super::cluster::{BUDGET, MOVED_WITHIN_S, PartLocality, SLOW_START, ZoneCluster};
 use super::fault::Fault;
@@ -6,10 +6,10 @@
 use crate::outcome::Outcome;
 use crate::query_log::{QueryLog, QueryOutcome, RetryBudget};
 
-/// Most parts that may cross zones while nothing fails, as a fraction.
-const CROSSING_LIMIT: f64 = 0.05;
-/// Least service while a zone is lost.
-const LEAST_SERVICE: f64 = 0.97;
+/// Upper limit of the fraction of parts that cross zones while nothing fails.
+const MAX_CROSS_ZONE: f64 = 0.05;
+/// Lower limit of the service while a zone is lost.
+const MIN_SERVICE: f64 = 0.97;
 
 impl FaultReport {
     pub(super) fn print(&self, fault: Fault) {
@@ -19,7 +19,7 @@
             fault.name(),
             self.service * 100.0,
             seconds(self.moved),
-            seconds(self.back)
+            seconds(self.recovered)
         );
         if let Some(late) = &self.late {
             println!("moved late: {late}");
@@ -30,36 +30,37 @@
         outcome.figure(&format!("service, {}, %", fault.name().to_lowercase()), self.service * 100.0);
     }
 
-    /// What is promised of one fault: times and service where `aims` is set, the fault's own expectations always.
-    pub(super) fn promises(&self, fault: Fault, aims: bool, outcome: &mut Outcome) {
+    /// Checks the requirements for one fault. Times and service are checked only if `check_targets` is set; the
+    /// expectations of the fault itself are always checked.
+    pub(super) fn promises(&self, fault: Fault, check_targets: bool, outcome: &mut Outcome) {
         let name = fault.name().to_lowercase();
-        if aims && matches!(fault, Fault::Replicas | Fault::Zone) {
+        if check_targets && matches!(fault, Fault::Replicas | Fault::Zone) {
             outcome.promise(
                 self.moved.is_some_and(|s| s <= MOVED_WITHIN_S),
                 &format!("moved within {MOVED_WITHIN_S} s of a zone's loss ({name}: {:?})", self.moved),
             );
             outcome.promise(
-                self.service >= LEAST_SERVICE,
+                self.service >= MIN_SERVICE,
                 &format!("service at least 97 % where the rest can carry it ({name}: {:.3})", self.service),
             );
         }
-        self.missing.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
+        self.failures.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
     }
 }
 
-/// The fraction of parts that crossed zones while nothing failed.
+/// Reports and checks the fraction of parts that crossed zones while nothing failed.
 pub(super) fn calm_figures(before: PartLocality, after: PartLocality, outcome: &mut Outcome) {
-    let (near, across) = (after.near - before.near, after.across - before.across);
-    let crossing = across as f64 / (near + across).max(1) as f64;
-    outcome.figure("parts that cross zones on calm, %", crossing * 100.0);
-    outcome.promise(crossing < CROSSING_LIMIT, "under 5 % of parts cross zones on calm");
+    let (same_zone, cross_zone) = (after.same_zone - before.same_zone, after.cross_zone - before.cross_zone);
+    let fraction = cross_zone as f64 / (same_zone + cross_zone).max(1) as f64;
+    outcome.figure("parts that cross zones on calm, %", fraction * 100.0);
+    outcome.promise(fraction < MAX_CROSS_ZONE, "under 5 % of parts cross zones on calm");
 }
 
-/// Sums over all faults of a run.
+/// Totals over all faults of a run.
 #[derive(Default)]
 pub(super) struct Totals {
     moved: Vec<f64>,
-    back: Vec<f64>,
+    recovered: Vec<f64>,
     logs: Vec<QueryLog>,
     lost: u64,
     queries: u64,
@@ -69,7 +70,7 @@
 }
 
 impl Totals {
-    /// Adds one fault; queries may not be lost at the unaffected members.
+    /// Adds the results of one fault. Lost queries count only at the unaffected members.
     pub(super) fn add(
         &mut self,
         cluster: &ZoneCluster,
@@ -78,7 +79,7 @@
         unaffected: &[usize],
     ) {
         self.moved.extend(report.moved);
-        self.back.extend(report.back);
+        self.recovered.extend(report.recovered);
         for &n in unaffected {
             self.lost += logs[n].count(QueryOutcome::Lost) + logs[n].open();
         }
@@ -88,7 +89,7 @@
             self.answered_twice += log.answered_twice();
             self.logs.push(log);
         }
-        // Each member has a budget of its own; their sum bounds all runs.
+        // Each member has its own budget, so the sum of the budgets limits the retries of the cluster.
         let budget = RetryBudget { free: BUDGET.free * cluster.members.len() as f64, ..BUDGET };
         let logs: Vec<&QueryLog> = self.logs.iter().collect();
         let over = cluster.fleet.query_log.over_budget_with_queries_of(&logs, budget);
@@ -107,7 +108,7 @@
         outcome.expect_zero("parts over what a cold leaf may get", over);
         outcome.figure("further runs over the budget", self.over_budget);
         outcome.promise(self.over_budget <= 0.0, "further calls stay within the budgets");
-        for (name, mut values) in [("moved, s", self.moved), ("back home, s", self.back)] {
+        for (name, mut values) in [("moved, s", self.moved), ("back home, s", self.recovered)] {
             values.sort_by(f64::total_cmp);
             if let (Some(middle), Some(longest)) = (values.get(values.len() / 2), values.last()) {
                 outcome.figure(&format!("{name}: middle"), *middle);
--- a/crates/pipitcrank-testkit/src/trial/zones/member_faults.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/member_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of members: processes that die, stop, restart or are cut off, and datagrams that a member has to reject.
+//! Faults of members: killed, stopped, restarted or partitioned processes, and invalid datagrams.
 
 use std::time::{Duration, Instant};
 
@@ -14,13 +14,13 @@
 use crate::process::signal_worker;
 use crate::trial::operators_file::SECRET;
 
-/// How long the leading voter is stopped.
+/// Time for which the leader is stopped.
 const LEADER_STOPPED: Duration = Duration::from_secs(5);
 const TERM_LIMIT: Duration = Duration::from_secs(15);
 const UPGRADE_LIMIT: Duration = Duration::from_secs(20);
-/// Reasons that a member counts rejected datagrams by, as its counters spell them.
+/// Reasons for rejected datagrams, as named in the program's counters.
 const REJECT_REASONS: [&str; 6] = ["forged", "cut", "too_long", "other_version", "replayed", "unread"];
-/// Rounds of invalid datagrams sent.
+/// Number of batches of invalid datagrams.
 const INVALID_ROUNDS: usize = 40;
 
 async fn sleep_ms(milliseconds: u64) {
@@ -28,7 +28,7 @@
 }
 
 impl ZoneCluster {
-    /// Kills all live members of a zone.
+    /// Kills all live members of a zone and returns their indices.
     fn kill_members_of(&mut self, zone: usize) -> Vec<usize> {
         let members = self.live_members_of(zone);
         members.iter().for_each(|&n| self.kill(n));
@@ -42,43 +42,43 @@
         Ok(())
     }
 
-    pub(super) async fn play_zone(&mut self, zone: usize, report: &mut FaultReport) -> Result<()> {
-        let dead = self.kill_members_of(zone);
-        self.lose(zone, report, Duration::from_secs(1)).await;
-        self.restart_all(&dead).await?;
-        self.wait_home(report, 30.0).await;
+    pub(super) async fn run_zone_outage(&mut self, zone: usize, report: &mut FaultReport) -> Result<()> {
+        let killed = self.kill_members_of(zone);
+        self.fail_zone(zone, report, Duration::from_secs(1)).await;
+        self.restart_all(&killed).await?;
+        self.wait_for_recovery(report, 30.0).await;
         Ok(())
     }
 
-    pub(super) async fn play_members(&mut self, zone: usize, report: &mut FaultReport) -> Result<()> {
-        let dead = self.kill_members_of(zone);
+    pub(super) async fn run_members_killed(&mut self, zone: usize, report: &mut FaultReport) -> Result<()> {
+        let killed = self.kill_members_of(zone);
         sleep_ms(4000).await;
-        if !self.keeps_all(zone) {
-            report.missing("leaves that are well were left with their copies");
+        if !self.retains_all(zone) {
+            report.fail("leaves that are well were left with their copies");
         }
-        self.restart_all(&dead).await?;
-        self.wait_home(report, 15.0).await;
+        self.restart_all(&killed).await?;
+        self.wait_for_recovery(report, 15.0).await;
         Ok(())
     }
 
-    pub(super) async fn play_parted(&mut self, zone: usize, report: &mut FaultReport) {
-        let begun = self.newest_decision();
+    pub(super) async fn run_partition(&mut self, zone: usize, report: &mut FaultReport) {
+        let before = self.newest_decision();
         let members = self.live_members_of(zone);
         self.net.partition(&members);
         sleep_ms(4000).await;
         if !members.iter().all(|&n| self.reports(n, |status| status.status == "holding")) {
-            report.missing("copies that hear nobody do not hold what stands");
+            report.fail("copies that hear nobody do not hold what stands");
         }
-        if self.moved_since(begun, None) {
-            report.missing("a zone that is well for all was left");
+        if self.moved_since(before, None) {
+            report.fail("a zone that is well for all was left");
         }
         self.net.heal();
-        self.wait_home(report, 15.0).await;
+        self.wait_for_recovery(report, 15.0).await;
     }
 
-    pub(super) async fn play_leader(&mut self, report: &mut FaultReport) {
+    pub(super) async fn run_leader_stopped(&mut self, report: &mut FaultReport) {
         let Some(leader) = self.leader() else {
-            report.missing("nobody leads");
+            report.fail("nobody leads");
             return;
         };
         let zone = (self.members[leader].zone + 1) % NORTH_ZONES;
@@ -87,64 +87,64 @@
         let signal_all = |signal| workers.iter().for_each(|&pid| signal_worker(pid, signal));
         signal_all(Signal::STOP);
         let stopped = Instant::now();
-        self.lose(zone, report, Duration::from_millis(500)).await;
+        self.fail_zone(zone, report, Duration::from_millis(500)).await;
         tokio::time::sleep(LEADER_STOPPED.saturating_sub(stopped.elapsed())).await;
         signal_all(Signal::CONT);
         self.members[leader].up.set(true);
-        self.wait_home(report, 25.0).await;
+        self.wait_for_recovery(report, 25.0).await;
     }
 
-    pub(super) async fn play_majority(
+    pub(super) async fn run_majority_killed(
         &mut self,
         [zone, other, third]: [usize; 3],
         report: &mut FaultReport,
     ) -> Result<()> {
-        let dead = [zone, other];
-        dead.iter().for_each(|&n| self.kill(n));
+        let killed = [zone, other];
+        killed.iter().for_each(|&n| self.kill(n));
         sleep_ms(1000).await;
         let before = self.newest_decision();
         self.fleet.set_unreachable(third, REPLICAS_PER_ZONE, true);
         sleep_ms(4000).await;
         if self.newest_decision() != before {
-            report.missing("a minority decided");
+            report.fail("a minority decided");
         }
-        self.restart_all(&dead).await?;
+        self.restart_all(&killed).await?;
         if self.until(|cluster| cluster.is_out(third), 15.0).await.is_none() {
-            report.missing("voters that came back did not decide");
+            report.fail("voters that came back did not decide");
         }
-        self.heal(third);
-        self.wait_home(report, 30.0).await;
+        self.restore_zone(third);
+        self.wait_for_recovery(report, 30.0).await;
         Ok(())
     }
 
-    pub(super) async fn play_restarts(
+    pub(super) async fn run_restarts(
         &mut self,
         zone: usize,
         other: usize,
         report: &mut FaultReport,
     ) -> Result<()> {
-        let not_voting = self.live_members_of(other).into_iter().filter(|&n| n >= NORTH_ZONES);
-        let [ended, upgraded] = not_voting.collect::<Vec<_>>()[..] else {
-            bail!("two copies of a zone do not vote");
+        let non_voters = self.live_members_of(other).into_iter().filter(|&n| n >= NORTH_ZONES);
+        let [terminated, upgraded] = non_voters.collect::<Vec<_>>()[..] else {
+            bail!("expected two members without a vote in zone {other}");
         };
         self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, true);
         self.until(|cluster| cluster.is_moving(zone), 8.0).await;
-        self.members[ended].up.set(false);
-        self.members[ended].process.signal(Signal::TERM)?;
+        self.members[terminated].up.set(false);
+        self.members[terminated].process.signal(Signal::TERM)?;
         let upgrades_before = self.upgrades_done(upgraded).await.unwrap_or(0);
         self.members[upgraded].up.set(false);
         self.members[upgraded].process.signal(Signal::USR2)?;
-        let exit = self.members[ended].process.wait_for_exit(TERM_LIMIT).await;
-        exit.context("its end after SIGTERM")?;
+        let exit = self.members[terminated].process.wait_for_exit(TERM_LIMIT).await;
+        exit.context("the member did not exit after SIGTERM")?;
         self.wait_for_upgrade(upgraded, upgrades_before + 1).await?;
         self.observed.borrow_mut().forget(upgraded);
         self.members[upgraded].up.set(true);
-        self.restart(ended).await?;
+        self.restart(terminated).await?;
         if self.until(|cluster| cluster.is_out(zone), 10.0).await.is_none() {
-            report.missing("the zone was not left while copies restarted");
+            report.fail("the zone was not left while copies restarted");
         }
-        self.heal(zone);
-        self.wait_home(report, 25.0).await;
+        self.restore_zone(zone);
+        self.wait_for_recovery(report, 25.0).await;
         Ok(())
     }
 
@@ -155,13 +155,21 @@
     async fn wait_for_upgrade(&self, member: usize, upgrades: u64) -> Result<()> {
         let start = Instant::now();
         while self.upgrades_done(member).await != Some(upgrades) {
-            ensure!(start.elapsed() < UPGRADE_LIMIT, "no upgrade: {}", self.members[member].process.log());
+            ensure!(
+                start.elapsed() < UPGRADE_LIMIT,
+                "the member's upgrade did not finish: {}",
+                self.members[member].process.log()
+            );
             sleep_ms(50).await;
         }
         Ok(())
     }
 
-    pub(super) async fn play_strangers(&mut self, rng: &mut Pcg64, report: &mut FaultReport) -> Result<()> {
+    pub(super) async fn run_invalid_datagrams(
+        &mut self,
+        rng: &mut Pcg64,
+        report: &mut FaultReport,
+    ) -> Result<()> {
         let newest = self.newest_decision();
         let sent = self.send_invalid_datagrams(rng).await?;
         sleep_ms(500).await;
@@ -170,39 +178,43 @@
         for reason in REJECT_REASONS {
             let count = process.counter(&format!("peers_left {reason}")).await.unwrap_or(0);
             if count == 0 {
-                report.missing(format!("no datagram was counted as {reason}"));
+                report.fail(format!("no datagram was counted as {reason}"));
             }
             rejected += count;
         }
         if rejected < sent {
-            report.missing(format!("{rejected} of {sent} bad datagrams were counted"));
+            report.fail(format!("{rejected} of {sent} bad datagrams were counted"));
         }
         if process.log().lines().filter(|line| line.contains("rejected a datagram")).count() > 2 {
-            report.missing("bad datagrams flood the log");
+            report.fail("bad datagrams flood the log");
         }
         if self.newest_decision() > newest + 1 {
-            report.missing("bad datagrams had something decided");
+            report.fail("bad datagrams had something decided");
         }
-        self.wait_home(report, 10.0).await;
+        self.wait_for_recovery(report, 10.0).await;
         Ok(())
     }
 
-    /// Sends the first member datagrams that it has to reject; how many.
+    /// Sends invalid datagrams to the first member and returns their number.
     async fn send_invalid_datagrams(&self, rng: &mut Pcg64) -> Result<u64> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let (own, known_as) = (socket.local_addr()?, self.members[0].known_as);
-        // Straight to where it listens: the relay has faults of its own.
+        // Bypasses the relay, which injects faults of its own.
         let listen = self.members[0].listen;
         let mut foreign = Sealer::new(derive_key("another secret altogether"), own, 1);
         let mut sealer = Sealer::new(derive_key(SECRET), own, 1);
         let mut sent = 0;
         for _ in 0..INVALID_ROUNDS {
             let body: Vec<u8> = (0..rng.random_range(1..300)).map(|_| rng.random()).collect();
-            let valid = sealer.seal(known_as, DatagramKind::Message, &[0xff; 9]).context("it is short")?;
+            let valid = sealer
+                .seal(known_as, DatagramKind::Message, &[0xff; 9])
+                .context("the datagram is too long to seal")?;
             let mut other_version = valid.clone();
             other_version[2] = 9;
             let truncated = &valid[..rng.random_range(1..12)];
-            let forged = foreign.seal(known_as, DatagramKind::Consensus, &body).context("it is short")?;
+            let forged = foreign
+                .seal(known_as, DatagramKind::Consensus, &body)
+                .context("the datagram is too long to seal")?;
             let too_long = [7; 1500];
             let datagrams = [
                 &valid[..],
--- a/crates/pipitcrank-testkit/src/trial/zones/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/mod.rs
@@ -1,7 +1,7 @@
-//! Trial of zones: nine members of the program in three zones, three of them voters; three more in a second region that
-//! the gateway reaches; one member of the version before; replicas in each zone. Faults between members, and between
-//! members and replicas, follow from the seed. An observer polls each member ten times a second for what it knows, and
-//! holds it against the promises.
+//! Zones trial. Nine members, three of them voters, run in three zones of one region, and three more members run in a
+//! second region reached through the gateway. One further member does not take part in failover, as the previous
+//! version of the program. The seed selects the faults between members and between members and replicas. An observer
+//! polls the status of each member ten times a second, and the trial checks it against the requirements.
 
 mod cluster;
 mod fault;
@@ -26,15 +26,16 @@
 use crate::outcome::Outcome;
 use crate::query_log::QueryOutcome;
 
-/// Faults drawn beside those that every run has.
+/// Number of faults drawn by the seed, in addition to those of every run.
 const DRAWN_FAULTS: usize = 5;
 
-/// Faults in the seed's order, calm first; then the loss of a zone once more without the common decision, and without
-/// zones, from the same seed.
+/// Runs the faults in the order given by the seed, after a period without faults. The loss of a zone is then repeated
+/// with the same seed, first without the common decision and then without zones, for comparison.
 ///
 /// # Errors
 ///
-/// A name in `only` that no fault has, or a process that can't be started or does not do what the script needs of it.
+/// Returns an error if no fault has the name in `only`, or if a process can't be started or fails a step of the
+/// script.
 pub async fn run_trial(program: &Path, seed: u64, only: Option<&str>, verbose: bool) -> Result<Outcome> {
     let faults = script(seed, only)?;
     let mut outcome = run_faults(program, seed, &faults, verbose, true).await?;
@@ -42,7 +43,7 @@
         for (mode, name) in
             [(RoutingMode::Independent, "each copy alone"), (RoutingMode::ZoneBlind, "no zones")]
         {
-            let (service, logs) = run::without_decision(program, seed, mode).await?;
+            let (service, logs) = run::run_without_decision(program, seed, mode).await?;
             outcome.figure(&format!("service while a zone is lost, {name}, %"), service * 100.0);
             let lost: u64 = logs.iter().map(|log| log.count(QueryOutcome::Lost) + log.open()).sum();
             outcome.expect_zero(&format!("lost, {name}"), lost);
@@ -54,7 +55,7 @@
 fn script(seed: u64, only: Option<&str>) -> Result<Vec<Fault>> {
     let mut faults: Vec<Fault> = FAULTS.iter().map(|(fault, _)| *fault).collect();
     let Some(name) = only else {
-        // The loss of a zone is in each; of the others, some.
+        // Every run includes the loss of a zone; the seed selects some of the other faults.
         faults.retain(|fault| !matches!(fault, Fault::Calm | Fault::Replicas));
         faults.shuffle(&mut Pcg64::seed_from_u64(seed));
         faults.truncate(DRAWN_FAULTS);
@@ -64,6 +65,6 @@
     };
     faults.retain(|fault| fault.name().eq_ignore_ascii_case(name));
     let known = FAULTS.map(|(_, name)| name).join(", ");
-    ensure!(!faults.is_empty(), "no trouble is named '{name}'; there are: [{known}]");
+    ensure!(!faults.is_empty(), "unknown fault '{name}'; expected one of: [{known}]");
     Ok(faults)
 }
--- a/crates/pipitcrank-testkit/src/trial/zones/report.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/report.rs
@@ -1,23 +1,23 @@
-//! What was observed while one fault was played.
+//! Results of one fault of the zones trial.
 
-/// What was observed while one fault was played.
+/// Results of one fault.
 #[derive(Default)]
 pub(super) struct FaultReport {
-    /// Seconds until all members had left the lost zone.
+    /// Seconds until no member routed to the lost zone.
     pub moved: Option<f64>,
-    /// Seconds until all zones served again, from the end of the fault.
-    pub back: Option<f64>,
-    /// The decisions made, where the move took longer than is promised.
+    /// Seconds from the end of the fault until all zones served again.
+    pub recovered: Option<f64>,
+    /// Summary of the decisions, if moving routing off the zone took longer than the required limit.
     pub late: Option<String>,
-    /// Mean service at members that lived, while the fault lasted: utility earned over utility offered.
+    /// Mean service of the members that the fault does not affect: utility earned divided by utility offered.
     pub service: f64,
-    /// Expectations that did not hold.
-    pub missing: Vec<String>,
+    /// Expectations that were not met.
+    pub failures: Vec<String>,
 }
 
 impl FaultReport {
-    /// Notes that an expectation did not hold.
-    pub(super) fn missing(&mut self, what: impl Into<String>) {
-        self.missing.push(what.into());
+    /// Records an expectation that was not met.
+    pub(super) fn fail(&mut self, what: impl Into<String>) {
+        self.failures.push(what.into());
     }
 }
