--- a/crates/pipitcrank-failover/src/voter/stored_forms.rs
+++ b/crates/pipitcrank-failover/src/voter/stored_forms.rs
@@ -1,4 +1,5 @@
-//! Messages between voters and a voter's memory, against bytes of an earlier version.
+//! Compares messages between voters and the persisted state of a voter with bytes written by an earlier
+//! version.
 
 use std::fmt::Debug;
 
@@ -17,7 +18,7 @@
 }
 
 fn decision() -> Decision {
-    let place = |state, retained| ZoneDecision {
+    let zone = |state, retained| ZoneDecision {
         state,
         retained,
         hold_down_level: 3,
@@ -29,11 +30,11 @@
     Decision {
         number: 7 << 32 | 9,
         zones: vec![
-            place(ZoneState::Serving, FULL_PERMILLE),
-            place(ZoneState::Suspected, 900),
-            place(ZoneState::Draining, 500),
-            place(ZoneState::OutOfService, 0),
-            place(ZoneState::Returning, 100),
+            zone(ZoneState::Serving, FULL_PERMILLE),
+            zone(ZoneState::Suspected, 900),
+            zone(ZoneState::Draining, 500),
+            zone(ZoneState::OutOfService, 0),
+            zone(ZoneState::Returning, 100),
         ],
         frozen: true,
         cause: DecisionCause::CutOff,
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_voters_memory_is_read_and_written_as_by_an_earlier_version() {
+fn a_voters_state_is_read_and_written_as_by_an_earlier_version() {
     let group = PersistentGroupState {
         generation: 7,
         applied: LogPosition { index: 11, term: 4 },
@@ -112,7 +113,7 @@
         hard_state: StoredHardState { term: 5, vote: 0x301, commit: 12 },
         entries: vec![vec![1, 2], vec![3]],
     };
-    let memory = PersistentVoterState {
+    let state = PersistentVoterState {
         slot: 1,
         instance: 1 << 50,
         abandoned_ids: 2,
@@ -122,7 +123,7 @@
         known_incarnations: vec![known_incarnation(0x301, 2, 6), known_incarnation(0x402, 1, 5)],
         group: Some(group),
     };
-    let values = [("in_a_group", memory), ("new", PersistentVoterState::default())];
+    let values = [("in_a_group", state), ("new", PersistentVoterState::default())];
     fixtures::check("voter_memory.hex", &values, PersistentVoterState::encode, |bytes| {
         PersistentVoterState::decode(bytes).unwrap()
     });
