--- a/crates/pipitcrank-testkit/src/trial/gateway/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/cluster.rs
@@ -39,8 +39,8 @@
 pub(super) enum Reach {
     /// Both far sites.
     Both,
-    /// Only the site with the shortest initial round-trip time, also after it becomes slower, and without a penalty
-    /// for far replicas.
+    /// Only the site with the shortest initial round-trip time, even after its link has become slower. Far replicas
+    /// have no penalty.
     Shortest,
     /// No far site.
     Nobody,
--- a/crates/pipitcrank-testkit/src/trial/gateway/fault.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/fault.rs
@@ -11,7 +11,7 @@
     Flaps,
     /// The link accepts connections and passes nothing.
     Stalls,
-    /// The link passes nothing in the direction of answers.
+    /// The link passes nothing in the return direction.
     StallsBack,
     /// The link is down.
     Cut,
--- a/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
@@ -17,7 +17,7 @@
 
 use cluster::Reach;
 pub use fault::Fault;
-use run::{RunReport, promises, run};
+use run::{RunReport, check_requirements, run};
 pub use table::run_table;
 
 use crate::outcome::Outcome;
@@ -39,7 +39,7 @@
     );
     let (both, shortest, alone) = (both?, shortest?, alone?);
     let mut outcome = Outcome::default();
-    promises(&mut outcome, &both);
+    check_requirements(&mut outcome, &both);
     outcome.figure("service with the gateway, %", both.query_log.service() * 100.0);
     outcome.figure("service with the shortest way alone, %", shortest.query_log.service() * 100.0);
     outcome.figure("service without far sites, %", alone.query_log.service() * 100.0);
@@ -64,6 +64,6 @@
 pub async fn run_single_fault(program: &Path, seed: u64, fault: Fault) -> Result<Outcome> {
     let report = run(program, seed, Reach::Both, &[Fault::Calm, fault, Fault::Calm], false).await?;
     let mut outcome = Outcome::default();
-    promises(&mut outcome, &report);
+    check_requirements(&mut outcome, &report);
     Ok(outcome)
 }
--- a/crates/pipitcrank-testkit/src/trial/gateway/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/run.rs
@@ -98,7 +98,7 @@
 }
 
 /// Reports the figures of a run with the gateway and checks its requirements.
-pub(super) fn promises(outcome: &mut Outcome, report: &RunReport) {
+pub(super) fn check_requirements(outcome: &mut Outcome, report: &RunReport) {
     let query_log = &report.query_log;
     outcome.figure("queries", query_log.total() as f64);
     outcome.expect_zero("lost", query_log.count(QueryOutcome::Lost) + query_log.open());
--- a/crates/pipitcrank-testkit/src/trial/observer.rs
+++ b/crates/pipitcrank-testkit/src/trial/observer.rs
@@ -78,7 +78,7 @@
     }
 
     /// Discards the observations of a member whose process has been replaced.
-    pub(super) fn forget(&mut self, member: usize) {
+    pub(super) fn discard(&mut self, member: usize) {
         self.newest.remove(&member);
         self.last.remove(&member);
     }
--- a/crates/pipitcrank-testkit/src/trial/returns/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/cluster.rs
@@ -22,7 +22,7 @@
 /// All zones as (zone, region) pairs. The first member of each zone is a voter.
 pub(super) const ZONES: [(&str, &str); 3] = [("a", "north"), ("b", "north"), ("c", "north")];
 pub(super) const MEMBERS: usize = 12;
-/// Index of the zone drained before the outage, which makes a decision that has to survive the restart.
+/// Index of the zone that an operator drains before the outage, so that there is a decision to survive the restart.
 pub(super) const DRAINED_ZONE: usize = 2;
 /// Work of a replica, which serves 200 parts per second.
 const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
@@ -47,7 +47,7 @@
 /// All members and their replicas.
 pub(super) struct RestartCluster {
     pub fleet: ZonedFleet,
-    // Held because its relays stop when it is dropped.
+    // Stored because the relays stop when the network is dropped.
     _net: DatagramNetwork,
     pub members: Vec<Member>,
     pub observed: Rc<RefCell<Observations>>,
@@ -182,13 +182,13 @@
         }
         for &n in members {
             self.members[n].process.kill();
-            self.forget(n);
+            self.discard(n);
         }
     }
 
     /// Discards the last status of a member whose process has ended. The newest decision that it reported is kept if
     /// it has a store, because its next process must not follow an older one.
-    pub(super) fn forget(&self, member: usize) {
+    pub(super) fn discard(&self, member: usize) {
         let mut observed = self.observed.borrow_mut();
         observed.last.remove(&member);
         if !self.stores_enabled {
--- a/crates/pipitcrank-testkit/src/trial/returns/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/figures.rs
@@ -46,9 +46,9 @@
         let after = self.after;
         outcome.figure(&format!("{name}: most parts at a leaf in a second"), after.parts as f64);
         outcome.figure(&format!("{name}: most connections at a leaf in a second"), after.connections as f64);
-        let promised = check_targets && case.keeps_stores() && case != Case::Failover;
+        let targets_apply = check_targets && case.keeps_stores() && case != Case::Failover;
         outcome.promise(
-            !promised || self.full.is_some_and(|s| s <= BACK_WITHIN_S),
+            !targets_apply || self.full.is_some_and(|s| s <= BACK_WITHIN_S),
             &format!(
                 "full service within {BACK_WITHIN_S} s where something was kept ({name}: {:?})",
                 self.full
@@ -78,20 +78,20 @@
     /// Adds the results of one case; `logs` are the query logs by member.
     pub(super) fn add(&mut self, case: Case, cluster: &RestartCluster, logs: &[QueryLog]) {
         // A member that no fault affects loses no query, and a graceful shutdown loses no accepted query.
-        let untouched = |n: usize| match case {
+        let unaffected = |n: usize| match case {
             Case::OneSurvivor => n == MEMBERS - 1,
             Case::RollingRestart => true,
             _ => false,
         };
-        for n in (0..MEMBERS).filter(|&n| untouched(n)) {
+        for n in (0..MEMBERS).filter(|&n| unaffected(n)) {
             self.lost += logs[n].count(QueryOutcome::Lost) + logs[n].open();
         }
         self.answered_twice += logs.iter().map(QueryLog::answered_twice).sum::<u64>();
         self.unexpected_statuses += logs.iter().map(QueryLog::unexpected_statuses).sum::<u64>();
         let query_log = &cluster.fleet.query_log;
         self.sales_repeated += query_log.parts_run_again("sale-");
-        // With a store, the restarted process continues the budget of the killed one. Without, each start has a new
-        // budget.
+        // With a store, the restarted process continues the budget of the killed one. Without a store, each start
+        // has a new budget.
         let starts = if case.keeps_stores() { MEMBERS } else { 2 * MEMBERS } as f64;
         let budget = RetryBudget { free: BUDGET.free * starts, ..BUDGET };
         let all_logs: Vec<&QueryLog> = logs.iter().collect();
@@ -114,7 +114,7 @@
 }
 
 /// Checks that no process of the case panicked.
-pub(super) fn promise_no_panic(case: Case, cluster: &RestartCluster, outcome: &mut Outcome) {
+pub(super) fn expect_no_panic(case: Case, cluster: &RestartCluster, outcome: &mut Outcome) {
     let logs: String = cluster.members.iter().map(|member| member.process.log()).collect();
     // The store's library panics on some truncated files; the program catches these panics.
     let panicked = logs.lines().find(|line| line.contains("panicked") && !line.contains("'store'"));
--- a/crates/pipitcrank-testkit/src/trial/returns/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/mod.rs
@@ -86,7 +86,7 @@
         }
         report.figures(case, check_targets, &mut outcome);
         totals.add(case, &cluster, &logs);
-        figures::promise_no_panic(case, &cluster, &mut outcome);
+        figures::expect_no_panic(case, &cluster, &mut outcome);
     }
     totals.figures(&mut outcome);
     Ok(outcome)
--- a/crates/pipitcrank-testkit/src/trial/returns/outage.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/outage.rs
@@ -90,7 +90,7 @@
             _ => self.kill_and_restart(&mut outage, copies).await?,
         };
         match outage.case {
-            Case::Begin => self.begin_anew(newest, report).await,
+            Case::Begin => self.restart_decisions(newest, report).await,
             Case::KilledTwice => {
                 tokio::time::sleep(Duration::from_secs(1).saturating_sub(started.elapsed())).await;
                 self.kill(&outage.affected);
@@ -130,7 +130,7 @@
             self.members[n].process.signal(Signal::TERM)?;
             let exit = self.members[n].process.wait_for_exit(TERM_LIMIT).await;
             ensure!(exit.is_some(), "member {n} did not exit after SIGTERM");
-            self.forget(n);
+            self.discard(n);
             self.restart(&[n]).await?;
         }
         Ok(Instant::now())
@@ -183,8 +183,8 @@
 
     /// Recovers from an outage in which two of three voters have no store and the third is down: an operator starts the
     /// decisions anew without the third voter, and reverts that order when the third voter has restarted.
-    async fn begin_anew(&mut self, newest: u64, report: &mut CaseReport) -> Result<Instant> {
-        // Long enough for the two voters to start anew by themselves, which they must not do.
+    async fn restart_decisions(&mut self, newest: u64, report: &mut CaseReport) -> Result<Instant> {
+        // Two voters without stores must not start anew by themselves; this time would be enough for it.
         sleep_ms(6000).await;
         let begun =
             self.observed.borrow().decisions.last_key_value().is_some_and(|(n, _)| n >> 32 > newest >> 32);
--- a/crates/pipitcrank-testkit/src/trial/returns/recovery.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/recovery.rs
@@ -52,7 +52,7 @@
         let outage = Outage::draw(case, seed);
         let started = self.run_outage(outage, &copies, newest, &mut report).await?;
         self.measure_recovery(started, baseline, logs, &mut report).await;
-        // A decision survives the processes if a majority of the voters have it in their stores.
+        // A decision has to survive the restart if a majority of the voters have it in their stores.
         let kept = self.stores_enabled && case != Case::LostVoterStores;
         let drained = case != Case::Failover;
         if kept && !self.all(|_, d| d.number >= newest && (!drained || RestartCluster::is_drained(d))) {
--- a/crates/pipitcrank-testkit/src/trial/upgrade/load.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/load.rs
@@ -10,7 +10,7 @@
 /// Usual work of a replica: 8 ms per part, with up to 16 parts at a time.
 pub(super) const USUAL: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
 /// Fraction of queries that are slow sales, which leaves one or two in flight at any time, also through most of a
-/// handover. With many more, the core classifies their replicas as slow.
+/// handover. With many more, the core counts their replicas as lagging.
 pub(super) const SLOW_SALES: f64 = 0.03;
 /// Time under load before the first upgrade, in seconds.
 pub(super) const BASELINE_S: f64 = 5.0;
--- a/crates/pipitcrank-testkit/src/trial/upgrade/round.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/round.rs
@@ -40,7 +40,7 @@
     CrashesBeforeReady,
     /// The node configuration has a value of the wrong type.
     FaultyNodeConfig,
-    /// The new program writes random bytes to the handover socket.
+    /// The new program writes random bytes to the socket of the supervisor.
     BadOutput,
     /// A second upgrade is requested during the first.
     RequestedTwice,
--- a/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/run.rs
@@ -40,9 +40,9 @@
         if round == Round::OldKilled {
             self.clients.open_idle(&format!("rest{n}"), IDLE_PER_KILL).await;
         }
-        self.run_round(round).await.with_context(|| {
-            format!("round {} ({round}) failed; end of the log: {}", n + 1, self.log_tail())
-        })?;
+        self.run_round(round)
+            .await
+            .with_context(|| format!("round {}, {round}; log tail: {}", n + 1, self.log_tail()))?;
         self.expected = self.expected + round.expected();
         for request in partial {
             let ended = request.await?;
--- a/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
@@ -1,5 +1,6 @@
 //! The cluster of the zones trial: members in three zones of one region and in a second region, one member without
-//! failover as in the previous version, replicas in each zone, and a network between members that injects faults.
+//! failover that stands for the previous version, replicas in each zone, and a network between members that injects
+//! faults.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -288,13 +289,13 @@
     pub(super) fn kill(&mut self, member: usize) {
         self.members[member].up.set(false);
         self.members[member].process.kill();
-        self.observed.borrow_mut().forget(member);
+        self.observed.borrow_mut().discard(member);
     }
 
     pub(super) async fn restart(&mut self, member: usize) -> Result<()> {
         let file = self.members[member].operators_file.clone();
         self.members[member].process.restart(file).await?;
-        self.observed.borrow_mut().forget(member);
+        self.observed.borrow_mut().discard(member);
         self.members[member].up.set(true);
         Ok(())
     }
@@ -333,7 +334,7 @@
         self.fleet.set_unreachable(zone, REPLICAS_PER_ZONE, false);
     }
 
-    /// Waits until all live members report that all zones serve with full routing.
+    /// Waits until all live members report that every zone serves with all of its routing.
     pub(super) async fn wait_for_recovery(&self, report: &mut FaultReport, limit_s: f64) {
         report.recovered = self.until(ZoneCluster::all_serving, limit_s).await;
         if report.recovered.is_none() {
@@ -371,12 +372,13 @@
         self.observed.borrow().newest_number()
     }
 
-    /// All reported decisions with a higher number.
+    /// All reported decisions whose number is higher than `number`.
     pub(super) fn decisions_since(&self, number: u64) -> Vec<Decision> {
         self.observed.borrow().decisions.range(number + 1..).map(|(_, d)| d.clone()).collect()
     }
 
-    /// Whether any decision with a higher number moved routing off the zone, or off any zone if `zone` is `None`.
+    /// Whether any decision after the one with the given number moved routing off the zone, or off any zone if `zone`
+    /// is `None`.
     pub(super) fn moved_since(&self, number: u64, zone: Option<usize>) -> bool {
         let moved = |zones: &[ZoneDecision]| match zone {
             Some(zone) => zones[zone].retained < ALL_RETAINED,
--- a/crates/pipitcrank-testkit/src/trial/zones/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/figures.rs
@@ -32,7 +32,7 @@
 
     /// Checks the requirements for one fault. Times and service are checked only if `check_targets` is set; the
     /// expectations of the fault itself are always checked.
-    pub(super) fn promises(&self, fault: Fault, check_targets: bool, outcome: &mut Outcome) {
+    pub(super) fn check_requirements(&self, fault: Fault, check_targets: bool, outcome: &mut Outcome) {
         let name = fault.name().to_lowercase();
         if check_targets && matches!(fault, Fault::Replicas | Fault::Zone) {
             outcome.promise(
--- a/crates/pipitcrank-testkit/src/trial/zones/member_faults.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/member_faults.rs
@@ -137,7 +137,7 @@
         let exit = self.members[terminated].process.wait_for_exit(TERM_LIMIT).await;
         exit.context("the member did not exit after SIGTERM")?;
         self.wait_for_upgrade(upgraded, upgrades_before + 1).await?;
-        self.observed.borrow_mut().forget(upgraded);
+        self.observed.borrow_mut().discard(upgraded);
         self.members[upgraded].up.set(true);
         self.restart(terminated).await?;
         if self.until(|cluster| cluster.is_out(zone), 10.0).await.is_none() {
--- a/crates/pipitcrank-testkit/src/trial/zones/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/mod.rs
@@ -1,7 +1,7 @@
 //! Zones trial. Nine members, three of them voters, run in three zones of one region, and three more members run in a
-//! second region reached through the gateway. One further member does not take part in failover, as the previous
-//! version of the program. The seed selects the faults between members and between members and replicas. An observer
-//! polls the status of each member ten times a second, and the trial checks it against the requirements.
+//! second region reached through the gateway. One further member does not take part in failover; it stands for the
+//! previous version of the program. The seed selects the faults between members and between members and replicas. An
+//! observer polls the status of each member ten times a second, and the trial checks it against the requirements.
 
 mod cluster;
 mod fault;
--- a/crates/pipitcrank-testkit/src/trial/zones/replica_faults.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/replica_faults.rs
@@ -11,7 +11,7 @@
 use crate::datagram_network::DatagramFaults;
 use crate::replica::ReplicaBehavior;
 
-/// Time for which a flapping zone stays unreachable, and then reachable.
+/// Half period of a flapping zone, which is unreachable for this time and then reachable for the same time.
 const FLAP_HALF_PERIOD: Duration = Duration::from_millis(1500);
 const FLAPS: usize = 4;
 /// Factor by which the replicas of a slow zone take longer.
--- a/crates/pipitcrank-testkit/src/trial/zones/run.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/run.rs
@@ -114,7 +114,7 @@
         Ok(report)
     }
 
-    /// Members at which the fault may not cause lost queries, because it does not kill, stop, restart or isolate them.
+    /// Members at which the fault must not cause lost queries, because it does not kill, stop, restart or isolate them.
     fn unaffected_members(&self, fault: Fault) -> Vec<usize> {
         let Targets { zone, other, .. } = Targets::draw(self.seed, fault);
         let unaffected = |n: &usize| match fault {
@@ -184,7 +184,7 @@
         if fault == Fault::Calm {
             super::figures::calm_figures(before, cluster.part_locality().await, &mut outcome);
         }
-        report.promises(fault, check_targets, &mut outcome);
+        report.check_requirements(fault, check_targets, &mut outcome);
         totals.add(&cluster, &report, logs, &cluster.unaffected_members(fault));
     }
     totals.figures(&cluster, &mut outcome);
