--- a/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/mod.rs
@@ -49,7 +49,7 @@
         report.query_log.count(QueryOutcome::Lost) + report.query_log.parts_run_again("sale-")
     };
     outcome.expect_zero("lost or run twice in the two others", lost(&shortest) + lost(&alone));
-    outcome.promise(
+    outcome.expect_that(
         both.query_log.service() > alone.query_log.service(),
         "the gateway served more than no far site",
     );
--- a/crates/pipitcrank-testkit/src/trial/gateway/table.rs
+++ b/crates/pipitcrank-testkit/src/trial/gateway/table.rs
@@ -59,7 +59,7 @@
     while Instant::now() < until {
         tokio::time::sleep(interval.min(until - Instant::now())).await;
         if interval < LOAD_DURATION {
-            cluster.links.iter().for_each(Link::break_now);
+            cluster.links.iter().for_each(Link::close_connections);
         }
     }
     load.stop().await?;
--- a/crates/pipitcrank-testkit/src/trial/mod.rs
+++ b/crates/pipitcrank-testkit/src/trial/mod.rs
@@ -49,9 +49,9 @@
         "gateway-table" => on_one_thread(limit * 3, gateway::run_table(program, seed))?,
         "zones" => on_one_thread(limit * 2, zones::run_trial(program, seed, only, !json))?,
         "return" => on_one_thread(limit * 3, returns::run_trial(program, seed, only, !json))?,
-        "soak" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::FULL, only, !json))?,
-        "soak-hard" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::HARD, only, !json))?,
-        "soak-short" => on_one_thread(limit * 2, soak::play(program, seed, soak::Size::SHORT, only, !json))?,
+        "soak" => on_one_thread(limit * 2, soak::run(program, seed, soak::Size::FULL, only, !json))?,
+        "soak-hard" => on_one_thread(limit * 2, soak::run(program, seed, soak::Size::HARD, only, !json))?,
+        "soak-short" => on_one_thread(limit * 2, soak::run(program, seed, soak::Size::SHORT, only, !json))?,
         _ => bail!("unknown trial '{name}'; expected one of: {NAMES}"),
     };
     outcome.print(json)?;
--- a/crates/pipitcrank-testkit/src/trial/returns/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/returns/figures.rs
@@ -47,18 +47,18 @@
         outcome.figure(&format!("{name}: most parts at a leaf in a second"), after.parts as f64);
         outcome.figure(&format!("{name}: most connections at a leaf in a second"), after.connections as f64);
         let targets_apply = check_targets && case.keeps_stores() && case != Case::Failover;
-        outcome.promise(
+        outcome.expect_that(
             !targets_apply || self.full.is_some_and(|s| s <= BACK_WITHIN_S),
             &format!(
                 "full service within {BACK_WITHIN_S} s where something was kept ({name}: {:?})",
                 self.full
             ),
         );
-        outcome.promise(
+        outcome.expect_that(
             !check_targets || after.parts as f64 <= MOST_PARTS,
             &format!("at most {MOST_PARTS} parts a second come to a leaf ({name}: {})", after.parts),
         );
-        self.failures.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
+        self.failures.iter().for_each(|what| outcome.expect_that(false, &format!("{name}: {what}")));
     }
 }
 
@@ -109,7 +109,7 @@
         outcome.expect_zero("two decisions under one number", self.conflicting_decisions);
         outcome.expect_zero("acted on an older decision", self.regressions);
         outcome.figure("further runs over the budget", self.over_budget);
-        outcome.promise(self.over_budget <= 0.0, "further calls stay within the budgets");
+        outcome.expect_that(self.over_budget <= 0.0, "further calls stay within the budgets");
     }
 }
 
@@ -119,5 +119,5 @@
     // The store's library panics on some truncated files; the program catches these panics.
     let panicked = logs.lines().find(|line| line.contains("panicked") && !line.contains("'store'"));
     let name = case.name().to_lowercase();
-    outcome.promise(panicked.is_none(), &format!("{name}: nothing panics: {panicked:?}"));
+    outcome.expect_that(panicked.is_none(), &format!("{name}: nothing panics: {panicked:?}"));
 }
--- a/crates/pipitcrank-testkit/src/trial/upgrade/load.rs
+++ b/crates/pipitcrank-testkit/src/trial/upgrade/load.rs
@@ -8,7 +8,7 @@
 /// Load in queries per second, low enough for a debug build.
 pub(super) const RATE: f64 = 150.0;
 /// Usual work of a replica: 8 ms per part, with up to 16 parts at a time.
-pub(super) const USUAL: Work = Work { usual: Duration::from_millis(8), at_once: 16 };
+pub(super) const USUAL: Work = Work { mean_time: Duration::from_millis(8), concurrency: 16 };
 /// Fraction of queries that are slow sales, which leaves one or two in flight at any time, also through most of a
 /// handover. With many more, the core counts their replicas as lagging.
 pub(super) const SLOW_SALES: f64 = 0.03;
@@ -36,7 +36,7 @@
     pub(super) const USUAL: LoadProfile = LoadProfile { work: USUAL, rate: RATE, idle_clients: 200 };
     /// Load of twice the capacity of the twelve replicas, which serve 600 parts or about 110 queries per second.
     pub(super) const OVERLOAD: LoadProfile = LoadProfile {
-        work: Work { usual: Duration::from_millis(40), at_once: 2 },
+        work: Work { mean_time: Duration::from_millis(40), concurrency: 2 },
         rate: 220.0,
         idle_clients: 0,
     };
--- a/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/cluster.rs
@@ -41,7 +41,7 @@
 pub(super) const ALL_RETAINED: u16 = 1000;
 /// Work of a replica, which serves 200 parts per second. The load on a zone is about a third of its configured
 /// capacity, so one zone alone can carry nearly the load of all three.
-const WORK: Work = Work { usual: Duration::from_millis(10), at_once: 2 };
+const WORK: Work = Work { mean_time: Duration::from_millis(10), concurrency: 2 };
 /// Slow-start limits set in the node configuration.
 pub(super) const SLOW_START: SlowStartLimit =
     SlowStartLimit { overload_factor: 1.2, initial_fraction: 0.15, window: Duration::from_millis(1500) };
--- a/crates/pipitcrank-testkit/src/trial/zones/figures.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/figures.rs
@@ -35,16 +35,16 @@
     pub(super) fn check_requirements(&self, fault: Fault, check_targets: bool, outcome: &mut Outcome) {
         let name = fault.name().to_lowercase();
         if check_targets && matches!(fault, Fault::Replicas | Fault::Zone) {
-            outcome.promise(
+            outcome.expect_that(
                 self.moved.is_some_and(|s| s <= MOVED_WITHIN_S),
                 &format!("moved within {MOVED_WITHIN_S} s of a zone's loss ({name}: {:?})", self.moved),
             );
-            outcome.promise(
+            outcome.expect_that(
                 self.service >= MIN_SERVICE,
                 &format!("service at least 97 % where the rest can carry it ({name}: {:.3})", self.service),
             );
         }
-        self.failures.iter().for_each(|what| outcome.promise(false, &format!("{name}: {what}")));
+        self.failures.iter().for_each(|what| outcome.expect_that(false, &format!("{name}: {what}")));
     }
 }
 
@@ -53,7 +53,7 @@
     let (same_zone, cross_zone) = (after.same_zone - before.same_zone, after.cross_zone - before.cross_zone);
     let fraction = cross_zone as f64 / (same_zone + cross_zone).max(1) as f64;
     outcome.figure("parts that cross zones on calm, %", fraction * 100.0);
-    outcome.promise(fraction < MAX_CROSS_ZONE, "under 5 % of parts cross zones on calm");
+    outcome.expect_that(fraction < MAX_CROSS_ZONE, "under 5 % of parts cross zones on calm");
 }
 
 /// Totals over all faults of a run.
@@ -107,7 +107,7 @@
         let over = cluster.fleet.parts_over_slow_start(SLOW_START);
         outcome.expect_zero("parts over what a cold leaf may get", over);
         outcome.figure("further runs over the budget", self.over_budget);
-        outcome.promise(self.over_budget <= 0.0, "further calls stay within the budgets");
+        outcome.expect_that(self.over_budget <= 0.0, "further calls stay within the budgets");
         for (name, mut values) in [("moved, s", self.moved), ("back home, s", self.recovered)] {
             values.sort_by(f64::total_cmp);
             if let (Some(middle), Some(longest)) = (values.get(values.len() / 2), values.last()) {
@@ -121,7 +121,7 @@
         outcome.figure("datagrams dropped on purpose", datagrams.dropped as f64);
         let logs: String = cluster.members.iter().map(|member| member.process.log()).collect();
         let panicked = logs.lines().find(|line| line.contains("panicked"));
-        outcome.promise(panicked.is_none(), &format!("nothing panics: {panicked:?}"));
+        outcome.expect_that(panicked.is_none(), &format!("nothing panics: {panicked:?}"));
     }
 }
 
