--- a/crates/pipitcrank-cli/tests/cluster_restart.rs
+++ b/crates/pipitcrank-cli/tests/cluster_restart.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use pipitcrank_testkit::trial::on_one_thread;
-use pipitcrank_testkit::trial::returns::{Case, through};
+use pipitcrank_testkit::trial::returns::{Case, run_cases};
 
 /// Runs one test at a time, so that no more than twelve processes run at once.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
@@ -15,7 +15,7 @@
 fn check_restart(seed: u64, cases: &[Case]) {
     let _guard = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let program = Path::new(env!("CARGO_BIN_EXE_pipitcrank"));
-    let run = through(program, seed, cases, false, false);
+    let run = run_cases(program, seed, cases, false, false);
     let outcome = on_one_thread(Duration::from_secs(240), run).unwrap();
     assert!(outcome.broken.is_empty(), "{:?} {:?}", outcome.broken, outcome.figures);
 }
@@ -27,7 +27,7 @@
 
 #[test]
 fn half_restart_with_stores_older_than_the_last_decision() {
-    check_restart(402, &[Case::Old]);
+    check_restart(402, &[Case::StaleStores]);
 }
 
 #[test]
--- a/crates/pipitcrank-cli/tests/upgrade.rs
+++ b/crates/pipitcrank-cli/tests/upgrade.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipitcrank_testkit::trial::upgrade::{Round, overloaded, rounds_of};
+use pipitcrank_testkit::trial::upgrade::{Round, run_overloaded, run_usual_rounds};
 use pipitcrank_testkit::trial::{Outcome, on_one_thread};
 
 const LIMIT: Duration = Duration::from_secs(120);
@@ -22,7 +22,9 @@
 
 /// Runs a round with a fault and then an upgrade without one, which must succeed.
 fn check_round(seed: u64, round: Round) {
-    assert_rules_hold(on_one_thread(LIMIT, rounds_of(program(), seed, &[round, Round::Plain])).unwrap());
+    assert_rules_hold(
+        on_one_thread(LIMIT, run_usual_rounds(program(), seed, &[round, Round::Plain])).unwrap(),
+    );
 }
 
 #[test]
@@ -46,7 +48,7 @@
     assert_rules_hold(
         on_one_thread(
             LIMIT,
-            rounds_of(program(), 105, &[Round::NoProgram, Round::NotExecutable, Round::Plain]),
+            run_usual_rounds(program(), 105, &[Round::NoProgram, Round::NotExecutable, Round::Plain]),
         )
         .unwrap(),
     );
@@ -60,7 +62,7 @@
 
 #[test]
 fn the_new_process_sends_invalid_messages() {
-    check_round(108, Round::Noise);
+    check_round(108, Round::BadOutput);
 }
 
 #[test]
@@ -70,7 +72,7 @@
 
 #[test]
 fn a_second_request_or_a_reload_during_an_upgrade() {
-    check_round(110, Round::AskedTwice);
+    check_round(110, Round::RequestedTwice);
     check_round(111, Round::Reloaded);
 }
 
@@ -81,5 +83,5 @@
 
 #[test]
 fn an_upgrade_at_twice_the_serving_capacity() {
-    assert_rules_hold(on_one_thread(LIMIT, overloaded(program(), 113, 2)).unwrap());
+    assert_rules_hold(on_one_thread(LIMIT, run_overloaded(program(), 113, 2)).unwrap());
 }
--- a/crates/pipitcrank-cli/tests/zones.rs
+++ b/crates/pipitcrank-cli/tests/zones.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use pipitcrank_testkit::trial::on_one_thread;
-use pipitcrank_testkit::trial::zones::{Fault, through};
+use pipitcrank_testkit::trial::zones::{Fault, run_faults};
 
 /// Runs one test at a time, so that no more than ten processes run at once.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
@@ -16,19 +16,19 @@
 fn check_faults(seed: u64, faults: &[Fault]) {
     let _guard = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let program = Path::new(env!("CARGO_BIN_EXE_pipitcrank"));
-    let run = through(program, seed, faults, false, false);
+    let run = run_faults(program, seed, faults, false, false);
     let outcome = on_one_thread(Duration::from_secs(240), run).unwrap();
     assert!(outcome.broken.is_empty(), "{:?} {:?}", outcome.broken, outcome.figures);
 }
 
 #[test]
 fn a_lost_zone_foreign_datagrams_and_isolated_nodes() {
-    check_faults(301, &[Fault::Replicas, Fault::Strangers, Fault::Parted]);
+    check_faults(301, &[Fault::Replicas, Fault::InvalidDatagrams, Fault::Partitioned]);
 }
 
 #[test]
 fn a_stopped_leader_and_an_operator_order_during_a_failover() {
-    check_faults(302, &[Fault::Leader, Fault::Drain]);
+    check_faults(302, &[Fault::LeaderStopped, Fault::Drain]);
 }
 
 /// Runs `pipitcrank check` on an operators' file, with a node configuration if one is given. Returns the exit code
