--- a/crates/pipitcrank-cli/src/main.rs
+++ b/crates/pipitcrank-cli/src/main.rs
@@ -92,7 +92,7 @@
     })
 }
 
-/// Reads the operators' file, starts logging as it says, and runs `process`. Errors are logged.
+/// Reads the operators' file, starts logging with its settings, and runs `process`. Errors are logged.
 fn run_logged(
     path: Option<PathBuf>,
     process: impl FnOnce(Option<PathBuf>, OperatorsConfig) -> Result<i32>,
--- a/crates/pipitcrank-cli/tests/client_disconnects.rs
+++ b/crates/pipitcrank-cli/tests/client_disconnects.rs
@@ -35,7 +35,7 @@
 const ALL_DISCONNECTS: [Disconnect; 4] =
     [Disconnect::Close, Disconnect::Reset, Disconnect::CloseAfterExtraBytes, Disconnect::ClosePipelined];
 
-/// Connects and sends what a client with this kind of disconnect sends.
+/// Connects and sends a query, followed by the further bytes or requests of this kind of disconnect.
 async fn send_query(process: &Process, id: &str, disconnect_kind: Disconnect) -> Result<TcpStream> {
     let mut stream = connect(process.address).await?;
     let mut bytes = one_part_query(id).request().into_bytes();
--- a/crates/pipitcrank-cli/tests/stand_ins/discovery.rs
+++ b/crates/pipitcrank-cli/tests/stand_ins/discovery.rs
@@ -132,7 +132,7 @@
         self.state.current_watches.borrow().lines.borrow().iter().for_each(|l| drop(l.send(line.clone())));
     }
 
-    /// Stops sending on the open watches, which stay open.
+    /// Silences the open watches: they stay open, and nothing more is sent on them.
     pub fn silence_watches(&self) {
         let lines = std::mem::take(&mut *self.state.current_watches.borrow().lines.borrow_mut());
         // The senders are not just dropped, since that would end the watches.
--- a/crates/pipitcrank-cli/tests/threaded_stand_ins/mod.rs
+++ b/crates/pipitcrank-cli/tests/threaded_stand_ins/mod.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// Handles a call at a stand-in replica. Arguments: the connection, the parts (id, shard), and the test's releases.
+/// Handles a call at a stand-in replica. Arguments: the connection, the parts (id, shard), and a receiver for the
+/// test's signal to answer.
 pub type PartHandler = fn(&mut TcpStream, &[(String, u32)], &Receiver<()>);
 
 pub fn send(to: &mut TcpStream, rest: &str) {
--- a/crates/pipitcrank-config/src/zones.rs
+++ b/crates/pipitcrank-config/src/zones.rs
@@ -49,7 +49,7 @@
     pub decision_lease: Duration,
     /// Parts per second that a replica can answer after slow start; 0 if unknown.
     pub replica_capacity: f64,
-    /// Whether decisions are only made and logged, while queries are routed as without zones.
+    /// Whether decisions are made and logged without being applied to the routing of queries.
     pub dry_run: bool,
 }
 
