--- a/crates/pipitcrank-core/src/coordinator.rs
+++ b/crates/pipitcrank-core/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! Decides which replica answers which part of a query, when attempts are made, how many there are, and how
-//! the query ends.
+//! Decision logic of a co-ordinator: selects a replica for each part of a query, times and limits the
+//! attempts, and ends the query.
 //!
 //! A caller creates one `Coordinator` from its configuration and adds the request classes in order with
 //! `add_request_class`. It passes in events as they occur: `begin_endpoint_list`, `list_replica` and
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Places all waiting parts. Must be called once after the events of one point in time.
+    /// Assigns all waiting parts to replicas and sends them. Must be called once after the events of one
+    /// point in time.
     pub fn dispatch(&mut self, output: &mut dyn CoordinatorOutput, now: Timestamp) {
         self.state.dispatch(output, now);
     }
@@ -106,7 +107,8 @@
         self.state.begin_endpoint_list(is_complete);
     }
 
-    /// Adds or updates one replica: its cell, whether it accepts attempts, and its start time if known.
+    /// Adds one replica to the endpoint list or updates its entry: its cell, whether it accepts attempts,
+    /// and its start time if known.
     pub fn list_replica(&mut self, id: ReplicaId, cell: u32, is_up: bool, started: Option<Timestamp>) {
         self.state.list_replica(id, cell, is_up, started);
     }
@@ -153,9 +155,9 @@
 
 /// Methods for attempts and load probes.
 impl Coordinator {
-    /// Returns whether the attempt may still be sent, just before its first byte is written. Must be called
-    /// once per attempt by callers that queue attempts before they send them; other callers send attempts as
-    /// soon as they are decided.
+    /// Checks once more whether the attempt may be sent, just before its first byte is written. Must be
+    /// called once per attempt by callers that queue attempts before they send them; other callers send
+    /// attempts as soon as they are decided.
     pub fn begin_attempt(&mut self, now: Timestamp, attempt: AttemptId) -> Result<(), AttemptDenied> {
         self.state.begin_attempt(now, attempt)
     }
@@ -171,7 +173,8 @@
         self.state.attempt_ended(output, now, attempt, outcome);
     }
 
-    /// Records the end of a load probe. Its report, if any, is passed to `load_report` first.
+    /// Records the end of a load probe. If the replica sent a report, `load_report` must be called with it
+    /// first.
     pub fn load_probe_ended(&mut self, now: Timestamp, replica: ReplicaId, outcome: AttemptOutcome) {
         self.state.load_probe_ended(now, replica, outcome);
     }
@@ -193,7 +196,7 @@
 
 /// Methods for zones.
 impl Coordinator {
-    /// Sets the zone of a replica, or `None` if it is unknown.
+    /// Sets the zone of a replica; `None` if the zone is unknown.
     pub fn set_replica_zone(&mut self, replica: ReplicaId, zone: Option<ZoneId>) {
         if let Some(state) = self.state.replicas.get_mut(&replica) {
             state.zone = zone;
@@ -205,7 +208,8 @@
         self.state.needs_dispatch |= self.state.zones.set_routing(routing);
     }
 
-    /// Returns the traffic counters since the start of the process.
+    /// Returns the counts of queries and parts, by request class and by zone, since the start of the
+    /// process.
     pub fn zone_traffic(&self) -> &ZoneTraffic {
         self.state.zones.traffic()
     }
@@ -230,19 +234,20 @@
 
 /// Methods for forwarding to other sites.
 impl Coordinator {
-    /// Marks the replica as standing for a cell of another site, reached with this round-trip time. `None`
-    /// means that nothing may be forwarded there.
+    /// Marks the replica as a stand-in for a cell of another site, with `delay` as the round-trip time to
+    /// that site. `None` stops forwards to it.
     pub fn set_remote_delay(&mut self, replica: ReplicaId, delay: Option<TimeSpan>) {
         self.state.set_remote_delay(replica, delay);
     }
 
-    /// Marks a query just started as forwarded by another site, which counts it in its own retry budget and
-    /// delegates this many retries with it.
+    /// Marks a new query as forwarded by another site. That site counts the query in its own retry budget
+    /// and has delegated `delegated_retries` of its retries to this one.
     pub fn mark_forwarded(&mut self, id: QueryId, delegated_retries: u32) {
         self.state.mark_forwarded(id, delegated_retries);
     }
 
-    /// Returns whether parts of the request class may be attempted again after an attempt that may have run.
+    /// Returns whether a part of the request class may be attempted again after an earlier attempt may have
+    /// run.
     pub fn may_retry(&self, class: RequestClassId) -> bool {
         self.state.may_retry(class)
     }
@@ -259,7 +264,7 @@
         self.state.delegate_retries(now, delegation_id, parts, expires_at)
     }
 
-    /// Records how many of the delegated retries the other site made. It will make no more.
+    /// Ends a delegation of retries to another site, which made `made` of the `delegated` retries.
     pub fn delegation_returned(
         &mut self,
         now: Timestamp,
@@ -279,8 +284,8 @@
         self.state.learned_state(now)
     }
 
-    /// Restores state that another process learned `age` ago. Replicas are identified by the indices of this
-    /// process.
+    /// Restores state that another process learned `age` ago. `learned` identifies replicas by the indices
+    /// that they have in this process.
     pub fn restore_learned_state(&mut self, now: Timestamp, age: TimeSpan, learned: LearnedState) {
         self.state.restore_learned_state(now, age, learned);
     }
@@ -311,9 +316,9 @@
         self.state.settle_with_predecessor(now, made);
     }
 
-    /// Resumes on its own after the other process has exited without a report of what it spent. Retries and
-    /// slow-start sends are blocked until everything that the other process may have sent has left their
-    /// windows.
+    /// Resumes after the other process of this co-ordinator has exited without reporting the retries that it
+    /// made. Retries and slow-start sends are blocked until everything that the other process may have sent
+    /// has left their windows.
     pub fn resume_without_peer(&mut self, now: Timestamp) {
         self.state.resume_without_peer(now);
     }
--- a/crates/pipitcrank-core/src/coordinator/admission.rs
+++ b/crates/pipitcrank-core/src/coordinator/admission.rs
@@ -9,13 +9,13 @@
 /// A query that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct NewQuery {
-    /// Index of the query, unused until now.
+    /// Index of the query, not used by any other open query.
     pub id: QueryId,
     /// Request class of the query.
     pub class: RequestClassId,
     /// Time until the client's deadline.
     pub time_left: TimeSpan,
-    /// Hint of the total work of its parts, in the unit of the hints.
+    /// Client's hint of the total work of the parts, in a unit common to all hints.
     pub work_hint: Option<f64>,
     /// Number of parts of the query.
     pub part_count: f64,
@@ -24,7 +24,7 @@
 /// A part of a query that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct NewPart {
-    /// Index of the part, unused until now.
+    /// Index of the part, not used by any other part.
     pub id: PartId,
     /// Query that the part belongs to.
     pub query: QueryId,
@@ -32,7 +32,7 @@
     pub shard: u32,
     /// Weight of the part as a fraction of the whole answer.
     pub weight: f64,
-    /// Hint of the work of the part, in the unit of the hints.
+    /// Client's hint of the work of the part, in a unit common to all hints.
     pub work_hint: Option<f64>,
 }
 
@@ -43,7 +43,7 @@
 const MAX_RELATIVE_HINT: f64 = 5.0;
 
 impl State {
-    /// Admits the query, or sheds it immediately.
+    /// Admits the query, or sheds it at once if the zones in use cannot carry the whole load.
     pub(super) fn start_query(
         &mut self,
         output: &mut dyn CoordinatorOutput,
@@ -97,7 +97,7 @@
         }
         open.parts.push(part.id);
         let class = open.class;
-        // Hints are accurate between the parts of one query and inaccurate between queries.
+        // Hints predict the relative work of the parts of one query; across queries they are inaccurate.
         let typical_work = self.classes[usize::from(class.0)].typical_work();
         let relative_hint = part
             .work_hint
--- a/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempt_rules.rs
@@ -6,7 +6,7 @@
 use crate::time::Timestamp;
 
 impl State {
-    /// Applies rules 1, 6, 7 and 11 to one more attempt.
+    /// Returns whether rules 1, 6, 7 and 11 allow one more attempt of the part.
     pub(super) fn may_attempt(&mut self, now: Timestamp, id: PartId) -> bool {
         if !self.could_attempt(now, id) {
             return false;
@@ -19,7 +19,8 @@
         delegated.map_or_else(|| self.retry_budget.remaining(now), f64::from) >= 1.0
     }
 
-    /// Applies rules 1, 6 and 7 only. The retry budget is left out because it refills.
+    /// Returns whether rules 1, 6 and 7 allow one more attempt of the part, now or once the retry budget
+    /// (rule 11) has refilled.
     pub(super) fn could_attempt(&self, now: Timestamp, id: PartId) -> bool {
         let part = &self.parts[&id];
         let Some(open) = self.queries.get(&part.query) else { return false };
@@ -30,8 +31,8 @@
             && (part.outstanding_count() == 0 || self.retry_policy.may_hedge)
     }
 
-    /// Applies rule 6 to the attempt that follows `earlier` others. The time at which a repeat reaches the
-    /// replica counts, and by then the replica must still recognise the idempotency key.
+    /// Returns whether rule 6 allows the attempt that follows `earlier` others. A repeat of a request that
+    /// is idempotent by key must reach the replica while the replica still recognises the key.
     fn may_repeat(&self, now: Timestamp, id: PartId, earlier: usize) -> bool {
         let part = &self.parts[&id];
         let may_have_run = part.attempts.iter().take(earlier).find(|a| !a.never_ran);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Applies rules 6 and 11 at the time the attempt is sent.
+    /// Checks rules 6 and 11 once more when the attempt is sent.
     pub(super) fn begin_attempt(&mut self, now: Timestamp, attempt: AttemptId) -> Result<(), AttemptDenied> {
         let index = attempt.number as usize;
         if !self.may_repeat(now, attempt.part, index) {
@@ -60,7 +61,7 @@
             return Err(AttemptDenied::RetryBudgetSpent);
         }
         let part = self.parts.get_mut(&attempt.part).expect("a part outlives its attempts");
-        // The caller may requeue the attempt and begin it again.
+        // The caller may requeue the attempt and begin it again, so the time of its last charge is stored.
         part.attempts[index].counted_at = now;
         Ok(())
     }
--- a/crates/pipitcrank-core/src/coordinator/attempts.rs
+++ b/crates/pipitcrank-core/src/coordinator/attempts.rs
@@ -22,8 +22,8 @@
 const MIN_SERVICE_S: f64 = 1e-6;
 const MIN_WORK: f64 = 1e-3;
 const MAX_TIME_PER_WORK: f64 = 20.0;
-/// Ratio of the work ahead to an attempt's own work up to which no other work was ahead of it. Slightly above
-/// 1 to allow for rounding.
+/// Largest ratio of this co-ordinator's outstanding work at a replica to an attempt's own work at which the
+/// attempt counts as the only one. Slightly above 1 to allow for rounding.
 const OWN_WORK_TOLERANCE: f64 = 1.01;
 /// Minimum fraction of the service time that is attributed to the part rather than to the call.
 const MIN_WORK_FRACTION: f64 = 0.1;
@@ -68,7 +68,7 @@
         self.attempts.insert(attempt, AttemptContext { replica });
     }
 
-    /// Counts the attempt at its replica and its zone.
+    /// Adds the attempt to the load of its replica and to the traffic of the replica's zone.
     fn record_send(&mut self, now: Timestamp, replica: ReplicaId, attempt: AttemptId, work: f64) {
         let state = self.replicas.get_mut(&replica).expect("a candidate replica is tracked");
         state.load.add(NewAttempt { id: attempt, now, work, pass: self.pass }, self.call_limits);
@@ -116,7 +116,7 @@
             AttemptOutcome::Success => self.update_estimates(Answer { now, replica, class, attempt }),
             AttemptOutcome::Fault => state.health.record_fault(now),
             // A disconnect has little weight, because some replicas close connections often, and a replica
-            // that has exited soon becomes unreachable.
+            // that has exited is soon detected as unreachable.
             AttemptOutcome::Disconnected => state.health.record_disconnect(now),
             AttemptOutcome::Unreachable => state.health.record_unreachable(now),
             AttemptOutcome::NoCapacity => {
--- a/crates/pipitcrank-core/src/coordinator/forwarding.rs
+++ b/crates/pipitcrank-core/src/coordinator/forwarding.rs
@@ -1,6 +1,6 @@
-//! Forwarding between sites: replicas that stand for a cell of another site, queries forwarded by another
-//! site, and retries delegated with the parts forwarded to one. Remote replicas are selected together with
-//! the other candidates (`candidates.rs`).
+//! Forwarding between sites: replicas that are stand-ins for the cells of another site, queries forwarded by
+//! another site, and retries delegated with the parts that are forwarded to another site. Remote replicas
+//! are selected together with the other candidates (`candidates.rs`).
 
 use super::replica_state::Site;
 use super::state::State;
@@ -8,8 +8,8 @@
 use crate::time::{TimeSpan, Timestamp};
 
 impl State {
-    /// Marks a query just started as counted by the site that forwarded it. It does not add to the local
-    /// retry budget, and uses the delegated retries instead.
+    /// Marks a new query as forwarded by another site. The query does not add to the local retry budget; its
+    /// retries are taken from those that the other site has delegated.
     pub(super) fn mark_forwarded(&mut self, id: QueryId, delegated_retries: u32) {
         self.retry_budget.undo_admission();
         if let Some(open) = self.queries.get_mut(&id) {
@@ -22,8 +22,8 @@
     }
 
     /// Records that the parts are forwarded, and returns how many retries the other site may make for them
-    /// until `expires_at`. They count as made, for the budget and for each part, until `delegation_returned`
-    /// is called.
+    /// until `expires_at`. These retries count as made, in the budget and for each part, until
+    /// `delegation_returned` is called.
     pub(super) fn delegate_retries(
         &mut self,
         now: Timestamp,
@@ -44,7 +44,7 @@
         count
     }
 
-    /// Records that `made` of the retries delegated with the parts were made.
+    /// Ends a delegation of retries to another site, which made `made` of the `delegated` retries.
     pub(super) fn delegation_returned(
         &mut self,
         now: Timestamp,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Marks the replica as standing for a cell of another site, reached with this delay. `None` means that
-    /// nothing may be forwarded there.
+    /// Marks the replica as a stand-in for a cell of another site, with `delay` as the round-trip time to
+    /// that site. `None` stops forwards to it.
     pub(super) fn set_remote_delay(&mut self, replica: ReplicaId, delay: Option<TimeSpan>) {
         let site = if delay.is_some() { Site::Remote } else { Site::RemoteClosed };
         let network_delay = delay.unwrap_or(TimeSpan::ZERO);
--- a/crates/pipitcrank-core/src/coordinator/open_query.rs
+++ b/crates/pipitcrank-core/src/coordinator/open_query.rs
@@ -30,7 +30,7 @@
     pub(super) is_waiting: bool,
     /// Whether the part is answered or its query has ended.
     pub(super) is_done: bool,
-    /// Attempts that another site has made or may make for this part.
+    /// Number of attempts that another site has made or may make for this part.
     pub(super) remote_attempts: u32,
 }
 
--- a/crates/pipitcrank-core/src/coordinator/query_review.rs
+++ b/crates/pipitcrank-core/src/coordinator/query_review.rs
@@ -61,7 +61,7 @@
         open: &OpenQuery,
         is_deadline_near: bool,
     ) -> Option<RejectReason> {
-        // After the latency objective, an answer of a class with no late weight earns nothing, while the
+        // In a class without a late weight, an answer after the latency objective earns nothing, while the
         // query still costs work and keeps a client waiting.
         let is_worthless = self.class_of(open).late_weight <= 0.0 && now >= open.objective_at;
         if is_deadline_near {
--- a/crates/pipitcrank-core/src/coordinator/replica_state.rs
+++ b/crates/pipitcrank-core/src/coordinator/replica_state.rs
@@ -13,9 +13,9 @@
 pub(super) enum Site {
     #[default]
     Local,
-    /// The replica stands for a cell of another site.
+    /// The replica is a stand-in for a cell of another site.
     Remote,
-    /// The replica stands for a cell of another site to which nothing may be forwarded.
+    /// The replica is a stand-in for a cell of another site to which nothing may be forwarded.
     RemoteClosed,
 }
 
--- a/crates/pipitcrank-core/src/coordinator/retry_budget.rs
+++ b/crates/pipitcrank-core/src/coordinator/retry_budget.rs
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Re-charges a retry that was counted at `counted_at` and is sent now. Returns false if it may no longer
-    /// be sent. Attempts may wait for a connection, and would otherwise be sent in addition to the retries of
-    /// the next window.
+    /// Moves the charge of a retry from `counted_at` to `now`, when the retry is sent. Returns false if the
+    /// retry may no longer be sent. Without this check, retries that waited for a connection would be sent
+    /// in addition to the retries of the next window.
     pub fn try_begin_retry(&mut self, counted_at: Timestamp, now: Timestamp) -> bool {
         if self.is_unlimited() {
             return true;
@@ -113,7 +113,7 @@
         self.admissions.push_back(now);
     }
 
-    /// Removes the newest admission, because it is counted elsewhere.
+    /// Removes the newest admission, because the site that forwarded the query counts it.
     pub(super) fn undo_admission(&mut self) {
         self.admissions.pop_back();
     }
@@ -130,7 +130,7 @@
         if self.is_unlimited() {
             return max_count;
         }
-        // An allotment covers only the parts of this process.
+        // An allotment covers only the parts of this process, so none of it is delegated.
         if self.allotment.is_some() {
             return 0;
         }
--- a/crates/pipitcrank-core/src/coordinator/slow_start.rs
+++ b/crates/pipitcrank-core/src/coordinator/slow_start.rs
@@ -37,7 +37,7 @@
     },
 }
 
-/// The slow-start budget.
+/// Slow-start budget of this co-ordinator.
 pub(super) struct SlowStart {
     pub(super) config: SlowStartConfig,
     /// Nothing is sent to replicas in slow start before this time, because another process holds the budget
@@ -78,7 +78,7 @@
         started.is_some_and(|t| now - t < self.config.warm_up)
     }
 
-    /// Records the start time of a listed replica.
+    /// Records that a listed replica may be in slow start until the end of its warm-up.
     pub(super) fn record_start(&mut self, started: Option<Timestamp>) {
         if let Some(started) = started {
             self.warming_until = self.warming_until.max(started + self.config.warm_up);
--- a/crates/pipitcrank-core/src/coordinator/state.rs
+++ b/crates/pipitcrank-core/src/coordinator/state.rs
@@ -66,7 +66,6 @@
     pub(super) queries: BTreeMap<QueryId, OpenQuery>,
     /// Parts of open queries and parts with outstanding attempts. Other entries are removed.
     pub(super) parts: BTreeMap<PartId, PartState>,
-    /// Outstanding attempts.
     pub(super) attempts: BTreeMap<AttemptId, AttemptContext>,
     /// Pending timers by label.
     pub(super) timers: BTreeMap<u64, Timer>,
--- a/crates/pipitcrank-core/src/coordinator/zone_observation.rs
+++ b/crates/pipitcrank-core/src/coordinator/zone_observation.rs
@@ -21,7 +21,7 @@
 /// Age from which an outstanding attempt makes a replica suspected, if the replica has sent no response since
 /// the attempt was sent.
 const SUSPECTED_AFTER: TimeSpan = TimeSpan::from_millis(200);
-/// Lag from which a replica is overloaded, in seconds.
+/// Lag from which a replica is saturated, in seconds.
 const OVERLOADED_LAG_S: f64 = NO_CAPACITY_LAG_S / 2.0;
 
 impl State {
--- a/crates/pipitcrank-core/src/coordinator/zones.rs
+++ b/crates/pipitcrank-core/src/coordinator/zones.rs
@@ -57,7 +57,7 @@
 pub struct ZoneObservation {
     /// All listed replicas.
     pub listed: u32,
-    /// Replicas that responded recently and are not unresponsive, failing or overloaded.
+    /// Replicas that responded recently and are not unresponsive, failing or saturated.
     pub responsive: u32,
     /// Replicas that did not respond to attempts or probes.
     pub unresponsive: u32,
@@ -65,7 +65,7 @@
     pub failing: u32,
     /// Replicas with a lag similar to that of a replica that rejects attempts for lack of capacity.
     pub saturated: u32,
-    /// Replicas in slow start.
+    /// Replicas that are warming up, and are therefore in slow start.
     pub warming_up: u32,
     /// Replicas that responded within the last half second.
     pub recently_responded: u32,
