--- a/crates/pipitcrank-failover/src/controller.rs
+++ b/crates/pipitcrank-failover/src/controller.rs
@@ -55,8 +55,8 @@
 }
 
 impl FailoverController {
-    /// `replica_capacity` is the configured capacity of a warm replica in parts per second, 0 if none is
-    /// configured.
+    /// Creates a controller for `zone_count` zones. `replica_capacity` is the configured capacity of a warm
+    /// replica in parts per second, 0 if none is configured.
     pub fn new(
         timing: FailoverTiming,
         proximity: Proximity,
@@ -76,7 +76,7 @@
         self.tracker.restart(now);
     }
 
-    /// Returns the next decision, or none if nothing is to change.
+    /// Returns the next decision, or `None` if nothing is to change.
     pub fn next_decision(
         &mut self,
         now: Timestamp,
@@ -106,7 +106,8 @@
         Some(next)
     }
 
-    /// Applies the first step that is due to `next`; returns its zone and cause.
+    /// Changes `next` by the first step that is due. Returns the zone and the cause of the step, or `None`
+    /// if no step is due.
     fn next_step(
         &self,
         now: Timestamp,
--- a/crates/pipitcrank-failover/src/controller/capacity.rs
+++ b/crates/pipitcrank-failover/src/controller/capacity.rs
@@ -13,7 +13,7 @@
 const SIGNIFICANT_FRACTION: u16 = 50;
 /// A capacity change of more than the old capacity divided by this justifies a decision.
 const SIGNIFICANT_CAPACITY_DIVISOR: u32 = 4;
-/// Highest capacity or demand in a decision; the next value stands for unknown.
+/// Highest capacity or demand in a decision; the value above it means that the capacity is unknown.
 const MAX_PARTS_PER_SECOND: f64 = (UNKNOWN_CAPACITY - 1) as f64;
 
 /// Sets the capacity and demand of each zone from the evidence.
@@ -64,7 +64,7 @@
     known_differs || old.abs_diff(new) > old / SIGNIFICANT_CAPACITY_DIVISOR
 }
 
-/// Planned capacity, in parts per second, of all serving zones except `without`; none if any of them is
+/// Planned capacity, in parts per second, of all serving zones except `without`; `None` if any of them is
 /// unknown.
 pub(super) fn capacity_without(decision: &Decision, without: usize) -> Option<u64> {
     let others =
--- a/crates/pipitcrank-failover/src/controller/evidence_tracker.rs
+++ b/crates/pipitcrank-failover/src/controller/evidence_tracker.rs
@@ -44,7 +44,7 @@
 /// Observations of all zones and paths since this voter became leader.
 pub(super) struct EvidenceTracker {
     pub(super) zones: Vec<ZoneTracker>,
-    /// `[from][to]`.
+    /// State of the path between each two zones, as `[from][to]`.
     paths: Vec<Vec<PathTracker>>,
     updated_at: Timestamp,
     /// Configured capacity of a warm replica in parts per second; 0 if none is configured.
@@ -116,8 +116,8 @@
         };
     }
 
-    /// Returns the first zone whose cut paths have to change because a path has been cut, or intact, for long
-    /// enough.
+    /// Returns the first zone whose cut paths have to change because one of its paths has been cut, or has
+    /// been intact, for long enough.
     pub(super) fn path_change(
         &self,
         now: Timestamp,
--- a/crates/pipitcrank-failover/src/controller/steps.rs
+++ b/crates/pipitcrank-failover/src/controller/steps.rs
@@ -28,7 +28,7 @@
 }
 
 impl ZoneSteps<'_> {
-    /// Applies the step of a zone to `next` if one is due, and returns its cause.
+    /// Changes `next` by the zone's next step if one is due, and returns the cause of the step.
     pub(super) fn next_step(&self, next: &mut Decision, zone: usize) -> Option<DecisionCause> {
         match self.current.zones[zone].state {
             ZoneState::Serving => self.step_while_serving(&mut next.zones[zone], zone),
@@ -138,9 +138,9 @@
         (self.timing.hold_down * doubled).min(self.timing.max_hold_down)
     }
 
-    /// Drains a zone by one step; returns false if the step is not allowed. A zone that answers nothing is
-    /// drained whatever the capacity of the other zones. A zone that still answers is drained only while no
-    /// additional demand would be shed.
+    /// Drains a zone by one step, or returns false if the step is not allowed. A zone that answers nothing
+    /// is drained whatever the capacity of the other zones. A zone that still answers is drained only while
+    /// no additional demand would be shed.
     fn drain_step(&self, next: &mut Decision, zone: usize) -> bool {
         let before = next.zones[zone].clone();
         let answers_nothing = matches!(self.matrix.zone_health(zone), ZoneHealth::Dead | ZoneHealth::CutOff);
--- a/crates/pipitcrank-failover/src/follower.rs
+++ b/crates/pipitcrank-failover/src/follower.rs
@@ -223,7 +223,8 @@
         }
     }
 
-    /// Advances the time and records this node's observations of each zone.
+    /// Detects a suspension of this process since the last tick, and records this node's observations of
+    /// each zone.
     pub fn tick(&mut self, now: Timestamp, replica_counts: &[ReplicaCounts]) {
         if self.last_tick_at.is_some_and(|last_tick_at| now - last_tick_at > STALL_THRESHOLD) {
             self.resumed_at = Some(now);
--- a/crates/pipitcrank-failover/src/node.rs
+++ b/crates/pipitcrank-failover/src/node.rs
@@ -288,7 +288,7 @@
         [voter, self.leadership.next_deadline()].into_iter().flatten().fold(always, Timestamp::min)
     }
 
-    /// Advances the time.
+    /// Runs everything that is due: gossip, heartbeats, proposals and decision queries.
     pub fn tick(&mut self, now: Timestamp) {
         self.members.tick(now);
         self.follower.tick(now, self.reporter.replica_counts());
--- a/crates/pipitcrank-failover/src/node/broadcast.rs
+++ b/crates/pipitcrank-failover/src/node/broadcast.rs
@@ -16,7 +16,7 @@
     Heartbeat(LeaderHeartbeat),
 }
 
-/// Decodes a broadcast; returns none for an unknown topic or an undecodable body.
+/// Decodes a broadcast; returns `None` for an unknown topic or an undecodable body.
 pub(super) fn decode(message: &TopicMessage) -> Option<Broadcast> {
     match message.topic {
         DECISION_TOPIC => postcard::from_bytes(&message.body).ok().map(Broadcast::Decision),
--- a/crates/pipitcrank-failover/src/node/durable_voter.rs
+++ b/crates/pipitcrank-failover/src/node/durable_voter.rs
@@ -17,7 +17,7 @@
 }
 
 impl DurableVoter {
-    /// Creates the voter; returns none if this node is not a voter.
+    /// Creates the voter; returns `None` if this node is not a voter.
     pub(super) fn from_config(now: Timestamp, config: &FailoverNodeConfig) -> Option<DurableVoter> {
         let FailoverNodeConfig { own, voters, zone_count, .. } = config;
         let own_slot = voters.iter().position(|voter| *voter == own.address)?;
--- a/crates/pipitcrank-failover/src/node/operator_client.rs
+++ b/crates/pipitcrank-failover/src/node/operator_client.rs
@@ -53,7 +53,7 @@
         self.sealer.seal(to, DatagramKind::Message, &body)
     }
 
-    /// Opens a datagram and returns its answer, or none if it does not answer this command.
+    /// Opens a datagram and returns its answer, or `None` if it does not answer this command.
     pub fn open_answer(&mut self, datagram: &[u8]) -> Option<ReceivedAnswer> {
         let opened = self.opener.open(datagram).ok()?;
         match postcard::from_bytes(opened.body).ok()? {
--- a/crates/pipitcrank-failover/src/node/order_queue.rs
+++ b/crates/pipitcrank-failover/src/node/order_queue.rs
@@ -63,7 +63,7 @@
 }
 
 impl OrderQueue {
-    /// Returns the answer that was sent to an earlier copy of a request.
+    /// Returns the answer that was already sent to the same request.
     pub(super) fn recorded_answer(&self, ticket: u64) -> Option<OperatorAnswer> {
         self.recorded
             .iter()
--- a/crates/pipitcrank-failover/src/voter.rs
+++ b/crates/pipitcrank-failover/src/voter.rs
@@ -185,7 +185,7 @@
         (self.ticked_at + TICK).min(self.heartbeat_at + HEARTBEAT_INTERVAL)
     }
 
-    /// Advances the time.
+    /// Runs everything that is due: Raft ticks, heartbeats and the founding of a group.
     pub fn tick(&mut self, now: Timestamp) {
         if now - self.ticked_at >= TICK {
             self.tick_raft(now);
@@ -209,7 +209,7 @@
     }
 
     fn tick_raft(&mut self, now: Timestamp) {
-        // A late call counts as one tick: after a suspension, the process must not mistake its own pause for
+        // A late call counts as one tick: after a suspension, the process must not count its own pause as
         // silence of the others.
         self.ticked_at = now;
         self.outbox.drop_excess();
@@ -387,7 +387,8 @@
     /// Handles a message of the Raft library.
     pub fn handle_raft(&mut self, now: Timestamp, generation: u64, bytes: &[u8]) {
         let message = raft_group::decode(bytes, self.identity.id());
-        // A message to an earlier process is not for this one, which may be bound by a different promise.
+        // Messages are ignored while a promise binds this process, or while its incarnation is unconfirmed:
+        // they may be meant for an earlier process.
         let Some(message) = message.filter(|_| self.promise.is_none() && !self.identity.is_unconfirmed)
         else {
             self.discarded_messages += 1;
@@ -400,7 +401,8 @@
             self.discarded_messages += 1;
             return;
         };
-        // The local state may be older than what was persisted under this id; the library would panic.
+        // The local state is older than the state that was persisted under this id. The library would panic
+        // on this message.
         if group.lacks_committed_entries(&message) {
             return self.abandon_group();
         }
--- a/crates/pipitcrank-failover/src/voter/founding.rs
+++ b/crates/pipitcrank-failover/src/voter/founding.rs
@@ -154,7 +154,7 @@
         self.promises.insert(slot, promise);
     }
 
-    /// Returns the new group once all participants have promised, and none afterwards.
+    /// Returns the new group once, as soon as all participants have promised.
     pub(super) fn complete(&mut self, participants: &[usize], zone_count: usize) -> Option<NewGroup> {
         if self.group.is_some() || !participants.iter().all(|slot| self.promises.contains_key(slot)) {
             return None;
--- a/crates/pipitcrank-failover/src/voter/persistent_state.rs
+++ b/crates/pipitcrank-failover/src/voter/persistent_state.rs
@@ -27,7 +27,7 @@
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes a stored state; returns none unless all bytes belong to it.
+    /// Decodes a stored state; returns `None` unless all bytes belong to it.
     pub fn decode(bytes: &[u8]) -> Option<PersistentVoterState> {
         let (state, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(state)
--- a/crates/pipitcrank-failover/src/voter/raft_group.rs
+++ b/crates/pipitcrank-failover/src/voter/raft_group.rs
@@ -56,7 +56,7 @@
     last_admission: Timestamp,
 }
 
-/// Decodes a Raft message to the voter `id`; returns none for any other bytes.
+/// Decodes a Raft message to the voter `id`; returns `None` for any other bytes.
 pub(super) fn decode(bytes: &[u8], id: u64) -> Option<Message> {
     let message = Message::parse_from_bytes(bytes).ok()?;
     let is_local = raft::raw_node::is_local_msg(message.msg_type);
@@ -95,7 +95,7 @@
         self.generation
     }
 
-    /// Current decision; none until an admitted voter receives one.
+    /// Current decision; `None` until an admitted voter receives one.
     pub(super) fn decision(&self) -> Option<&Decision> {
         self.decision.as_ref()
     }
@@ -129,7 +129,7 @@
         self.is_leader() && log.term(log.applied) == Ok(self.term())
     }
 
-    /// Returns the state to persist; none if the log cannot be read. Until an admitted voter receives a
+    /// Returns the state to persist; `None` if the log cannot be read. Until an admitted voter receives a
     /// decision, only its term and vote matter.
     pub(super) fn persistent_state(&self) -> Option<PersistentGroupState> {
         let (storage, log) = (self.node.store(), &self.node.raft.raft_log);
--- a/crates/pipitcrank-failover/src/voter/storage.rs
+++ b/crates/pipitcrank-failover/src/voter/storage.rs
@@ -21,7 +21,7 @@
     pub(super) log: MemStorage,
     /// Index of the last applied entry.
     pub(super) applied: u64,
-    /// Decision after the last applied entry; none until an admitted voter receives one.
+    /// Decision after the last applied entry; `None` until an admitted voter receives one.
     pub(super) decision: Option<Decision>,
 }
 
@@ -39,7 +39,7 @@
         Some(GroupLog { log, applied: FOUNDING_INDEX, decision: Some(initial_decision) })
     }
 
-    /// Restores the log from persisted state. Returns none for inconsistent state, which the library would
+    /// Restores the log from persisted state. Returns `None` for inconsistent state, which the library would
     /// treat as an internal error.
     pub(super) fn restore(state: PersistentGroupState, zone_count: usize) -> Option<GroupLog> {
         let PersistentGroupState { applied, decision, voters, hard_state, entries, .. } = state;
--- a/crates/pipitcrank-membership/src/envelope.rs
+++ b/crates/pipitcrank-membership/src/envelope.rs
@@ -148,7 +148,7 @@
         Sealer { key, from, instance, number: 0 }
     }
 
-    /// Seals a datagram for `to`; returns none if the body is longer than [`MAX_BODY_BYTES`].
+    /// Seals a datagram for `to`; returns `None` if the body is longer than [`MAX_BODY_BYTES`].
     pub fn seal(&mut self, to: SocketAddr, kind: DatagramKind, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > MAX_BODY_BYTES {
             return None;
--- a/crates/pipitcrank-membership/src/evidence/matrix.rs
+++ b/crates/pipitcrank-membership/src/evidence/matrix.rs
@@ -13,7 +13,7 @@
 pub struct EvidenceCell {
     /// Number of reporters, without isolated ones.
     pub reporters: usize,
-    /// Fraction of the observed replicas that give no usable answer; none if no replica was observed.
+    /// Fraction of the observed replicas that give no usable answer; `None` if no replica was observed.
     pub unhealthy_fraction: Option<f64>,
     /// Fraction of the observed replicas that are saturated.
     pub saturated_fraction: f64,
--- a/crates/pipitcrank-membership/src/evidence/report.rs
+++ b/crates/pipitcrank-membership/src/evidence/report.rs
@@ -27,7 +27,7 @@
         [self.responsive, self.unresponsive, self.failing, self.saturated].iter().map(|&n| u32::from(n)).sum()
     }
 
-    /// Fraction of the observed replicas that give no usable answer; none if no replica was observed.
+    /// Fraction of the observed replicas that give no usable answer; `None` if no replica was observed.
     pub fn unhealthy_fraction(&self) -> Option<f64> {
         let observed = self.observed();
         let unhealthy = u32::from(self.unresponsive) + u32::from(self.failing);
