--- a/crates/pipitcrank-handover/src/messages.rs
+++ b/crates/pipitcrank-handover/src/messages.rs
@@ -109,7 +109,7 @@
         /// [`PROTOCOL_VERSION`] of the sender.
         version: u16,
     },
-    /// Final response to a relayed query.
+    /// Final answer to a relayed query.
     Response {
         /// Ticket of the query, as in [`RelayedQuery::ticket`].
         ticket: u64,
@@ -157,7 +157,7 @@
     pub work: Option<f64>,
 }
 
-/// Final response to a relayed query.
+/// Final answer to a relayed query.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RelayedResponse {
     /// The query was answered in full or in part.
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -33,7 +33,7 @@
     pub replicas: Vec<ReplicaRecord>,
     /// Learned state of the coordinator. It refers to replicas by [`ReplicaRecord::index`].
     pub learned: LearnedState,
-    /// Retries that are reserved for the process that took the snapshot.
+    /// Retries that are delegated to the process that took the snapshot.
     pub delegated_retries: DelegatedRetries,
 }
 
--- a/crates/pipitcrank-recovery/src/store.rs
+++ b/crates/pipitcrank-recovery/src/store.rs
@@ -1,9 +1,9 @@
 //! Persistent store of a node: one file of the embedded database `redb`. A dedicated thread writes the file, so that
 //! queries never wait for the disk.
 //!
-//! The store holds two values. The *voter memory* is the state that a voter must not lose: a voter sends a message only
-//! after the memory behind it is synced. The *learned state* is written at intervals; the loss of a write only prolongs
-//! the learning after a restart.
+//! The store holds two values. The *voter state* must not be lost: a voter sends a message only after the state that
+//! the message depends on is synced. The *last known state* holds the learned state, the decision and the members; it
+//! is written at intervals, and the loss of a write only prolongs the learning after a restart.
 //!
 //! | fault | handling |
 //! | --- | --- |
@@ -80,20 +80,20 @@
         self.shared.wait_until_opened(Instant::now() + timeout)
     }
 
-    /// Queues a voter memory, which replaces a pending one. Returns the sequence number that
-    /// [`Store::synced_sequence`] reaches once the memory is synced.
+    /// Queues a voter state, which replaces a pending one. Returns the sequence number that [`Store::synced_sequence`]
+    /// reaches once the state is synced.
     pub fn save_voter_state(&mut self, bytes: Vec<u8>) -> u64 {
         self.last_sequence += 1;
         self.shared.queue_voter_state(self.last_sequence, bytes);
         self.last_sequence
     }
 
-    /// Queues a learned state, which replaces a pending one.
+    /// Queues a last known state, which replaces a pending one.
     pub fn save_last_known_state(&mut self, bytes: Vec<u8>) {
         self.shared.queue_last_known_state(bytes);
     }
 
-    /// Sequence number of the last synced voter memory.
+    /// Sequence number of the last synced voter state.
     pub fn synced_sequence(&self) -> u64 {
         self.shared.lock().synced_sequence
     }
--- a/crates/pipitcrank-recovery/src/store/database_file.rs
+++ b/crates/pipitcrank-recovery/src/store/database_file.rs
@@ -17,9 +17,9 @@
 /// Values stored by an earlier process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredValues {
-    /// Encoded voter memory.
+    /// Encoded voter state.
     pub voter_state: Option<Vec<u8>>,
-    /// Encoded learned state.
+    /// Encoded last known state.
     pub last_known_state: Option<Vec<u8>>,
 }
 
--- a/crates/pipitcrank-recovery/src/store/shared.rs
+++ b/crates/pipitcrank-recovery/src/store/shared.rs
@@ -15,7 +15,7 @@
     pub pending_for: Duration,
 }
 
-/// Encoded voter memory with its sequence number.
+/// Encoded voter state with its sequence number.
 #[derive(Clone)]
 pub struct SequencedValue {
     pub sequence: u64,
--- a/crates/pipitcrank-recovery/src/store/tests.rs
+++ b/crates/pipitcrank-recovery/src/store/tests.rs
@@ -187,7 +187,7 @@
     state.store(FULL, Ordering::Relaxed);
     let second = store.save_voter_state(vec![2; 64]);
     wait_until(|| matches!(store.write_status().error, Some(StoreError::NotWritable(_))));
-    assert_eq!(store.synced_sequence(), first, "a voter memory that is not on disk was reported as synced");
+    assert_eq!(store.synced_sequence(), first, "a voter state that is not on disk was reported as synced");
     assert!(store.write_status().pending_for > Duration::ZERO);
     state.store(0, Ordering::Relaxed);
     wait_until(|| store.synced_sequence() >= second);
@@ -206,7 +206,7 @@
     let _ = store.stored_values(TEST_TIMEOUT);
     let start = Instant::now();
     let last = (0..100).map(|n| store.save_voter_state(vec![n; 64])).last().unwrap();
-    assert!(start.elapsed() < Duration::from_millis(100), "saving a voter memory waited for the disk");
+    assert!(start.elapsed() < Duration::from_millis(100), "saving a voter state waited for the disk");
     wait_until(|| store.write_status().pending_for > Duration::from_millis(50));
     state.store(0, Ordering::Relaxed);
     wait_until(|| store.synced_sequence() == last);
