--- a/crates/pipitcrank-gateway/src/forward_service.rs
+++ b/crates/pipitcrank-gateway/src/forward_service.rs
@@ -1,4 +1,4 @@
-//! Executes forwards from other sites as queries of the local exchange and sends the answers back part by part.
+//! Runs forwards from other sites as queries of the local exchange and sends the answers back part by part.
 //! [`ReceivedForwards`] decides whether a forward is started, answered again or refused.
 
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
     sender: MessageSender,
 }
 
-/// Executes the forwards of other sites.
+/// Runs the forwards of other sites.
 pub(crate) struct ForwardService {
     event_loop: Rc<EventLoop>,
     classes: Vec<String>,
@@ -247,7 +247,7 @@
 fn forward_outcome(response: &QueryResponse, part_count: usize) -> ForwardOutcome {
     match response {
         QueryResponse::Answered { hits, .. } if hits.len() == part_count => ForwardOutcome::Complete,
-        // The missing parts of a partial answer may have been executed.
+        // The missing parts of a partial answer may have run.
         QueryResponse::Answered { .. } | QueryResponse::Aborted => ForwardOutcome::Aborted,
         QueryResponse::Rejected { retry_after } => ForwardOutcome::Rejected { retry_after: *retry_after },
         QueryResponse::DuplicateId => ForwardOutcome::NotServed,
--- a/crates/pipitcrank-gateway/src/frames.rs
+++ b/crates/pipitcrank-gateway/src/frames.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// Parts of one query, sent to another site for execution.
+/// Parts of one query, sent to another site to be run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Forward {
     /// Number of the forward on its stream; counts from 1 in each incarnation and is never reused.
@@ -126,7 +126,7 @@
     pub delegated_retries: u32,
     /// Names of the sites that the forward has crossed, origin first.
     pub sites_crossed: Vec<String>,
-    /// The parts to execute.
+    /// The parts to run.
     pub parts: Vec<ForwardPart>,
     /// Text of the query.
     pub text: String,
@@ -148,12 +148,12 @@
 pub enum ForwardOutcome {
     /// All parts were answered.
     Complete,
-    /// The unanswered parts were not executed, or can safely be executed again.
+    /// The unanswered parts did not run, or can safely run again.
     Rejected {
         /// Time during which the sender should send no further forward.
         retry_after: TimeSpan,
     },
-    /// The unanswered parts may have been executed.
+    /// The unanswered parts may have run.
     Aborted,
     /// No part was started: too little time was left, or the receiving site is draining.
     TooLate,
--- a/crates/pipitcrank-gateway/src/lib.rs
+++ b/crates/pipitcrank-gateway/src/lib.rs
@@ -3,7 +3,7 @@
 //! State machines without I/O:
 //! - [`site_health`] decides whether parts may be sent to a site and which delay the site's cells have.
 //! - [`sent_forwards`] tracks the outstanding forwards of a stream and their outcomes when its connection breaks.
-//! - [`received_forwards`] records the forwards received from other sites, so that none is executed twice.
+//! - [`received_forwards`] records the forwards received from other sites, so that none runs twice.
 //! - [`flow_control`] limits the bytes in flight in each direction.
 //!
 //! [`frames`] defines the link protocol. Drivers: [`link_client`] sends forwards, [`link_server`] answers them.
--- a/crates/pipitcrank-gateway/src/received_forwards.rs
+++ b/crates/pipitcrank-gateway/src/received_forwards.rs
@@ -267,7 +267,7 @@
 
     /// Drops the oldest answers above [`MAX_ANSWER_BYTES`], except those of the forward `newest`, to bound the memory
     /// for answers that no peer requests again. A forward whose answers are dropped is reported as aborted, so the peer
-    /// treats it as possibly executed.
+    /// treats it as a forward that may have run.
     fn limit_answer_bytes(&mut self, newest: u64) {
         while self.answer_bytes > MAX_ANSWER_BYTES {
             let has_answers = |key: &ForwardKey| {
--- a/crates/pipitcrank-gateway/src/remote_site.rs
+++ b/crates/pipitcrank-gateway/src/remote_site.rs
@@ -15,7 +15,7 @@
 use crate::site_health::{ForwardResult, SiteHealth};
 
 /// Changes of a site's delay up to this fraction of the published delay plus [`MIN_DELAY_CHANGE_S`] are not published,
-/// since each published change makes the decision module re-evaluate all candidates.
+/// since each published change makes the `Coordinator` re-evaluate all candidates.
 const MIN_DELAY_CHANGE: f64 = 0.1;
 /// Constant part of the threshold described at [`MIN_DELAY_CHANGE`], in seconds.
 const MIN_DELAY_CHANGE_S: f64 = 0.001;
--- a/crates/pipitcrank-gateway/src/sent_forwards.rs
+++ b/crates/pipitcrank-gateway/src/sent_forwards.rs
@@ -4,10 +4,10 @@
 //! | state of the part's forward | outcome of the part's attempt |
 //! | --- | --- |
 //! | the part was answered | success |
-//! | the frame was not written completely | not executed |
-//! | the other site reported that the forward was never received, was not started or is rejected | not executed |
-//! | the frame was written, then the connection broke or the peer's process was replaced | may have been executed |
-//! | the other site reported a failure | executed and failed, or may have been executed |
+//! | the frame was not written completely | did not run |
+//! | the other site reported that the forward was never received, was not started or is rejected | did not run |
+//! | the frame was written, then the connection broke or the peer's process was replaced | may have run |
+//! | the other site reported a failure | ran and failed, or may have run |
 //!
 //! A non-idempotent forward in doubt waits for a new connection to the same process and a status request for its
 //! number. Until its status is received or its deadline passes, its parts are neither retried nor cancelled.
@@ -34,7 +34,7 @@
 pub struct NewForward<A> {
     /// The parts of the forward.
     pub parts: Vec<ForwardedPart<A>>,
-    /// Whether the parts may be executed twice.
+    /// Whether the parts may run twice.
     pub idempotent: bool,
     /// Number of the retry delegation in the exchange.
     pub delegation: u64,
@@ -86,7 +86,7 @@
 pub enum Reconnection<A> {
     /// The peer is the same process: request the status of these forwards.
     RequestStatus(Vec<u64>),
-    /// The peer is another process, which has no record of these forwards: they may have been executed.
+    /// The peer is another process, which has no record of these forwards: they may have run.
     Closed(Vec<ClosedForward<A>>),
 }
 
@@ -145,8 +145,7 @@
         let is_settled = outstanding.is_settled();
         let (attempt_outcome, result) = match outcome {
             ForwardOutcome::Complete if is_settled => (AttemptOutcome::Success, ForwardResult::Answered),
-            // A faulty peer can report a forward complete without all answers; the missing parts may have been
-            // executed.
+            // A faulty peer can report a forward complete without all answers; the missing parts may have run.
             ForwardOutcome::Complete => (AttemptOutcome::Fault, ForwardResult::Failed),
             ForwardOutcome::Rejected { retry_after } => {
                 (AttemptOutcome::NoCapacity, ForwardResult::Rejected(retry_after))
@@ -189,7 +188,7 @@
     }
 
     /// Handles a new connection. The same process can report the status of forwards in doubt. Another process has no
-    /// record of them, which does not prove that they were not executed, so they are closed as possibly executed.
+    /// record of them, which does not prove that they did not run, so they are closed as forwards that may have run.
     pub fn reconnected(&mut self, same_process: bool) -> Reconnection<A> {
         if same_process {
             let in_doubt = self.outstanding.iter().filter(|(_, o)| o.in_doubt);
--- a/crates/pipitcrank-gateway/src/site_health.rs
+++ b/crates/pipitcrank-gateway/src/site_health.rs
@@ -1,6 +1,6 @@
 //! Health of one remote site: whether it is open, which means that parts may be sent to it, and the delay of its cells.
-//! Both follow from the state of its links and the outcomes of forwards. No I/O. The decision module adds the cells of
-//! an open site to its candidates, with that delay, and ignores those of a closed site.
+//! Both follow from the state of its links and the outcomes of forwards. No I/O. The `Coordinator` adds the cells of an
+//! open site to its candidates, with that delay, and ignores those of a closed site.
 //!
 //! ```text
 //! no connection, or round trip unknown          -> closed
--- a/crates/pipitcrank-gateway/tests/link.rs
+++ b/crates/pipitcrank-gateway/tests/link.rs
@@ -268,7 +268,7 @@
             drop(peer);
             let mut peer = Peer::connected(&harness, 7).await;
             peer.send(&LinkMessage::StatusRequest { numbers: vec![n + 1] }).await;
-            // The forward was either received completely and executed once, or it was not executed.
+            // The forward was either received completely and executed once, or it did not run.
             let (shards, outcome) = peer.status().await;
             assert!(
                 matches!(
