--- a/crates/pipitcrank-server/src/audit/checker.rs
+++ b/crates/pipitcrank-server/src/audit/checker.rs
@@ -84,8 +84,8 @@
     pub parts: usize,
 }
 
-/// Checks the coordinator's actions against the rules. Records of queries, parts and replicas are removed when the exchange
-/// releases these.
+/// Checks the co-ordinator's actions against the rules. Records of queries, parts and replicas are removed when the
+/// exchange releases these.
 pub struct Audit {
     rules: AuditRules,
     counters: Counters,
--- a/crates/pipitcrank-server/src/audit/rules.rs
+++ b/crates/pipitcrank-server/src/audit/rules.rs
@@ -6,7 +6,7 @@
 use crate::runtime::counter_names::group;
 use crate::runtime::counters::Counters;
 
-/// A rule that the coordinator must keep.
+/// A rule that the co-ordinator must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// A query is answered by its client's deadline.
--- a/crates/pipitcrank-server/src/clients/acceptor/tests.rs
+++ b/crates/pipitcrank-server/src/clients/acceptor/tests.rs
@@ -62,7 +62,7 @@
         for _ in 0..3 {
             assert!(
                 !request(&mut stream).await.contains("connection: close"),
-                "no other coordinator may be available yet"
+                "no other co-ordinator may be available yet"
             );
             tokio::time::sleep(2 * CHECK_INTERVAL).await;
         }
--- a/crates/pipitcrank-server/src/clients/http.rs
+++ b/crates/pipitcrank-server/src/clients/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP service: decodes a client's request into a query for the exchange, and encodes its final response. It is
+//! The HTTP service: decodes a client's request into a query for the exchange, and encodes its final answer. It is
 //! independent of replicas.
 
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 pub enum HttpEvent {
     /// A query was received.
     Query {
-        /// Identifies the query until its final response.
+        /// Identifies the query until its final answer.
         ticket: u64,
         /// The query.
         request: QueryRequest,
--- a/crates/pipitcrank-server/src/exchange/admission.rs
+++ b/crates/pipitcrank-server/src/exchange/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of queries: checks for duplicate ids and for the limit of open queries. The coordinator makes all other
+//! Admission of queries: checks for duplicate ids and for the limit of open queries. The `Coordinator` makes all other
 //! checks.
 
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use crate::runtime::counter_names::{group, query};
 
 impl Exchange {
-    /// Opens a query, or refuses it at once.
+    /// Opens a query, or rejects it at once.
     pub(super) fn admit(&mut self, now: Timestamp, submission: Submission) {
         let Submission { ticket, request, response, delegated } = submission;
         let part_ids: Vec<Rc<str>> =
@@ -62,7 +62,7 @@
     }
 
     /// Response to a query that is not admitted; `None` if the query is admitted. Queries beyond the limit never reach
-    /// the coordinator. To reject no query while there is capacity, answered parts do not count as open and the last
+    /// the `Coordinator`. To reject no query while there is capacity, answered parts do not count as open and the last
     /// admitted query may exceed the limit.
     fn refusal(&self, id: &str, part_ids: &[Rc<str>]) -> Option<QueryResponse> {
         let table = &self.table;
--- a/crates/pipitcrank-server/src/exchange/batch.rs
+++ b/crates/pipitcrank-server/src/exchange/batch.rs
@@ -1,5 +1,5 @@
-//! Processing of one batch: the coordinator gets the queued events, due timers and expired attempts, and the transport
-//! gets the coordinator's commands.
+//! Processing of one batch: the `Coordinator` gets the queued events, due timers and expired attempts, and the
+//! transport gets the `Coordinator`'s commands.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 use crate::runtime::counter_names::{group, query};
 
 impl Exchange {
-    /// Processes the queued events, due timers and expired attempts, then executes the coordinator's commands.
+    /// Processes the queued events, due timers and expired attempts, then executes the `Coordinator`'s commands.
     pub fn run_batch(&mut self, now: Timestamp, transport: &mut dyn ReplicaTransport) {
         self.set_now(now);
         self.handle_events(now);
@@ -29,8 +29,8 @@
     fn handle_events(&mut self, now: Timestamp) {
         let mut events = std::mem::take(&mut self.events).into_iter().peekable();
         while let Some(mut event) = events.next() {
-            // The coordinator examines all replicas at each change, so consecutive incremental changes are merged. The
-            // merged change takes effect at the time of the first one.
+            // The `Coordinator` examines all replicas at each change, so consecutive incremental changes are merged.
+            // The merged change takes effect at the time of the first one.
             if let Event::EndpointsUpdated(EndpointChange { complete: false, endpoints, .. }) = &mut event {
                 let is_change = |event: &Event| {
                     matches!(event, Event::EndpointsUpdated(EndpointChange { complete: false, .. }))
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Executes the coordinator's commands. Parts for the same replica share calls of at most `parts_per_call` parts.
+    /// Executes the `Coordinator`'s commands. Parts for the same replica share calls of at most `parts_per_call` parts.
     fn execute_commands(&mut self, transport: &mut dyn ReplicaTransport) {
         let commands = std::mem::take(&mut self.table.commands);
         // A bundle holds the attempts for one replica. Bundles are ordered by their first attempts.
--- a/crates/pipitcrank-server/src/exchange/coordinator_output.rs
+++ b/crates/pipitcrank-server/src/exchange/coordinator_output.rs
@@ -1,4 +1,4 @@
-//! The coordinator's output interface on the request table: commands, responses and releases.
+//! The `Coordinator`'s output interface on the request table: commands, responses and releases.
 
 use pipitcrank_core::ids::{AttemptId, PartId, QueryId, RejectReason, ReplicaId};
 use pipitcrank_core::output::CoordinatorOutput;
@@ -10,10 +10,10 @@
 use crate::runtime::counter_names::{group, query};
 
 impl RequestTable {
-    /// Passes the final response to the query's sink. `kind`: the key of the response in `/counters`.
+    /// Passes the final answer to the query's sink. `kind`: the key of the response in `/counters`.
     fn finish(&mut self, query: QueryId, response: QueryResponse, kind: &'static str) {
         self.counters.add(group::QUERIES, kind);
-        tracing::debug!(target: REQUEST_LOG_TARGET, request = self.query_ids.name(query.0), outcome = kind, "query ended with a final response");
+        tracing::debug!(target: REQUEST_LOG_TARGET, request = self.query_ids.name(query.0), outcome = kind, "query ended with a final answer");
         self.audit_response(query, &response);
         let entry = self.queries.get_mut(&query.0);
         if let Some(sink) = entry.and_then(|entry| entry.response.take()) {
--- a/crates/pipitcrank-server/src/exchange/endpoint_list.rs
+++ b/crates/pipitcrank-server/src/exchange/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Application of endpoint list changes to the request table and the coordinator.
+//! Application of endpoint list changes to the request table and the `Coordinator`.
 
 use pipitcrank_core::ids::ReplicaId;
 use pipitcrank_core::time::Timestamp;
--- a/crates/pipitcrank-server/src/exchange/event.rs
+++ b/crates/pipitcrank-server/src/exchange/event.rs
@@ -8,9 +8,9 @@
 use super::query::{DelegatedRequest, QueryRequest, ResponseSink};
 use crate::replicas::frames::LoadReport;
 
-/// A query submitted to the exchange.
+/// A query submitted by a client or another site.
 pub(super) struct Submission {
-    /// Identifies the query until its final response; never reused.
+    /// Identifies the query until its final answer; never reused.
     pub(super) ticket: u64,
     pub(super) request: QueryRequest,
     pub(super) response: Box<dyn ResponseSink>,
--- a/crates/pipitcrank-server/src/exchange/handover.rs
+++ b/crates/pipitcrank-server/src/exchange/handover.rs
@@ -51,16 +51,16 @@
         records.collect()
     }
 
-    /// Continues with the state of the predecessor, taken `age` ago.
+    /// Continues from the predecessor's state, which was taken `age` ago.
     pub fn resume_from_predecessor(&mut self, now: Timestamp, age: TimeSpan, snapshot: Snapshot) {
         let DelegatedRetries { count, valid_for } = snapshot.delegated_retries;
         self.apply_snapshot(now, age, true, snapshot);
         self.coordinator.delegate_to_predecessor(count, now - age + valid_for);
     }
 
-    /// Continues with the state of a dead process, taken `age` ago. `use_list`: whether its endpoint list is newer than
-    /// the one in the node configuration. The last sends of that process are unknown, so all retries available to it
-    /// count as used.
+    /// Continues from the state of a dead process, which was taken `age` ago. `use_list`: whether its endpoint list is
+    /// newer than the one in the node configuration. The last sends of that process are unknown, so all retries
+    /// available to it count as used.
     pub fn restore(&mut self, now: Timestamp, age: TimeSpan, use_list: bool, snapshot: Snapshot) {
         self.apply_pending_endpoint_changes();
         self.apply_snapshot(now, age, use_list, snapshot);
@@ -97,18 +97,18 @@
         self.coordinator.restore_learned_state(now, age, learned);
     }
 
-    /// Records that the predecessor has ended after using `used` of the retries reserved for it.
+    /// Records that the predecessor has exited after using `used` of the retries delegated to it.
     pub fn settle_with_predecessor(&mut self, now: Timestamp, used: u32) {
         self.coordinator.settle_with_predecessor(now, used);
         self.open_in_peer = 0;
     }
 
-    /// Number of the `reserved` retries, set aside at the handover, that this process has used.
-    pub fn delegated_retries_used(&self, reserved: u32) -> u32 {
-        reserved.saturating_sub(self.coordinator.delegated_retries_left())
+    /// Number of the `delegated` retries that this process has used.
+    pub fn delegated_retries_used(&self, delegated: u32) -> u32 {
+        delegated.saturating_sub(self.coordinator.delegated_retries_left())
     }
 
-    /// Continues alone after the other process has exited without a report of its retries.
+    /// Resumes after the other process of this co-ordinator has exited without reporting the retries that it used.
     pub fn resume_without_peer(&mut self, now: Timestamp) {
         self.coordinator.resume_without_peer(now);
         self.open_in_peer = 0;
--- a/crates/pipitcrank-server/src/exchange/mod.rs
+++ b/crates/pipitcrank-server/src/exchange/mod.rs
@@ -1,12 +1,13 @@
-//! The exchange connects the client side to the replica side and contains the decision module. It owns no sockets.
+//! The exchange connects the client side to the replica side. It owns no sockets. All decisions are made by the
+//! [`Coordinator`](pipitcrank_core::coordinator::Coordinator) that it contains.
 //!
 //! Each input, such as [`submit`](Exchange::submit), queues an event. [`Exchange::run_batch`] passes all queued events
-//! and then the due timers to the coordinator, lets the coordinator dispatch the waiting parts, and executes its
-//! commands. The coordinator makes all decisions; [`Exchange::authorize_send`] checks each send once more.
+//! and then the due timers to the `Coordinator`, calls its `dispatch` for the waiting parts, and executes its commands.
+//! [`Exchange::authorize_send`] checks each send once more.
 //!
 //! `state` defines the type, its inputs and its read-only view. `batch`, `admission`, `send_guard`, `endpoint_list`,
 //! `remote_sites`, `zones` and `handover` implement one concern each. `request_table` stores queries, parts and
-//! attempts, and `coordinator_output` implements the coordinator's output interface on it.
+//! attempts, and `coordinator_output` implements the `Coordinator`'s output interface on it.
 
 mod admission;
 mod batch;
--- a/crates/pipitcrank-server/src/exchange/query.rs
+++ b/crates/pipitcrank-server/src/exchange/query.rs
@@ -38,7 +38,7 @@
     pub work: Option<f64>,
 }
 
-/// The final response to a query. Each query gets exactly one.
+/// The final answer to a query. Each query gets exactly one.
 #[derive(Debug, PartialEq)]
 pub enum QueryResponse {
     /// Parts of sufficient total weight were answered.
@@ -59,11 +59,11 @@
     DuplicateId,
 }
 
-/// Receives the final response of one query.
+/// Receives the final answer to one query.
 ///
 /// It is called within a batch and must not call back into the exchange.
 pub trait ResponseSink {
-    /// Takes the final response of the query.
+    /// Receives the final answer to the query.
     fn respond(self: Box<Self>, response: QueryResponse);
 }
 
@@ -84,7 +84,7 @@
 ///
 /// It is called within a batch and must not call back into the exchange.
 pub trait PartSink {
-    /// Takes the value that `shard` answered.
+    /// Receives the value with which `shard` answered.
     fn part_answered(&mut self, shard: u32, value: &str);
 }
 
--- a/crates/pipitcrank-server/src/exchange/remote_sites.rs
+++ b/crates/pipitcrank-server/src/exchange/remote_sites.rs
@@ -1,5 +1,5 @@
-//! Remote sites. Each cell of a remote site has a replica entry in the request table; parts sent to it leave as
-//! forwards.
+//! Remote sites. Each cell of a remote site has a replica entry in the request table; parts sent to it are forwarded to
+//! the site.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/pipitcrank-server/src/exchange/request_table.rs
+++ b/crates/pipitcrank-server/src/exchange/request_table.rs
@@ -15,7 +15,7 @@
 
 pub(super) struct OpenQuery {
     pub(super) ticket: u64,
-    /// Sink for the final response; `None` once the query is answered.
+    /// Sink for the final answer; `None` once the query is answered.
     pub(super) response: Option<Box<dyn ResponseSink>>,
     /// Part indices, in the order of the request.
     pub(super) parts: Vec<u32>,
@@ -27,7 +27,7 @@
 pub(super) struct OpenPart {
     pub(super) id: Rc<str>,
     /// Index of its query; `None` once the query is released, since the index may be reused while an attempt at this
-    /// part is in flight.
+    /// part is outstanding.
     pub(super) query: Option<u32>,
     pub(super) shard: u32,
     pub(super) weight: f64,
@@ -64,7 +64,7 @@
     pub(super) authorized: bool,
 }
 
-/// Commands of the coordinator, executed at the end of the batch.
+/// Commands of the `Coordinator`, executed at the end of the batch.
 pub(super) enum Command {
     SendAttempt(ReplicaId, AttemptId),
     CancelAttempt(ReplicaId, AttemptId),
@@ -73,7 +73,7 @@
     RemoveReplica(ReplicaId),
 }
 
-/// Tables by index. An entry is removed when the coordinator releases it.
+/// Tables by index. An entry is removed when the `Coordinator` releases it.
 #[derive(Default)]
 pub(super) struct RequestTable {
     pub(super) query_ids: Interner,
@@ -85,9 +85,9 @@
     /// Query index by ticket.
     pub(super) tickets: BTreeMap<u64, u32>,
     pub(super) outstanding: BTreeMap<AttemptId, OutstandingAttempt>,
-    /// Deadlines of the attempts in flight.
+    /// Deadlines of the outstanding attempts.
     pub(super) attempt_deadlines: BTreeSet<(Timestamp, AttemptId)>,
-    /// The coordinator's timers with their labels; removed as they fire.
+    /// The `Coordinator`'s timers with their labels; removed as they fire.
     pub(super) timers: BTreeSet<(Timestamp, u64)>,
     pub(super) commands: Vec<Command>,
     pub(super) counters: Counters,
@@ -97,7 +97,7 @@
 }
 
 impl RequestTable {
-    /// Removes an attempt from those in flight. Returns its replica, or `None` if the attempt has already ended.
+    /// Removes an attempt from the outstanding ones. Returns its replica, or `None` if the attempt has already ended.
     pub(super) fn close_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Option<ReplicaId> {
         let OutstandingAttempt { replica, deadline, .. } = self.outstanding.remove(&attempt)?;
         if let Some(audit) = &mut self.audit {
--- a/crates/pipitcrank-server/src/exchange/state.rs
+++ b/crates/pipitcrank-server/src/exchange/state.rs
@@ -24,7 +24,7 @@
     pub(super) expires: Timestamp,
 }
 
-/// Queries, replicas and attempts of one co-ordinator process, together with its decision module.
+/// Queries, replicas and attempts of one co-ordinator process, together with its `Coordinator`.
 pub struct Exchange {
     pub(super) coordinator: Coordinator,
     pub(super) table: RequestTable,
@@ -78,7 +78,7 @@
         self.table.now = now;
     }
 
-    /// Queues a client's query. `ticket` identifies the query until its final response and is never reused.
+    /// Queues a client's query. `ticket` identifies the query until its final answer and is never reused.
     pub fn submit(&mut self, ticket: u64, request: QueryRequest, response: Box<dyn ResponseSink>) {
         self.events.push(Event::Submitted(Submission { ticket, request, response, delegated: None }));
     }
@@ -128,7 +128,7 @@
         self.events.push(Event::LoadProbeEnded { replica, outcome, report });
     }
 
-    /// Limits the deadlines of open queries to `by`, for the shutdown of this process.
+    /// Caps the deadlines of open queries at `by`, for the shutdown of this process.
     pub fn cap_deadlines(&mut self, by: Timestamp) {
         self.events.push(Event::DeadlinesCapped { by });
     }
--- a/crates/pipitcrank-server/src/lib.rs
+++ b/crates/pipitcrank-server/src/lib.rs
@@ -1,8 +1,9 @@
-//! The coordinator's server, as a library.
+//! The co-ordinator's server, as a library.
 //!
-//! A request passes through the modules in this order: `clients` reads it, `exchange` submits it to the decision module of
-//! `pipitcrank-core`, and `replicas` sends the attempts; answers take the reverse path. `discovery` maintains the endpoint
-//! list, `upgrade` replaces the process, `audit` checks the rules at run time, and `runtime` holds the shared foundations.
+//! A request passes through the modules in this order: `clients` reads it, `exchange` submits it to the `Coordinator`
+//! of `pipitcrank-core`, and `replicas` sends the attempts; answers take the reverse path. `discovery` maintains the
+//! endpoint list, `upgrade` replaces the process, `audit` checks the rules at run time, and `runtime` holds the shared
+//! foundations.
 
 pub mod audit;
 pub mod clients;
--- a/crates/pipitcrank-server/src/node_config.rs
+++ b/crates/pipitcrank-server/src/node_config.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the node configuration: the environment variables NODE_* and the file that NODE_CONFIG names.
 //!
-//! Each part of the server gets only the values that it needs. An error names its key. The settings of the decision module
-//! are read by `pipitcrank_core::config`.
+//! Each part of the server gets only the values that it needs. An error names its key. The settings of the
+//! `Coordinator` are read by `pipitcrank_core::config`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Name of this coordinator.
+    /// Name of this co-ordinator.
     pub fn name(&self) -> Result<String, ConfigError> {
         self.text("/name", "NODE_NAME")
     }
@@ -180,7 +180,7 @@
         self.settings()?.span("/tick_s")
     }
 
-    /// Creates the exchange with its decision module.
+    /// Creates the exchange with its `Coordinator`.
     pub fn exchange(&self, counters: Counters) -> Result<Exchange, ConfigError> {
         let settings = self.settings()?;
         for n in 0..settings.classes()?.len() {
@@ -193,7 +193,7 @@
         // Required, although the exchange sends nothing to a draining replica and so needs no grace time.
         settings.span("/rules/drain_grace_s")?;
         let (seed, parts_per_call) = (self.seed()?, self.parts_per_call()?);
-        // The decision module must use the same number of parts per call.
+        // The `Coordinator` must use the same number of parts per call.
         let mut all = self.file.clone();
         if let Some(value) = all.pointer_mut("/settings/domain/parts_a_call") {
             *value = parts_per_call.into();
@@ -250,18 +250,18 @@
         }
     }
 
-    /// Number of coordinators including this one; 1 by default.
+    /// Number of co-ordinators including this one; 1 by default.
     pub fn coordinator_count(&self) -> Result<u32, ConfigError> {
         let settings = self.settings()?;
         Ok(settings.number_or("/balancers", 1.0)?.clamp(1.0, f64::from(u32::MAX)) as u32)
     }
 
-    /// The zone of this coordinator and the names of all zones; `None` if the platform has no zones.
+    /// The zone of this co-ordinator and the names of all zones; `None` if the platform has no zones.
     pub fn zones(&self) -> Result<Option<(ZoneId, Vec<String>)>, ConfigError> {
         Ok(self.settings()?.zones()?.map(|zones| (zones.own, zones.names)))
     }
 
-    /// Maximum number of parts in flight on a connection to a replica.
+    /// Maximum number of outstanding parts on a connection to a replica.
     pub fn streams_per_connection(&self) -> Result<usize, ConfigError> {
         Ok(self.settings()?.positive_count("/allowed/streams_per_conn")? as usize)
     }
--- a/crates/pipitcrank-server/src/reasons.rs
+++ b/crates/pipitcrank-server/src/reasons.rs
@@ -48,7 +48,7 @@
 /// Reason for sending a part again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResendReason {
-    /// Hedged request, because an earlier attempt is in flight and overdue.
+    /// Hedged request, because an earlier attempt is outstanding and overdue.
     Hedge,
     /// Retry after an attempt with this outcome.
     After(AttemptOutcome),
--- a/crates/pipitcrank-server/src/replicas/connection.rs
+++ b/crates/pipitcrank-server/src/replicas/connection.rs
@@ -28,7 +28,7 @@
     /// arrive completely within this time. If nothing arrives for this time while an answer is pending, the connection
     /// is suspected and pinged; after twice this time it ends as silent.
     pub connect: Duration,
-    /// Time without reads and writes after which the connection is closed if no call is in flight.
+    /// Time without reads and writes after which the connection is closed if no call is outstanding.
     pub idle: Duration,
 }
 
@@ -301,7 +301,7 @@
         let now = event_loop.clock.now();
         let allowed = event_loop.update(|e| e.authorize_send(now, state.replica, &mut attempts));
         let mut assigned = state.assigned.borrow_mut();
-        // Attempts that the send guard dropped have ended and are no longer in flight.
+        // Attempts that the send guard dropped have ended and are no longer outstanding.
         assigned.retain(|a| a.part_id.is_some() || event_loop.read(|e| e.is_outstanding(a.attempt)));
         if allowed.is_empty() {
             return None;
--- a/crates/pipitcrank-server/src/replicas/connection/tests.rs
+++ b/crates/pipitcrank-server/src/replicas/connection/tests.rs
@@ -63,7 +63,7 @@
     ConnectionTask::new(event_loop, state, stream, ConnectionTimeouts { connect: timeout, idle: timeout })
 }
 
-/// A connection to one replica, and a query whose only attempt is in flight.
+/// A connection to one replica, and a query whose only attempt is outstanding.
 async fn one_outstanding_attempt() -> (TcpStream, Stream, Rc<EventLoop>, AttemptId) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -75,7 +75,7 @@
     (replica_end, connection, event_loop, attempt)
 }
 
-/// An event loop with one replica at `address` and one query, whose only attempt is in flight.
+/// An event loop with one replica at `address` and one query, whose only attempt is outstanding.
 fn one_query(address: SocketAddr) -> (Rc<EventLoop>, AttemptId) {
     let (clock, counters) = (Clock::start(), Counters::default());
     let mut exchange = exchange(&counters);
--- a/crates/pipitcrank-server/src/replicas/frames.rs
+++ b/crates/pipitcrank-server/src/replicas/frames.rs
@@ -37,7 +37,7 @@
     pub text: Arc<str>,
 }
 
-/// The values of a replica's load report that the decision module uses.
+/// The values of a replica's load report that the `Coordinator` uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Number of parts queued at the replica.
--- a/crates/pipitcrank-server/src/replicas/pool.rs
+++ b/crates/pipitcrank-server/src/replicas/pool.rs
@@ -25,7 +25,7 @@
     open: Vec<Rc<ConnectionState>>,
 }
 
-/// The replica side of the coordinator over TCP.
+/// The replica side of the co-ordinator over TCP.
 pub struct ReplicaPool {
     event_loop: Rc<EventLoop>,
     this: Weak<RefCell<ReplicaPool>>,
@@ -38,7 +38,8 @@
 }
 
 impl ReplicaPool {
-    /// Creates a pool without replicas. `streams_per_connection`: maximum number of parts in flight on one connection.
+    /// Creates a pool without replicas. `streams_per_connection`: maximum number of outstanding parts on one
+    /// connection.
     pub fn new(
         event_loop: Rc<EventLoop>,
         streams_per_connection: usize,
--- a/crates/pipitcrank-server/src/server_context.rs
+++ b/crates/pipitcrank-server/src/server_context.rs
@@ -35,7 +35,7 @@
     pub draining: watch::Receiver<bool>,
     /// Time of the shutdown request, if any.
     pub shutdown_requested: ShutdownRequest,
-    /// The zone of this coordinator and the names of all zones; `None` if the platform has no zones.
+    /// The zone of this co-ordinator and the names of all zones; `None` if the platform has no zones.
     pub zones: Option<(ZoneId, Vec<String>)>,
     /// Priority weight of a complete answer, by request class.
     pub priority_weights: Vec<f64>,
--- a/crates/pipitcrank-server/src/upgrade/relay.rs
+++ b/crates/pipitcrank-server/src/upgrade/relay.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Responds to a query that the successor may or may not have executed; returns whether the query was pending.
+    /// Responds to a relayed query whose parts may have run; returns whether the query was pending.
     fn respond_as_lost(&self, ticket: u64) -> bool {
         let Some(query) = self.pending.borrow_mut().remove(&ticket) else { return false };
         let response = self.event_loop.read(|e| e.response_if_lost(query.class));
--- a/crates/pipitcrank-server/src/upgrade/successor.rs
+++ b/crates/pipitcrank-server/src/upgrade/successor.rs
@@ -74,8 +74,8 @@
 
     /// Sends the last message to the successor.
     pub(super) fn finish(&self, context: &UpgradeContext) {
-        let reserved = self.delegated_retries;
-        let delegated_retries_used = context.event_loop.read(|e| e.delegated_retries_used(reserved));
+        let delegated = self.delegated_retries;
+        let delegated_retries_used = context.event_loop.read(|e| e.delegated_retries_used(delegated));
         let counters = context.event_loop.counters.all();
         self.link.send(&ToSuccessor::Finished { delegated_retries_used, counters }, None);
     }
--- a/crates/pipitcrank-server/tests/exchange/harness.rs
+++ b/crates/pipitcrank-server/tests/exchange/harness.rs
@@ -187,7 +187,7 @@
         let responses = self.responses.borrow();
         let mut matching = responses.iter().filter(|(name, _)| name == id);
         let response = matching.next().map(|(_, response)| format!("{response:?}"));
-        assert!(matching.next().is_none(), "query {id} got more than one final response");
+        assert!(matching.next().is_none(), "query {id} got more than one final answer");
         response
     }
 }
--- a/crates/pipitcrank-server/tests/exchange/properties.rs
+++ b/crates/pipitcrank-server/tests/exchange/properties.rs
@@ -33,7 +33,7 @@
         cases: 300, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Each query gets one final response before its deadline unless its client has disconnected, hits contain only
+    /// Each query gets one final answer before its deadline unless its client has disconnected, hits contain only
     /// values from replicas, and no attempt is authorized for a query that has ended.
     #[test]
     fn every_query_ends_once_and_in_time(ops in proptest::collection::vec(op(), 1..60)) {
--- a/crates/pipitcrank-server/tests/replica_pool.rs
+++ b/crates/pipitcrank-server/tests/replica_pool.rs
@@ -174,7 +174,7 @@
             let response = harness.submit_query(1, "t".into());
             let mut stream = harness.accepted.recv().await.unwrap();
             read_frame(&mut stream).await;
-            // A connection with a call in flight is not idle, so it stays open beyond the idle timeout.
+            // A connection with an outstanding call is not idle, so it stays open beyond the idle timeout.
             tokio::time::sleep(Duration::from_millis(60)).await;
             write_answer(&mut stream, &format!("q{n}.0")).await;
             assert!(matches!(response.await.unwrap(), QueryResponse::Answered { complete: true, .. }));
--- a/crates/pipitcrank-server/tests/stored_forms.rs
+++ b/crates/pipitcrank-server/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! Checks that a node configuration with every key is read as in an earlier version.
-//! The tests of `pipitcrank-core` check the decision module's settings.
+//! Checks that a node configuration with every key is read as in an earlier version. The tests of `pipitcrank-core`
+//! check the `Coordinator`'s settings.
 
 use std::time::Duration;
 
