--- a/crates/pipitcrank-testkit/src/trial/zones/fault.rs
+++ b/crates/pipitcrank-testkit/src/trial/zones/fault.rs
@@ -1,70 +1,70 @@
-//! Faults that the zones trial plays.
+//! Faults of the zones trial.
 
 /// A fault of the zones trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     /// Nothing fails.
     Calm,
-    /// All replicas of a zone become unreachable while its members live; they return in slow start.
+    /// All replicas of a zone become unreachable and later return in slow start; its members keep running.
     Replicas,
-    /// Replicas and members of a zone.
+    /// The members of a zone are killed and its replicas become unreachable.
     Zone,
-    /// Members of a zone are killed, its replicas live.
-    Copies,
-    /// Half of a zone's replicas.
-    Half,
-    /// A zone's replicas become unreachable and return every 1.5 s.
+    /// The members of a zone are killed; its replicas keep running.
+    Members,
+    /// Half of a zone's replicas become unreachable.
+    HalfZone,
+    /// The replicas of a zone alternate between unreachable and reachable every 1.5 s.
     Flaps,
-    /// Members of a zone receive nothing from the others; its replicas are healthy for all.
-    Parted,
-    /// Members of one zone do not reach the replicas of another, in both directions; the third zone reaches both.
+    /// The members of a zone are partitioned from the other members; its replicas stay reachable for all members.
+    Partitioned,
+    /// The members of each of two zones can't reach the replicas of the other zone; the third zone reaches both.
     Cut,
-    /// The leading voter is stopped for 5 s while a zone is lost, and then continues.
-    Leader,
-    /// Two of three voters die while a zone is lost, and restart without a store.
-    Majority,
-    /// A second zone is lost while the first is half moved.
-    Two,
-    /// A zone accepts everything and answers late.
+    /// The leader is stopped by SIGSTOP for 5 s while a zone is lost, and then continues.
+    LeaderStopped,
+    /// Two of three voters are killed, a zone is lost, and the voters restart without a store.
+    MajorityKilled,
+    /// A second zone is lost while routing is moving off the first.
+    TwoZones,
+    /// The replicas of a zone accept all parts and answer late.
     Slow,
-    /// One member ends by SIGTERM and another is upgraded while a zone is being left.
+    /// One member is terminated by SIGTERM and another is upgraded while routing moves off a lost zone.
     Restarts,
-    /// An operator drains a zone while another is lost, and returns it.
+    /// An operator drains a zone while another is lost, and later returns it to service.
     Drain,
-    /// A zone is lost while datagrams are dropped, duplicated and delayed.
+    /// A zone is lost while datagrams between members are dropped, duplicated and delayed.
     Lossy,
-    /// One member reaches no replica anywhere, and reports so of all zones.
-    Sick,
-    /// A whole region loses its replicas while its links still answer heartbeats.
+    /// One member reaches no replica and reports all zones as unreachable.
+    IsolatedMember,
+    /// All replicas of a region become unreachable while its gateway links still answer heartbeats.
     Region,
-    /// Datagrams that are forged, truncated, replayed, too long, or of another version.
-    Strangers,
+    /// A member receives datagrams that are forged, truncated, replayed, too long or of another version.
+    InvalidDatagrams,
 }
 
-/// All faults in the order of the enum, with the names that `--only` takes and that figures and messages print.
+/// All faults in the order of the enum, with their names in `--only`, figures and messages.
 pub const FAULTS: [(Fault, &str); 18] = [
     (Fault::Calm, "Calm"),
     (Fault::Replicas, "Leaves"),
     (Fault::Zone, "Zone"),
-    (Fault::Copies, "Copies"),
-    (Fault::Half, "Half"),
+    (Fault::Members, "Copies"),
+    (Fault::HalfZone, "Half"),
     (Fault::Flaps, "Flaps"),
-    (Fault::Parted, "Parted"),
+    (Fault::Partitioned, "Parted"),
     (Fault::Cut, "Cut"),
-    (Fault::Leader, "Leader"),
-    (Fault::Majority, "Majority"),
-    (Fault::Two, "Two"),
+    (Fault::LeaderStopped, "Leader"),
+    (Fault::MajorityKilled, "Majority"),
+    (Fault::TwoZones, "Two"),
     (Fault::Slow, "Slow"),
     (Fault::Restarts, "Restarts"),
     (Fault::Drain, "Drain"),
     (Fault::Lossy, "Lossy"),
-    (Fault::Sick, "Sick"),
+    (Fault::IsolatedMember, "Sick"),
     (Fault::Region, "Region"),
-    (Fault::Strangers, "Strangers"),
+    (Fault::InvalidDatagrams, "Strangers"),
 ];
 
 impl Fault {
-    /// The name that `--only` takes and that figures and messages print.
+    /// The name of the fault in `--only`, figures and messages.
     pub fn name(self) -> &'static str {
         FAULTS.iter().find(|(fault, _)| *fault == self).map_or("", |(_, name)| name)
     }
