--- a/crates/pipitcrank-gateway/src/link_server.rs
+++ b/crates/pipitcrank-gateway/src/link_server.rs
@@ -11,7 +11,7 @@
 use crate::forward_service::ForwardService;
 use crate::link_session::SessionContext;
 
-/// Pause between two attempts to listen or to accept. During an upgrade the old process may still hold the address.
+/// Pause between two attempts to listen or to accept. During an upgrade the predecessor may still hold the address.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Server for the links from other sites.
--- a/crates/pipitcrank-handover/src/resource_split/tests.rs
+++ b/crates/pipitcrank-handover/src/resource_split/tests.rs
@@ -27,7 +27,7 @@
     RetryBudgetConfig { fraction, free, window }
 }
 
-/// Checks the retry budget of a single coordinator against the queries and retries of both processes.
+/// Checks the retry budget of a single co-ordinator against the queries and retries of both processes.
 fn within_budget(
     free: f64,
     fraction: f64,
--- a/crates/pipitcrank-handover/src/snapshot.rs
+++ b/crates/pipitcrank-handover/src/snapshot.rs
@@ -31,7 +31,7 @@
     pub revision: Option<u64>,
     /// Replicas of the endpoint list.
     pub replicas: Vec<ReplicaRecord>,
-    /// Learned state of the coordinator. It refers to replicas by [`ReplicaRecord::index`].
+    /// Learned state of the `Coordinator`. It identifies replicas by [`ReplicaRecord::index`].
     pub learned: LearnedState,
     /// Retries that are delegated to the process that took the snapshot.
     pub delegated_retries: DelegatedRetries,
--- a/crates/pipitcrank-handover/src/upgrade_state.rs
+++ b/crates/pipitcrank-handover/src/upgrade_state.rs
@@ -12,8 +12,8 @@
 //! | state | listener and client connections | new queries | open queries | rollback |
 //! | --- | --- | --- | --- | --- |
 //! | `Starting` | predecessor | predecessor | predecessor | kill the successor |
-//! | `Loading` | predecessor | predecessor; successor once it has the snapshot | predecessor | kill the successor; the predecessor answers the queries it had forwarded |
-//! | `Trial` | predecessor | successor, forwarded by the predecessor | predecessor | as in `Loading` |
+//! | `Loading` | predecessor | predecessor; successor once it has the snapshot | predecessor | kill the successor; the predecessor answers the queries that it had relayed |
+//! | `Trial` | predecessor | successor, relayed by the predecessor | predecessor | as in `Loading` |
 //! | `Transferring` | transferred one by one | successor | predecessor | not for transferred connections; the predecessor continues with the others |
 //! | `Idle` | serving worker | serving worker | serving worker | - |
 //!
