--- a/crates/pipitcrank-cli/src/store_driver.rs
+++ b/crates/pipitcrank-cli/src/store_driver.rs
@@ -158,7 +158,7 @@
         let recovered = state.recover(read_clocks(), time_span(self.config.max_age));
         if recovered.learned.is_none() {
             tracing::info!(
-                "/store/path {path}: stored learned state is too old, or a clock was set; starting without it"
+                "/store/path {path}: stored last known state is too old, or a clock was set; its learned part is not used"
             );
         }
         Some(recovered)
--- a/crates/pipitcrank-config/src/store.rs
+++ b/crates/pipitcrank-config/src/store.rs
@@ -16,9 +16,9 @@
 pub struct StoreConfig {
     /// Path of the file, which only this co-ordinator uses.
     pub path: PathBuf,
-    /// Interval between writes of the learned state. State that a voter must not lose is written on each change.
+    /// Interval between writes of the last known state. The voter state is written on each change.
     pub write_interval: Duration,
-    /// Largest age of stored learned state that is still used.
+    /// Largest age at which the learned part of the last known state is still used.
     pub max_age: Duration,
 }
 
@@ -32,7 +32,7 @@
 
 impl StoreForm {
     /// Checks the section. Each write syncs the disk, and more than ten writes per second would not improve a
-    /// restart. Learned state older than a day is of no use.
+    /// restart. A last known state older than a day is of no use.
     pub(crate) fn checked(self) -> Result<StoreConfig, ConfigError> {
         Ok(StoreConfig {
             path: checked_path(self.path)?,
